--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"os"
 
-	"wrenford/internal/wire"
+	"slatemux/internal/wire"
 )
 
 func main() {
--- a/cmd/slatelab/capacity.go
+++ b/cmd/slatelab/capacity.go
@@ -11,7 +11,7 @@
 
 	"github.com/spf13/cobra"
 
-	"wrenford/internal/lab/capacity"
+	"slatemux/internal/lab/capacity"
 )
 
 const (
--- a/cmd/slatelab/capacity_real.go
+++ b/cmd/slatelab/capacity_real.go
@@ -8,7 +8,7 @@
 
 	"github.com/spf13/cobra"
 
-	"wrenford/internal/lab/capacity/real"
+	"slatemux/internal/lab/capacity/real"
 )
 
 // How many real relays may be started, and what is done with them.
--- a/cmd/slatelab/capacity_slopes.go
+++ b/cmd/slatelab/capacity_slopes.go
@@ -11,7 +11,7 @@
 
 	"github.com/spf13/cobra"
 
-	"wrenford/internal/lab/capacity/slopes"
+	"slatemux/internal/lab/capacity/slopes"
 )
 
 // slopesCores bounds the cores that a measurement uses, for the machine is shared.
--- a/cmd/slatelab/connections.go
+++ b/cmd/slatelab/connections.go
@@ -21,11 +21,11 @@
 	"github.com/spf13/cobra"
 	"golang.org/x/sys/unix"
 
-	"wrenford/internal/conns"
-	"wrenford/internal/flow"
-	"wrenford/internal/flow/http1"
-	"wrenford/internal/lab/scripted"
-	"wrenford/internal/traffic"
+	"slatemux/internal/conns"
+	"slatemux/internal/flow"
+	"slatemux/internal/flow/http1"
+	"slatemux/internal/lab/scripted"
+	"slatemux/internal/traffic"
 )
 
 // idleMost is what all pools are told that servers let a connection idle; callMost is the time that a call has.
--- a/cmd/slatelab/faults.go
+++ b/cmd/slatelab/faults.go
@@ -7,7 +7,7 @@
 
 	"github.com/spf13/cobra"
 
-	"wrenford/internal/lab/fleets"
+	"slatemux/internal/lab/fleets"
 )
 
 // faultsCommand plays a scenario of many real relays with faults between them.
--- a/cmd/slatelab/limits.go
+++ b/cmd/slatelab/limits.go
@@ -9,8 +9,8 @@
 
 	"github.com/spf13/cobra"
 
-	"wrenford/internal/allowance"
-	"wrenford/internal/lab/limits"
+	"slatemux/internal/allowance"
+	"slatemux/internal/lab/limits"
 )
 
 const (
--- a/cmd/slatelab/main.go
+++ b/cmd/slatelab/main.go
@@ -13,7 +13,7 @@
 
 	"github.com/spf13/cobra"
 
-	"wrenford/internal/lab"
+	"slatemux/internal/lab"
 )
 
 func main() {
--- a/cmd/slatelab/overload.go
+++ b/cmd/slatelab/overload.go
@@ -13,10 +13,10 @@
 
 	"github.com/spf13/cobra"
 
-	"wrenford/internal/lab"
-	"wrenford/internal/lab/ledger"
-	"wrenford/internal/lab/load"
-	"wrenford/internal/lab/partner"
+	"slatemux/internal/lab"
+	"slatemux/internal/lab/ledger"
+	"slatemux/internal/lab/load"
+	"slatemux/internal/lab/partner"
 )
 
 // place is a deployment whose partners bear any load, so that the relay alone is what may fall short.
--- a/cmd/slatelab/scale.go
+++ b/cmd/slatelab/scale.go
@@ -10,12 +10,12 @@
 
 	"github.com/spf13/cobra"
 
-	"wrenford"
-	"wrenford/internal/lab/world"
-	"wrenford/internal/lab/world/gossip"
-	"wrenford/internal/lab/world/model"
-	"wrenford/internal/lab/world/play"
-	"wrenford/internal/spread"
+	"slatemux/internal/dispatch"
+	"slatemux/internal/lab/emulator"
+	"slatemux/internal/lab/emulator/gossip"
+	"slatemux/internal/lab/emulator/servermodel"
+	"slatemux/internal/lab/emulator/workload"
+	"slatemux/internal/spread"
 )
 
 // scaleCommand plays large fleets in virtual time, with the relays' talk and without.
@@ -48,26 +48,26 @@
 const scaleExchange = time.Second
 
 // scaleDay is one day of a size.
-func scaleDay(relays int, seed uint64, fleet *play.Fleet) play.Day {
-	set := wrenford.Settings{
-		Classes: []wrenford.Class{{Name: "slot", Effect: wrenford.Safe, Aim: time.Second, Deadline: 5 * time.Second, Worth: 1, LateWorth: 0.1}},
-		Kinds:   []wrenford.Kind{{Name: "partner"}}, Zones: []wrenford.Zone{{Name: "z"}}, Zone: "z", Resolution: 5 * time.Millisecond,
+func scaleDay(relays int, seed uint64, fleet *workload.Fleet) workload.Day {
+	set := dispatch.Settings{
+		Classes: []dispatch.Class{{Name: "slot", Effect: dispatch.Safe, Aim: time.Second, Deadline: 5 * time.Second, Worth: 1, LateWorth: 0.1}},
+		Kinds:   []dispatch.Kind{{Name: "partner"}}, Zones: []dispatch.Zone{{Name: "z"}}, Zone: "z", Resolution: 5 * time.Millisecond,
 		MaxCalls: 30, MaxOpen: 400, MaxAttempts: 8, ConnectTimeout: time.Second, KeepAlive: 5 * time.Second, CallsPerConn: 1,
-		MaxRetryAfter: 3 * time.Second, RetryAfter: true, Cancel: true, Weights: wrenford.Rough, LateByHalves: true,
-		Safety: wrenford.Safety{StartCapacity: 0.23, Cold: 13 * time.Second, FallMultiple: 1.5, TipAfter: 1500 * time.Millisecond}}
-	d := play.Day{Seed: seed, Relays: relays, Settings: set, Length: 30 * time.Second, Class: "slot", TimeLeft: 5 * time.Second, Fleet: fleet, Reports: true}
+		MaxRetryAfter: 3 * time.Second, RetryAfter: true, Cancel: true, Weights: dispatch.Rough, LateByHalves: true,
+		Safety: dispatch.Safety{StartCapacity: 0.23, Cold: 13 * time.Second, FallMultiple: 1.5, TipAfter: 1500 * time.Millisecond}}
+	d := workload.Day{Seed: seed, Relays: relays, Settings: set, Length: 30 * time.Second, Class: "slot", TimeLeft: 5 * time.Second, Fleet: fleet, Reports: true}
 	for i := range 10 {
 		demand := float64(relays) * 2 / 10
 		limit := demand * 1.5
-		dest := play.Destination{Servers: relays, Work: 40 * time.Millisecond, Rate: demand}
+		dest := workload.Destination{Servers: relays, Work: 40 * time.Millisecond, Rate: demand}
 		switch i {
 		case 0:
-			dest.Health = model.Health{Spells: []model.Spell{{From: world.Time(8 * time.Second), To: world.Time(13 * time.Second), State: model.Down}}, StartShare: 0.23,
+			dest.Health = servermodel.Health{Spells: []servermodel.Spell{{From: emulator.Time(8 * time.Second), To: emulator.Time(13 * time.Second), State: servermodel.Down}}, StartShare: 0.23,
 				Cold: 13 * time.Second}
 		case 1:
 			limit = demand * 0.8
 		}
-		dest.Limit = model.Bucket{Rate: limit, Burst: limit, Tells: true, Draws: true}
+		dest.Limit = servermodel.Bucket{Rate: limit, Burst: limit, Tells: true, Draws: true}
 		d.Destinations = append(d.Destinations, dest)
 	}
 	return d
@@ -79,15 +79,15 @@
 	links := gossip.Links{Delay: time.Millisecond, Jitter: 4 * time.Millisecond, Loss: loss}
 	for _, n := range sizes {
 		for _, talk := range []bool{false, true} {
-			var days []play.Day
+			var days []workload.Day
 			for seed := range seeds {
-				var fleet *play.Fleet
+				var fleet *workload.Fleet
 				if talk {
-					fleet = &play.Fleet{Links: links, Exchange: scaleExchange, Bytes: 4096, Agree: 2}
+					fleet = &workload.Fleet{Links: links, Exchange: scaleExchange, Bytes: 4096, Agree: 2}
 				}
 				days = append(days, scaleDay(n, uint64(seed+1), fleet))
 			}
-			results, err := play.Many(days, min(runtime.NumCPU(), 4))
+			results, err := workload.Many(days, min(runtime.NumCPU(), 4))
 			if err != nil {
 				return err
 			}
--- a/cmd/slatelab/tls.go
+++ b/cmd/slatelab/tls.go
@@ -17,11 +17,11 @@
 	"github.com/spf13/cobra"
 	"golang.org/x/sys/unix"
 
-	"wrenford/internal/lab"
-	"wrenford/internal/lab/ca"
-	"wrenford/internal/lab/ledger"
-	"wrenford/internal/lab/load"
-	"wrenford/internal/lab/partner"
+	"slatemux/internal/lab"
+	"slatemux/internal/lab/ca"
+	"slatemux/internal/lab/ledger"
+	"slatemux/internal/lab/load"
+	"slatemux/internal/lab/partner"
 )
 
 // caCommand makes an authority and certificates to try things with.
--- a/cmd/slatelab/toy.go
+++ b/cmd/slatelab/toy.go
@@ -11,9 +11,9 @@
 
 	"github.com/spf13/cobra"
 
-	"wrenford/internal/lab/ledger"
-	"wrenford/internal/lab/partner"
-	"wrenford/internal/lab/platform"
+	"slatemux/internal/lab/ledger"
+	"slatemux/internal/lab/partner"
+	"slatemux/internal/lab/platform"
 )
 
 // toyCommand serves what stands around one relay, to try it by hand: example/README.md.
--- a/cmd/slatemux/cli.go
+++ b/cmd/slatemux/cli.go
@@ -18,10 +18,10 @@
 	"github.com/spf13/cobra"
 	"golang.org/x/term"
 
-	"wrenford/internal/fleet"
-	"wrenford/internal/gateway"
-	"wrenford/internal/governor"
-	"wrenford/internal/secure"
+	"slatemux/internal/fleet"
+	"slatemux/internal/gateway"
+	"slatemux/internal/governor"
+	"slatemux/internal/secure"
 )
 
 func main() {
--- a/cmd/slatemux/cli_test.go
+++ b/cmd/slatemux/cli_test.go
@@ -7,7 +7,7 @@
 	"strings"
 	"testing"
 
-	"wrenford/internal/gateway"
+	"slatemux/internal/gateway"
 )
 
 // cli runs the command line and returns what it printed.
--- a/cmd/slatemux/config.go
+++ b/cmd/slatemux/config.go
@@ -11,13 +11,13 @@
 	"strconv"
 	"time"
 
-	"wrenford"
-	"wrenford/internal/fleet/configfile"
-	"wrenford/internal/front"
-	"wrenford/internal/gateway"
-	"wrenford/internal/overload"
-	"wrenford/internal/pool"
-	"wrenford/internal/settings"
+	"slatemux/internal/dispatch"
+	"slatemux/internal/fleet/configfile"
+	"slatemux/internal/front"
+	"slatemux/internal/gateway"
+	"slatemux/internal/overload"
+	"slatemux/internal/pool"
+	"slatemux/internal/settings"
 )
 
 // file is the configuration as deployed.
@@ -49,7 +49,7 @@
 	gateway                        gateway.Config
 	gatewayPath                    string
 	known                          pool.List
-	settings                       wrenford.Settings
+	settings                       dispatch.Settings
 	began                          time.Time
 	serveOn, exitAfter             time.Duration // after SIGTERM
 	countersEvery                  time.Duration // between lines of counters; 0 for none unasked
--- a/cmd/slatemux/configuration.go
+++ b/cmd/slatemux/configuration.go
@@ -9,9 +9,9 @@
 	"io"
 	"net/http"
 
-	"wrenford/internal/configsync"
-	"wrenford/internal/fleet"
-	"wrenford/internal/ops"
+	"slatemux/internal/configsync"
+	"slatemux/internal/fleet"
+	"slatemux/internal/ops"
 )
 
 // replication is what the settings say of the replication of the fleet's configuration; nil where it is off.
--- a/cmd/slatemux/configuration_cli.go
+++ b/cmd/slatemux/configuration_cli.go
@@ -19,8 +19,8 @@
 
 	"github.com/spf13/cobra"
 
-	"wrenford/internal/configsync"
-	"wrenford/internal/fleet"
+	"slatemux/internal/configsync"
+	"slatemux/internal/fleet"
 )
 
 const (
--- a/cmd/slatemux/configuration_test.go
+++ b/cmd/slatemux/configuration_test.go
@@ -15,9 +15,9 @@
 	"testing"
 	"time"
 
-	"wrenford/internal/configsync"
-	"wrenford/internal/fleet"
-	"wrenford/internal/fleet/configfile"
+	"slatemux/internal/configsync"
+	"slatemux/internal/fleet"
+	"slatemux/internal/fleet/configfile"
 )
 
 // freeAddress returns an address that nobody listens on.
--- a/cmd/slatemux/deploy_test.go
+++ b/cmd/slatemux/deploy_test.go
@@ -66,7 +66,7 @@
 	}
 	node := deployed(t, "node")
 	for _, pkg := range strings.Fields(string(out)) {
-		part, ours := strings.CutPrefix(pkg, "wrenford/")
+		part, ours := strings.CutPrefix(pkg, "slatemux/")
 		if !ours || strings.Contains(node, `"`+part+`"`) {
 			continue
 		}
--- a/cmd/slatemux/desk.go
+++ b/cmd/slatemux/desk.go
@@ -5,10 +5,10 @@
 	"sync/atomic"
 	"time"
 
-	"wrenford/internal/fleet"
-	"wrenford/internal/maint"
-	"wrenford/internal/ops"
-	"wrenford/internal/relay"
+	"slatemux/internal/fleet"
+	"slatemux/internal/maintenance"
+	"slatemux/internal/ops"
+	"slatemux/internal/relay"
 )
 
 // followEvery is how often the bans file is read for changes that the other process of a hand-over made.
@@ -18,7 +18,7 @@
 // bans in the state folder before the relay is told of them.
 type opsDesk struct {
 	server *ops.Server
-	bans   *maint.Bans
+	bans   *maintenance.Bans
 	ready  atomic.Bool
 	relay  *relay.Relay // set before ready
 	front  interface{ ShedByClass() map[string]int64 }
--- a/cmd/slatemux/fleet.go
+++ b/cmd/slatemux/fleet.go
@@ -15,10 +15,10 @@
 
 	"github.com/spf13/cobra"
 
-	"wrenford/internal/allowance"
-	"wrenford/internal/fleet"
-	"wrenford/internal/relay"
-	"wrenford/internal/traffic"
+	"slatemux/internal/allowance"
+	"slatemux/internal/fleet"
+	"slatemux/internal/relay"
+	"slatemux/internal/traffic"
 )
 
 // told hands the fleet's word to the relay, which is made after the relay's part in the fleet.
--- a/cmd/slatemux/main.go
+++ b/cmd/slatemux/main.go
@@ -13,23 +13,23 @@
 	"syscall"
 	"time"
 
-	"wrenford"
-	"wrenford/internal/flow"
-	"wrenford/internal/front"
-	"wrenford/internal/governor"
-	"wrenford/internal/journal"
-	"wrenford/internal/maint"
-	"wrenford/internal/notice"
-	"wrenford/internal/ops"
-	"wrenford/internal/place"
-	"wrenford/internal/pool"
-	"wrenford/internal/recall"
-	"wrenford/internal/relay"
-	"wrenford/internal/secure"
-	"wrenford/internal/traffic"
-	"wrenford/internal/turns"
-	"wrenford/internal/vitals"
-	"wrenford/internal/waits"
+	"slatemux/internal/discoveryaddr"
+	"slatemux/internal/dispatch"
+	"slatemux/internal/flow"
+	"slatemux/internal/front"
+	"slatemux/internal/governor"
+	"slatemux/internal/journal"
+	"slatemux/internal/keyorder"
+	"slatemux/internal/limitstore"
+	"slatemux/internal/maintenance"
+	"slatemux/internal/notice"
+	"slatemux/internal/ops"
+	"slatemux/internal/pool"
+	"slatemux/internal/relay"
+	"slatemux/internal/retryafter"
+	"slatemux/internal/secure"
+	"slatemux/internal/traffic"
+	"slatemux/internal/vitals"
 )
 
 // After SIGTERM the relay serves on for serveOn; then it closes its clients' connections between requests,
@@ -60,8 +60,8 @@
 }
 
 // keepsOrder says whether any class keeps the order of keys.
-func keepsOrder(set *wrenford.Settings) bool {
-	return slices.ContainsFunc(set.Classes, func(c wrenford.Class) bool { return c.OrderedByKey })
+func keepsOrder(set *dispatch.Settings) bool {
+	return slices.ContainsFunc(set.Classes, func(c dispatch.Class) bool { return c.OrderedByKey })
 }
 
 // run serves until a signal ends it. It reads its configuration again when asked to, and tells where it
@@ -73,7 +73,7 @@
 	read := time.Now()
 	most := cfg.caps()
 	debug.SetMemoryLimit(most.heap)
-	discovery := place.New(cfg.discovery)
+	discovery := discoveryaddr.New(cfg.discovery)
 	store, err := journal.Open(cfg.state, most.disk)
 	if err != nil {
 		return err
@@ -84,7 +84,7 @@
 	// The operators' address answers from the start: not ready until clients are taken.
 	var desk *opsDesk
 	if cfg.ops != "" {
-		desk = &opsDesk{bans: maint.Open(cfg.state)}
+		desk = &opsDesk{bans: maintenance.Open(cfg.state)}
 		if desk.server, err = ops.Listen(cfg.ops, desk); err != nil {
 			return fmt.Errorf("ops: %w", err)
 		}
@@ -130,7 +130,7 @@
 	}
 
 	var shared flow.Waits // a nil interface where none are shared
-	if table, err := waits.Open(os.TempDir()); err != nil {
+	if table, err := retryafter.Open(os.TempDir()); err != nil {
 		slog.Warn("told waits not shared with a successor", "err", err)
 	} else {
 		defer table.Close()
@@ -138,7 +138,7 @@
 	}
 	var inTurn relay.Turns // as well
 	if keepsOrder(&cfg.settings) {
-		if table, err := turns.Open(os.TempDir(), fmt.Sprint(os.Getpid(), cfg.began.UnixNano())); err != nil {
+		if table, err := keyorder.Open(os.TempDir(), fmt.Sprint(os.Getpid(), cfg.began.UnixNano())); err != nil {
 			slog.Warn("the order of keys is not shared with a successor", "err", err)
 		} else {
 			defer table.Close()
@@ -172,7 +172,7 @@
 	if keep.Ahead {
 		ahead = flows
 	}
-	learned := recall.Open(cfg.state, most.learned, time.Now())
+	learned := limitstore.Open(cfg.state, most.learned, time.Now())
 	notices := notice.New(discovery, func(ids []string) { r.NoticesAnswered(ids) })
 	r, err = relay.New(relay.Config{Meters: meters, Settings: cfg.settings, Seed: cfg.seed, MostBytes: most.openBytes, Store: store,
 		Flows: flows, Notices: notices, Ahead: ahead, Lessons: learned, Heir: store, Fleet: amongRelays, Turns: inTurn, Banned: bans})
--- a/cmd/slatemux/main_test.go
+++ b/cmd/slatemux/main_test.go
@@ -15,7 +15,7 @@
 	"testing"
 	"time"
 
-	"wrenford/internal/recall"
+	"slatemux/internal/limitstore"
 )
 
 // around stands for the rest of the world: one pool member, and the platform.
@@ -166,13 +166,13 @@
 	path := filepath.Join(env["NODE_STATE"], "learned")
 	for known := 0.0; known != 25; time.Sleep(time.Millisecond) { // it is written behind the answer
 		if raw, err := os.ReadFile(path); err == nil {
-			if limits, err := recall.Decode(raw, time.Now()); err == nil && len(limits) == 1 {
+			if limits, err := limitstore.Decode(raw, time.Now()); err == nil && len(limits) == 1 {
 				known = limits[0].Rate
 			}
 		}
 	}
 	end()
-	if got := recall.Open(env["NODE_STATE"], 10_000, time.Now()).Limits(); got[7] != 25 {
+	if got := limitstore.Open(env["NODE_STATE"], 10_000, time.Now()).Limits(); got[7] != 25 {
 		t.Errorf("remembered: %v", got)
 	}
 	if err := os.WriteFile(path, []byte("slatemux-learned-1 torn"), 0o600); err != nil {
--- a/cmd/slatemux/tls.go
+++ b/cmd/slatemux/tls.go
@@ -11,9 +11,9 @@
 
 	"github.com/spf13/cobra"
 
-	"wrenford/internal/secure"
-	"wrenford/internal/traffic"
-	"wrenford/internal/trust"
+	"slatemux/internal/secure"
+	"slatemux/internal/tlspolicy"
+	"slatemux/internal/traffic"
 )
 
 // tlsCommand is for looking at servers' certificates as the relay sees them.
@@ -85,7 +85,7 @@
 	fmt.Fprintf(w, "%s at %s: %s, %s, accepted in %v\n", member.Host, member.Dial, tls.VersionName(first.Version), tls.CipherSuiteName(first.CipherSuite), took[0].Round(10*time.Microsecond))
 	for i, c := range first.PeerCertificates {
 		fmt.Fprintf(w, "  %d  %s\n     issued by %s\n     valid %s to %s (%s left), pin %v\n", i, c.Subject, c.Issuer, c.NotBefore.UTC().Format(time.DateTime),
-			c.NotAfter.UTC().Format(time.DateTime), time.Until(c.NotAfter).Round(time.Hour), trust.PinOf(c))
+			c.NotAfter.UTC().Format(time.DateTime), time.Until(c.NotAfter).Round(time.Hour), tlspolicy.PinOf(c))
 		if i == 0 {
 			fmt.Fprintf(w, "     names %v %v\n", c.DNSNames, c.IPAddresses)
 		}
--- a/cmd/slatemux/tls_test.go
+++ b/cmd/slatemux/tls_test.go
@@ -9,7 +9,7 @@
 	"strings"
 	"testing"
 
-	"wrenford/internal/lab/ca"
+	"slatemux/internal/lab/ca"
 )
 
 // tls check shows what a member has, says which it does not accept, and wants to be told where to look.
--- a/internal/allowance/explore_test.go
+++ b/internal/allowance/explore_test.go
@@ -4,8 +4,8 @@
 	"testing"
 	"time"
 
-	"wrenford/internal/allowance"
-	"wrenford/internal/lab/explore"
+	"slatemux/internal/allowance"
+	"slatemux/internal/lab/explore"
 )
 
 // small sets durations of few ticks, so that a short path goes through leases and loans that run out.
--- a/internal/allowance/simulation_test.go
+++ b/internal/allowance/simulation_test.go
@@ -5,8 +5,8 @@
 	"testing"
 	"time"
 
-	"wrenford/internal/allowance"
-	"wrenford/internal/lab/limits"
+	"slatemux/internal/allowance"
+	"slatemux/internal/lab/limits"
 )
 
 const tick = 10 * time.Millisecond
--- a/internal/configsync/membership_test.go
+++ b/internal/configsync/membership_test.go
@@ -9,7 +9,7 @@
 
 	"pgregory.net/rapid"
 
-	"wrenford/internal/cuts"
+	"slatemux/internal/proptest"
 )
 
 // drawPosition returns an end of a scope as a member's position, something close to one, or anything.
@@ -33,7 +33,7 @@
 
 // TestWithinFindsTheScope compares the members that are found in a scope with a comparison of every position.
 func TestWithinFindsTheScope(t *testing.T) {
-	cuts.Check(t, func(rt *rapid.T) {
+	proptest.Check(t, func(rt *rapid.T) {
 		members := fleetMembers(rapid.IntRange(0, 60).Draw(rt, "members"), rapid.IntRange(1, 4).Draw(rt, "regions"), 3)
 		m := NewMembership(members)
 		scope := Scope{Salt: rapid.Uint64().Draw(rt, "salt")}
--- a/internal/configsync/properties_test.go
+++ b/internal/configsync/properties_test.go
@@ -12,7 +12,7 @@
 	"github.com/cespare/xxhash/v2"
 	"pgregory.net/rapid"
 
-	"wrenford/internal/cuts"
+	"slatemux/internal/proptest"
 )
 
 // The properties of this file are functions of a seed and of planted defects. The tests check them without any;
@@ -21,7 +21,7 @@
 
 func checkProperty(t *testing.T, p property) {
 	t.Helper()
-	cuts.Check(t, func(rt *rapid.T) {
+	proptest.Check(t, func(rt *rapid.T) {
 		seed := rapid.Uint64().Draw(rt, "seed")
 		if err := p(seed, plantedDefects{}); err != nil {
 			rt.Fatalf("seed %d: %v", seed, err)
--- a/internal/configsync/replica_test.go
+++ b/internal/configsync/replica_test.go
@@ -9,7 +9,7 @@
 
 	"pgregory.net/rapid"
 
-	"wrenford/internal/cuts"
+	"slatemux/internal/proptest"
 )
 
 // newTestReplica returns the replica of the first of some members, at time 0 and with a first exchange that has been sent.
@@ -110,7 +110,7 @@
 
 // TestPartsTileTheScope checks that a holder's parts leave no gap, do not overlap, and are of equal count.
 func TestPartsTileTheScope(t *testing.T) {
-	cuts.Check(t, func(rt *rapid.T) {
+	proptest.Check(t, func(rt *rapid.T) {
 		members := fleetMembers(rapid.IntRange(2, 300).Draw(rt, "members"), rapid.IntRange(1, 3).Draw(rt, "regions"), 2)
 		r := newTestReplica(t, members, func(c *Config) {
 			quiet(c)
@@ -370,7 +370,7 @@
 
 // TestNoMessageCausesPanic feeds one replica whatever may come.
 func TestNoMessageCausesPanic(t *testing.T) {
-	cuts.Check(t, func(rt *rapid.T) {
+	proptest.Check(t, func(rt *rapid.T) {
 		members := fleetMembers(rapid.IntRange(1, 8).Draw(rt, "members"), 2, 2)
 		r := newTestReplica(t, members, nil)
 		now := time.Duration(0)
@@ -496,7 +496,7 @@
 	if config.Bound(1, time.Second, 0.5) != 0 {
 		t.Error("a relay alone waits")
 	}
-	cuts.Check(t, func(rt *rapid.T) {
+	proptest.Check(t, func(rt *rapid.T) {
 		members := rapid.IntRange(2, 4000).Draw(rt, "members")
 		delay := time.Duration(rapid.IntRange(1, 1000).Draw(rt, "delay")) * time.Millisecond
 		loss := rapid.Float64Range(0, 0.3).Draw(rt, "loss")
--- a/internal/configsync/store_test.go
+++ b/internal/configsync/store_test.go
@@ -11,7 +11,7 @@
 
 	"pgregory.net/rapid"
 
-	"wrenford/internal/cuts"
+	"slatemux/internal/proptest"
 )
 
 func change(source string, sequence, revision uint64, key, value string) Change {
@@ -102,7 +102,7 @@
 		return Change{Source: text.Draw(rt, "source"), Sequence: number.Draw(rt, "sequence"), Revision: number.Draw(rt, "revision"),
 			Key: text.Draw(rt, "key"), Value: []byte(text.Draw(rt, "value")), Removed: rapid.Bool().Draw(rt, "removed")}
 	}
-	cuts.Check(t, func(rt *rapid.T) {
+	proptest.Check(t, func(rt *rapid.T) {
 		a, b := draw(rt), draw(rt)
 		equal := a.Source == b.Source && compareChanges(&a, &b) == 0 && a.Key == b.Key
 		if same := string(a.SigningBytes()) == string(b.SigningBytes()); same != equal {
@@ -171,7 +171,7 @@
 }
 
 func TestRestoredStoreEqualsTheSavedOne(t *testing.T) {
-	cuts.Check(t, func(rt *rapid.T) {
+	proptest.Check(t, func(rt *rapid.T) {
 		h := newHistory(rand.New(rand.NewPCG(rapid.Uint64().Draw(rt, "seed"), 8)))
 		saved := NewStore(h.signers, 1000)
 		for range rapid.IntRange(0, 60).Draw(rt, "changes") {
--- a/internal/conns/conns_test.go
+++ b/internal/conns/conns_test.go
@@ -9,7 +9,7 @@
 
 	"pgregory.net/rapid"
 
-	"wrenford/internal/cuts"
+	"slatemux/internal/proptest"
 )
 
 const ms = time.Millisecond
@@ -487,7 +487,7 @@
 // Random events, against what must always hold: no connection carries two calls, no cap is passed, each opening ends once,
 // nothing leaks, and the same events lead to the same acts.
 func TestModel(t *testing.T) {
-	cuts.Check(t, func(t *rapid.T) {
+	proptest.Check(t, func(t *rapid.T) {
 		cfg := config()
 		cfg.Most = rapid.IntRange(1, 12).Draw(t, "most")
 		cfg.Ahead = rapid.Bool().Draw(t, "ahead")
@@ -623,7 +623,7 @@
 	if l := r.limit(0.02, 0.02); l < 2500*ms || l > 8*time.Second {
 		t.Errorf("limit %v where losses begin beyond 5 s", l)
 	}
-	cuts.Check(t, func(t *rapid.T) {
+	proptest.Check(t, func(t *rapid.T) {
 		var r reuses
 		for range rapid.IntRange(0, 200).Draw(t, "uses") {
 			r.add(time.Duration(rapid.Int64Range(0, 1e12).Draw(t, "idle")), rapid.Bool().Draw(t, "lost"))
--- a/internal/conns/race_test.go
+++ b/internal/conns/race_test.go
@@ -7,7 +7,7 @@
 
 	"pgregory.net/rapid"
 
-	"wrenford/internal/cuts"
+	"slatemux/internal/proptest"
 )
 
 func addrs(texts ...string) (list []netip.AddrPort) {
@@ -97,7 +97,7 @@
 // Whatever answers, fails and comes too late: each address is tried at most once, one wins at most, and the end is told.
 func TestRaces(t *testing.T) {
 	all := addrs("[2001:db8::1]:1", "[2001:db8::2]:1", "192.0.2.1:1", "192.0.2.2:1", "192.0.2.3:1")
-	cuts.Check(t, func(t *rapid.T) {
+	proptest.Check(t, func(t *rapid.T) {
 		a := NewAddresses()
 		now := time.Duration(0)
 		for range rapid.IntRange(1, 5).Draw(t, "races") {
--- a/internal/place/place.go
+++ b/internal/discoveryaddr/discoveryaddr.go
@@ -1,6 +1,6 @@
-// Package place holds an address that may move while it is in use: discovery's, which the watch and the
+// Package discoveryaddr holds an address that may move while it is in use: discovery's, which the watch and the
 // notices share.
-package place
+package discoveryaddr
 
 import (
 	"context"
--- a/collect.go
+++ b/internal/dispatch/collect.go
@@ -1,4 +1,4 @@
-package wrenford
+package dispatch
 
 // This file holds what the decisions need of maps and lists, and no decision.
 
--- a/fleet_test.go
+++ b/internal/dispatch/fleet_test.go
@@ -1,4 +1,4 @@
-package wrenford
+package dispatch
 
 import (
 	"container/heap"
--- a/sender.go
+++ b/internal/dispatch/sender.go
@@ -1,7 +1,7 @@
 // The order of this file is that of a message's life: taking events in, the ledger that says whether a call
 // can be paid for, the health of endpoints, dispatch, outcomes, final answers, admission.
 
-package wrenford
+package dispatch
 
 import (
 	"cmp"
--- a/shed_test.go
+++ b/internal/dispatch/shed_test.go
@@ -1,4 +1,4 @@
-package wrenford
+package dispatch
 
 import (
 	"cmp"
@@ -9,7 +9,7 @@
 
 	"pgregory.net/rapid"
 
-	"wrenford/internal/cuts"
+	"slatemux/internal/proptest"
 )
 
 // victims is shedding as its comment has it, one victim after another over all that is held.
@@ -42,7 +42,7 @@
 
 // Shedding many at once picks those that picking one by one would, in that order.
 func TestShedPicksAsOneByOne(t *testing.T) {
-	cuts.Check(t, func(t *rapid.T) {
+	proptest.Check(t, func(t *rapid.T) {
 		set := testSettings()
 		set.MaxOpen = 80
 		s, err := New(set, 1)
--- a/told_test.go
+++ b/internal/dispatch/told_test.go
@@ -1,4 +1,4 @@
-package wrenford
+package dispatch
 
 import (
 	"slices"
@@ -7,7 +7,7 @@
 
 	"pgregory.net/rapid"
 
-	"wrenford/internal/cuts"
+	"slatemux/internal/proptest"
 )
 
 // met returns a sender that has met two destinations with one endpoint each, at 10 s.
@@ -107,7 +107,7 @@
 // Whatever is told, and in whatever order, a sender sends no message that it would not have sent by then alone, and none
 // to an endpoint that it does not know.
 func TestToldOnlyRestrains(t *testing.T) {
-	cuts.Check(t, func(t *rapid.T) {
+	proptest.Check(t, func(t *rapid.T) {
 		play := func(told map[int]Event) (sent []string) {
 			s, err := New(testSettings(), 4)
 			if err != nil {
--- a/wrenford.go
+++ b/internal/dispatch/types.go
@@ -1,11 +1,11 @@
-// Package wrenford decides, for a sender that delivers messages to many outside destinations, when to
+// Package dispatch decides, for a sender that delivers messages to many outside destinations, when to
 // call, which endpoint to call, with what time-out, when to try again, and when to refuse or fail.
 //
 // A [Sender] is a deterministic state machine. It reads no clock, starts no goroutine and keeps no
 // global state: the caller hands it everything that happened at one instant as a list of [Event] values
 // and carries out the [Action] values that come back, in order.
 //
-//	s, err := wrenford.New(settings, seed)
+//	s, err := dispatch.New(settings, seed)
 //	actions := s.Step(now, events)
 //
 // What the caller owes:
@@ -20,7 +20,7 @@
 // [Fail]. A Refuse says that handing the message in again does no harm; a Fail makes no such promise.
 //
 // Every decision is in sender.go. This file holds the types alone.
-package wrenford
+package dispatch
 
 import (
 	"fmt"
--- a/internal/fleet/config.go
+++ b/internal/fleet/config.go
@@ -4,7 +4,7 @@
 	"net/netip"
 	"time"
 
-	"wrenford/internal/traffic"
+	"slatemux/internal/traffic"
 )
 
 // Config configures one relay's membership of a fleet.
--- a/internal/fleet/configfile/configfile.go
+++ b/internal/fleet/configfile/configfile.go
@@ -16,9 +16,9 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"wrenford/internal/configsync"
-	"wrenford/internal/fleet/wire"
-	"wrenford/internal/fleet/wire/fleetv1"
+	"slatemux/internal/configsync"
+	"slatemux/internal/fleet/wire"
+	"slatemux/internal/fleet/wire/fleetv1"
 )
 
 const (
--- a/internal/fleet/configfile/configfile_test.go
+++ b/internal/fleet/configfile/configfile_test.go
@@ -12,8 +12,8 @@
 
 	"pgregory.net/rapid"
 
-	"wrenford/internal/configsync"
-	"wrenford/internal/cuts"
+	"slatemux/internal/configsync"
+	"slatemux/internal/proptest"
 )
 
 const testBound = 1 << 20
@@ -107,8 +107,8 @@
 	contents := saved(t, t.TempDir(), changes)
 	last := contents[len(contents)-1]
 	dir := t.TempDir()
-	cuts.Check(t, func(t *rapid.T) {
-		if err := os.WriteFile(filepath.Join(dir, fileName), cuts.Garbage(t, last), 0o600); err != nil {
+	proptest.Check(t, func(t *rapid.T) {
+		if err := os.WriteFile(filepath.Join(dir, fileName), proptest.Garbage(t, last), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		got, err := Read(dir, testBound)
--- a/internal/fleet/configuration.go
+++ b/internal/fleet/configuration.go
@@ -8,11 +8,11 @@
 	"slices"
 	"time"
 
-	"wrenford/internal/configsync"
-	"wrenford/internal/fleet/configfile"
-	"wrenford/internal/fleet/directive"
-	"wrenford/internal/fleet/wire"
-	"wrenford/internal/traffic"
+	"slatemux/internal/configsync"
+	"slatemux/internal/fleet/configfile"
+	"slatemux/internal/fleet/directive"
+	"slatemux/internal/fleet/wire"
+	"slatemux/internal/traffic"
 )
 
 // ConfigurationConfig says how this relay takes part in the replication of the operators' configuration.
--- a/internal/fleet/configuration_driver.go
+++ b/internal/fleet/configuration_driver.go
@@ -6,8 +6,8 @@
 	"log/slog"
 	"time"
 
-	"wrenford/internal/configsync"
-	"wrenford/internal/spread"
+	"slatemux/internal/configsync"
+	"slatemux/internal/spread"
 )
 
 // minConfigurationWait is the least time between two looks at what is due of the configuration.
--- a/internal/fleet/configuration_figures.go
+++ b/internal/fleet/configuration_figures.go
@@ -6,8 +6,8 @@
 	"maps"
 	"slices"
 
-	"wrenford/internal/configsync"
-	"wrenford/internal/fleet/directive"
+	"slatemux/internal/configsync"
+	"slatemux/internal/fleet/directive"
 )
 
 // ConfigurationFigures are what operators are shown of the replication of configuration among the fleet's figures.
--- a/internal/fleet/configuration_test.go
+++ b/internal/fleet/configuration_test.go
@@ -14,8 +14,8 @@
 	"testing"
 	"time"
 
-	"wrenford/internal/configsync"
-	"wrenford/internal/traffic"
+	"slatemux/internal/configsync"
+	"slatemux/internal/traffic"
 )
 
 // control is a control machine of a test.
--- a/internal/fleet/driver.go
+++ b/internal/fleet/driver.go
@@ -5,7 +5,7 @@
 	"sync"
 	"time"
 
-	"wrenford/internal/verdicts"
+	"slatemux/internal/verdicts"
 )
 
 const (
--- a/internal/fleet/events.go
+++ b/internal/fleet/events.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"wrenford/internal/traffic"
-	"wrenford/internal/verdicts"
+	"slatemux/internal/traffic"
+	"slatemux/internal/verdicts"
 )
 
 const (
--- a/internal/fleet/figures.go
+++ b/internal/fleet/figures.go
@@ -4,9 +4,9 @@
 	"log/slog"
 	"time"
 
-	"wrenford/internal/allowance"
-	"wrenford/internal/spread"
-	"wrenford/internal/verdicts"
+	"slatemux/internal/allowance"
+	"slatemux/internal/spread"
+	"slatemux/internal/verdicts"
 )
 
 // Figures are the metrics that operators see.
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -17,11 +17,11 @@
 
 	"github.com/hashicorp/memberlist"
 
-	"wrenford/internal/allowance"
-	"wrenford/internal/fleet/wire"
-	"wrenford/internal/spread"
-	"wrenford/internal/traffic"
-	"wrenford/internal/verdicts"
+	"slatemux/internal/allowance"
+	"slatemux/internal/fleet/wire"
+	"slatemux/internal/spread"
+	"slatemux/internal/traffic"
+	"slatemux/internal/verdicts"
 )
 
 const (
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -16,10 +16,10 @@
 
 	"github.com/hashicorp/memberlist"
 
-	"wrenford/internal/fleet/wire"
-	"wrenford/internal/spread"
-	"wrenford/internal/traffic"
-	"wrenford/internal/verdicts"
+	"slatemux/internal/fleet/wire"
+	"slatemux/internal/spread"
+	"slatemux/internal/traffic"
+	"slatemux/internal/verdicts"
 )
 
 // heard is a relay that keeps what it is told.
--- a/internal/fleet/incarnation.go
+++ b/internal/fleet/incarnation.go
@@ -9,7 +9,7 @@
 	"strings"
 	"time"
 
-	"wrenford/internal/verdicts"
+	"slatemux/internal/verdicts"
 )
 
 const (
--- a/internal/fleet/limits.go
+++ b/internal/fleet/limits.go
@@ -5,9 +5,9 @@
 	"math"
 	"time"
 
-	"wrenford/internal/allowance"
-	"wrenford/internal/spread"
-	"wrenford/internal/traffic"
+	"slatemux/internal/allowance"
+	"slatemux/internal/spread"
+	"slatemux/internal/traffic"
 )
 
 const (
--- a/internal/fleet/membership.go
+++ b/internal/fleet/membership.go
@@ -12,7 +12,7 @@
 
 	"github.com/hashicorp/memberlist"
 
-	"wrenford/internal/fleet/wire"
+	"slatemux/internal/fleet/wire"
 )
 
 const (
--- a/internal/fleet/packets.go
+++ b/internal/fleet/packets.go
@@ -5,9 +5,9 @@
 	"log/slog"
 	"time"
 
-	"wrenford/internal/fleet/wire"
-	"wrenford/internal/spread"
-	"wrenford/internal/verdicts"
+	"slatemux/internal/fleet/wire"
+	"slatemux/internal/spread"
+	"slatemux/internal/verdicts"
 )
 
 type (
--- a/internal/fleet/restraints.go
+++ b/internal/fleet/restraints.go
@@ -4,8 +4,8 @@
 	"slices"
 	"time"
 
-	"wrenford/internal/traffic"
-	"wrenford/internal/verdicts"
+	"slatemux/internal/traffic"
+	"slatemux/internal/verdicts"
 )
 
 // Held reports whether an announcement of other relays holds a group. It is called before each call is written.
--- a/internal/fleet/trustedkeys.go
+++ b/internal/fleet/trustedkeys.go
@@ -12,8 +12,8 @@
 	"strings"
 	"sync/atomic"
 
-	"wrenford/internal/configsync"
-	"wrenford/internal/fleet/wire"
+	"slatemux/internal/configsync"
+	"slatemux/internal/fleet/wire"
 )
 
 // ReadTrustedKeys reads the public keys of the control machines whose configuration changes are taken: one line for each, its
--- a/internal/fleet/wire/configuration.go
+++ b/internal/fleet/wire/configuration.go
@@ -7,9 +7,9 @@
 	"strings"
 	"time"
 
-	"wrenford/internal/configsync"
-	"wrenford/internal/fleet/wire/fleetv1"
-	"wrenford/internal/spread"
+	"slatemux/internal/configsync"
+	"slatemux/internal/fleet/wire/fleetv1"
+	"slatemux/internal/spread"
 )
 
 // Bounds of one configuration message; what is over them is refused.
--- a/internal/fleet/wire/configuration_test.go
+++ b/internal/fleet/wire/configuration_test.go
@@ -12,11 +12,11 @@
 	"google.golang.org/protobuf/types/dynamicpb"
 	"pgregory.net/rapid"
 
-	"wrenford/internal/configsync"
-	"wrenford/internal/cuts"
-	"wrenford/internal/fleet/wire/fleetv1"
-	"wrenford/internal/spread"
-	"wrenford/internal/verdicts"
+	"slatemux/internal/configsync"
+	"slatemux/internal/fleet/wire/fleetv1"
+	"slatemux/internal/proptest"
+	"slatemux/internal/spread"
+	"slatemux/internal/verdicts"
 )
 
 func drawnChange(t *rapid.T, source string) configsync.Change {
@@ -62,7 +62,7 @@
 
 // A configuration message is decoded as it was encoded, and its size is told before.
 func TestConfigurationRoundTrip(t *testing.T) {
-	cuts.Check(t, func(t *rapid.T) {
+	proptest.Check(t, func(t *rapid.T) {
 		p := drawn(t)
 		p.Configuration = drawnConfiguration(t)
 		b, err := Append(nil, &p)
@@ -80,7 +80,7 @@
 
 // The size that the replication counts is no less than that of the packet that is sent.
 func TestConfigurationSize(t *testing.T) {
-	cuts.Check(t, func(t *rapid.T) {
+	proptest.Check(t, func(t *rapid.T) {
 		message := drawnConfiguration(t)
 		p := spread.Packet{From: "relay-7", Incarnation: rapid.Uint64Max(1<<20).Draw(t, "incarnation"), Uptime: 300 * 24 * time.Hour,
 			Count: rapid.Uint64Range(1, math.MaxUint32).Draw(t, "count"), Configuration: message}
@@ -92,11 +92,11 @@
 
 // Whatever comes, a configuration message is refused whole or makes sense.
 func TestConfigurationGarbage(t *testing.T) {
-	cuts.Check(t, func(t *rapid.T) {
+	proptest.Check(t, func(t *rapid.T) {
 		p := drawn(t)
 		p.Configuration = drawnConfiguration(t)
 		b, _ := Append(nil, &p)
-		got, err := Decode(cuts.Garbage(t, b))
+		got, err := Decode(proptest.Garbage(t, b))
 		if err != nil || got.Configuration == nil {
 			return
 		}
@@ -205,7 +205,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	cuts.Check(t, func(t *rapid.T) {
+	proptest.Check(t, func(t *rapid.T) {
 		p := drawn(t)
 		plain, err := Append(nil, &p)
 		if err != nil {
--- a/internal/fleet/wire/wire.go
+++ b/internal/fleet/wire/wire.go
@@ -10,13 +10,13 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"wrenford/internal/allowance"
-	"wrenford/internal/fleet/wire/fleetv1"
-	"wrenford/internal/spread"
-	"wrenford/internal/verdicts"
+	"slatemux/internal/allowance"
+	"slatemux/internal/fleet/wire/fleetv1"
+	"slatemux/internal/spread"
+	"slatemux/internal/verdicts"
 )
 
-//go:generate protoc -I ../../../proto --go_out=../../.. --go_opt=module=wrenford ../../../proto/slatemux/fleet/v1/fleet.proto
+//go:generate protoc -I ../../../proto --go_out=../../.. --go_opt=module=slatemux ../../../proto/slatemux/fleet/v1/fleet.proto
 
 // Version is the form of packets. A relay reads no other.
 const Version = 1
--- a/internal/fleet/wire/wire_test.go
+++ b/internal/fleet/wire/wire_test.go
@@ -8,10 +8,10 @@
 
 	"pgregory.net/rapid"
 
-	"wrenford/internal/allowance"
-	"wrenford/internal/cuts"
-	"wrenford/internal/spread"
-	"wrenford/internal/verdicts"
+	"slatemux/internal/allowance"
+	"slatemux/internal/proptest"
+	"slatemux/internal/spread"
+	"slatemux/internal/verdicts"
 )
 
 func drawn(t *rapid.T) spread.Packet {
@@ -45,7 +45,7 @@
 
 // What is encoded is decoded the same, and its size is told before.
 func TestRoundTrip(t *testing.T) {
-	cuts.Check(t, func(t *rapid.T) {
+	proptest.Check(t, func(t *rapid.T) {
 		p := drawn(t)
 		b, err := Append(nil, &p)
 		if err != nil {
@@ -62,10 +62,10 @@
 
 // Whatever comes, a packet is refused whole or makes sense; another version is told from garbage.
 func TestGarbage(t *testing.T) {
-	cuts.Check(t, func(t *rapid.T) {
+	proptest.Check(t, func(t *rapid.T) {
 		p := drawn(t)
 		b, _ := Append(nil, &p)
-		b = cuts.Garbage(t, b)
+		b = proptest.Garbage(t, b)
 		got, err := Decode(b)
 		if err == nil && (got.From == "" || got.Count == 0 || got.Groups > 0 && got.Group >= got.Groups || len(got.News) > MaxNews) {
 			t.Errorf("taken: %+v", got)
--- a/internal/flow/batch.go
+++ b/internal/flow/batch.go
@@ -6,8 +6,8 @@
 	"strconv"
 	"time"
 
-	"wrenford/internal/flow/http1"
-	"wrenford/internal/traffic"
+	"slatemux/internal/flow/http1"
+	"slatemux/internal/traffic"
 )
 
 // A call may carry several transactions, where the pool member's kind takes that. It has one fate on its way, and its answer says
--- a/internal/flow/batch_test.go
+++ b/internal/flow/batch_test.go
@@ -10,8 +10,8 @@
 
 	"pgregory.net/rapid"
 
-	"wrenford/internal/cuts"
-	"wrenford/internal/traffic"
+	"slatemux/internal/proptest"
+	"slatemux/internal/traffic"
 )
 
 // readBatch reads a call that carries several up to the end of its body, and returns that.
@@ -136,8 +136,8 @@
 
 // Whatever an answer holds, nothing is delivered that it does not say so of in a line of its own.
 func TestGarbageDeliversNothing(t *testing.T) {
-	cuts.Check(t, func(t *rapid.T) {
-		text := cuts.Garbage(t, []byte("aa delivered\r\nbb refused\r\ncc failed\r\n"))
+	proptest.Check(t, func(t *rapid.T) {
+		text := proptest.Garbage(t, []byte("aa delivered\r\nbb refused\r\ncc failed\r\n"))
 		for id, end := range decodeBatch(text) {
 			if end == traffic.Delivered && !strings.Contains("\n"+string(text)+"\n", "\n"+id+" delivered") {
 				t.Fatalf("%q is delivered by %q", id, text)
--- a/internal/flow/bench_test.go
+++ b/internal/flow/bench_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"wrenford/internal/traffic"
+	"slatemux/internal/traffic"
 )
 
 // BenchmarkCall is one call after another on a warm plain connection over loopback.
--- a/internal/flow/call.go
+++ b/internal/flow/call.go
@@ -6,8 +6,8 @@
 	"strings"
 	"time"
 
-	"wrenford/internal/flow/http1"
-	"wrenford/internal/traffic"
+	"slatemux/internal/flow/http1"
+	"slatemux/internal/traffic"
 )
 
 // appendCall encodes the call of a flow; now is when it is written.
--- a/internal/flow/conn.go
+++ b/internal/flow/conn.go
@@ -11,8 +11,8 @@
 
 	"golang.org/x/sys/unix"
 
-	"wrenford/internal/conns"
-	"wrenford/internal/flow/http1"
+	"slatemux/internal/conns"
+	"slatemux/internal/flow/http1"
 )
 
 // conn is one connection to a pool member with the goroutine that always reads from it, so that a close
--- a/internal/flow/crossing_test.go
+++ b/internal/flow/crossing_test.go
@@ -11,7 +11,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"wrenford/internal/traffic"
+	"slatemux/internal/traffic"
 )
 
 // atTheBrink does something between the moment in which a flow has its connection and its first byte: flows ask there whether others
--- a/internal/flow/dial.go
+++ b/internal/flow/dial.go
@@ -11,7 +11,7 @@
 	"sync"
 	"time"
 
-	"wrenford/internal/conns"
+	"slatemux/internal/conns"
 )
 
 // Resolver looks names up; net.Resolver is one.
--- a/internal/flow/flow.go
+++ b/internal/flow/flow.go
@@ -9,9 +9,9 @@
 	"sync"
 	"time"
 
-	"wrenford/internal/conns"
-	"wrenford/internal/traffic"
-	"wrenford/internal/trust"
+	"slatemux/internal/conns"
+	"slatemux/internal/tlspolicy"
+	"slatemux/internal/traffic"
 )
 
 // Config says what the flows must keep to.
@@ -32,7 +32,7 @@
 
 	// Secure makes connections over TLS, to those members that want it; nil for none.
 	Secure Secure
-	Gate   trust.GateConfig
+	Gate   tlspolicy.GateConfig
 	Busy   func() float64 // the program's own load, 0 to 1, which slows handshakes; nil for none
 
 	// OwnDelay is how long what has come waits at present until this program looks at it; nil for not known.
--- a/internal/flow/flow_test.go
+++ b/internal/flow/flow_test.go
@@ -9,10 +9,10 @@
 
 	"pgregory.net/rapid"
 
-	"wrenford/internal/conns"
-	"wrenford/internal/cuts"
-	"wrenford/internal/flow/http1"
-	"wrenford/internal/traffic"
+	"slatemux/internal/conns"
+	"slatemux/internal/flow/http1"
+	"slatemux/internal/proptest"
+	"slatemux/internal/traffic"
 )
 
 // rig is a Manager with one member, a listener that hands its connections to the test.
@@ -336,9 +336,9 @@
 }
 
 func TestDecodeSurvivesGarbage(t *testing.T) {
-	cuts.Check(t, func(t *rapid.T) {
+	proptest.Check(t, func(t *rapid.T) {
 		var resp http1.Response
-		_, _ = resp.Feed(cuts.Garbage(t, []byte(ok)))
+		_, _ = resp.Feed(proptest.Garbage(t, []byte(ok)))
 		a := decode(&resp, false)
 		if rep := a.report; rep != nil && !(rep.Left >= 0 && rep.Limit >= 0) || a.wait < 0 {
 			t.Fatalf("%+v", a)
--- a/internal/flow/http1/http1_test.go
+++ b/internal/flow/http1/http1_test.go
@@ -7,7 +7,7 @@
 
 	"pgregory.net/rapid"
 
-	"wrenford/internal/cuts"
+	"slatemux/internal/proptest"
 )
 
 // answers are whole answers with what each says.
@@ -26,10 +26,10 @@
 }
 
 func TestAnswersInPieces(t *testing.T) {
-	cuts.Check(t, func(t *rapid.T) {
+	proptest.Check(t, func(t *rapid.T) {
 		a := rapid.SampledFrom(answers).Draw(t, "answer")
 		r := Response{Keep: 100}
-		for _, piece := range cuts.Pieces(t, []byte(a.text)) {
+		for _, piece := range proptest.Pieces(t, []byte(a.text)) {
 			if n, err := r.Feed(piece); err != nil || n != len(piece) {
 				t.Fatalf("Feed(%q) = %d, %v", piece, n, err)
 			}
@@ -41,10 +41,10 @@
 }
 
 func TestGarbageEndsInAnErrorOrAnAnswer(t *testing.T) {
-	cuts.Check(t, func(t *rapid.T) {
+	proptest.Check(t, func(t *rapid.T) {
 		r := Response{Keep: 100}
-		text := cuts.Garbage(t, []byte(rapid.SampledFrom(answers).Draw(t, "answer").text))
-		for _, piece := range cuts.Pieces(t, text) {
+		text := proptest.Garbage(t, []byte(rapid.SampledFrom(answers).Draw(t, "answer").text))
+		for _, piece := range proptest.Pieces(t, text) {
 			n, err := r.Feed(piece)
 			if n > len(piece) || err == nil && n < len(piece) && !r.Done() {
 				t.Fatalf("Feed took %d of %d, %v", n, len(piece), err)
--- a/internal/flow/keep.go
+++ b/internal/flow/keep.go
@@ -9,8 +9,8 @@
 	"syscall"
 	"time"
 
-	"wrenford/internal/conns"
-	"wrenford/internal/trust"
+	"slatemux/internal/conns"
+	"slatemux/internal/tlspolicy"
 )
 
 // This file does what conns.Pool decides.
@@ -405,4 +405,4 @@
 }
 
 // Handshakes returns what the gate of handshakes counted, and how many flows wait there.
-func (g *Manager) Handshakes() (trust.GateCounters, int) { return g.opener.counters() }
+func (g *Manager) Handshakes() (tlspolicy.GateCounters, int) { return g.opener.counters() }
--- a/internal/flow/keep_test.go
+++ b/internal/flow/keep_test.go
@@ -6,9 +6,9 @@
 	"testing"
 	"time"
 
-	"wrenford/internal/conns"
-	"wrenford/internal/lab/scripted"
-	"wrenford/internal/traffic"
+	"slatemux/internal/conns"
+	"slatemux/internal/lab/scripted"
+	"slatemux/internal/traffic"
 )
 
 func (r *rig) state(t *testing.T) conns.State {
--- a/internal/flow/opener.go
+++ b/internal/flow/opener.go
@@ -5,16 +5,16 @@
 	"sync"
 	"time"
 
-	"wrenford/internal/trust"
+	"slatemux/internal/tlspolicy"
 )
 
-// opener has flows wait for new connections over TLS as trust.Gate decides. A flow that waits gets leave for a handshake,
+// opener has flows wait for new connections over TLS as tlspolicy.Gate decides. A flow that waits gets leave for a handshake,
 // or a connection of its member that has fallen idle meanwhile.
 type opener struct {
 	busy func() float64 // the program's own load; nil for none
 
 	mu     sync.Mutex
-	gate   *trust.Gate
+	gate   *tlspolicy.Gate
 	origin time.Time
 	seq    uint64
 	waits  map[uint64]chan grant
@@ -27,8 +27,8 @@
 	c     *conn
 }
 
-func newOpener(cfg trust.GateConfig, busy func() float64) *opener {
-	return &opener{busy: busy, gate: trust.NewGate(cfg), origin: time.Now(), waits: map[uint64]chan grant{}}
+func newOpener(cfg tlspolicy.GateConfig, busy func() float64) *opener {
+	return &opener{busy: busy, gate: tlspolicy.NewGate(cfg), origin: time.Now(), waits: map[uint64]chan grant{}}
 }
 
 // wait waits for a grant until the deadline or the end of ctx. Leave is to be given back with done, a connection is the
@@ -39,7 +39,7 @@
 	o.seq++
 	id := o.seq
 	o.waits[id] = got
-	o.gate.Add(trust.Ask{ID: id, Endpoint: host, Worth: worth, Deadline: deadline.Sub(o.origin)})
+	o.gate.Add(tlspolicy.Ask{ID: id, Endpoint: host, Worth: worth, Deadline: deadline.Sub(o.origin)})
 	o.pump()
 	o.mu.Unlock()
 	select {
@@ -109,7 +109,7 @@
 }
 
 // counters are those of the gate, and how many flows wait.
-func (o *opener) counters() (trust.GateCounters, int) {
+func (o *opener) counters() (tlspolicy.GateCounters, int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.gate.Counters(), o.gate.Waiting()
--- a/internal/flow/tls_test.go
+++ b/internal/flow/tls_test.go
@@ -14,10 +14,10 @@
 	"testing"
 	"time"
 
-	"wrenford/internal/lab/ca"
-	"wrenford/internal/secure"
-	"wrenford/internal/traffic"
-	"wrenford/internal/trust"
+	"slatemux/internal/lab/ca"
+	"slatemux/internal/secure"
+	"slatemux/internal/tlspolicy"
+	"slatemux/internal/traffic"
 )
 
 // secured is a Manager whose one member speaks TLS, and answers calls after a while.
@@ -82,7 +82,7 @@
 			}()
 		}
 	}()
-	s.m, err = secure.New(trust.Table{{Name: "bank", RootFiles: []string{s.rootFile}, MinVersion: tls.VersionTLS13, Sessions: 4}})
+	s.m, err = secure.New(tlspolicy.Table{{Name: "bank", RootFiles: []string{s.rootFile}, MinVersion: tls.VersionTLS13, Sessions: 4}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -105,7 +105,7 @@
 	return end
 }
 
-var gate = trust.GateConfig{Share: 1, Least: 1000, PerEndpoint: 2, Cost: time.Millisecond, Burst: time.Second}
+var gate = tlspolicy.GateConfig{Share: 1, Least: 1000, PerEndpoint: 2, Cost: time.Millisecond, Burst: time.Second}
 
 // Calls go over TLS on warm connections; changed roots end these once idle, and the next call makes a new one.
 func TestCallsOverTLS(t *testing.T) {
@@ -143,7 +143,7 @@
 
 // A thousand changes of certificates under load: every call ends well.
 func TestChangesUnderLoad(t *testing.T) {
-	s := newSecured(t, Config{MostFlows: 100, Conns: keeping(100), Gate: trust.GateConfig{Share: 1, Least: 1e5, PerEndpoint: 100, Cost: time.Millisecond,
+	s := newSecured(t, Config{MostFlows: 100, Conns: keeping(100), Gate: tlspolicy.GateConfig{Share: 1, Least: 1e5, PerEndpoint: 100, Cost: time.Millisecond,
 		Burst: time.Second}}, 0)
 	other, err := ca.Root("other", ca.P256)
 	if err != nil {
@@ -212,7 +212,7 @@
 // A flow whose handshake is not admitted in time was never sent, and is not the member's failure; one given up while it
 // waits ends as such.
 func TestHeldBack(t *testing.T) {
-	s := newSecured(t, Config{MostFlows: 10, Conns: keeping(10), Gate: trust.GateConfig{Share: 1e-9, Least: 1e-9, PerEndpoint: 1, Cost: time.Second, Burst: time.Second}}, 0)
+	s := newSecured(t, Config{MostFlows: 10, Conns: keeping(10), Gate: tlspolicy.GateConfig{Share: 1e-9, Least: 1e-9, PerEndpoint: 1, Cost: time.Second, Burst: time.Second}}, 0)
 	s.start("first", 1) // takes what there is at the start
 	s.want(t, traffic.Delivered)
 	(<-s.conns).Close()
--- a/internal/flow/unread.go
+++ b/internal/flow/unread.go
@@ -8,7 +8,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"wrenford/internal/traffic"
+	"slatemux/internal/traffic"
 )
 
 const (
--- a/internal/flow/unread_test.go
+++ b/internal/flow/unread_test.go
@@ -7,7 +7,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"wrenford/internal/traffic"
+	"slatemux/internal/traffic"
 )
 
 const waitAnswer = "HTTP/1.1 429 Wait\r\nX-Retry-In-Ms: 900\r\nContent-Length: 0\r\n\r\n"
--- a/internal/front/client.go
+++ b/internal/front/client.go
@@ -12,7 +12,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"wrenford/internal/overload"
+	"slatemux/internal/overload"
 )
 
 const (
--- a/internal/front/crossing_test.go
+++ b/internal/front/crossing_test.go
@@ -13,8 +13,8 @@
 
 	"golang.org/x/sys/unix"
 
-	"wrenford"
-	"wrenford/internal/traffic"
+	"slatemux/internal/dispatch"
+	"slatemux/internal/traffic"
 )
 
 // Crossings of bytes with the end of their connection, forced at the one seam there is: the reading of a socket.
@@ -66,7 +66,7 @@
 
 func serveSeamed(t *testing.T, sm *seam) (*Server, *counting) {
 	r := &counting{}
-	s, err := Listen("127.0.0.1:0", Limits{10, 10, 1 << 20}, []wrenford.Class{{Name: "pay", Effect: wrenford.Keyed}}, r, nil)
+	s, err := Listen("127.0.0.1:0", Limits{10, 10, 1 << 20}, []dispatch.Class{{Name: "pay", Effect: dispatch.Keyed}}, r, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -18,9 +18,9 @@
 	"github.com/tidwall/redcon"
 	"golang.org/x/sys/unix"
 
-	"wrenford"
-	"wrenford/internal/overload"
-	"wrenford/internal/traffic"
+	"slatemux/internal/dispatch"
+	"slatemux/internal/overload"
+	"slatemux/internal/traffic"
 )
 
 // Relay is what a front hands transactions to; any protocol's front may.
@@ -49,7 +49,7 @@
 type Server struct {
 	relay     Relay
 	admission Admission // nil for none
-	classes   map[string]wrenford.Effect
+	classes   map[string]dispatch.Effect
 	ln        net.Listener
 
 	mu       sync.Mutex
@@ -76,13 +76,13 @@
 }
 
 // Listen opens a virtual server that holds no more than its limits. Admission may be nil.
-func Listen(addr string, limits Limits, classes []wrenford.Class, relay Relay, admission Admission) (*Server, error) {
+func Listen(addr string, limits Limits, classes []dispatch.Class, relay Relay, admission Admission) (*Server, error) {
 	// A successor listens beside this process during a hand-over: the kernel deals new connections to both.
 	ln, err := (&net.ListenConfig{Control: reusePort}).Listen(context.Background(), "tcp", addr)
 	if err != nil {
 		return nil, fmt.Errorf("front: %w", err)
 	}
-	s := &Server{relay: relay, admission: admission, classes: map[string]wrenford.Effect{}, limits: limits, ln: ln, conns: map[*client]bool{},
+	s := &Server{relay: relay, admission: admission, classes: map[string]dispatch.Effect{}, limits: limits, ln: ln, conns: map[*client]bool{},
 		shedBy: map[string]*atomic.Int64{}}
 	for _, c := range classes {
 		s.classes[c.Name] = c.Effect
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -12,9 +12,9 @@
 	"github.com/tidwall/redcon"
 	"pgregory.net/rapid"
 
-	"wrenford"
-	"wrenford/internal/cuts"
-	"wrenford/internal/traffic"
+	"slatemux/internal/dispatch"
+	"slatemux/internal/proptest"
+	"slatemux/internal/traffic"
 )
 
 func command(args ...string) []byte {
@@ -29,9 +29,9 @@
 
 func TestCommandsInPiecesPassTheGuard(t *testing.T) {
 	text := bytes.Join([][]byte{put, []byte("PING\r\n"), command("PING", ""), put}, nil)
-	cuts.Check(t, func(t *rapid.T) {
+	proptest.Check(t, func(t *rapid.T) {
 		var g guard
-		for _, piece := range cuts.Pieces(t, text) {
+		for _, piece := range proptest.Pieces(t, text) {
 			if n, err := g.Feed(piece); err != nil || n != len(piece) {
 				t.Fatalf("Feed(%q) = %d, %v", piece, n, err)
 			}
@@ -47,10 +47,10 @@
 
 // Whatever the guard passes on, redcon's parser and ours must survive.
 func TestGarbageIsSurvived(t *testing.T) {
-	classes := map[string]wrenford.Effect{"pay": wrenford.Keyed}
-	cuts.Check(t, func(t *rapid.T) {
+	classes := map[string]dispatch.Effect{"pay": dispatch.Keyed}
+	proptest.Check(t, func(t *rapid.T) {
 		var g guard
-		text := cuts.Garbage(t, put)
+		text := proptest.Garbage(t, put)
 		n, _ := g.Feed(text)
 		rd, handled := redcon.NewReader(bytes.NewReader(text[:n])), 0
 		for cmd, err := rd.ReadCommand(); err == nil; cmd, err = rd.ReadCommand() {
@@ -76,7 +76,7 @@
 }
 
 func TestParsePut(t *testing.T) {
-	classes := map[string]wrenford.Effect{"pay": wrenford.Keyed, "slot": wrenford.Safe}
+	classes := map[string]dispatch.Effect{"pay": dispatch.Keyed, "slot": dispatch.Safe}
 	at := time.Now()
 	args := func(names string) [][]byte {
 		return [][]byte{[]byte("msg.put"), []byte("k"), []byte("id1"), []byte(names), []byte("b")}
@@ -113,7 +113,7 @@
 }
 
 func serve(t *testing.T, most int, a traffic.Answer) *Server {
-	s, err := Listen("127.0.0.1:0", Limits{most, most, 1 << 20}, []wrenford.Class{{Name: "pay", Effect: wrenford.Keyed}}, fixed(a), nil)
+	s, err := Listen("127.0.0.1:0", Limits{most, most, 1 << 20}, []dispatch.Class{{Name: "pay", Effect: dispatch.Keyed}}, fixed(a), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -167,7 +167,7 @@
 // that, the message would count as lost.
 func TestDrainAnswersWhatWasRead(t *testing.T) {
 	relay := make(slow)
-	s, err := Listen("127.0.0.1:0", Limits{10, 10, 1 << 20}, []wrenford.Class{{Name: "pay", Effect: wrenford.Keyed}}, relay, nil)
+	s, err := Listen("127.0.0.1:0", Limits{10, 10, 1 << 20}, []dispatch.Class{{Name: "pay", Effect: dispatch.Keyed}}, relay, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -232,7 +232,7 @@
 // that was of use may idle for longer, and none is closed on which an answer is due.
 func TestUselessConnectionsEnd(t *testing.T) {
 	relay := make(slow)
-	s, err := Listen("127.0.0.1:0", Limits{10, 10, 1 << 20}, []wrenford.Class{{Name: "pay", Effect: wrenford.Keyed}}, relay, nil)
+	s, err := Listen("127.0.0.1:0", Limits{10, 10, 1 << 20}, []dispatch.Class{{Name: "pay", Effect: dispatch.Keyed}}, relay, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/front/guard.go
+++ b/internal/front/guard.go
@@ -4,7 +4,7 @@
 	"errors"
 	"strings"
 
-	"wrenford/internal/traffic"
+	"slatemux/internal/traffic"
 )
 
 const (
--- a/internal/front/put.go
+++ b/internal/front/put.go
@@ -8,9 +8,9 @@
 	"strings"
 	"time"
 
-	"wrenford"
-	"wrenford/internal/overload"
-	"wrenford/internal/traffic"
+	"slatemux/internal/dispatch"
+	"slatemux/internal/overload"
+	"slatemux/internal/traffic"
 )
 
 // farthest is the longest time that a client may give a transaction.
@@ -33,7 +33,7 @@
 func (Unknown) command() {}
 
 // Parse decodes a command that was received at a time. Its result shares memory with args.
-func Parse(args [][]byte, classes map[string]wrenford.Effect, received time.Time) (Command, error) {
+func Parse(args [][]byte, classes map[string]dispatch.Effect, received time.Time) (Command, error) {
 	if len(args) == 0 {
 		return nil, errors.New("empty command")
 	}
@@ -55,7 +55,7 @@
 }
 
 // parsePut decodes MSG.PUT KEY ID NAMES BODY.
-func parsePut(args [][]byte, classes map[string]wrenford.Effect, received time.Time) (traffic.Transaction, error) {
+func parsePut(args [][]byte, classes map[string]dispatch.Effect, received time.Time) (traffic.Transaction, error) {
 	var t traffic.Transaction
 	if len(args) != 5 {
 		return t, fmt.Errorf("MSG.PUT takes 4 arguments, not %d", len(args)-1)
@@ -101,7 +101,7 @@
 		return t, fmt.Errorf("unknown class %.40q", t.Class)
 	case left == 0 || dest < 0:
 		return t, errors.New("d or dest is missing")
-	case effect == wrenford.Keyed && t.Key == "":
+	case effect == dispatch.Keyed && t.Key == "":
 		return t, fmt.Errorf("class %q needs k", t.Class)
 	case len(t.Order) > 64:
 		return t, errors.New("key is too long")
--- a/internal/front/refuse_test.go
+++ b/internal/front/refuse_test.go
@@ -13,17 +13,17 @@
 	"github.com/tidwall/redcon"
 	"pgregory.net/rapid"
 
-	"wrenford"
-	"wrenford/internal/cuts"
-	"wrenford/internal/overload"
-	"wrenford/internal/traffic"
+	"slatemux/internal/dispatch"
+	"slatemux/internal/overload"
+	"slatemux/internal/proptest"
+	"slatemux/internal/traffic"
 )
 
 // A refused body is cut out wherever the bytes are cut, the command stays whole, and no other byte changes: what
 // redcon reads is each admitted command as it was, and each refused one with an empty body, or as it was where its
 // body's size line came in pieces and it is to be ruled on later.
 func TestRefusedBodiesAreCutOut(t *testing.T) {
-	cuts.Check(t, func(t *rapid.T) {
+	proptest.Check(t, func(t *rapid.T) {
 		var text []byte
 		var sent []string
 		for i := range rapid.IntRange(1, 6).Draw(t, "commands") {
@@ -45,7 +45,7 @@
 			return bytes.Contains(fields, []byte("t=out"))
 		}
 		var passed []byte
-		for _, piece := range cuts.Pieces(t, text) {
+		for _, piece := range proptest.Pieces(t, text) {
 			good, err := g.Feed(piece)
 			if err != nil {
 				t.Fatal(err)
@@ -72,9 +72,9 @@
 
 // Garbage with a rule in front survives as without one.
 func TestGarbageWithARule(t *testing.T) {
-	cuts.Check(t, func(t *rapid.T) {
+	proptest.Check(t, func(t *rapid.T) {
 		g := guard{rule: func([]byte, int) bool { return true }}
-		for _, piece := range cuts.Pieces(t, cuts.Garbage(t, bytes.Repeat(put, 3))) {
+		for _, piece := range proptest.Pieces(t, proptest.Garbage(t, bytes.Repeat(put, 3))) {
 			good, err := g.Feed(piece)
 			if good > len(piece) {
 				t.Fatalf("%d bytes of %d passed", good, len(piece))
@@ -132,7 +132,7 @@
 func serveGate(t *testing.T, g *gate) (*Server, *accepting, net.Conn) {
 	t.Helper()
 	relay := &accepting{}
-	s, err := Listen("127.0.0.1:0", Limits{10, 10, 1 << 20}, []wrenford.Class{{Name: "pay", Effect: wrenford.Keyed}}, relay, g)
+	s, err := Listen("127.0.0.1:0", Limits{10, 10, 1 << 20}, []dispatch.Class{{Name: "pay", Effect: dispatch.Keyed}}, relay, g)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -205,7 +205,7 @@
 	for _, refused := range []bool{false, true} {
 		b.Run(map[bool]string{false: "admitted", true: "refused"}[refused], func(b *testing.B) {
 			g := guard{rule: func([]byte, int) bool { return refused }}
-			classes := map[string]wrenford.Effect{"pay": wrenford.Keyed}
+			classes := map[string]dispatch.Effect{"pay": dispatch.Keyed}
 			buf := make([]byte, len(text))
 			b.ReportAllocs()
 			for b.Loop() {
--- a/internal/gateway/configuration.go
+++ b/internal/gateway/configuration.go
@@ -5,8 +5,8 @@
 	"fmt"
 	"time"
 
-	"wrenford/internal/configsync"
-	"wrenford/internal/gateway/gatewayv1"
+	"slatemux/internal/configsync"
+	"slatemux/internal/gateway/gatewayv1"
 )
 
 const (
--- a/internal/gateway/configuration_test.go
+++ b/internal/gateway/configuration_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"wrenford/internal/configsync"
+	"slatemux/internal/configsync"
 )
 
 const configured = `fleet { enabled: true name: "tbilisi" bind: "127.0.0.1:7946" key_file: "k"
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -15,13 +15,13 @@
 
 	"google.golang.org/protobuf/encoding/prototext"
 
-	"wrenford/internal/conns"
-	"wrenford/internal/gateway/gatewayv1"
-	"wrenford/internal/overload"
-	"wrenford/internal/trust"
+	"slatemux/internal/conns"
+	"slatemux/internal/gateway/gatewayv1"
+	"slatemux/internal/overload"
+	"slatemux/internal/tlspolicy"
 )
 
-//go:generate protoc -I ../../proto --go_out=../.. --go_opt=module=wrenford ../../proto/slatemux/gateway/v1/gateway.proto
+//go:generate protoc -I ../../proto --go_out=../.. --go_opt=module=slatemux ../../proto/slatemux/gateway/v1/gateway.proto
 
 // Config is what the file says, with defaults where it says nothing.
 type Config struct {
@@ -55,9 +55,9 @@
 
 // TLS holds the settings of connections over TLS.
 type TLS struct {
-	Policies trust.Table
+	Policies tlspolicy.Table
 	Watch    bool
-	Gate     trust.GateConfig
+	Gate     tlspolicy.GateConfig
 }
 
 // Overload holds the settings of the program's own overload.
@@ -88,7 +88,7 @@
 // Default is the configuration without a file.
 func Default() Config {
 	return Config{Overload: Overload{Brownout: true, Tick: 50 * time.Millisecond, Control: overload.Defaults()},
-		Log: Log{LinesPerSecond: 5}, TLS: TLS{Watch: true, Gate: trust.GateDefaults()}, Conns: Conns{Keep: conns.Defaults(), HeldMost: 250 * time.Millisecond},
+		Log: Log{LinesPerSecond: 5}, TLS: TLS{Watch: true, Gate: tlspolicy.GateDefaults()}, Conns: Conns{Keep: conns.Defaults(), HeldMost: 250 * time.Millisecond},
 		Fleet: Fleet{Agree: 2, Exchange: time.Second, Bytes: 4096, DivideLimits: true, Configuration: defaultConfiguration()}}
 }
 
@@ -245,8 +245,8 @@
 	})...)...)
 }
 
-func takePolicy(p *gatewayv1.TlsPolicy) (trust.Policy, error) {
-	out := trust.Policy{Name: p.GetName(), Hosts: p.GetHost(), Plain: p.GetPlain(), ServerName: p.GetServerName(), RootFiles: p.GetRootFile(),
+func takePolicy(p *gatewayv1.TlsPolicy) (tlspolicy.Policy, error) {
+	out := tlspolicy.Policy{Name: p.GetName(), Hosts: p.GetHost(), Plain: p.GetPlain(), ServerName: p.GetServerName(), RootFiles: p.GetRootFile(),
 		RootDirs: p.GetRootDir(), SystemRoots: p.GetSystemRoots(), MinVersion: tls.VersionTLS12, Certificate: p.GetClientCertificate(),
 		Key: p.GetClientKey(), Sessions: 16}
 	if out.Name == "" {
@@ -266,7 +266,7 @@
 		return out, fmt.Errorf("min_version: %d is not a version", p.GetMinVersion())
 	}
 	for _, text := range p.GetPin() {
-		pin, err := trust.ParsePin(text)
+		pin, err := tlspolicy.ParsePin(text)
 		if err != nil {
 			return out, fmt.Errorf("pin: %w", err)
 		}
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -12,8 +12,8 @@
 
 	"pgregory.net/rapid"
 
-	"wrenford/internal/cuts"
-	"wrenford/internal/trust"
+	"slatemux/internal/proptest"
+	"slatemux/internal/tlspolicy"
 )
 
 const whole = `
@@ -72,9 +72,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := trust.Table{{Name: "in", Hosts: "10.*", Plain: true, MinVersion: tls.VersionTLS12, Sessions: 16}, {Name: "bank", Destinations: []int{7, 9},
+	want := tlspolicy.Table{{Name: "in", Hosts: "10.*", Plain: true, MinVersion: tls.VersionTLS12, Sessions: 16}, {Name: "bank", Destinations: []int{7, 9},
 		Hosts: "*.bank.example.org", ServerName: "pay.bank.example.org", RootFiles: []string{"a.pem"}, RootDirs: []string{"roots"}, SystemRoots: true,
-		MinVersion: tls.VersionTLS13, Pins: []trust.Pin{{}, {1}}, Certificate: "c.pem", Key: "c.key", Sessions: 3}}
+		MinVersion: tls.VersionTLS13, Pins: []tlspolicy.Pin{{}, {1}}, Certificate: "c.pem", Key: "c.key", Sessions: 3}}
 	if !reflect.DeepEqual(c.TLS.Policies, want) || c.TLS.Watch || c.TLS.Gate.Share != 0.5 || c.TLS.Gate.Least != 9 || c.TLS.Gate.PerEndpoint != 4 {
 		t.Errorf("%+v", c.TLS)
 	}
@@ -185,8 +185,8 @@
 }
 
 func TestGarbageIsSurvived(t *testing.T) {
-	cuts.Check(t, func(t *rapid.T) {
-		text := cuts.Garbage(t, []byte(whole))
+	proptest.Check(t, func(t *rapid.T) {
+		text := proptest.Garbage(t, []byte(whole))
 		if c, err := Parse("f", text); err == nil {
 			if err := c.Overload.Control.Check(); err != nil && !strings.Contains(err.Error(), "Classes") {
 				t.Fatalf("%q was taken and makes no sense: %v", text, err)
--- a/internal/governor/governor.go
+++ b/internal/governor/governor.go
@@ -11,9 +11,9 @@
 	"sync/atomic"
 	"time"
 
-	"wrenford/internal/overload"
-	"wrenford/internal/relay"
-	"wrenford/internal/vitals"
+	"slatemux/internal/overload"
+	"slatemux/internal/relay"
+	"slatemux/internal/vitals"
 )
 
 // Meters are what a Governor reads. Ping has one of them measure a wait until the next reading.
--- a/internal/governor/governor_test.go
+++ b/internal/governor/governor_test.go
@@ -6,9 +6,9 @@
 	"testing"
 	"time"
 
-	"wrenford/internal/overload"
-	"wrenford/internal/relay"
-	"wrenford/internal/vitals"
+	"slatemux/internal/overload"
+	"slatemux/internal/relay"
+	"slatemux/internal/vitals"
 )
 
 const ms = time.Millisecond
--- a/internal/journal/handover_test.go
+++ b/internal/journal/handover_test.go
@@ -5,7 +5,7 @@
 	"path/filepath"
 	"testing"
 
-	"wrenford/internal/traffic"
+	"slatemux/internal/traffic"
 )
 
 func openAsT(t *testing.T, dir, id string) *Journal {
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -16,7 +16,7 @@
 	"sync/atomic"
 	"time"
 
-	"wrenford/internal/traffic"
+	"slatemux/internal/traffic"
 )
 
 const (
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -12,8 +12,8 @@
 
 	"pgregory.net/rapid"
 
-	"wrenford/internal/cuts"
-	"wrenford/internal/traffic"
+	"slatemux/internal/proptest"
+	"slatemux/internal/traffic"
 )
 
 const megabyte = 1_000_000
@@ -94,8 +94,8 @@
 		whole = appendChange(whole, ch)
 	}
 	dir := t.TempDir()
-	cuts.Check(t, func(t *rapid.T) {
-		tail := cuts.Garbage(t, appendChange(nil, story[4])[:20])
+	proptest.Check(t, func(t *rapid.T) {
+		tail := proptest.Garbage(t, appendChange(nil, story[4])[:20])
 		if err := os.WriteFile(filepath.Join(dir, prefix), append(append([]byte{}, whole...), tail...), 0o600); err != nil {
 			t.Fatal(err)
 		}
@@ -112,13 +112,13 @@
 }
 
 func TestGarbageIsNoRecord(t *testing.T) {
-	cuts.Check(t, func(t *rapid.T) {
+	proptest.Check(t, func(t *rapid.T) {
 		ch := rapid.SampledFrom(story).Draw(t, "change")
 		valid := appendChange(nil, ch)
 		if _, n, err := decode(valid); err != nil || n != len(valid) {
 			t.Fatalf("%d of %d, %v", n, len(valid), err)
 		}
-		if got, n, err := decode(cuts.Garbage(t, valid)); err == nil && (n > len(valid) || got == nil) {
+		if got, n, err := decode(proptest.Garbage(t, valid)); err == nil && (n > len(valid) || got == nil) {
 			t.Fatalf("%d of %d, %v", n, len(valid), got)
 		}
 	})
--- a/internal/journal/record.go
+++ b/internal/journal/record.go
@@ -6,7 +6,7 @@
 	"hash/crc32"
 	"time"
 
-	"wrenford/internal/traffic"
+	"slatemux/internal/traffic"
 )
 
 // A record is the length of its payload and its checksum, four bytes each, and the payload: a kind and its
--- a/internal/turns/turns.go
+++ b/internal/keyorder/keyorder.go
@@ -1,8 +1,8 @@
-// Package turns keeps the order of a key between the processes of one relay. During a hand-over two processes take messages on,
+// Package keyorder keeps the order of a key between the processes of one relay. During a hand-over two processes take messages on,
 // each the next of a key as it comes, and the order is the relay's: each open message of a key has a ticket in a table that both
 // processes map from $TMPDIR, and a process does not begin with one while another process holds an earlier one. What a process that
 // ends leaves is taken up by its successor with its tickets. A restart empties $TMPDIR, and the journal's order is what remains.
-package turns
+package keyorder
 
 import (
 	"encoding/binary"
@@ -13,7 +13,7 @@
 	"time"
 	"unsafe"
 
-	"wrenford/internal/mapped"
+	"slatemux/internal/mmapfile"
 )
 
 // slots is how many open messages the table has room for, and near how many of one key, and of those whose hashes lie beside it. One
@@ -28,12 +28,12 @@
 // Table is the shared table. A nil Table shares nothing.
 type Table struct {
 	owner uint64
-	file  *mapped.File
+	file  *mmapfile.File
 }
 
 // Open maps the table of a folder, made where there is none, for a process of this name.
 func Open(dir, owner string) (*Table, error) {
-	file, err := mapped.Open(filepath.Join(dir, "slatemux-turns"), headBytes+slots*slotBytes)
+	file, err := mmapfile.Open(filepath.Join(dir, "slatemux-turns"), headBytes+slots*slotBytes)
 	if err != nil {
 		return nil, fmt.Errorf("turns: %w", err)
 	}
--- a/internal/turns/turns_test.go
+++ b/internal/keyorder/keyorder_test.go
@@ -1,4 +1,4 @@
-package turns
+package keyorder
 
 import (
 	"errors"
--- a/internal/lab/capacity/arrivals.go
+++ b/internal/lab/capacity/arrivals.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"wrenford/internal/lab/world"
+	"slatemux/internal/lab/emulator"
 )
 
 // Marks of a relay that has no time of arrival for a change.
@@ -15,7 +15,7 @@
 
 // arrival follows one change.
 type arrival struct {
-	published world.Time
+	published emulator.Time
 	delays    []time.Duration // by relay: from when it was published, or from the start of the relay's process if that was later
 }
 
@@ -25,7 +25,7 @@
 }
 
 // add begins to follow a change, which gets the next number.
-func (a *arrivals) add(now world.Time, relays int) int {
+func (a *arrivals) add(now emulator.Time, relays int) int {
 	c := &arrival{published: now, delays: make([]time.Duration, relays)}
 	for i := range c.delays {
 		c.delays[i] = notArrived
@@ -35,7 +35,7 @@
 }
 
 // learned notes that a relay, whose process began at a time, has a change.
-func (a *arrivals) learned(now, began world.Time, relay, change int) {
+func (a *arrivals) learned(now, began emulator.Time, relay, change int) {
 	c := a.changes[change]
 	if c.delays[relay] == notArrived {
 		c.delays[relay] = (now - max(c.published, began)).Duration()
--- a/internal/lab/capacity/capacity_test.go
+++ b/internal/lab/capacity/capacity_test.go
@@ -15,11 +15,11 @@
 	"testing"
 	"time"
 
-	files "wrenford/example/capacity"
-	"wrenford/internal/configsync"
-	"wrenford/internal/fleet/wire"
-	"wrenford/internal/lab/capacity/capacityv1"
-	"wrenford/internal/spread"
+	files "slatemux/example/capacity"
+	"slatemux/internal/configsync"
+	"slatemux/internal/fleet/wire"
+	"slatemux/internal/lab/capacity/capacityv1"
+	"slatemux/internal/spread"
 )
 
 // What the operators' plan allows each relay.
--- a/internal/lab/capacity/carrier.go
+++ b/internal/lab/capacity/carrier.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"time"
 
-	"wrenford/internal/configsync"
+	"slatemux/internal/configsync"
 )
 
 // Message is on its way from one relay to another.
--- a/internal/lab/capacity/configsync.go
+++ b/internal/lab/capacity/configsync.go
@@ -4,9 +4,9 @@
 	"fmt"
 	"time"
 
-	"wrenford/internal/configsync"
-	"wrenford/internal/fleet/wire"
-	"wrenford/internal/spread"
+	"slatemux/internal/configsync"
+	"slatemux/internal/fleet/wire"
+	"slatemux/internal/spread"
 )
 
 // maxConfigurationEntries is how many entries a hollow relay's store holds.
--- a/internal/lab/capacity/faults.go
+++ b/internal/lab/capacity/faults.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"wrenford/internal/lab/world"
+	"slatemux/internal/lab/emulator"
 )
 
 // plan schedules what the scenario wants to happen.
@@ -47,7 +47,7 @@
 func (f *fleet) publish() {
 	r := f.controlPoint()
 	if r == nil {
-		f.sim.After(simulatedSlice, world.Any, f.publish)
+		f.sim.After(simulatedSlice, emulator.Any, f.publish)
 		return
 	}
 	change := f.arrivals.add(f.sim.Now(), len(f.relays))
@@ -96,7 +96,7 @@
 	c := f.scenario.Reunion
 	together := seconds(c.AtS)
 	f.at(0, func() {
-		f.seed(int(c.Changes), f.start+world.Time(together), func(i int, publisher *relay) bool { return f.side(i) == f.side(publisher.index) })
+		f.seed(int(c.Changes), f.start+emulator.Time(together), func(i int, publisher *relay) bool { return f.side(i) == f.side(publisher.index) })
 	})
 	all := newView(f.scenario.Topology, len(f.relays), func(int) bool { return true })
 	f.at(together, func() {
@@ -108,7 +108,7 @@
 }
 
 // seed puts changes of the time before into the stores of those relays that had them. They count as published, to the others, at a time.
-func (f *fleet) seed(count int, published world.Time, had func(relay int, publisher *relay) bool) {
+func (f *fleet) seed(count int, published emulator.Time, had func(relay int, publisher *relay) bool) {
 	for range count {
 		publisher := f.controlPoint()
 		if publisher == nil {
--- a/internal/lab/capacity/fleet.go
+++ b/internal/lab/capacity/fleet.go
@@ -6,7 +6,7 @@
 	"math/rand/v2"
 	"time"
 
-	"wrenford/internal/lab/world"
+	"slatemux/internal/lab/emulator"
 )
 
 const (
@@ -17,18 +17,18 @@
 	// simulatedSlice is how much virtual time passes between two looks at the world outside.
 	simulatedSlice = 100 * time.Millisecond
 	// noEvent is an instant that does not come.
-	noEvent = world.Time(1<<63 - 1)
+	noEvent = emulator.Time(1<<63 - 1)
 )
 
 // relay is one of the fleet.
 type relay struct {
 	index      int
 	node       Node
-	began      world.Time // of its process
-	generation int        // of its processes
+	began      emulator.Time // of its process
+	generation int           // of its processes
 	down       bool
 	gone       bool // for good
-	nextTick   world.Time
+	nextTick   emulator.Time
 	view       *View
 	used       time.Duration // processor time, in the carrier's code
 }
@@ -36,24 +36,24 @@
 // fleet is a run that is going on.
 type fleet struct {
 	ctx      context.Context
-	sim      *world.Sim
+	sim      *emulator.Sim
 	scenario *Scenario
 	carrier  Carrier
 	relays   []*relay
 	links    *links
 	meter    *meter
 	arrivals *arrivals
-	rng      *rand.Rand // of the faults
-	start    world.Time // of the measured time
-	apart    bool       // the two groups of regions
-	turn     int        // of the control points
+	rng      *rand.Rand    // of the faults
+	start    emulator.Time // of the measured time
+	apart    bool          // the two groups of regions
+	turn     int           // of the control points
 	used     time.Duration
 	events   uint64
 	err      error
 }
 
 func newFleet(ctx context.Context, s *Scenario, c carrierDefinition, relays int, seed uint64) (*fleet, error) {
-	f := &fleet{ctx: ctx, sim: world.New(seed), scenario: s, arrivals: &arrivals{}, start: world.Time(s.WarmUp)}
+	f := &fleet{ctx: ctx, sim: emulator.New(seed), scenario: s, arrivals: &arrivals{}, start: emulator.Time(s.WarmUp)}
 	f.rng = f.sim.Stream("faults")
 	f.links = newLinks(s.Topology, f.sim.Stream("links"))
 	f.meter = newMeter(relays, f.start, s.Length)
@@ -104,7 +104,7 @@
 
 // at schedules something at a time from the beginning of the measured time.
 func (f *fleet) at(since time.Duration, do func()) {
-	f.sim.At(f.start+world.Time(since), world.Any, func() {
+	f.sim.At(f.start+emulator.Time(since), emulator.Any, func() {
 		if f.ctx.Err() == nil && f.err == nil {
 			do()
 		}
@@ -117,7 +117,7 @@
 	whole := f.scenario.WarmUp + f.scenario.Length
 	for now := simulatedSlice; ; now += simulatedSlice {
 		pause()
-		f.events += f.sim.Run(world.Time(min(now, whole)))
+		f.events += f.sim.Run(emulator.Time(min(now, whole)))
 		if err := f.ctx.Err(); err != nil {
 			return fmt.Errorf("stopped after %v of %v of virtual time: %w", f.sim.Now().Duration(), whole, err)
 		}
@@ -154,7 +154,7 @@
 // hear tells a relay of another view, within a while.
 func (f *fleet) hear(r *relay, view *View) {
 	after := time.Duration(f.rng.Float64() * float64(hearWithin))
-	f.sim.After(after, world.Any, func() {
+	f.sim.After(after, emulator.Any, func() {
 		r.view = view
 		if !r.down && f.ctx.Err() == nil {
 			f.call(r, func(now time.Duration) []Message { return r.node.Members(now, view) })
@@ -175,23 +175,23 @@
 	for _, m := range messages {
 		f.send(r, m)
 	}
-	f.wake(r, r.began+world.Time(max(due, 0)))
+	f.wake(r, r.began+emulator.Time(max(due, 0)))
 }
 
 // wake has a relay look at what is due then, unless it will look earlier.
-func (f *fleet) wake(r *relay, at world.Time) {
-	at = max(at, f.sim.Now()+world.Time(time.Millisecond))
+func (f *fleet) wake(r *relay, at emulator.Time) {
+	at = max(at, f.sim.Now()+emulator.Time(time.Millisecond))
 	if at >= r.nextTick {
 		return
 	}
 	r.nextTick = at
 	generation := r.generation
-	f.sim.At(at, world.Any, func() {
+	f.sim.At(at, emulator.Any, func() {
 		if r.generation != generation || r.nextTick != at || f.ctx.Err() != nil {
 			return
 		}
 		r.nextTick = noEvent
-		if due := r.began + world.Time(r.node.Due()); due > f.sim.Now() { // it has been put off since
+		if due := r.began + emulator.Time(r.node.Due()); due > f.sim.Now() { // it has been put off since
 			f.wake(r, due)
 			return
 		}
@@ -208,7 +208,7 @@
 		return
 	}
 	generation, sender := to.generation, from.index
-	f.sim.After(delay, world.Any, func() {
+	f.sim.After(delay, emulator.Any, func() {
 		if to.generation != generation || f.ctx.Err() != nil {
 			return
 		}
--- a/internal/lab/capacity/meter.go
+++ b/internal/lab/capacity/meter.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"wrenford/internal/lab/world"
+	"slatemux/internal/lab/emulator"
 )
 
 // The finest span of which bytes are counted, and the windows in which peaks are looked for.
@@ -19,7 +19,7 @@
 
 // meter counts what relays send and receive.
 type meter struct {
-	from world.Time
+	from emulator.Time
 	bins int
 	sent [][]uint32 // bytes, by relay and bin
 	got  [][]uint32
@@ -27,7 +27,7 @@
 	packets []int64
 }
 
-func newMeter(relays int, from world.Time, length time.Duration) *meter {
+func newMeter(relays int, from emulator.Time, length time.Duration) *meter {
 	m := &meter{from: from, bins: int((length + meterBin - 1) / meterBin), sent: make([][]uint32, relays), got: make([][]uint32, relays), packets: make([]int64, relays)}
 	for i := range relays {
 		m.sent[i], m.got[i] = make([]uint32, m.bins), make([]uint32, m.bins)
@@ -36,19 +36,19 @@
 }
 
 // bin is the present one; no where nothing is measured.
-func (m *meter) bin(now world.Time) (int, bool) {
+func (m *meter) bin(now emulator.Time) (int, bool) {
 	at := int((now - m.from).Duration() / meterBin)
 	return at, now >= m.from && at < m.bins
 }
 
-func (m *meter) sends(now world.Time, relay, bytes int) {
+func (m *meter) sends(now emulator.Time, relay, bytes int) {
 	if at, ok := m.bin(now); ok {
 		m.sent[relay][at] += uint32(bytes)
 		m.packets[relay]++
 	}
 }
 
-func (m *meter) receives(now world.Time, relay, bytes int) {
+func (m *meter) receives(now emulator.Time, relay, bytes int) {
 	if at, ok := m.bin(now); ok {
 		m.got[relay][at] += uint32(bytes)
 	}
--- a/internal/lab/capacity/real/compare.go
+++ b/internal/lab/capacity/real/compare.go
@@ -8,8 +8,8 @@
 	"text/tabwriter"
 	"time"
 
-	"wrenford/internal/lab/capacity"
-	"wrenford/internal/lab/capacity/capacityv1"
+	"slatemux/internal/lab/capacity"
+	"slatemux/internal/lab/capacity/capacityv1"
 )
 
 // The simulator's settings for a comparison.
--- a/internal/lab/capacity/real/real.go
+++ b/internal/lab/capacity/real/real.go
@@ -17,10 +17,10 @@
 	"slices"
 	"time"
 
-	"wrenford/internal/configsync"
-	"wrenford/internal/fleet"
-	"wrenford/internal/lab/fleets"
-	"wrenford/internal/lab/fleets/labv1"
+	"slatemux/internal/configsync"
+	"slatemux/internal/fleet"
+	"slatemux/internal/lab/fleets"
+	"slatemux/internal/lab/fleets/labv1"
 )
 
 const (
--- a/internal/lab/capacity/scenario.go
+++ b/internal/lab/capacity/scenario.go
@@ -16,11 +16,11 @@
 	"google.golang.org/protobuf/encoding/prototext"
 	"google.golang.org/protobuf/proto"
 
-	files "wrenford/example/capacity"
-	"wrenford/internal/lab/capacity/capacityv1"
+	files "slatemux/example/capacity"
+	"slatemux/internal/lab/capacity/capacityv1"
 )
 
-//go:generate protoc -I ../../../proto --go_out=../../.. --go_opt=module=wrenford ../../../proto/slatemux/lab/v1/capacity.proto
+//go:generate protoc -I ../../../proto --go_out=../../.. --go_opt=module=slatemux ../../../proto/slatemux/lab/v1/capacity.proto
 
 // Bounds of scenarios.
 const (
--- a/internal/lab/capacity/slopes/bounds.go
+++ b/internal/lab/capacity/slopes/bounds.go
@@ -7,9 +7,9 @@
 	"math"
 	"text/tabwriter"
 
-	"wrenford/internal/allowance"
-	"wrenford/internal/fleet/wire"
-	"wrenford/internal/verdicts"
+	"slatemux/internal/allowance"
+	"slatemux/internal/fleet/wire"
+	"slatemux/internal/verdicts"
 )
 
 // The program's constants that bound a size and are not exported. A test reads the sources and fails where one has changed.
@@ -24,7 +24,7 @@
 	streamBytesMost     = 512 << 10 // internal/fleet maxStream
 	streamsAtOnceMost   = 8         // internal/fleet maxStreams
 	journalLiveShare    = 0.4       // internal/journal livePart
-	recalledLimits      = 1873      // internal/recall, in 3 MB; docs/sizes.md says 1,875
+	recalledLimits      = 1873      // internal/limitstore, in 3 MB; docs/sizes.md says 1,875
 	exampleOpen         = 200       // example/config.json max-open
 	exampleSockets      = 1024      // example/config.json sockets
 	exampleMemory       = 192e6     // example/config.json memory_mb
--- a/internal/lab/capacity/slopes/destinations.go
+++ b/internal/lab/capacity/slopes/destinations.go
@@ -7,8 +7,8 @@
 	"runtime"
 	"time"
 
-	"wrenford/internal/journal"
-	"wrenford/internal/traffic"
+	"slatemux/internal/journal"
+	"slatemux/internal/traffic"
 )
 
 // openJournal opens a journal in a folder of its own. Close removes it.
--- a/internal/lab/capacity/slopes/harness.go
+++ b/internal/lab/capacity/slopes/harness.go
@@ -8,10 +8,10 @@
 	"sync/atomic"
 	"time"
 
-	"wrenford/internal/flow"
-	"wrenford/internal/gateway"
-	"wrenford/internal/relay"
-	"wrenford/internal/traffic"
+	"slatemux/internal/flow"
+	"slatemux/internal/gateway"
+	"slatemux/internal/relay"
+	"slatemux/internal/traffic"
 )
 
 // callTakes is the time that a destination takes to answer.
--- a/internal/lab/capacity/slopes/held.go
+++ b/internal/lab/capacity/slopes/held.go
@@ -5,9 +5,9 @@
 	"os"
 	"time"
 
-	"wrenford/internal/journal"
-	"wrenford/internal/pool"
-	"wrenford/internal/traffic"
+	"slatemux/internal/journal"
+	"slatemux/internal/pool"
+	"slatemux/internal/traffic"
 )
 
 // measureHeld measures a relay that starts with a backlog for the destinations that are down.
--- a/internal/lab/capacity/slopes/list.go
+++ b/internal/lab/capacity/slopes/list.go
@@ -4,8 +4,8 @@
 	"encoding/json"
 	"runtime"
 
-	"wrenford/internal/pool"
-	"wrenford/internal/traffic"
+	"slatemux/internal/pool"
+	"slatemux/internal/traffic"
 )
 
 // encodeList writes the entries of the destinations from first to before last as discovery does.
--- a/internal/lab/capacity/slopes/member.go
+++ b/internal/lab/capacity/slopes/member.go
@@ -15,7 +15,7 @@
 
 	"github.com/hashicorp/memberlist"
 
-	"wrenford/internal/fleet"
+	"slatemux/internal/fleet"
 )
 
 const (
--- a/internal/lab/capacity/slopes/module.go
+++ b/internal/lab/capacity/slopes/module.go
@@ -6,7 +6,7 @@
 	"runtime"
 	"time"
 
-	"wrenford"
+	"slatemux/internal/dispatch"
 )
 
 // Quantities of one step of the module.
@@ -30,7 +30,7 @@
 // moduleLoad drives the decision module alone, in virtual time: a backlog on the destinations that are down, and one arrival for
 // another and the answers to the calls of the step before in each step.
 type moduleLoad struct {
-	sender       *wrenford.Sender
+	sender       *dispatch.Sender
 	random       *rand.Rand
 	now          time.Duration
 	destinations int
@@ -38,21 +38,21 @@
 	next         int             // number of the next message
 	calls        map[string]int  // attempts of messages that are open
 	ended        int             // messages that the module refused or gave up
-	answers      []wrenford.Event
+	answers      []dispatch.Event
 }
 
 // newModuleLoad lists the destinations and hands in the backlog.
 func newModuleLoad(destinations, held int, seed uint64) (*moduleLoad, error) {
-	sender, err := wrenford.New(moduleSettings(destinations, held), int64(seed))
+	sender, err := dispatch.New(moduleSettings(destinations, held), int64(seed))
 	if err != nil {
 		return nil, err
 	}
 	l := &moduleLoad{sender: sender, random: rand.New(rand.NewPCG(seed, 0)), destinations: destinations, down: map[string]bool{}, calls: map[string]int{}}
-	list := wrenford.Members{Whole: true}
+	list := dispatch.Members{Whole: true}
 	for i := range destinations {
-		list.Endpoints = append(list.Endpoints, wrenford.Endpoint{ID: memberName(i), Zone: zoneName, Kind: kindName, Destination: i, Weight: 100})
+		list.Endpoints = append(list.Endpoints, dispatch.Endpoint{ID: memberName(i), Zone: zoneName, Kind: kindName, Destination: i, Weight: 100})
 	}
-	events := []wrenford.Event{list}
+	events := []dispatch.Event{list}
 	down := downDestinations(destinations)
 	for i := range down {
 		l.down[memberName(i)] = true
@@ -64,36 +64,36 @@
 	return l, nil
 }
 
-func (l *moduleLoad) request(destination int) wrenford.Request {
+func (l *moduleLoad) request(destination int) dispatch.Request {
 	l.next++
 	left := messageDeadline - time.Duration(l.random.Int64N(int64(messageDeadline/2))) // the backlog's deadlines lie before and behind
-	return wrenford.Request{ID: messageID(l.next), Destination: destination, Class: className, TimeLeft: left, Size: bodyBytes}
+	return dispatch.Request{ID: messageID(l.next), Destination: destination, Class: className, TimeLeft: left, Size: bodyBytes}
 }
 
 // step takes one step, returns the processor time that the module took, and prepares the answers to its calls.
-func (l *moduleLoad) step(events []wrenford.Event) time.Duration {
+func (l *moduleLoad) step(events []dispatch.Event) time.Duration {
 	l.now += modulePause
-	var actions []wrenford.Action
+	var actions []dispatch.Action
 	begun := threadTime()
 	actions = l.sender.Step(l.now, events)
 	took := threadTime() - begun
 	l.answers = l.answers[:0]
 	for _, action := range actions {
 		switch action := action.(type) {
-		case wrenford.Send:
+		case dispatch.Send:
 			l.answers = append(l.answers, l.answer(action))
-		case wrenford.Refuse, wrenford.Fail:
+		case dispatch.Refuse, dispatch.Fail:
 			l.ended++
 		}
 	}
 	return took
 }
 
-func (l *moduleLoad) answer(send wrenford.Send) wrenford.Outcome {
-	outcome := wrenford.Outcome{ID: send.ID, Attempt: l.calls[send.ID], Endpoint: send.Endpoint, Status: wrenford.OK, Latency: usualLatency}
+func (l *moduleLoad) answer(send dispatch.Send) dispatch.Outcome {
+	outcome := dispatch.Outcome{ID: send.ID, Attempt: l.calls[send.ID], Endpoint: send.Endpoint, Status: dispatch.OK, Latency: usualLatency}
 	l.calls[send.ID]++
 	if l.down[send.Endpoint] {
-		outcome.Status = wrenford.ConnectFailed
+		outcome.Status = dispatch.ConnectFailed
 	} else {
 		outcome.Settled = true
 		delete(l.calls, send.ID)
@@ -102,10 +102,10 @@
 }
 
 // arrival is the events of a usual step: the answers that are due and one message for a destination that is up.
-func (l *moduleLoad) arrival() []wrenford.Event {
+func (l *moduleLoad) arrival() []dispatch.Event {
 	down := len(l.down)
 	destination := down + l.random.IntN(max(l.destinations-down, 1))
-	return append(append([]wrenford.Event(nil), l.answers...), l.request(min(destination, l.destinations-1)))
+	return append(append([]dispatch.Event(nil), l.answers...), l.request(min(destination, l.destinations-1)))
 }
 
 // measureModuleSteps measures steps with a number of messages held over a number of destinations.
--- a/internal/lab/capacity/slopes/program.go
+++ b/internal/lab/capacity/slopes/program.go
@@ -11,8 +11,8 @@
 	"sync"
 	"time"
 
-	"wrenford/internal/fleet"
-	"wrenford/internal/traffic"
+	"slatemux/internal/fleet"
+	"slatemux/internal/traffic"
 )
 
 // Quantities of the program's whole part in a fleet: membership, comparison of statements, and what it does about a change.
--- a/internal/lab/capacity/slopes/settings.go
+++ b/internal/lab/capacity/slopes/settings.go
@@ -4,8 +4,8 @@
 	"fmt"
 	"time"
 
-	"wrenford"
-	"wrenford/internal/traffic"
+	"slatemux/internal/dispatch"
+	"slatemux/internal/traffic"
 )
 
 const (
@@ -27,18 +27,18 @@
 
 // moduleSettings are those of example/config.json, but for a class whose messages may wait for a day, the number of relays, and
 // bounds on calls and messages that let the backlog in.
-func moduleSettings(destinations, held int) wrenford.Settings {
-	return wrenford.Settings{
-		Classes: []wrenford.Class{{Name: className, Effect: wrenford.Keyed, Memory: 15 * time.Second, Aim: messageDeadline / 2,
+func moduleSettings(destinations, held int) dispatch.Settings {
+	return dispatch.Settings{
+		Classes: []dispatch.Class{{Name: className, Effect: dispatch.Keyed, Memory: 15 * time.Second, Aim: messageDeadline / 2,
 			Deadline: messageDeadline, Worth: 1, LateWorth: 0.5}},
-		Kinds: []wrenford.Kind{{Name: kindName}}, Zones: []wrenford.Zone{{Name: zoneName}}, Zone: zoneName,
+		Kinds: []dispatch.Kind{{Name: kindName}}, Zones: []dispatch.Zone{{Name: zoneName}}, Zone: zoneName,
 		Peers: int(planned[Relays]), Resolution: 5 * time.Millisecond,
 		MaxCalls: 2*downDestinations(destinations) + callsBeside, MaxOpen: 2*held + openBeside, MaxAttempts: 8,
 		ConnectTimeout: time.Second, KeepAlive: 5 * time.Second, CallsPerConn: 1, MaxRetryAfter: 3 * time.Second,
-		RetryAfter: true, Cancel: true, Weights: wrenford.Rough, LateByHalves: true, OverShareWorth: 0.1,
-		Safety: wrenford.Safety{StartCapacity: 0.23, Cold: 13 * time.Second, FallMultiple: 1.5, TipAfter: 1500 * time.Millisecond,
+		RetryAfter: true, Cancel: true, Weights: dispatch.Rough, LateByHalves: true, OverShareWorth: 0.1,
+		Safety: dispatch.Safety{StartCapacity: 0.23, Cold: 13 * time.Second, FallMultiple: 1.5, TipAfter: 1500 * time.Millisecond,
 			DrainGrace: 2 * time.Second, AskEvery: 10 * time.Second},
-		Prices: wrenford.Prices{Handshake: 0.02}}
+		Prices: dispatch.Prices{Handshake: 0.02}}
 }
 
 // downDestinations is how many destinations are down: the first of the list.
--- a/internal/lab/capacity/slopes/slopes_test.go
+++ b/internal/lab/capacity/slopes/slopes_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"wrenford"
+	"slatemux/internal/dispatch"
 )
 
 // checkFigures wants a finite figure of each quantity at each size, and a fit of each.
@@ -121,7 +121,7 @@
 	}
 	delivered := 0
 	for _, a := range l.answers {
-		if o, ok := a.(wrenford.Outcome); ok && o.Status == wrenford.OK {
+		if o, ok := a.(dispatch.Outcome); ok && o.Status == dispatch.OK {
 			delivered++
 		}
 	}
--- a/internal/lab/capacity/spread.go
+++ b/internal/lab/capacity/spread.go
@@ -5,9 +5,9 @@
 	"slices"
 	"time"
 
-	"wrenford/internal/fleet/wire"
-	"wrenford/internal/spread"
-	"wrenford/internal/verdicts"
+	"slatemux/internal/fleet/wire"
+	"slatemux/internal/spread"
+	"slatemux/internal/verdicts"
 )
 
 // What the program's settings say unless told otherwise, and what internal/fleet drives its parts with.
--- a/internal/lab/capacity/topology.go
+++ b/internal/lab/capacity/topology.go
@@ -5,7 +5,7 @@
 	"math/rand/v2"
 	"time"
 
-	"wrenford/internal/lab/capacity/capacityv1"
+	"slatemux/internal/lab/capacity/capacityv1"
 )
 
 // The topology that a scenario gets for what it leaves out: the operators' plan.
--- a/internal/lab/capacity/verdicts.go
+++ b/internal/lab/capacity/verdicts.go
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"wrenford/internal/verdicts"
+	"slatemux/internal/verdicts"
 )
 
 // followedOutages is how many outages begin during the run and are followed to all relays; all others stand from its beginning.
--- a/internal/lab/crowd_test.go
+++ b/internal/lab/crowd_test.go
@@ -11,7 +11,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"wrenford/internal/lab/platform"
+	"slatemux/internal/lab/platform"
 )
 
 // Idle clients may fill the descriptors while discovery is down: with as few as a relay can have, and the system holding it to them,
--- a/internal/lab/deployment.go
+++ b/internal/lab/deployment.go
@@ -12,10 +12,10 @@
 	"sync"
 	"time"
 
-	"wrenford/internal/lab/ledger"
-	"wrenford/internal/lab/load"
-	"wrenford/internal/lab/partner"
-	"wrenford/internal/lab/platform"
+	"slatemux/internal/lab/ledger"
+	"slatemux/internal/lab/load"
+	"slatemux/internal/lab/partner"
+	"slatemux/internal/lab/platform"
 )
 
 // Class is a class as the platform's settings hold it.
--- a/internal/lab/world/world.go
+++ b/internal/lab/emulator/emulator.go
@@ -1,7 +1,7 @@
-// Package world is the laboratory's discrete-event core: one queue of events in virtual time, and one random
+// Package emulator is the laboratory's discrete-event core: one queue of events in virtual time, and one random
 // stream for each actor. A run is a function of its seed alone: events at one instant run in a stated order (by
 // kind, then in the order of their scheduling), and no goroutine or clock of the machine takes part.
-package world
+package emulator
 
 import (
 	"container/heap"
--- a/internal/lab/world/world_test.go
+++ b/internal/lab/emulator/emulator_test.go
@@ -1,4 +1,4 @@
-package world
+package emulator
 
 import (
 	"slices"
--- a/internal/lab/world/gossip/gossip.go
+++ b/internal/lab/emulator/gossip/gossip.go
@@ -7,10 +7,10 @@
 	"math/rand/v2"
 	"time"
 
-	"wrenford/internal/fleet/wire"
-	"wrenford/internal/lab/world"
-	"wrenford/internal/spread"
-	"wrenford/internal/verdicts"
+	"slatemux/internal/fleet/wire"
+	"slatemux/internal/lab/emulator"
+	"slatemux/internal/spread"
+	"slatemux/internal/verdicts"
 )
 
 // Links are the same between all relays.
@@ -42,7 +42,7 @@
 
 	net     *Net
 	i       int
-	began   world.Time // of its process
+	began   emulator.Time // of its process
 	stopped bool
 	kept    []spread.Packet // that came while it was stopped
 	gen     int             // of its ticks
@@ -50,7 +50,7 @@
 
 // Net is the fleet.
 type Net struct {
-	Sim   *world.Sim
+	Sim   *emulator.Sim
 	Nodes []*Node
 	// Cut says whether nothing passes from one to another just now; nil for never.
 	Cut func(from, to int) bool
@@ -62,10 +62,10 @@
 }
 
 // kind orders packets among simultaneous events.
-const kind = world.Kind(1)
+const kind = emulator.Kind(1)
 
 // New starts a fleet whose relays know each other.
-func New(sim *world.Sim, cfg Config) (*Net, error) {
+func New(sim *emulator.Sim, cfg Config) (*Net, error) {
 	n := &Net{Sim: sim, cfg: cfg, at: map[string]int{}, rng: sim.Stream("links")}
 	for i := range cfg.Relays {
 		name := fmt.Sprint("relay-", i)
--- a/internal/lab/world/gossip/gossip_test.go
+++ b/internal/lab/emulator/gossip/gossip_test.go
@@ -4,9 +4,9 @@
 	"testing"
 	"time"
 
-	"wrenford/internal/lab/world"
-	"wrenford/internal/spread"
-	"wrenford/internal/verdicts"
+	"slatemux/internal/lab/emulator"
+	"slatemux/internal/spread"
+	"slatemux/internal/verdicts"
 )
 
 const ms = time.Millisecond
@@ -22,14 +22,14 @@
 	if cfg.Agree == 0 {
 		cfg.Agree = 2
 	}
-	n, err := New(world.New(seed), cfg)
+	n, err := New(emulator.New(seed), cfg)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return n
 }
 
-func (n *Net) run(d time.Duration) { n.Sim.Run(n.Sim.Now() + world.Time(d)) }
+func (n *Net) run(d time.Duration) { n.Sim.Run(n.Sim.Now() + emulator.Time(d)) }
 
 // ban is a statement that lives for 30 s.
 func ban(d *Node, dest int) verdicts.Statement { return d.Announcer.Ban(dest, "m", true) }
@@ -47,7 +47,7 @@
 // untilAll runs until all relays hold so many statements, and says how long that took.
 func (n *Net) untilAll(least int, most time.Duration) time.Duration {
 	from := n.Sim.Now()
-	for n.know(least) < len(n.Nodes) && n.Sim.Now() < from+world.Time(most) {
+	for n.know(least) < len(n.Nodes) && n.Sim.Now() < from+emulator.Time(most) {
 		n.run(ms)
 	}
 	return (n.Sim.Now() - from).Duration()
--- a/internal/lab/world/model/health.go
+++ b/internal/lab/emulator/servermodel/health.go
@@ -1,9 +1,9 @@
-package model
+package servermodel
 
 import (
 	"time"
 
-	"wrenford/internal/lab/world"
+	"slatemux/internal/lab/emulator"
 )
 
 // State is how a server stands at a moment.
@@ -17,7 +17,7 @@
 
 // Spell is a span of a server's life with a fault: an outage, or a gray failure that only slows it.
 type Spell struct {
-	From, To world.Time
+	From, To emulator.Time
 	State    State   // Down or Silent for an outage; Up for a gray failure
 	Slower   float64 // work is multiplied by this in a gray failure; 0 or 1 for none
 }
@@ -32,7 +32,7 @@
 }
 
 // At says how the server stands at now: its state, and the share of its capacity that it has.
-func (h *Health) At(now world.Time) (State, float64) {
+func (h *Health) At(now emulator.Time) (State, float64) {
 	share := 1.0
 	for _, s := range h.Spells {
 		switch {
@@ -45,7 +45,7 @@
 				share = min(share, 1/s.Slower)
 			}
 			return Up, share
-		case s.State != Up && h.Cold > 0 && now < s.To+world.Time(h.Cold):
+		case s.State != Up && h.Cold > 0 && now < s.To+emulator.Time(h.Cold):
 			warmed := float64(now-s.To) / float64(h.Cold)
 			share = h.StartShare + (1-h.StartShare)*warmed
 		}
--- a/internal/lab/world/model/health_test.go
+++ b/internal/lab/emulator/servermodel/health_test.go
@@ -1,15 +1,15 @@
-package model
+package servermodel
 
 import (
 	"math"
 	"testing"
 	"time"
 
-	"wrenford/internal/lab/world"
+	"slatemux/internal/lab/emulator"
 )
 
 func TestHealth(t *testing.T) {
-	s := func(d time.Duration) world.Time { return world.Time(d) }
+	s := func(d time.Duration) emulator.Time { return emulator.Time(d) }
 	h := Health{StartShare: 0.25, Cold: 10 * time.Second, Spells: []Spell{
 		{From: s(5 * time.Second), To: s(10 * time.Second), State: Down},
 		{From: s(30 * time.Second), To: s(40 * time.Second), State: Up, Slower: 4},
--- a/internal/lab/world/model/limit.go
+++ b/internal/lab/emulator/servermodel/limit.go
@@ -1,17 +1,17 @@
-package model
+package servermodel
 
 import (
 	"math"
 	"time"
 
-	"wrenford/internal/lab/world"
+	"slatemux/internal/lab/emulator"
 )
 
 // Limit is a partner's limit of calls from all senders together. A call that it turns away is told a wait
 // where Tells says so; where Draws is set, a refused call uses up the limit too.
 type Limit interface {
 	// Take says whether a call at now is let in, and if not, how long until there is room (0: not told).
-	Take(now world.Time) (ok bool, wait time.Duration)
+	Take(now emulator.Time) (ok bool, wait time.Duration)
 }
 
 // Bucket is a token bucket: Rate calls a second, Burst at once (Tanenbaum, Computer Networks, 5th ed., 5.4.2).
@@ -20,12 +20,12 @@
 	Tells       bool // a refusal says when the next token comes
 	Draws       bool // a refusal takes a token too, where there is one to take later: the balance goes below nought
 	tokens      float64
-	at          world.Time
+	at          emulator.Time
 	started     bool
 }
 
 // Left is the share of the burst that is there.
-func (b *Bucket) Left(now world.Time) float64 {
+func (b *Bucket) Left(now emulator.Time) float64 {
 	if !b.started {
 		return 1
 	}
@@ -33,7 +33,7 @@
 }
 
 // Take implements Limit.
-func (b *Bucket) Take(now world.Time) (bool, time.Duration) {
+func (b *Bucket) Take(now emulator.Time) (bool, time.Duration) {
 	if !b.started {
 		b.tokens, b.at, b.started = b.Burst, now, true
 	}
@@ -64,7 +64,7 @@
 }
 
 // Take implements Limit.
-func (w *Window) Take(now world.Time) (bool, time.Duration) {
+func (w *Window) Take(now emulator.Time) (bool, time.Duration) {
 	if s := int64(now) / int64(w.Span); s != w.span {
 		w.span, w.used = s, 0
 	}
--- a/internal/lab/world/model/limit_test.go
+++ b/internal/lab/emulator/servermodel/limit_test.go
@@ -1,11 +1,11 @@
-package model
+package servermodel
 
 import (
 	"math"
 	"testing"
 	"time"
 
-	"wrenford/internal/lab/world"
+	"slatemux/internal/lab/emulator"
 )
 
 func limits() map[string]func() Limit {
@@ -22,7 +22,7 @@
 		const offered, minute = 20.0, 60 * time.Second
 		in := 0
 		for i := range int(offered * minute.Seconds()) {
-			if ok, _ := l.Take(world.Time(float64(i) / offered * 1e9)); ok {
+			if ok, _ := l.Take(emulator.Time(float64(i) / offered * 1e9)); ok {
 				in++
 			}
 		}
@@ -37,7 +37,7 @@
 	for name, limit := range limits() {
 		for _, at := range []time.Duration{0, 333 * time.Millisecond, 2500 * time.Millisecond} {
 			l := limit()
-			now := world.Time(at)
+			now := emulator.Time(at)
 			var wait time.Duration
 			for ok := true; ok; {
 				ok, wait = l.Take(now)
@@ -49,10 +49,10 @@
 			for ok := true; ok; {
 				ok, _ = early.Take(now)
 			}
-			if ok, _ := early.Take(now + world.Time(wait) - world.Time(time.Millisecond)); ok {
+			if ok, _ := early.Take(now + emulator.Time(wait) - emulator.Time(time.Millisecond)); ok {
 				t.Errorf("%s at %v: let in before the end of the wait of %v", name, at, wait)
 			}
-			if ok, _ := l.Take(now + world.Time(wait)); !ok {
+			if ok, _ := l.Take(now + emulator.Time(wait)); !ok {
 				t.Errorf("%s at %v: no room at the end of the wait of %v", name, at, wait)
 			}
 		}
@@ -64,7 +64,7 @@
 	b := &Bucket{Rate: 10, Burst: 1, Draws: true}
 	in := 0
 	for i := range 3000 { // 50 a second for a minute
-		if ok, _ := b.Take(world.Time(i) * world.Time(20*time.Millisecond)); ok {
+		if ok, _ := b.Take(emulator.Time(i) * emulator.Time(20*time.Millisecond)); ok {
 			in++
 		}
 	}
--- a/internal/lab/world/model/queue.go
+++ b/internal/lab/emulator/servermodel/queue.go
@@ -1,13 +1,13 @@
-// Package model holds the laboratory's servers. Each is driven by world's events and reports when a job leaves;
+// Package servermodel holds the laboratory's servers. Each is driven by emulator's events and reports when a job leaves;
 // the formulas that test them are in the textbooks named beside each (Kleinrock, Queueing Systems, vol. 1,
 // 1975; Harchol-Balter, Performance Modeling and Design of Computer Systems, 2013).
-package model
+package servermodel
 
 import (
 	"container/heap"
 	"time"
 
-	"wrenford/internal/lab/world"
+	"slatemux/internal/lab/emulator"
 )
 
 // Done is told when a job leaves: served, or turned away where the queue is full.
@@ -16,7 +16,7 @@
 // FIFO is c servers and a queue of at most Limit jobs in front of them (M/M/c/K, Kleinrock ch. 3); Limit 0
 // means no bound.
 type FIFO struct {
-	sim     *world.Sim
+	sim     *emulator.Sim
 	servers int
 	Limit   int
 	busy    int
@@ -27,11 +27,11 @@
 type waiting struct {
 	job     int
 	work    time.Duration
-	arrived world.Time
+	arrived emulator.Time
 }
 
 // NewFIFO returns a FIFO server.
-func NewFIFO(sim *world.Sim, servers int, done Done) *FIFO {
+func NewFIFO(sim *emulator.Sim, servers int, done Done) *FIFO {
 	return &FIFO{sim: sim, servers: max(servers, 1), done: done}
 }
 
@@ -51,7 +51,7 @@
 
 func (f *FIFO) start(w waiting) {
 	f.busy++
-	f.sim.After(w.work, world.Any, func() {
+	f.sim.After(w.work, emulator.Any, func() {
 		f.busy--
 		f.done(w.job, true, (f.sim.Now() - w.arrived).Duration())
 		if len(f.queue) > 0 {
@@ -68,10 +68,10 @@
 // PS shares one server evenly among all jobs in it (M/G/1-PS, Harchol-Balter ch. 22). It keeps the service
 // that each job would have had since the start, so that a change in the number of jobs costs one heap step.
 type PS struct {
-	sim      *world.Sim
+	sim      *emulator.Sim
 	done     Done
 	attained float64 // service a job that was there all along would have had, in seconds
-	at       world.Time
+	at       emulator.Time
 	jobs     tags
 	gen      uint64 // of the departure that is scheduled; older ones are void
 }
@@ -79,7 +79,7 @@
 type tag struct {
 	finish  float64 // attained service at which the job is done
 	job     int
-	arrived world.Time
+	arrived emulator.Time
 }
 
 type tags []tag
@@ -98,7 +98,7 @@
 }
 
 // NewPS returns a processor-sharing server.
-func NewPS(sim *world.Sim, done Done) *PS { return &PS{sim: sim, done: done} }
+func NewPS(sim *emulator.Sim, done Done) *PS { return &PS{sim: sim, done: done} }
 
 func (p *PS) advance() {
 	if n := len(p.jobs); n > 0 {
@@ -120,7 +120,7 @@
 		return
 	}
 	gen, left := p.gen, p.jobs[0].finish-p.attained
-	p.sim.After(time.Duration(max(left, 0)*float64(len(p.jobs))*1e9), world.Any, func() {
+	p.sim.After(time.Duration(max(left, 0)*float64(len(p.jobs))*1e9), emulator.Any, func() {
 		if gen != p.gen {
 			return
 		}
--- a/internal/lab/world/model/queue_test.go
+++ b/internal/lab/emulator/servermodel/queue_test.go
@@ -1,11 +1,11 @@
-package model
+package servermodel
 
 import (
 	"math"
 	"testing"
 	"time"
 
-	"wrenford/internal/lab/world"
+	"slatemux/internal/lab/emulator"
 )
 
 // server is what the closed forms are checked against.
@@ -14,10 +14,10 @@
 }
 
 // sojourn feeds Poisson arrivals at rate lambda and works drawn by size, and returns the mean time in the system.
-func sojourn(t *testing.T, jobs int, lambda float64, size func(*world.Sim) time.Duration,
-	make func(*world.Sim, Done) server) float64 {
+func sojourn(t *testing.T, jobs int, lambda float64, size func(*emulator.Sim) time.Duration,
+	make func(*emulator.Sim, Done) server) float64 {
 	t.Helper()
-	sim := world.New(11)
+	sim := emulator.New(11)
 	arrivals := sim.Stream("arrivals")
 	var sum float64
 	var served int
@@ -33,19 +33,19 @@
 			return
 		}
 		s.Arrive(i, size(sim))
-		sim.After(time.Duration(arrivals.ExpFloat64()/lambda*1e9), world.Any, func() { next(i + 1) })
+		sim.After(time.Duration(arrivals.ExpFloat64()/lambda*1e9), emulator.Any, func() { next(i + 1) })
 	}
-	sim.At(0, world.Any, func() { next(0) })
-	sim.Run(world.Time(math.MaxInt64))
+	sim.At(0, emulator.Any, func() { next(0) })
+	sim.Run(emulator.Time(math.MaxInt64))
 	if served != jobs {
 		t.Fatalf("%d of %d served", served, jobs)
 	}
 	return sum / float64(served)
 }
 
-func exp(mean float64) func(*world.Sim) time.Duration {
+func exp(mean float64) func(*emulator.Sim) time.Duration {
 	var r interface{ ExpFloat64() float64 }
-	return func(sim *world.Sim) time.Duration {
+	return func(sim *emulator.Sim) time.Duration {
 		if r == nil {
 			r = sim.Stream("sizes")
 		}
@@ -77,22 +77,22 @@
 
 func TestClosedForms(t *testing.T) {
 	const jobs = 1_000_000
-	fifo1 := func(sim *world.Sim, d Done) server { return NewFIFO(sim, 1, d) }
+	fifo1 := func(sim *emulator.Sim, d Done) server { return NewFIFO(sim, 1, d) }
 	within(t, "M/M/1", sojourn(t, jobs, 0.5, exp(1), fifo1), 1/(1-0.5), 0.01)
-	fifo3 := func(sim *world.Sim, d Done) server { return NewFIFO(sim, 3, d) }
+	fifo3 := func(sim *emulator.Sim, d Done) server { return NewFIFO(sim, 3, d) }
 	lambda, mu, c := 2.4, 1.0, 3
 	want := erlangC(c, lambda/mu)/(float64(c)*mu-lambda) + 1/mu
 	within(t, "M/M/3", sojourn(t, jobs, lambda, exp(1), fifo3), want, 0.01)
-	ps := func(sim *world.Sim, d Done) server { return NewPS(sim, d) }
+	ps := func(sim *emulator.Sim, d Done) server { return NewPS(sim, d) }
 	// M/G/1-PS is insensitive to the shape of the work: E[T] = E[S] / (1 - rho), here with fixed work.
-	fixed := func(*world.Sim) time.Duration { return 200 * time.Millisecond }
+	fixed := func(*emulator.Sim) time.Duration { return 200 * time.Millisecond }
 	within(t, "M/D/1-PS", sojourn(t, jobs, 2.5, fixed, ps), 0.2/(1-0.5), 0.01)
 	within(t, "M/M/1-PS", sojourn(t, jobs, 2.5, exp(0.2), ps), 0.2/(1-0.5), 0.01)
 }
 
 // A full queue turns jobs away, and they are told at once.
 func TestQueueLimit(t *testing.T) {
-	sim := world.New(1)
+	sim := emulator.New(1)
 	var away int
 	f := NewFIFO(sim, 1, func(_ int, ok bool, _ time.Duration) {
 		if !ok {
@@ -106,7 +106,7 @@
 	if away != 2 || f.Len() != 3 {
 		t.Fatalf("%d turned away, %d in", away, f.Len())
 	}
-	sim.Run(world.Time(10 * time.Second))
+	sim.Run(emulator.Time(10 * time.Second))
 	if f.Len() != 0 {
 		t.Fatalf("%d left in", f.Len())
 	}
--- a/internal/lab/world/play/fleet.go
+++ b/internal/lab/emulator/workload/fleet.go
@@ -1,13 +1,13 @@
-package play
+package workload
 
 import (
 	"fmt"
 	"time"
 
-	"wrenford"
-	"wrenford/internal/lab/world"
-	"wrenford/internal/lab/world/gossip"
-	"wrenford/internal/verdicts"
+	"slatemux/internal/dispatch"
+	"slatemux/internal/lab/emulator"
+	"slatemux/internal/lab/emulator/gossip"
+	"slatemux/internal/verdicts"
 )
 
 // Fleet lets a day's relays tell each other what they find out, over modelled links.
@@ -17,7 +17,7 @@
 	Bytes    float64
 	Agree    int
 	// Cut says whether nothing passes between two relays at a time; nil for never.
-	Cut func(from, to int, now world.Time) bool
+	Cut func(from, to int, now emulator.Time) bool
 }
 
 // Told is how a day's news travelled.
@@ -36,16 +36,16 @@
 // part is a relay's in the fleet: it does what internal/fleet and the relay's seam do in the program, with the same decisions.
 type part struct {
 	node   *gossip.Node
-	sender *wrenford.Sender
-	post   func(wrenford.Event)
-	said   map[statement]world.Time
-	now    func() world.Time
+	sender *dispatch.Sender
+	post   func(dispatch.Event)
+	said   map[statement]emulator.Time
+	now    func() emulator.Time
 	outs   map[string]bool
 	heard  map[string]bool
 }
 
 // parts joins all relays of a day.
-func parts(sim *world.Sim, f *Fleet, relays []*relay, senders []*wrenford.Sender, post func(*relay, wrenford.Event), told *Told) ([]*part, error) {
+func parts(sim *emulator.Sim, f *Fleet, relays []*relay, senders []*dispatch.Sender, post func(*relay, dispatch.Event), told *Told) ([]*part, error) {
 	net, err := gossip.New(sim, gossip.Config{Relays: len(relays), Links: f.Links, Exchange: f.Exchange, Bytes: f.Bytes, Agree: f.Agree})
 	if err != nil {
 		return nil, err
@@ -53,9 +53,9 @@
 	if f.Cut != nil {
 		net.Cut = func(from, to int) bool { return f.Cut(from, to, sim.Now()) }
 	}
-	list, said := make([]*part, len(relays)), map[statement]world.Time{}
+	list, said := make([]*part, len(relays)), map[statement]emulator.Time{}
 	for i, r := range relays {
-		p := &part{node: net.Nodes[i], sender: senders[i], post: func(ev wrenford.Event) { post(r, ev) }, outs: map[string]bool{}, heard: map[string]bool{}}
+		p := &part{node: net.Nodes[i], sender: senders[i], post: func(ev dispatch.Event) { post(r, ev) }, outs: map[string]bool{}, heard: map[string]bool{}}
 		p.said, p.now = said, sim.Now
 		p.node.Heard = func(now time.Duration, news []verdicts.Statement, come []verdicts.Restraint) {
 			for _, s := range news {
@@ -71,18 +71,18 @@
 // restrain hands the module what the others' word comes to.
 func (p *part) restrain(now time.Duration, come []verdicts.Restraint) {
 	for _, c := range come {
-		ev := wrenford.Told{Destination: c.Destination, Endpoint: c.Member, Age: max(now-c.At, 0)}
+		ev := dispatch.Told{Destination: c.Destination, Endpoint: c.Member, Age: max(now-c.At, 0)}
 		switch c.Order {
 		case verdicts.Hold:
-			ev.Kind, ev.For = wrenford.ToldWait, max(c.At-now, 0)
+			ev.Kind, ev.For = dispatch.ToldWait, max(c.At-now, 0)
 		case verdicts.Out:
-			ev.Kind = wrenford.ToldOut
+			ev.Kind = dispatch.ToldOut
 			p.heard[c.Member] = true
 		case verdicts.Back:
-			ev.Kind = wrenford.ToldBack
+			ev.Kind = dispatch.ToldBack
 			delete(p.heard, c.Member)
 		case verdicts.Free:
-			ev.Kind = wrenford.ToldNothing
+			ev.Kind = dispatch.ToldNothing
 			delete(p.heard, c.Member)
 		}
 		p.post(ev)
@@ -90,7 +90,7 @@
 }
 
 // met takes in the outcomes of a step, by the destinations of their messages.
-func (p *part) met(outcomes []wrenford.Outcome, dest func(id string) int, told *Told) {
+func (p *part) met(outcomes []dispatch.Outcome, dest func(id string) int, told *Told) {
 	now := p.node.Now()
 	say := func(s verdicts.Statement) {
 		told.Said++
@@ -101,9 +101,9 @@
 		d := dest(o.ID)
 		s := verdicts.Observation{Destination: d, Member: o.Endpoint, Begun: now - o.Latency}
 		switch o.Status {
-		case wrenford.OK:
+		case dispatch.OK:
 			s.Outcome = verdicts.Succeeded
-		case wrenford.Full:
+		case dispatch.Full:
 			s.Outcome, s.Wait = verdicts.Refused, o.Wait
 		default:
 			s.Outcome = verdicts.Failed
@@ -115,10 +115,10 @@
 		p.sender.Health(d, func(id string, since time.Duration) {
 			was, out := p.outs[id], since >= 0
 			switch {
-			case out && (!was || o.Status != wrenford.OK):
+			case out && (!was || o.Status != dispatch.OK):
 				p.restrain(now, p.node.Judge.SetOwnHealth(now, d, id, true, since))
 				say(p.node.Announcer.Outage(d, id, now-since))
-			case !out && (was || o.Status == wrenford.OK && p.heard[id]):
+			case !out && (was || o.Status == dispatch.OK && p.heard[id]):
 				p.restrain(now, p.node.Judge.SetOwnHealth(now, d, id, false, 0))
 				if st, ok := p.node.Announcer.Recovery(now, p.node.Store, d, id); ok {
 					say(st)
--- a/internal/lab/world/play/play.go
+++ b/internal/lab/emulator/workload/workload.go
@@ -1,40 +1,40 @@
-// Package play runs relays with the real decision module against the laboratory's modelled servers, in virtual
+// Package workload runs relays with the real decision module against the laboratory's modelled servers, in virtual
 // time: clients hand messages in, each relay's module steps as the real relay steps it, and servers answer as
 // their models say. It decides nothing for the module; it records what every message met, for invariants that
 // are judged apart from the module.
-package play
+package workload
 
 import (
 	"fmt"
 	"slices"
 	"time"
 
-	"wrenford"
-	"wrenford/internal/lab/world"
-	"wrenford/internal/lab/world/model"
+	"slatemux/internal/dispatch"
+	"slatemux/internal/lab/emulator"
+	"slatemux/internal/lab/emulator/servermodel"
 )
 
 // Destination is one partner with one endpoint: c servers, a limit of calls, a timeline of health.
 type Destination struct {
 	Servers int
 	Work    time.Duration // mean work of a call, drawn exponential
-	Limit   model.Bucket
-	Health  model.Health
+	Limit   servermodel.Bucket
+	Health  servermodel.Health
 	Rate    float64 // messages a second that clients hand in for it, over all relays
 }
 
 // Decider is what steps for a relay: the real module, or in tests a planted defect around it.
 type Decider interface {
-	Step(now time.Duration, events []wrenford.Event) []wrenford.Action
+	Step(now time.Duration, events []dispatch.Event) []dispatch.Action
 }
 
 // Day is what is played.
 type Day struct {
 	// Mutate wraps each relay's module, for tests that plant a defect; nil plays the module as it is.
-	Mutate       func(*wrenford.Sender) Decider
+	Mutate       func(*dispatch.Sender) Decider
 	Seed         uint64
 	Relays       int
-	Settings     wrenford.Settings // of every relay; Peers is set to Relays
+	Settings     dispatch.Settings // of every relay; Peers is set to Relays
 	Destinations []Destination
 	Length       time.Duration // of the hand-ins; the day runs on until all has ended
 	Class        string        // of every message
@@ -50,7 +50,7 @@
 // Drain is a destination's endpoint told as draining, at a time: nothing new may go to it after the grace.
 type Drain struct {
 	Destination int
-	At          world.Time
+	At          emulator.Time
 }
 
 // DrainGrace is how long after the telling a send to a draining endpoint is still allowed.
@@ -66,8 +66,8 @@
 	MayHaveRun         bool // a call of it may have taken effect: it was served, or left without an answer
 	SentAfterRun       bool // a send came after that, where the class must never take effect twice
 	Delivered          bool
-	EndedAt, Due       world.Time
-	Aim                world.Time // an end by then earns the full worth
+	EndedAt, Due       emulator.Time
+	Aim                emulator.Time // an end by then earns the full worth
 }
 
 // Result is the day's record, by message id.
@@ -93,46 +93,46 @@
 
 // Call is one that a relay made.
 type Call struct {
-	At                 world.Time
+	At                 emulator.Time
 	Relay, Destination int
 	Refused, Failed    bool // turned away; met a machine that is down or silent
 }
 
 const (
-	kindServer world.Kind = iota // answers first, then
-	kindStep                     // the steps of relays
+	kindServer emulator.Kind = iota // answers first, then
+	kindStep                        // the steps of relays
 )
 
 type relay struct {
 	i       int
 	s       Decider
-	waits   map[int]world.Time // by destination: told to wait until
-	pending []wrenford.Event
-	stepAt  world.Time // of the step that is scheduled; -1 for none
-	last    world.Time
+	waits   map[int]emulator.Time // by destination: told to wait until
+	pending []dispatch.Event
+	stepAt  emulator.Time // of the step that is scheduled; -1 for none
+	last    emulator.Time
 }
 
 // Play plays a day.
 func Play(d Day) (Result, error) {
-	sim := world.New(d.Seed)
+	sim := emulator.New(d.Seed)
 	res := Result{Messages: map[string]*Record{}}
 	// The models keep state as they are played: a day is played on copies, so that it can be played again.
 	d.Destinations = slices.Clone(d.Destinations)
 	set := d.Settings
 	set.Peers = d.Relays
-	var eps []wrenford.Endpoint
+	var eps []dispatch.Endpoint
 	for i := range d.Destinations {
-		e := wrenford.Endpoint{ID: endpoint(i), Destination: i, Kind: set.Kinds[0].Name, Zone: set.Zone}
+		e := dispatch.Endpoint{ID: endpoint(i), Destination: i, Kind: set.Kinds[0].Name, Zone: set.Zone}
 		if d.Reports {
 			e.Weight = d.Destinations[i].Limit.Rate
 		}
 		eps = append(eps, e)
 	}
 	relays := make([]*relay, d.Relays)
-	senders := make([]*wrenford.Sender, d.Relays)
+	senders := make([]*dispatch.Sender, d.Relays)
 	var fleet []*part
 	for i := range relays {
-		s, err := wrenford.New(set, int64(sim.Stream(fmt.Sprint("relay seed ", i)).Uint64()>>1))
+		s, err := dispatch.New(set, int64(sim.Stream(fmt.Sprint("relay seed ", i)).Uint64()>>1))
 		if err != nil {
 			return res, fmt.Errorf("play: %w", err)
 		}
@@ -141,18 +141,18 @@
 		if d.Mutate != nil {
 			decider = d.Mutate(s)
 		}
-		relays[i] = &relay{i: i, s: decider, waits: map[int]world.Time{}, stepAt: -1, last: -world.Time(set.Resolution)}
-		relays[i].pending = append(relays[i].pending, wrenford.Members{Whole: true, Endpoints: eps})
+		relays[i] = &relay{i: i, s: decider, waits: map[int]emulator.Time{}, stepAt: -1, last: -emulator.Time(set.Resolution)}
+		relays[i].pending = append(relays[i].pending, dispatch.Members{Whole: true, Endpoints: eps})
 	}
-	servers := make([]*model.FIFO, len(d.Destinations))
+	servers := make([]*servermodel.FIFO, len(d.Destinations))
 	work := make([]interface{ ExpFloat64() float64 }, len(d.Destinations))
 	var step func(r *relay)
-	post := func(r *relay, ev wrenford.Event) {
+	post := func(r *relay, ev dispatch.Event) {
 		r.pending = append(r.pending, ev)
 		if r.stepAt >= 0 {
 			return
 		}
-		r.stepAt = max(sim.Now(), r.last+world.Time(set.Resolution))
+		r.stepAt = max(sim.Now(), r.last+emulator.Time(set.Resolution))
 		sim.At(r.stepAt, kindStep, func() { step(r) })
 	}
 	if d.Fleet != nil {
@@ -161,28 +161,28 @@
 			return res, fmt.Errorf("play: %w", err)
 		}
 	}
-	report := func(dest int) *wrenford.Report {
+	report := func(dest int) *dispatch.Report {
 		if !d.Reports {
 			return nil
 		}
 		b := &d.Destinations[dest].Limit
-		return &wrenford.Report{Left: b.Left(sim.Now()), Limit: b.Rate}
+		return &dispatch.Report{Left: b.Left(sim.Now()), Limit: b.Rate}
 	}
 	type call struct {
 		r       *relay
 		id      string
 		attempt int
-		sent    world.Time
+		sent    emulator.Time
 		over    *bool // the relay stopped waiting: its time-out came first
 	}
 	calls := map[int]call{}
-	drained := map[int]world.Time{} // by destination: when its endpoint's drain was told
-	unsafe, aim := false, world.Time(d.TimeLeft)
+	drained := map[int]emulator.Time{} // by destination: when its endpoint's drain was told
+	unsafe, aim := false, emulator.Time(d.TimeLeft)
 	for _, c := range set.Classes {
 		if c.Name == d.Class {
-			aim = world.Time(c.Aim)
+			aim = emulator.Time(c.Aim)
 		}
-		unsafe = unsafe || c.Name == d.Class && c.Effect == wrenford.Unsafe
+		unsafe = unsafe || c.Name == d.Class && c.Effect == dispatch.Unsafe
 	}
 	nextCall := 0
 	attempts := map[string]int{}
@@ -192,7 +192,7 @@
 		r.pending = nil
 		for _, a := range r.s.Step(sim.Now().Duration(), events) {
 			switch a := a.(type) {
-			case wrenford.Send:
+			case dispatch.Send:
 				rec := res.Messages[a.ID]
 				rec.Sends++
 				if rec.Ends > 0 {
@@ -204,7 +204,7 @@
 				if rec.MayHaveRun && unsafe {
 					rec.SentAfterRun = true
 				}
-				if at, ok := drained[dest]; ok && sim.Now() > at+world.Time(DrainGrace) {
+				if at, ok := drained[dest]; ok && sim.Now() > at+emulator.Time(DrainGrace) {
 					rec.SentDrained = true
 				}
 				// What the reply to the step that brought the wait sends is excused; later steps are not.
@@ -212,21 +212,21 @@
 					rec.SentInWait = true
 				}
 				state, share := d.Destinations[dest].Health.At(sim.Now())
-				answer := func(after time.Duration, o wrenford.Outcome) {
+				answer := func(after time.Duration, o dispatch.Outcome) {
 					o.ID, o.Attempt, o.Endpoint, o.Latency = a.ID, attempt, a.Endpoint, after
 					sim.After(after, kindServer, func() { post(r, o) })
 				}
 				ok, wait := d.Destinations[dest].Limit.Take(sim.Now())
-				down := state == model.Down || state == model.Silent
+				down := state == servermodel.Down || state == servermodel.Silent
 				res.Calls = append(res.Calls, Call{sim.Now(), r.i, dest, !down && !ok, down})
 				switch {
-				case state == model.Down:
-					answer(time.Millisecond, wrenford.Outcome{Status: wrenford.ConnectFailed})
-				case state == model.Silent: // the call reached a machine that says nothing: it may have run
+				case state == servermodel.Down:
+					answer(time.Millisecond, dispatch.Outcome{Status: dispatch.ConnectFailed})
+				case state == servermodel.Silent: // the call reached a machine that says nothing: it may have run
 					rec.MayHaveRun = true
-					answer(max(a.TimeOut, time.Millisecond), wrenford.Outcome{Status: wrenford.TimedOut})
+					answer(max(a.TimeOut, time.Millisecond), dispatch.Outcome{Status: dispatch.TimedOut})
 				case !ok:
-					answer(time.Millisecond, wrenford.Outcome{Status: wrenford.Full, Wait: wait, Report: report(dest)})
+					answer(time.Millisecond, dispatch.Outcome{Status: dispatch.Full, Wait: wait, Report: report(dest)})
 				default:
 					n := nextCall
 					nextCall++
@@ -235,12 +235,12 @@
 					// The relay waits so long, or until the message's time is up; the call may run on at the server.
 					until := rec.Due
 					if a.TimeOut > 0 {
-						until = min(until, sim.Now()+world.Time(a.TimeOut))
+						until = min(until, sim.Now()+emulator.Time(a.TimeOut))
 					}
 					sim.At(max(until, sim.Now()), kindServer, func() {
 						if _, out := calls[n]; out && !*over {
 							*over = true
-							post(r, wrenford.Outcome{ID: a.ID, Attempt: attempt, Endpoint: a.Endpoint, Status: wrenford.TimedOut,
+							post(r, dispatch.Outcome{ID: a.ID, Attempt: attempt, Endpoint: a.Endpoint, Status: dispatch.TimedOut,
 								Latency: (sim.Now() - calls[n].sent).Duration()})
 						}
 					})
@@ -250,26 +250,26 @@
 						rec.MayHaveRun = true
 					}
 				}
-			case wrenford.Refuse, wrenford.Fail:
+			case dispatch.Refuse, dispatch.Fail:
 				id := fmt.Sprint(a)
 				switch a := a.(type) {
-				case wrenford.Refuse:
+				case dispatch.Refuse:
 					id = a.ID
-				case wrenford.Fail:
+				case dispatch.Fail:
 					id = a.ID
 				}
 				rec := res.Messages[id]
 				rec.Ends++
 				rec.EndedAt = sim.Now()
-			case wrenford.Wake:
-				at := max(world.Time(a.At), sim.Now())
-				sim.At(at, kindStep, func() { post(r, wrenford.Woken{}) })
+			case dispatch.Wake:
+				at := max(emulator.Time(a.At), sim.Now())
+				sim.At(at, kindStep, func() { post(r, dispatch.Woken{}) })
 			}
 		}
 		if fleet != nil {
-			var ended []wrenford.Outcome
+			var ended []dispatch.Outcome
 			for _, ev := range events {
-				if o, ok := ev.(wrenford.Outcome); ok {
+				if o, ok := ev.(dispatch.Outcome); ok {
 					ended = append(ended, o)
 				}
 			}
@@ -277,29 +277,29 @@
 		}
 		// A wait runs from the step that brought it; what that step sent is excused.
 		for _, ev := range events {
-			if o, ok := ev.(wrenford.Outcome); ok && o.Status == wrenford.Full && o.Wait > 0 {
+			if o, ok := ev.(dispatch.Outcome); ok && o.Status == dispatch.Full && o.Wait > 0 {
 				dest := res.Messages[o.ID].Destination
-				r.waits[dest] = max(r.waits[dest], sim.Now()+world.Time(o.Wait))
+				r.waits[dest] = max(r.waits[dest], sim.Now()+emulator.Time(o.Wait))
 			}
 		}
 	}
 	for i, dest := range d.Destinations {
 		work[i] = sim.Stream(fmt.Sprint("work ", i))
-		servers[i] = model.NewFIFO(sim, dest.Servers, func(job int, served bool, _ time.Duration) {
+		servers[i] = servermodel.NewFIFO(sim, dest.Servers, func(job int, served bool, _ time.Duration) {
 			c := calls[job]
 			delete(calls, job)
 			if *c.over {
 				return // its answer finds nobody
 			}
 			*c.over = true
-			o := wrenford.Outcome{ID: c.id, Attempt: c.attempt, Endpoint: fmt.Sprint("e", i), Latency: (sim.Now() - c.sent).Duration()}
+			o := dispatch.Outcome{ID: c.id, Attempt: c.attempt, Endpoint: fmt.Sprint("e", i), Latency: (sim.Now() - c.sent).Duration()}
 			if served {
-				o.Status, o.Settled, o.Report = wrenford.OK, true, report(i)
+				o.Status, o.Settled, o.Report = dispatch.OK, true, report(i)
 				if rec := res.Messages[c.id]; !rec.Delivered && rec.Ends == 0 {
 					rec.Delivered, rec.Ends, rec.EndedAt = true, rec.Ends+1, sim.Now()
 				}
 			} else {
-				o.Status = wrenford.Full
+				o.Status = dispatch.Full
 			}
 			post(c.r, o)
 		})
@@ -307,7 +307,7 @@
 		seq := 0
 		var next func()
 		next = func() {
-			if sim.Now() > world.Time(d.Length) {
+			if sim.Now() > emulator.Time(d.Length) {
 				return
 			}
 			seq++
@@ -319,11 +319,11 @@
 				}
 			}
 			r := relays[n]
-			res.Messages[id] = &Record{Relay: r.i, Destination: i, Due: sim.Now() + world.Time(d.TimeLeft), Aim: sim.Now() + aim}
-			post(r, wrenford.Request{ID: id, Destination: i, Class: d.Class, TimeLeft: d.TimeLeft, Size: 100})
-			sim.After(time.Duration(arrivals.ExpFloat64()/dest.Rate*1e9), world.Any, next)
+			res.Messages[id] = &Record{Relay: r.i, Destination: i, Due: sim.Now() + emulator.Time(d.TimeLeft), Aim: sim.Now() + aim}
+			post(r, dispatch.Request{ID: id, Destination: i, Class: d.Class, TimeLeft: d.TimeLeft, Size: 100})
+			sim.After(time.Duration(arrivals.ExpFloat64()/dest.Rate*1e9), emulator.Any, next)
 		}
-		sim.At(0, world.Any, next)
+		sim.At(0, emulator.Any, next)
 	}
 	for _, dr := range d.Drains {
 		sim.At(dr.At, kindServer, func() {
@@ -331,16 +331,16 @@
 				drained[dr.Destination] = sim.Now()
 			}
 			row := eps[dr.Destination]
-			row.State = wrenford.Draining
+			row.State = dispatch.Draining
 			for _, r := range relays {
-				post(r, wrenford.Members{Endpoints: []wrenford.Endpoint{row}})
+				post(r, dispatch.Members{Endpoints: []dispatch.Endpoint{row}})
 			}
 		})
 	}
 	for _, r := range relays {
-		post(r, wrenford.Woken{})
+		post(r, dispatch.Woken{})
 	}
-	sim.Run(world.Time(d.Length + 10*d.TimeLeft))
+	sim.Run(emulator.Time(d.Length + 10*d.TimeLeft))
 	for _, p := range fleet {
 		res.Told.Bytes += p.node.Bytes
 	}
--- a/internal/lab/world/play/play_test.go
+++ b/internal/lab/emulator/workload/workload_test.go
@@ -1,4 +1,4 @@
-package play
+package workload
 
 import (
 	"fmt"
@@ -8,26 +8,26 @@
 	"testing"
 	"time"
 
-	"wrenford"
-	"wrenford/internal/lab/world"
-	"wrenford/internal/lab/world/model"
+	"slatemux/internal/dispatch"
+	"slatemux/internal/lab/emulator"
+	"slatemux/internal/lab/emulator/servermodel"
 )
 
 func day(seed uint64) Day {
-	set := wrenford.Settings{
-		Classes:    []wrenford.Class{{Name: "slot", Aim: time.Second, Deadline: 5 * time.Second, Worth: 3}},
-		Kinds:      []wrenford.Kind{{Name: "partner"}},
+	set := dispatch.Settings{
+		Classes:    []dispatch.Class{{Name: "slot", Aim: time.Second, Deadline: 5 * time.Second, Worth: 3}},
+		Kinds:      []dispatch.Kind{{Name: "partner"}},
 		Resolution: 5 * time.Millisecond, MaxCalls: 40, MaxOpen: 400, MaxAttempts: 8, ConnectTimeout: time.Second,
 		KeepAlive: 5 * time.Second, RetryAfter: true, MaxRetryAfter: 3 * time.Second,
-		Safety: wrenford.Safety{StartCapacity: 0.23, Cold: 13 * time.Second, FallMultiple: 1.5, TipAfter: 1500 * time.Millisecond},
+		Safety: dispatch.Safety{StartCapacity: 0.23, Cold: 13 * time.Second, FallMultiple: 1.5, TipAfter: 1500 * time.Millisecond},
 	}
 	d := Day{Seed: seed, Relays: 3, Settings: set, Length: 30 * time.Second, Class: "slot", TimeLeft: 5 * time.Second}
 	for i := range 20 {
 		dest := Destination{Servers: 4, Work: 200 * time.Millisecond, Rate: 3,
-			Limit: model.Bucket{Rate: 4, Burst: 4, Tells: true}}
+			Limit: servermodel.Bucket{Rate: 4, Burst: 4, Tells: true}}
 		if i%5 == 0 { // an outage with a cold return
-			dest.Health = model.Health{StartShare: 0.25, Cold: 5 * time.Second,
-				Spells: []model.Spell{{From: world.Time(10 * time.Second), To: world.Time(15 * time.Second), State: model.Down}}}
+			dest.Health = servermodel.Health{StartShare: 0.25, Cold: 5 * time.Second,
+				Spells: []servermodel.Spell{{From: emulator.Time(10 * time.Second), To: emulator.Time(15 * time.Second), State: servermodel.Down}}}
 		}
 		d.Destinations = append(d.Destinations, dest)
 	}
@@ -54,7 +54,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	const slack = world.Time(20 * time.Millisecond)
+	const slack = emulator.Time(20 * time.Millisecond)
 	delivered := 0
 	for id, m := range r.Messages {
 		if m.Ends != 1 || m.EndedAt > m.Due+slack || m.SentAfterEnd {
@@ -89,33 +89,33 @@
 // resending is a planted defect around the real module: an outcome that pleases it sends that message again at
 // the next step, whatever the module would do.
 type resending struct {
-	s     *wrenford.Sender
-	when  func(wrenford.Outcome) bool
-	again []wrenford.Action
+	s     *dispatch.Sender
+	when  func(dispatch.Outcome) bool
+	again []dispatch.Action
 }
 
-func (r *resending) Step(now time.Duration, events []wrenford.Event) []wrenford.Action {
+func (r *resending) Step(now time.Duration, events []dispatch.Event) []dispatch.Action {
 	acts := append(r.s.Step(now, events), r.again...)
 	r.again = nil
 	for _, ev := range events {
-		if o, ok := ev.(wrenford.Outcome); ok && r.when(o) {
-			r.again = append(r.again, wrenford.Send{ID: o.ID, Endpoint: o.Endpoint})
+		if o, ok := ev.(dispatch.Outcome); ok && r.when(o) {
+			r.again = append(r.again, dispatch.Send{ID: o.ID, Endpoint: o.Endpoint})
 		}
 	}
 	return acts
 }
 
-func resend(when func(wrenford.Outcome) bool) func(*wrenford.Sender) Decider {
-	return func(s *wrenford.Sender) Decider { return &resending{s: s, when: when} }
+func resend(when func(dispatch.Outcome) bool) func(*dispatch.Sender) Decider {
+	return func(s *dispatch.Sender) Decider { return &resending{s: s, when: when} }
 }
 
 // deaf is a planted defect: the module never hears that an endpoint drains.
-type deaf struct{ s *wrenford.Sender }
+type deaf struct{ s *dispatch.Sender }
 
-func (d deaf) Step(now time.Duration, events []wrenford.Event) []wrenford.Action {
+func (d deaf) Step(now time.Duration, events []dispatch.Event) []dispatch.Action {
 	kept := events[:0:0]
 	for _, ev := range events {
-		if m, ok := ev.(wrenford.Members); !ok || m.Whole {
+		if m, ok := ev.(dispatch.Members); !ok || m.Whole {
 			kept = append(kept, ev)
 		}
 	}
@@ -123,7 +123,7 @@
 }
 
 // caught plays a day with the real module, which must mark no message, and with a planted defect, which must.
-func caught(t *testing.T, d Day, mark func(*Record) bool, defect func(*wrenford.Sender) Decider) {
+func caught(t *testing.T, d Day, mark func(*Record) bool, defect func(*dispatch.Sender) Decider) {
 	t.Helper()
 	marked := func(d Day) (n int) {
 		r, err := Play(d)
@@ -157,36 +157,36 @@
 // Told waits are kept; a module that sends a call again into the wait it was told is caught.
 func TestWaitsAreKept(t *testing.T) {
 	caught(t, tight(3), func(m *Record) bool { return m.SentInWait },
-		resend(func(o wrenford.Outcome) bool { return o.Status == wrenford.Full && o.Wait > 0 }))
+		resend(func(o dispatch.Outcome) bool { return o.Status == dispatch.Full && o.Wait > 0 }))
 }
 
 // The most attempts a message are kept; a module that retries whatever failed, without end, is caught.
 func TestAttemptsAreBounded(t *testing.T) {
 	d := tight(4)
 	caught(t, d, func(m *Record) bool { return m.Sends > d.Settings.MaxAttempts },
-		resend(func(o wrenford.Outcome) bool { return o.Status != wrenford.OK }))
+		resend(func(o dispatch.Outcome) bool { return o.Status != dispatch.OK }))
 }
 
 // Nothing new goes to a draining endpoint after the grace; a module that does not hear of drains is caught.
 func TestDrainsAreKept(t *testing.T) {
 	d := day(7)
 	for i := range 5 {
-		d.Drains = append(d.Drains, Drain{Destination: i, At: world.Time(8 * time.Second)})
+		d.Drains = append(d.Drains, Drain{Destination: i, At: emulator.Time(8 * time.Second)})
 	}
-	caught(t, d, func(m *Record) bool { return m.SentDrained }, func(s *wrenford.Sender) Decider { return deaf{s} })
+	caught(t, d, func(m *Record) bool { return m.SentDrained }, func(s *dispatch.Sender) Decider { return deaf{s} })
 }
 
 // A payment that may have run is never sent again; a module that resends what got no answer is caught.
 func TestPaymentsRunOnce(t *testing.T) {
 	d := day(8)
-	d.Settings.Classes = []wrenford.Class{{Name: "pay", Effect: wrenford.Unsafe, Aim: 4 * time.Second, Deadline: 28 * time.Second, Worth: 1}}
+	d.Settings.Classes = []dispatch.Class{{Name: "pay", Effect: dispatch.Unsafe, Aim: 4 * time.Second, Deadline: 28 * time.Second, Worth: 1}}
 	d.Class, d.TimeLeft = "pay", 28*time.Second
 	for i := range 5 { // silent machines: calls that reach them may have run
-		d.Destinations[i].Health = model.Health{StartShare: 0.25, Cold: 5 * time.Second,
-			Spells: []model.Spell{{From: world.Time(8 * time.Second), To: world.Time(16 * time.Second), State: model.Silent}}}
+		d.Destinations[i].Health = servermodel.Health{StartShare: 0.25, Cold: 5 * time.Second,
+			Spells: []servermodel.Spell{{From: emulator.Time(8 * time.Second), To: emulator.Time(16 * time.Second), State: servermodel.Silent}}}
 	}
 	caught(t, d, func(m *Record) bool { return m.SentAfterRun },
-		resend(func(o wrenford.Outcome) bool { return o.Status == wrenford.TimedOut }))
+		resend(func(o dispatch.Outcome) bool { return o.Status == dispatch.TimedOut }))
 }
 
 // Days played side by side give what each gives alone: the same records at 1 and 4 workers.
--- a/internal/lab/explore/explore.go
+++ b/internal/lab/explore/explore.go
@@ -12,7 +12,7 @@
 	"sync"
 	"time"
 
-	"wrenford/internal/allowance"
+	"slatemux/internal/allowance"
 )
 
 // Holder and Owner are the two sides, as the program has them, or with a rule planted out.
--- a/internal/lab/fleets/configuration_test.go
+++ b/internal/lab/fleets/configuration_test.go
@@ -14,8 +14,8 @@
 	"testing"
 	"time"
 
-	"wrenford/internal/configsync"
-	"wrenford/internal/fleet"
+	"slatemux/internal/configsync"
+	"slatemux/internal/fleet"
 )
 
 // postChange hands a signed change in at a relay.
--- a/internal/lab/fleets/fleets.go
+++ b/internal/lab/fleets/fleets.go
@@ -18,14 +18,14 @@
 	"syscall"
 	"time"
 
-	"wrenford/internal/fleet"
-	"wrenford/internal/lab"
-	"wrenford/internal/lab/fleets/labv1"
-	"wrenford/internal/lab/ledger"
-	"wrenford/internal/lab/links"
-	"wrenford/internal/lab/load"
-	"wrenford/internal/lab/partner"
-	"wrenford/internal/lab/platform"
+	"slatemux/internal/fleet"
+	"slatemux/internal/lab"
+	"slatemux/internal/lab/fleets/labv1"
+	"slatemux/internal/lab/ledger"
+	"slatemux/internal/lab/links"
+	"slatemux/internal/lab/load"
+	"slatemux/internal/lab/partner"
+	"slatemux/internal/lab/platform"
 )
 
 // Fleet is a fleet of real processes on loopback.
--- a/internal/lab/fleets/fleets_test.go
+++ b/internal/lab/fleets/fleets_test.go
@@ -10,8 +10,8 @@
 	"testing"
 	"time"
 
-	"wrenford/internal/fleet"
-	"wrenford/internal/lab/fleets/labv1"
+	"slatemux/internal/fleet"
+	"slatemux/internal/lab/fleets/labv1"
 )
 
 // The tests here run several real relays and cause what issue 23 names between them. They demand what holds on a machine
--- a/internal/lab/fleets/liar.go
+++ b/internal/lab/fleets/liar.go
@@ -9,10 +9,10 @@
 
 	"github.com/hashicorp/memberlist"
 
-	"wrenford/internal/fleet/wire"
-	"wrenford/internal/lab/fleets/labv1"
-	"wrenford/internal/spread"
-	"wrenford/internal/verdicts"
+	"slatemux/internal/fleet/wire"
+	"slatemux/internal/lab/fleets/labv1"
+	"slatemux/internal/spread"
+	"slatemux/internal/verdicts"
 )
 
 // liar is a peer that has the fleet's key and says what is not so.
--- a/internal/lab/fleets/limits.go
+++ b/internal/lab/fleets/limits.go
@@ -6,8 +6,8 @@
 	"sort"
 	"time"
 
-	"wrenford/internal/allowance"
-	"wrenford/internal/lab/fleets/labv1"
+	"slatemux/internal/allowance"
+	"slatemux/internal/lab/fleets/labv1"
 )
 
 // settled is how long after the beginning of a load a fleet is held to the bound: before, no relay has read a limit.
--- a/internal/lab/fleets/limits_test.go
+++ b/internal/lab/fleets/limits_test.go
@@ -6,7 +6,7 @@
 	"strings"
 	"testing"
 
-	"wrenford/internal/allowance"
+	"slatemux/internal/allowance"
 )
 
 // What issue 24 names between several processes: whatever is cut, killed or stopped, all relays together stay within the bound of
--- a/internal/lab/fleets/report.go
+++ b/internal/lab/fleets/report.go
@@ -8,9 +8,9 @@
 	"text/tabwriter"
 	"time"
 
-	"wrenford/internal/fleet"
-	"wrenford/internal/lab/fleets/labv1"
-	"wrenford/internal/lab/ledger"
+	"slatemux/internal/fleet"
+	"slatemux/internal/lab/fleets/labv1"
+	"slatemux/internal/lab/ledger"
 )
 
 // Report is what a run came to, over the whole fleet.
--- a/internal/lab/fleets/scenario.go
+++ b/internal/lab/fleets/scenario.go
@@ -14,11 +14,11 @@
 
 	"google.golang.org/protobuf/encoding/prototext"
 
-	"wrenford/internal/lab/fleets/labv1"
-	"wrenford/internal/lab/partner"
+	"slatemux/internal/lab/fleets/labv1"
+	"slatemux/internal/lab/partner"
 )
 
-//go:generate protoc -I ../../../proto --go_out=../../.. --go_opt=module=wrenford ../../../proto/slatemux/lab/v1/fleet.proto
+//go:generate protoc -I ../../../proto --go_out=../../.. --go_opt=module=slatemux ../../../proto/slatemux/lab/v1/fleet.proto
 
 // Load reads a scenario. Errors name the file, and the line or the field.
 func Load(path string) (*labv1.FleetScenario, error) {
--- a/internal/lab/handover_test.go
+++ b/internal/lab/handover_test.go
@@ -10,8 +10,8 @@
 	"testing"
 	"time"
 
-	"wrenford/internal/lab/ledger"
-	"wrenford/internal/lab/load"
+	"slatemux/internal/lab/ledger"
+	"slatemux/internal/lab/load"
 )
 
 // A second process is started beside the first on the same client address, says it is ready on its own
--- a/internal/lab/hard_test.go
+++ b/internal/lab/hard_test.go
@@ -12,10 +12,10 @@
 	"testing"
 	"time"
 
-	"wrenford/internal/lab/ca"
-	"wrenford/internal/lab/ledger"
-	"wrenford/internal/lab/load"
-	"wrenford/internal/lab/partner"
+	"slatemux/internal/lab/ca"
+	"slatemux/internal/lab/ledger"
+	"slatemux/internal/lab/load"
+	"slatemux/internal/lab/partner"
 )
 
 // The tests here run the real program among stand-ins and cause what the overload control is meant for. What they
--- a/internal/lab/limits/simulation.go
+++ b/internal/lab/limits/simulation.go
@@ -8,9 +8,9 @@
 	"math/rand/v2"
 	"time"
 
-	"wrenford/internal/allowance"
-	"wrenford/internal/fleet/wire"
-	"wrenford/internal/spread"
+	"slatemux/internal/allowance"
+	"slatemux/internal/fleet/wire"
+	"slatemux/internal/spread"
 )
 
 const (
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -16,7 +16,7 @@
 	"sync/atomic"
 	"time"
 
-	"wrenford/internal/lab/ledger"
+	"slatemux/internal/lab/ledger"
 )
 
 // Stream is one part of the traffic.
--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/load_test.go
@@ -12,7 +12,7 @@
 
 	"github.com/tidwall/redcon"
 
-	"wrenford/internal/lab/ledger"
+	"slatemux/internal/lab/ledger"
 )
 
 // relay answers hand-ins as f says; an empty answer is none.
--- a/internal/lab/partner/partner.go
+++ b/internal/lab/partner/partner.go
@@ -17,7 +17,7 @@
 	"sync"
 	"time"
 
-	"wrenford/internal/lab/ledger"
+	"slatemux/internal/lab/ledger"
 )
 
 // Mode is what an endpoint does with a call.
--- a/internal/lab/partner/partner_test.go
+++ b/internal/lab/partner/partner_test.go
@@ -12,8 +12,8 @@
 
 	"pgregory.net/rapid"
 
-	"wrenford/internal/cuts"
-	"wrenford/internal/lab/ledger"
+	"slatemux/internal/lab/ledger"
+	"slatemux/internal/proptest"
 )
 
 func start(t *testing.T, life ...Phase) (*Server, *ledger.Ledger) {
@@ -189,16 +189,16 @@
 // A head is read the same however it is cut; garbage never is a call with a body out of bounds.
 func TestHeadsInPiecesAndGarbage(t *testing.T) {
 	good := []byte(text("9b1f03aa5c7e2d41", "body"))
-	cuts.Check(t, func(t *rapid.T) {
+	proptest.Check(t, func(t *rapid.T) {
 		var readers []byteReader
-		for _, p := range cuts.Pieces(t, good) {
+		for _, p := range proptest.Pieces(t, good) {
 			readers = append(readers, byteReader(p))
 		}
 		req, _, err := readHead(bufio.NewReaderSize(&pieces{readers}, 256))
 		if err != nil || req.id != 0x9b1f03aa5c7e2d41 || req.body != 4 {
 			t.Fatalf("%+v %v", req, err)
 		}
-		if req, _, err := readHead(bufio.NewReaderSize(bytes.NewReader(cuts.Garbage(t, good)), 256)); err == nil && (req.body < 0 || req.body > 1<<20) {
+		if req, _, err := readHead(bufio.NewReaderSize(bytes.NewReader(proptest.Garbage(t, good)), 256)); err == nil && (req.body < 0 || req.body > 1<<20) {
 			t.Fatalf("%+v", req)
 		}
 	})
--- a/internal/lab/platform/platform.go
+++ b/internal/lab/platform/platform.go
@@ -15,7 +15,7 @@
 	"sync"
 	"time"
 
-	"wrenford/internal/lab/ledger"
+	"slatemux/internal/lab/ledger"
 )
 
 // Host is an entry of the list, with the names that discovery uses.
--- a/internal/lab/platform/platform_test.go
+++ b/internal/lab/platform/platform_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"wrenford/internal/lab/ledger"
+	"slatemux/internal/lab/ledger"
 )
 
 func start(t *testing.T) (*Server, *ledger.Ledger) {
--- a/internal/lab/settings_test.go
+++ b/internal/lab/settings_test.go
@@ -6,10 +6,10 @@
 	"testing"
 	"time"
 
-	"wrenford/internal/lab/ledger"
-	"wrenford/internal/lab/load"
-	"wrenford/internal/lab/partner"
-	"wrenford/internal/lab/platform"
+	"slatemux/internal/lab/ledger"
+	"slatemux/internal/lab/load"
+	"slatemux/internal/lab/partner"
+	"slatemux/internal/lab/platform"
 )
 
 // Deployments whose settings are other than those of Bortsvi Tyre Service, each with a member that leaves under load: all that was
--- a/internal/recall/recall.go
+++ b/internal/limitstore/limitstore.go
@@ -1,10 +1,10 @@
-// Package recall keeps what the relay learned of destinations in a small file that outlives the process: their limits. A
+// Package limitstore keeps what the relay learned of destinations in a small file that outlives the process: their limits. A
 // relay that forgets them takes each destination to be without limit until it is told otherwise, which costs one relay a few
 // refused calls; of a fleet that is restarted at one moment each does so, with the journal's messages in hand.
 //
 // What is owed is the journal's; nothing here is needed to serve. A file that is missing, torn, foreign or absurd is one log
 // line, and the relay begins without it.
-package recall
+package limitstore
 
 import (
 	"bytes"
--- a/internal/recall/recall_test.go
+++ b/internal/limitstore/limitstore_test.go
@@ -1,4 +1,4 @@
-package recall
+package limitstore
 
 import (
 	"context"
@@ -13,7 +13,7 @@
 
 	"pgregory.net/rapid"
 
-	"wrenford/internal/cuts"
+	"slatemux/internal/proptest"
 )
 
 var noon = time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC)
@@ -70,8 +70,8 @@
 			t.Errorf("%s: not mended: %v", what, err)
 		}
 	}
-	cuts.Check(t, func(t *rapid.T) {
-		limits, err := Decode(cuts.Garbage(t, good), noon)
+	proptest.Check(t, func(t *rapid.T) {
+		limits, err := Decode(proptest.Garbage(t, good), noon)
 		for _, l := range limits {
 			if !l.sane(noon) {
 				t.Fatalf("%v, %v", limits, err)
--- a/internal/maint/maint.go
+++ b/internal/maintenance/maintenance.go
@@ -1,7 +1,7 @@
-// Package maint keeps the operators' bans of endpoints in the state folder, so that a ban outlives the process
+// Package maintenance keeps the operators' bans of endpoints in the state folder, so that a ban outlives the process
 // and holds in a successor that runs beside it. The file is replaced whole, under a lock of its own, so that
 // two processes that change it at once lose neither change.
-package maint
+package maintenance
 
 import (
 	"bufio"
--- a/internal/maint/maint_test.go
+++ b/internal/maintenance/maintenance_test.go
@@ -1,4 +1,4 @@
-package maint
+package maintenance
 
 import (
 	"os"
--- a/internal/mapped/mapped.go
+++ b/internal/mmapfile/mmapfile.go
@@ -1,6 +1,6 @@
-// Package mapped shares a small file between the processes of one relay by mapping it into their memory. What one writes with atomic
+// Package mmapfile shares a small file between the processes of one relay by mapping it into their memory. What one writes with atomic
 // operations the others read without a system call. The file is sparse: it takes memory by the pages that are used.
-package mapped
+package mmapfile
 
 import (
 	"errors"
--- a/internal/notice/notice.go
+++ b/internal/notice/notice.go
@@ -10,9 +10,9 @@
 	"sync"
 	"time"
 
-	"wrenford/internal/flow/http1"
-	"wrenford/internal/place"
-	"wrenford/internal/traffic"
+	"slatemux/internal/discoveryaddr"
+	"slatemux/internal/flow/http1"
+	"slatemux/internal/traffic"
 )
 
 const (
@@ -24,7 +24,7 @@
 
 // Sender delivers notices in the order they come.
 type Sender struct {
-	at       *place.Place
+	at       *discoveryaddr.Place
 	answered func(ids []string)
 
 	mu    sync.Mutex
@@ -56,7 +56,7 @@
 }
 
 // New returns a Sender to the platform at a place that may move; answered is told what needs no more tries.
-func New(at *place.Place, answered func(ids []string)) *Sender {
+func New(at *discoveryaddr.Place, answered func(ids []string)) *Sender {
 	return &Sender{at: at, answered: answered, wake: make(chan struct{}, 1)}
 }
 
--- a/internal/notice/notice_test.go
+++ b/internal/notice/notice_test.go
@@ -9,8 +9,8 @@
 	"testing"
 	"time"
 
-	"wrenford/internal/place"
-	"wrenford/internal/traffic"
+	"slatemux/internal/discoveryaddr"
+	"slatemux/internal/traffic"
 )
 
 // Notices go out until they are answered: an error is tried again, and a call that the platform cannot read
@@ -33,7 +33,7 @@
 	}))
 	defer platform.Close()
 	answered := make(chan []string, 20)
-	s := New(place.New(strings.TrimPrefix(platform.URL, "http://")), func(ids []string) { answered <- ids })
+	s := New(discoveryaddr.New(strings.TrimPrefix(platform.URL, "http://")), func(ids []string) { answered <- ids })
 	s.Send(traffic.Notice{ID: "a", Outcome: traffic.GivenUp})
 	s.Send(traffic.Notice{ID: "bad", Outcome: traffic.HandedBack})
 	s.Send(traffic.Notice{ID: "b", Outcome: traffic.HandedBack, RetryIn: 500 * time.Millisecond})
--- a/internal/overload/overload_test.go
+++ b/internal/overload/overload_test.go
@@ -8,7 +8,7 @@
 
 	"pgregory.net/rapid"
 
-	"wrenford/internal/cuts"
+	"slatemux/internal/proptest"
 )
 
 const ms = time.Millisecond
@@ -362,7 +362,7 @@
 
 // Whatever is read and handed in, no figure leaves its bounds.
 func TestBoundsHoldForAnything(t *testing.T) {
-	cuts.Check(t, func(t *rapid.T) {
+	proptest.Check(t, func(t *rapid.T) {
 		cfg := config()
 		c, err := New(cfg)
 		if err != nil {
--- a/internal/pool/book.go
+++ b/internal/pool/book.go
@@ -3,7 +3,7 @@
 import (
 	"fmt"
 
-	"wrenford/internal/traffic"
+	"slatemux/internal/traffic"
 )
 
 // Book is what is known of discovery's list, and says what of an answer counts. A drain that was heard is kept until
--- a/internal/pool/book_test.go
+++ b/internal/pool/book_test.go
@@ -5,8 +5,8 @@
 
 	"pgregory.net/rapid"
 
-	"wrenford/internal/cuts"
-	"wrenford/internal/traffic"
+	"slatemux/internal/proptest"
+	"slatemux/internal/traffic"
 )
 
 func parse(t *testing.T, text string) List {
@@ -85,7 +85,7 @@
 // Whatever comes that is no newer version of the list brings no leaving member back, and who hears the news knows what the
 // book does.
 func TestBookKeepsDrains(t *testing.T) {
-	cuts.Check(t, func(t *rapid.T) {
+	proptest.Check(t, func(t *rapid.T) {
 		known, err := Parse([]byte(answer(10, true, line("a", "active"), line("b", "leaving"), line("c", "leaving"))))
 		if err != nil {
 			t.Fatal(err)
@@ -102,7 +102,7 @@
 			}), 0, 4).Draw(t, "lines")
 			text := []byte(answer(rapid.IntRange(0, 10).Draw(t, "seq"), rapid.Bool().Draw(t, "whole"), lines...))
 			if rapid.IntRange(0, 3).Draw(t, "spoilt") == 0 {
-				text = cuts.Garbage(t, text)
+				text = proptest.Garbage(t, text)
 			}
 			l, err := Parse(text)
 			if err != nil || l.Seq > 10 { // cut or spoilt, it may be a version that is newer
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -11,7 +11,7 @@
 	"strconv"
 	"strings"
 
-	"wrenford/internal/traffic"
+	"slatemux/internal/traffic"
 )
 
 // List is the list in discovery's form.
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -7,8 +7,8 @@
 
 	"pgregory.net/rapid"
 
-	"wrenford/internal/cuts"
-	"wrenford/internal/traffic"
+	"slatemux/internal/proptest"
+	"slatemux/internal/traffic"
 )
 
 const list = `{"seq":41,"whole":true,"hosts":[{"host":"s-5b","dial":"127.0.0.1:1","site":"a","class":"m2","block":3,` +
@@ -47,8 +47,8 @@
 			t.Errorf("%s is taken for a list", none)
 		}
 	}
-	cuts.Check(t, func(t *rapid.T) {
-		if l, err := Parse(cuts.Garbage(t, []byte(list))); err == nil {
+	proptest.Check(t, func(t *rapid.T) {
+		if l, err := Parse(proptest.Garbage(t, []byte(list))); err == nil {
 			for _, m := range l.News().Members {
 				if m.Host == "" {
 					t.Fatalf("%+v", l)
--- a/internal/pool/watch.go
+++ b/internal/pool/watch.go
@@ -13,9 +13,9 @@
 	"syscall"
 	"time"
 
-	"wrenford/internal/flow/http1"
-	"wrenford/internal/place"
-	"wrenford/internal/traffic"
+	"slatemux/internal/discoveryaddr"
+	"slatemux/internal/flow/http1"
+	"slatemux/internal/traffic"
 )
 
 const (
@@ -44,7 +44,7 @@
 
 // Watcher follows the list. Its connection stays open from one call to the next as long as discovery lets it.
 type Watcher struct {
-	at      *place.Place
+	at      *discoveryaddr.Place
 	pace    *Pace
 	book    *Book
 	to      Listener
@@ -72,7 +72,7 @@
 }
 
 // NewWatcher returns one that goes on from the known list and hands on each change. The process began at since.
-func NewWatcher(at *place.Place, pace *Pace, known List, since time.Time, to Listener) *Watcher {
+func NewWatcher(at *discoveryaddr.Place, pace *Pace, known List, since time.Time, to Listener) *Watcher {
 	return &Watcher{at: at, pace: pace, book: NewBook(known), since: since, to: to}
 }
 
--- a/internal/pool/watch_test.go
+++ b/internal/pool/watch_test.go
@@ -11,8 +11,8 @@
 	"testing"
 	"time"
 
-	"wrenford/internal/place"
-	"wrenford/internal/traffic"
+	"slatemux/internal/discoveryaddr"
+	"slatemux/internal/traffic"
 )
 
 // scripted is a discovery that answers call after call as a test says.
@@ -62,7 +62,7 @@
 func (h heard) PoolDoubted() { h.doubted <- time.Now() }
 
 // watch follows the list at a place, from a known list at version 41 where b is active, until the test ends.
-func watch(t *testing.T, at *place.Place, terms Terms) (*Watcher, heard) {
+func watch(t *testing.T, at *discoveryaddr.Place, terms Terms) (*Watcher, heard) {
 	known, err := Parse([]byte(answer(41, true, line("a", "active"), line("b", "active"))))
 	if err != nil {
 		t.Fatal(err)
@@ -130,7 +130,7 @@
 				}
 				return held(req, drained)
 			})
-			_, h := watch(t, place.New(at), pushed(350, grace))
+			_, h := watch(t, discoveryaddr.New(at), pushed(350, grace))
 			if took := h.leaves(t); took > grace {
 				t.Errorf("the drain is heard of after %v", took)
 			}
@@ -144,7 +144,7 @@
 	to := scripted(t, func(_ int, req *http.Request) string {
 		return held(req, answer(3, true, line("a", "active"), line("b", "leaving")))
 	})
-	at := place.New(from)
+	at := discoveryaddr.New(from)
 	_, h := watch(t, at, pushed(350, 500*time.Millisecond))
 	<-h.news // the first answer
 	at.Move(to)
@@ -176,7 +176,7 @@
 				}
 				return drained
 			})
-			_, h := watch(t, place.New(at), terms)
+			_, h := watch(t, discoveryaddr.New(at), terms)
 			from := <-began
 			h.leaves(t)
 			if took := time.Since(from); took > hold+2*time.Second {
@@ -199,7 +199,7 @@
 		return held(req, drained)
 	})
 	began := time.Now()
-	_, h := watch(t, place.New(at), pushed(350, grace))
+	_, h := watch(t, discoveryaddr.New(at), pushed(350, grace))
 	if after := (<-h.doubted).Sub(began); after < grace/2 || after > grace*9/10 {
 		t.Errorf("the known list is doubted after %v", after)
 	}
@@ -209,7 +209,7 @@
 	}
 	// One that answers is not doubted, also where it has nothing new to tell: its answer says so.
 	at = scripted(t, func(_ int, req *http.Request) string { return held(req, answer(41, false)) })
-	_, h = watch(t, place.New(at), pushed(350, 100*time.Millisecond))
+	_, h = watch(t, discoveryaddr.New(at), pushed(350, 100*time.Millisecond))
 	if n := <-h.news; n.Whole || len(n.Members) != 0 {
 		t.Errorf("%+v", n)
 	}
@@ -230,7 +230,7 @@
 		}
 		return answer(41+n, false, line(fmt.Sprint("h", 41+n), "active"))
 	})
-	_, h := watch(t, place.New(at), asked(1))
+	_, h := watch(t, discoveryaddr.New(at), asked(1))
 	for _, seq := range []string{"41", "42", "42", "44"} {
 		if got := <-asks; got != seq {
 			t.Errorf("asked from %s, want %s", got, seq)
@@ -249,7 +249,7 @@
 		t.Run(what, func(t *testing.T) {
 			t.Parallel()
 			at := scripted(t, func(int, *http.Request) string { return text })
-			w, _ := watch(t, place.New(at), pushed(1, 5*time.Second))
+			w, _ := watch(t, discoveryaddr.New(at), pushed(1, 5*time.Second))
 			time.Sleep(time.Second) // what is counted is what is not done in it
 			if n := w.Counters().Asked; n < 2 || n > 20 {
 				t.Errorf("%d calls in a second", n)
@@ -289,7 +289,7 @@
 			}()
 		}
 	}()
-	_, h := watch(t, place.New(ln.Addr().String()), pushed(1, 2*time.Second))
+	_, h := watch(t, discoveryaddr.New(ln.Addr().String()), pushed(1, 2*time.Second))
 	if took := h.leaves(t); took > 2*time.Second {
 		t.Errorf("heard of after %v", took)
 	}
@@ -318,7 +318,7 @@
 				}
 				return drained
 			})
-			_, h := watch(t, place.New(at), asked(350))
+			_, h := watch(t, discoveryaddr.New(at), asked(350))
 			h.leaves(t)
 			if took := time.Since(<-had); took > toldWithin {
 				t.Errorf("heard %v after discovery had it", took)
@@ -363,7 +363,7 @@
 				at = ln.Addr().String()
 				ln.Close()
 			}
-			_, h := watch(t, place.New(at), asked(3))
+			_, h := watch(t, discoveryaddr.New(at), asked(3))
 			if what != "gone" {
 				<-h.news
 			}
--- a/internal/cuts/cuts.go
+++ b/internal/proptest/proptest.go
@@ -1,6 +1,6 @@
-// Package cuts is the one helper of the network tests: properties with a fixed seed, valid bytes in random
+// Package proptest is the one helper of the network tests: properties with a fixed seed, valid bytes in random
 // pieces, and garbage.
-package cuts
+package proptest
 
 import (
 	"flag"
--- a/internal/relay/ban_test.go
+++ b/internal/relay/ban_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"wrenford/internal/traffic"
+	"slatemux/internal/traffic"
 )
 
 // Banned members get nothing new, whatever the pool says; lifted, the ban leaves a member that is sent to again,
--- a/internal/relay/bench_test.go
+++ b/internal/relay/bench_test.go
@@ -7,9 +7,9 @@
 	"testing"
 	"time"
 
-	"wrenford"
-	"wrenford/internal/journal"
-	"wrenford/internal/traffic"
+	"slatemux/internal/dispatch"
+	"slatemux/internal/journal"
+	"slatemux/internal/traffic"
 )
 
 // sink takes flows and notices and does nothing with them.
@@ -32,11 +32,11 @@
 			}
 			defer store.Close()
 			w := &sink{}
-			r, err := New(Config{Settings: wrenford.Settings{
-				Classes: []wrenford.Class{{Name: "slot", Aim: time.Second, Deadline: 5 * time.Second, Worth: 3}},
-				Kinds:   []wrenford.Kind{{Name: "partner"}}, Peers: 1, Resolution: 5 * time.Millisecond, MaxCalls: 1000, MaxOpen: 1000,
+			r, err := New(Config{Settings: dispatch.Settings{
+				Classes: []dispatch.Class{{Name: "slot", Aim: time.Second, Deadline: 5 * time.Second, Worth: 3}},
+				Kinds:   []dispatch.Kind{{Name: "partner"}}, Peers: 1, Resolution: 5 * time.Millisecond, MaxCalls: 1000, MaxOpen: 1000,
 				MaxAttempts: 3, ConnectTimeout: time.Second, KeepAlive: 5 * time.Second,
-				Safety: wrenford.Safety{StartCapacity: 0.2, Cold: 10 * time.Second, FallMultiple: 2, TipAfter: 2 * time.Second}},
+				Safety: dispatch.Safety{StartCapacity: 0.2, Cold: 10 * time.Second, FallMultiple: 2, TipAfter: 2 * time.Second}},
 				MostBytes: 1 << 30, Store: store, Flows: w, Notices: w})
 			if err != nil {
 				b.Fatal(err)
--- a/internal/relay/figures.go
+++ b/internal/relay/figures.go
@@ -5,8 +5,8 @@
 	"slices"
 	"time"
 
-	"wrenford"
-	"wrenford/internal/traffic"
+	"slatemux/internal/dispatch"
+	"slatemux/internal/traffic"
 )
 
 // Figures are what operators are shown, counted since the start of the process, by class where they are of
@@ -90,7 +90,7 @@
 
 // banned applies a new set of bans: members whose standing changed are told to the module again, those that
 // come back as cold, for they were restarted while out.
-func (r *Relay) banned(b bans) wrenford.Members {
+func (r *Relay) banned(b bans) dispatch.Members {
 	before := r.bans
 	r.bans = b.set
 	if r.cfg.Fleet != nil {
@@ -104,7 +104,7 @@
 
 // closed tells the module of the members whose standing has changed, by operators here, by the word of other relays or by doubt
 // in the whole list. Of those that come back, cold says which were restarted.
-func (r *Relay) closed(cold func(id string) bool) wrenford.Members {
+func (r *Relay) closed(cold func(id string) bool) dispatch.Members {
 	shut := maps.Clone(r.bans)
 	if shut == nil {
 		shut = map[string]bool{}
@@ -115,7 +115,7 @@
 	for id := range r.doubts {
 		shut[id] = true
 	}
-	ev, news := wrenford.Members{}, traffic.PoolNews{}
+	ev, news := dispatch.Members{}, traffic.PoolNews{}
 	for _, id := range slices.Sorted(maps.Keys(r.pool.members)) {
 		if m := r.pool.members[id]; shut[id] != r.shut[id] {
 			row := r.member(m, shut)
--- a/internal/relay/fleet.go
+++ b/internal/relay/fleet.go
@@ -5,8 +5,8 @@
 	"slices"
 	"time"
 
-	"wrenford"
-	"wrenford/internal/traffic"
+	"slatemux/internal/dispatch"
+	"slatemux/internal/traffic"
 )
 
 // Fleet is told what this relay has found out, for the other relays. Nothing blocks; what is handed over is the callee's.
@@ -41,7 +41,7 @@
 }
 
 // lapses tells the module of parts that have ended, before it decides anything after that.
-func (r *Relay) lapses(now time.Time) (events []wrenford.Event) {
+func (r *Relay) lapses(now time.Time) (events []dispatch.Event) {
 	if len(r.parts) == 0 || now.Before(r.lapse) {
 		return nil
 	}
@@ -55,7 +55,7 @@
 		default:
 			p = part{now.Add(lapseFor), true}
 			r.parts[n] = p
-			events = append(events, wrenford.Told{Kind: wrenford.ToldShare, Destination: n, For: lapseFor})
+			events = append(events, dispatch.Told{Kind: dispatch.ToldShare, Destination: n, For: lapseFor})
 		}
 		if p.until.Before(r.lapse) {
 			r.lapse = p.until
@@ -76,7 +76,7 @@
 	told    time.Time
 }
 
-func newDemands(classes []wrenford.Class) *demands {
+func newDemands(classes []dispatch.Class) *demands {
 	d := &demands{levels: map[string]int{}, of: map[int]*traffic.Demand{}, changed: map[int]bool{}, waits: map[int]bool{}}
 	var worths []float64
 	for _, c := range classes {
@@ -145,7 +145,7 @@
 	r.cfg.Fleet.Demand(list)
 }
 
-func (r *Relay) barred(list []traffic.Bar) wrenford.Members {
+func (r *Relay) barred(list []traffic.Bar) dispatch.Members {
 	before := r.bars
 	r.bars = map[string]bool{}
 	for _, b := range list {
@@ -156,7 +156,7 @@
 
 // restrained turns other relays' word into the module's, and keeps which members they hold to be out: who gets through to one
 // of them says so.
-func (r *Relay) restrained(list []traffic.Restraint, now time.Time) (events []wrenford.Event) {
+func (r *Relay) restrained(list []traffic.Restraint, now time.Time) (events []dispatch.Event) {
 	for _, x := range list {
 		events = append(events, r.told(x, now))
 		switch x.Kind {
--- a/internal/relay/fleet_test.go
+++ b/internal/relay/fleet_test.go
@@ -5,8 +5,8 @@
 	"testing"
 	"time"
 
-	"wrenford"
-	"wrenford/internal/traffic"
+	"slatemux/internal/dispatch"
+	"slatemux/internal/traffic"
 )
 
 // others keeps what a relay tells them.
@@ -161,7 +161,7 @@
 		t.Errorf("the next wake is at %v", r.nextWake(now).Sub(now))
 	}
 	events := r.lapses(now.Add(1100 * time.Millisecond))
-	if len(events) != 1 || events[0] != (wrenford.Told{Kind: wrenford.ToldShare, Destination: dest, For: lapseFor}) {
+	if len(events) != 1 || events[0] != (dispatch.Told{Kind: dispatch.ToldShare, Destination: dest, For: lapseFor}) {
 		t.Errorf("after its end %v", events)
 	}
 	if events := r.lapses(now.Add(1200 * time.Millisecond)); len(events) > 0 {
--- a/internal/relay/order.go
+++ b/internal/relay/order.go
@@ -5,8 +5,8 @@
 	"slices"
 	"time"
 
-	"wrenford"
-	"wrenford/internal/traffic"
+	"slatemux/internal/dispatch"
+	"slatemux/internal/traffic"
 )
 
 // Turns keep the order of keys between the processes of one relay, while one replaces the other. Nothing blocks.
@@ -33,7 +33,7 @@
 }
 
 // offer tells the module of a transaction that was taken on, at once or when its turn has come.
-func (r *Relay) offer(h *held, now time.Time, events []wrenford.Event) []wrenford.Event {
+func (r *Relay) offer(h *held, now time.Time, events []dispatch.Event) []dispatch.Event {
 	if r.cfg.Turns != nil && r.ordered(&h.Transaction) {
 		h.turn = r.cfg.Turns.Take(h.Order, h.ID, now, h.Deadline) - 1 // none to be had is the last of all
 		before := slices.ContainsFunc(r.later, func(o *held) bool { return o.Order == h.Order && o.turn < h.turn })
@@ -47,7 +47,7 @@
 }
 
 // offerAgain looks at those that wait.
-func (r *Relay) offerAgain(now time.Time, events []wrenford.Event) []wrenford.Event {
+func (r *Relay) offerAgain(now time.Time, events []dispatch.Event) []dispatch.Event {
 	waits := map[string]bool{}
 	r.later = slices.DeleteFunc(r.later, func(h *held) bool {
 		if h.Deadline.Sub(now) > lastCall*r.cfg.Settings.Resolution && (waits[h.Order] || r.cfg.Turns.Waits(h.Order, h.ID, now)) {
--- a/internal/relay/order_test.go
+++ b/internal/relay/order_test.go
@@ -5,8 +5,8 @@
 	"testing"
 	"time"
 
-	"wrenford"
-	"wrenford/internal/traffic"
+	"slatemux/internal/dispatch"
+	"slatemux/internal/traffic"
 )
 
 // Transactions of one key, in a class that keeps order, go one after the other; one that ends by a notice is over when that has its
@@ -14,7 +14,7 @@
 func TestOrderByKey(t *testing.T) {
 	w := &world{}
 	set := settingsForTest()
-	set.Classes[0].OrderedByKey, set.Classes[0].Effect = true, wrenford.Unsafe
+	set.Classes[0].OrderedByKey, set.Classes[0].Effect = true, dispatch.Unsafe
 	class := set.Classes[0].Name
 	r, err := New(Config{Settings: set, MostBytes: 1 << 20, Store: w, Flows: w, Notices: w})
 	if err != nil {
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -14,8 +14,8 @@
 	"sync/atomic"
 	"time"
 
-	"wrenford"
-	"wrenford/internal/traffic"
+	"slatemux/internal/dispatch"
+	"slatemux/internal/traffic"
 )
 
 const (
@@ -84,7 +84,7 @@
 // Config is what a Relay works with.
 type Config struct {
 	Meters    Meters // nil for none
-	Settings  wrenford.Settings
+	Settings  dispatch.Settings
 	Seed      int64
 	MostBytes int64 // of open transactions in memory
 	Store     Store
@@ -129,9 +129,9 @@
 // Relay drives one Sender.
 type Relay struct {
 	cfg     Config
-	sender  *wrenford.Sender
+	sender  *dispatch.Sender
 	origin  time.Time // of the module's time
-	classes map[string]*wrenford.Class
+	classes map[string]*dispatch.Class
 	apart   map[string]bool
 	bundles map[string]int // by kind of member: how many transactions one call carries
 	pool    roster
@@ -206,14 +206,14 @@
 
 // New makes a Relay.
 func New(cfg Config) (*Relay, error) {
-	sender, err := wrenford.New(cfg.Settings, cfg.Seed)
+	sender, err := dispatch.New(cfg.Settings, cfg.Seed)
 	if err != nil {
 		return nil, fmt.Errorf("relay: %w", err)
 	}
 	if cfg.Meters == nil {
 		cfg.Meters = noMeters{}
 	}
-	r := &Relay{cfg: cfg, squeeze: squeeze{messages: cfg.Settings.MaxOpen, byteScale: 1}, sender: sender, origin: time.Now(), classes: map[string]*wrenford.Class{},
+	r := &Relay{cfg: cfg, squeeze: squeeze{messages: cfg.Settings.MaxOpen, byteScale: 1}, sender: sender, origin: time.Now(), classes: map[string]*dispatch.Class{},
 		apart: map[string]bool{}, bundles: map[string]int{}, waiting: map[int]int{}, noticed: map[string]string{}, parked: map[string][]traffic.Flow{}, pool: newRoster(), open: map[string]*held{}, tally: newTally(),
 		signal: make(chan struct{}, 1)}
 	r.bans, r.shut, r.outs, r.heard = maps.Clone(cfg.Banned), maps.Clone(cfg.Banned), map[string]bool{}, map[string]bool{}
@@ -238,12 +238,12 @@
 	r.knownChanged()
 	r.learned = maps.Clone(limits)
 	r.poolToFleet(known.Seq)
-	events := append([]wrenford.Event{r.members(known)}, r.recalled(known)...)
+	events := append([]dispatch.Event{r.members(known)}, r.recalled(known)...)
 	r.decide(now, r.takeUp(open, notices, now, events), nil)
 }
 
 // takeUp takes over open transactions and owed notices of an earlier process.
-func (r *Relay) takeUp(open []traffic.Open, notices []traffic.Notice, now time.Time, events []wrenford.Event) []wrenford.Event {
+func (r *Relay) takeUp(open []traffic.Open, notices []traffic.Notice, now time.Time, events []dispatch.Event) []dispatch.Event {
 	for _, o := range open {
 		if r.open[o.ID] != nil { // handed in here again meanwhile: it is owed once
 			continue
@@ -286,7 +286,7 @@
 }
 
 // adopt asks the Heir, now and then, for what a predecessor left at its end.
-func (r *Relay) adopt(now time.Time, events []wrenford.Event) []wrenford.Event {
+func (r *Relay) adopt(now time.Time, events []dispatch.Event) []dispatch.Event {
 	if r.cfg.Heir == nil || now.Sub(r.adopted) < adoptEvery {
 		return events
 	}
@@ -481,14 +481,14 @@
 
 // step turns a batch of the inbox into events, and the wakes that are due.
 func (r *Relay) step(now time.Time, batch []any) {
-	var events []wrenford.Event
+	var events []dispatch.Event
 	var changes []traffic.Change
 	due := r.wakes[:0]
 	for _, at := range r.wakes {
 		if at.After(now) {
 			due = append(due, at)
 		} else {
-			events = append(events, wrenford.Woken{})
+			events = append(events, dispatch.Woken{})
 		}
 	}
 	r.wakes = due
@@ -531,8 +531,8 @@
 			r.cfg.MostBytes = int64(in)
 		case squeeze:
 			r.squeeze = in
-			events = append(events, wrenford.HoldCap{Messages: in.messages, Heavy: in.heavy})
-		case []wrenford.Event: // what follows from a failed write
+			events = append(events, dispatch.HoldCap{Messages: in.messages, Heavy: in.heavy})
+		case []dispatch.Event: // what follows from a failed write
 			events = append(events, in...)
 		case answered:
 			r.count.NoticesAnswered += int64(len(in))
@@ -597,7 +597,7 @@
 		bytes.Equal(a.Body, b.Body)
 }
 
-func (r *Relay) flowEnd(f traffic.FlowEnd, events []wrenford.Event, changes []traffic.Change) ([]wrenford.Event,
+func (r *Relay) flowEnd(f traffic.FlowEnd, events []dispatch.Event, changes []traffic.Change) ([]dispatch.Event,
 	[]traffic.Change) {
 	r.count.Ends[f.Status]++
 	if written(f.Status) {
@@ -653,9 +653,9 @@
 }
 
 // decide lets the module step, journals what comes of it in one write, and only then acts on it.
-func (r *Relay) decide(now time.Time, events []wrenford.Event, changes []traffic.Change) {
+func (r *Relay) decide(now time.Time, events []dispatch.Event, changes []traffic.Change) {
 	r.count.Steps++
-	var actions []wrenford.Action
+	var actions []dispatch.Action
 	r.cfg.Meters.Section(func() { actions = r.sender.Step(now.Sub(r.origin), events) })
 	var after []deed // in the module's order
 	var taken []*held
@@ -668,14 +668,14 @@
 	}
 	for _, a := range actions {
 		switch a := a.(type) {
-		case wrenford.Refuse:
+		case dispatch.Refuse:
 			ended[a.ID] = true
-		case wrenford.Fail:
+		case dispatch.Fail:
 			ended[a.ID] = true
 		}
 	}
 	for _, ev := range events {
-		if req, ok := ev.(wrenford.Request); ok && !ended[req.ID] {
+		if req, ok := ev.(dispatch.Request); ok && !ended[req.ID] {
 			if h := r.open[req.ID]; h.fresh != nil {
 				taken = append(taken, h)
 				changes = append(changes, traffic.Taken{Transaction: h.Transaction})
@@ -685,7 +685,7 @@
 	together := map[string]*traffic.Flow{} // the newest call to each member
 	for _, a := range actions {
 		switch a := a.(type) {
-		case wrenford.Send:
+		case dispatch.Send:
 			h := r.open[a.ID]
 			f := r.flow(&h.Open, a, now)
 			h.Attempts++
@@ -701,17 +701,17 @@
 				together[f.Member] = &f
 				after = append(after, deed{flow: &f})
 			}
-		case wrenford.Cancel:
+		case dispatch.Cancel:
 			after = append(after, deed{do: func() { r.cancel(a.ID, a.Attempt) }})
-		case wrenford.Refuse:
+		case dispatch.Refuse:
 			changes = r.end(traffic.Notice{ID: a.ID, Outcome: traffic.HandedBack, RetryIn: a.RetryAfter}, changes, &after)
-		case wrenford.Fail:
+		case dispatch.Fail:
 			changes = r.end(traffic.Notice{ID: a.ID, Outcome: traffic.GivenUp}, changes, &after)
-		case wrenford.Wake:
+		case dispatch.Wake:
 			r.wakes = append(r.wakes, r.origin.Add(a.At))
-		case wrenford.Log:
+		case dispatch.Log:
 			slog.Info("module", "text", a.Text)
-		case wrenford.Watch: // the pool is watched from the start
+		case dispatch.Watch: // the pool is watched from the start
 		}
 	}
 	saved := r.commit(changes, taken, after)
@@ -819,7 +819,7 @@
 		}
 	}
 	dropped := map[string]bool{}
-	var follow []wrenford.Event
+	var follow []dispatch.Event
 	for _, h := range taken {
 		dropped[h.ID] = true
 		r.later = slices.DeleteFunc(r.later, func(o *held) bool { return o == h })
@@ -827,7 +827,7 @@
 		r.count.Full++
 		r.answeredAs(h.Class, traffic.Answer{Verdict: traffic.Busy})
 		h.reply(traffic.Answer{Verdict: traffic.Busy, RetryIn: fullRetry})
-		follow = append(follow, wrenford.Hangup{ID: h.ID})
+		follow = append(follow, dispatch.Hangup{ID: h.ID})
 	}
 	for _, d := range after {
 		if d.flow == nil {
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
-	"wrenford"
-	"wrenford/internal/traffic"
+	"slatemux/internal/dispatch"
+	"slatemux/internal/traffic"
 )
 
 // world stands for store, flows and notices, and notes what is asked of them in order.
@@ -251,7 +251,7 @@
 	for i := range set.Classes {
 		set.Classes[i].Memory = time.Second
 	}
-	set.Classes = append(set.Classes, wrenford.Class{Name: "once", Effect: wrenford.Unsafe, Aim: time.Second, Deadline: 20 * time.Second, Worth: 1})
+	set.Classes = append(set.Classes, dispatch.Class{Name: "once", Effect: dispatch.Unsafe, Aim: time.Second, Deadline: 20 * time.Second, Worth: 1})
 	far := now.Add(15 * time.Second)
 	tried := func(id, class string, ago time.Duration) traffic.Open {
 		return traffic.Open{Transaction: transaction(id, class, far), Attempts: 1, FirstSent: now.Add(-ago)}
@@ -341,7 +341,7 @@
 	limits := map[int]float64{3: 25, 7: 50}
 	r.Start(known, limits, nil, nil)
 	news := traffic.PoolNews{Members: []traffic.Member{{Host: "b", Destination: 3}, {Host: "c", Destination: 3}, {Host: "m1", Destination: 7}}}
-	if got := r.recalled(news); len(got) != 1 || got[0] != (wrenford.Recalled{Destination: 3, Limit: 25}) {
+	if got := r.recalled(news); len(got) != 1 || got[0] != (dispatch.Recalled{Destination: 3, Limit: 25}) {
 		t.Errorf("%v", got)
 	}
 	if got := r.recalled(news); len(got) != 0 || len(limits) != 2 {
@@ -349,13 +349,13 @@
 	}
 }
 
-func settingsForTest() wrenford.Settings {
-	return wrenford.Settings{
-		Classes: []wrenford.Class{
-			{Name: "pay", Effect: wrenford.Keyed, Memory: 15 * time.Second, Aim: 4 * time.Second, Deadline: 28 * time.Second, Worth: 1},
+func settingsForTest() dispatch.Settings {
+	return dispatch.Settings{
+		Classes: []dispatch.Class{
+			{Name: "pay", Effect: dispatch.Keyed, Memory: 15 * time.Second, Aim: 4 * time.Second, Deadline: 28 * time.Second, Worth: 1},
 			{Name: "slot", Aim: time.Second, Deadline: 5 * time.Second, Worth: 3}},
-		Kinds: []wrenford.Kind{{Name: "partner"}}, Peers: 1, Resolution: 5 * time.Millisecond, MaxCalls: 4, MaxOpen: 6,
+		Kinds: []dispatch.Kind{{Name: "partner"}}, Peers: 1, Resolution: 5 * time.Millisecond, MaxCalls: 4, MaxOpen: 6,
 		MaxAttempts: 3, ConnectTimeout: time.Second, KeepAlive: 5 * time.Second, RetryAfter: true,
-		MaxRetryAfter: 3 * time.Second, Safety: wrenford.Safety{StartCapacity: 0.2, Cold: 10 * time.Second,
+		MaxRetryAfter: 3 * time.Second, Safety: dispatch.Safety{StartCapacity: 0.2, Cold: 10 * time.Second,
 			FallMultiple: 2, TipAfter: 2 * time.Second}}
 }
--- a/internal/relay/roster.go
+++ b/internal/relay/roster.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"wrenford/internal/traffic"
+	"slatemux/internal/traffic"
 )
 
 // goneFor is how long a destination is still known after its last pool member left: a successor may be on its
--- a/internal/relay/squeeze_test.go
+++ b/internal/relay/squeeze_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"wrenford/internal/traffic"
+	"slatemux/internal/traffic"
 )
 
 // A squeeze sends held work back at once, by notices, and bounds what comes in; a transaction whose flow is out
--- a/internal/relay/translate.go
+++ b/internal/relay/translate.go
@@ -4,49 +4,49 @@
 	"hash/fnv"
 	"time"
 
-	"wrenford"
-	"wrenford/internal/traffic"
+	"slatemux/internal/dispatch"
+	"slatemux/internal/traffic"
 )
 
 // This file alone knows both vocabularies: the network's (pool member, transaction, flow) and the decision
 // module's (endpoint, message, attempt).
 
-var states = map[traffic.Health]wrenford.State{traffic.Active: wrenford.Listed,
-	traffic.Leaving: wrenford.Draining, traffic.Left: wrenford.Gone}
+var states = map[traffic.Health]dispatch.State{traffic.Active: dispatch.Listed,
+	traffic.Leaving: dispatch.Draining, traffic.Left: dispatch.Gone}
 
 // members tells the module of the pool. A member that operators took down, or other relays know to leave, drains, whatever discovery says.
-func (r *Relay) members(news traffic.PoolNews) wrenford.Members {
-	ev := wrenford.Members{Whole: news.Whole}
+func (r *Relay) members(news traffic.PoolNews) dispatch.Members {
+	ev := dispatch.Members{Whole: news.Whole}
 	for _, m := range news.Members {
 		ev.Endpoints = append(ev.Endpoints, r.member(m, r.shut))
 	}
 	return ev
 }
 
-func (r *Relay) member(m traffic.Member, banned map[string]bool) wrenford.Endpoint {
-	e := wrenford.Endpoint{ID: m.Host, Zone: m.Site, Kind: m.Class, Destination: m.Destination, State: states[m.Health], Weight: m.Share}
-	if banned[m.Host] && e.State == wrenford.Listed {
-		e.State = wrenford.Draining
+func (r *Relay) member(m traffic.Member, banned map[string]bool) dispatch.Endpoint {
+	e := dispatch.Endpoint{ID: m.Host, Zone: m.Site, Kind: m.Class, Destination: m.Destination, State: states[m.Health], Weight: m.Share}
+	if banned[m.Host] && e.State == dispatch.Listed {
+		e.State = dispatch.Draining
 	}
 	return e
 }
 
 // recalled tells, once, what an earlier process had learned of the destinations that a list names, in the list's order.
-func (r *Relay) recalled(news traffic.PoolNews) (events []wrenford.Event) {
+func (r *Relay) recalled(news traffic.PoolNews) (events []dispatch.Event) {
 	if len(r.learned) == 0 { // as a rule, and a list may be long
 		return nil
 	}
 	for _, m := range news.Members {
 		if limit, ok := r.learned[m.Destination]; ok {
-			events = append(events, wrenford.Recalled{Destination: m.Destination, Limit: limit})
+			events = append(events, dispatch.Recalled{Destination: m.Destination, Limit: limit})
 			delete(r.learned, m.Destination)
 		}
 	}
 	return events
 }
 
-func (r *Relay) request(o *traffic.Open, now time.Time) wrenford.Request {
-	ev := wrenford.Request{ID: o.ID, Destination: o.Destination, Class: o.Class, Tenant: o.Tenant,
+func (r *Relay) request(o *traffic.Open, now time.Time) dispatch.Request {
+	ev := dispatch.Request{ID: o.ID, Destination: o.Destination, Class: o.Class, Tenant: o.Tenant,
 		TimeLeft: o.Deadline.Sub(now), Attempts: o.Attempts, Size: o.Size()}
 	if c := r.classes[o.Class]; c != nil && c.OrderedByKey && o.Order != "" {
 		ev.Key, ev.HasKey = keyOf(o.Order), true
@@ -67,36 +67,36 @@
 // ending says what the end of a flow means to the module, whether the message is over with it, and whether
 // it may have run.
 type ending struct {
-	status           wrenford.Status
+	status           dispatch.Status
 	settled, mayHave bool
 }
 
 var endings = [traffic.FlowStatusMost]ending{
-	traffic.Delivered:    {status: wrenford.OK, settled: true, mayHave: true},
-	traffic.Errored:      {status: wrenford.Errored, mayHave: true},
-	traffic.TurnedAway:   {status: wrenford.Full},
-	traffic.NoSlot:       {status: wrenford.Moot},
-	traffic.Spent:        {status: wrenford.Moot},
-	traffic.Over:         {status: wrenford.Moot, settled: true},
-	traffic.Unsent:       {status: wrenford.Moot},
-	traffic.NotConnected: {status: wrenford.ConnectFailed},
-	traffic.Broken:       {status: wrenford.Reset, mayHave: true},
-	traffic.OutOfTime:    {status: wrenford.TimedOut, mayHave: true},
-	traffic.CalledOff:    {status: wrenford.Cancelled, mayHave: true},
+	traffic.Delivered:    {status: dispatch.OK, settled: true, mayHave: true},
+	traffic.Errored:      {status: dispatch.Errored, mayHave: true},
+	traffic.TurnedAway:   {status: dispatch.Full},
+	traffic.NoSlot:       {status: dispatch.Moot},
+	traffic.Spent:        {status: dispatch.Moot},
+	traffic.Over:         {status: dispatch.Moot, settled: true},
+	traffic.Unsent:       {status: dispatch.Moot},
+	traffic.NotConnected: {status: dispatch.ConnectFailed},
+	traffic.Broken:       {status: dispatch.Reset, mayHave: true},
+	traffic.OutOfTime:    {status: dispatch.TimedOut, mayHave: true},
+	traffic.CalledOff:    {status: dispatch.Cancelled, mayHave: true},
 }
 
-func outcome(f traffic.FlowEnd) wrenford.Outcome {
+func outcome(f traffic.FlowEnd) dispatch.Outcome {
 	e := endings[f.Status]
-	ev := wrenford.Outcome{ID: f.ID, Attempt: f.Attempt, Endpoint: f.Member, Status: e.status, Settled: e.settled,
+	ev := dispatch.Outcome{ID: f.ID, Attempt: f.Attempt, Endpoint: f.Member, Status: e.status, Settled: e.settled,
 		Wait: f.Wait, NoSlot: f.Status == traffic.NoSlot, Latency: f.Took}
 	if f.Report != nil {
-		ev.Report = &wrenford.Report{Left: f.Report.Left, Limit: f.Report.Limit}
+		ev.Report = &dispatch.Report{Left: f.Report.Left, Limit: f.Report.Limit}
 	}
 	return ev
 }
 
 // flow turns a send into a flow with absolute times.
-func (r *Relay) flow(o *traffic.Open, a wrenford.Send, now time.Time) traffic.Flow {
+func (r *Relay) flow(o *traffic.Open, a dispatch.Send, now time.Time) traffic.Flow {
 	f := traffic.Flow{ID: o.ID, Attempt: o.Attempts, Member: a.Endpoint, Group: r.group(r.pool.members[a.Endpoint]), Key: o.Key,
 		Body: o.Body, Begun: now, Deadline: o.Deadline}
 	if a.TimeOut != 0 && now.Add(a.TimeOut).Before(f.Deadline) {
@@ -105,7 +105,7 @@
 	if c := r.classes[o.Class]; c != nil {
 		f.Worth = c.Worth
 	}
-	if c := r.classes[o.Class]; c != nil && c.Effect == wrenford.Keyed && !o.FirstSent.IsZero() {
+	if c := r.classes[o.Class]; c != nil && c.Effect == dispatch.Keyed && !o.FirstSent.IsZero() {
 		f.WriteBy = o.FirstSent.Add(c.Memory)
 	}
 	return f
@@ -121,10 +121,10 @@
 }
 
 // allowed is what the fleet's parts of limits mean to the module.
-func (r *Relay) allowed(list []traffic.Allowance, now time.Time) (events []wrenford.Event) {
+func (r *Relay) allowed(list []traffic.Allowance, now time.Time) (events []dispatch.Event) {
 	for _, a := range list {
 		if left := a.Until.Sub(now); left > 0 {
-			events = append(events, wrenford.Told{Kind: wrenford.ToldShare, Destination: a.Destination, Rate: a.Rate, For: left})
+			events = append(events, dispatch.Told{Kind: dispatch.ToldShare, Destination: a.Destination, Rate: a.Rate, For: left})
 			if r.parts[a.Destination] = (part{until: a.Until}); a.Until.Before(r.lapse) || len(r.parts) == 1 {
 				r.lapse = a.Until
 			}
@@ -134,17 +134,17 @@
 }
 
 // told is what other relays' word means to the module.
-func (r *Relay) told(x traffic.Restraint, now time.Time) wrenford.Told {
-	ev := wrenford.Told{Endpoint: x.Member, Age: max(now.Sub(x.At), 0)}
+func (r *Relay) told(x traffic.Restraint, now time.Time) dispatch.Told {
+	ev := dispatch.Told{Endpoint: x.Member, Age: max(now.Sub(x.At), 0)}
 	switch x.Kind {
 	case traffic.Held:
-		ev.Kind, ev.Destination, ev.Endpoint, ev.For = wrenford.ToldWait, x.Group.Destination, x.Group.Member, max(x.At.Sub(now), 0)
+		ev.Kind, ev.Destination, ev.Endpoint, ev.For = dispatch.ToldWait, x.Group.Destination, x.Group.Member, max(x.At.Sub(now), 0)
 	case traffic.HeldOut:
-		ev.Kind = wrenford.ToldOut
+		ev.Kind = dispatch.ToldOut
 	case traffic.HeldBack:
-		ev.Kind = wrenford.ToldBack
+		ev.Kind = dispatch.ToldBack
 	default:
-		ev.Kind = wrenford.ToldNothing
+		ev.Kind = dispatch.ToldNothing
 	}
 	return ev
 }
--- a/internal/waits/waits.go
+++ b/internal/retryafter/retryafter.go
@@ -1,8 +1,8 @@
-// Package waits shares told waits between the processes of one relay. During a hand-over two processes send
+// Package retryafter shares told waits between the processes of one relay. During a hand-over two processes send
 // to the same partners, and a wait that a partner told one of them binds both: the rule is the relay's.
 // The table is a small file in $TMPDIR mapped into both processes' memory, so that a wait is seen by the
 // other before its next write without a system call. A restart empties $TMPDIR, and a restart ends a wait.
-package waits
+package retryafter
 
 import (
 	"fmt"
@@ -12,8 +12,8 @@
 	"time"
 	"unsafe"
 
-	"wrenford/internal/mapped"
-	"wrenford/internal/traffic"
+	"slatemux/internal/mmapfile"
+	"slatemux/internal/traffic"
 )
 
 // slots is how many waits the table has room for, and near how many of them, from where its hash says on, a wait may stand in: with
@@ -24,11 +24,11 @@
 const slotBytes = 16 // the group's hash, then the wait's end in Unix nanoseconds
 
 // Table is the shared table. A nil Table shares nothing.
-type Table struct{ file *mapped.File }
+type Table struct{ file *mmapfile.File }
 
 // Open maps the table of a folder, made where there is none.
 func Open(dir string) (*Table, error) {
-	file, err := mapped.Open(filepath.Join(dir, "slatemux-waits-2"), slots*slotBytes)
+	file, err := mmapfile.Open(filepath.Join(dir, "slatemux-waits-2"), slots*slotBytes)
 	if err != nil {
 		return nil, fmt.Errorf("waits: %w", err)
 	}
--- a/internal/waits/waits_test.go
+++ b/internal/retryafter/retryafter_test.go
@@ -1,4 +1,4 @@
-package waits
+package retryafter
 
 import (
 	"errors"
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"wrenford/internal/traffic"
+	"slatemux/internal/traffic"
 )
 
 func TestShared(t *testing.T) {
--- a/internal/secure/material.go
+++ b/internal/secure/material.go
@@ -1,4 +1,4 @@
-// Package secure connects to pool members over TLS as package trust decides: it reads the files that policies name,
+// Package secure connects to pool members over TLS as package tlspolicy decides: it reads the files that policies name,
 // reads them again when they change, keeps sessions for resumption, and makes the handshakes.
 package secure
 
@@ -14,7 +14,7 @@
 	"slices"
 	"strings"
 
-	"wrenford/internal/trust"
+	"slatemux/internal/tlspolicy"
 )
 
 // material is what a policy's files held when they were last read and made sense.
@@ -29,7 +29,7 @@
 const maxFile = 4 << 20
 
 // read reads a policy's files. It takes all or nothing, and names the file that is at fault.
-func read(p *trust.Policy) (*material, error) {
+func read(p *tlspolicy.Policy) (*material, error) {
 	m := &material{}
 	files := slices.Clone(p.RootFiles)
 	for _, dir := range p.RootDirs {
--- a/internal/secure/secure.go
+++ b/internal/secure/secure.go
@@ -18,8 +18,8 @@
 	"github.com/fsnotify/fsnotify"
 	"golang.org/x/sys/unix"
 
-	"wrenford/internal/traffic"
-	"wrenford/internal/trust"
+	"slatemux/internal/tlspolicy"
+	"slatemux/internal/traffic"
 )
 
 const (
@@ -33,29 +33,29 @@
 
 // Manager owns what TLS needs beside connections. It is safe for use by several goroutines.
 type Manager struct {
-	table trust.Table
+	table tlspolicy.Table
 	now   func() time.Time
 
 	mu    sync.Mutex
 	kept  map[string]*kept // by policy
 	epoch int64
 
-	lines [trust.Causes]atomic.Int64 // when a cause was last logged, Unix time in ns
-	count [trust.Causes]atomic.Int64
+	lines [tlspolicy.Causes]atomic.Int64 // when a cause was last logged, Unix time in ns
+	count [tlspolicy.Causes]atomic.Int64
 
 	handshakes, resumed, reloads, badReloads atomic.Int64
 }
 
 // kept is what is kept of one policy.
 type kept struct {
-	policy *trust.Policy
+	policy *tlspolicy.Policy
 	*material
 	epoch    int64
 	sessions map[int]tls.ClientSessionCache // by destination
 }
 
 // New reads all files that the policies name. It fails where one makes no sense.
-func New(table trust.Table) (*Manager, error) {
+func New(table tlspolicy.Table) (*Manager, error) {
 	if err := table.Check(); err != nil {
 		return nil, fmt.Errorf("secure: %w", err)
 	}
@@ -194,9 +194,9 @@
 		if cache != nil {
 			cache.Put(name, nil) // the next handshake is a full one
 		}
-		f := trust.Classify(err, m.now())
-		if ctx.Err() != nil && f.Cause != trust.Stalled {
-			f = &trust.Failure{Cause: trust.Stalled, Err: err}
+		f := tlspolicy.Classify(err, m.now())
+		if ctx.Err() != nil && f.Cause != tlspolicy.Stalled {
+			f = &tlspolicy.Failure{Cause: tlspolicy.Stalled, Err: err}
 		}
 		m.failed(f, member, p)
 		return nil, took, f
@@ -241,7 +241,7 @@
 	return c.epoch == m.kept[c.policy].epoch && m.now().Before(c.until)
 }
 
-func (m *Manager) failed(f *trust.Failure, member *traffic.Member, p *trust.Policy) {
+func (m *Manager) failed(f *tlspolicy.Failure, member *traffic.Member, p *tlspolicy.Policy) {
 	m.count[f.Cause].Add(1)
 	now, last := m.now().UnixNano(), m.lines[f.Cause].Load()
 	if last != 0 && now-last < int64(lineEvery) || !m.lines[f.Cause].CompareAndSwap(last, now) {
@@ -254,7 +254,7 @@
 // Counters count since the start.
 type Counters struct {
 	Handshakes, Resumed, Reloads, BadReloads int64
-	Failed                                   [trust.Causes]int64
+	Failed                                   [tlspolicy.Causes]int64
 }
 
 // Counters returns the counters.
@@ -272,7 +272,7 @@
 		slog.Int64("bad_reloads", c.BadReloads)}
 	for cause, n := range c.Failed {
 		if n > 0 {
-			attrs = append(attrs, slog.Int64("failed: "+trust.Cause(cause).String(), n))
+			attrs = append(attrs, slog.Int64("failed: "+tlspolicy.Cause(cause).String(), n))
 		}
 	}
 	return slog.GroupValue(attrs...)
--- a/internal/secure/secure_test.go
+++ b/internal/secure/secure_test.go
@@ -17,9 +17,9 @@
 	"testing"
 	"time"
 
-	"wrenford/internal/lab/ca"
-	"wrenford/internal/traffic"
-	"wrenford/internal/trust"
+	"slatemux/internal/lab/ca"
+	"slatemux/internal/tlspolicy"
+	"slatemux/internal/traffic"
 )
 
 func must[T any](v T, err error) T {
@@ -50,7 +50,7 @@
 	raw func(net.Conn) // takes over from TLS
 }
 
-func newRig(t *testing.T, change func(*trust.Policy)) *rig {
+func newRig(t *testing.T, change func(*tlspolicy.Policy)) *rig {
 	t.Helper()
 	slog.SetDefault(slog.New(slog.DiscardHandler))
 	r := &rig{t: t, root: must(ca.Root("root", ca.P256)), dir: t.TempDir()}
@@ -59,11 +59,11 @@
 	r.ln = must(net.Listen("tcp", "127.0.0.1:0"))
 	t.Cleanup(func() { r.ln.Close() })
 	go r.accept()
-	p := trust.Policy{Name: "bank", ServerName: "pay.example.org", RootFiles: []string{r.file("root.pem")}, MinVersion: tls.VersionTLS12, Sessions: 8}
+	p := tlspolicy.Policy{Name: "bank", ServerName: "pay.example.org", RootFiles: []string{r.file("root.pem")}, MinVersion: tls.VersionTLS12, Sessions: 8}
 	if change != nil {
 		change(&p)
 	}
-	m, err := New(trust.Table{p})
+	m, err := New(tlspolicy.Table{p})
 	no(t, err)
 	r.m = m
 	r.member = traffic.Member{Host: "m", Dial: r.ln.Addr().String(), Destination: 7}
@@ -125,11 +125,11 @@
 }
 
 // fails connects and wants a cause.
-func (r *rig) fails(want trust.Cause) {
+func (r *rig) fails(want tlspolicy.Cause) {
 	r.t.Helper()
 	before := r.m.Counters().Failed[want]
 	_, err := r.connect()
-	var f *trust.Failure
+	var f *tlspolicy.Failure
 	if !errors.As(err, &f) || f.Cause != want || r.m.Counters().Failed[want] != before+1 {
 		r.t.Errorf("want %v: %v", want, err)
 	}
@@ -159,18 +159,18 @@
 		r.serve(leaf, func(c *tls.Config) { c.MaxVersion, c.SessionTicketsDisabled = version, true })
 		r.resumes(false)
 		r.resumes(false)
-		if c := r.m.Counters(); c.Handshakes != 7 || c.Resumed != 3 || c.Failed != [trust.Causes]int64{} {
+		if c := r.m.Counters(); c.Handshakes != 7 || c.Resumed != 3 || c.Failed != [tlspolicy.Causes]int64{} {
 			t.Errorf("%+v", c)
 		}
 	}
-	r := newRig(t, func(p *trust.Policy) { p.Sessions = 0 })
+	r := newRig(t, func(p *tlspolicy.Policy) { p.Sessions = 0 })
 	r.resumes(false)
 	r.resumes(false)
 }
 
 // Members under one name keep sessions apart, and a destination keeps no more than it may.
 func TestSessionsAreBounded(t *testing.T) {
-	r := newRig(t, func(p *trust.Policy) { p.Sessions = 2 })
+	r := newRig(t, func(p *tlspolicy.Policy) { p.Sessions = 2 })
 	for _, host := range []string{"a", "b", "c"} {
 		r.member.Host = host
 		r.resumes(false)
@@ -196,11 +196,11 @@
 	if r.m.Fresh(c) {
 		t.Error("its certificate has expired, and the connection is used on")
 	}
-	r.fails(trust.Expired)
+	r.fails(tlspolicy.Expired)
 	r.serve(must(r.root.Issue(ca.Leaf{Names: []string{"pay.example.org"}})), nil)
 	r.resumes(false)
 	r.m.now = func() time.Time { return time.Now().Add(-3 * time.Hour) }
-	r.fails(trust.NotYetValid)
+	r.fails(tlspolicy.NotYetValid)
 }
 
 // What is not to be trusted is not, and each says why.
@@ -208,32 +208,32 @@
 	r := newRig(t, nil)
 	other := must(ca.Root("other", ca.P256))
 	r.serve(must(r.root.Issue(ca.Leaf{Names: []string{"pay.example.com"}})), nil)
-	r.fails(trust.WrongName)
+	r.fails(tlspolicy.WrongName)
 	r.serve(must(other.Issue(ca.Leaf{Names: []string{"pay.example.org"}})), nil)
-	r.fails(trust.UnknownRoot)
+	r.fails(tlspolicy.UnknownRoot)
 	alone := must(other.Issue(ca.Leaf{Names: []string{"pay.example.org"}}))
 	r.serve(must((&ca.Pair{Cert: alone.Cert, Key: alone.Key}).Issue(ca.Leaf{Names: []string{"pay.example.org"}, Key: alone.Key})), nil) // by its own key
-	r.fails(trust.UnknownRoot)
+	r.fails(tlspolicy.UnknownRoot)
 	r.serve(must(r.root.Issue(ca.Leaf{Names: []string{"pay.example.org"}, Client: true})), nil)
-	r.fails(trust.Unsuitable)
+	r.fails(tlspolicy.Unsuitable)
 	r.serve(must(r.root.Issue(ca.Leaf{Names: []string{"pay.example.org"}})), func(c *tls.Config) { c.MaxVersion = tls.VersionTLS11; c.MinVersion = tls.VersionTLS10 })
-	r.fails(trust.Versions)
+	r.fails(tlspolicy.Versions)
 }
 
 // A key that is not pinned is refused, though its chain is good, also where a session would be resumed.
 func TestRevokedByPin(t *testing.T) {
 	key := must(ca.NewKey(ca.P256))
 	spare := must(ca.NewKey(ca.P256))
-	pins := []trust.Pin{{1}, {2}}
-	r := newRig(t, func(p *trust.Policy) { p.Pins = pins })
+	pins := []tlspolicy.Pin{{1}, {2}}
+	r := newRig(t, func(p *tlspolicy.Policy) { p.Pins = pins })
 	issue := func() *ca.Pair { return must(r.root.Issue(ca.Leaf{Names: []string{"pay.example.org"}, Key: key})) }
-	pins[0], pins[1] = trust.PinOf(issue().Cert), trust.PinOf(must(r.root.Issue(ca.Leaf{Names: []string{"x"}, Key: spare})).Cert)
-	r.fails(trust.PinMissing)
+	pins[0], pins[1] = tlspolicy.PinOf(issue().Cert), tlspolicy.PinOf(must(r.root.Issue(ca.Leaf{Names: []string{"x"}, Key: spare})).Cert)
+	r.fails(tlspolicy.PinMissing)
 	r.serve(issue(), nil)
 	r.resumes(false)
 	r.resumes(true)
-	pins[0] = trust.Pin{1} // its key is known to others now
-	r.fails(trust.PinMissing)
+	pins[0] = tlspolicy.Pin{1} // its key is known to others now
+	r.fails(tlspolicy.PinMissing)
 	r.serve(must(r.root.Issue(ca.Leaf{Names: []string{"pay.example.org"}, Key: spare})), nil)
 	r.resumes(false)
 }
@@ -250,8 +250,8 @@
 	for _, version := range []uint16{tls.VersionTLS12, tls.VersionTLS13} {
 		bare.serve(leaf(bare), func(c *tls.Config) { demand(c); c.MaxVersion = version })
 		// TLS 1.3 tells it only behind the handshake, TLS 1.2 with an alert that stands for much.
-		want := map[uint16]trust.Cause{tls.VersionTLS12: trust.Versions, tls.VersionTLS13: trust.ClientRefused}[version]
-		if _, err := bare.connect(); err == nil || trust.Classify(err, time.Now()).Cause != want {
+		want := map[uint16]tlspolicy.Cause{tls.VersionTLS12: tlspolicy.Versions, tls.VersionTLS13: tlspolicy.ClientRefused}[version]
+		if _, err := bare.connect(); err == nil || tlspolicy.Classify(err, time.Now()).Cause != want {
 			t.Errorf("without a certificate of ours: %v", err)
 		}
 	}
@@ -259,7 +259,7 @@
 	cert, key := filepath.Join(dir, "client.pem"), filepath.Join(dir, "client.key")
 	first := must(clients.Issue(ca.Leaf{Names: []string{"relay"}, Client: true}))
 	no(t, first.Files(cert, key))
-	r := newRig(t, func(p *trust.Policy) { p.Certificate, p.Key = cert, key })
+	r := newRig(t, func(p *tlspolicy.Policy) { p.Certificate, p.Key = cert, key })
 	r.serve(leaf(r), demand)
 	old, err := r.connect()
 	no(t, err)
@@ -313,7 +313,7 @@
 	r.m.Reload()
 	r.resumes(false)
 	r.serve(must(r.root.Issue(ca.Leaf{Names: []string{"pay.example.org"}})), nil)
-	r.fails(trust.UnknownRoot)
+	r.fails(tlspolicy.UnknownRoot)
 	no(t, os.WriteFile(r.file("root.pem"), nil, 0o644))
 	r.m.Reload()
 	r.serve(below, nil)
@@ -335,9 +335,9 @@
 		_, _ = io.WriteString(nc, "HTTP/1.1 400 Bad Request\r\n\r\n")
 		time.Sleep(50 * time.Millisecond)
 	})
-	r.fails(trust.NotTLS)
+	r.fails(tlspolicy.NotTLS)
 	behave(func(nc net.Conn) { _, _ = io.ReadFull(nc, make([]byte, 5)) })
-	r.fails(trust.Broken)
+	r.fails(tlspolicy.Broken)
 	stalled := make(chan struct{})
 	behave(func(nc net.Conn) { <-stalled })
 	defer close(stalled)
@@ -345,7 +345,7 @@
 	no(t, err)
 	ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 	defer cancel()
-	if _, _, err := r.m.Client(ctx, nc, &r.member); trust.Classify(err, time.Now()).Cause != trust.Stalled {
+	if _, _, err := r.m.Client(ctx, nc, &r.member); tlspolicy.Classify(err, time.Now()).Cause != tlspolicy.Stalled {
 		t.Errorf("a hello that stalls: %v", err)
 	}
 	rng := rand.New(rand.NewPCG(1, 1))
@@ -415,7 +415,7 @@
 	clients := must(ca.Root("clients", ca.P256))
 	cert, key := filepath.Join(dir, "client.pem"), filepath.Join(dir, "client.key")
 	no(t, must(clients.Issue(ca.Leaf{Names: []string{"0"}, Client: true})).Files(cert, key))
-	r := newRig(t, func(p *trust.Policy) { p.Certificate, p.Key = cert, key })
+	r := newRig(t, func(p *tlspolicy.Policy) { p.Certificate, p.Key = cert, key })
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- r.m.Watch(ctx) }()
@@ -442,16 +442,16 @@
 	no(t, ca.Write(rootFile, root.PEM(), 0o644))
 	keyFile := filepath.Join(dir, "a.key")
 	no(t, ca.Write(keyFile, must(root.KeyPEM()), 0o600))
-	base := trust.Policy{Name: "bank", RootFiles: []string{rootFile}, MinVersion: tls.VersionTLS12}
-	for want, change := range map[string]func(*trust.Policy){
-		"none.pem":                func(p *trust.Policy) { p.RootFiles = []string{filepath.Join(dir, "none.pem")} },
-		"PRIVATE KEY":             func(p *trust.Policy) { p.RootFiles = []string{keyFile} },
-		"no file of roots":        func(p *trust.Policy) { p.RootFiles, p.RootDirs = nil, []string{t.TempDir()} },
-		"a.key":                   func(p *trust.Policy) { p.Certificate, p.Key = filepath.Join(dir, "none"), keyFile },
-		"no such file":            func(p *trust.Policy) { p.Certificate, p.Key = rootFile, filepath.Join(dir, "none") },
-		"min_version":             func(p *trust.Policy) { p.MinVersion = 0 },
-		"root.pem with":           func(p *trust.Policy) { p.Certificate, p.Key = rootFile, rootFile+".2" },
-		"others may use this key": func(p *trust.Policy) { p.Certificate, p.Key = rootFile, rootFile },
+	base := tlspolicy.Policy{Name: "bank", RootFiles: []string{rootFile}, MinVersion: tls.VersionTLS12}
+	for want, change := range map[string]func(*tlspolicy.Policy){
+		"none.pem":                func(p *tlspolicy.Policy) { p.RootFiles = []string{filepath.Join(dir, "none.pem")} },
+		"PRIVATE KEY":             func(p *tlspolicy.Policy) { p.RootFiles = []string{keyFile} },
+		"no file of roots":        func(p *tlspolicy.Policy) { p.RootFiles, p.RootDirs = nil, []string{t.TempDir()} },
+		"a.key":                   func(p *tlspolicy.Policy) { p.Certificate, p.Key = filepath.Join(dir, "none"), keyFile },
+		"no such file":            func(p *tlspolicy.Policy) { p.Certificate, p.Key = rootFile, filepath.Join(dir, "none") },
+		"min_version":             func(p *tlspolicy.Policy) { p.MinVersion = 0 },
+		"root.pem with":           func(p *tlspolicy.Policy) { p.Certificate, p.Key = rootFile, rootFile+".2" },
+		"others may use this key": func(p *tlspolicy.Policy) { p.Certificate, p.Key = rootFile, rootFile },
 	} {
 		p := base
 		change(&p)
@@ -461,13 +461,13 @@
 		case "root.pem with":
 			no(t, ca.Write(rootFile+".2", must(must(ca.Root("x", ca.P256)).KeyPEM()), 0o600))
 		}
-		if _, err := New(trust.Table{p}); err == nil || !strings.Contains(err.Error(), want) || !strings.Contains(err.Error(), "bank") {
+		if _, err := New(tlspolicy.Table{p}); err == nil || !strings.Contains(err.Error(), want) || !strings.Contains(err.Error(), "bank") {
 			t.Errorf("%s: %v", want, err)
 		}
 	}
 	p := base
 	p.RootFiles, p.RootDirs = nil, []string{dir}
-	if _, err := New(trust.Table{p}); err != nil {
+	if _, err := New(tlspolicy.Table{p}); err != nil {
 		t.Errorf("a folder of roots: %v", err)
 	}
 }
@@ -479,7 +479,7 @@
 	if err != nil || len(first.PeerCertificates) == 0 || !second.DidResume || took[0] == 0 {
 		t.Errorf("%v, resumed %v", err, second.DidResume)
 	}
-	plain := must(New(trust.Table{}))
+	plain := must(New(tlspolicy.Table{}))
 	if _, _, _, err := plain.Check(context.Background(), &r.member); !errors.Is(err, errNoPolicy) {
 		t.Errorf("%v", err)
 	}
