--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -9,7 +9,7 @@
 	"math"
 	"time"
 
-	"wrenford"
+	"slatemux/internal/dispatch"
 )
 
 // config is the settings object of a launch.
@@ -72,11 +72,11 @@
 	Weights string `json:"weights"`
 }
 
-var effects = map[string]wrenford.Effect{"safe": wrenford.Safe, "keyed": wrenford.Keyed,
-	"unsafe": wrenford.Unsafe}
+var effects = map[string]dispatch.Effect{"safe": dispatch.Safe, "keyed": dispatch.Keyed,
+	"unsafe": dispatch.Unsafe}
 
-var weights = map[string]wrenford.Weights{"": wrenford.NoWeights, "none": wrenford.NoWeights,
-	"nominal": wrenford.Nominal, "rough": wrenford.Rough}
+var weights = map[string]dispatch.Weights{"": dispatch.NoWeights, "none": dispatch.NoWeights,
+	"nominal": dispatch.Nominal, "rough": dispatch.Rough}
 
 // graceUnsaid is the drain window where the settings name none: shorter than any that a deployment has named.
 const graceUnsaid = 500 * time.Millisecond
@@ -86,25 +86,25 @@
 const connectUnsaid, keepUnsaid, resolutionUnsaid = time.Second, time.Second, 5 * time.Millisecond
 
 // Parse decodes the settings object.
-func Parse(raw json.RawMessage) (wrenford.Settings, error) {
+func Parse(raw json.RawMessage) (dispatch.Settings, error) {
 	var c config
 	if err := json.Unmarshal(raw, &c); err != nil {
-		return wrenford.Settings{}, fmt.Errorf("settings: %w", err)
+		return dispatch.Settings{}, fmt.Errorf("settings: %w", err)
 	}
 	w, ok := weights[c.Weights]
 	if !ok {
-		return wrenford.Settings{}, fmt.Errorf("settings: unknown weights %q", c.Weights)
+		return dispatch.Settings{}, fmt.Errorf("settings: unknown weights %q", c.Weights)
 	}
-	s := wrenford.Settings{Zone: c.Zone, Peers: c.Peers, Self: c.Self, Resolution: Millis(c.Resolution),
+	s := dispatch.Settings{Zone: c.Zone, Peers: c.Peers, Self: c.Self, Resolution: Millis(c.Resolution),
 		MaxCalls: c.Family.MaxCalls, MaxOpen: c.Limits.MaxOpen, MaxAttempts: c.Limits.MaxAttempts,
 		ConnectTimeout: Millis(c.Limits.ConnectTimeout), KeepAlive: Millis(c.Limits.KeepAlive),
 		CallsPerConn: c.Limits.Streams, MaxRetryAfter: Millis(c.Limits.MaxRetryAfter),
 		RetryAfter: c.Limits.RetryAfter, Probes: c.Limits.Probes, Cancel: c.Limits.Cancel, OnRequest: c.Membership == "on_request",
 		Weights: w, LateByHalves: c.Family.Late == "halves", OverShareWorth: c.OverShare,
-		Safety: wrenford.Safety{StartCapacity: c.Safety.Start, Cold: Millis(c.Safety.Cold),
+		Safety: dispatch.Safety{StartCapacity: c.Safety.Start, Cold: Millis(c.Safety.Cold),
 			FallMultiple: c.Safety.Multiple, TipAfter: Millis(c.Safety.Tip),
 			OrderPause: Millis(c.Safety.OrderPause), DrainGrace: graceUnsaid, AskEvery: Millis(c.Safety.AskEvery)},
-		Prices: wrenford.Prices{CrossZone: c.Tariffs.CrossZone, Handshake: c.Tariffs.Handshake}}
+		Prices: dispatch.Prices{CrossZone: c.Tariffs.CrossZone, Handshake: c.Tariffs.Handshake}}
 	if c.Safety.DrainGrace > 0 {
 		s.Safety.DrainGrace = Millis(c.Safety.DrainGrace)
 	}
@@ -115,18 +115,18 @@
 		if !ok {
 			return s, fmt.Errorf("settings: class %q: unknown repeat %q", k.Name, k.Repeat)
 		}
-		s.Classes = append(s.Classes, wrenford.Class{Name: k.Name, Effect: effect, ZoneScope: k.Scope != "all",
+		s.Classes = append(s.Classes, dispatch.Class{Name: k.Name, Effect: effect, ZoneScope: k.Scope != "all",
 			Memory: Millis(k.Memory), Aim: Millis(k.Aim), Deadline: Millis(k.Deadline), Worth: k.Value,
 			LateWorth: k.LateWorth, OrderedByKey: k.Fifo})
 	}
 	for i, k := range c.Kinds {
-		s.Kinds = append(s.Kinds, wrenford.Kind{Name: k, OwnLimits: at(c.Family.OwnLimits, i), Bundle: at(c.Family.Bundle, i)})
+		s.Kinds = append(s.Kinds, dispatch.Kind{Name: k, OwnLimits: at(c.Family.OwnLimits, i), Bundle: at(c.Family.Bundle, i)})
 	}
 	for i, z := range c.Localities {
-		s.Zones = append(s.Zones, wrenford.Zone{Name: z, Fee: at(c.Family.Carriage, i)})
+		s.Zones = append(s.Zones, dispatch.Zone{Name: z, Fee: at(c.Family.Carriage, i)})
 	}
 	for _, o := range c.Orgs {
-		s.Tenants = append(s.Tenants, wrenford.Tenant{Name: o.Name, AllowancePerSecond: o.Allowance,
+		s.Tenants = append(s.Tenants, dispatch.Tenant{Name: o.Name, AllowancePerSecond: o.Allowance,
 			Share: o.Portion})
 	}
 	return s, nil
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -9,8 +9,8 @@
 
 	"pgregory.net/rapid"
 
-	"wrenford"
-	"wrenford/internal/cuts"
+	"slatemux/internal/dispatch"
+	"slatemux/internal/proptest"
 )
 
 func example(t *testing.T) []byte {
@@ -30,11 +30,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(set.Classes) != 2 || set.MaxCalls != 16 || set.MaxOpen != 200 || set.Weights != wrenford.Rough ||
+	if len(set.Classes) != 2 || set.MaxCalls != 16 || set.MaxOpen != 200 || set.Weights != dispatch.Rough ||
 		set.Resolution != 5*time.Millisecond || !set.LateByHalves || set.Safety.Cold != 13*time.Second {
 		t.Errorf("%+v", set)
 	}
-	want := wrenford.Class{Name: "order-payment", Effect: wrenford.Keyed, Memory: 15 * time.Second, Aim: 4 * time.Second,
+	want := dispatch.Class{Name: "order-payment", Effect: dispatch.Keyed, Memory: 15 * time.Second, Aim: 4 * time.Second,
 		Deadline: 28 * time.Second, Worth: 1, LateWorth: 0.5}
 	if set.Classes[0] != want {
 		t.Errorf("%+v, want %+v", set.Classes[0], want)
@@ -50,9 +50,9 @@
 			t.Errorf("%s: %v", change[1], err)
 		}
 	}
-	cuts.Check(t, func(t *rapid.T) { // whatever is taken, the module takes or refuses
-		if set, err := Parse(cuts.Garbage(t, []byte(text))); err == nil {
-			_, _ = wrenford.New(set, 1)
+	proptest.Check(t, func(t *rapid.T) { // whatever is taken, the module takes or refuses
+		if set, err := Parse(proptest.Garbage(t, []byte(text))); err == nil {
+			_, _ = dispatch.New(set, 1)
 		}
 	})
 }
@@ -79,7 +79,7 @@
 	if set.ConnectTimeout <= 0 || set.KeepAlive <= 0 || set.Resolution <= 0 || set.Safety.DrainGrace <= 0 {
 		t.Errorf("%+v", set)
 	}
-	if _, err := wrenford.New(set, 1); err != nil {
+	if _, err := dispatch.New(set, 1); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/spread/announce.go
+++ b/internal/spread/announce.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"wrenford/internal/verdicts"
+	"slatemux/internal/verdicts"
 )
 
 // Announce sends statements of this relay's own, which the store has, to all members: directly in a small fleet, and in two
--- a/internal/spread/receive.go
+++ b/internal/spread/receive.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"wrenford/internal/verdicts"
+	"slatemux/internal/verdicts"
 )
 
 // Receive takes in a packet. It merges statements into the store and returns the new ones as news, and packets to send.
--- a/internal/spread/send.go
+++ b/internal/spread/send.go
@@ -3,9 +3,9 @@
 import (
 	"time"
 
-	"wrenford/internal/allowance"
-	"wrenford/internal/configsync"
-	"wrenford/internal/verdicts"
+	"slatemux/internal/allowance"
+	"slatemux/internal/configsync"
+	"slatemux/internal/verdicts"
 )
 
 // SendLimitMessage sends a claim or a grant.
--- a/internal/spread/spread.go
+++ b/internal/spread/spread.go
@@ -12,7 +12,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"wrenford/internal/verdicts"
+	"slatemux/internal/verdicts"
 )
 
 // Config configures how a relay spreads statements.
--- a/internal/spread/spread_test.go
+++ b/internal/spread/spread_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"wrenford/internal/verdicts"
+	"slatemux/internal/verdicts"
 )
 
 // Two that know of other members tell each other so when they compare, whichever of them asks; two that know the same do not.
--- a/internal/trust/gate.go
+++ b/internal/tlspolicy/gate.go
@@ -1,4 +1,4 @@
-package trust
+package tlspolicy
 
 import (
 	"cmp"
--- a/internal/trust/policy.go
+++ b/internal/tlspolicy/policy.go
@@ -1,7 +1,7 @@
-// Package trust holds the decisions about connections to servers over TLS: which policy a pool member has, whether
+// Package tlspolicy holds the decisions about connections to servers over TLS: which policy a pool member has, whether
 // the chain that it shows is acceptable, what a failure was, and when a handshake may begin. It does no I/O and reads
 // no clock: package secure connects, reads files and watches them.
-package trust
+package tlspolicy
 
 import (
 	"bytes"
--- a/internal/trust/trust_test.go
+++ b/internal/tlspolicy/tlspolicy_test.go
@@ -1,4 +1,4 @@
-package trust
+package tlspolicy
 
 import (
 	"crypto/tls"
@@ -14,8 +14,8 @@
 
 	"pgregory.net/rapid"
 
-	"wrenford/internal/cuts"
-	"wrenford/internal/lab/ca"
+	"slatemux/internal/lab/ca"
+	"slatemux/internal/proptest"
 )
 
 func must[T any](v T, err error) T {
@@ -264,7 +264,7 @@
 
 // Whatever comes: each flow is begun, carried, expired or dropped at most once, and no endpoint has more than its due.
 func TestGateProperties(t *testing.T) {
-	cuts.Check(t, func(t *rapid.T) {
+	proptest.Check(t, func(t *rapid.T) {
 		cfg := GateConfig{Share: 0.3, Least: 1, PerEndpoint: rapid.IntRange(1, 3).Draw(t, "per"), Cost: ms, Burst: 5 * ms}
 		g := NewGate(cfg)
 		now, next := time.Duration(0), uint64(0)
--- a/internal/verdicts/verdicts_test.go
+++ b/internal/verdicts/verdicts_test.go
@@ -10,7 +10,7 @@
 
 	"pgregory.net/rapid"
 
-	"wrenford/internal/cuts"
+	"slatemux/internal/proptest"
 )
 
 const ms = time.Millisecond
@@ -39,7 +39,7 @@
 
 // Whatever the order, the grouping and the number of times that statements come, a store ends the same.
 func TestMergeIsALeastUpperBound(t *testing.T) {
-	cuts.Check(t, func(t *rapid.T) {
+	proptest.Check(t, func(t *rapid.T) {
 		x, y, z := statements(t), statements(t), statements(t)
 		want := merged(x, y, z)
 		for name, got := range map[string][]Statement{"commutes": merged(z, y, x), "is idempotent": merged(x, y, z, y, x, x),
@@ -159,7 +159,7 @@
 
 // One origin, whatever it says and whenever, holds a destination no longer than its account, and no member out.
 func TestOneLiarIsBounded(t *testing.T) {
-	cuts.Check(t, func(t *rapid.T) {
+	proptest.Check(t, func(t *rapid.T) {
 		b := newBench(2)
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
 		var held, until time.Duration
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -5,8 +5,8 @@
 	"errors"
 	"fmt"
 
-	"wrenford"
-	"wrenford/internal/settings"
+	"slatemux/internal/dispatch"
+	"slatemux/internal/settings"
 )
 
 // message is any line of the wire; each kind of line uses some of the fields. Pointers tell a value that
@@ -91,32 +91,32 @@
 	return ""
 }
 
-var statuses = []wrenford.Status{wrenford.OK, wrenford.Errored, wrenford.Full, wrenford.TimedOut,
-	wrenford.ConnectFailed, wrenford.Reset, wrenford.Cancelled, wrenford.Moot}
+var statuses = []dispatch.Status{dispatch.OK, dispatch.Errored, dispatch.Full, dispatch.TimedOut,
+	dispatch.ConnectFailed, dispatch.Reset, dispatch.Cancelled, dispatch.Moot}
 
-var states = map[string]wrenford.State{"healthy": wrenford.Listed, "cordoned": wrenford.Draining,
-	"deregistered": wrenford.Gone}
+var states = map[string]dispatch.State{"healthy": dispatch.Listed, "cordoned": dispatch.Draining,
+	"deregistered": dispatch.Gone}
 
-func endpoints(rows []row) ([]wrenford.Endpoint, error) {
-	list := make([]wrenford.Endpoint, len(rows))
+func endpoints(rows []row) ([]dispatch.Endpoint, error) {
+	list := make([]dispatch.Endpoint, len(rows))
 	for i, r := range rows {
 		state, ok := states[r.Readiness]
 		if r.Endpoint == "" || !ok {
 			return nil, fmt.Errorf("list: entry %d: endpoint is missing or readiness %q is unknown", i, r.Readiness)
 		}
-		list[i] = wrenford.Endpoint{ID: r.Endpoint, Zone: r.Zone, Kind: r.Kind, Destination: r.BelongsTo,
+		list[i] = dispatch.Endpoint{ID: r.Endpoint, Zone: r.Zone, Kind: r.Kind, Destination: r.BelongsTo,
 			State: state, Weight: r.PowerHint}
 	}
 	return list, nil
 }
 
 // decode turns a message into the event it carries; nil for one that the interface does not have.
-func (s *server) decode(m *message) (wrenford.Event, error) {
+func (s *server) decode(m *message) (dispatch.Event, error) {
 	switch m.Msg {
 	case "fleet":
 		return s.members(m)
 	case "req":
-		ev := wrenford.Request{ID: m.Handle, Destination: m.FarEnd, Class: m.Profile, Tenant: string(m.Billing),
+		ev := dispatch.Request{ID: m.Handle, Destination: m.FarEnd, Class: m.Profile, Tenant: string(m.Billing),
 			TimeLeft: settings.Millis(m.Budget)}
 		if m.Affinity != nil {
 			ev.Key, ev.HasKey = *m.Affinity, true
@@ -127,32 +127,32 @@
 			return nil, fmt.Errorf("unknown code %d", *m.Code)
 		}
 		status := statuses[*m.Code]
-		var rep *wrenford.Report
+		var rep *dispatch.Report
 		if m.Report != nil {
-			rep = &wrenford.Report{Left: m.Report.X0, Limit: m.Report.X1}
+			rep = &dispatch.Report{Left: m.Report.X0, Limit: m.Report.X1}
 		}
 		if m.Msg == "health-result" {
-			return wrenford.ProbeResult{Endpoint: m.Endpoint, Status: status, Latency: settings.Millis(m.Duration),
+			return dispatch.ProbeResult{Endpoint: m.Endpoint, Status: status, Latency: settings.Millis(m.Duration),
 				Report: rep}, nil
 		}
-		ev := wrenford.Outcome{ID: m.Handle, Attempt: m.Attempt, Endpoint: m.Endpoint, Status: status,
+		ev := dispatch.Outcome{ID: m.Handle, Attempt: m.Attempt, Endpoint: m.Endpoint, Status: status,
 			Settled: m.Settled, Latency: settings.Millis(m.Duration), Report: rep}
-		if status == wrenford.Full {
+		if status == dispatch.Full {
 			ev.Wait = settings.Millis(m.Note)
 		}
-		ev.NoSlot = status == wrenford.Moot && m.Note == 1
+		ev.NoSlot = status == dispatch.Moot && m.Note == 1
 		return ev, nil
 	case "hangup":
-		return wrenford.Hangup{ID: m.Handle}, nil
+		return dispatch.Hangup{ID: m.Handle}, nil
 	case "alarm":
-		return wrenford.Woken{}, nil
+		return dispatch.Woken{}, nil
 	}
 	return nil, nil
 }
 
-func (s *server) members(m *message) (wrenford.Event, error) {
+func (s *server) members(m *message) (dispatch.Event, error) {
 	if m.Form == "unavailable" {
-		return wrenford.MembersLost{}, nil
+		return dispatch.MembersLost{}, nil
 	}
 	if m.Form != "update" && m.Form != "replace" && m.Form != "restored" {
 		return nil, fmt.Errorf("unknown form %q", m.Form)
@@ -164,5 +164,5 @@
 	if !ok {
 		return nil, fmt.Errorf("list %d was never declared", *m.List)
 	}
-	return wrenford.Members{Whole: m.Form != "update", Endpoints: list}, nil
+	return dispatch.Members{Whole: m.Form != "update", Endpoints: list}, nil
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -12,15 +12,15 @@
 	"strconv"
 	"time"
 
-	"wrenford"
-	"wrenford/internal/settings"
+	"slatemux/internal/dispatch"
+	"slatemux/internal/settings"
 )
 
 // server holds the instances of one process and the batch being read.
 type server struct {
 	now       time.Duration
 	inBatch   bool
-	lists     map[int][]wrenford.Endpoint
+	lists     map[int][]dispatch.Endpoint
 	instances map[string]*instance
 	order     []*instance // instances with an event in this batch, in order of their first
 	out       *bufio.Writer
@@ -28,15 +28,15 @@
 
 type instance struct {
 	name   string
-	sender *wrenford.Sender
-	events []wrenford.Event
+	sender *dispatch.Sender
+	events []dispatch.Event
 	queued bool
 }
 
 // Serve reads batches from r and writes one reply for each to w until r ends.
 func Serve(r io.Reader, w io.Writer) error {
 	in := bufio.NewReaderSize(r, 1<<20)
-	s := &server{lists: map[int][]wrenford.Endpoint{}, instances: map[string]*instance{},
+	s := &server{lists: map[int][]dispatch.Endpoint{}, instances: map[string]*instance{},
 		out: bufio.NewWriterSize(w, 1<<16)}
 	for n := 1; ; n++ {
 		line, err := in.ReadBytes('\n')
@@ -121,7 +121,7 @@
 		if err != nil {
 			return err
 		}
-		sender, err := wrenford.New(set, m.Entropy)
+		sender, err := dispatch.New(set, m.Entropy)
 		if err != nil {
 			return err
 		}
@@ -185,7 +185,7 @@
 }
 
 // step turns a panic of the decision code into the text of a fault.
-func step(sender *wrenford.Sender, now time.Duration, events []wrenford.Event) (acts []wrenford.Action,
+func step(sender *dispatch.Sender, now time.Duration, events []dispatch.Event) (acts []dispatch.Action,
 	fault string) {
 	defer func() {
 		if r := recover(); r != nil {
@@ -211,35 +211,35 @@
 	s.out.WriteString(strconv.FormatFloat(float64(d)/float64(time.Millisecond), 'f', -1, 64))
 }
 
-func (s *server) action(sender string, a wrenford.Action) {
+func (s *server) action(sender string, a dispatch.Action) {
 	switch a := a.(type) {
-	case wrenford.Send:
+	case dispatch.Send:
 		s.open("assign", sender)
 		s.text("handle", a.ID)
 		s.text("endpoint", a.Endpoint)
 		s.time("cap-ms", a.TimeOut)
-	case wrenford.Cancel:
+	case dispatch.Cancel:
 		s.open("drop-attempt", sender)
 		s.text("handle", a.ID)
 		s.out.WriteString(`,"go":` + strconv.Itoa(a.Attempt))
-	case wrenford.Refuse:
+	case dispatch.Refuse:
 		s.open("push-back", sender)
 		s.text("handle", a.ID)
 		s.time("pause-ms", a.RetryAfter)
-	case wrenford.Fail:
+	case dispatch.Fail:
 		s.open("abort", sender)
 		s.text("handle", a.ID)
-	case wrenford.Wake:
+	case dispatch.Wake:
 		s.open("defer", sender)
 		s.time("instant-ms", a.At)
 		s.text("cookie", "wake")
-	case wrenford.Probe:
+	case dispatch.Probe:
 		s.open("test", sender)
 		s.text("endpoint", a.Endpoint)
-	case wrenford.Watch:
+	case dispatch.Watch:
 		s.open("tail", sender)
 		s.out.WriteString(`,"active":true`)
-	case wrenford.Log:
+	case dispatch.Log:
 		s.open("note-down", sender)
 		s.text("note-text", a.Text)
 	}
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -5,7 +5,7 @@
 	"strings"
 	"testing"
 
-	"wrenford"
+	"slatemux/internal/dispatch"
 )
 
 const settingsLine = `{"classes":[{"deadline-ms":9000,"dedup-scope":"all","late-worth":0.5,"name":"c",` +
@@ -87,12 +87,12 @@
 
 // Every action has a line of its own on the wire.
 func TestActions(t *testing.T) {
-	for want, a := range map[string]wrenford.Action{
-		`{"msg":"drop-attempt","sender-id":"s","handle":"ab","go":2}`: wrenford.Cancel{ID: "ab", Attempt: 2},
-		`{"msg":"abort","sender-id":"s","handle":"ab"}`:               wrenford.Fail{ID: "ab"},
-		`{"msg":"test","sender-id":"s","endpoint":"e"}`:               wrenford.Probe{Endpoint: "e"},
-		`{"msg":"tail","sender-id":"s","active":true}`:                wrenford.Watch{},
-		`{"msg":"note-down","sender-id":"s","note-text":"x"}`:         wrenford.Log{Text: "x"},
+	for want, a := range map[string]dispatch.Action{
+		`{"msg":"drop-attempt","sender-id":"s","handle":"ab","go":2}`: dispatch.Cancel{ID: "ab", Attempt: 2},
+		`{"msg":"abort","sender-id":"s","handle":"ab"}`:               dispatch.Fail{ID: "ab"},
+		`{"msg":"test","sender-id":"s","endpoint":"e"}`:               dispatch.Probe{Endpoint: "e"},
+		`{"msg":"tail","sender-id":"s","active":true}`:                dispatch.Watch{},
+		`{"msg":"note-down","sender-id":"s","note-text":"x"}`:         dispatch.Log{Text: "x"},
 	} {
 		var buf strings.Builder
 		s := &server{out: bufio.NewWriter(&buf)}
