--- a/internal/configsync/change.go
+++ b/internal/configsync/change.go
@@ -13,44 +13,47 @@
 )
 
 const (
-	// MaxSourceBytes, MaxKeyBytes and MaxValueBytes bound the fields of a change, so that every change fits one packet.
+	// MaxSourceBytes is the maximum size of a source's name. The sizes of all fields of a change are bounded so that every
+	// change fits one packet.
 	MaxSourceBytes = 64
-	MaxKeyBytes    = 128
-	MaxValueBytes  = 768
-	// maxSignatureBytes is more than an Ed25519 signature takes; the verifier decides on its form.
+	// MaxKeyBytes is the maximum size of a key.
+	MaxKeyBytes = 128
+	// MaxValueBytes is the maximum size of a value.
+	MaxValueBytes = 768
+	// maxSignatureBytes exceeds the size of an Ed25519 signature. The verifier decides whether a signature has the right form.
 	maxSignatureBytes = 128
-	// signingDomain separates signatures of changes from those of anything else that the same key signs.
+	// signingDomain separates signatures of changes from other signatures made with the same key.
 	signingDomain = "slatemux configuration change 1"
 )
 
 // Change is one signed assignment or removal of one configuration entry.
 type Change struct {
-	// Source is the control machine that signed the change.
+	// Source is the name of the control machine that signed the change.
 	Source string
 	// Sequence numbers the changes of one source from 1, without gaps.
 	Sequence uint64
-	// Revision is a Lamport clock: of two changes of one key the higher (Revision, Source) is in force.
+	// Revision is a Lamport clock. Of two changes of one key, the change with the higher (Revision, Source) is in force.
 	Revision uint64
 	// Key names the entry, such as "endpoint/s-5be2a07c".
 	Key string
-	// Value is the entry's new value; empty for a removal.
+	// Value is the entry's new value. It is empty for a removal.
 	Value []byte
-	// Removed says that the entry is taken away.
+	// Removed marks the removal of the entry.
 	Removed bool
 	// Signature is the source's Ed25519 signature of all fields above.
 	Signature []byte
 }
 
-// Verifier reports whether a change was signed by a source that this relay trusts.
+// Verifier checks whether a change was signed by a source that this relay trusts.
 type Verifier interface {
 	Verify(change *Change) error
 }
 
-// VersionVector maps each source to the sequence up to which all of its changes are known.
+// VersionVector maps each source to its watermark, the sequence up to which all changes of the source are known.
 type VersionVector map[string]uint64
 
-// SigningBytes returns the canonical encoding that the source signs: a domain, then every field but the signature, those of
-// variable size preceded by their length.
+// SigningBytes returns the canonical encoding that the source signs. It consists of a domain string and every field except the
+// signature. Fields of variable size are preceded by their length.
 func (c *Change) SigningBytes() []byte {
 	return c.appendSigningBytes(nil)
 }
@@ -73,41 +76,42 @@
 	return append(buffer, field...)
 }
 
-// hash covers every field, the signature included: stores with equal sums of hashes hold the same bytes.
+// hash covers every field, including the signature. Stores with equal sums of hashes hold the same bytes.
 func (c *Change) hash() uint64 {
-	var buffer [1536]byte // the largest valid change takes less
+	var buffer [1536]byte // the largest valid change is smaller
 	encoded := c.appendSigningBytes(buffer[:0])
 	return xxhash.Sum64(append(encoded, c.Signature...))
 }
 
-// validate reports what is malformed about a change; it does not look at whether the signature is right.
+// validate returns an error if a field of the change is malformed. It does not verify the signature.
 func (c *Change) validate() error {
 	switch {
 	case !validName(c.Source, MaxSourceBytes):
-		return fmt.Errorf("%w: source of %d bytes", ErrInvalid, len(c.Source))
+		return fmt.Errorf("%w: source name has %d bytes", ErrInvalid, len(c.Source))
 	case !validName(c.Key, MaxKeyBytes):
-		return fmt.Errorf("%w: key of %d bytes", ErrInvalid, len(c.Key))
+		return fmt.Errorf("%w: key has %d bytes", ErrInvalid, len(c.Key))
 	case len(c.Value) > MaxValueBytes:
-		return fmt.Errorf("%w: value of %d bytes", ErrInvalid, len(c.Value))
+		return fmt.Errorf("%w: value has %d bytes", ErrInvalid, len(c.Value))
 	case c.Removed && len(c.Value) > 0:
-		return fmt.Errorf("%w: removal with a value", ErrInvalid)
+		return fmt.Errorf("%w: removal has a value", ErrInvalid)
 	case !validNumber(c.Sequence) || !validNumber(c.Revision):
-		return fmt.Errorf("%w: sequence %d, revision %d", ErrInvalid, c.Sequence, c.Revision)
+		return fmt.Errorf("%w: sequence %d or revision %d out of range", ErrInvalid, c.Sequence, c.Revision)
 	case len(c.Signature) > maxSignatureBytes:
-		return fmt.Errorf("%w: signature of %d bytes", ErrInvalid, len(c.Signature))
+		return fmt.Errorf("%w: signature has %d bytes", ErrInvalid, len(c.Signature))
 	}
 	return nil
 }
 
-func validName(name string, most int) bool {
-	return name != "" && len(name) <= most && utf8.ValidString(name)
+func validName(name string, maxBytes int) bool {
+	return name != "" && len(name) <= maxBytes && utf8.ValidString(name)
 }
 
-// validNumber leaves room above, so that the number after the last one does not wrap around.
+// validNumber excludes the numbers above math.MaxInt64, so that incrementing a valid number cannot overflow.
 func validNumber(number uint64) bool { return number > 0 && number <= math.MaxInt64 }
 
-// compareChanges orders the changes of one key: the greater is in force. Only a source that signs two changes with one revision
-// can cause a tie of the first two fields; the rest makes the order total, so that all relays decide alike.
+// compareChanges orders the changes of one key. The greatest change is in force. Revision and Source are equal only where a
+// source has signed two changes with one revision. The remaining fields make the order total, so that all relays choose the
+// same change.
 func compareChanges(a, b *Change) int {
 	return cmp.Or(
 		cmp.Compare(a.Revision, b.Revision),
--- a/internal/configsync/config.go
+++ b/internal/configsync/config.go
@@ -8,45 +8,49 @@
 
 // The default parameters.
 const (
-	// defaultExchange makes the exchanges of a relay, a request of some 150 bytes each and rarely an answer, cost a tenth of
-	// its bytes, and repairs a relay that the tree missed within two or three seconds.
-	defaultExchange = time.Second
-	// defaultAckTimeout is above the round trip between regions with the scheduling of a busy relay, 300 ms, and lets all
+	// defaultExchangeInterval keeps the cost of exchanges at a tenth of a relay's bytes: each exchange is a request of about
+	// 150 bytes and rarely has an answer. A relay that the tree missed is repaired within two or three seconds.
+	defaultExchangeInterval = time.Second
+	// defaultAckTimeout exceeds 300 ms, the round-trip time between regions including the scheduling delay of a busy relay. All
 	// attempts end within 1.2 s.
 	defaultAckTimeout = 400 * time.Millisecond
-	// defaultAttempts makes the loss of a part at 1 % loss of packets a matter of 1 in a million.
+	// defaultAttempts reduces the probability of losing a part to 1 in a million at a packet loss of 1 %.
 	defaultAttempts = 3
-	// defaultFanOut reaches 4,000 relays in 6 hops, and has a holder send four packets at once.
+	// defaultFanOut reaches 4,000 relays in 6 hops. The holder of a scope sends four packets at once.
 	defaultFanOut = 4
 	// defaultBytesPerSecond is the budget that the operators allow.
 	defaultBytesPerSecond = 2500
-	// defaultRepairBytesPerSecond is one to two changes a second: the few that a fleet misses, and 580 within ten minutes.
+	// defaultRepairBytesPerSecond allows one to two changes a second. This covers the few changes that a fleet misses, and 580
+	// changes within ten minutes.
 	defaultRepairBytesPerSecond = 300
-	// defaultPacketBytes stays below the least MTU of IPv6, 1,280 bytes, and lets a second's worth of bytes hold two packets.
-	defaultPacketBytes = 1200
+	// defaultMaxPacketBytes is below the minimum MTU of IPv6, 1,280 bytes. The byte budget of one second holds two such
+	// packets.
+	defaultMaxPacketBytes = 1200
 )
 
 const (
-	// burstSeconds is how many seconds' worth of BytesPerSecond may go out at once: a push of a full packet to two members. More
-	// makes bursts of changes arrive sooner, and the busiest second busier: no second sends more than (1 + burstSeconds) times
-	// BytesPerSecond.
+	// burstSeconds is the burst capacity in seconds of BytesPerSecond. It allows a push of a full packet to two members at
+	// once. A larger value delivers bursts of changes sooner and raises the peak rate: a relay sends at most (1 + burstSeconds)
+	// times BytesPerSecond in any second.
 	burstSeconds = 1
-	// acknowledgementReserve is the share of the burst that only acknowledgements may use, since a lost one costs a push.
-	acknowledgementReserve = 1.0 / 16
-	// repairShare is the share of the burst below which no deltas are sent: pushes come first.
-	repairShare = 0.5
-	// repairBurstPackets is how many packets of deltas may go out at once, for a relay that is back from a restart.
+	// ackReserveShare is the share of the burst capacity that is reserved for acknowledgements, because a lost acknowledgement
+	// costs another push.
+	ackReserveShare = 1.0 / 16
+	// minRepairBurstShare is the share of the burst capacity that must be available before deltas are sent. Pushes have
+	// priority.
+	minRepairBurstShare = 0.5
+	// repairBurstPackets is the number of delta packets that may be sent at once, for a relay that returns after a restart.
 	repairBurstPackets = 2
-	// exchangeJitter spreads exchanges by this share of their interval to both sides.
-	exchangeJitter = 0.25
-	// batchWait is how long changes are collected into one push.
-	batchWait = 100 * time.Millisecond
-	// maxBatchWait is how long they are while earlier pushes wait for bytes.
-	maxBatchWait = time.Second
-	// maxPostponed bounds the pushes that wait for bytes.
-	maxPostponed = 64
-	// minPacketBytes holds a version vector of a few sources, or a change of medium size.
-	minPacketBytes = 256
+	// exchangeJitterShare is the maximum deviation from the exchange interval in either direction, as a share of the interval.
+	exchangeJitterShare = 0.25
+	// batchInterval is how long changes are collected into one push.
+	batchInterval = 100 * time.Millisecond
+	// congestedBatchInterval replaces batchInterval while earlier pushes wait for bytes.
+	congestedBatchInterval = time.Second
+	// maxPostponedPushes limits the pushes that wait for bytes.
+	maxPostponedPushes = 64
+	// minMaxPacketBytes is large enough for a version vector of a few sources or a change of medium size.
+	minMaxPacketBytes = 256
 )
 
 // Config holds the parameters of one relay's replica.
@@ -57,32 +61,33 @@
 	Exchange time.Duration
 	// AckTimeout is how long a push waits for its acknowledgement before another member of its scope is tried.
 	AckTimeout time.Duration
-	// Attempts is how many members of one scope are tried at most.
+	// Attempts is the maximum number of members of one scope that are tried.
 	Attempts int
-	// FanOut is into how many parts a relay divides its scope.
+	// FanOut is the number of parts into which a relay divides its scope.
 	FanOut int
-	// BytesPerSecond bounds everything that this relay sends, as Size counts it.
+	// BytesPerSecond limits everything that this relay sends, as measured by Size.
 	BytesPerSecond float64
-	// RepairBytesPerSecond bounds the part of it that deltas may use, so that a reunion causes no storm.
+	// RepairBytesPerSecond limits the share of BytesPerSecond that deltas may use. It prevents a traffic storm when two parts
+	// of a fleet reunite.
 	RepairBytesPerSecond float64
-	// PacketBytes is the largest packet.
-	PacketBytes int
-	// Size returns the bytes that a message takes on the network, with all headers.
+	// MaxPacketBytes is the maximum size of a packet.
+	MaxPacketBytes int
+	// Size returns the bytes that a message takes on the network, including all headers.
 	Size func(*Message) int
-	// Seed initialises the random numbers.
+	// Seed initializes the random number generator.
 	Seed uint64
 }
 
-// Defaults returns the parameters that the relay uses unless its settings say otherwise; Self, Size and Seed are unset.
+// Defaults returns the parameters that the relay uses unless its settings override them. Self, Size and Seed are unset.
 func Defaults() Config {
 	return Config{
-		Exchange:             defaultExchange,
+		Exchange:             defaultExchangeInterval,
 		AckTimeout:           defaultAckTimeout,
 		Attempts:             defaultAttempts,
 		FanOut:               defaultFanOut,
 		BytesPerSecond:       defaultBytesPerSecond,
 		RepairBytesPerSecond: defaultRepairBytesPerSecond,
-		PacketBytes:          defaultPacketBytes,
+		MaxPacketBytes:       defaultMaxPacketBytes,
 	}
 }
 
@@ -94,57 +99,60 @@
 		return errors.New("configsync: Exchange or AckTimeout is under a millisecond")
 	case c.Attempts < 1 || c.FanOut < 2:
 		return errors.New("configsync: Attempts is under 1 or FanOut under 2")
-	case c.Size == nil || c.PacketBytes < minPacketBytes:
-		return errors.New("configsync: Size is unset or PacketBytes too small")
-	case !(c.BytesPerSecond*burstSeconds >= 2*float64(c.PacketBytes)):
-		return errors.New("configsync: BytesPerSecond is too small for PacketBytes")
+	case c.Size == nil || c.MaxPacketBytes < minMaxPacketBytes:
+		return errors.New("configsync: Size is unset or MaxPacketBytes is too small")
+	case !(c.BytesPerSecond*burstSeconds >= 2*float64(c.MaxPacketBytes)):
+		return errors.New("configsync: BytesPerSecond is too small for MaxPacketBytes")
 	case !(c.RepairBytesPerSecond > 0):
 		return errors.New("configsync: RepairBytesPerSecond is not positive")
 	}
 	return nil
 }
 
-// boundMiss is the chance that a bound may fail with.
-const boundMiss = 1.0 / 1000
+// boundMissProbability is the probability that a change takes longer than its bound.
+const boundMissProbability = 1.0 / 1000
 
-// Bound returns the time within which all relays that stay up hold a change, except with a chance of one in 1,000, for a fleet
-// of so many members, a one-way delay that includes a relay's own scheduling, and an independent loss of each packet. It holds
-// while the byte budgets are not used up; where nothing arrives there is none.
+// Bound returns the time within which all relays that stay up hold a change. The probability of exceeding the bound is one in
+// 1,000. members is the size of the fleet, delay is the one-way delay including a relay's own scheduling delay, and loss is the
+// independent loss probability of each packet. The bound holds as long as the byte budgets are not used up. If every packet is
+// lost, no bound exists.
 //
-//	Bound = batchWait + depth*delay + retries*AckTimeout + exchanges*(1+jitter)*Exchange + 3*delay
+//	Bound = batchInterval + depth*delay + retries*AckTimeout + exchanges*(1+jitter)*Exchange + 3*delay
 //
-// depth is the number of hops of the tree: a holder of n others hands each of FanOut parts to one of its members, which has
-// ceil(n/FanOut)-1 others left. Half of the chance goes to each of two events:
+// depth is the number of hops of the tree. A holder of n other members hands each of FanOut parts to one of the part's members,
+// which has ceil(n/FanOut)-1 others left. Half of the miss probability goes to each of two events:
 //
-// A path has more than so many retries. Each attempt of a hop needs one, with a chance of loss p. A path of depth hops with k
-// retries is one of C(depth+k-1, k) patterns, so that the chance of k or more is about C(depth+k-1, k)*p^k, for members many
-// paths. The last term that is too likely tells the retries; the tree allows depth*(Attempts-1) at most.
+// First, a path needs more retries than the bound includes. Each attempt of a hop is lost with probability p and then needs one
+// retry. A path of depth hops with k retries follows one of C(depth+k-1, k) patterns. The probability of k or more retries is
+// therefore about C(depth+k-1, k)*p^k, and the number of paths is members. retries is the largest k whose term exceeds half of
+// the miss probability. The tree allows at most depth*(Attempts-1) retries.
 //
-// A relay that the tree missed is not repaired in so many exchanges. It is missed where all attempts of one of its hops are
-// lost, m = 1-(1-p^Attempts)^depth. An exchange that it begins fails with r = 1-(1-m)*(1-p)^2: its peer was missed as well, or one
-// of the two packets was lost. So exchanges is the least n of at least 1 with members*m*r^n <= 1/2000. Those that other relays
-// begin with it come on top and are not counted. The last 3*delay are the packets of that exchange, and the repair of one that
-// the answer's cut to a packet has put off is not included.
+// Second, a relay that the tree missed is not repaired within the number of exchanges. The tree misses a relay if all attempts
+// of one hop on its path are lost: m = 1-(1-p^Attempts)^depth. An exchange that the relay begins fails with probability r =
+// 1-(1-m)*(1-p)^2, because the tree missed its peer as well or one of the two packets was lost. exchanges is the smallest n of
+// at least 1 with members*m*r^n <= 1/2000. Exchanges that other relays begin with the missed relay are not counted. The last
+// 3*delay covers the packets of the successful exchange. The bound does not include a repair that is postponed because the
+// answer was cut to the size of a packet.
 func (c Config) Bound(members int, delay time.Duration, loss float64) time.Duration {
 	if members < 2 {
 		return 0
 	}
 	depth := treeDepth(members, c.FanOut)
-	bound := batchWait + time.Duration(depth)*delay
+	bound := batchInterval + time.Duration(depth)*delay
 	switch {
 	case loss <= 0:
 		return bound
 	case loss >= 1:
 		return math.MaxInt64
 	}
-	retries := c.boundRetries(members, depth, loss)
-	exchanges := c.boundExchanges(members, depth, loss)
+	retries := c.maxPathRetries(members, depth, loss)
+	exchanges := c.maxRepairExchanges(members, depth, loss)
 	bound += time.Duration(retries) * c.AckTimeout
-	bound += time.Duration(exchanges * (1 + exchangeJitter) * float64(c.Exchange))
+	bound += time.Duration(exchanges * (1 + exchangeJitterShare) * float64(c.Exchange))
 	return bound + 3*delay
 }
 
-// treeDepth returns how many hops a push takes to the last of the members.
+// treeDepth returns the number of hops that a push takes to reach the last of the members.
 func treeDepth(members, fanOut int) int {
 	depth := 0
 	for others := members - 1; others > 0; depth++ {
@@ -153,26 +161,28 @@
 	return depth
 }
 
-// boundRetries returns how many retries any path of the tree has at most, but for half of boundMiss.
-func (c Config) boundRetries(members, depth int, loss float64) int {
-	most := depth * (c.Attempts - 1)
-	chance := float64(members)
-	for k := 1; k <= most; k++ {
-		chance *= loss * float64(depth+k-1) / float64(k)
-		if chance <= boundMiss/2 {
+// maxPathRetries returns the maximum number of retries on any path of the tree. The probability of exceeding it is half of
+// boundMissProbability.
+func (c Config) maxPathRetries(members, depth int, loss float64) int {
+	maxRetries := depth * (c.Attempts - 1)
+	probability := float64(members)
+	for k := 1; k <= maxRetries; k++ {
+		probability *= loss * float64(depth+k-1) / float64(k)
+		if probability <= boundMissProbability/2 {
 			return k - 1
 		}
 	}
-	return most
+	return maxRetries
 }
 
-// boundExchanges returns how many exchanges repair every relay that the tree missed, but for half of boundMiss.
-func (c Config) boundExchanges(members, depth int, loss float64) float64 {
-	missed := 1 - math.Pow(1-math.Pow(loss, float64(c.Attempts)), float64(depth))
-	failing := 1 - (1-missed)*(1-loss)*(1-loss)
-	unrepaired := 2 / boundMiss * float64(members) * missed
-	if unrepaired <= 1 || failing <= 0 {
+// maxRepairExchanges returns the number of exchanges that repair every relay that the tree missed. The probability of exceeding
+// it is half of boundMissProbability.
+func (c Config) maxRepairExchanges(members, depth int, loss float64) float64 {
+	missProbability := 1 - math.Pow(1-math.Pow(loss, float64(c.Attempts)), float64(depth))
+	failureProbability := 1 - (1-missProbability)*(1-loss)*(1-loss)
+	unrepairedRatio := 2 / boundMissProbability * float64(members) * missProbability
+	if unrepairedRatio <= 1 || failureProbability <= 0 {
 		return 1
 	}
-	return max(1, math.Ceil(math.Log(unrepaired)/-math.Log(failing)))
+	return max(1, math.Ceil(math.Log(unrepairedRatio)/-math.Log(failureProbability)))
 }
--- a/internal/configsync/delivery.go
+++ b/internal/configsync/delivery.go
@@ -7,17 +7,17 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// delivery is a part of a scope that was handed to a member which has not acknowledged it yet.
+// delivery is a part of a scope that was sent to a member and is not yet acknowledged.
 type delivery struct {
 	number   uint64
 	changes  []Change
-	part     Scope
+	scope    Scope
 	tried    []Member
 	deadline time.Duration
 }
 
-// rank orders members by how much sense it makes to try them next, the lowest first.
-func (d *delivery) rank(member Member) int {
+// retryRank returns the rank of a member for the next retry. The member with the lowest rank is tried first.
+func (d *delivery) retryRank(member Member) int {
 	rank := 0
 	for _, tried := range d.tried {
 		if tried.Name == member.Name {
@@ -30,104 +30,104 @@
 	return rank
 }
 
-// deliveryQueue holds the deliveries that await an acknowledgement. All wait equally long, so that they stand in the order of
-// their deadlines.
+// deliveryQueue holds the deliveries that await an acknowledgement. All deliveries have the same timeout, so that the order of
+// insertion is the order of deadlines.
 type deliveryQueue struct {
-	awaiting map[uint64]*delivery
-	waiting  []*delivery // may hold such at its front that are not awaited any more, only while a call runs
+	pendingByNumber map[uint64]*delivery
+	byDeadline      []*delivery // between calls, the delivery at the front is pending
 }
 
 func newDeliveryQueue() deliveryQueue {
-	return deliveryQueue{awaiting: map[uint64]*delivery{}}
+	return deliveryQueue{pendingByNumber: map[uint64]*delivery{}}
 }
 
-// add awaits a delivery until its deadline, which is not before that of any other.
+// add inserts a delivery. Its deadline must not be before the deadline of any other delivery in the queue.
 func (q *deliveryQueue) add(d *delivery) {
-	q.awaiting[d.number] = d
-	q.waiting = append(q.waiting, d)
+	q.pendingByNumber[d.number] = d
+	q.byDeadline = append(q.byDeadline, d)
 }
 
-// acknowledge ends a delivery if its acknowledgement comes from a member that it was handed to.
+// acknowledge ends a delivery if the acknowledgement comes from a member to which the delivery was sent.
 func (q *deliveryQueue) acknowledge(number uint64, from string) {
-	d := q.awaiting[number]
+	d := q.pendingByNumber[number]
 	if d == nil || !slices.ContainsFunc(d.tried, func(m Member) bool { return m.Name == from }) {
 		return
 	}
-	q.forget(d)
-	q.trim()
+	q.remove(d)
+	q.trimFront()
 }
 
-// forget ends a delivery.
-func (q *deliveryQueue) forget(d *delivery) { delete(q.awaiting, d.number) }
+// remove ends a delivery.
+func (q *deliveryQueue) remove(d *delivery) { delete(q.pendingByNumber, d.number) }
 
-// trim drops what is not awaited any more from the front.
-func (q *deliveryQueue) trim() {
-	for len(q.waiting) > 0 && q.awaiting[q.waiting[0].number] == nil {
-		q.waiting[0] = nil
-		q.waiting = q.waiting[1:]
+// trimFront drops ended deliveries from the front of the queue.
+func (q *deliveryQueue) trimFront() {
+	for len(q.byDeadline) > 0 && q.pendingByNumber[q.byDeadline[0].number] == nil {
+		q.byDeadline[0] = nil
+		q.byDeadline = q.byDeadline[1:]
 	}
-	if len(q.waiting) == 0 {
-		q.waiting = nil
+	if len(q.byDeadline) == 0 {
+		q.byDeadline = nil
 	}
 }
 
-// deadline returns the first one.
-func (q *deliveryQueue) deadline() (time.Duration, bool) {
-	if len(q.waiting) == 0 {
+// firstDeadline returns the earliest deadline and whether the queue holds a delivery.
+func (q *deliveryQueue) firstDeadline() (time.Duration, bool) {
+	if len(q.byDeadline) == 0 {
 		return 0, false
 	}
-	return q.waiting[0].deadline, true
+	return q.byDeadline[0].deadline, true
 }
 
-// overdue takes a delivery whose deadline has passed off the queue; the caller adds it again or forgets it. It returns nil if
-// there is none.
-func (q *deliveryQueue) overdue(now time.Duration) *delivery {
-	q.trim()
-	if len(q.waiting) == 0 || q.waiting[0].deadline > now {
+// popOverdue removes and returns a delivery whose deadline has passed, or returns nil if there is none. The caller either adds
+// the delivery again or ends it with remove.
+func (q *deliveryQueue) popOverdue(now time.Duration) *delivery {
+	q.trimFront()
+	if len(q.byDeadline) == 0 || q.byDeadline[0].deadline > now {
 		return nil
 	}
-	d := q.waiting[0]
-	q.waiting = q.waiting[1:]
+	d := q.byDeadline[0]
+	q.byDeadline = q.byDeadline[1:]
 	return d
 }
 
-// maxRecentScopes is how many scopes are remembered as handled: some minutes of ordinary pushes.
+// maxRecentScopes is the number of remembered scopes. It covers some minutes of ordinary pushes.
 const maxRecentScopes = 256
 
-// recentScopes remembers the scopes that were lately taken over, so that a push which is sent again for want of an
-// acknowledgement is not passed on again.
+// recentScopes remembers the scopes that this relay has accepted recently. A push that is sent again because its
+// acknowledgement was lost is not forwarded a second time.
 type recentScopes struct {
-	seen  map[uint64]struct{}
-	order []uint64 // a ring, once it is full
-	next  int
+	seen   map[uint64]struct{}
+	ring   []uint64 // a ring buffer when full
+	oldest int
 }
 
 func newRecentScopes() recentScopes {
 	return recentScopes{seen: map[uint64]struct{}{}}
 }
 
-// add reports whether a scope is new, and remembers it.
+// add reports whether a scope is new, and remembers the scope.
 func (s *recentScopes) add(scope Scope) bool {
 	hash := scope.hash()
 	if _, seen := s.seen[hash]; seen {
 		return false
 	}
 	s.seen[hash] = struct{}{}
-	if len(s.order) < maxRecentScopes {
-		s.order = append(s.order, hash)
+	if len(s.ring) < maxRecentScopes {
+		s.ring = append(s.ring, hash)
 		return true
 	}
-	delete(s.seen, s.order[s.next])
-	s.order[s.next] = hash
-	s.next = (s.next + 1) % maxRecentScopes
+	delete(s.seen, s.ring[s.oldest])
+	s.ring[s.oldest] = hash
+	s.oldest = (s.oldest + 1) % maxRecentScopes
 	return true
 }
 
 func (s Scope) hash() uint64 {
 	var digest xxhash.Digest
 	digest.ResetWithSeed(s.Salt)
-	_, _ = digest.WriteString(string(s.Low)) // it never fails
-	_, _ = digest.WriteString("\xff")        // in no position
+	_, _ = digest.WriteString(string(s.Low)) // never fails
+	_, _ = digest.WriteString("\xff")        // separator: no position contains this byte
 	_, _ = digest.WriteString(string(s.High))
 	return digest.Sum64()
 }
--- a/internal/configsync/exchange.go
+++ b/internal/configsync/exchange.go
@@ -2,51 +2,57 @@
 
 import "time"
 
-// An exchange is at most three packets. The request carries a version vector; the answer what the requester lacks and, if the
-// answerer lacks something as well, its vector; the conclusion what the answerer lacks. So both end with the union, as far as
-// packets and the repair budget reach, and an exchange of equals costs one packet.
-
-// rewindInterval is how often everything may be pulled anew.
-const rewindInterval = time.Minute
+// An exchange consists of at most three packets:
+//
+//   - The request carries the requester's version vector.
+//   - The answer carries the changes that the requester lacks. If the answerer lacks changes as well, the answer also carries the
+//     answerer's vector.
+//   - The conclusion carries the changes that the answerer lacks.
+//
+// Both relays then hold the union of their changes, as far as the packet size and the repair budget allow. An exchange between
+// equal stores costs one packet.
+
+// minRewindInterval is the minimum time between two rewinds, which pull everything again.
+const minRewindInterval = time.Minute
 
 // beginExchange sends this relay's version vector to a random member.
 func (r *Replica) beginExchange(now time.Duration) {
-	spread := 1 + exchangeJitter*(2*r.random.Float64()-1)
-	r.nextExchange = now + time.Duration(spread*float64(r.config.Exchange))
-	if r.others() == 0 {
+	jitterFactor := 1 + exchangeJitterShare*(2*r.random.Float64()-1)
+	r.nextExchange = now + time.Duration(jitterFactor*float64(r.config.Exchange))
+	if r.countOthers() == 0 {
 		return
 	}
-	index := r.random.IntN(r.others())
-	if r.self >= 0 && index >= r.self {
+	index := r.random.IntN(r.countOthers())
+	if r.selfIndex >= 0 && index >= r.selfIndex {
 		index++
 	}
-	request := r.comparison()
+	request := r.vectorExchange()
 	request.Reply = true
 	if r.send(now, r.membership.members[index].Name, Message{Exchange: request}) {
 		r.counters.Exchanges++
 	}
 }
 
-// comparison returns an exchange with this relay's vector.
-func (r *Replica) comparison() *Exchange {
-	return &Exchange{Versions: r.store.said(), Digest: r.store.Digest(), Ahead: r.store.ahead()}
+// vectorExchange returns an exchange with this relay's version vector.
+func (r *Replica) vectorExchange() *Exchange {
+	return &Exchange{Versions: r.store.advertisedVersions(), Digest: r.store.Digest(), Ahead: r.store.countAhead()}
 }
 
-// receiveExchange takes in the deltas and answers the vector of an exchange.
+// receiveExchange merges the deltas of an exchange and answers the version vector that the exchange carries.
 func (r *Replica) receiveExchange(now time.Duration, from string, exchange *Exchange) []Change {
 	var applied []Change
 	for i := range exchange.Deltas {
 		applied = append(applied, r.mergeDelta(&exchange.Deltas[i])...)
 	}
-	if (exchange.Reply || len(exchange.Versions) > 0) && !r.store.planted.noAnswer {
-		r.compare(now, from, exchange)
+	if (exchange.Reply || len(exchange.Versions) > 0) && !r.store.faults.noAnswer {
+		r.answerVector(now, from, exchange)
 	}
 	return applied
 }
 
-// mergeDelta applies the changes of a delta, and takes over its claim to be complete as far as its changes have been taken in.
-// The claim reaches no further than the last of their signatures: a relay that claims more than the source has signed would
-// make its victims refuse what the source signs later.
+// mergeDelta applies the changes of a delta. It also accepts the delta's claim of completeness, as far as all changes were
+// merged. The claim is limited to the highest signed sequence in the delta. Otherwise a relay that claims more than the source
+// has signed would make other relays refuse the changes that the source signs later.
 func (r *Replica) mergeDelta(delta *Delta) []Change {
 	var applied []Change
 	proven, through := delta.After, delta.Through
@@ -61,51 +67,51 @@
 		if result.inForce {
 			applied = append(applied, *change)
 		}
-		if !result.known {
+		if !result.wasKnown {
 			r.counters.Repaired++
 		}
 	}
-	if !r.store.planted.trustThrough {
+	if !r.store.faults.trustThrough {
 		through = min(through, proven)
 	}
-	r.store.cover(delta.Source, delta.After, through)
+	r.store.acceptCoverage(delta.Source, delta.After, through)
 	return applied
 }
 
-// compare answers a vector: with the changes that its sender lacks, and with this relay's own vector if it was asked for and
-// this relay may lack something too.
-func (r *Replica) compare(now time.Duration, from string, theirs *Exchange) {
-	diverged := r.diverged(theirs)
+// answerVector answers a version vector. The answer holds the changes that the sender lacks. It also holds this relay's own
+// vector if the sender asked for a reply and this relay may lack changes too.
+func (r *Replica) answerVector(now time.Duration, from string, received *Exchange) {
+	diverged := r.hasDiverged(received)
 	answer := &Exchange{}
-	if theirs.Reply && (diverged || r.lacks(theirs)) {
-		answer = r.comparison()
-		answer.Versions = withSources(answer.Versions, theirs.Versions)
+	if received.Reply && (diverged || r.mayLack(received)) {
+		answer = r.vectorExchange()
+		answer.Versions = withSources(answer.Versions, received.Versions)
 	}
-	r.addDeltas(now, answer, theirs)
+	r.addDeltas(now, answer, received)
 	if diverged {
 		r.counters.Diverged++
-		r.rewind(now)
+		r.rewindIfDivergedAgain(now)
 	}
 	r.sendAnswer(now, from, answer)
 }
 
-// lacks reports whether the sender of a vector may hold something that this relay does not.
-func (r *Replica) lacks(theirs *Exchange) bool {
-	ours := r.store.said()
-	for source, version := range theirs.Versions {
-		if version > ours[source] {
+// mayLack reports whether the sender of a vector may hold changes that this relay does not hold.
+func (r *Replica) mayLack(received *Exchange) bool {
+	own := r.store.advertisedVersions()
+	for source, version := range received.Versions {
+		if version > own[source] {
 			return true
 		}
 	}
-	return theirs.Ahead > 0 && theirs.Digest != r.store.Digest()
+	return received.Ahead > 0 && received.Digest != r.store.Digest()
 }
 
-// diverged reports whether two stores differ that should be equal.
-func (r *Replica) diverged(theirs *Exchange) bool {
-	if theirs.Digest == r.store.Digest() || theirs.Ahead != 0 || r.store.planted.digestIgnored {
+// hasDiverged reports whether the two stores differ although their version vectors are equal and no change is beyond them.
+func (r *Replica) hasDiverged(received *Exchange) bool {
+	if received.Digest == r.store.Digest() || received.Ahead != 0 || r.store.faults.digestIgnored {
 		return false
 	}
-	return equalVersions(r.store.said(), theirs.Versions) && r.store.ahead() == 0
+	return equalVersions(r.store.advertisedVersions(), received.Versions) && r.store.countAhead() == 0
 }
 
 func equalVersions(a, b VersionVector) bool {
@@ -122,78 +128,79 @@
 	return true
 }
 
-// withSources returns a vector that names all sources of another one: a vector that names none means that nothing is to be
-// compared.
-func withSources(ours, theirs VersionVector) VersionVector {
-	named := ours
-	for source := range theirs {
-		if _, ok := ours[source]; ok || len(named) >= maxSources {
+// withSources returns a version vector that names all sources of both vectors. A vector without sources would mean that nothing
+// is compared.
+func withSources(own, peer VersionVector) VersionVector {
+	merged := own
+	for source := range peer {
+		if _, ok := own[source]; ok || len(merged) >= maxSources {
 			continue
 		}
-		if len(named) == len(ours) { // still the shared one
-			named = make(VersionVector, len(ours)+1)
-			for ourSource, version := range ours {
-				named[ourSource] = version
+		if len(merged) == len(own) { // the shared vector is not copied yet
+			merged = make(VersionVector, len(own)+1)
+			for ownSource, version := range own {
+				merged[ownSource] = version
 			}
 		}
-		named[source] = 0
+		merged[source] = 0
 	}
-	return named
+	return merged
 }
 
-// rewind has everything pulled anew, if this relay has found its store diverged before with the same entries, and has not rewound
-// lately. The first time may be chance: a delta covers a change that another source's has superseded, and that one may still be
-// on its way to the receiver. In a fleet with one diverged relay, it is that one which finds itself diverged again before
-// its entries have changed, and hardly any of the others.
-func (r *Replica) rewind(now time.Duration) {
-	again := r.divergedBefore && r.divergedDigest == r.store.Digest()
+// rewindIfDivergedAgain pulls everything again if two conditions hold: this relay has found its store diverged before with the
+// same entries, and the last rewind is at least minRewindInterval ago. A single divergence can be a coincidence: a delta covers
+// a change that a change of another source has superseded, and the superseding change may still be on its way to the receiver.
+// In a fleet with one diverged relay, that relay finds itself diverged again before its entries change. The other relays hardly
+// ever do.
+func (r *Replica) rewindIfDivergedAgain(now time.Duration) {
+	divergedAgain := r.divergedBefore && r.divergedDigest == r.store.Digest()
 	r.divergedBefore, r.divergedDigest = true, r.store.Digest()
-	if !again || now < r.nextRewind {
+	if !divergedAgain || now < r.nextRewind {
 		return
 	}
-	r.nextRewind = now + rewindInterval
+	r.nextRewind = now + minRewindInterval
 	r.counters.Rewinds++
 	r.store.rewind()
 }
 
-// addDeltas adds to an answer what the sender of a vector lacks, as far as a packet and the budgets reach. Where not even one
-// change fits beside the answer's own vector, the vector gives way.
-func (r *Replica) addDeltas(now time.Duration, answer *Exchange, theirs *Exchange) {
-	limit := r.deltaLimit(now)
-	if limit == 0 || len(r.store.names) == 0 {
+// addDeltas adds to an answer the changes that the sender of a vector lacks, within the packet size and the budgets. If not
+// even one change fits beside the answer's own vector, the vector is dropped.
+func (r *Replica) addDeltas(now time.Duration, answer *Exchange, received *Exchange) {
+	limit := r.maxDeltaPacketBytes(now)
+	if limit == 0 || len(r.store.sourceNames) == 0 {
 		return
 	}
-	builder := deltaBuilder{store: r.store, random: r.random, size: r.config.Size, limit: limit, theirs: theirs.Versions,
-		beyond: theirs.Digest != r.store.Digest()}
+	builder := deltaBuilder{store: r.store, random: r.random, size: r.config.Size, maxBytes: limit, peerVersions: received.Versions,
+		includeBeyond: received.Digest != r.store.Digest()}
 	builder.build(answer)
 	if len(answer.Deltas) == 0 && builder.full && len(answer.Versions) > 0 {
-		alone := Exchange{}
-		builder.build(&alone)
-		if len(alone.Deltas) > 0 {
-			*answer = alone
+		deltasOnly := Exchange{}
+		builder.build(&deltasOnly)
+		if len(deltasOnly.Deltas) > 0 {
+			*answer = deltasOnly
 		}
 	}
 }
 
-// deltaLimit returns how large a packet with deltas may be now.
-func (r *Replica) deltaLimit(now time.Duration) int {
-	if r.store.planted.unlimitedRepair {
-		return r.config.PacketBytes
+// maxDeltaPacketBytes returns the maximum size of a packet with deltas that may be sent now.
+func (r *Replica) maxDeltaPacketBytes(now time.Duration) int {
+	if r.store.faults.unlimitedRepair {
+		return r.config.MaxPacketBytes
 	}
-	available := r.bytes.available(now)
-	if available < repairShare*r.bytes.capacity {
+	available := r.sendBudget.available(now)
+	if available < minRepairBurstShare*r.sendBudget.capacityBytes {
 		return 0
 	}
-	return int(min(float64(r.config.PacketBytes), r.repair.available(now), r.spendable(now)))
+	return int(min(float64(r.config.MaxPacketBytes), r.repairBudget.available(now), r.spendableBytes(now)))
 }
 
-// sendAnswer sends an answer that says anything.
+// sendAnswer sends an answer unless the answer is empty.
 func (r *Replica) sendAnswer(now time.Duration, to string, answer *Exchange) {
 	if len(answer.Versions) == 0 && len(answer.Deltas) == 0 {
 		return
 	}
 	message := Message{Exchange: answer}
 	if r.send(now, to, message) && len(answer.Deltas) > 0 {
-		r.repair.take(r.config.Size(&message))
+		r.repairBudget.take(r.config.Size(&message))
 	}
 }
--- a/internal/configsync/planted.go
+++ b/internal/configsync/faultinjection.go
@@ -1,7 +1,8 @@
 package configsync
 
-// plantedDefects switches faults on. Only tests set them, to show that the properties tell a faulty replica from a good one.
-type plantedDefects struct {
+// injectedFaults enables faults in a replica. Only tests set the fields, to show that the checked properties detect a faulty
+// replica.
+type injectedFaults struct {
 	skipVerification  bool
 	lastArrivalWins   bool
 	advanceOverGaps   bool
--- a/internal/configsync/fleet_test.go
+++ b/internal/configsync/fleet_test.go
@@ -21,41 +21,41 @@
 		Key: fmt.Sprintf("endpoint/s-%s-%06d", c.source, c.sequence), Signature: make([]byte, 64)}
 }
 
-// arrivals records when each change, by its key, came into force at each relay.
-type arrivals struct {
-	published map[string]time.Duration
-	took      map[string]map[*node]time.Duration
+// changeLatencies records when each change, by its key, came into force at each relay.
+type changeLatencies struct {
+	publishedAt map[string]time.Duration
+	latencies   map[string]map[*node]time.Duration
 }
 
-func recordArrivals(n *network) *arrivals {
-	a := &arrivals{published: map[string]time.Duration{}, took: map[string]map[*node]time.Duration{}}
+func recordLatencies(n *network) *changeLatencies {
+	a := &changeLatencies{publishedAt: map[string]time.Duration{}, latencies: map[string]map[*node]time.Duration{}}
 	n.onApplied = func(on *node, change *Change) {
-		at, ok := a.published[change.Key]
+		at, ok := a.publishedAt[change.Key]
 		if !ok {
 			return
 		}
-		if a.took[change.Key] == nil {
-			a.took[change.Key] = map[*node]time.Duration{}
+		if a.latencies[change.Key] == nil {
+			a.latencies[change.Key] = map[*node]time.Duration{}
 		}
-		a.took[change.Key][on] = n.now - at
+		a.latencies[change.Key][on] = n.now - at
 	}
 	return a
 }
 
-func (a *arrivals) publish(n *network, on *node, c *controller) {
+func (a *changeLatencies) publish(n *network, on *node, c *controller) {
 	change := c.next()
-	a.published[change.Key] = n.now
+	a.publishedAt[change.Key] = n.now
 	n.publish(on, change)
 }
 
-// last returns, for each change, the time by which all of the relays that count had it, ascending.
-func (a *arrivals) last(t *testing.T, n *network, counts func(*node) bool) []time.Duration {
+// slowestPerChange returns, for each change, the time by which all of the relays that count had it, ascending.
+func (a *changeLatencies) slowestPerChange(t *testing.T, n *network, counts func(*node) bool) []time.Duration {
 	t.Helper()
 	var last []time.Duration
-	for key := range a.published {
+	for key := range a.publishedAt {
 		slowest, missing := time.Duration(0), 0
 		for _, each := range n.nodes {
-			took, ok := a.took[key][each]
+			took, ok := a.latencies[key][each]
 			if !counts(each) {
 				continue
 			}
@@ -73,62 +73,62 @@
 	return last
 }
 
-func isUp(each *node) bool { return !each.down }
+func isNodeUp(each *node) bool { return !each.down }
 
-// describe logs what the counters of all replicas add up to.
-func (n *network) describe(t *testing.T, phase string) {
+// logCounters logs what the counters of all replicas add up to.
+func (n *network) logCounters(t *testing.T, phase string) {
 	t.Helper()
 	t.Logf("%s: busiest second %d B; retries %d abandoned %d repaired %d duplicates %d over budget %d", phase,
-		n.busiest(func(x *node) int64 { return x.peak }), n.sum(func(c Counters) int64 { return c.Retries }),
+		n.maxOverNodes(func(x *node) int64 { return x.peakSecondBytes }), n.sum(func(c Counters) int64 { return c.Retries }),
 		n.sum(func(c Counters) int64 { return c.Abandoned }), n.sum(func(c Counters) int64 { return c.Repaired }),
 		n.sum(func(c Counters) int64 { return c.Duplicates }), n.sum(func(c Counters) int64 { return c.OverBudget }))
 }
 
 // The goals at 3,900 relays.
 const (
-	fullFleet      = 3900
-	goalBusiest    = 2500 // bytes a second
-	goalKnownByAll = 7 * time.Second
+	maxFleetRelays           = 3900
+	maxBusiestBytesPerSecond = 2500 // bytes a second
+	maxTimeToAll             = 7 * time.Second
 )
 
 // TestFullFleet runs the largest fleet at 1 % loss: ordinary changes, a burst of 20, and then a zone that dies and is listed for
 // 10 s more, while other relays restart.
 func TestFullFleet(t *testing.T) {
-	n := newNetwork(1, fleetMembers(fullFleet, 3, 3), acceptAll{}, plantedDefects{})
-	n.loss = 0.01
+	n := newNetwork(1, fleetMembers(maxFleetRelays, 3, 3), acceptAll{}, injectedFaults{})
+	n.lossProbability = 0.01
 	n.startAll()
 	n.run(5 * time.Second)
 	n.resetPeaks()
 	source := &controller{source: "control-1"}
 	began := n.now
 
-	ordinary := recordArrivals(n)
+	ordinary := recordLatencies(n)
 	for i := range 5 {
 		n.at(n.now+time.Duration(i)*6*time.Second, func() { ordinary.publish(n, n.nodes[17], source) })
 	}
 	n.run(n.now + 30*time.Second)
-	n.describe(t, "ordinary")
-	last := ordinary.last(t, n, isUp)
-	bound := n.config.Bound(fullFleet, maxLatency, n.loss)
+	n.logCounters(t, "ordinary")
+	last := ordinary.slowestPerChange(t, n, isNodeUp)
+	bound := n.config.Bound(maxFleetRelays, maxOneWayDelay, n.lossProbability)
 	t.Logf("ordinary: all know after %v, bound %v", last, bound)
 	if last[len(last)-1] > bound {
 		t.Errorf("all know after %v, above the bound of %v", last[len(last)-1], bound)
 	}
 
-	burst := recordArrivals(n)
+	burst := recordLatencies(n)
 	for i := range 20 {
 		n.at(n.now+time.Duration(i)*50*time.Millisecond, func() { burst.publish(n, n.nodes[17], source) })
 	}
 	n.run(n.now + 10*time.Second)
-	n.describe(t, "burst")
-	last = burst.last(t, n, isUp)
+	n.logCounters(t, "burst")
+	last = burst.slowestPerChange(t, n, isNodeUp)
 	t.Logf("burst: all know after %v to %v", last[0], last[len(last)-1])
-	if last[len(last)-1] > goalKnownByAll {
+	if last[len(last)-1] > maxTimeToAll {
 		t.Errorf("all know a burst after %v", last[len(last)-1])
 	}
-	busiest := float64(n.busiest(func(x *node) int64 { return x.total })) / (n.now - began).Seconds()
+	busiest := float64(n.maxOverNodes(func(x *node) int64 { return x.totalBytes })) / (n.now - began).Seconds()
 	t.Logf("busiest relay %.0f B/s over the %v with the burst", busiest, n.now-began)
-	if busiest > goalBusiest {
+	if busiest > maxBusiestBytesPerSecond {
 		t.Errorf("busiest relay sends %.0f B/s", busiest)
 	}
 
@@ -163,7 +163,7 @@
 		restarted[each] = true
 		n.at(n.now+time.Duration(i)*200*time.Millisecond, func() { n.restart(each, 2*time.Second) })
 	}
-	lost := recordArrivals(n)
+	lost := recordLatencies(n)
 	for i := range 4 {
 		n.at(n.now+time.Duration(i)*2*time.Second, func() { lost.publish(n, n.nodes[17], source) })
 	}
@@ -175,13 +175,13 @@
 		}
 	}
 	n.run(died + listed + 10*time.Second)
-	n.describe(t, "zone lost")
-	last := lost.last(t, n, func(each *node) bool { return isUp(each) && !restarted[each] })
+	n.logCounters(t, "zone lost")
+	last := lost.slowestPerChange(t, n, func(each *node) bool { return isNodeUp(each) && !restarted[each] })
 	t.Logf("zone lost: all know after %v", last)
-	if last[len(last)-1] > goalKnownByAll {
+	if last[len(last)-1] > maxTimeToAll {
 		t.Errorf("all know after %v while a zone is dead", last[len(last)-1])
 	}
-	lost.last(t, n, isUp) // those that restarted know all as well
+	lost.slowestPerChange(t, n, isNodeUp) // those that restarted know all as well
 }
 
 // TestBoundHolds measures how often a change takes longer than its bound, which should be once in 1,000 times.
@@ -191,17 +191,17 @@
 		loss   float64
 	}{{2, 0.01}, {16, 0.01}, {64, 0}, {64, 0.05}, {128, 0.01}, {128, 0.1}} {
 		const changes = 100
-		n := newNetwork(uint64(c.relays), fleetMembers(c.relays, 3, 2), acceptAll{}, plantedDefects{})
-		n.loss = c.loss
+		n := newNetwork(uint64(c.relays), fleetMembers(c.relays, 3, 2), acceptAll{}, injectedFaults{})
+		n.lossProbability = c.loss
 		n.startAll()
-		times := recordArrivals(n)
+		times := recordLatencies(n)
 		source := &controller{source: "control-1"}
 		for i := range changes {
 			n.at(time.Duration(i+1)*3*time.Second, func() { times.publish(n, n.nodes[i%c.relays], source) })
 		}
 		n.run((changes + 20) * 3 * time.Second)
-		bound := n.config.Bound(c.relays, maxLatency, c.loss)
-		last := times.last(t, n, isUp)
+		bound := n.config.Bound(c.relays, maxOneWayDelay, c.loss)
+		last := times.slowestPerChange(t, n, isNodeUp)
 		t.Logf("%d relays, loss %.2f: median %v, 99th of 100 %v, slowest %v, bound %v", c.relays, c.loss, last[changes/2],
 			last[changes-2], last[changes-1], bound)
 		if last[changes-2] > bound {
@@ -215,12 +215,12 @@
 	costs := map[int]float64{}
 	sizes := []int{16, 64, 256, 1024}
 	for _, relays := range sizes {
-		n := newNetwork(uint64(relays), fleetMembers(relays, 3, 3), acceptAll{}, plantedDefects{})
-		n.loss = 0.01
+		n := newNetwork(uint64(relays), fleetMembers(relays, 3, 3), acceptAll{}, injectedFaults{})
+		n.lossProbability = 0.01
 		n.startAll()
 		n.run(5 * time.Second)
 		n.resetPeaks()
-		times := recordArrivals(n)
+		times := recordLatencies(n)
 		source := &controller{source: "control-1"}
 		const changes = 10
 		for i := range changes {
@@ -228,10 +228,10 @@
 		}
 		began := n.now
 		n.run(began + changes*6*time.Second)
-		costs[relays] = float64(n.busiest(func(x *node) int64 { return x.total })) / (n.now - began).Seconds()
+		costs[relays] = float64(n.maxOverNodes(func(x *node) int64 { return x.totalBytes })) / (n.now - began).Seconds()
 		mean := float64(n.sum(func(c Counters) int64 { return c.SentBytes })) / float64(relays) / n.now.Seconds()
 		t.Logf("%d relays: busiest %.0f B/s, mean %.0f B/s", relays, costs[relays], mean)
-		times.last(t, n, isUp)
+		times.slowestPerChange(t, n, isNodeUp)
 	}
 	for i, larger := range sizes {
 		for _, smaller := range sizes[:i] {
@@ -245,15 +245,15 @@
 // TestTreeSendsOnceWithoutLoss checks that nothing is sent twice but to the relay that published, which is in one part of each level.
 func TestTreeSendsOnceWithoutLoss(t *testing.T) {
 	const relays = 500
-	n := newNetwork(9, fleetMembers(relays, 3, 3), acceptAll{}, plantedDefects{})
+	n := newNetwork(9, fleetMembers(relays, 3, 3), acceptAll{}, injectedFaults{})
 	n.config.Exchange = time.Hour
 	n.startAll()
-	times := recordArrivals(n)
+	times := recordLatencies(n)
 	source := &controller{source: "control-1"}
 	n.run(time.Second)
 	times.publish(n, n.nodes[3], source)
 	n.run(5 * time.Second)
-	times.last(t, n, isUp)
+	times.slowestPerChange(t, n, isNodeUp)
 	pushes := n.sum(func(c Counters) int64 { return c.Pushes })
 	if most := int64(relays + treeDepth(relays, n.config.FanOut)); pushes > most {
 		t.Errorf("%d pushes to %d relays, more than %d", pushes, relays, most)
--- a/internal/configsync/membership_test.go
+++ b/internal/configsync/membership_test.go
@@ -18,7 +18,7 @@
 	if len(m.members) == 0 || rapid.IntRange(0, 3).Draw(rt, "kind") == 0 {
 		return anything
 	}
-	position := m.position(m.candidate(rapid.IntRange(0, len(m.members)-1).Draw(rt, "member"), salt))
+	position := m.position(m.candidateAt(rapid.IntRange(0, len(m.members)-1).Draw(rt, "member"), salt))
 	switch rapid.IntRange(0, 4).Draw(rt, "near") {
 	case 0:
 		return position + "\x00"
@@ -41,15 +41,15 @@
 		except := rapid.IntRange(-1, len(members)).Draw(rt, "except")
 		var want []string
 		for i := range m.members {
-			position := m.position(m.candidate(i, scope.Salt))
+			position := m.position(m.candidateAt(i, scope.Salt))
 			if position >= scope.Low && position < scope.High && i != except {
 				want = append(want, string(position)+m.members[i].Name)
 			}
 		}
 		slices.Sort(want)
 		var got []string
-		for _, c := range m.within(nil, scope, except) {
-			got = append(got, string(m.position(c))+m.members[c.index].Name)
+		for _, c := range m.appendInScope(nil, scope, except) {
+			got = append(got, string(m.position(c))+m.members[c.memberIndex].Name)
 		}
 		if !slices.Equal(got, want) {
 			rt.Fatalf("scope %+v: found %q, want %q", scope, got, want)
@@ -78,7 +78,7 @@
 	random := rand.New(rand.NewPCG(3, 3))
 	for range salts {
 		scope := Scope{Salt: random.Uint64(), Low: firstPosition, High: lastPosition}
-		first[m.within(nil, scope, -1)[0].index]++
+		first[m.appendInScope(nil, scope, -1)[0].memberIndex]++
 	}
 	if least, most := slices.Min(first), slices.Max(first); least < 130 || most > 280 { // 200 expected, 5 deviations of 14
 		t.Errorf("first between %d and %d times", least, most)
@@ -89,23 +89,23 @@
 	m := NewMembership([]Member{{Name: "x", Region: "eu", Zone: "a"}, {Name: "y", Region: "eu-west", Zone: strings.Repeat("z", 9)}})
 	longest := 0
 	for i := range m.members {
-		longest = max(longest, len(m.position(m.candidate(i, 77))))
+		longest = max(longest, len(m.position(m.candidateAt(i, 77))))
 	}
-	if len(m.longest) != longest {
-		t.Errorf("longest %d, want %d", len(m.longest), longest)
+	if len(m.longestPosition) != longest {
+		t.Errorf("longest %d, want %d", len(m.longestPosition), longest)
 	}
 }
 
 func BenchmarkWithinWholeFleet(b *testing.B) {
-	m := NewMembership(fleetMembers(fullFleet, 3, 3))
+	m := NewMembership(fleetMembers(maxFleetRelays, 3, 3))
 	var found []candidate
 	for i := range b.N {
-		found = m.within(found[:0], Scope{Salt: uint64(i), Low: firstPosition, High: lastPosition}, -1)
+		found = m.appendInScope(found[:0], Scope{Salt: uint64(i), Low: firstPosition, High: lastPosition}, -1)
 	}
 }
 
 func ExampleDefaults() {
 	config := Defaults()
-	fmt.Println(config.Exchange, config.AckTimeout, config.Attempts, config.FanOut, config.PacketBytes)
+	fmt.Println(config.Exchange, config.AckTimeout, config.Attempts, config.FanOut, config.MaxPacketBytes)
 	// Output: 1s 400ms 3 4 1200
 }
--- a/internal/configsync/message.go
+++ b/internal/configsync/message.go
@@ -3,87 +3,89 @@
 import "errors"
 
 const (
-	// maxChangesPerMessage bounds the work that one message causes; no packet of changes with signatures holds as many.
+	// maxChangesPerMessage limits the work that one message causes. No packet can hold this many signed changes.
 	maxChangesPerMessage = 64
-	// maxPositionBytes bounds the ends of a scope.
+	// maxPositionBytes limits the size of each end of a scope.
 	maxPositionBytes = 512
 )
 
-// firstPosition and lastPosition are the ends of the scope that is the whole fleet: no position of a member, whose region is
-// valid UTF-8, comes after the highest code point.
+// firstPosition and lastPosition are the ends of the scope that contains the whole fleet. The region of a member is valid
+// UTF-8, so that no position of a member sorts after the highest code point.
 const (
 	firstPosition Position = ""
 	lastPosition  Position = "\U0010FFFF"
 )
 
-// Message is what one relay sends another; exactly one field is set.
+// Message is a message from one relay to another. Exactly one field is set.
 type Message struct {
 	Push     *Push
 	Ack      *Ack
 	Exchange *Exchange
 }
 
-// Position orders relays for the dissemination tree: by region, then zone, then a salted hash of the name.
+// Position orders relays for the dissemination tree: by region, then by zone, then by a salted hash of the name.
 type Position string
 
-// Scope is the half-open interval of positions that the receiver of a push answers for. The zero value is a leaf: the receiver
-// passes nothing on. The whole fleet is the interval from the empty position to U+10FFFF.
+// Scope is the half-open interval of positions for which the receiver of a push is responsible. The zero value is a leaf: the
+// receiver does not forward the push. The scope of the whole fleet is the interval from the empty position to U+10FFFF.
 type Scope struct {
 	Salt      uint64
 	Low, High Position
 }
 
-// leaf reports whether the receiver passes nothing on.
-func (s Scope) leaf() bool { return s.High == "" }
+// isLeaf reports whether the receiver does not forward the push.
+func (s Scope) isLeaf() bool { return s.High == "" }
 
 // Push carries new changes down the tree.
 type Push struct {
-	// Number identifies the push at its sender, for the acknowledgement.
+	// Number identifies the push at its sender. The acknowledgement repeats the number.
 	Number uint64
 	Scope  Scope
-	// Changes are ascending in sequence for each source.
+	// Changes are in ascending order of sequence for each source.
 	Changes []Change
 }
 
-// Ack tells the sender of a push that the receiver has it and answers for its scope.
+// Ack tells the sender of a push that the receiver has the push and is responsible for its scope.
 type Ack struct {
 	Number uint64
 }
 
-// Exchange is one side of an anti-entropy comparison.
+// Exchange is one message of an anti-entropy exchange.
 type Exchange struct {
-	// Reply asks the receiver to answer with its own Exchange.
+	// Reply asks the receiver to answer with its own version vector.
 	Reply bool
-	// Versions is the sender's version vector. An answer that has none compares nothing; one that has names every source that
-	// the receiver's vector named, with 0 if need be.
+	// Versions is the sender's version vector. An answer without a vector compares nothing. An answer with a vector names every
+	// source that the receiver's vector named, if necessary with version 0.
 	Versions VersionVector
-	// Digest summarises the sender's entries. It is comparable only where the vectors are equal and Ahead is 0 on both sides.
+	// Digest summarizes the sender's entries. Digests are comparable only if the vectors are equal and Ahead is 0 on both
+	// sides.
 	Digest uint64
-	// Ahead counts changes that the sender holds beyond its version vector.
+	// Ahead is the number of known changes beyond the sender's version vector.
 	Ahead int
-	// Deltas are what the receiver may lack.
+	// Deltas are the changes that the receiver may lack.
 	Deltas []Delta
 }
 
-// Delta holds every entry of one source whose sequence lies in (After, Through] and that was not superseded. It may hold some
-// beyond Through, which is no claim about those between. One of its changes, superseded or not, has at least the sequence Through:
-// its signature proves that the source has come so far.
+// Delta holds every change of one source that has a sequence in (After, Through] and is not superseded. It may also hold
+// changes beyond Through, without a claim of completeness for that range. At least one of its changes, superseded or not, has a
+// sequence of at least Through. The signature of that change proves that the source has signed this many changes.
 type Delta struct {
 	Source         string
 	After, Through uint64
 	Changes        []Change
 }
 
-// Send is a message on its way to a member.
+// Send is a message and the member that it is addressed to.
 type Send struct {
 	To      string
 	Message Message
 }
 
-// errMalformed is of messages that no replica sends.
+// errMalformed is returned for messages that no correct replica sends.
 var errMalformed = errors.New("malformed message")
 
-// validate reports whether a message has the form and the sizes that replicas send. Its changes are validated one by one later.
+// validate returns an error unless the message has a form and a size that replicas send. Each change is validated separately
+// later.
 func (m *Message) validate() error {
 	switch {
 	case m.Push != nil && m.Ack == nil && m.Exchange == nil:
@@ -107,7 +109,7 @@
 	if len(s.Low) > maxPositionBytes || len(s.High) > maxPositionBytes {
 		return errMalformed
 	}
-	if s.Low > s.High || s.Low == s.High && !s.leaf() {
+	if s.Low > s.High || s.Low == s.High && !s.isLeaf() {
 		return errMalformed
 	}
 	return nil
--- a/internal/configsync/properties_test.go
+++ b/internal/configsync/properties_test.go
@@ -17,53 +17,53 @@
 
 // The properties of this file are functions of a seed and of planted defects. The tests check them without any;
 // TestPlantedDefects checks that each defect is found by the property that it should violate.
-type property func(seed uint64, planted plantedDefects) error
+type property func(seed uint64, planted injectedFaults) error
 
 func checkProperty(t *testing.T, p property) {
 	t.Helper()
 	proptest.Check(t, func(rt *rapid.T) {
 		seed := rapid.Uint64().Draw(rt, "seed")
-		if err := p(seed, plantedDefects{}); err != nil {
+		if err := p(seed, injectedFaults{}); err != nil {
 			rt.Fatalf("seed %d: %v", seed, err)
 		}
 	})
 }
 
-func TestMergeIsLeastUpperBound(t *testing.T)  { checkProperty(t, mergeProperty) }
-func TestTreeReachesAll(t *testing.T)          { checkProperty(t, treeProperty) }
-func TestNetworksConverge(t *testing.T)        { checkProperty(t, networkProperty) }
-func TestHostileMemberIsOvercome(t *testing.T) { checkProperty(t, hostileProperty) }
-func TestReunionIsNoStorm(t *testing.T)        { checkFew(t, reunionProperty, 3) }
+func TestMergeKeepsHighestChange(t *testing.T)            { checkProperty(t, mergeProperty) }
+func TestTreeReachesAllMembers(t *testing.T)              { checkProperty(t, treeProperty) }
+func TestNetworksConverge(t *testing.T)                   { checkProperty(t, networkProperty) }
+func TestFleetConvergesDespiteHostileMember(t *testing.T) { checkProperty(t, hostileProperty) }
+func TestReunionStaysWithinBudgets(t *testing.T)          { checkSeeds(t, reunionProperty, 3) }
 
-// checkFew checks a property that takes long for a few seeds.
-func checkFew(t *testing.T, p property, seeds uint64) {
+// checkSeeds checks a property that takes long for a few seeds.
+func checkSeeds(t *testing.T, p property, seeds uint64) {
 	t.Helper()
 	for seed := range seeds {
-		if err := p(seed, plantedDefects{}); err != nil {
+		if err := p(seed, injectedFaults{}); err != nil {
 			t.Errorf("seed %d: %v", seed, err)
 		}
 	}
 }
 
-// TestPlantedDefects switches defects on, one by one: a property that does not notice is worth nothing.
-func TestPlantedDefects(t *testing.T) {
+// TestInjectedFaultsAreDetected switches defects on, one by one: a property that does not notice is worth nothing.
+func TestInjectedFaultsAreDetected(t *testing.T) {
 	cases := []struct {
 		name    string
-		planted plantedDefects
+		planted injectedFaults
 		finds   property
 	}{
-		{"no signature check", plantedDefects{skipVerification: true}, hostileProperty},
-		{"a delta's claim is trusted beyond its signatures", plantedDefects{trustThrough: true}, hostileProperty},
-		{"digests are not compared", plantedDefects{digestIgnored: true}, hostileProperty},
-		{"the last arrival wins", plantedDefects{lastArrivalWins: true}, mergeProperty},
-		{"the watermark advances over gaps", plantedDefects{advanceOverGaps: true}, networkProperty},
-		{"exchanges are not answered", plantedDefects{noAnswer: true}, networkProperty},
-		{"no retry", plantedDefects{noRetry: true}, treeProperty},
-		{"pushes are acknowledged and not passed on", plantedDefects{noForward: true}, treeProperty},
-		{"the scope is not split", plantedDefects{scopeNotSplit: true}, treeProperty},
-		{"a repeated push is passed on again", plantedDefects{duplicateForwards: true}, treeProperty},
-		{"no repair budget", plantedDefects{unlimitedRepair: true}, reunionProperty},
-		{"no byte budget", plantedDefects{unlimitedBytes: true}, burstProperty},
+		{"no signature check", injectedFaults{skipVerification: true}, hostileProperty},
+		{"a delta's claim is trusted beyond its signatures", injectedFaults{trustThrough: true}, hostileProperty},
+		{"digests are not compared", injectedFaults{digestIgnored: true}, hostileProperty},
+		{"the last arrival wins", injectedFaults{lastArrivalWins: true}, mergeProperty},
+		{"the watermark advances over gaps", injectedFaults{advanceOverGaps: true}, networkProperty},
+		{"exchanges are not answered", injectedFaults{noAnswer: true}, networkProperty},
+		{"no retry", injectedFaults{noRetry: true}, treeProperty},
+		{"pushes are acknowledged and not passed on", injectedFaults{noForward: true}, treeProperty},
+		{"the scope is not split", injectedFaults{scopeNotSplit: true}, treeProperty},
+		{"a repeated push is passed on again", injectedFaults{duplicateForwards: true}, treeProperty},
+		{"no repair budget", injectedFaults{unlimitedRepair: true}, reunionProperty},
+		{"no byte budget", injectedFaults{unlimitedBytes: true}, burstProperty},
 	}
 	const seeds = 20
 	for _, c := range cases {
@@ -104,19 +104,19 @@
 
 // history is what a few sources have signed, and what is in force of it.
 type history struct {
-	signers   signers
-	sources   []string
-	sequences map[string]uint64
-	revision  uint64
-	keys      int
-	changes   []Change
-	wanted    map[string]Change
-	genuine   map[string]bool // by signature
-	random    *rand.Rand
+	signers       signers
+	sources       []string
+	sequences     map[string]uint64
+	revision      uint64
+	keys          int
+	changes       []Change
+	expected      map[string]Change
+	signedChanges map[string]bool // by signature
+	random        *rand.Rand
 }
 
 func newHistory(random *rand.Rand) *history {
-	h := &history{signers: signers{}, sequences: map[string]uint64{}, wanted: map[string]Change{}, genuine: map[string]bool{},
+	h := &history{signers: signers{}, sequences: map[string]uint64{}, expected: map[string]Change{}, signedChanges: map[string]bool{},
 		keys: 1 + random.IntN(24), random: random}
 	for i := range 1 + random.IntN(3) {
 		source := fmt.Sprintf("control-%d", i)
@@ -143,16 +143,16 @@
 
 func (h *history) add(change Change) {
 	h.changes = append(h.changes, change)
-	h.genuine[string(change.Signature)] = true
-	held, ok := h.wanted[change.Key]
+	h.signedChanges[string(change.Signature)] = true
+	held, ok := h.expected[change.Key]
 	if !ok || compareChanges(&change, &held) > 0 {
-		h.wanted[change.Key] = change
+		h.expected[change.Key] = change
 	}
 }
 
 // mergeProperty: stores that take the same changes in, in whatever order, grouping and number, are equal; merging never lowers
 // what is in force; and what is in force is the maximum.
-func mergeProperty(seed uint64, planted plantedDefects) error {
+func mergeProperty(seed uint64, planted injectedFaults) error {
 	random := rand.New(rand.NewPCG(seed, 2))
 	h := newHistory(random)
 	for range 1 + random.IntN(40) {
@@ -161,29 +161,29 @@
 	var first *Store
 	for range 4 {
 		store := NewStore(h.signers, 1000)
-		store.planted = planted
+		store.faults = planted
 		arrivals := slices.Clone(h.changes)
 		for range random.IntN(10) {
 			arrivals = append(arrivals, arrivals[random.IntN(len(arrivals))])
 		}
 		random.Shuffle(len(arrivals), func(i, j int) { arrivals[i], arrivals[j] = arrivals[j], arrivals[i] })
 		for _, change := range arrivals {
-			if err := applyUpwards(store, change); err != nil {
+			if err := applyMonotonically(store, change); err != nil {
 				return err
 			}
 		}
 		if first == nil {
 			first = store
 		}
-		if err := equalStores(first, store, h.wanted); err != nil {
+		if err := checkEqualStores(first, store, h.expected); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// applyUpwards applies a change and reports an error where a lower one is in force afterwards.
-func applyUpwards(store *Store, change Change) error {
+// applyMonotonically applies a change and reports an error where a lower one is in force afterwards.
+func applyMonotonically(store *Store, change Change) error {
 	before, existed := store.entries[change.Key]
 	inForce, err := store.Apply(change)
 	if err != nil {
@@ -202,7 +202,7 @@
 	return nil
 }
 
-func equalStores(a, b *Store, wanted map[string]Change) error {
+func checkEqualStores(a, b *Store, wanted map[string]Change) error {
 	if a.Digest() != b.Digest() || !equalVersions(a.Versions(), b.Versions()) {
 		return fmt.Errorf("digests %x and %x, vectors %v and %v", a.Digest(), b.Digest(), a.Versions(), b.Versions())
 	}
@@ -223,11 +223,11 @@
 	return nil
 }
 
-// invariants watches, on a network, that only what a history holds comes into force, and never a lower change after a higher.
-func (h *history) invariants(n *network) {
+// checkApplied watches, on a network, that only what a history holds comes into force, and never a lower change after a higher.
+func (h *history) checkApplied(n *network) {
 	highest := map[string]Change{}
 	n.onApplied = func(on *node, change *Change) {
-		if !h.genuine[string(change.Signature)] {
+		if !h.signedChanges[string(change.Signature)] {
 			n.fail(fmt.Errorf("%s has an untrusted change of %q in force", on.member.Name, change.Key))
 		}
 		place := on.member.Name + "\x00" + change.Key
@@ -249,7 +249,7 @@
 
 // treeProperty: without anti-entropy a push reaches all, at 5 % loss, within the time of its hops and retries; no relay sends it
 // to more than FanOut members; and lost acknowledgements do not multiply it.
-func treeProperty(seed uint64, planted plantedDefects) error {
+func treeProperty(seed uint64, planted injectedFaults) error {
 	random := rand.New(rand.NewPCG(seed, 3))
 	h := newHistory(random)
 	count := 2 + random.IntN(200)
@@ -257,19 +257,19 @@
 	n.config.Exchange = time.Hour
 	n.config.Attempts = 8
 	n.config.FanOut = 2 + random.IntN(4)
-	n.loss = 0.05
-	n.duplicate = 0.05
-	h.invariants(n)
+	n.lossProbability = 0.05
+	n.duplicateProbability = 0.05
+	h.checkApplied(n)
 	n.startAll()
 	n.run(time.Second)
 	h.publishAnywhere(n)
 	depth := treeDepth(count, n.config.FanOut)
-	retries := n.config.boundRetries(count, depth, n.loss)
-	n.run(n.now + time.Duration(depth)*maxLatency + time.Duration(retries)*n.config.AckTimeout)
+	retries := n.config.maxPathRetries(count, depth, n.lossProbability)
+	n.run(n.now + time.Duration(depth)*maxOneWayDelay + time.Duration(retries)*n.config.AckTimeout)
 	if n.err != nil {
 		return n.err
 	}
-	if err := n.converged(h.wanted); err != nil {
+	if err := n.checkConverged(h.expected); err != nil {
 		return err
 	}
 	const more = 9
@@ -277,7 +277,7 @@
 		h.publishAnywhere(n)
 		n.run(n.now + 10*time.Second)
 	}
-	if err := n.converged(h.wanted); err != nil {
+	if err := n.checkConverged(h.expected); err != nil {
 		return err
 	}
 	return n.checkTreeCost(count, 1+more)
@@ -286,8 +286,8 @@
 // checkTreeCost reports an error where the fleet has sent more pushes than a number of trees over count members can take.
 func (n *network) checkTreeCost(count, trees int) error {
 	for _, each := range n.nodes {
-		if each.mostPushes > n.config.FanOut {
-			return fmt.Errorf("%s passed a push on to %d members", each.member.Name, each.mostPushes)
+		if each.maxPushesPerMessage > n.config.FanOut {
+			return fmt.Errorf("%s passed a push on to %d members", each.member.Name, each.maxPushesPerMessage)
 		}
 	}
 	pushes := n.sum(func(c Counters) int64 { return c.Pushes })
@@ -302,29 +302,29 @@
 
 // networkProperty: relays with loss, duplication, reordering, restarts, cuts, different views and a member that passes nothing on
 // end equal once the faults are over, and no relay pulls everything anew.
-func networkProperty(seed uint64, planted plantedDefects) error {
+func networkProperty(seed uint64, planted injectedFaults) error {
 	random := rand.New(rand.NewPCG(seed, 4))
 	h := newHistory(random)
 	count := 2 + random.IntN(20)
 	n := newNetwork(seed, fleetMembers(count, 1+random.IntN(3), 1+random.IntN(2)), h.signers, planted)
-	n.loss = random.Float64() * 0.2
-	n.duplicate = random.Float64() * 0.1
+	n.lossProbability = random.Float64() * 0.2
+	n.duplicateProbability = random.Float64() * 0.1
 	slowest := time.Duration(1 + random.Int64N(int64(300*time.Millisecond)))
 	n.delay = func(_, _ *node) time.Duration { return time.Duration(random.Int64N(int64(slowest))) }
-	h.invariants(n)
+	h.checkApplied(n)
 	n.startAll()
 	const healed = 30 * time.Second
-	plantFaults(n, random, healed)
+	scheduleFaults(n, random, healed)
 	for range 1 + random.IntN(40) {
 		n.at(time.Duration(random.Int64N(int64(healed))), func() { h.publishAnywhere(n) })
 	}
 	n.run(healed)
 	n.heal()
-	n.run(healed + n.config.Bound(count, slowest, n.loss) + n.repairTime(h))
+	n.run(healed + n.config.Bound(count, slowest, n.lossProbability) + n.repairTime(h))
 	if n.err != nil {
 		return n.err
 	}
-	if err := n.converged(h.wanted); err != nil {
+	if err := n.checkConverged(h.expected); err != nil {
 		return err
 	}
 	if rewinds := n.sum(func(c Counters) int64 { return c.Rewinds }); rewinds > 0 {
@@ -342,8 +342,8 @@
 	return time.Duration(2*float64(bytes)/n.config.RepairBytesPerSecond*float64(time.Second)) + 20*n.config.Exchange
 }
 
-// plantFaults schedules a random set of faults that all end at one moment.
-func plantFaults(n *network, random *rand.Rand, end time.Duration) {
+// scheduleFaults schedules a random set of faults that all end at one moment.
+func scheduleFaults(n *network, random *rand.Rand, end time.Duration) {
 	moment := func() time.Duration { return time.Duration(random.Int64N(int64(end))) }
 	for range random.IntN(5) {
 		stopped := n.nodes[random.IntN(len(n.nodes))]
@@ -352,7 +352,7 @@
 	if random.IntN(2) == 0 {
 		from, until := moment(), moment()
 		side := random.IntN(len(n.nodes)) + 1
-		n.cut = func(a, b *node) bool {
+		n.isCut = func(a, b *node) bool {
 			apart := slices.Index(n.nodes, a) < side != (slices.Index(n.nodes, b) < side)
 			return apart && n.now >= from && n.now < until
 		}
@@ -367,7 +367,7 @@
 		}
 	}
 	if len(n.nodes) > 3 && random.IntN(2) == 0 {
-		n.mute(n.nodes[random.IntN(len(n.nodes))])
+		n.ackWithoutForwarding(n.nodes[random.IntN(len(n.nodes))])
 	}
 }
 
@@ -382,8 +382,8 @@
 	return NewMembership(members)
 }
 
-// mute makes a node acknowledge pushes and do nothing else.
-func (n *network) mute(muted *node) {
+// ackWithoutForwarding makes a node acknowledge pushes and do nothing else.
+func (n *network) ackWithoutForwarding(muted *node) {
 	muted.intercept = func(from string, message Message) bool {
 		if message.Push != nil {
 			n.transmit(muted, Send{To: from, Message: Message{Ack: &Ack{Number: message.Push.Number}}})
@@ -394,28 +394,28 @@
 
 // heal ends cuts and different views and starts what is down.
 func (n *network) heal() {
-	n.cut = nil
+	n.isCut = nil
 	for _, each := range n.nodes {
 		if each.down {
-			n.start(each, n.all, each.store.Entries(), each.store.Versions())
+			n.start(each, n.fullMembership, each.store.Entries(), each.store.Versions())
 		}
-		each.replica.SetMembership(n.now, n.all)
+		each.replica.SetMembership(n.now, n.fullMembership)
 		n.schedule(each)
 	}
 }
 
 // hostileProperty: a member that forges changes, claims to cover what it withholds and more than there is, and sends absurd
 // vectors, brings nothing untrusted into force, and cannot keep the others from becoming equal once it stops.
-func hostileProperty(seed uint64, planted plantedDefects) error {
+func hostileProperty(seed uint64, planted injectedFaults) error {
 	random := rand.New(rand.NewPCG(seed, 5))
 	h := newHistory(random)
 	count := 3 + random.IntN(12)
 	n := newNetwork(seed, fleetMembers(count, 1+random.IntN(3), 1), h.signers, planted)
-	n.loss = 0.25
-	h.invariants(n)
+	n.lossProbability = 0.25
+	h.checkApplied(n)
 	n.startAll()
 	hostile := n.nodes[random.IntN(count)]
-	n.mute(hostile)
+	n.ackWithoutForwarding(hostile)
 	const quiet = 20 * time.Second
 	for when := 100 * time.Millisecond; when < quiet; when += 150 * time.Millisecond {
 		n.at(when, func() { n.attack(hostile, h, random) })
@@ -423,15 +423,15 @@
 	for range 5 + random.IntN(20) {
 		n.at(time.Duration(random.Int64N(int64(quiet+10*time.Second))), func() {
 			h.publishAnywhere(n)
-			n.withholdFromSome(hostile, h, random)
+			n.sendIncompleteDeltas(hostile, h, random)
 		})
 	}
 	const rewinds = 3
-	n.run(quiet + 10*time.Second + rewinds*(rewindInterval+n.repairTime(h)))
+	n.run(quiet + 10*time.Second + rewinds*(minRewindInterval+n.repairTime(h)))
 	if n.err != nil {
 		return n.err
 	}
-	if err := n.converged(h.wanted); err != nil {
+	if err := n.checkConverged(h.expected); err != nil {
 		return err
 	}
 	return n.checkBudgets()
@@ -447,7 +447,7 @@
 	var message Message
 	switch random.IntN(5) {
 	case 0:
-		message = withheld(h)
+		message = incompleteDelta(h)
 	case 1: // the source has not signed that many
 		unsigned := genuine
 		unsigned.Sequence = 1 << 40
@@ -465,31 +465,31 @@
 	n.at(n.now, func() { n.receive(hostile, victim, message) })
 }
 
-// withheld claims to cover all changes up to the newest one, and holds back what precedes it.
-func withheld(h *history) Message {
+// incompleteDelta claims to cover all changes up to the newest one, and holds back what precedes it.
+func incompleteDelta(h *history) Message {
 	newest := h.changes[len(h.changes)-1]
 	delta := Delta{Source: newest.Source, Through: newest.Sequence, Changes: []Change{newest}}
 	return Message{Exchange: &Exchange{Deltas: []Delta{delta}}}
 }
 
-// withholdFromSome makes that claim before the newest change, and what precedes it, has come to a third of the members.
-func (n *network) withholdFromSome(hostile *node, h *history, random *rand.Rand) {
+// sendIncompleteDeltas makes that claim before the newest change, and what precedes it, has come to a third of the members.
+func (n *network) sendIncompleteDeltas(hostile *node, h *history, random *rand.Rand) {
 	for _, victim := range n.nodes {
 		if victim != hostile && random.IntN(3) == 0 {
-			n.at(n.now, func() { n.receive(hostile, victim, withheld(h)) })
+			n.at(n.now, func() { n.receive(hostile, victim, incompleteDelta(h)) })
 		}
 	}
 }
 
 // reunionProperty: after a long cut, in which both sides have made changes, the busiest relay sends at most twice of what it
 // sends in an ordinary second, deltas keep to their budget, and all end equal.
-func reunionProperty(seed uint64, planted plantedDefects) error {
+func reunionProperty(seed uint64, planted injectedFaults) error {
 	random := rand.New(rand.NewPCG(seed, 6))
 	h := newHistory(random)
 	h.keys = 2000
 	n := newNetwork(seed, fleetMembers(64, 2, 3), h.signers, planted)
-	n.loss = 0.01
-	h.invariants(n)
+	n.lossProbability = 0.01
+	h.checkApplied(n)
 	n.startAll()
 	for second := range 60 { // the ordinary day, with a burst
 		n.at(time.Duration(5+second)*time.Second, func() { h.publishAnywhere(n) })
@@ -498,7 +498,7 @@
 		n.at(40*time.Second+time.Duration(i)*50*time.Millisecond, func() { h.publishAnywhere(n) })
 	}
 	n.run(70 * time.Second)
-	ordinary := n.busiest(func(x *node) int64 { return x.peak })
+	ordinary := n.maxOverNodes(func(x *node) int64 { return x.peakSecondBytes })
 
 	n.separate()
 	for range 580 {
@@ -508,20 +508,21 @@
 	n.resetPeaks()
 	n.heal()
 	reunited := n.now
-	for n.converged(h.wanted) != nil && n.err == nil && n.now < reunited+time.Hour {
+	for n.checkConverged(h.expected) != nil && n.err == nil && n.now < reunited+time.Hour {
 		n.run(n.now + 5*time.Second)
 	}
-	peak := n.busiest(func(x *node) int64 { return x.peak })
+	peak := n.maxOverNodes(func(x *node) int64 { return x.peakSecondBytes })
 	if n.err != nil {
 		return n.err
 	}
 	if took := n.now - reunited; took > 20*time.Minute {
-		return fmt.Errorf("not equal %v after the reunion: %w; %+v %v", took, n.converged(h.wanted), n.nodes[0].replica.Counters(), n.nodes[0].store.Versions())
+		return fmt.Errorf("not equal %v after the reunion: %w; %+v %v", took,
+			n.checkConverged(h.expected), n.nodes[0].replica.Counters(), n.nodes[0].store.Versions())
 	}
 	if peak > 2*ordinary {
 		return fmt.Errorf("busiest second of the reunion %d bytes, of the ordinary day %d", peak, ordinary)
 	}
-	if err := n.checkRepair(); err != nil {
+	if err := n.checkRepairBudgets(); err != nil {
 		return err
 	}
 	return n.checkBudgets()
@@ -529,7 +530,7 @@
 
 // separate cuts the regions apart; each then sees only its own members.
 func (n *network) separate() {
-	n.cut = func(a, b *node) bool { return a.member.Region != b.member.Region }
+	n.isCut = func(a, b *node) bool { return a.member.Region != b.member.Region }
 	views := map[string]*Membership{}
 	for _, each := range n.nodes {
 		region := each.member.Region
@@ -546,25 +547,25 @@
 	}
 }
 
-// checkRepair reports an error where deltas exceed their budget in any interval.
-func (n *network) checkRepair() error {
-	allowed := float64(repairBurstPackets * n.config.PacketBytes)
+// checkRepairBudgets reports an error where deltas exceed their budget in any interval.
+func (n *network) checkRepairBudgets() error {
+	allowed := float64(repairBurstPackets * n.config.MaxPacketBytes)
 	for _, each := range n.nodes {
-		if each.repaired.worst > allowed+1 {
-			return fmt.Errorf("%s exceeds its repair bytes by %.0f", each.member.Name, each.repaired.worst-allowed)
+		if each.repairMeter.maxLevelBytes > allowed+1 {
+			return fmt.Errorf("%s exceeds its repair bytes by %.0f", each.member.Name, each.repairMeter.maxLevelBytes-allowed)
 		}
 	}
 	return nil
 }
 
 // burstProperty: however much is published, no relay sends more than its budget in any interval, and all end equal.
-func burstProperty(seed uint64, planted plantedDefects) error {
+func burstProperty(seed uint64, planted injectedFaults) error {
 	random := rand.New(rand.NewPCG(seed, 7))
 	h := newHistory(random)
 	h.keys = 1000
 	n := newNetwork(seed, fleetMembers(20+random.IntN(60), 2, 2), h.signers, planted)
-	n.loss = 0.01
-	h.invariants(n)
+	n.lossProbability = 0.01
+	h.checkApplied(n)
 	n.startAll()
 	for range 150 {
 		n.at(2*time.Second+time.Duration(random.Int64N(int64(2*time.Second))), func() { h.publishAnywhere(n) })
@@ -576,7 +577,7 @@
 	if err := n.checkBudgets(); err != nil {
 		return err
 	}
-	return n.converged(h.wanted)
+	return n.checkConverged(h.expected)
 }
 
-func TestBytesAreBounded(t *testing.T) { checkFew(t, burstProperty, 5) }
+func TestBurstStaysWithinByteBudget(t *testing.T) { checkSeeds(t, burstProperty, 5) }
--- a/internal/configsync/push.go
+++ b/internal/configsync/push.go
@@ -8,36 +8,38 @@
 	"time"
 )
 
-// A push goes down a tree. Whoever holds a scope divides the members in it into FanOut parts of equal count, by position, and
-// hands each part to its first member, which answers for it once it has acknowledged. Positions sort by region and zone, so
-// that few packets leave either; the salt, new with each push, shuffles the relays within a zone, so that each of them gets its
-// share of the work. Relays with different views of the fleet divide by their own: the parts tile the scope without gaps, hence
-// a member that only the receiver knows is reached.
+// A push travels down a tree. The holder of a scope divides the members in the scope into FanOut parts of equal count, by
+// position. It sends each part to the first member of the part. That member is responsible for the part when it has
+// acknowledged the push. Positions sort by region and zone, so that few packets cross regions or zones. Each push has a new
+// salt, which shuffles the relays within a zone, so that the work is spread over all of them. Relays with different views of
+// the fleet divide a scope by their own view. The parts cover the scope without gaps, so that a push also reaches a member that
+// only the receiver knows.
 //
-// Where bytes are short a holder divides into fewer parts, in the extreme one: it passes its scope on to a relay with bytes.
+// If bytes are short, a holder divides its scope into fewer parts. With a single part, it passes the whole scope on to another
+// relay, which may have bytes available.
 
 // postponedPush is a push that waits for bytes.
 type postponedPush struct {
-	changes []Change
-	scope   Scope
-	bytes   float64 // how many it needs to begin
+	changes     []Change
+	scope       Scope
+	neededBytes float64 // must be available to begin
 }
 
-// flushAt is when queued changes are sent.
-func (r *Replica) flushAt() time.Duration {
+// flushTime returns when queued changes are sent.
+func (r *Replica) flushTime() time.Duration {
 	if len(r.postponed) > 0 {
-		return r.lastFlush + maxBatchWait
+		return r.lastFlush + congestedBatchInterval
 	}
-	return r.lastFlush + batchWait
+	return r.lastFlush + batchInterval
 }
 
-// flush sends the queued changes to the whole fleet, in as few packets as hold them.
+// flush sends the queued changes to the whole fleet in as few packets as possible.
 func (r *Replica) flush(now time.Duration) {
 	slices.SortStableFunc(r.queue, func(a, b Change) int {
 		return cmp.Or(strings.Compare(a.Source, b.Source), cmp.Compare(a.Sequence, b.Sequence))
 	})
 	for rest := r.queue; len(rest) > 0; {
-		count := r.packed(rest)
+		count := r.countFittingPacket(rest)
 		scope := Scope{Salt: r.random.Uint64(), Low: firstPosition, High: lastPosition}
 		r.distribute(now, slices.Clip(rest[:count]), scope)
 		rest = rest[count:]
@@ -45,41 +47,42 @@
 	r.queue, r.lastFlush = nil, now
 }
 
-// packed returns how many of the changes one packet holds, at least one.
-func (r *Replica) packed(changes []Change) int {
+// countFittingPacket returns how many of the changes fit one packet, at least one.
+func (r *Replica) countFittingPacket(changes []Change) int {
 	count := 1
-	for count < min(len(changes), maxChangesPerMessage) && r.pushSize(changes[:count+1]) <= r.config.PacketBytes {
+	for count < min(len(changes), maxChangesPerMessage) && r.pushSize(changes[:count+1]) <= r.config.MaxPacketBytes {
 		count++
 	}
 	return count
 }
 
-// pushSize returns the most bytes that a push of these changes takes.
+// pushSize returns the maximum size of a push of these changes.
 func (r *Replica) pushSize(changes []Change) int {
-	longest := r.membership.longest
-	scope := Scope{Salt: math.MaxUint64, Low: longest + "~", High: longest} // see beyondSelf
+	longest := r.membership.longestPosition
+	scope := Scope{Salt: math.MaxUint64, Low: longest + "~", High: longest} // see lowerEndWithoutSelf
 	push := Push{Number: math.MaxUint64, Scope: scope, Changes: changes}
 	return r.config.Size(&Message{Push: &push})
 }
 
-// distribute sends changes to all members in a scope, or puts them off until there are bytes.
+// distribute sends changes to all members in a scope, or postpones the push until enough bytes are available.
 func (r *Replica) distribute(now time.Duration, changes []Change, scope Scope) {
-	bytes := float64(r.pushSize(changes))
-	if len(r.postponed) == 0 && r.divide(now, changes, scope, bytes) {
+	pushBytes := float64(r.pushSize(changes))
+	if len(r.postponed) == 0 && r.divideScope(now, changes, scope, pushBytes) {
 		return
 	}
 	r.counters.OverBudget++
-	if len(r.postponed) < maxPostponed {
-		needed := bytes + r.reserve() + 1 // a byte more, lest rounding says at Due that it is not there
-		r.postponed = append(r.postponed, postponedPush{changes: changes, scope: scope, bytes: needed})
+	if len(r.postponed) < maxPostponedPushes {
+		// Without the additional byte, rounding could leave Tick with too few bytes at the time that Due returned.
+		neededBytes := pushBytes + r.ackReserveBytes() + 1
+		r.postponed = append(r.postponed, postponedPush{changes: changes, scope: scope, neededBytes: neededBytes})
 	}
 }
 
-// resumePostponed sends the pushes that there are bytes for now.
+// resumePostponed sends the postponed pushes for which enough bytes are available.
 func (r *Replica) resumePostponed(now time.Duration) {
 	for len(r.postponed) > 0 {
 		first := r.postponed[0]
-		if !r.divide(now, first.changes, first.scope, float64(r.pushSize(first.changes))) {
+		if !r.divideScope(now, first.changes, first.scope, float64(r.pushSize(first.changes))) {
 			return
 		}
 		r.postponed = r.postponed[1:]
@@ -87,67 +90,68 @@
 	r.postponed = nil
 }
 
-// divide splits a scope into parts and sends each to its first member. It reports no where there are not even the bytes for one.
-func (r *Replica) divide(now time.Duration, changes []Change, scope Scope, bytes float64) bool {
-	r.scratch = r.membership.within(r.scratch[:0], scope, r.self)
-	found := r.scratch
+// divideScope divides a scope into parts and sends each part to its first member. It returns false if the available bytes do
+// not suffice for one part.
+func (r *Replica) divideScope(now time.Duration, changes []Change, scope Scope, pushBytes float64) bool {
+	r.candidateBuffer = r.membership.appendInScope(r.candidateBuffer[:0], scope, r.selfIndex)
+	found := r.candidateBuffer
 	if len(found) == 0 {
 		return true
 	}
-	affordable := int(max(r.spendable(now), 0) / bytes)
-	parts := min(r.config.FanOut, len(found), affordable)
-	if r.store.planted.scopeNotSplit {
-		parts = min(1, affordable)
+	affordableParts := int(max(r.spendableBytes(now), 0) / pushBytes)
+	partCount := min(r.config.FanOut, len(found), affordableParts)
+	if r.store.faults.scopeNotSplit {
+		partCount = min(1, affordableParts)
 	}
-	if parts == 0 {
+	if partCount == 0 {
 		return false
 	}
-	scope.Low = r.beyondSelf(scope, found[0])
-	for i := range parts {
-		start, end := i*len(found)/parts, (i+1)*len(found)/parts
+	scope.Low = r.lowerEndWithoutSelf(scope, found[0])
+	for i := range partCount {
+		start, end := i*len(found)/partCount, (i+1)*len(found)/partCount
 		part := scope
 		if i > 0 {
 			part.Low = r.membership.position(found[start])
 		}
-		if i < parts-1 {
+		if i < partCount-1 {
 			part.High = r.membership.position(found[end])
 		}
-		r.deliver(now, &delivery{changes: changes, part: part}, found[start], end-start == 1)
+		r.deliver(now, &delivery{changes: changes, scope: part}, found[start], end-start == 1)
 	}
 	return true
 }
 
-// beyondSelf returns the lower end of a scope whose first other member is known: beyond this relay, if it comes first, lest its
-// receivers send the push back.
-func (r *Replica) beyondSelf(scope Scope, first candidate) Position {
-	if r.self < 0 {
+// lowerEndWithoutSelf returns the lower end of a scope whose first other member is known. If this relay is the first member of
+// the scope, the returned end is just after this relay's position, so that receivers do not send the push back.
+func (r *Replica) lowerEndWithoutSelf(scope Scope, first candidate) Position {
+	if r.selfIndex < 0 {
 		return scope.Low
 	}
-	self := r.membership.candidate(r.self, scope.Salt)
+	self := r.membership.candidateAt(r.selfIndex, scope.Salt)
 	position := r.membership.position(self)
-	if position < scope.Low || self.zone > first.zone || self.zone == first.zone && self.hash >= first.hash {
+	if position < scope.Low || self.zoneIndex > first.zoneIndex || self.zoneIndex == first.zoneIndex && self.hash >= first.hash {
 		return scope.Low
 	}
-	return position + "\x00" // the least that is greater
+	return position + "\x00" // the smallest greater position
 }
 
-// deliver sends a part to a member and awaits its acknowledgement.
+// deliver sends a part to a member and awaits the acknowledgement.
 func (r *Replica) deliver(now time.Duration, d *delivery, to candidate, leaf bool) {
 	if d.number == 0 {
-		r.lastNumber++
-		d.number = r.lastNumber
+		r.lastPushNumber++
+		d.number = r.lastPushNumber
 	}
 	push := &Push{Number: d.number, Changes: d.changes}
 	if !leaf {
-		push.Scope = d.part
+		push.Scope = d.scope
 	}
-	member := r.membership.members[to.index]
+	member := r.membership.members[to.memberIndex]
 	d.tried = append(d.tried, member)
 	d.deadline = now + r.config.AckTimeout
 	if r.send(now, member.Name, Message{Push: push}) {
 		r.counters.Pushes++
 	}
-	if !r.store.planted.noRetry {
+	if !r.store.faults.noRetry {
 		r.deliveries.add(d)
 	}
 }
@@ -155,7 +159,7 @@
 // retryDeliveries sends the parts whose acknowledgement is overdue to other members.
 func (r *Replica) retryDeliveries(now time.Duration) {
 	for {
-		d := r.deliveries.overdue(now)
+		d := r.deliveries.popOverdue(now)
 		if d == nil {
 			return
 		}
@@ -166,64 +170,64 @@
 func (r *Replica) retry(now time.Duration, d *delivery) {
 	if len(d.tried) >= r.config.Attempts {
 		r.counters.Abandoned++
-		r.deliveries.forget(d)
+		r.deliveries.remove(d)
 		return
 	}
-	r.scratch = r.membership.within(r.scratch[:0], d.part, r.self)
-	if len(r.scratch) == 0 { // its members have left the fleet
-		r.deliveries.forget(d)
+	r.candidateBuffer = r.membership.appendInScope(r.candidateBuffer[:0], d.scope, r.selfIndex)
+	if len(r.candidateBuffer) == 0 { // all members of the part have left the fleet
+		r.deliveries.remove(d)
 		return
 	}
-	if float64(r.pushSize(d.changes)) > r.spendable(now) {
+	if float64(r.pushSize(d.changes)) > r.spendableBytes(now) {
 		r.counters.OverBudget++
 		d.deadline = now + r.config.AckTimeout
 		r.deliveries.add(d)
 		return
 	}
 	r.counters.Retries++
-	r.deliver(now, d, r.substitute(d, r.scratch), len(r.scratch) == 1)
+	r.deliver(now, d, r.pickRetryMember(d, r.candidateBuffer), len(r.candidateBuffer) == 1)
 }
 
-// substitute picks the member to try next: at random among those of zones where none was tried; else among those that were not
-// tried; else among all.
-func (r *Replica) substitute(d *delivery, found []candidate) candidate {
-	best, bestRank, equal := found[0], math.MaxInt, 0
+// pickRetryMember picks a random member for the next attempt. It prefers members of zones where no member was tried, then
+// members that were not tried, then any member.
+func (r *Replica) pickRetryMember(d *delivery, found []candidate) candidate {
+	best, bestRank, ties := found[0], math.MaxInt, 0
 	for _, c := range found {
-		rank := d.rank(r.membership.members[c.index])
+		rank := d.retryRank(r.membership.members[c.memberIndex])
 		if rank < bestRank {
-			bestRank, equal = rank, 0
+			bestRank, ties = rank, 0
 		}
 		if rank > bestRank {
 			continue
 		}
-		equal++
-		if r.random.IntN(equal) == 0 {
+		ties++
+		if r.random.IntN(ties) == 0 {
 			best = c
 		}
 	}
 	return best
 }
 
-// receivePush applies the changes of a push, acknowledges it, which takes its scope over, and passes it on.
+// receivePush applies and acknowledges a push, and forwards it. The acknowledgement makes this relay responsible for the scope.
 func (r *Replica) receivePush(now time.Duration, from string, push *Push) []Change {
 	applied, valid := r.mergePushed(push.Changes)
-	if len(valid) == 0 { // another member may see it differently, or trust the source already
+	if len(valid) == 0 { // no acknowledgement: another member may accept the changes, for example if it already trusts the source
 		return nil
 	}
 	r.send(now, from, Message{Ack: &Ack{Number: push.Number}})
-	if !push.Scope.leaf() && (r.handled.add(push.Scope) || r.store.planted.duplicateForwards) && !r.store.planted.noForward {
+	if !push.Scope.isLeaf() && (r.handledScopes.add(push.Scope) || r.store.faults.duplicateForwards) && !r.store.faults.noForward {
 		r.distribute(now, valid, push.Scope)
 	}
 	return applied
 }
 
-// mergePushed applies changes. It returns those that came into force and those that are validly signed, also if there was no
-// room for them here.
+// mergePushed applies changes. It returns the changes that came into force, and all changes with a valid signature. Changes
+// that this store has no room for are included in the second list.
 func (r *Replica) mergePushed(changes []Change) (applied, valid []Change) {
 	for i := range changes {
-		full := r.counters.Full
+		fullBefore := r.counters.Full
 		result, err := r.merge(&changes[i])
-		if err != nil && r.counters.Full == full {
+		if err != nil && r.counters.Full == fullBefore {
 			continue
 		}
 		valid = append(valid, changes[i])
--- a/internal/configsync/replica.go
+++ b/internal/configsync/replica.go
@@ -10,128 +10,130 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Counters count since the start of the replica.
+// Counters holds counts since the start of the replica.
 type Counters struct {
 	SentPackets int64 `json:"sent_packets"`
 	SentBytes   int64 `json:"sent_bytes"`
-	Pushes      int64 `json:"pushes"`      // sent, retries included
-	Retries     int64 `json:"retries"`     // pushes sent again to another member for want of an acknowledgement
+	Pushes      int64 `json:"pushes"`      // pushes sent, including retries
+	Retries     int64 `json:"retries"`     // pushes sent again to another member because no acknowledgement arrived
 	Abandoned   int64 `json:"abandoned"`   // scopes left to anti-entropy after all attempts
-	Exchanges   int64 `json:"exchanges"`   // begun
-	Repaired    int64 `json:"repaired"`    // changes that came by a delta and were new
+	Exchanges   int64 `json:"exchanges"`   // exchanges begun by this relay
+	Repaired    int64 `json:"repaired"`    // new changes received in a delta
 	Applied     int64 `json:"applied"`     // changes that came into force
-	Duplicates  int64 `json:"duplicates"`  // changes that were known
-	Untrusted   int64 `json:"untrusted"`   // changes dropped: signature or source
-	Invalid     int64 `json:"invalid"`     // changes or messages dropped: malformed
-	Strangers   int64 `json:"strangers"`   // messages dropped: from no member
-	OverBudget  int64 `json:"over_budget"` // sends put off or dropped for want of bytes
+	Duplicates  int64 `json:"duplicates"`  // changes that were already known
+	Untrusted   int64 `json:"untrusted"`   // changes dropped because of the signature or the source
+	Invalid     int64 `json:"invalid"`     // malformed changes or messages that were dropped
+	Strangers   int64 `json:"strangers"`   // messages dropped because the sender is not a member
+	OverBudget  int64 `json:"over_budget"` // sends postponed or dropped because bytes were short
 	Diverged    int64 `json:"diverged"`    // exchanges with equal vectors and different digests
-	Rewinds     int64 `json:"rewinds"`     // times that everything was pulled anew, since stores diverged
-	Full        int64 `json:"full"`        // changes dropped for want of room
+	Rewinds     int64 `json:"rewinds"`     // times that everything was pulled again because stores had diverged
+	Full        int64 `json:"full"`        // changes dropped because the store was full
 }
 
-// Replica is one relay's part in the replication. It is not safe for concurrent use.
+// Replica replicates configuration on behalf of one relay. It is not safe for concurrent use.
 type Replica struct {
-	config     Config
-	store      *Store
-	random     *rand.Rand
-	membership *Membership
-	self       int // this relay's number in membership, -1 if it is no member
-	bytes      tokenBucket
-	repair     tokenBucket
-	counters   Counters
-	out        []Send // of the call that runs
-
-	queue     []Change // published and not yet sent
+	config       Config
+	store        *Store
+	random       *rand.Rand
+	membership   *Membership
+	selfIndex    int // this relay's index in membership, -1 if the relay is not a member
+	sendBudget   tokenBucket
+	repairBudget tokenBucket
+	counters     Counters
+	outgoing     []Send // messages to send, of the current call
+
+	queue     []Change // published changes that are not yet sent
 	lastFlush time.Duration
 	postponed []postponedPush
 
-	lastNumber uint64
-	deliveries deliveryQueue
-	handled    recentScopes
-	scratch    []candidate
+	lastPushNumber  uint64
+	deliveries      deliveryQueue
+	handledScopes   recentScopes
+	candidateBuffer []candidate
 
 	nextExchange time.Duration
 	nextRewind   time.Duration
-	// divergedDigest is the store's digest when it was last found diverged.
+	// divergedDigest is the store's digest at the time of the last divergence.
 	divergedBefore bool
 	divergedDigest uint64
 }
 
-// NewReplica returns a replica over a store that its caller shares only with it.
+// NewReplica returns a replica that uses a store. The caller must not share the store with another replica.
 func NewReplica(config Config, now time.Duration, store *Store) (*Replica, error) {
 	if err := config.validate(); err != nil {
 		return nil, err
 	}
 	if store == nil {
-		return nil, errors.New("configsync: no store")
+		return nil, errors.New("configsync: store is nil")
 	}
 	r := &Replica{
-		config:     config,
-		store:      store,
-		random:     rand.New(rand.NewPCG(config.Seed, xxhash.Sum64String(config.Self))),
-		membership: NewMembership(nil),
-		self:       -1,
-		bytes:      newTokenBucket(now, config.BytesPerSecond, burstSeconds*config.BytesPerSecond),
-		repair:     newTokenBucket(now, config.RepairBytesPerSecond, float64(repairBurstPackets*config.PacketBytes)),
-		lastFlush:  now - batchWait,
-		deliveries: newDeliveryQueue(),
-		handled:    newRecentScopes(),
-		nextRewind: now,
-	}
-	r.lastNumber = uint64(r.random.Uint32()) // lest late acknowledgements of an earlier process count
-	r.nextExchange = now + r.soon()
+		config:        config,
+		store:         store,
+		random:        rand.New(rand.NewPCG(config.Seed, xxhash.Sum64String(config.Self))),
+		membership:    NewMembership(nil),
+		selfIndex:     -1,
+		sendBudget:    newTokenBucket(now, config.BytesPerSecond, burstSeconds*config.BytesPerSecond),
+		repairBudget:  newTokenBucket(now, config.RepairBytesPerSecond, float64(repairBurstPackets*config.MaxPacketBytes)),
+		lastFlush:     now - batchInterval,
+		deliveries:    newDeliveryQueue(),
+		handledScopes: newRecentScopes(),
+		nextRewind:    now,
+	}
+	r.lastPushNumber = uint64(r.random.Uint32()) // so that late acknowledgements addressed to an earlier process match no push
+	r.nextExchange = now + r.shortRandomDelay()
 	return r, nil
 }
 
-// Members replaces the set of live members; this relay's own entry, which tells its region and zone, has to be among them.
+// Members replaces the set of live members. The set must include this relay's own entry, which provides the relay's region and
+// zone.
 func (r *Replica) Members(now time.Duration, members []Member) {
 	r.SetMembership(now, NewMembership(members))
 }
 
-// SetMembership is Members with a set that replicas of one process share, which saves each of them its preparation.
+// SetMembership replaces the set of live members like Members does. Replicas of one process can share the prepared set, which
+// saves preparing it for each of them.
 func (r *Replica) SetMembership(now time.Duration, membership *Membership) {
-	alone := r.others() == 0
-	r.membership, r.self = membership, -1
+	wasAlone := r.countOthers() == 0
+	r.membership, r.selfIndex = membership, -1
 	if index, ok := membership.index(r.config.Self); ok {
-		r.self = index
+		r.selfIndex = index
 	}
-	if alone && r.others() > 0 {
-		r.nextExchange = min(r.nextExchange, now+r.soon())
+	if wasAlone && r.countOthers() > 0 {
+		r.nextExchange = min(r.nextExchange, now+r.shortRandomDelay())
 	}
 }
 
-// others counts the members but this relay.
-func (r *Replica) others() int {
-	if r.self < 0 {
+// countOthers returns the number of members other than this relay.
+func (r *Replica) countOthers() int {
+	if r.selfIndex < 0 {
 		return len(r.membership.members)
 	}
 	return len(r.membership.members) - 1
 }
 
-// Publish accepts a change that an operator handed to this relay, and sends it to the fleet. An error names what is wrong with
-// it; nothing has changed then.
+// Publish accepts a change that an operator has submitted to this relay, and sends the change to the fleet. If Publish returns
+// an error, nothing has changed. The error describes what is wrong with the change.
 func (r *Replica) Publish(now time.Duration, change Change) ([]Send, error) {
-	r.out = nil
-	if err := r.fits(&change); err != nil {
+	r.outgoing = nil
+	if err := r.checkPacketSize(&change); err != nil {
 		r.counters.Invalid++
 		return nil, err
 	}
 	result, err := r.merge(&change)
-	if err != nil || result.known {
+	if err != nil || result.wasKnown {
 		return nil, err
 	}
 	r.queue = append(r.queue, change)
-	if now >= r.flushAt() {
+	if now >= r.flushTime() {
 		r.flush(now)
 	}
-	return r.out, nil
+	return r.outgoing, nil
 }
 
-// fits reports an error for a change that no packet holds.
-func (r *Replica) fits(change *Change) error {
-	if size := r.pushSize([]Change{*change}); size > r.config.PacketBytes {
-		return fmt.Errorf("%w: it takes a packet of %d bytes, above %d", ErrInvalid, size, r.config.PacketBytes)
+// checkPacketSize returns an error if the change does not fit a packet.
+func (r *Replica) checkPacketSize(change *Change) error {
+	if size := r.pushSize([]Change{*change}); size > r.config.MaxPacketBytes {
+		return fmt.Errorf("%w: push takes %d bytes, above the packet limit of %d", ErrInvalid, size, r.config.MaxPacketBytes)
 	}
 	return nil
 }
@@ -148,17 +150,17 @@
 		r.counters.Invalid++
 	case result.inForce:
 		r.counters.Applied++
-	case result.known:
+	case result.wasKnown:
 		r.counters.Duplicates++
 	}
 	return result, err
 }
 
-// Receive takes in a message. It returns the changes that came into force by it. The message's slices are kept: nobody may
-// modify them afterwards.
+// Receive processes a message from another member. It returns the changes that came into force and the messages to send. The
+// replica keeps the slices of the message, so that nobody may modify them afterwards.
 func (r *Replica) Receive(now time.Duration, from string, message Message) (applied []Change, out []Send) {
-	r.out = nil
-	if _, member := r.membership.index(from); !member || from == r.config.Self {
+	r.outgoing = nil
+	if _, isMember := r.membership.index(from); !isMember || from == r.config.Self {
 		r.counters.Strangers++
 		return nil, nil
 	}
@@ -174,74 +176,74 @@
 	case message.Exchange != nil:
 		applied = r.receiveExchange(now, from, message.Exchange)
 	}
-	return applied, r.out
+	return applied, r.outgoing
 }
 
-// Tick sends what is due: retries, queued pushes and exchanges.
+// Tick sends everything that is due: retries, postponed pushes, queued changes and exchanges.
 func (r *Replica) Tick(now time.Duration) []Send {
-	r.out = nil
+	r.outgoing = nil
 	if now < r.Due() {
 		return nil
 	}
 	r.retryDeliveries(now)
 	r.resumePostponed(now)
-	if len(r.queue) > 0 && now >= r.flushAt() {
+	if len(r.queue) > 0 && now >= r.flushTime() {
 		r.flush(now)
 	}
 	if now >= r.nextExchange {
 		r.beginExchange(now)
 	}
-	return r.out
+	return r.outgoing
 }
 
-// Due is when Tick has something to do.
+// Due returns the time at which Tick next has work to do.
 func (r *Replica) Due() time.Duration {
 	due := r.nextExchange
-	if deadline, ok := r.deliveries.deadline(); ok {
+	if deadline, ok := r.deliveries.firstDeadline(); ok {
 		due = min(due, deadline)
 	}
 	if len(r.queue) > 0 {
-		due = min(due, r.flushAt())
+		due = min(due, r.flushTime())
 	}
 	if len(r.postponed) > 0 {
-		due = min(due, r.bytes.readyAt(r.postponed[0].bytes))
+		due = min(due, r.sendBudget.availableAt(r.postponed[0].neededBytes))
 	}
 	return due
 }
 
-// Counters returns what was counted.
+// Counters returns the current counts.
 func (r *Replica) Counters() Counters { return r.counters }
 
-// soon is a short time, spread lest all relays that start at one moment ask at one moment.
-func (r *Replica) soon() time.Duration {
+// shortRandomDelay returns a short random delay. It spreads the first exchanges of relays that start at the same time.
+func (r *Replica) shortRandomDelay() time.Duration {
 	return time.Duration(r.random.Float64() * float64(r.config.Exchange) / 4)
 }
 
-// reserve is how many bytes are left to acknowledgements.
-func (r *Replica) reserve() float64 { return acknowledgementReserve * r.bytes.capacity }
+// ackReserveBytes returns the number of bytes that are reserved for acknowledgements.
+func (r *Replica) ackReserveBytes() float64 { return ackReserveShare * r.sendBudget.capacityBytes }
 
-// spendable is how many bytes anything but acknowledgements may take.
-func (r *Replica) spendable(now time.Duration) float64 {
-	if r.store.planted.unlimitedBytes {
+// spendableBytes returns the number of bytes that messages other than acknowledgements may use.
+func (r *Replica) spendableBytes(now time.Duration) float64 {
+	if r.store.faults.unlimitedBytes {
 		return math.MaxInt32
 	}
-	return r.bytes.available(now) - r.reserve()
+	return r.sendBudget.available(now) - r.ackReserveBytes()
 }
 
-// send sends a message if it fits a packet and the bytes at hand, and reports whether it did.
+// send sends a message if it fits a packet and the available bytes, and reports whether it did.
 func (r *Replica) send(now time.Duration, to string, message Message) bool {
 	size := r.config.Size(&message)
-	available := r.spendable(now)
+	available := r.spendableBytes(now)
 	if message.Ack != nil {
-		available += r.reserve()
+		available += r.ackReserveBytes()
 	}
-	if size > r.config.PacketBytes || float64(size) > available {
+	if size > r.config.MaxPacketBytes || float64(size) > available {
 		r.counters.OverBudget++
 		return false
 	}
-	r.bytes.take(size)
+	r.sendBudget.take(size)
 	r.counters.SentPackets++
 	r.counters.SentBytes += int64(size)
-	r.out = append(r.out, Send{To: to, Message: message})
+	r.outgoing = append(r.outgoing, Send{To: to, Message: message})
 	return true
 }
--- a/internal/configsync/replica_test.go
+++ b/internal/configsync/replica_test.go
@@ -28,7 +28,7 @@
 	return r
 }
 
-func quiet(c *Config) { c.Exchange = 24 * time.Hour }
+func withoutExchanges(c *Config) { c.Exchange = 24 * time.Hour }
 
 // pushes returns the pushes among sends.
 func pushes(sends []Send) []Send {
@@ -49,7 +49,7 @@
 		"attempts": func(c *Config) { c.Attempts = 0 },
 		"fan-out":  func(c *Config) { c.FanOut = 1 },
 		"size":     func(c *Config) { c.Size = nil },
-		"packet":   func(c *Config) { c.PacketBytes = 10 },
+		"packet":   func(c *Config) { c.MaxPacketBytes = 10 },
 		"bytes":    func(c *Config) { c.BytesPerSecond = 100 },
 		"not one":  func(c *Config) { c.BytesPerSecond = math.NaN() },
 		"repair":   func(c *Config) { c.RepairBytesPerSecond = 0 },
@@ -71,7 +71,7 @@
 
 func TestPublishSendsAtOnceThenCollects(t *testing.T) {
 	members := fleetMembers(100, 2, 2)
-	r := newTestReplica(t, members, quiet)
+	r := newTestReplica(t, members, withoutExchanges)
 	out, err := r.Publish(time.Second, change("a", 1, 1, "k1", "v"))
 	if err != nil || len(pushes(out)) != r.config.FanOut {
 		t.Fatalf("%d pushes, error %v", len(pushes(out)), err)
@@ -82,13 +82,13 @@
 			t.Fatalf("%d sends within the batch, error %v", len(out), err)
 		}
 	}
-	if due := r.Due(); due != time.Second+batchWait {
+	if due := r.Due(); due != time.Second+batchInterval {
 		t.Errorf("due at %v", due)
 	}
-	if out := r.Tick(time.Second + batchWait - 1); len(out) != 0 {
+	if out := r.Tick(time.Second + batchInterval - 1); len(out) != 0 {
 		t.Errorf("%d sends before they are due", len(out))
 	}
-	sent := pushes(r.Tick(time.Second + batchWait))
+	sent := pushes(r.Tick(time.Second + batchInterval))
 	if len(sent) != r.config.FanOut || len(sent[0].Message.Push.Changes) != 3 {
 		t.Fatalf("%d pushes", len(sent))
 	}
@@ -101,7 +101,7 @@
 }
 
 func TestPublishRefusesWhatNoPacketHolds(t *testing.T) {
-	r := newTestReplica(t, fleetMembers(3, 1, 1), func(c *Config) { c.PacketBytes = 300 })
+	r := newTestReplica(t, fleetMembers(3, 1, 1), func(c *Config) { c.MaxPacketBytes = 300 })
 	large := change("a", 1, 1, "k", string(make([]byte, 300)))
 	if out, err := r.Publish(0, large); !errors.Is(err, ErrInvalid) || len(out) > 0 || len(r.store.Entries()) > 0 {
 		t.Errorf("error %v, %d sends, %d entries", err, len(out), len(r.store.Entries()))
@@ -113,7 +113,7 @@
 	proptest.Check(t, func(rt *rapid.T) {
 		members := fleetMembers(rapid.IntRange(2, 300).Draw(rt, "members"), rapid.IntRange(1, 3).Draw(rt, "regions"), 2)
 		r := newTestReplica(t, members, func(c *Config) {
-			quiet(c)
+			withoutExchanges(c)
 			c.FanOut = rapid.IntRange(2, 6).Draw(rt, "fan-out")
 			c.Seed = rapid.Uint64().Draw(rt, "seed")
 		})
@@ -125,20 +125,20 @@
 		if len(out) != want {
 			rt.Fatalf("%d pushes, want %d", len(out), want)
 		}
-		covered := map[int]bool{r.self: true}
-		salt := r.deliveries.waiting[0].part.Salt
-		for _, d := range r.deliveries.waiting {
-			found := r.membership.within(nil, Scope{Salt: salt, Low: d.part.Low, High: d.part.High}, r.self)
+		covered := map[int]bool{r.selfIndex: true}
+		salt := r.deliveries.byDeadline[0].scope.Salt
+		for _, d := range r.deliveries.byDeadline {
+			found := r.membership.appendInScope(nil, Scope{Salt: salt, Low: d.scope.Low, High: d.scope.High}, r.selfIndex)
 			if size := (len(members) - 1) / want; len(found) != size && len(found) != size+1 {
 				rt.Fatalf("a part of %d of %d", len(found), len(members)-1)
 			}
 			for _, c := range found {
-				if covered[c.index] {
-					rt.Fatalf("%s is in two parts", r.membership.members[c.index].Name)
+				if covered[c.memberIndex] {
+					rt.Fatalf("%s is in two parts", r.membership.members[c.memberIndex].Name)
 				}
-				covered[c.index] = true
+				covered[c.memberIndex] = true
 			}
-			if d.tried[0].Name != r.membership.members[found[0].index].Name {
+			if d.tried[0].Name != r.membership.members[found[0].memberIndex].Name {
 				rt.Fatal("a part's holder is not its first member")
 			}
 		}
@@ -151,7 +151,7 @@
 // TestRetryPrefersOtherZones follows the attempts to hand over a part that spans zones.
 func TestRetryPrefersOtherZones(t *testing.T) {
 	r := newTestReplica(t, fleetMembers(41, 1, 4), func(c *Config) {
-		quiet(c)
+		withoutExchanges(c)
 		c.FanOut = 2
 	})
 	out, _ := r.Publish(time.Second, change("a", 1, 1, "k", "v"))
@@ -175,13 +175,13 @@
 			t.Errorf("push %d: the second attempt is in the zone of the first", number)
 		}
 	}
-	if counted := r.Counters(); counted.Abandoned != 2 || counted.Retries != 4 || len(r.deliveries.awaiting) != 0 {
-		t.Errorf("%+v, %d awaited", counted, len(r.deliveries.awaiting))
+	if counted := r.Counters(); counted.Abandoned != 2 || counted.Retries != 4 || len(r.deliveries.pendingByNumber) != 0 {
+		t.Errorf("%+v, %d awaited", counted, len(r.deliveries.pendingByNumber))
 	}
 }
 
 func TestAcknowledgementEndsADelivery(t *testing.T) {
-	r := newTestReplica(t, fleetMembers(20, 1, 1), quiet)
+	r := newTestReplica(t, fleetMembers(20, 1, 1), withoutExchanges)
 	out, _ := r.Publish(time.Second, change("a", 1, 1, "k", "v"))
 	for i, send := range out {
 		from := send.To
@@ -195,14 +195,14 @@
 		t.Fatalf("sent again: %+v", again)
 	}
 	r.Receive(2*time.Second, out[0].To, Message{Ack: &Ack{Number: out[0].Message.Push.Number}}) // late, from the first
-	if out := r.Tick(time.Minute); len(out) != 0 || len(r.deliveries.awaiting) != 0 {
+	if out := r.Tick(time.Minute); len(out) != 0 || len(r.deliveries.pendingByNumber) != 0 {
 		t.Errorf("%d sends after the last acknowledgement", len(out))
 	}
 }
 
 func TestReceivedPushIsAcknowledgedAndPassedOnOnce(t *testing.T) {
 	members := fleetMembers(60, 2, 2)
-	r := newTestReplica(t, members, quiet)
+	r := newTestReplica(t, members, withoutExchanges)
 	from := members[5].Name
 	whole := Scope{Salt: 7, Low: firstPosition, High: lastPosition}
 	message := Message{Push: &Push{Number: 3, Scope: whole, Changes: []Change{change("a", 1, 1, "k", "v")}}}
@@ -227,7 +227,7 @@
 // TestFullReplicaPassesOn checks that a relay without room still carries its part of the tree.
 func TestFullReplicaPassesOn(t *testing.T) {
 	members := fleetMembers(10, 1, 1)
-	r := newTestReplica(t, members, quiet)
+	r := newTestReplica(t, members, withoutExchanges)
 	r.store.maxEntries = 0
 	push := Push{Number: 1, Scope: Scope{Low: firstPosition, High: lastPosition}, Changes: []Change{change("a", 1, 1, "k", "v")}}
 	applied, out := r.Receive(time.Second, members[1].Name, Message{Push: &push})
@@ -238,19 +238,19 @@
 
 // TestPushWaitsForBytes takes all bytes away: pushes are passed on to fewer, then wait, and go out when there are bytes.
 func TestPushWaitsForBytes(t *testing.T) {
-	r := newTestReplica(t, fleetMembers(200, 1, 1), quiet)
+	r := newTestReplica(t, fleetMembers(200, 1, 1), withoutExchanges)
 	change1 := change("a", 1, 1, "k1", "v")
 	size := r.pushSize([]Change{change1})
-	r.bytes.take(int(r.bytes.capacity-r.reserve()) - 2*size)
+	r.sendBudget.take(int(r.sendBudget.capacityBytes-r.ackReserveBytes()) - 2*size)
 	out, _ := r.Publish(time.Millisecond, change1)
 	if len(out) != 2 {
 		t.Fatalf("%d pushes with the bytes for two", len(out))
 	}
-	r.bytes.take(int(r.bytes.available(time.Millisecond)))
-	if out = r.Tick(batchWait); len(out) != 0 {
+	r.sendBudget.take(int(r.sendBudget.available(time.Millisecond)))
+	if out = r.Tick(batchInterval); len(out) != 0 {
 		t.Fatalf("%d sends without bytes", len(out))
 	}
-	if _, err := r.Publish(batchWait+time.Millisecond, change("a", 2, 2, "k2", "v")); err != nil {
+	if _, err := r.Publish(batchInterval+time.Millisecond, change("a", 2, 2, "k2", "v")); err != nil {
 		t.Fatal(err)
 	}
 	sent := 0
@@ -275,7 +275,7 @@
 
 func TestStrangersAndMalformedMessagesAreDropped(t *testing.T) {
 	members := fleetMembers(4, 1, 1)
-	r := newTestReplica(t, members, quiet)
+	r := newTestReplica(t, members, withoutExchanges)
 	valid := Message{Push: &Push{Changes: []Change{change("a", 1, 1, "k", "v")}}}
 	for _, from := range []string{"stranger", members[0].Name, ""} {
 		if applied, out := r.Receive(0, from, valid); len(applied)+len(out) > 0 {
@@ -380,7 +380,7 @@
 			_, out := r.Receive(now, from, drawMessage(rt))
 			out = append(out, r.Tick(now)...)
 			for i := range out {
-				if size := messageSize(&out[i].Message); size > r.config.PacketBytes || out[i].Message.validate() != nil {
+				if size := messageSize(&out[i].Message); size > r.config.MaxPacketBytes || out[i].Message.validate() != nil {
 					rt.Fatalf("sent %d bytes, %v: %+v", size, out[i].Message.validate(), out[i].Message)
 				}
 			}
@@ -446,27 +446,27 @@
 	if len(out) != 1 || out[0].Message.Exchange.Versions["x"] != 2 {
 		t.Fatalf("answered %+v", out)
 	}
-	if r.Counters().Diverged != 1 || r.store.said()["x"] != 2 {
-		t.Errorf("%+v, says %v after the first time", r.Counters(), r.store.said())
+	if r.Counters().Diverged != 1 || r.store.advertisedVersions()["x"] != 2 {
+		t.Errorf("%+v, says %v after the first time", r.Counters(), r.store.advertisedVersions())
 	}
 	r.Receive(time.Second, members[1].Name, same)
-	if r.Counters().Diverged != 2 || r.store.said()["x"] != 0 || r.store.Versions()["x"] != 2 {
-		t.Errorf("%+v, says %v", r.Counters(), r.store.said())
+	if r.Counters().Diverged != 2 || r.store.advertisedVersions()["x"] != 0 || r.store.Versions()["x"] != 2 {
+		t.Errorf("%+v, says %v", r.Counters(), r.store.advertisedVersions())
 	}
 	missed := change("x", 2, 2, "k2", "2")
 	delta := Delta{Source: "x", After: 0, Through: 2, Changes: []Change{change("x", 1, 1, "k1", "1"), missed}}
 	r.Receive(time.Second, members[1].Name, Message{Exchange: &Exchange{Deltas: []Delta{delta}}})
-	if _, ok := r.store.Get("k2"); !ok || r.store.said()["x"] != 2 {
-		t.Errorf("after the delta it says %v", r.store.said())
+	if _, ok := r.store.Get("k2"); !ok || r.store.advertisedVersions()["x"] != 2 {
+		t.Errorf("after the delta it says %v", r.store.advertisedVersions())
 	}
 	for range 2 {
 		r.Receive(2*time.Second, members[1].Name, same)
 	}
-	if r.store.said()["x"] != 2 {
+	if r.store.advertisedVersions()["x"] != 2 {
 		t.Error("rewound twice within a minute")
 	}
-	r.Receive(time.Second+rewindInterval, members[1].Name, same)
-	if r.store.said()["x"] != 0 || r.Counters().Diverged != 5 || r.Counters().Rewinds != 2 {
+	r.Receive(time.Second+minRewindInterval, members[1].Name, same)
+	if r.store.advertisedVersions()["x"] != 0 || r.Counters().Diverged != 5 || r.Counters().Rewinds != 2 {
 		t.Errorf("not rewound after a minute: %+v", r.Counters())
 	}
 }
@@ -508,7 +508,7 @@
 			rt.Fatalf("the bound %v falls", bound)
 		}
 	})
-	if bound := config.Bound(fullFleet, 100*time.Millisecond, 0.01); bound > goalKnownByAll {
+	if bound := config.Bound(maxFleetRelays, 100*time.Millisecond, 0.01); bound > maxTimeToAll {
 		t.Errorf("bound of the full fleet %v", bound)
 	}
 }
--- a/internal/configsync/network_test.go
+++ b/internal/configsync/simulation_test.go
@@ -65,67 +65,67 @@
 
 // node is one relay of a network.
 type node struct {
-	member    Member
-	replica   *Replica
-	store     *Store
-	down      bool
-	lives     int // how often it was started
-	scheduled time.Duration
-	sent      leakyMeter
-	second    int64 // the second that inSecond counts
-	inSecond  int64
-	peak      int64 // most bytes in one second since resetPeaks
-	total     int64
-	repaired  leakyMeter
+	member          Member
+	replica         *Replica
+	store           *Store
+	down            bool
+	startCount      int // how often it was started
+	scheduledTick   time.Duration
+	sentMeter       leakyMeter
+	meteredSecond   int64 // the second that inSecond counts
+	meteredBytes    int64
+	peakSecondBytes int64 // most bytes in one second since resetPeaks
+	totalBytes      int64
+	repairMeter     leakyMeter
 	// mostPushes is the most members that one message was passed on to.
-	mostPushes int
-	intercept  func(from string, message Message) bool // takes a message instead of the replica
+	maxPushesPerMessage int
+	intercept           func(from string, message Message) bool // takes a message instead of the replica
 }
 
 // leakyMeter tells, independent of the replica's bucket, by how much the bytes of any interval exceed what a rate allows in it.
 type leakyMeter struct {
-	level, worst float64
-	at           time.Duration
+	levelBytes, maxLevelBytes float64
+	updatedAt                 time.Duration
 }
 
 func (m *leakyMeter) add(now time.Duration, bytes int, rate float64) {
-	m.level = max(0, m.level-rate*(now-m.at).Seconds()) + float64(bytes)
-	m.at = now
-	m.worst = max(m.worst, m.level)
+	m.levelBytes = max(0, m.levelBytes-rate*(now-m.updatedAt).Seconds()) + float64(bytes)
+	m.updatedAt = now
+	m.maxLevelBytes = max(m.maxLevelBytes, m.levelBytes)
 }
 
 // network runs replicas against simulated time.
 type network struct {
-	now       time.Duration
-	order     int
-	events    eventHeap
-	random    *rand.Rand
-	config    Config
-	planted   plantedDefects
-	verifier  Verifier
-	entries   int // maxEntries
-	nodes     []*node
-	byName    map[string]*node
-	all       *Membership
-	loss      float64
-	duplicate float64
-	delay     func(from, to *node) time.Duration
-	cut       func(from, to *node) bool
-	onApplied func(n *node, change *Change)
-	handled   map[handledScope]bool
-	err       error
+	now                  time.Duration
+	lastEventOrder       int
+	events               eventHeap
+	random               *rand.Rand
+	config               Config
+	faults               injectedFaults
+	verifier             Verifier
+	maxEntries           int // maxEntries
+	nodes                []*node
+	byName               map[string]*node
+	fullMembership       *Membership
+	lossProbability      float64
+	duplicateProbability float64
+	delay                func(from, to *node) time.Duration
+	isCut                func(from, to *node) bool
+	onApplied            func(n *node, change *Change)
+	handledScopes        map[handledScope]bool
+	err                  error
 }
 
 type acceptAll struct{}
 
 func (acceptAll) Verify(*Change) error { return nil }
 
-func newNetwork(seed uint64, members []Member, verifier Verifier, planted plantedDefects) *network {
-	n := &network{random: rand.New(rand.NewPCG(seed, 1)), config: Defaults(), planted: planted, verifier: verifier, entries: 32768,
-		byName: map[string]*node{}, handled: map[handledScope]bool{}, all: NewMembership(members)}
+func newNetwork(seed uint64, members []Member, verifier Verifier, planted injectedFaults) *network {
+	n := &network{random: rand.New(rand.NewPCG(seed, 1)), config: Defaults(), faults: planted, verifier: verifier, maxEntries: 32768,
+		byName: map[string]*node{}, handledScopes: map[handledScope]bool{}, fullMembership: NewMembership(members)}
 	n.config.Size = messageSize
 	n.config.Seed = seed
-	n.delay = func(from, to *node) time.Duration { return latency(n.random, from, to) }
+	n.delay = func(from, to *node) time.Duration { return oneWayDelay(n.random, from, to) }
 	for _, member := range members {
 		added := &node{member: member}
 		n.nodes = append(n.nodes, added)
@@ -134,11 +134,11 @@
 	return n
 }
 
-// maxLatency is above all that latency returns.
-const maxLatency = 90 * time.Millisecond
+// maxOneWayDelay is above all that latency returns.
+const maxOneWayDelay = 90 * time.Millisecond
 
-// latency is a one-way delay with some time until the relay looks at the packet.
-func latency(random *rand.Rand, from, to *node) time.Duration {
+// oneWayDelay is a one-way delay with some time until the relay looks at the packet.
+func oneWayDelay(random *rand.Rand, from, to *node) time.Duration {
 	base := time.Millisecond
 	if from.member.Region != to.member.Region {
 		base = 60 * time.Millisecond
@@ -157,14 +157,14 @@
 }
 
 func (n *network) at(when time.Duration, run func()) {
-	n.order++
-	heap.Push(&n.events, event{at: max(when, n.now), order: n.order, run: run})
+	n.lastEventOrder++
+	heap.Push(&n.events, event{at: max(when, n.now), order: n.lastEventOrder, run: run})
 }
 
 // start starts a node with what a store had saved, if any.
 func (n *network) start(started *node, view *Membership, saved []Change, versions VersionVector) {
-	store := NewStore(n.verifier, n.entries)
-	store.planted = n.planted
+	store := NewStore(n.verifier, n.maxEntries)
+	store.faults = n.faults
 	store.SetVersions(versions)
 	for _, change := range saved {
 		if _, err := store.Apply(change); err != nil {
@@ -179,8 +179,8 @@
 		n.fail(err)
 		return
 	}
-	started.store, started.replica, started.down, started.scheduled = store, replica, false, -1
-	started.lives++
+	started.store, started.replica, started.down, started.scheduledTick = store, replica, false, -1
+	started.startCount++
 	replica.SetMembership(n.now, view)
 	n.schedule(started)
 }
@@ -188,7 +188,7 @@
 // startAll starts all nodes at random moments of one second.
 func (n *network) startAll() {
 	for _, each := range n.nodes {
-		n.start(each, n.all, nil, nil)
+		n.start(each, n.fullMembership, nil, nil)
 	}
 }
 
@@ -200,7 +200,7 @@
 	stopped.down = true
 	n.at(n.now+pause, func() {
 		if stopped.down {
-			n.start(stopped, n.all, stopped.store.Entries(), stopped.store.Versions())
+			n.start(stopped, n.fullMembership, stopped.store.Entries(), stopped.store.Versions())
 		}
 	})
 }
@@ -214,16 +214,16 @@
 // schedule plans a node's next Tick.
 func (n *network) schedule(on *node) {
 	due := max(on.replica.Due(), n.now)
-	if on.scheduled >= n.now && on.scheduled <= due {
+	if on.scheduledTick >= n.now && on.scheduledTick <= due {
 		return
 	}
-	on.scheduled = due
-	life := on.lives
+	on.scheduledTick = due
+	life := on.startCount
 	n.at(due, func() {
-		if on.down || on.lives != life || on.scheduled != due {
+		if on.down || on.startCount != life || on.scheduledTick != due {
 			return
 		}
-		on.scheduled = -1
+		on.scheduledTick = -1
 		n.emit(on, on.replica.Tick(n.now))
 	})
 }
@@ -239,32 +239,32 @@
 
 func (n *network) account(from *node, message *Message) {
 	size := messageSize(message)
-	if size > n.config.PacketBytes {
+	if size > n.config.MaxPacketBytes {
 		n.fail(fmt.Errorf("%s sends a packet of %d bytes", from.member.Name, size))
 	}
-	from.sent.add(n.now, size, n.config.BytesPerSecond)
+	from.sentMeter.add(n.now, size, n.config.BytesPerSecond)
 	if message.Exchange != nil && len(message.Exchange.Deltas) > 0 {
-		from.repaired.add(n.now, size, n.config.RepairBytesPerSecond)
+		from.repairMeter.add(n.now, size, n.config.RepairBytesPerSecond)
 	}
-	from.total += int64(size)
-	if second := int64(n.now / time.Second); second != from.second {
-		from.second, from.inSecond = second, 0
+	from.totalBytes += int64(size)
+	if second := int64(n.now / time.Second); second != from.meteredSecond {
+		from.meteredSecond, from.meteredBytes = second, 0
 	}
-	from.inSecond += int64(size)
-	from.peak = max(from.peak, from.inSecond)
+	from.meteredBytes += int64(size)
+	from.peakSecondBytes = max(from.peakSecondBytes, from.meteredBytes)
 }
 
 func (n *network) transmit(from *node, send Send) {
 	to := n.byName[send.To]
-	if to == nil || n.cut != nil && n.cut(from, to) {
+	if to == nil || n.isCut != nil && n.isCut(from, to) {
 		return
 	}
 	copies := 1
-	if n.random.Float64() < n.duplicate {
+	if n.random.Float64() < n.duplicateProbability {
 		copies = 2
 	}
 	for range copies {
-		if n.random.Float64() < n.loss {
+		if n.random.Float64() < n.lossProbability {
 			continue
 		}
 		n.at(n.now+n.delay(from, to), func() { n.receive(from, to, send.Message) })
@@ -284,12 +284,12 @@
 			n.onApplied(to, &applied[i])
 		}
 	}
-	n.checkPassedOn(to, &message, out)
+	n.checkForwarding(to, &message, out)
 	n.emit(to, out)
 }
 
-// checkPassedOn counts to how many members a node passes a push on, which has to be none if it had the same scope before.
-func (n *network) checkPassedOn(on *node, message *Message, sends []Send) {
+// checkForwarding counts to how many members a node passes a push on, which has to be none if it had the same scope before.
+func (n *network) checkForwarding(on *node, message *Message, sends []Send) {
 	pushes, taken := 0, false
 	for _, send := range sends {
 		if send.Message.Push != nil {
@@ -297,22 +297,22 @@
 		}
 		taken = taken || send.Message.Ack != nil
 	}
-	on.mostPushes = max(on.mostPushes, pushes)
-	if message.Push == nil || message.Push.Scope.leaf() || !taken {
+	on.maxPushesPerMessage = max(on.maxPushesPerMessage, pushes)
+	if message.Push == nil || message.Push.Scope.isLeaf() || !taken {
 		return
 	}
-	handled := handledScope{on, on.lives, message.Push.Scope}
-	if n.handled[handled] && pushes > 0 {
+	handled := handledScope{on, on.startCount, message.Push.Scope}
+	if n.handledScopes[handled] && pushes > 0 {
 		n.fail(fmt.Errorf("%s passes a scope on twice", on.member.Name))
 	}
-	n.handled[handled] = true
+	n.handledScopes[handled] = true
 }
 
 // handledScope is a scope that a node took over in one of its lives.
 type handledScope struct {
-	on    *node
-	lives int
-	scope Scope
+	node       *node
+	startCount int
+	scope      Scope
 }
 
 func (n *network) publish(on *node, change Change) {
@@ -340,15 +340,15 @@
 func (n *network) checkBudgets() error {
 	allowed := burstSeconds * n.config.BytesPerSecond
 	for _, each := range n.nodes {
-		if each.sent.worst > allowed+1 {
-			return fmt.Errorf("%s exceeds its bytes by %.0f", each.member.Name, each.sent.worst-allowed)
+		if each.sentMeter.maxLevelBytes > allowed+1 {
+			return fmt.Errorf("%s exceeds its bytes by %.0f", each.member.Name, each.sentMeter.maxLevelBytes-allowed)
 		}
 	}
 	return nil
 }
 
-// converged reports an error where two nodes that are up hold different entries, or vectors other than the wanted one.
-func (n *network) converged(wanted map[string]Change) error {
+// checkConverged reports an error where two nodes that are up hold different entries, or vectors other than the wanted one.
+func (n *network) checkConverged(wanted map[string]Change) error {
 	for _, each := range n.nodes {
 		if each.down || each.replica == nil || each.intercept != nil {
 			continue
@@ -365,14 +365,14 @@
 	return nil
 }
 
-// busiest returns the highest value among the nodes.
-func (n *network) busiest(value func(*node) int64) int64 {
+// maxOverNodes returns the highest value among the nodes.
+func (n *network) maxOverNodes(value func(*node) int64) int64 {
 	return value(slices.MaxFunc(n.nodes, func(a, b *node) int { return cmp.Compare(value(a), value(b)) }))
 }
 
 func (n *network) resetPeaks() {
 	for _, each := range n.nodes {
-		each.peak, each.total, each.second, each.inSecond = 0, 0, -1, 0
+		each.peakSecondBytes, each.totalBytes, each.meteredSecond, each.meteredBytes = 0, 0, -1, 0
 	}
 }
 
--- a/internal/configsync/store.go
+++ b/internal/configsync/store.go
@@ -14,32 +14,33 @@
 	ErrFull      = errors.New("too many configuration entries")
 )
 
-// maxSources bounds the version vectors of stores and of messages.
+// maxSources limits the size of version vectors in stores and in messages.
 const maxSources = 64
 
 // Store holds the entries in force and the version vector that describes them. Merging is commutative, associative and
-// idempotent: the order, the grouping and the number of arrivals of a set of changes do not matter. It keeps the slices of the
-// changes that it is given; nobody may modify them afterwards.
+// idempotent: the result does not depend on the order, the grouping or the repetition of changes. The store keeps the slices of
+// the changes that it is given, so that nobody may modify them afterwards.
 type Store struct {
 	verifier    Verifier
 	maxEntries  int
 	entries     map[string]entry
 	sources     map[string]*sourceIndex
-	names       []string // of the sources, sorted
+	sourceNames []string // sorted
 	digest      uint64
 	maxRevision uint64
-	// vector caches what is told others. It is shared with messages, hence replaced and never modified.
-	vector  VersionVector
-	planted plantedDefects
+	// advertisedCache caches the version vector that other relays are told. It is shared with messages, so that it is replaced
+	// and never modified.
+	advertisedCache VersionVector
+	faults          injectedFaults
 }
 
-// entry is the change in force of one key; removed ones are kept.
+// entry is the change in force of one key. Entries that were removed are kept.
 type entry struct {
 	change *Change
 	hash   uint64
 }
 
-// NewStore returns an empty store that holds at most maxEntries entries, removed ones included.
+// NewStore returns an empty store that holds at most maxEntries entries, including removed ones.
 func NewStore(verifier Verifier, maxEntries int) *Store {
 	return &Store{verifier: verifier, maxEntries: maxEntries, entries: map[string]entry{}, sources: map[string]*sourceIndex{}}
 }
@@ -50,20 +51,20 @@
 	return result.inForce, err
 }
 
-// mergeResult says what a merged change was to the store.
+// mergeResult describes the effect of a merged change on the store.
 type mergeResult struct {
-	inForce bool // it came into force
-	known   bool // its sequence had been seen
+	inForce  bool // the change came into force
+	wasKnown bool // the sequence of the change had been seen before
 }
 
-// merge verifies a change and merges it. The store keeps the pointer where the change comes into force.
+// merge verifies a change and merges it. The store keeps the pointer if the change comes into force.
 func (s *Store) merge(change *Change) (mergeResult, error) {
 	if err := change.validate(); err != nil {
 		return mergeResult{}, err
 	}
 	current, exists := s.entries[change.Key]
 	if exists && current.change.Sequence == change.Sequence && compareChanges(current.change, change) == 0 {
-		return mergeResult{known: true}, nil
+		return mergeResult{wasKnown: true}, nil
 	}
 	if err := s.verify(change); err != nil {
 		return mergeResult{}, err
@@ -71,24 +72,24 @@
 	if !exists && len(s.entries) >= s.maxEntries {
 		return mergeResult{}, ErrFull
 	}
-	index, err := s.source(change.Source)
+	index, err := s.ensureSource(change.Source)
 	if err != nil {
 		return mergeResult{}, err
 	}
-	result := mergeResult{known: index.knows(change.Sequence)}
+	result := mergeResult{wasKnown: index.isKnown(change.Sequence)}
 	s.maxRevision = max(s.maxRevision, change.Revision)
-	if s.wins(change, current.change) {
+	if s.supersedes(change, current.change) {
 		result.inForce = true
-		s.replace(change, index)
-	} else if !result.known {
-		index.insert(reference{change.Sequence, change.Key})
+		s.putInForce(change, index)
+	} else if !result.wasKnown {
+		index.insert(changeReference{change.Sequence, change.Key})
 	}
-	s.note(change, index)
+	s.recordKnown(change, index)
 	return result, nil
 }
 
 func (s *Store) verify(change *Change) error {
-	if s.planted.skipVerification {
+	if s.faults.skipVerification {
 		return nil
 	}
 	if err := s.verifier.Verify(change); err != nil {
@@ -97,12 +98,12 @@
 	return nil
 }
 
-func (s *Store) wins(change, current *Change) bool {
-	return current == nil || s.planted.lastArrivalWins || compareChanges(change, current) > 0
+func (s *Store) supersedes(change, current *Change) bool {
+	return current == nil || s.faults.lastArrivalWins || compareChanges(change, current) > 0
 }
 
-// source returns the index of a source, a new one if need be.
-func (s *Store) source(name string) (*sourceIndex, error) {
+// ensureSource returns the index of a source, and creates the index if necessary.
+func (s *Store) ensureSource(name string) (*sourceIndex, error) {
 	if index := s.sources[name]; index != nil {
 		return index, nil
 	}
@@ -111,51 +112,51 @@
 	}
 	index := &sourceIndex{}
 	s.sources[name] = index
-	position, _ := slices.BinarySearch(s.names, name)
-	s.names = slices.Insert(s.names, position, name)
-	s.vector = nil
+	position, _ := slices.BinarySearch(s.sourceNames, name)
+	s.sourceNames = slices.Insert(s.sourceNames, position, name)
+	s.advertisedCache = nil
 	return index, nil
 }
 
-// replace brings a change into force.
-func (s *Store) replace(change *Change, index *sourceIndex) {
+// putInForce brings a change into force.
+func (s *Store) putInForce(change *Change, index *sourceIndex) {
 	old, exists := s.entries[change.Key]
 	if exists {
 		s.digest -= old.hash
-		s.sources[old.change.Source].live--
+		s.sources[old.change.Source].liveCount--
 	}
 	hash := change.hash()
 	s.digest += hash
 	s.entries[change.Key] = entry{change: change, hash: hash}
-	index.live++
-	index.insert(reference{change.Sequence, change.Key})
+	index.liveCount++
+	index.insert(changeReference{change.Sequence, change.Key})
 	if exists {
 		s.compact(old.change.Source)
 	}
 }
 
 func (s *Store) compact(source string) {
-	s.sources[source].compact(func(r reference) bool { return s.inForce(source, r) != nil })
+	s.sources[source].compact(func(r changeReference) bool { return s.changeInForce(source, r) != nil })
 }
 
-// note records that a change of a source has been seen.
-func (s *Store) note(change *Change, index *sourceIndex) {
-	if index.head == nil || index.head.Sequence < change.Sequence {
-		index.head = change
+// recordKnown records that a change of a source has been seen.
+func (s *Store) recordKnown(change *Change, index *sourceIndex) {
+	if index.highestChange == nil || index.highestChange.Sequence < change.Sequence {
+		index.highestChange = change
 	}
 	before := index.watermark
 	index.advance()
-	if s.planted.advanceOverGaps {
+	if s.faults.advanceOverGaps {
 		index.watermark = max(index.watermark, change.Sequence)
 	}
 	if index.watermark != before {
-		s.vector = nil
+		s.advertisedCache = nil
 	}
 	s.compact(change.Source)
 }
 
-// inForce returns the change that a reference points to, nil if it was superseded.
-func (s *Store) inForce(source string, r reference) *Change {
+// changeInForce returns the change that a reference points to, or nil if the change was superseded.
+func (s *Store) changeInForce(source string, r changeReference) *Change {
 	change := s.entries[r.key].change
 	if change == nil || change.Source != source || change.Sequence != r.sequence {
 		return nil
@@ -163,7 +164,7 @@
 	return change
 }
 
-// Get returns the change in force for a key; removed entries are not in force.
+// Get returns the change in force for a key. It reports false for a removed entry.
 func (s *Store) Get(key string) (Change, bool) {
 	found, ok := s.entries[key]
 	if !ok || found.change.Removed {
@@ -172,7 +173,7 @@
 	return *found.change, true
 }
 
-// Entries returns all entries that are kept, removed ones included, in the order of their keys.
+// Entries returns all entries in the order of their keys, including removed ones.
 func (s *Store) Entries() []Change {
 	changes := make([]Change, 0, len(s.entries))
 	for _, key := range slices.Sorted(maps.Keys(s.entries)) {
@@ -190,68 +191,69 @@
 	return versions
 }
 
-// SetVersions restores a version vector that was saved together with Entries. It lowers no version.
+// SetVersions restores a version vector that was saved together with Entries. It never lowers a version.
 func (s *Store) SetVersions(versions VersionVector) {
 	for name, version := range versions {
 		if !validName(name, MaxSourceBytes) || !validNumber(version) {
 			continue
 		}
-		index, err := s.source(name)
+		index, err := s.ensureSource(name)
 		if err != nil {
 			continue
 		}
 		index.watermark = max(index.watermark, version)
 		index.advance()
 	}
-	s.vector = nil
+	s.advertisedCache = nil
 }
 
-// Digest summarises the entries, independent of the order in which they came.
+// Digest summarizes the entries. It does not depend on the order in which they arrived.
 func (s *Store) Digest() uint64 { return s.digest }
 
-// Next returns the sequence and revision that the next change of a source has to carry.
+// Next returns the sequence and the revision for the next change of a source.
 func (s *Store) Next(source string) (sequence, revision uint64) {
 	sequence = 1
 	if index := s.sources[source]; index != nil {
-		sequence = index.highest() + 1
+		sequence = index.highestSequence() + 1
 	}
 	return sequence, s.maxRevision + 1
 }
 
-// said returns the version vector to tell others, which is below Versions while everything is pulled anew. It is shared:
-// nobody may modify it.
-func (s *Store) said() VersionVector {
-	if s.vector == nil {
-		s.vector = make(VersionVector, len(s.sources))
+// advertisedVersions returns the version vector that other relays are told. It is lower than Versions while everything is
+// pulled again. The vector is shared, so that nobody may modify it.
+func (s *Store) advertisedVersions() VersionVector {
+	if s.advertisedCache == nil {
+		s.advertisedCache = make(VersionVector, len(s.sources))
 		for name, index := range s.sources {
-			s.vector[name] = index.said()
+			s.advertisedCache[name] = index.advertisedWatermark()
 		}
 	}
-	return s.vector
+	return s.advertisedCache
 }
 
-// ahead counts the known changes beyond the vector that is told others.
-func (s *Store) ahead() int {
+// countAhead returns the number of references beyond the advertised version vector.
+func (s *Store) countAhead() int {
 	total := 0
 	for _, index := range s.sources {
-		total += index.ahead()
+		total += index.countAhead()
 	}
 	return total
 }
 
-// rewind has everything pulled anew, since the store lacks an entry that its vector covers, or its peer does: it tells others
-// that it knows nothing. What it holds it keeps, and it goes on serving all up to its watermarks: were those given up, then no
-// relay of a fleet that has rewound could vouch for the gaps that superseded changes leave.
+// rewind makes the store pull everything again, because the store or its peer lacks an entry that the version vector covers.
+// The store advertises that it knows nothing. It keeps its entries and still serves all changes up to its watermarks. If a
+// rewind gave up the watermarks, no relay could confirm the gaps that superseded changes leave once every relay of a fleet has
+// rewound.
 func (s *Store) rewind() {
 	for _, index := range s.sources {
-		index.rewound, index.rewinding = 0, index.watermark > 0
+		index.rewoundWatermark, index.rewinding = 0, index.watermark > 0
 	}
-	s.vector = nil
+	s.advertisedCache = nil
 }
 
-// cover takes over another store's claim that the changes in (after, through] are all that is in force of them, once they have
-// been merged.
-func (s *Store) cover(source string, after, through uint64) {
+// acceptCoverage accepts another store's claim about the changes in (after, through]: the changes just merged are all of that
+// range that are in force.
+func (s *Store) acceptCoverage(source string, after, through uint64) {
 	index := s.sources[source]
 	if index == nil {
 		return
@@ -260,32 +262,32 @@
 		index.watermark = through
 		index.advance()
 	}
-	if index.rewinding && after <= index.rewound {
-		index.rewound = max(index.rewound, through)
-		index.rewinding = s.holdsBetween(source, index.rewound, index.watermark)
+	if index.rewinding && after <= index.rewoundWatermark {
+		index.rewoundWatermark = max(index.rewoundWatermark, through)
+		index.rewinding = s.hasChangeInForce(source, index.rewoundWatermark, index.watermark)
 	}
-	s.vector = nil
+	s.advertisedCache = nil
 }
 
-// holdsBetween reports whether the change of any sequence in (after, through] is in force.
-func (s *Store) holdsBetween(source string, after, through uint64) bool {
+// hasChangeInForce reports whether a change with a sequence in (after, through] is in force.
+func (s *Store) hasChangeInForce(source string, after, through uint64) bool {
 	found := false
-	s.each(source, after, through, func(*Change) bool {
+	s.eachInForce(source, after, through, func(*Change) bool {
 		found = true
 		return false
 	})
 	return found
 }
 
-// each calls use with the changes of a source in force whose sequence lies in (after, through], ascending, until it returns
-// false.
-func (s *Store) each(source string, after, through uint64, use func(*Change) bool) {
+// eachInForce calls visit for the changes of a source that are in force and have a sequence in (after, through], in ascending
+// order. It stops when visit returns false.
+func (s *Store) eachInForce(source string, after, through uint64, visit func(*Change) bool) {
 	index := s.sources[source]
-	for _, r := range index.references[index.position(after):] {
+	for _, r := range index.references[index.firstAfter(after):] {
 		if r.sequence > through {
 			return
 		}
-		if change := s.inForce(source, r); change != nil && !use(change) {
+		if change := s.changeInForce(source, r); change != nil && !visit(change) {
 			return
 		}
 	}
--- a/internal/configsync/store_test.go
+++ b/internal/configsync/store_test.go
@@ -117,7 +117,7 @@
 	if got := s.Versions()["a"]; got != 1 {
 		t.Errorf("watermark %d before the gap", got)
 	}
-	if ahead := s.ahead(); ahead != 3 {
+	if ahead := s.countAhead(); ahead != 3 {
 		t.Errorf("%d known ahead", ahead)
 	}
 	if sequence, revision := s.Next("a"); sequence != 7 || revision != 7 {
@@ -130,15 +130,15 @@
 	if got := s.Versions()["a"]; got != 4 {
 		t.Errorf("watermark %d after the first gap is filled, 3 superseded", got)
 	}
-	s.cover("a", 5, 9) // leaves 5 out
+	s.acceptCoverage("a", 5, 9) // leaves 5 out
 	if got := s.Versions()["a"]; got != 4 {
 		t.Errorf("watermark %d after a claim beyond a gap", got)
 	}
-	s.cover("a", 2, 5)
+	s.acceptCoverage("a", 2, 5)
 	if got := s.Versions()["a"]; got != 6 {
 		t.Errorf("watermark %d after a claim up to what is known", got)
 	}
-	s.cover("nobody", 0, 5)
+	s.acceptCoverage("nobody", 0, 5)
 	if _, ok := s.Versions()["nobody"]; ok {
 		t.Error("a claim made a source")
 	}
@@ -205,18 +205,18 @@
 		mustApply(t, s, change("a", i, i, fmt.Sprint(i%7), ""))
 	}
 	index := s.sources["a"]
-	if len(index.references) > 200 || index.watermark != changes || index.live != 7 {
-		t.Errorf("%d references, watermark %d, %d live", len(index.references), index.watermark, index.live)
+	if len(index.references) > 200 || index.watermark != changes || index.liveCount != 7 {
+		t.Errorf("%d references, watermark %d, %d live", len(index.references), index.watermark, index.liveCount)
 	}
 	for i := uint64(changes + 2); i <= 3*changes; i++ { // all beyond a gap
 		mustApply(t, s, change("a", i, i, fmt.Sprint(i%7), ""))
 	}
-	if len(index.references) > 4*maxKnownAhead || index.watermark != changes || index.live != 7 {
-		t.Errorf("%d references, watermark %d, %d live", len(index.references), index.watermark, index.live)
+	if len(index.references) > 4*maxKnownAhead || index.watermark != changes || index.liveCount != 7 {
+		t.Errorf("%d references, watermark %d, %d live", len(index.references), index.watermark, index.liveCount)
 	}
-	s.cover("a", changes, 3*changes)
-	if s.ahead() != 0 {
-		t.Errorf("%d ahead of the newest", s.ahead())
+	s.acceptCoverage("a", changes, 3*changes)
+	if s.countAhead() != 0 {
+		t.Errorf("%d ahead of the newest", s.countAhead())
 	}
 }
 
