--- a/internal/configsync/fleet_test.go
+++ b/internal/configsync/fleet_test.go
@@ -8,20 +8,20 @@
 	"time"
 )
 
-// controller numbers the changes of one source as a control machine does.
+// controller numbers the changes of one source like a control machine does.
 type controller struct {
 	source   string
 	sequence uint64
 }
 
-// next returns a change of some 200 bytes to a key of its own.
+// next returns a change of about 200 bytes to a key that no other change has.
 func (c *controller) next() Change {
 	c.sequence++
 	return Change{Source: c.source, Sequence: c.sequence, Revision: c.sequence, Value: make([]byte, 90),
 		Key: fmt.Sprintf("endpoint/s-%s-%06d", c.source, c.sequence), Signature: make([]byte, 64)}
 }
 
-// changeLatencies records when each change, by its key, came into force at each relay.
+// changeLatencies records how long each change, identified by its key, took to come into force at each relay.
 type changeLatencies struct {
 	publishedAt map[string]time.Duration
 	latencies   map[string]map[*node]time.Duration
@@ -48,15 +48,15 @@
 	n.publish(on, change)
 }
 
-// slowestPerChange returns, for each change, the time by which all of the relays that count had it, ascending.
-func (a *changeLatencies) slowestPerChange(t *testing.T, n *network, counts func(*node) bool) []time.Duration {
+// slowestPerChange returns for each change the time until all selected relays had it, in ascending order.
+func (a *changeLatencies) slowestPerChange(t *testing.T, n *network, isSelected func(*node) bool) []time.Duration {
 	t.Helper()
-	var last []time.Duration
+	var slowestTimes []time.Duration
 	for key := range a.publishedAt {
 		slowest, missing := time.Duration(0), 0
 		for _, each := range n.nodes {
 			took, ok := a.latencies[key][each]
-			if !counts(each) {
+			if !isSelected(each) {
 				continue
 			}
 			if !ok {
@@ -65,17 +65,17 @@
 			slowest = max(slowest, took)
 		}
 		if missing > 0 {
-			t.Errorf("%s did not reach %d relays", key, missing)
+			t.Errorf("change of %s did not reach %d relays", key, missing)
 		}
-		last = append(last, slowest)
+		slowestTimes = append(slowestTimes, slowest)
 	}
-	slices.Sort(last)
-	return last
+	slices.Sort(slowestTimes)
+	return slowestTimes
 }
 
 func isNodeUp(each *node) bool { return !each.down }
 
-// logCounters logs what the counters of all replicas add up to.
+// logCounters logs the sums of the counters of all replicas.
 func (n *network) logCounters(t *testing.T, phase string) {
 	t.Helper()
 	t.Logf("%s: busiest second %d B; retries %d abandoned %d repaired %d duplicates %d over budget %d", phase,
@@ -84,15 +84,15 @@
 		n.sum(func(c Counters) int64 { return c.Duplicates }), n.sum(func(c Counters) int64 { return c.OverBudget }))
 }
 
-// The goals at 3,900 relays.
+// Goals for a fleet of 3,900 relays.
 const (
 	maxFleetRelays           = 3900
-	maxBusiestBytesPerSecond = 2500 // bytes a second
+	maxBusiestBytesPerSecond = 2500
 	maxTimeToAll             = 7 * time.Second
 )
 
-// TestFullFleet runs the largest fleet at 1 % loss: ordinary changes, a burst of 20, and then a zone that dies and is listed for
-// 10 s more, while other relays restart.
+// TestFullFleet runs the largest fleet at 1 % packet loss. It publishes ordinary changes and then a burst of 20. Finally a zone
+// fails, stays in the membership for 10 s more, and other relays restart.
 func TestFullFleet(t *testing.T) {
 	n := newNetwork(1, fleetMembers(maxFleetRelays, 3, 3), acceptAll{}, injectedFaults{})
 	n.lossProbability = 0.01
@@ -100,34 +100,34 @@
 	n.run(5 * time.Second)
 	n.resetPeaks()
 	source := &controller{source: "control-1"}
-	began := n.now
+	startedAt := n.now
 
 	ordinary := recordLatencies(n)
 	for i := range 5 {
-		n.at(n.now+time.Duration(i)*6*time.Second, func() { ordinary.publish(n, n.nodes[17], source) })
+		n.schedule(n.now+time.Duration(i)*6*time.Second, func() { ordinary.publish(n, n.nodes[17], source) })
 	}
 	n.run(n.now + 30*time.Second)
 	n.logCounters(t, "ordinary")
 	last := ordinary.slowestPerChange(t, n, isNodeUp)
 	bound := n.config.Bound(maxFleetRelays, maxOneWayDelay, n.lossProbability)
-	t.Logf("ordinary: all know after %v, bound %v", last, bound)
+	t.Logf("ordinary: changes reached all relays after %v, bound %v", last, bound)
 	if last[len(last)-1] > bound {
-		t.Errorf("all know after %v, above the bound of %v", last[len(last)-1], bound)
+		t.Errorf("change reached all relays after %v, above the bound of %v", last[len(last)-1], bound)
 	}
 
 	burst := recordLatencies(n)
 	for i := range 20 {
-		n.at(n.now+time.Duration(i)*50*time.Millisecond, func() { burst.publish(n, n.nodes[17], source) })
+		n.schedule(n.now+time.Duration(i)*50*time.Millisecond, func() { burst.publish(n, n.nodes[17], source) })
 	}
 	n.run(n.now + 10*time.Second)
 	n.logCounters(t, "burst")
 	last = burst.slowestPerChange(t, n, isNodeUp)
-	t.Logf("burst: all know after %v to %v", last[0], last[len(last)-1])
+	t.Logf("burst: changes reached all relays after %v to %v", last[0], last[len(last)-1])
 	if last[len(last)-1] > maxTimeToAll {
-		t.Errorf("all know a burst after %v", last[len(last)-1])
+		t.Errorf("burst reached all relays after %v", last[len(last)-1])
 	}
-	busiest := float64(n.maxOverNodes(func(x *node) int64 { return x.totalBytes })) / (n.now - began).Seconds()
-	t.Logf("busiest relay %.0f B/s over the %v with the burst", busiest, n.now-began)
+	busiest := float64(n.maxOverNodes(func(x *node) int64 { return x.totalBytes })) / (n.now - startedAt).Seconds()
+	t.Logf("busiest relay sends %.0f B/s during the %v that include the burst", busiest, n.now-startedAt)
 	if busiest > maxBusiestBytesPerSecond {
 		t.Errorf("busiest relay sends %.0f B/s", busiest)
 	}
@@ -141,19 +141,19 @@
 	}
 }
 
-// loseZone publishes changes while a whole zone is dead and still listed, and relays of others restart.
+// loseZone publishes changes while a whole zone is down but still in the membership, and while relays of other zones restart.
 func (n *network) loseZone(t *testing.T, source *controller) {
 	t.Helper()
-	const listed = 10 * time.Second
-	var left []Member
+	const membershipDelay = 10 * time.Second
+	var remainingMembers []Member
 	for _, each := range n.nodes {
 		if each.member.Region == "region-1" && each.member.Zone == "zone-1" {
 			each.down = true
 		} else {
-			left = append(left, each.member)
+			remainingMembers = append(remainingMembers, each.member)
 		}
 	}
-	died, remaining := n.now, NewMembership(left)
+	failedAt, remaining := n.now, NewMembership(remainingMembers)
 	restarted := map[*node]bool{}
 	for i := range 20 {
 		each := n.nodes[n.random.IntN(len(n.nodes))]
@@ -161,30 +161,30 @@
 			continue
 		}
 		restarted[each] = true
-		n.at(n.now+time.Duration(i)*200*time.Millisecond, func() { n.restart(each, 2*time.Second) })
+		n.schedule(n.now+time.Duration(i)*200*time.Millisecond, func() { n.restart(each, 2*time.Second) })
 	}
-	lost := recordLatencies(n)
+	latencies := recordLatencies(n)
 	for i := range 4 {
-		n.at(n.now+time.Duration(i)*2*time.Second, func() { lost.publish(n, n.nodes[17], source) })
+		n.schedule(n.now+time.Duration(i)*2*time.Second, func() { latencies.publish(n, n.nodes[17], source) })
 	}
-	n.run(died + listed)
+	n.run(failedAt + membershipDelay)
 	for _, each := range n.nodes {
 		if !each.down {
 			each.replica.SetMembership(n.now, remaining)
-			n.schedule(each)
+			n.scheduleTick(each)
 		}
 	}
-	n.run(died + listed + 10*time.Second)
+	n.run(failedAt + membershipDelay + 10*time.Second)
 	n.logCounters(t, "zone lost")
-	last := lost.slowestPerChange(t, n, func(each *node) bool { return isNodeUp(each) && !restarted[each] })
-	t.Logf("zone lost: all know after %v", last)
+	last := latencies.slowestPerChange(t, n, func(each *node) bool { return isNodeUp(each) && !restarted[each] })
+	t.Logf("zone lost: changes reached all relays after %v", last)
 	if last[len(last)-1] > maxTimeToAll {
-		t.Errorf("all know after %v while a zone is dead", last[len(last)-1])
+		t.Errorf("change reached all relays after %v while a zone is down", last[len(last)-1])
 	}
-	lost.slowestPerChange(t, n, isNodeUp) // those that restarted know all as well
+	latencies.slowestPerChange(t, n, isNodeUp) // restarted relays also know all changes
 }
 
-// TestBoundHolds measures how often a change takes longer than its bound, which should be once in 1,000 times.
+// TestBoundHolds measures how often a change takes longer than its bound. The expected rate is once in 1,000 changes.
 func TestBoundHolds(t *testing.T) {
 	for _, c := range []struct {
 		relays int
@@ -194,14 +194,14 @@
 		n := newNetwork(uint64(c.relays), fleetMembers(c.relays, 3, 2), acceptAll{}, injectedFaults{})
 		n.lossProbability = c.loss
 		n.startAll()
-		times := recordLatencies(n)
+		latencies := recordLatencies(n)
 		source := &controller{source: "control-1"}
 		for i := range changes {
-			n.at(time.Duration(i+1)*3*time.Second, func() { times.publish(n, n.nodes[i%c.relays], source) })
+			n.schedule(time.Duration(i+1)*3*time.Second, func() { latencies.publish(n, n.nodes[i%c.relays], source) })
 		}
 		n.run((changes + 20) * 3 * time.Second)
 		bound := n.config.Bound(c.relays, maxOneWayDelay, c.loss)
-		last := times.slowestPerChange(t, n, isNodeUp)
+		last := latencies.slowestPerChange(t, n, isNodeUp)
 		t.Logf("%d relays, loss %.2f: median %v, 99th of 100 %v, slowest %v, bound %v", c.relays, c.loss, last[changes/2],
 			last[changes-2], last[changes-1], bound)
 		if last[changes-2] > bound {
@@ -210,8 +210,9 @@
 	}
 }
 
-// TestCostGrowsNoFasterThanRoot compares the busiest relay's bytes at growing fleets with the root of their size.
-func TestCostGrowsNoFasterThanRoot(t *testing.T) {
+// TestCostGrowsNoFasterThanSquareRoot checks that the bytes of the busiest relay grow no faster than the square root of the fleet's
+// size.
+func TestCostGrowsNoFasterThanSquareRoot(t *testing.T) {
 	costs := map[int]float64{}
 	sizes := []int{16, 64, 256, 1024}
 	for _, relays := range sizes {
@@ -220,43 +221,44 @@
 		n.startAll()
 		n.run(5 * time.Second)
 		n.resetPeaks()
-		times := recordLatencies(n)
+		latencies := recordLatencies(n)
 		source := &controller{source: "control-1"}
 		const changes = 10
 		for i := range changes {
-			n.at(n.now+time.Duration(i)*6*time.Second, func() { times.publish(n, n.nodes[i%relays], source) })
+			n.schedule(n.now+time.Duration(i)*6*time.Second, func() { latencies.publish(n, n.nodes[i%relays], source) })
 		}
-		began := n.now
-		n.run(began + changes*6*time.Second)
-		costs[relays] = float64(n.maxOverNodes(func(x *node) int64 { return x.totalBytes })) / (n.now - began).Seconds()
+		startedAt := n.now
+		n.run(startedAt + changes*6*time.Second)
+		costs[relays] = float64(n.maxOverNodes(func(x *node) int64 { return x.totalBytes })) / (n.now - startedAt).Seconds()
 		mean := float64(n.sum(func(c Counters) int64 { return c.SentBytes })) / float64(relays) / n.now.Seconds()
 		t.Logf("%d relays: busiest %.0f B/s, mean %.0f B/s", relays, costs[relays], mean)
-		times.slowestPerChange(t, n, isNodeUp)
+		latencies.slowestPerChange(t, n, isNodeUp)
 	}
 	for i, larger := range sizes {
 		for _, smaller := range sizes[:i] {
 			if growth := costs[larger] / costs[smaller]; growth > math.Sqrt(float64(larger)/float64(smaller)) {
-				t.Errorf("from %d to %d relays the busiest one's cost grows by %.2f", smaller, larger, growth)
+				t.Errorf("from %d to %d relays, the bytes of the busiest relay grow by a factor of %.2f", smaller, larger, growth)
 			}
 		}
 	}
 }
 
-// TestTreeSendsOnceWithoutLoss checks that nothing is sent twice but to the relay that published, which is in one part of each level.
+// TestTreeSendsOnceWithoutLoss checks that no member receives a push twice. The exception is the publishing relay, which
+// belongs to one part at each level of the tree.
 func TestTreeSendsOnceWithoutLoss(t *testing.T) {
 	const relays = 500
 	n := newNetwork(9, fleetMembers(relays, 3, 3), acceptAll{}, injectedFaults{})
 	n.config.Exchange = time.Hour
 	n.startAll()
-	times := recordLatencies(n)
+	latencies := recordLatencies(n)
 	source := &controller{source: "control-1"}
 	n.run(time.Second)
-	times.publish(n, n.nodes[3], source)
+	latencies.publish(n, n.nodes[3], source)
 	n.run(5 * time.Second)
-	times.slowestPerChange(t, n, isNodeUp)
+	latencies.slowestPerChange(t, n, isNodeUp)
 	pushes := n.sum(func(c Counters) int64 { return c.Pushes })
-	if most := int64(relays + treeDepth(relays, n.config.FanOut)); pushes > most {
-		t.Errorf("%d pushes to %d relays, more than %d", pushes, relays, most)
+	if maxPushes := int64(relays + treeDepth(relays, n.config.FanOut)); pushes > maxPushes {
+		t.Errorf("%d pushes to %d relays, want at most %d", pushes, relays, maxPushes)
 	}
 	if retries := n.sum(func(c Counters) int64 { return c.Retries }); retries > 0 {
 		t.Errorf("%d retries without loss", retries)
--- a/internal/configsync/membership.go
+++ b/internal/configsync/membership.go
@@ -35,9 +35,8 @@
 // once in 10 million pushes. One of these members may then have to wait for anti-entropy.
 const positionHashBits = 48
 
-// positionHashDigits is the number of hexadecimal digits of the hash in a position. afterHexDigits sorts after every
-// hexadecimal digit.
 const (
+	// positionHashDigits is the number of hexadecimal digits of the hash in a position.
 	positionHashDigits = positionHashBits / 4
 	// afterHexDigits sorts after every hexadecimal digit.
 	afterHexDigits = "g"
--- a/internal/configsync/membership_test.go
+++ b/internal/configsync/membership_test.go
@@ -12,7 +12,7 @@
 	"slatemux/internal/proptest"
 )
 
-// drawPosition returns an end of a scope as a member's position, something close to one, or anything.
+// drawPosition returns an end of a scope: the position of a member, a similar string, or any string.
 func drawPosition(rt *rapid.T, m *Membership, salt uint64) Position {
 	anything := Position(rapid.StringN(0, 30, 60).Draw(rt, "text"))
 	if len(m.members) == 0 || rapid.IntRange(0, 3).Draw(rt, "kind") == 0 {
@@ -31,24 +31,24 @@
 	return position
 }
 
-// TestWithinFindsTheScope compares the members that are found in a scope with a comparison of every position.
-func TestWithinFindsTheScope(t *testing.T) {
+// TestAppendInScopeFindsAllMembers compares the members that appendInScope finds with a search over the positions of all members.
+func TestAppendInScopeFindsAllMembers(t *testing.T) {
 	proptest.Check(t, func(rt *rapid.T) {
 		members := fleetMembers(rapid.IntRange(0, 60).Draw(rt, "members"), rapid.IntRange(1, 4).Draw(rt, "regions"), 3)
 		m := NewMembership(members)
 		scope := Scope{Salt: rapid.Uint64().Draw(rt, "salt")}
 		scope.Low, scope.High = drawPosition(rt, m, scope.Salt), drawPosition(rt, m, scope.Salt)
-		except := rapid.IntRange(-1, len(members)).Draw(rt, "except")
+		excluded := rapid.IntRange(-1, len(members)).Draw(rt, "except")
 		var want []string
 		for i := range m.members {
 			position := m.position(m.candidateAt(i, scope.Salt))
-			if position >= scope.Low && position < scope.High && i != except {
+			if position >= scope.Low && position < scope.High && i != excluded {
 				want = append(want, string(position)+m.members[i].Name)
 			}
 		}
 		slices.Sort(want)
 		var got []string
-		for _, c := range m.appendInScope(nil, scope, except) {
+		for _, c := range m.appendInScope(nil, scope, excluded) {
 			got = append(got, string(m.position(c))+m.members[c.memberIndex].Name)
 		}
 		if !slices.Equal(got, want) {
@@ -57,46 +57,47 @@
 	})
 }
 
-func TestMembershipKeepsTheFirstOfOneName(t *testing.T) {
+func TestMembershipKeepsFirstOfDuplicateNames(t *testing.T) {
 	m := NewMembership([]Member{{Name: "a", Zone: "1"}, {Name: "b", Zone: "2"}, {Name: "a", Zone: "3"}})
 	if len(m.members) != 2 {
-		t.Fatalf("%d members", len(m.members))
+		t.Fatalf("membership holds %d members, want 2", len(m.members))
 	}
 	if index, ok := m.index("a"); !ok || m.members[index].Zone != "1" {
-		t.Errorf("index %d, %t", index, ok)
+		t.Errorf("index of a is %d, found %t", index, ok)
 	}
 	if _, ok := m.index("c"); ok {
-		t.Error("a stranger has an index")
+		t.Error("a relay that is not a member has an index")
 	}
 }
 
-// TestSaltsShuffleTheWork checks that the relays of a zone take turns at its first position.
-func TestSaltsShuffleTheWork(t *testing.T) {
+// TestSaltsSpreadWork checks that different salts put different relays of a zone at the zone's first position.
+func TestSaltsSpreadWork(t *testing.T) {
 	const relays, salts = 100, 20000
 	m := NewMembership(fleetMembers(relays, 1, 1))
-	first := make([]int, relays)
+	firstCounts := make([]int, relays)
 	random := rand.New(rand.NewPCG(3, 3))
 	for range salts {
 		scope := Scope{Salt: random.Uint64(), Low: firstPosition, High: lastPosition}
-		first[m.appendInScope(nil, scope, -1)[0].memberIndex]++
+		firstCounts[m.appendInScope(nil, scope, -1)[0].memberIndex]++
 	}
-	if least, most := slices.Min(first), slices.Max(first); least < 130 || most > 280 { // 200 expected, 5 deviations of 14
-		t.Errorf("first between %d and %d times", least, most)
+	// 200 are expected, the limits are about 5 standard deviations of 14 away.
+	if minCount, maxCount := slices.Min(firstCounts), slices.Max(firstCounts); minCount < 130 || maxCount > 280 {
+		t.Errorf("relays were first between %d and %d times", minCount, maxCount)
 	}
 }
 
-func TestLongestPositionIsThatOfAMember(t *testing.T) {
+func TestLongestPositionMatchesMembers(t *testing.T) {
 	m := NewMembership([]Member{{Name: "x", Region: "eu", Zone: "a"}, {Name: "y", Region: "eu-west", Zone: strings.Repeat("z", 9)}})
 	longest := 0
 	for i := range m.members {
 		longest = max(longest, len(m.position(m.candidateAt(i, 77))))
 	}
 	if len(m.longestPosition) != longest {
-		t.Errorf("longest %d, want %d", len(m.longestPosition), longest)
+		t.Errorf("longest position has %d bytes, want %d", len(m.longestPosition), longest)
 	}
 }
 
-func BenchmarkWithinWholeFleet(b *testing.B) {
+func BenchmarkAppendInScopeWholeFleet(b *testing.B) {
 	m := NewMembership(fleetMembers(maxFleetRelays, 3, 3))
 	var found []candidate
 	for i := range b.N {
--- a/internal/configsync/properties_test.go
+++ b/internal/configsync/properties_test.go
@@ -15,9 +15,9 @@
 	"slatemux/internal/proptest"
 )
 
-// The properties of this file are functions of a seed and of planted defects. The tests check them without any;
-// TestPlantedDefects checks that each defect is found by the property that it should violate.
-type property func(seed uint64, planted injectedFaults) error
+// A property is a function of a seed and of the injected faults. Most tests check the properties without faults.
+// TestInjectedFaultsAreDetected checks that the property that a fault should violate detects the fault.
+type property func(seed uint64, faults injectedFaults) error
 
 func checkProperty(t *testing.T, p property) {
 	t.Helper()
@@ -31,11 +31,11 @@
 
 func TestMergeKeepsHighestChange(t *testing.T)            { checkProperty(t, mergeProperty) }
 func TestTreeReachesAllMembers(t *testing.T)              { checkProperty(t, treeProperty) }
-func TestNetworksConverge(t *testing.T)                   { checkProperty(t, networkProperty) }
+func TestNetworkConvergesAfterFaults(t *testing.T)        { checkProperty(t, networkProperty) }
 func TestFleetConvergesDespiteHostileMember(t *testing.T) { checkProperty(t, hostileProperty) }
 func TestReunionStaysWithinBudgets(t *testing.T)          { checkSeeds(t, reunionProperty, 3) }
 
-// checkSeeds checks a property that takes long for a few seeds.
+// checkSeeds checks a slow property with a few seeds only.
 func checkSeeds(t *testing.T, p property, seeds uint64) {
 	t.Helper()
 	for seed := range seeds {
@@ -45,23 +45,23 @@
 	}
 }
 
-// TestInjectedFaultsAreDetected switches defects on, one by one: a property that does not notice is worth nothing.
+// TestInjectedFaultsAreDetected injects one fault at a time. It guards against properties that accept a faulty replica.
 func TestInjectedFaultsAreDetected(t *testing.T) {
 	cases := []struct {
-		name    string
-		planted injectedFaults
-		finds   property
+		name   string
+		faults injectedFaults
+		finds  property
 	}{
-		{"no signature check", injectedFaults{skipVerification: true}, hostileProperty},
-		{"a delta's claim is trusted beyond its signatures", injectedFaults{trustThrough: true}, hostileProperty},
+		{"signatures are not verified", injectedFaults{skipVerification: true}, hostileProperty},
+		{"the claim of a delta is accepted beyond its signatures", injectedFaults{trustThrough: true}, hostileProperty},
 		{"digests are not compared", injectedFaults{digestIgnored: true}, hostileProperty},
-		{"the last arrival wins", injectedFaults{lastArrivalWins: true}, mergeProperty},
+		{"the last change to arrive is in force", injectedFaults{lastArrivalWins: true}, mergeProperty},
 		{"the watermark advances over gaps", injectedFaults{advanceOverGaps: true}, networkProperty},
 		{"exchanges are not answered", injectedFaults{noAnswer: true}, networkProperty},
-		{"no retry", injectedFaults{noRetry: true}, treeProperty},
-		{"pushes are acknowledged and not passed on", injectedFaults{noForward: true}, treeProperty},
-		{"the scope is not split", injectedFaults{scopeNotSplit: true}, treeProperty},
-		{"a repeated push is passed on again", injectedFaults{duplicateForwards: true}, treeProperty},
+		{"lost pushes are not retried", injectedFaults{noRetry: true}, treeProperty},
+		{"pushes are acknowledged and not forwarded", injectedFaults{noForward: true}, treeProperty},
+		{"the scope is not divided", injectedFaults{scopeNotSplit: true}, treeProperty},
+		{"a repeated push is forwarded again", injectedFaults{duplicateForwards: true}, treeProperty},
 		{"no repair budget", injectedFaults{unlimitedRepair: true}, reunionProperty},
 		{"no byte budget", injectedFaults{unlimitedBytes: true}, burstProperty},
 	}
@@ -69,20 +69,20 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			for seed := range uint64(seeds) {
-				if err := c.finds(seed, c.planted); err != nil {
-					t.Logf("found with seed %d: %v", seed, err)
+				if err := c.finds(seed, c.faults); err != nil {
+					t.Logf("fault detected with seed %d: %v", seed, err)
 					return
 				}
 			}
-			t.Errorf("not found with %d seeds", seeds)
+			t.Errorf("fault not detected with %d seeds", seeds)
 		})
 	}
 }
 
-// signers sign by a keyed hash, which stands for Ed25519 where many relays verify many changes.
+// signers sign with a keyed hash. The hash replaces Ed25519, which would be slow with many relays that verify many changes.
 type signers map[string]uint64
 
-var errForged = errors.New("forged")
+var errForged = errors.New("forged signature")
 
 func (s signers) Verify(change *Change) error {
 	secret, ok := s[change.Source]
@@ -102,22 +102,22 @@
 	change.Signature = s.signature(change, s[change.Source])
 }
 
-// history is what a few sources have signed, and what is in force of it.
+// history holds the changes that a few sources have signed, and the change of each key that has to be in force.
 type history struct {
 	signers       signers
 	sources       []string
 	sequences     map[string]uint64
 	revision      uint64
-	keys          int
+	keyCount      int
 	changes       []Change
 	expected      map[string]Change
-	signedChanges map[string]bool // by signature
+	signedChanges map[string]bool // keyed by signature
 	random        *rand.Rand
 }
 
 func newHistory(random *rand.Rand) *history {
 	h := &history{signers: signers{}, sequences: map[string]uint64{}, expected: map[string]Change{}, signedChanges: map[string]bool{},
-		keys: 1 + random.IntN(24), random: random}
+		keyCount: 1 + random.IntN(24), random: random}
 	for i := range 1 + random.IntN(3) {
 		source := fmt.Sprintf("control-%d", i)
 		h.sources = append(h.sources, source)
@@ -126,13 +126,14 @@
 	return h
 }
 
-// next signs a change of a random source. Revisions may be equal where sources do not know of each other's.
+// next signs a change of a random source. Revisions of different sources may be equal, as for sources that do not know of each
+// other's changes.
 func (h *history) next() Change {
 	source := h.sources[h.random.IntN(len(h.sources))]
 	h.sequences[source]++
 	h.revision += uint64(h.random.IntN(3))
 	change := Change{Source: source, Sequence: h.sequences[source], Revision: h.revision + 1,
-		Key: fmt.Sprintf("endpoint/%d", h.random.IntN(h.keys)), Removed: h.random.IntN(6) == 0}
+		Key: fmt.Sprintf("endpoint/%d", h.random.IntN(h.keyCount)), Removed: h.random.IntN(6) == 0}
 	if !change.Removed {
 		change.Value = make([]byte, h.random.IntN(160))
 	}
@@ -144,15 +145,15 @@
 func (h *history) add(change Change) {
 	h.changes = append(h.changes, change)
 	h.signedChanges[string(change.Signature)] = true
-	held, ok := h.expected[change.Key]
-	if !ok || compareChanges(&change, &held) > 0 {
+	current, ok := h.expected[change.Key]
+	if !ok || compareChanges(&change, &current) > 0 {
 		h.expected[change.Key] = change
 	}
 }
 
-// mergeProperty: stores that take the same changes in, in whatever order, grouping and number, are equal; merging never lowers
-// what is in force; and what is in force is the maximum.
-func mergeProperty(seed uint64, planted injectedFaults) error {
+// mergeProperty checks three facts. Stores that merge the same changes are equal, whatever the order, the grouping and the
+// repetition. Merging never replaces a change with a lower one. The highest change of each key is in force.
+func mergeProperty(seed uint64, faults injectedFaults) error {
 	random := rand.New(rand.NewPCG(seed, 2))
 	h := newHistory(random)
 	for range 1 + random.IntN(40) {
@@ -161,7 +162,7 @@
 	var first *Store
 	for range 4 {
 		store := NewStore(h.signers, 1000)
-		store.faults = planted
+		store.faults = faults
 		arrivals := slices.Clone(h.changes)
 		for range random.IntN(10) {
 			arrivals = append(arrivals, arrivals[random.IntN(len(arrivals))])
@@ -182,7 +183,8 @@
 	return nil
 }
 
-// applyMonotonically applies a change and reports an error where a lower one is in force afterwards.
+// applyMonotonically applies a change and returns an error if the change in force afterwards is lower than before or than the
+// applied one.
 func applyMonotonically(store *Store, change Change) error {
 	before, existed := store.entries[change.Key]
 	inForce, err := store.Apply(change)
@@ -191,55 +193,56 @@
 	}
 	after := store.entries[change.Key]
 	if existed && compareChanges(after.change, before.change) < 0 {
-		return fmt.Errorf("%q went back from revision %d to %d", change.Key, before.change.Revision, after.change.Revision)
+		return fmt.Errorf("key %q: revision in force fell from %d to %d", change.Key, before.change.Revision, after.change.Revision)
 	}
 	if compareChanges(after.change, &change) < 0 {
-		return fmt.Errorf("%q did not rise to revision %d", change.Key, change.Revision)
+		return fmt.Errorf("key %q: revision in force is below the applied revision %d", change.Key, change.Revision)
 	}
 	if changed := !existed || compareChanges(after.change, before.change) != 0; changed != inForce {
-		return fmt.Errorf("%q: reported %t, changed %t", change.Key, inForce, changed)
+		return fmt.Errorf("key %q: Apply reported %t, entry changed %t", change.Key, inForce, changed)
 	}
 	return nil
 }
 
-func checkEqualStores(a, b *Store, wanted map[string]Change) error {
+func checkEqualStores(a, b *Store, expected map[string]Change) error {
 	if a.Digest() != b.Digest() || !equalVersions(a.Versions(), b.Versions()) {
-		return fmt.Errorf("digests %x and %x, vectors %v and %v", a.Digest(), b.Digest(), a.Versions(), b.Versions())
+		return fmt.Errorf("stores differ: digests %x and %x, vectors %v and %v", a.Digest(), b.Digest(), a.Versions(), b.Versions())
 	}
 	entries := b.Entries()
-	if len(entries) != len(wanted) {
-		return fmt.Errorf("%d entries of %d", len(entries), len(wanted))
+	if len(entries) != len(expected) {
+		return fmt.Errorf("store holds %d entries, want %d", len(entries), len(expected))
 	}
 	for i := range entries {
-		want := wanted[entries[i].Key]
+		want := expected[entries[i].Key]
 		if compareChanges(&entries[i], &want) != 0 {
-			return fmt.Errorf("%q is not the highest change", entries[i].Key)
+			return fmt.Errorf("key %q: highest change is not in force", entries[i].Key)
 		}
 		got, ok := b.Get(want.Key)
 		if ok == want.Removed || ok && compareChanges(&got, &want) != 0 {
-			return fmt.Errorf("Get(%q) is wrong", want.Key)
+			return fmt.Errorf("Get(%q) does not return the change in force", want.Key)
 		}
 	}
 	return nil
 }
 
-// checkApplied watches, on a network, that only what a history holds comes into force, and never a lower change after a higher.
+// checkApplied makes a network fail if a change comes into force that the history does not hold, or that is not higher than the
+// previous change of its key at the same node.
 func (h *history) checkApplied(n *network) {
 	highest := map[string]Change{}
 	n.onApplied = func(on *node, change *Change) {
 		if !h.signedChanges[string(change.Signature)] {
 			n.fail(fmt.Errorf("%s has an untrusted change of %q in force", on.member.Name, change.Key))
 		}
-		place := on.member.Name + "\x00" + change.Key
-		before, ok := highest[place]
+		nodeAndKey := on.member.Name + "\x00" + change.Key
+		before, ok := highest[nodeAndKey]
 		if ok && compareChanges(change, &before) <= 0 {
-			n.fail(fmt.Errorf("%s went back at %q", on.member.Name, change.Key))
+			n.fail(fmt.Errorf("%s replaced the change in force of %q with one that is not higher", on.member.Name, change.Key))
 		}
-		highest[place] = *change
+		highest[nodeAndKey] = *change
 	}
 }
 
-// publishAnywhere publishes a new change on a random node that is up and takes part.
+// publishAnywhere publishes a new change on a random node that is up and not intercepted.
 func (h *history) publishAnywhere(n *network) {
 	up := slices.DeleteFunc(slices.Clone(n.nodes), func(x *node) bool { return x.down || x.intercept != nil })
 	if len(up) > 0 {
@@ -247,13 +250,13 @@
 	}
 }
 
-// treeProperty: without anti-entropy a push reaches all, at 5 % loss, within the time of its hops and retries; no relay sends it
-// to more than FanOut members; and lost acknowledgements do not multiply it.
-func treeProperty(seed uint64, planted injectedFaults) error {
+// treeProperty checks the tree without anti-entropy, at 5 % packet loss. A push reaches all relays within the time of its hops
+// and retries. No relay sends a push to more than FanOut members. Lost acknowledgements do not multiply pushes.
+func treeProperty(seed uint64, faults injectedFaults) error {
 	random := rand.New(rand.NewPCG(seed, 3))
 	h := newHistory(random)
 	count := 2 + random.IntN(200)
-	n := newNetwork(seed, fleetMembers(count, 1+random.IntN(3), 1+random.IntN(3)), h.signers, planted)
+	n := newNetwork(seed, fleetMembers(count, 1+random.IntN(3), 1+random.IntN(3)), h.signers, faults)
 	n.config.Exchange = time.Hour
 	n.config.Attempts = 8
 	n.config.FanOut = 2 + random.IntN(4)
@@ -272,55 +275,57 @@
 	if err := n.checkConverged(h.expected); err != nil {
 		return err
 	}
-	const more = 9
-	for range more {
+	const morePublishes = 9
+	for range morePublishes {
 		h.publishAnywhere(n)
 		n.run(n.now + 10*time.Second)
 	}
 	if err := n.checkConverged(h.expected); err != nil {
 		return err
 	}
-	return n.checkTreeCost(count, 1+more)
+	return n.checkTreeCost(count, 1+morePublishes)
 }
 
-// checkTreeCost reports an error where the fleet has sent more pushes than a number of trees over count members can take.
+// checkTreeCost returns an error if the fleet has sent more pushes than the given number of trees over count members can take.
 func (n *network) checkTreeCost(count, trees int) error {
 	for _, each := range n.nodes {
 		if each.maxPushesPerMessage > n.config.FanOut {
-			return fmt.Errorf("%s passed a push on to %d members", each.member.Name, each.maxPushesPerMessage)
+			return fmt.Errorf("%s forwarded a push to %d members", each.member.Name, each.maxPushesPerMessage)
 		}
 	}
 	pushes := n.sum(func(c Counters) int64 { return c.Pushes })
-	// A lost packet or acknowledgement costs one push more, at 5 % loss about 0.11 for each member; and a lost acknowledgement of
-	// a scope's holder, with 0.05 at each of at most 8 levels, has that scope sent twice. 40 are for chance in small fleets.
-	most := int64(float64(trees*count)*1.6) + 40
-	if pushes > most {
-		return fmt.Errorf("%d pushes to %d members, more than %d", pushes, count, most)
+	// A lost packet or acknowledgement costs one more push, about 0.11 for each member at 5 % loss. If the acknowledgement of a
+	// scope's holder is lost, with probability 0.05 at each of at most 8 levels, the scope is sent twice. 40 allows for chance
+	// in small fleets.
+	maxPushes := int64(float64(trees*count)*1.6) + 40
+	if pushes > maxPushes {
+		return fmt.Errorf("%d pushes to %d members, want at most %d", pushes, count, maxPushes)
 	}
 	return nil
 }
 
-// networkProperty: relays with loss, duplication, reordering, restarts, cuts, different views and a member that passes nothing on
-// end equal once the faults are over, and no relay pulls everything anew.
-func networkProperty(seed uint64, planted injectedFaults) error {
+// networkProperty exposes relays to packet loss, duplication, reordering, restarts, network partitions, different views, and a
+// member that does not forward pushes. All relays hold the same entries some time after the faults end, and no relay pulls
+// everything again.
+func networkProperty(seed uint64, faults injectedFaults) error {
 	random := rand.New(rand.NewPCG(seed, 4))
 	h := newHistory(random)
 	count := 2 + random.IntN(20)
-	n := newNetwork(seed, fleetMembers(count, 1+random.IntN(3), 1+random.IntN(2)), h.signers, planted)
+	n := newNetwork(seed, fleetMembers(count, 1+random.IntN(3), 1+random.IntN(2)), h.signers, faults)
 	n.lossProbability = random.Float64() * 0.2
 	n.duplicateProbability = random.Float64() * 0.1
-	slowest := time.Duration(1 + random.Int64N(int64(300*time.Millisecond)))
-	n.delay = func(_, _ *node) time.Duration { return time.Duration(random.Int64N(int64(slowest))) }
+	maxDelay := time.Duration(1 + random.Int64N(int64(300*time.Millisecond)))
+	n.delay = func(_, _ *node) time.Duration { return time.Duration(random.Int64N(int64(maxDelay))) }
 	h.checkApplied(n)
 	n.startAll()
-	const healed = 30 * time.Second
-	scheduleFaults(n, random, healed)
+	const faultsEnd = 30 * time.Second
+	scheduleFaults(n, random, faultsEnd)
 	for range 1 + random.IntN(40) {
-		n.at(time.Duration(random.Int64N(int64(healed))), func() { h.publishAnywhere(n) })
+		n.schedule(time.Duration(random.Int64N(int64(faultsEnd))), func() { h.publishAnywhere(n) })
 	}
-	n.run(healed)
+	n.run(faultsEnd)
 	n.heal()
-	n.run(healed + n.config.Bound(count, slowest, n.lossProbability) + n.repairTime(h))
+	n.run(faultsEnd + n.config.Bound(count, maxDelay, n.lossProbability) + n.repairTime(h))
 	if n.err != nil {
 		return n.err
 	}
@@ -328,12 +333,13 @@
 		return err
 	}
 	if rewinds := n.sum(func(c Counters) int64 { return c.Rewinds }); rewinds > 0 {
-		return fmt.Errorf("%d times stores were taken for diverged", rewinds)
+		return fmt.Errorf("%d rewinds of stores, want none", rewinds)
 	}
 	return n.checkBudgets()
 }
 
-// repairTime is how long one relay may take to send all changes to another twice, and some exchanges that fail.
+// repairTime returns the time that one relay may take to send all changes to another relay twice, including some failed
+// exchanges.
 func (n *network) repairTime(h *history) time.Duration {
 	bytes := 0
 	for i := range h.changes {
@@ -342,12 +348,12 @@
 	return time.Duration(2*float64(bytes)/n.config.RepairBytesPerSecond*float64(time.Second)) + 20*n.config.Exchange
 }
 
-// scheduleFaults schedules a random set of faults that all end at one moment.
+// scheduleFaults schedules a random set of faults. All faults end by the given time.
 func scheduleFaults(n *network, random *rand.Rand, end time.Duration) {
 	moment := func() time.Duration { return time.Duration(random.Int64N(int64(end))) }
 	for range random.IntN(5) {
 		stopped := n.nodes[random.IntN(len(n.nodes))]
-		n.at(moment(), func() { n.restart(stopped, time.Duration(random.Int64N(int64(8*time.Second)))) })
+		n.schedule(moment(), func() { n.restart(stopped, time.Duration(random.Int64N(int64(8*time.Second)))) })
 	}
 	if random.IntN(2) == 0 {
 		from, until := moment(), moment()
@@ -359,7 +365,7 @@
 	}
 	if random.IntN(2) == 0 {
 		for _, each := range n.nodes {
-			n.at(moment(), func() {
+			n.schedule(moment(), func() {
 				if !each.down {
 					each.replica.SetMembership(n.now, partialView(n, each, random))
 				}
@@ -371,7 +377,7 @@
 	}
 }
 
-// partialView returns a view that lacks some members, but not its owner.
+// partialView returns a membership that lacks some members but includes its owner.
 func partialView(n *network, owner *node, random *rand.Rand) *Membership {
 	var members []Member
 	for _, each := range n.nodes {
@@ -392,7 +398,7 @@
 	}
 }
 
-// heal ends cuts and different views and starts what is down.
+// heal ends partitions and different views, and starts the nodes that are down.
 func (n *network) heal() {
 	n.isCut = nil
 	for _, each := range n.nodes {
@@ -400,34 +406,35 @@
 			n.start(each, n.fullMembership, each.store.Entries(), each.store.Versions())
 		}
 		each.replica.SetMembership(n.now, n.fullMembership)
-		n.schedule(each)
+		n.scheduleTick(each)
 	}
 }
 
-// hostileProperty: a member that forges changes, claims to cover what it withholds and more than there is, and sends absurd
-// vectors, brings nothing untrusted into force, and cannot keep the others from becoming equal once it stops.
-func hostileProperty(seed uint64, planted injectedFaults) error {
+// hostileProperty runs a fleet with a hostile member. The member forges changes, claims to cover changes that it withholds or
+// that do not exist, and sends invalid version vectors. No untrusted change comes into force, and the other relays become equal
+// after the attack ends.
+func hostileProperty(seed uint64, faults injectedFaults) error {
 	random := rand.New(rand.NewPCG(seed, 5))
 	h := newHistory(random)
 	count := 3 + random.IntN(12)
-	n := newNetwork(seed, fleetMembers(count, 1+random.IntN(3), 1), h.signers, planted)
+	n := newNetwork(seed, fleetMembers(count, 1+random.IntN(3), 1), h.signers, faults)
 	n.lossProbability = 0.25
 	h.checkApplied(n)
 	n.startAll()
 	hostile := n.nodes[random.IntN(count)]
 	n.ackWithoutForwarding(hostile)
-	const quiet = 20 * time.Second
-	for when := 100 * time.Millisecond; when < quiet; when += 150 * time.Millisecond {
-		n.at(when, func() { n.attack(hostile, h, random) })
+	const attackEnd = 20 * time.Second
+	for when := 100 * time.Millisecond; when < attackEnd; when += 150 * time.Millisecond {
+		n.schedule(when, func() { n.attack(hostile, h, random) })
 	}
 	for range 5 + random.IntN(20) {
-		n.at(time.Duration(random.Int64N(int64(quiet+10*time.Second))), func() {
+		n.schedule(time.Duration(random.Int64N(int64(attackEnd+10*time.Second))), func() {
 			h.publishAnywhere(n)
 			n.sendIncompleteDeltas(hostile, h, random)
 		})
 	}
 	const rewinds = 3
-	n.run(quiet + 10*time.Second + rewinds*(minRewindInterval+n.repairTime(h)))
+	n.run(attackEnd + 10*time.Second + rewinds*(minRewindInterval+n.repairTime(h)))
 	if n.err != nil {
 		return n.err
 	}
@@ -443,84 +450,86 @@
 	if victim == hostile || len(h.changes) == 0 {
 		return
 	}
-	genuine := h.changes[random.IntN(len(h.changes))]
+	signed := h.changes[random.IntN(len(h.changes))]
 	var message Message
 	switch random.IntN(5) {
 	case 0:
 		message = incompleteDelta(h)
-	case 1: // the source has not signed that many
-		unsigned := genuine
+	case 1: // the source has not signed this many changes
+		unsigned := signed
 		unsigned.Sequence = 1 << 40
-		changes := []Change{genuine, unsigned}
-		message.Exchange = &Exchange{Deltas: []Delta{{Source: genuine.Source, Through: unsigned.Sequence, Changes: changes}}}
+		changes := []Change{signed, unsigned}
+		message.Exchange = &Exchange{Deltas: []Delta{{Source: signed.Source, Through: unsigned.Sequence, Changes: changes}}}
 	case 2:
-		forged := genuine
+		forged := signed
 		forged.Revision, forged.Value, forged.Removed = 1<<40, []byte("forged"), false
 		message.Push = &Push{Number: 1, Scope: Scope{Low: firstPosition, High: lastPosition}, Changes: []Change{forged}}
 	case 3:
-		message.Exchange = &Exchange{Reply: true, Versions: VersionVector{genuine.Source: 1 << 50, "nobody": 7}, Digest: 1}
+		message.Exchange = &Exchange{Reply: true, Versions: VersionVector{signed.Source: 1 << 50, "nobody": 7}, Digest: 1}
 	case 4:
 		message.Exchange = &Exchange{Reply: true, Versions: victim.store.Versions(), Digest: random.Uint64()}
 	}
-	n.at(n.now, func() { n.receive(hostile, victim, message) })
+	n.schedule(n.now, func() { n.receive(hostile, victim, message) })
 }
 
-// incompleteDelta claims to cover all changes up to the newest one, and holds back what precedes it.
+// incompleteDelta returns a message that claims to cover all changes up to the newest one and contains only the newest one.
 func incompleteDelta(h *history) Message {
 	newest := h.changes[len(h.changes)-1]
 	delta := Delta{Source: newest.Source, Through: newest.Sequence, Changes: []Change{newest}}
 	return Message{Exchange: &Exchange{Deltas: []Delta{delta}}}
 }
 
-// sendIncompleteDeltas makes that claim before the newest change, and what precedes it, has come to a third of the members.
+// sendIncompleteDeltas sends an incompleteDelta to a third of the members before they receive the newest change and the changes
+// before it.
 func (n *network) sendIncompleteDeltas(hostile *node, h *history, random *rand.Rand) {
 	for _, victim := range n.nodes {
 		if victim != hostile && random.IntN(3) == 0 {
-			n.at(n.now, func() { n.receive(hostile, victim, incompleteDelta(h)) })
+			n.schedule(n.now, func() { n.receive(hostile, victim, incompleteDelta(h)) })
 		}
 	}
 }
 
-// reunionProperty: after a long cut, in which both sides have made changes, the busiest relay sends at most twice of what it
-// sends in an ordinary second, deltas keep to their budget, and all end equal.
-func reunionProperty(seed uint64, planted injectedFaults) error {
+// reunionProperty reunites two parts of a fleet after a long partition in which both parts made changes. The peak second of the
+// busiest relay is at most twice the peak of ordinary operation, deltas stay within their budget, and all relays become equal.
+func reunionProperty(seed uint64, faults injectedFaults) error {
 	random := rand.New(rand.NewPCG(seed, 6))
 	h := newHistory(random)
-	h.keys = 2000
-	n := newNetwork(seed, fleetMembers(64, 2, 3), h.signers, planted)
+	h.keyCount = 2000
+	n := newNetwork(seed, fleetMembers(64, 2, 3), h.signers, faults)
 	n.lossProbability = 0.01
 	h.checkApplied(n)
 	n.startAll()
-	for second := range 60 { // the ordinary day, with a burst
-		n.at(time.Duration(5+second)*time.Second, func() { h.publishAnywhere(n) })
+	for second := range 60 { // ordinary operation, with a burst
+		n.schedule(time.Duration(5+second)*time.Second, func() { h.publishAnywhere(n) })
 	}
 	for i := range 20 {
-		n.at(40*time.Second+time.Duration(i)*50*time.Millisecond, func() { h.publishAnywhere(n) })
+		n.schedule(40*time.Second+time.Duration(i)*50*time.Millisecond, func() { h.publishAnywhere(n) })
 	}
 	n.run(70 * time.Second)
-	ordinary := n.maxOverNodes(func(x *node) int64 { return x.peakSecondBytes })
+	ordinaryPeakBytes := n.maxOverNodes(func(x *node) int64 { return x.peakSecondBytes })
 
 	n.separate()
 	for range 580 {
-		n.at(n.now+time.Duration(random.Int64N(int64(580*time.Second))), func() { h.publishAnywhere(n) })
+		n.schedule(n.now+time.Duration(random.Int64N(int64(580*time.Second))), func() { h.publishAnywhere(n) })
 	}
 	n.run(n.now + 600*time.Second)
 	n.resetPeaks()
 	n.heal()
-	reunited := n.now
-	for n.checkConverged(h.expected) != nil && n.err == nil && n.now < reunited+time.Hour {
+	reunitedAt := n.now
+	for n.checkConverged(h.expected) != nil && n.err == nil && n.now < reunitedAt+time.Hour {
 		n.run(n.now + 5*time.Second)
 	}
-	peak := n.maxOverNodes(func(x *node) int64 { return x.peakSecondBytes })
+	reunionPeakBytes := n.maxOverNodes(func(x *node) int64 { return x.peakSecondBytes })
 	if n.err != nil {
 		return n.err
 	}
-	if took := n.now - reunited; took > 20*time.Minute {
-		return fmt.Errorf("not equal %v after the reunion: %w; %+v %v", took,
+	if took := n.now - reunitedAt; took > 20*time.Minute {
+		return fmt.Errorf("stores not equal %v after the reunion: %w; counters %+v, vector %v", took,
 			n.checkConverged(h.expected), n.nodes[0].replica.Counters(), n.nodes[0].store.Versions())
 	}
-	if peak > 2*ordinary {
-		return fmt.Errorf("busiest second of the reunion %d bytes, of the ordinary day %d", peak, ordinary)
+	if reunionPeakBytes > 2*ordinaryPeakBytes {
+		return fmt.Errorf("peak second of the reunion is %d bytes, peak second of ordinary operation is %d bytes",
+			reunionPeakBytes, ordinaryPeakBytes)
 	}
 	if err := n.checkRepairBudgets(); err != nil {
 		return err
@@ -528,7 +537,7 @@
 	return n.checkBudgets()
 }
 
-// separate cuts the regions apart; each then sees only its own members.
+// separate partitions the regions. Each node then sees only the members of its own region.
 func (n *network) separate() {
 	n.isCut = func(a, b *node) bool { return a.member.Region != b.member.Region }
 	views := map[string]*Membership{}
@@ -547,28 +556,29 @@
 	}
 }
 
-// checkRepairBudgets reports an error where deltas exceed their budget in any interval.
+// checkRepairBudgets returns an error if the deltas of a node exceed their budget in any interval.
 func (n *network) checkRepairBudgets() error {
 	allowed := float64(repairBurstPackets * n.config.MaxPacketBytes)
 	for _, each := range n.nodes {
 		if each.repairMeter.maxLevelBytes > allowed+1 {
-			return fmt.Errorf("%s exceeds its repair bytes by %.0f", each.member.Name, each.repairMeter.maxLevelBytes-allowed)
+			return fmt.Errorf("%s exceeds its repair budget by %.0f bytes", each.member.Name, each.repairMeter.maxLevelBytes-allowed)
 		}
 	}
 	return nil
 }
 
-// burstProperty: however much is published, no relay sends more than its budget in any interval, and all end equal.
-func burstProperty(seed uint64, planted injectedFaults) error {
+// burstProperty checks that no relay exceeds its byte budget in any interval, however many changes are published, and that all
+// relays become equal.
+func burstProperty(seed uint64, faults injectedFaults) error {
 	random := rand.New(rand.NewPCG(seed, 7))
 	h := newHistory(random)
-	h.keys = 1000
-	n := newNetwork(seed, fleetMembers(20+random.IntN(60), 2, 2), h.signers, planted)
+	h.keyCount = 1000
+	n := newNetwork(seed, fleetMembers(20+random.IntN(60), 2, 2), h.signers, faults)
 	n.lossProbability = 0.01
 	h.checkApplied(n)
 	n.startAll()
 	for range 150 {
-		n.at(2*time.Second+time.Duration(random.Int64N(int64(2*time.Second))), func() { h.publishAnywhere(n) })
+		n.schedule(2*time.Second+time.Duration(random.Int64N(int64(2*time.Second))), func() { h.publishAnywhere(n) })
 	}
 	n.run(5*time.Minute + n.repairTime(h))
 	if n.err != nil {
--- a/internal/configsync/replica_test.go
+++ b/internal/configsync/replica_test.go
@@ -12,7 +12,7 @@
 	"slatemux/internal/proptest"
 )
 
-// newTestReplica returns the replica of the first of some members, at time 0 and with a first exchange that has been sent.
+// newTestReplica returns the replica of the first member at time 0. Its membership is set.
 func newTestReplica(t *testing.T, members []Member, adjust func(*Config)) *Replica {
 	t.Helper()
 	config := Defaults()
@@ -41,35 +41,35 @@
 	return found
 }
 
-func TestNewReplicaChecksItsConfig(t *testing.T) {
+func TestNewReplicaValidatesConfig(t *testing.T) {
 	cases := map[string]func(*Config){
-		"self":     func(c *Config) { c.Self = "" },
-		"exchange": func(c *Config) { c.Exchange = 0 },
-		"timeout":  func(c *Config) { c.AckTimeout = 0 },
-		"attempts": func(c *Config) { c.Attempts = 0 },
-		"fan-out":  func(c *Config) { c.FanOut = 1 },
-		"size":     func(c *Config) { c.Size = nil },
-		"packet":   func(c *Config) { c.MaxPacketBytes = 10 },
-		"bytes":    func(c *Config) { c.BytesPerSecond = 100 },
-		"not one":  func(c *Config) { c.BytesPerSecond = math.NaN() },
-		"repair":   func(c *Config) { c.RepairBytesPerSecond = 0 },
-	}
-	for name, spoil := range cases {
+		"self":      func(c *Config) { c.Self = "" },
+		"exchange":  func(c *Config) { c.Exchange = 0 },
+		"timeout":   func(c *Config) { c.AckTimeout = 0 },
+		"attempts":  func(c *Config) { c.Attempts = 0 },
+		"fan-out":   func(c *Config) { c.FanOut = 1 },
+		"size":      func(c *Config) { c.Size = nil },
+		"packet":    func(c *Config) { c.MaxPacketBytes = 10 },
+		"bytes":     func(c *Config) { c.BytesPerSecond = 100 },
+		"NaN bytes": func(c *Config) { c.BytesPerSecond = math.NaN() },
+		"repair":    func(c *Config) { c.RepairBytesPerSecond = 0 },
+	}
+	for name, corrupt := range cases {
 		config := Defaults()
 		config.Self, config.Size = "a", messageSize
-		spoil(&config)
+		corrupt(&config)
 		if _, err := NewReplica(config, 0, NewStore(acceptAll{}, 1)); err == nil {
-			t.Errorf("%s: no error", name)
+			t.Errorf("invalid %s: no error", name)
 		}
 	}
 	config := Defaults()
 	config.Self, config.Size = "a", messageSize
 	if _, err := NewReplica(config, 0, nil); err == nil {
-		t.Error("no store: no error")
+		t.Error("nil store: no error")
 	}
 }
 
-func TestPublishSendsAtOnceThenCollects(t *testing.T) {
+func TestPublishSendsFirstChangeAtOnceThenBatches(t *testing.T) {
 	members := fleetMembers(100, 2, 2)
 	r := newTestReplica(t, members, withoutExchanges)
 	out, err := r.Publish(time.Second, change("a", 1, 1, "k1", "v"))
@@ -79,18 +79,18 @@
 	for i := uint64(2); i <= 4; i++ {
 		out, err = r.Publish(time.Second+time.Duration(i)*time.Millisecond, change("a", i, i, fmt.Sprint(i), "v"))
 		if err != nil || len(out) != 0 {
-			t.Fatalf("%d sends within the batch, error %v", len(out), err)
+			t.Fatalf("%d sends within the batch interval, error %v", len(out), err)
 		}
 	}
 	if due := r.Due(); due != time.Second+batchInterval {
-		t.Errorf("due at %v", due)
+		t.Errorf("batch due at %v", due)
 	}
 	if out := r.Tick(time.Second + batchInterval - 1); len(out) != 0 {
-		t.Errorf("%d sends before they are due", len(out))
+		t.Errorf("%d sends before the batch is due", len(out))
 	}
 	sent := pushes(r.Tick(time.Second + batchInterval))
 	if len(sent) != r.config.FanOut || len(sent[0].Message.Push.Changes) != 3 {
-		t.Fatalf("%d pushes", len(sent))
+		t.Fatalf("%d pushes of the batch", len(sent))
 	}
 	if out, err := r.Publish(5*time.Second, change("a", 4, 4, "4", "v")); err != nil || len(out) != 0 {
 		t.Errorf("known change: %d sends, error %v", len(out), err)
@@ -100,7 +100,7 @@
 	}
 }
 
-func TestPublishRefusesWhatNoPacketHolds(t *testing.T) {
+func TestPublishRejectsChangeLargerThanPacket(t *testing.T) {
 	r := newTestReplica(t, fleetMembers(3, 1, 1), func(c *Config) { c.MaxPacketBytes = 300 })
 	large := change("a", 1, 1, "k", string(make([]byte, 300)))
 	if out, err := r.Publish(0, large); !errors.Is(err, ErrInvalid) || len(out) > 0 || len(r.store.Entries()) > 0 {
@@ -108,8 +108,8 @@
 	}
 }
 
-// TestPartsTileTheScope checks that a holder's parts leave no gap, do not overlap, and are of equal count.
-func TestPartsTileTheScope(t *testing.T) {
+// TestPartsCoverScopeWithoutOverlap checks that the parts of a holder leave no gap, do not overlap, and have equal counts of members.
+func TestPartsCoverScopeWithoutOverlap(t *testing.T) {
 	proptest.Check(t, func(rt *rapid.T) {
 		members := fleetMembers(rapid.IntRange(2, 300).Draw(rt, "members"), rapid.IntRange(1, 3).Draw(rt, "regions"), 2)
 		r := newTestReplica(t, members, func(c *Config) {
@@ -130,7 +130,7 @@
 		for _, d := range r.deliveries.byDeadline {
 			found := r.membership.appendInScope(nil, Scope{Salt: salt, Low: d.scope.Low, High: d.scope.High}, r.selfIndex)
 			if size := (len(members) - 1) / want; len(found) != size && len(found) != size+1 {
-				rt.Fatalf("a part of %d of %d", len(found), len(members)-1)
+				rt.Fatalf("part holds %d of %d members", len(found), len(members)-1)
 			}
 			for _, c := range found {
 				if covered[c.memberIndex] {
@@ -139,7 +139,7 @@
 				covered[c.memberIndex] = true
 			}
 			if d.tried[0].Name != r.membership.members[found[0].memberIndex].Name {
-				rt.Fatal("a part's holder is not its first member")
+				rt.Fatal("the holder of a part is not its first member")
 			}
 		}
 		if len(covered) != len(members) {
@@ -148,7 +148,7 @@
 	})
 }
 
-// TestRetryPrefersOtherZones follows the attempts to hand over a part that spans zones.
+// TestRetryPrefersOtherZones checks the members that are tried for a part that spans zones.
 func TestRetryPrefersOtherZones(t *testing.T) {
 	r := newTestReplica(t, fleetMembers(41, 1, 4), func(c *Config) {
 		withoutExchanges(c)
@@ -156,16 +156,16 @@
 	})
 	out, _ := r.Publish(time.Second, change("a", 1, 1, "k", "v"))
 	tried := map[uint64][]Member{}
-	note := func(sends []Send) {
+	recordTried := func(sends []Send) {
 		for _, send := range pushes(sends) {
 			index, _ := r.membership.index(send.To)
 			number := send.Message.Push.Number
 			tried[number] = append(tried[number], r.membership.members[index])
 		}
 	}
-	note(out)
+	recordTried(out)
 	for now := time.Second; now < 10*time.Second; now += 50 * time.Millisecond {
-		note(r.Tick(now))
+		recordTried(r.Tick(now))
 	}
 	for number, members := range tried {
 		if len(members) != r.config.Attempts {
@@ -175,48 +175,48 @@
 			t.Errorf("push %d: the second attempt is in the zone of the first", number)
 		}
 	}
-	if counted := r.Counters(); counted.Abandoned != 2 || counted.Retries != 4 || len(r.deliveries.pendingByNumber) != 0 {
-		t.Errorf("%+v, %d awaited", counted, len(r.deliveries.pendingByNumber))
+	if counters := r.Counters(); counters.Abandoned != 2 || counters.Retries != 4 || len(r.deliveries.pendingByNumber) != 0 {
+		t.Errorf("counters %+v, %d deliveries pending", counters, len(r.deliveries.pendingByNumber))
 	}
 }
 
-func TestAcknowledgementEndsADelivery(t *testing.T) {
+func TestAcknowledgementEndsDelivery(t *testing.T) {
 	r := newTestReplica(t, fleetMembers(20, 1, 1), withoutExchanges)
 	out, _ := r.Publish(time.Second, change("a", 1, 1, "k", "v"))
 	for i, send := range out {
 		from := send.To
-		if i == 0 { // only a member that was handed the part may acknowledge it
+		if i == 0 { // an acknowledgement counts only from a member that the part was sent to
 			from = out[1].To
 		}
 		r.Receive(time.Second, from, Message{Ack: &Ack{Number: send.Message.Push.Number}})
 	}
-	again := r.Tick(2 * time.Second)
-	if len(again) != 1 || again[0].Message.Push.Number != out[0].Message.Push.Number || again[0].To == out[0].To {
-		t.Fatalf("sent again: %+v", again)
+	retried := r.Tick(2 * time.Second)
+	if len(retried) != 1 || retried[0].Message.Push.Number != out[0].Message.Push.Number || retried[0].To == out[0].To {
+		t.Fatalf("retries: %+v", retried)
 	}
-	r.Receive(2*time.Second, out[0].To, Message{Ack: &Ack{Number: out[0].Message.Push.Number}}) // late, from the first
+	r.Receive(2*time.Second, out[0].To, Message{Ack: &Ack{Number: out[0].Message.Push.Number}}) // late acknowledgement from the first member
 	if out := r.Tick(time.Minute); len(out) != 0 || len(r.deliveries.pendingByNumber) != 0 {
 		t.Errorf("%d sends after the last acknowledgement", len(out))
 	}
 }
 
-func TestReceivedPushIsAcknowledgedAndPassedOnOnce(t *testing.T) {
+func TestReceivedPushIsAcknowledgedAndForwardedOnce(t *testing.T) {
 	members := fleetMembers(60, 2, 2)
 	r := newTestReplica(t, members, withoutExchanges)
 	from := members[5].Name
-	whole := Scope{Salt: 7, Low: firstPosition, High: lastPosition}
-	message := Message{Push: &Push{Number: 3, Scope: whole, Changes: []Change{change("a", 1, 1, "k", "v")}}}
+	wholeFleet := Scope{Salt: 7, Low: firstPosition, High: lastPosition}
+	message := Message{Push: &Push{Number: 3, Scope: wholeFleet, Changes: []Change{change("a", 1, 1, "k", "v")}}}
 	applied, out := r.Receive(time.Second, from, message)
 	if len(applied) != 1 || len(pushes(out)) != r.config.FanOut || len(out) != r.config.FanOut+1 || out[0].Message.Ack.Number != 3 {
 		t.Fatalf("%d applied, sent %+v", len(applied), out)
 	}
 	applied, out = r.Receive(time.Second, from, message)
 	if len(applied) != 0 || len(out) != 1 || out[0].Message.Ack == nil {
-		t.Errorf("again: %d applied, sent %+v", len(applied), out)
+		t.Errorf("repeated push: %d applied, sent %+v", len(applied), out)
 	}
-	message.Push = &Push{Number: 4, Scope: Scope{Salt: 8, Low: whole.Low, High: whole.High}, Changes: message.Push.Changes}
+	message.Push = &Push{Number: 4, Scope: Scope{Salt: 8, Low: wholeFleet.Low, High: wholeFleet.High}, Changes: message.Push.Changes}
 	if _, out = r.Receive(time.Second, from, message); len(pushes(out)) == 0 {
-		t.Error("known changes of a new scope are not passed on")
+		t.Error("known changes of a new scope are not forwarded")
 	}
 	leaf := Message{Push: &Push{Number: 5, Changes: []Change{change("a", 2, 2, "k", "v")}}}
 	if _, out = r.Receive(time.Second, from, leaf); len(out) != 1 || out[0].Message.Ack == nil {
@@ -224,19 +224,20 @@
 	}
 }
 
-// TestFullReplicaPassesOn checks that a relay without room still carries its part of the tree.
-func TestFullReplicaPassesOn(t *testing.T) {
+// TestFullReplicaForwardsPushes checks that a relay whose store is full still forwards pushes.
+func TestFullReplicaForwardsPushes(t *testing.T) {
 	members := fleetMembers(10, 1, 1)
 	r := newTestReplica(t, members, withoutExchanges)
 	r.store.maxEntries = 0
 	push := Push{Number: 1, Scope: Scope{Low: firstPosition, High: lastPosition}, Changes: []Change{change("a", 1, 1, "k", "v")}}
 	applied, out := r.Receive(time.Second, members[1].Name, Message{Push: &push})
 	if len(applied) != 0 || len(pushes(out)) != r.config.FanOut || r.Counters().Full != 1 {
-		t.Errorf("%d applied, %d pushes, %+v", len(applied), len(pushes(out)), r.Counters())
+		t.Errorf("%d applied, %d pushes, counters %+v", len(applied), len(pushes(out)), r.Counters())
 	}
 }
 
-// TestPushWaitsForBytes takes all bytes away: pushes are passed on to fewer, then wait, and go out when there are bytes.
+// TestPushWaitsForBytes uses up the byte budget. Pushes first go to fewer members, then wait, and are sent when bytes are
+// available.
 func TestPushWaitsForBytes(t *testing.T) {
 	r := newTestReplica(t, fleetMembers(200, 1, 1), withoutExchanges)
 	change1 := change("a", 1, 1, "k1", "v")
@@ -244,7 +245,7 @@
 	r.sendBudget.take(int(r.sendBudget.capacityBytes-r.ackReserveBytes()) - 2*size)
 	out, _ := r.Publish(time.Millisecond, change1)
 	if len(out) != 2 {
-		t.Fatalf("%d pushes with the bytes for two", len(out))
+		t.Fatalf("%d pushes with bytes for two", len(out))
 	}
 	r.sendBudget.take(int(r.sendBudget.available(time.Millisecond)))
 	if out = r.Tick(batchInterval); len(out) != 0 {
@@ -266,14 +267,14 @@
 		}
 	}
 	if sent == 0 || len(r.postponed) > 0 || len(r.queue) > 0 {
-		t.Errorf("sent to %d, %d postponed, %d queued", sent, len(r.postponed), len(r.queue))
+		t.Errorf("second change sent to %d members, %d pushes postponed, %d changes queued", sent, len(r.postponed), len(r.queue))
 	}
 	if r.Counters().OverBudget == 0 {
-		t.Error("nothing counted as over budget")
+		t.Error("no send counted as over budget")
 	}
 }
 
-func TestStrangersAndMalformedMessagesAreDropped(t *testing.T) {
+func TestMalformedMessagesAndNonMembersAreDropped(t *testing.T) {
 	members := fleetMembers(4, 1, 1)
 	r := newTestReplica(t, members, withoutExchanges)
 	valid := Message{Push: &Push{Changes: []Change{change("a", 1, 1, "k", "v")}}}
@@ -283,7 +284,7 @@
 		}
 	}
 	if r.Counters().Strangers != 3 {
-		t.Errorf("%+v", r.Counters())
+		t.Errorf("counters %+v", r.Counters())
 	}
 	tooMany := VersionVector{}
 	for i := range maxSources + 1 {
@@ -327,7 +328,7 @@
 	}
 }
 
-// drawMessage returns any message, well-formed or not.
+// drawMessage returns any message, well-formed or malformed.
 func drawMessage(rt *rapid.T) Message {
 	name := rapid.OneOf(rapid.SampledFrom([]string{"a", "b", "\xff"}), rapid.StringN(0, 4, 70))
 	number := rapid.OneOf(rapid.Uint64Range(0, 5), rapid.Uint64())
@@ -354,7 +355,7 @@
 	return message
 }
 
-// drawDelta returns any delta, half of the time one whose changes have its source and ascend.
+// drawDelta returns any delta. In half of the cases its changes have the delta's source and ascending sequences.
 func drawDelta(rt *rapid.T, name *rapid.Generator[string], number *rapid.Generator[uint64], changes *rapid.Generator[[]Change]) Delta {
 	delta := Delta{Source: name.Draw(rt, "source"), After: number.Draw(rt, "after"), Through: number.Draw(rt, "through"),
 		Changes: changes.Draw(rt, "changes")}
@@ -368,7 +369,7 @@
 	return delta
 }
 
-// TestNoMessageCausesPanic feeds one replica whatever may come.
+// TestNoMessageCausesPanic sends arbitrary messages to one replica and validates the messages that the replica sends.
 func TestNoMessageCausesPanic(t *testing.T) {
 	proptest.Check(t, func(rt *rapid.T) {
 		members := fleetMembers(rapid.IntRange(1, 8).Draw(rt, "members"), 2, 2)
@@ -391,8 +392,8 @@
 	})
 }
 
-// TestExchangeEndsWithTheUnion lets two replicas with different changes exchange once.
-func TestExchangeEndsWithTheUnion(t *testing.T) {
+// TestExchangeEndsWithUnion runs one exchange between two replicas with different changes.
+func TestExchangeEndsWithUnion(t *testing.T) {
 	members := fleetMembers(2, 1, 1)
 	a := newTestReplica(t, members, nil)
 	b := newTestReplica(t, []Member{members[1], members[0]}, nil)
@@ -408,22 +409,23 @@
 	}
 	_, conclusion := a.Receive(time.Second, members[1].Name, answer[0].Message)
 	if len(conclusion) != 1 || len(conclusion[0].Message.Exchange.Versions) > 0 {
-		t.Fatalf("concluded %+v", conclusion)
+		t.Fatalf("conclusion %+v", conclusion)
 	}
 	if _, more := b.Receive(time.Second, members[0].Name, conclusion[0].Message); len(more) > 0 {
-		t.Fatalf("went on with %+v", more)
+		t.Fatalf("conclusion answered with %+v", more)
 	}
 	if a.store.Digest() != b.store.Digest() || !equalVersions(a.store.Versions(), b.store.Versions()) {
-		t.Errorf("vectors %v and %v", a.store.Versions(), b.store.Versions())
+		t.Errorf("stores differ: vectors %v and %v", a.store.Versions(), b.store.Versions())
 	}
 	if _, out := b.Receive(2*time.Second, members[0].Name, Message{Exchange: &Exchange{Reply: true, Versions: a.store.Versions(),
 		Digest: a.store.Digest()}}); len(out) != 0 {
-		t.Errorf("equals exchange %+v", out)
+		t.Errorf("replicas with equal stores exchange %+v", out)
 	}
 }
 
-// TestEmptyReplicaAsksForItsLack checks that a replica which knows no source can tell so in an answer.
-func TestEmptyReplicaAsksForItsLack(t *testing.T) {
+// TestEmptyReplicaAnswersWithVector checks that a replica without sources can send a version vector in an answer. The vector has
+// to name the peer's sources, because a vector without sources compares nothing.
+func TestEmptyReplicaAnswersWithVector(t *testing.T) {
 	members := fleetMembers(2, 1, 1)
 	empty := newTestReplica(t, members, nil)
 	_, answer := empty.Receive(0, members[1].Name, Message{Exchange: &Exchange{Reply: true, Versions: VersionVector{"x": 4}, Digest: 9}})
@@ -435,8 +437,8 @@
 	}
 }
 
-// TestDivergenceIsRepairedOnceAMinute gives two replicas equal vectors and different entries.
-func TestDivergenceIsRepairedOnceAMinute(t *testing.T) {
+// TestDivergedStoreIsRewoundOnceAMinute gives a replica and its peer equal version vectors and different entries.
+func TestDivergedStoreIsRewoundOnceAMinute(t *testing.T) {
 	members := fleetMembers(2, 1, 1)
 	r := newTestReplica(t, members, nil)
 	mustApply(t, r.store, change("x", 1, 1, "k1", "1"))
@@ -447,17 +449,17 @@
 		t.Fatalf("answered %+v", out)
 	}
 	if r.Counters().Diverged != 1 || r.store.advertisedVersions()["x"] != 2 {
-		t.Errorf("%+v, says %v after the first time", r.Counters(), r.store.advertisedVersions())
+		t.Errorf("counters %+v, advertises %v after the first divergence", r.Counters(), r.store.advertisedVersions())
 	}
 	r.Receive(time.Second, members[1].Name, same)
 	if r.Counters().Diverged != 2 || r.store.advertisedVersions()["x"] != 0 || r.store.Versions()["x"] != 2 {
-		t.Errorf("%+v, says %v", r.Counters(), r.store.advertisedVersions())
+		t.Errorf("counters %+v, advertises %v after the second divergence", r.Counters(), r.store.advertisedVersions())
 	}
 	missed := change("x", 2, 2, "k2", "2")
 	delta := Delta{Source: "x", After: 0, Through: 2, Changes: []Change{change("x", 1, 1, "k1", "1"), missed}}
 	r.Receive(time.Second, members[1].Name, Message{Exchange: &Exchange{Deltas: []Delta{delta}}})
 	if _, ok := r.store.Get("k2"); !ok || r.store.advertisedVersions()["x"] != 2 {
-		t.Errorf("after the delta it says %v", r.store.advertisedVersions())
+		t.Errorf("advertises %v after the delta", r.store.advertisedVersions())
 	}
 	for range 2 {
 		r.Receive(2*time.Second, members[1].Name, same)
@@ -467,7 +469,7 @@
 	}
 	r.Receive(time.Second+minRewindInterval, members[1].Name, same)
 	if r.store.advertisedVersions()["x"] != 0 || r.Counters().Diverged != 5 || r.Counters().Rewinds != 2 {
-		t.Errorf("not rewound after a minute: %+v", r.Counters())
+		t.Errorf("not rewound after a minute: counters %+v", r.Counters())
 	}
 }
 
@@ -475,26 +477,26 @@
 	members := fleetMembers(3, 1, 1)
 	r := newTestReplica(t, members, nil)
 	if r.Due() > r.config.Exchange/4 {
-		t.Errorf("first due at %v", r.Due())
+		t.Errorf("first exchange due at %v", r.Due())
 	}
 	r.Members(0, members[:1])
 	for range 3 {
 		r.Tick(r.Due())
 	}
 	if r.Counters().Exchanges != 0 {
-		t.Error("an exchange with nobody")
+		t.Error("exchange counted without other members")
 	}
 	now := r.Due() - r.config.Exchange/2
 	r.Members(now, members)
 	if r.Due() > now+r.config.Exchange/4 {
-		t.Errorf("due %v after members have come", r.Due()-now)
+		t.Errorf("exchange due %v after the first members appeared", r.Due()-now)
 	}
 }
 
 func TestBoundGrowsWithItsArguments(t *testing.T) {
 	config := Defaults()
 	if config.Bound(1, time.Second, 0.5) != 0 {
-		t.Error("a relay alone waits")
+		t.Error("bound of a single relay is not 0")
 	}
 	proptest.Check(t, func(rt *rapid.T) {
 		members := rapid.IntRange(2, 4000).Draw(rt, "members")
@@ -504,8 +506,9 @@
 		if bound < delay || bound > 2*time.Minute {
 			rt.Fatalf("bound %v", bound)
 		}
-		if config.Bound(members, 2*delay, loss) < bound || config.Bound(members*2, delay, loss) < bound || config.Bound(members, delay, loss*1.5) < bound {
-			rt.Fatalf("the bound %v falls", bound)
+		if config.Bound(members, 2*delay, loss) < bound || config.Bound(members*2, delay, loss) < bound ||
+			config.Bound(members, delay, loss*1.5) < bound {
+			rt.Fatalf("the bound %v falls when an argument grows", bound)
 		}
 	})
 	if bound := config.Bound(maxFleetRelays, 100*time.Millisecond, 0.01); bound > maxTimeToAll {
@@ -513,7 +516,8 @@
 	}
 }
 
-// TestLostChangeDoesNotStopRepair leaves a gap that nobody can fill, as when the only relay that had a change is gone for good.
+// TestLostChangeDoesNotStopRepair leaves a gap that no relay can fill. This happens if the only relay that held a change is
+// lost.
 func TestLostChangeDoesNotStopRepair(t *testing.T) {
 	members := fleetMembers(2, 1, 1)
 	a := newTestReplica(t, members, nil)
@@ -533,7 +537,7 @@
 	for a.store.Digest() != b.store.Digest() {
 		now = b.Due()
 		if now > 10*time.Minute {
-			t.Fatalf("not repaired after %v", now)
+			t.Fatalf("stores not equal after %v", now)
 		}
 		for _, send := range b.Tick(now) {
 			_, out := a.Receive(now, members[1].Name, send.Message)
@@ -542,8 +546,8 @@
 			}
 		}
 	}
-	t.Logf("repaired after %v", now)
+	t.Logf("stores equal after %v", now)
 	if got := b.store.Versions()["x"]; got != lost-1 {
-		t.Errorf("watermark %d over a gap", got)
+		t.Errorf("watermark %d passed the gap", got)
 	}
 }
--- a/internal/configsync/simulation_test.go
+++ b/internal/configsync/simulation_test.go
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// headerBytes is what a datagram takes beside its message: IP and UDP headers, the seal of the relays' channel, and the frame.
+// headerBytes is the overhead of a datagram: IP and UDP headers, the encryption of the relays' channel, and the frame.
 const headerBytes = 28 + 28 + 16
 
-// messageSize counts a message's bytes about as a compact binary encoding does.
+// messageSize returns the approximate size of a message in a compact binary encoding.
 func messageSize(message *Message) int {
 	size := headerBytes
 	switch {
@@ -41,7 +41,7 @@
 	return size
 }
 
-// event is something that happens to a node of a network, or to the network itself.
+// event is a scheduled action on a node or on the network.
 type event struct {
 	at    time.Duration
 	order int
@@ -63,26 +63,27 @@
 	return x
 }
 
-// node is one relay of a network.
+// node is one relay of a simulated network.
 type node struct {
 	member          Member
 	replica         *Replica
 	store           *Store
 	down            bool
-	startCount      int // how often it was started
+	startCount      int // number of starts
 	scheduledTick   time.Duration
 	sentMeter       leakyMeter
-	meteredSecond   int64 // the second that inSecond counts
+	meteredSecond   int64 // the second that meteredBytes counts
 	meteredBytes    int64
 	peakSecondBytes int64 // most bytes in one second since resetPeaks
 	totalBytes      int64
 	repairMeter     leakyMeter
-	// mostPushes is the most members that one message was passed on to.
+	// maxPushesPerMessage is the maximum number of members to which the node forwarded one message.
 	maxPushesPerMessage int
-	intercept           func(from string, message Message) bool // takes a message instead of the replica
+	intercept           func(from string, message Message) bool // receives messages instead of the replica; true drops the message
 }
 
-// leakyMeter tells, independent of the replica's bucket, by how much the bytes of any interval exceed what a rate allows in it.
+// leakyMeter measures by how much the bytes of any interval exceed the given rate. It is independent of the replica's token
+// bucket.
 type leakyMeter struct {
 	levelBytes, maxLevelBytes float64
 	updatedAt                 time.Duration
@@ -94,7 +95,7 @@
 	m.maxLevelBytes = max(m.maxLevelBytes, m.levelBytes)
 }
 
-// network runs replicas against simulated time.
+// network runs replicas in simulated time.
 type network struct {
 	now                  time.Duration
 	lastEventOrder       int
@@ -103,7 +104,7 @@
 	config               Config
 	faults               injectedFaults
 	verifier             Verifier
-	maxEntries           int // maxEntries
+	maxEntries           int // of each store
 	nodes                []*node
 	byName               map[string]*node
 	fullMembership       *Membership
@@ -120,8 +121,8 @@
 
 func (acceptAll) Verify(*Change) error { return nil }
 
-func newNetwork(seed uint64, members []Member, verifier Verifier, planted injectedFaults) *network {
-	n := &network{random: rand.New(rand.NewPCG(seed, 1)), config: Defaults(), faults: planted, verifier: verifier, maxEntries: 32768,
+func newNetwork(seed uint64, members []Member, verifier Verifier, faults injectedFaults) *network {
+	n := &network{random: rand.New(rand.NewPCG(seed, 1)), config: Defaults(), faults: faults, verifier: verifier, maxEntries: 32768,
 		byName: map[string]*node{}, handledScopes: map[handledScope]bool{}, fullMembership: NewMembership(members)}
 	n.config.Size = messageSize
 	n.config.Seed = seed
@@ -134,10 +135,10 @@
 	return n
 }
 
-// maxOneWayDelay is above all that latency returns.
+// maxOneWayDelay is above every delay that oneWayDelay returns.
 const maxOneWayDelay = 90 * time.Millisecond
 
-// oneWayDelay is a one-way delay with some time until the relay looks at the packet.
+// oneWayDelay returns a network delay plus some time until the relay processes the packet.
 func oneWayDelay(random *rand.Rand, from, to *node) time.Duration {
 	base := time.Millisecond
 	if from.member.Region != to.member.Region {
@@ -146,7 +147,7 @@
 	return base + time.Duration(random.Int64N(int64(20*time.Millisecond)))
 }
 
-// fleetMembers returns members spread over regions and the zones of each.
+// fleetMembers returns members that are spread evenly over regions and over the zones of each region.
 func fleetMembers(count, regions, zones int) []Member {
 	members := make([]Member, count)
 	for i := range members {
@@ -156,12 +157,12 @@
 	return members
 }
 
-func (n *network) at(when time.Duration, run func()) {
+func (n *network) schedule(when time.Duration, run func()) {
 	n.lastEventOrder++
 	heap.Push(&n.events, event{at: max(when, n.now), order: n.lastEventOrder, run: run})
 }
 
-// start starts a node with what a store had saved, if any.
+// start starts a node with the saved contents of a store, if any.
 func (n *network) start(started *node, view *Membership, saved []Change, versions VersionVector) {
 	store := NewStore(n.verifier, n.maxEntries)
 	store.faults = n.faults
@@ -182,23 +183,23 @@
 	started.store, started.replica, started.down, started.scheduledTick = store, replica, false, -1
 	started.startCount++
 	replica.SetMembership(n.now, view)
-	n.schedule(started)
+	n.scheduleTick(started)
 }
 
-// startAll starts all nodes at random moments of one second.
+// startAll starts all nodes. Their first exchanges are spread at random.
 func (n *network) startAll() {
 	for _, each := range n.nodes {
 		n.start(each, n.fullMembership, nil, nil)
 	}
 }
 
-// restart stops a node and starts it again later from what it had saved.
+// restart stops a node and later starts it again with the saved contents of its store.
 func (n *network) restart(stopped *node, pause time.Duration) {
 	if stopped.down {
 		return
 	}
 	stopped.down = true
-	n.at(n.now+pause, func() {
+	n.schedule(n.now+pause, func() {
 		if stopped.down {
 			n.start(stopped, n.fullMembership, stopped.store.Entries(), stopped.store.Versions())
 		}
@@ -211,33 +212,33 @@
 	}
 }
 
-// schedule plans a node's next Tick.
-func (n *network) schedule(on *node) {
+// scheduleTick plans a node's next Tick.
+func (n *network) scheduleTick(on *node) {
 	due := max(on.replica.Due(), n.now)
 	if on.scheduledTick >= n.now && on.scheduledTick <= due {
 		return
 	}
 	on.scheduledTick = due
-	life := on.startCount
-	n.at(due, func() {
-		if on.down || on.startCount != life || on.scheduledTick != due {
+	startCount := on.startCount
+	n.schedule(due, func() {
+		if on.down || on.startCount != startCount || on.scheduledTick != due {
 			return
 		}
 		on.scheduledTick = -1
-		n.emit(on, on.replica.Tick(n.now))
+		n.sendAll(on, on.replica.Tick(n.now))
 	})
 }
 
-// emit puts a node's packets on the network.
-func (n *network) emit(from *node, sends []Send) {
+// sendAll sends a node's messages over the network.
+func (n *network) sendAll(from *node, sends []Send) {
 	for _, send := range sends {
-		n.account(from, &send.Message)
+		n.recordSent(from, &send.Message)
 		n.transmit(from, send)
 	}
-	n.schedule(from)
+	n.scheduleTick(from)
 }
 
-func (n *network) account(from *node, message *Message) {
+func (n *network) recordSent(from *node, message *Message) {
 	size := messageSize(message)
 	if size > n.config.MaxPacketBytes {
 		n.fail(fmt.Errorf("%s sends a packet of %d bytes", from.member.Name, size))
@@ -267,7 +268,7 @@
 		if n.random.Float64() < n.lossProbability {
 			continue
 		}
-		n.at(n.now+n.delay(from, to), func() { n.receive(from, to, send.Message) })
+		n.schedule(n.now+n.delay(from, to), func() { n.receive(from, to, send.Message) })
 	}
 }
 
@@ -285,30 +286,31 @@
 		}
 	}
 	n.checkForwarding(to, &message, out)
-	n.emit(to, out)
+	n.sendAll(to, out)
 }
 
-// checkForwarding counts to how many members a node passes a push on, which has to be none if it had the same scope before.
+// checkForwarding counts the members to which a node forwards a push. If the node had the same scope before, the count has to
+// be 0.
 func (n *network) checkForwarding(on *node, message *Message, sends []Send) {
-	pushes, taken := 0, false
+	pushes, acknowledged := 0, false
 	for _, send := range sends {
 		if send.Message.Push != nil {
 			pushes++
 		}
-		taken = taken || send.Message.Ack != nil
+		acknowledged = acknowledged || send.Message.Ack != nil
 	}
 	on.maxPushesPerMessage = max(on.maxPushesPerMessage, pushes)
-	if message.Push == nil || message.Push.Scope.isLeaf() || !taken {
+	if message.Push == nil || message.Push.Scope.isLeaf() || !acknowledged {
 		return
 	}
 	handled := handledScope{on, on.startCount, message.Push.Scope}
 	if n.handledScopes[handled] && pushes > 0 {
-		n.fail(fmt.Errorf("%s passes a scope on twice", on.member.Name))
+		n.fail(fmt.Errorf("%s forwards a scope twice", on.member.Name))
 	}
 	n.handledScopes[handled] = true
 }
 
-// handledScope is a scope that a node took over in one of its lives.
+// handledScope is a scope that a node accepted since one of its starts.
 type handledScope struct {
 	node       *node
 	startCount int
@@ -320,13 +322,13 @@
 	if err != nil {
 		n.fail(fmt.Errorf("publish on %s: %w", on.member.Name, err))
 	}
-	if held, ok := on.store.entries[change.Key]; n.onApplied != nil && err == nil && ok && compareChanges(held.change, &change) == 0 {
+	if current, ok := on.store.entries[change.Key]; n.onApplied != nil && err == nil && ok && compareChanges(current.change, &change) == 0 {
 		n.onApplied(on, &change)
 	}
-	n.emit(on, out)
+	n.sendAll(on, out)
 }
 
-// run runs the network up to a moment.
+// run runs the network up to a point in time.
 func (n *network) run(until time.Duration) {
 	for len(n.events) > 0 && n.events[0].at <= until && n.err == nil {
 		next := heap.Pop(&n.events).(event)
@@ -336,36 +338,36 @@
 	n.now = until
 }
 
-// checkBudgets reports an error where a node has sent more than its budget allows in any interval.
+// checkBudgets returns an error if a node has sent more than its budget allows in any interval.
 func (n *network) checkBudgets() error {
 	allowed := burstSeconds * n.config.BytesPerSecond
 	for _, each := range n.nodes {
 		if each.sentMeter.maxLevelBytes > allowed+1 {
-			return fmt.Errorf("%s exceeds its bytes by %.0f", each.member.Name, each.sentMeter.maxLevelBytes-allowed)
+			return fmt.Errorf("%s exceeds its byte budget by %.0f bytes", each.member.Name, each.sentMeter.maxLevelBytes-allowed)
 		}
 	}
 	return nil
 }
 
-// checkConverged reports an error where two nodes that are up hold different entries, or vectors other than the wanted one.
-func (n *network) checkConverged(wanted map[string]Change) error {
+// checkConverged returns an error if a node that is up and not intercepted holds other entries than the expected ones.
+func (n *network) checkConverged(expected map[string]Change) error {
 	for _, each := range n.nodes {
 		if each.down || each.replica == nil || each.intercept != nil {
 			continue
 		}
-		if len(each.store.entries) != len(wanted) {
-			return fmt.Errorf("%s holds %d entries of %d", each.member.Name, len(each.store.entries), len(wanted))
+		if len(each.store.entries) != len(expected) {
+			return fmt.Errorf("%s holds %d entries, want %d", each.member.Name, len(each.store.entries), len(expected))
 		}
-		for key, change := range wanted {
-			if held := each.store.entries[key].change; held == nil || compareChanges(held, &change) != 0 {
-				return fmt.Errorf("%s has not the change in force of %q", each.member.Name, key)
+		for key, change := range expected {
+			if current := each.store.entries[key].change; current == nil || compareChanges(current, &change) != 0 {
+				return fmt.Errorf("%s does not hold the highest change of %q", each.member.Name, key)
 			}
 		}
 	}
 	return nil
 }
 
-// maxOverNodes returns the highest value among the nodes.
+// maxOverNodes returns the maximum of a value over all nodes.
 func (n *network) maxOverNodes(value func(*node) int64) int64 {
 	return value(slices.MaxFunc(n.nodes, func(a, b *node) int { return cmp.Compare(value(a), value(b)) }))
 }
--- a/internal/configsync/store_test.go
+++ b/internal/configsync/store_test.go
@@ -27,7 +27,7 @@
 	}
 }
 
-func TestApplyRefusesMalformedChanges(t *testing.T) {
+func TestApplyRejectsMalformedChanges(t *testing.T) {
 	valid := change("a", 1, 1, "k", "v")
 	cases := map[string]func(*Change){
 		"no source":          func(c *Change) { c.Source = "" },
@@ -43,9 +43,9 @@
 		"removal with value": func(c *Change) { c.Removed = true },
 		"long signature":     func(c *Change) { c.Signature = make([]byte, maxSignatureBytes+1) },
 	}
-	for name, spoil := range cases {
+	for name, corrupt := range cases {
 		s, c := NewStore(acceptAll{}, 10), valid
-		spoil(&c)
+		corrupt(&c)
 		if inForce, err := s.Apply(c); inForce || !errors.Is(err, ErrInvalid) {
 			t.Errorf("%s: in force %t, error %v", name, inForce, err)
 		}
@@ -61,7 +61,7 @@
 	}
 }
 
-func TestKeyringAcceptsOnlyWhatItsSourcesSigned(t *testing.T) {
+func TestKeyringAcceptsOnlySignedChanges(t *testing.T) {
 	public, private, _ := ed25519.GenerateKey(strings.NewReader(strings.Repeat("a", 64)))
 	_, other, _ := ed25519.GenerateKey(strings.NewReader(strings.Repeat("b", 64)))
 	keys := map[string]ed25519.PublicKey{"a": public, "short": public[:5]}
@@ -69,7 +69,7 @@
 	delete(keys, "a") // the keyring has its own copy
 	good := change("a", 1, 1, "k", "v")
 	Sign(&good, private)
-	spoilt := map[string]func(*Change){
+	corruptions := map[string]func(*Change){
 		"sequence":  func(c *Change) { c.Sequence++ },
 		"revision":  func(c *Change) { c.Revision++ },
 		"key":       func(c *Change) { c.Key = "K" },
@@ -81,21 +81,21 @@
 		"source":    func(c *Change) { c.Source = "b"; Sign(c, private) },
 		"short key": func(c *Change) { c.Source = "short"; Sign(c, private) },
 	}
-	for name, spoil := range spoilt {
+	for name, corrupt := range corruptions {
 		c := good
-		spoil(&c)
+		corrupt(&c)
 		if inForce, err := s.Apply(c); inForce || !errors.Is(err, ErrUntrusted) {
 			t.Errorf("%s: in force %t, error %v", name, inForce, err)
 		}
 	}
 	if inForce, err := s.Apply(good); !inForce || err != nil {
-		t.Errorf("the good one: in force %t, error %v", inForce, err)
+		t.Errorf("validly signed change: in force %t, error %v", inForce, err)
 	}
 }
 
-// TestSigningBytesTellFieldsApart checks that no two different changes have one encoding, as "ab"+"c" and "a"+"bc" would without
-// lengths.
-func TestSigningBytesTellFieldsApart(t *testing.T) {
+// TestSigningBytesSeparateFields checks that no two different changes have the same encoding. Without lengths, "ab"+"c" and
+// "a"+"bc" would be the same.
+func TestSigningBytesSeparateFields(t *testing.T) {
 	text := rapid.SampledFrom([]string{"a", "b", "ab", "aa", "aab", "a\x00", "\x00"})
 	number := rapid.Uint64Range(1, 3)
 	draw := func(rt *rapid.T) Change {
@@ -111,36 +111,36 @@
 	})
 }
 
-func TestWatermarkStopsAtGapsAndJumpsOverWhatIsKnown(t *testing.T) {
+func TestWatermarkStopsAtGapsAndAdvancesOverKnownChanges(t *testing.T) {
 	s := NewStore(acceptAll{}, 100)
 	mustApply(t, s, change("a", 1, 1, "k1", ""), change("a", 3, 3, "k3", ""), change("a", 4, 4, "k3", ""), change("a", 6, 6, "k6", ""))
 	if got := s.Versions()["a"]; got != 1 {
 		t.Errorf("watermark %d before the gap", got)
 	}
 	if ahead := s.countAhead(); ahead != 3 {
-		t.Errorf("%d known ahead", ahead)
+		t.Errorf("%d changes known beyond the watermark", ahead)
 	}
 	if sequence, revision := s.Next("a"); sequence != 7 || revision != 7 {
-		t.Errorf("next %d, %d", sequence, revision)
+		t.Errorf("next sequence %d, revision %d", sequence, revision)
 	}
 	if sequence, revision := s.Next("b"); sequence != 1 || revision != 7 {
-		t.Errorf("next of another source %d, %d", sequence, revision)
+		t.Errorf("next of another source: sequence %d, revision %d", sequence, revision)
 	}
 	mustApply(t, s, change("a", 2, 2, "k2", ""))
 	if got := s.Versions()["a"]; got != 4 {
 		t.Errorf("watermark %d after the first gap is filled, 3 superseded", got)
 	}
-	s.acceptCoverage("a", 5, 9) // leaves 5 out
+	s.acceptCoverage("a", 5, 9) // does not cover 5
 	if got := s.Versions()["a"]; got != 4 {
-		t.Errorf("watermark %d after a claim beyond a gap", got)
+		t.Errorf("watermark %d after coverage that begins beyond a gap", got)
 	}
 	s.acceptCoverage("a", 2, 5)
 	if got := s.Versions()["a"]; got != 6 {
-		t.Errorf("watermark %d after a claim up to what is known", got)
+		t.Errorf("watermark %d after coverage up to a known sequence", got)
 	}
 	s.acceptCoverage("nobody", 0, 5)
 	if _, ok := s.Versions()["nobody"]; ok {
-		t.Error("a claim made a source")
+		t.Error("coverage of an unknown source created the source")
 	}
 }
 
@@ -152,25 +152,25 @@
 		t.Errorf("in force %t, error %v", inForce, err)
 	}
 	if got := s.Versions()["a"]; got != 2 {
-		t.Errorf("watermark %d over a change without room", got)
+		t.Errorf("watermark %d passed a change that the store had no room for", got)
 	}
 	if _, ok := s.Get("k2"); ok {
 		t.Error("a removed entry is in force")
 	}
 	mustApply(t, s, change("a", 4, 4, "k2", "again"))
 	if got, ok := s.Get("k2"); !ok || string(got.Value) != "again" {
-		t.Errorf("%q, %t", got.Value, ok)
+		t.Errorf("entry after its removal and a new assignment: %q, found %t", got.Value, ok)
 	}
 	many := NewStore(acceptAll{}, 1000)
 	for i := range maxSources {
 		mustApply(t, many, change(fmt.Sprint(i), 1, 1, fmt.Sprint(i), ""))
 	}
 	if _, err := many.Apply(change("one more", 1, 1, "k", "")); !errors.Is(err, ErrFull) {
-		t.Errorf("error %v", err)
+		t.Errorf("too many sources: error %v", err)
 	}
 }
 
-func TestRestoredStoreEqualsTheSavedOne(t *testing.T) {
+func TestRestoredStoreEqualsSavedStore(t *testing.T) {
 	proptest.Check(t, func(rt *rapid.T) {
 		h := newHistory(rand.New(rand.NewPCG(rapid.Uint64().Draw(rt, "seed"), 8)))
 		saved := NewStore(h.signers, 1000)
@@ -188,16 +188,16 @@
 			}
 		}
 		if restored.Digest() != saved.Digest() || !equalVersions(restored.Versions(), saved.Versions()) {
-			rt.Fatalf("vectors %v and %v", restored.Versions(), saved.Versions())
+			rt.Fatalf("restored store differs: vectors %v and %v", restored.Versions(), saved.Versions())
 		}
 		restored.SetVersions(VersionVector{"": 5, "a": 0, "b": 1<<64 - 1, h.sources[0]: 1})
 		if !equalVersions(restored.Versions(), saved.Versions()) && saved.Versions()[h.sources[0]] > 0 {
-			rt.Fatalf("vectors %v and %v after absurd ones", restored.Versions(), saved.Versions())
+			rt.Fatalf("vectors %v and %v after restoring invalid versions", restored.Versions(), saved.Versions())
 		}
 	})
 }
 
-// TestIndexStaysSmall overwrites one key many times: the references of superseded changes have to go.
+// TestIndexStaysSmall overwrites a few keys many times and checks that the references of superseded changes are removed.
 func TestIndexStaysSmall(t *testing.T) {
 	s := NewStore(acceptAll{}, 100)
 	const changes = 20000
@@ -216,7 +216,7 @@
 	}
 	s.acceptCoverage("a", changes, 3*changes)
 	if s.countAhead() != 0 {
-		t.Errorf("%d ahead of the newest", s.countAhead())
+		t.Errorf("%d changes beyond the newest", s.countAhead())
 	}
 }
 
@@ -232,6 +232,6 @@
 		digests = append(digests, s.Digest())
 	}
 	if len(slices.Compact(digests)) != 1 {
-		t.Errorf("digests %x", digests)
+		t.Errorf("stores differ: digests %x", digests)
 	}
 }
--- a/internal/configsync/tokenbucket.go
+++ b/internal/configsync/tokenbucket.go
@@ -14,8 +14,8 @@
 	refilledAt     time.Duration
 }
 
-func newTokenBucket(now time.Duration, rate, capacity float64) tokenBucket {
-	return tokenBucket{bytesPerSecond: rate, capacityBytes: capacity, availableBytes: capacity, refilledAt: now}
+func newTokenBucket(now time.Duration, bytesPerSecond, capacityBytes float64) tokenBucket {
+	return tokenBucket{bytesPerSecond: bytesPerSecond, capacityBytes: capacityBytes, availableBytes: capacityBytes, refilledAt: now}
 }
 
 // available returns the number of bytes that may be taken at once.
