--- a/internal/configsync/change.go
+++ b/internal/configsync/change.go
@@ -46,6 +46,7 @@
 
 // Verifier checks whether a change was signed by a source that this relay trusts.
 type Verifier interface {
+	// Verify returns an error unless the change has a valid signature of a trusted source.
 	Verify(change *Change) error
 }
 
--- a/internal/configsync/config.go
+++ b/internal/configsync/config.go
@@ -49,8 +49,8 @@
 	congestedBatchInterval = time.Second
 	// maxPostponedPushes limits the pushes that wait for bytes.
 	maxPostponedPushes = 64
-	// minMaxPacketBytes is large enough for a version vector of a few sources or a change of medium size.
-	minMaxPacketBytes = 256
+	// minPacketLimitBytes is large enough for a version vector of a few sources or a change of medium size.
+	minPacketLimitBytes = 256
 )
 
 // Config holds the parameters of one relay's replica.
@@ -99,7 +99,7 @@
 		return errors.New("configsync: Exchange or AckTimeout is under a millisecond")
 	case c.Attempts < 1 || c.FanOut < 2:
 		return errors.New("configsync: Attempts is under 1 or FanOut under 2")
-	case c.Size == nil || c.MaxPacketBytes < minMaxPacketBytes:
+	case c.Size == nil || c.MaxPacketBytes < minPacketLimitBytes:
 		return errors.New("configsync: Size is unset or MaxPacketBytes is too small")
 	case !(c.BytesPerSecond*burstSeconds >= 2*float64(c.MaxPacketBytes)):
 		return errors.New("configsync: BytesPerSecond is too small for MaxPacketBytes")
@@ -124,15 +124,15 @@
 //
 // First, a path needs more retries than the bound includes. Each attempt of a hop is lost with probability p and then needs one
 // retry. A path of depth hops with k retries follows one of C(depth+k-1, k) patterns. The probability of k or more retries is
-// therefore about C(depth+k-1, k)*p^k, and the number of paths is members. retries is the largest k whose term exceeds half of
-// the miss probability. The tree allows at most depth*(Attempts-1) retries.
+// therefore about C(depth+k-1, k)*p^k on one path. With as many paths as members, retries is the largest k for which
+// members*C(depth+k-1, k)*p^k exceeds half of the miss probability. The tree allows at most depth*(Attempts-1) retries.
 //
-// Second, a relay that the tree missed is not repaired within the number of exchanges. The tree misses a relay if all attempts
-// of one hop on its path are lost: m = 1-(1-p^Attempts)^depth. An exchange that the relay begins fails with probability r =
-// 1-(1-m)*(1-p)^2, because the tree missed its peer as well or one of the two packets was lost. exchanges is the smallest n of
-// at least 1 with members*m*r^n <= 1/2000. Exchanges that other relays begin with the missed relay are not counted. The last
-// 3*delay covers the packets of the successful exchange. The bound does not include a repair that is postponed because the
-// answer was cut to the size of a packet.
+// Second, a relay that the tree missed is not repaired within the number of exchanges. The tree misses a relay with probability
+// m = 1-(1-p^Attempts)^depth, because all attempts of one hop on its path are lost. An exchange that the relay begins fails with
+// probability r = 1-(1-m)*(1-p)^2, because the tree missed its peer as well or one of the two packets was lost. exchanges is the
+// smallest n of at least 1 with members*m*r^n <= 1/2000. Exchanges that other relays begin with the missed relay are not
+// counted. The last 3*delay covers the packets of the successful exchange. The bound does not include a repair that is postponed
+// because the answer was cut to the size of a packet.
 func (c Config) Bound(members int, delay time.Duration, loss float64) time.Duration {
 	if members < 2 {
 		return 0
--- a/internal/configsync/delivery.go
+++ b/internal/configsync/delivery.go
@@ -16,7 +16,8 @@
 	deadline time.Duration
 }
 
-// retryRank returns the rank of a member for the next retry. The member with the lowest rank is tried first.
+// retryRank returns the rank of a member for the next retry, where the lowest rank is tried first: 0 if no member of its zone
+// was tried, 1 if another member of its zone was tried, and 2 if the member itself was tried.
 func (d *delivery) retryRank(member Member) int {
 	rank := 0
 	for _, tried := range d.tried {
--- a/internal/configsync/exchange.go
+++ b/internal/configsync/exchange.go
@@ -71,7 +71,7 @@
 			r.counters.Repaired++
 		}
 	}
-	if !r.store.faults.trustThrough {
+	if !r.store.faults.acceptUnprovenThrough {
 		through = min(through, proven)
 	}
 	r.store.acceptCoverage(delta.Source, delta.After, through)
@@ -108,7 +108,7 @@
 
 // hasDiverged reports whether the two stores differ although their version vectors are equal and no change is beyond them.
 func (r *Replica) hasDiverged(received *Exchange) bool {
-	if received.Digest == r.store.Digest() || received.Ahead != 0 || r.store.faults.digestIgnored {
+	if received.Digest == r.store.Digest() || received.Ahead != 0 || r.store.faults.ignoreDigests {
 		return false
 	}
 	return equalVersions(r.store.advertisedVersions(), received.Versions) && r.store.countAhead() == 0
--- a/internal/configsync/faultinjection.go
+++ b/internal/configsync/faultinjection.go
@@ -3,16 +3,16 @@
 // injectedFaults enables faults in a replica. Only tests set the fields, to show that the checked properties detect a faulty
 // replica.
 type injectedFaults struct {
-	skipVerification  bool
-	lastArrivalWins   bool
-	advanceOverGaps   bool
-	trustThrough      bool
-	noRetry           bool
-	noForward         bool
-	noAnswer          bool
-	unlimitedRepair   bool
-	unlimitedBytes    bool
-	scopeNotSplit     bool
-	digestIgnored     bool
-	duplicateForwards bool
+	skipVerification      bool
+	lastArrivalWins       bool
+	advanceOverGaps       bool
+	acceptUnprovenThrough bool
+	noRetry               bool
+	noForward             bool
+	noAnswer              bool
+	unlimitedRepair       bool
+	unlimitedBytes        bool
+	scopeNotDivided       bool
+	ignoreDigests         bool
+	forwardDuplicates     bool
 }
--- a/internal/configsync/fleet_test.go
+++ b/internal/configsync/fleet_test.go
@@ -108,11 +108,11 @@
 	}
 	n.run(n.now + 30*time.Second)
 	n.logCounters(t, "ordinary")
-	last := ordinary.slowestPerChange(t, n, isNodeUp)
+	slowestTimes := ordinary.slowestPerChange(t, n, isNodeUp)
 	bound := n.config.Bound(maxFleetRelays, maxOneWayDelay, n.lossProbability)
-	t.Logf("ordinary: changes reached all relays after %v, bound %v", last, bound)
-	if last[len(last)-1] > bound {
-		t.Errorf("change reached all relays after %v, above the bound of %v", last[len(last)-1], bound)
+	t.Logf("ordinary: changes reached all relays after %v, bound %v", slowestTimes, bound)
+	if slowestTimes[len(slowestTimes)-1] > bound {
+		t.Errorf("change reached all relays after %v, above the bound of %v", slowestTimes[len(slowestTimes)-1], bound)
 	}
 
 	burst := recordLatencies(n)
@@ -121,10 +121,10 @@
 	}
 	n.run(n.now + 10*time.Second)
 	n.logCounters(t, "burst")
-	last = burst.slowestPerChange(t, n, isNodeUp)
-	t.Logf("burst: changes reached all relays after %v to %v", last[0], last[len(last)-1])
-	if last[len(last)-1] > maxTimeToAll {
-		t.Errorf("burst reached all relays after %v", last[len(last)-1])
+	slowestTimes = burst.slowestPerChange(t, n, isNodeUp)
+	t.Logf("burst: changes reached all relays after %v to %v", slowestTimes[0], slowestTimes[len(slowestTimes)-1])
+	if slowestTimes[len(slowestTimes)-1] > maxTimeToAll {
+		t.Errorf("burst reached all relays after %v", slowestTimes[len(slowestTimes)-1])
 	}
 	busiest := float64(n.maxOverNodes(func(x *node) int64 { return x.totalBytes })) / (n.now - startedAt).Seconds()
 	t.Logf("busiest relay sends %.0f B/s during the %v that include the burst", busiest, n.now-startedAt)
@@ -176,15 +176,15 @@
 	}
 	n.run(failedAt + membershipDelay + 10*time.Second)
 	n.logCounters(t, "zone lost")
-	last := latencies.slowestPerChange(t, n, func(each *node) bool { return isNodeUp(each) && !restarted[each] })
-	t.Logf("zone lost: changes reached all relays after %v", last)
-	if last[len(last)-1] > maxTimeToAll {
-		t.Errorf("change reached all relays after %v while a zone is down", last[len(last)-1])
+	slowestTimes := latencies.slowestPerChange(t, n, func(each *node) bool { return isNodeUp(each) && !restarted[each] })
+	t.Logf("zone lost: changes reached all relays after %v", slowestTimes)
+	if slowestTimes[len(slowestTimes)-1] > maxTimeToAll {
+		t.Errorf("change reached all relays after %v while a zone is down", slowestTimes[len(slowestTimes)-1])
 	}
 	latencies.slowestPerChange(t, n, isNodeUp) // restarted relays also know all changes
 }
 
-// TestBoundHolds measures how often a change takes longer than its bound. The expected rate is once in 1,000 changes.
+// TestBoundHolds checks that at most one of 100 changes takes longer than its bound. The bound allows one in 1,000.
 func TestBoundHolds(t *testing.T) {
 	for _, c := range []struct {
 		relays int
@@ -201,10 +201,10 @@
 		}
 		n.run((changes + 20) * 3 * time.Second)
 		bound := n.config.Bound(c.relays, maxOneWayDelay, c.loss)
-		last := latencies.slowestPerChange(t, n, isNodeUp)
-		t.Logf("%d relays, loss %.2f: median %v, 99th of 100 %v, slowest %v, bound %v", c.relays, c.loss, last[changes/2],
-			last[changes-2], last[changes-1], bound)
-		if last[changes-2] > bound {
+		slowestTimes := latencies.slowestPerChange(t, n, isNodeUp)
+		t.Logf("%d relays, loss %.2f: median %v, 99th of 100 %v, slowest %v, bound %v", c.relays, c.loss, slowestTimes[changes/2],
+			slowestTimes[changes-2], slowestTimes[changes-1], bound)
+		if slowestTimes[changes-2] > bound {
 			t.Errorf("%d relays, loss %.2f: two changes of %d took longer than the bound of %v", c.relays, c.loss, changes, bound)
 		}
 	}
--- a/internal/configsync/membership_test.go
+++ b/internal/configsync/membership_test.go
@@ -86,6 +86,8 @@
 	}
 }
 
+// TestLongestPositionMatchesMembers checks the length that the size of a push is computed from. If it were too short, pushes
+// could exceed the packet size.
 func TestLongestPositionMatchesMembers(t *testing.T) {
 	m := NewMembership([]Member{{Name: "x", Region: "eu", Zone: "a"}, {Name: "y", Region: "eu-west", Zone: strings.Repeat("z", 9)}})
 	longest := 0
--- a/internal/configsync/properties_test.go
+++ b/internal/configsync/properties_test.go
@@ -53,15 +53,15 @@
 		finds  property
 	}{
 		{"signatures are not verified", injectedFaults{skipVerification: true}, hostileProperty},
-		{"the claim of a delta is accepted beyond its signatures", injectedFaults{trustThrough: true}, hostileProperty},
-		{"digests are not compared", injectedFaults{digestIgnored: true}, hostileProperty},
+		{"the claim of a delta is accepted beyond its signatures", injectedFaults{acceptUnprovenThrough: true}, hostileProperty},
+		{"digests are not compared", injectedFaults{ignoreDigests: true}, hostileProperty},
 		{"the last change to arrive is in force", injectedFaults{lastArrivalWins: true}, mergeProperty},
 		{"the watermark advances over gaps", injectedFaults{advanceOverGaps: true}, networkProperty},
 		{"exchanges are not answered", injectedFaults{noAnswer: true}, networkProperty},
 		{"lost pushes are not retried", injectedFaults{noRetry: true}, treeProperty},
 		{"pushes are acknowledged and not forwarded", injectedFaults{noForward: true}, treeProperty},
-		{"the scope is not divided", injectedFaults{scopeNotSplit: true}, treeProperty},
-		{"a repeated push is forwarded again", injectedFaults{duplicateForwards: true}, treeProperty},
+		{"the scope is not divided", injectedFaults{scopeNotDivided: true}, treeProperty},
+		{"a repeated push is forwarded again", injectedFaults{forwardDuplicates: true}, treeProperty},
 		{"no repair budget", injectedFaults{unlimitedRepair: true}, reunionProperty},
 		{"no byte budget", injectedFaults{unlimitedBytes: true}, burstProperty},
 	}
@@ -348,15 +348,16 @@
 	return time.Duration(2*float64(bytes)/n.config.RepairBytesPerSecond*float64(time.Second)) + 20*n.config.Exchange
 }
 
-// scheduleFaults schedules a random set of faults. All faults end by the given time.
+// scheduleFaults schedules a random set of faults that begin before the given time. heal ends them, except for a node that
+// acknowledges without forwarding.
 func scheduleFaults(n *network, random *rand.Rand, end time.Duration) {
-	moment := func() time.Duration { return time.Duration(random.Int64N(int64(end))) }
+	randomTime := func() time.Duration { return time.Duration(random.Int64N(int64(end))) }
 	for range random.IntN(5) {
 		stopped := n.nodes[random.IntN(len(n.nodes))]
-		n.schedule(moment(), func() { n.restart(stopped, time.Duration(random.Int64N(int64(8*time.Second)))) })
+		n.schedule(randomTime(), func() { n.restart(stopped, time.Duration(random.Int64N(int64(8*time.Second)))) })
 	}
 	if random.IntN(2) == 0 {
-		from, until := moment(), moment()
+		from, until := randomTime(), randomTime()
 		side := random.IntN(len(n.nodes)) + 1
 		n.isCut = func(a, b *node) bool {
 			apart := slices.Index(n.nodes, a) < side != (slices.Index(n.nodes, b) < side)
@@ -365,7 +366,7 @@
 	}
 	if random.IntN(2) == 0 {
 		for _, each := range n.nodes {
-			n.schedule(moment(), func() {
+			n.schedule(randomTime(), func() {
 				if !each.down {
 					each.replica.SetMembership(n.now, partialView(n, each, random))
 				}
--- a/internal/configsync/push.go
+++ b/internal/configsync/push.go
@@ -100,7 +100,7 @@
 	}
 	affordableParts := int(max(r.spendableBytes(now), 0) / pushBytes)
 	partCount := min(r.config.FanOut, len(found), affordableParts)
-	if r.store.faults.scopeNotSplit {
+	if r.store.faults.scopeNotDivided {
 		partCount = min(1, affordableParts)
 	}
 	if partCount == 0 {
@@ -215,7 +215,7 @@
 		return nil
 	}
 	r.send(now, from, Message{Ack: &Ack{Number: push.Number}})
-	if !push.Scope.isLeaf() && (r.handledScopes.add(push.Scope) || r.store.faults.duplicateForwards) && !r.store.faults.noForward {
+	if !push.Scope.isLeaf() && (r.handledScopes.add(push.Scope) || r.store.faults.forwardDuplicates) && !r.store.faults.noForward {
 		r.distribute(now, valid, push.Scope)
 	}
 	return applied
--- a/internal/configsync/replica_test.go
+++ b/internal/configsync/replica_test.go
@@ -69,6 +69,8 @@
 	}
 }
 
+// TestPublishSendsFirstChangeAtOnceThenBatches checks that the first change is pushed without delay, that the changes of the
+// following batch interval share one push, and that known or malformed changes are not pushed.
 func TestPublishSendsFirstChangeAtOnceThenBatches(t *testing.T) {
 	members := fleetMembers(100, 2, 2)
 	r := newTestReplica(t, members, withoutExchanges)
@@ -100,6 +102,7 @@
 	}
 }
 
+// TestPublishRejectsChangeLargerThanPacket checks that a change that no relay could forward is not stored either.
 func TestPublishRejectsChangeLargerThanPacket(t *testing.T) {
 	r := newTestReplica(t, fleetMembers(3, 1, 1), func(c *Config) { c.MaxPacketBytes = 300 })
 	large := change("a", 1, 1, "k", string(make([]byte, 300)))
@@ -180,6 +183,8 @@
 	}
 }
 
+// TestAcknowledgementEndsDelivery checks that only a member that the part was sent to can end its delivery, and that a late
+// acknowledgement from an earlier attempt counts.
 func TestAcknowledgementEndsDelivery(t *testing.T) {
 	r := newTestReplica(t, fleetMembers(20, 1, 1), withoutExchanges)
 	out, _ := r.Publish(time.Second, change("a", 1, 1, "k", "v"))
@@ -200,6 +205,8 @@
 	}
 }
 
+// TestReceivedPushIsAcknowledgedAndForwardedOnce checks that a push that is sent again, because its acknowledgement was lost, is
+// acknowledged again but not forwarded again.
 func TestReceivedPushIsAcknowledgedAndForwardedOnce(t *testing.T) {
 	members := fleetMembers(60, 2, 2)
 	r := newTestReplica(t, members, withoutExchanges)
@@ -473,6 +480,8 @@
 	}
 }
 
+// TestFirstExchangeIsSoon checks that a relay that starts, or that sees other members for the first time, does not wait for a
+// whole exchange interval.
 func TestFirstExchangeIsSoon(t *testing.T) {
 	members := fleetMembers(3, 1, 1)
 	r := newTestReplica(t, members, nil)
@@ -493,6 +502,7 @@
 	}
 }
 
+// TestBoundGrowsWithItsArguments checks that Bound never falls when the members, the delay or the loss grow.
 func TestBoundGrowsWithItsArguments(t *testing.T) {
 	config := Defaults()
 	if config.Bound(1, time.Second, 0.5) != 0 {
--- a/internal/configsync/store.go
+++ b/internal/configsync/store.go
@@ -7,11 +7,14 @@
 	"slices"
 )
 
-// Errors that Store.Apply returns.
+// Errors that Store.Apply and Replica.Publish return.
 var (
-	ErrInvalid   = errors.New("invalid change")
+	// ErrInvalid reports a malformed change, or a change that does not fit a packet.
+	ErrInvalid = errors.New("invalid change")
+	// ErrUntrusted reports a change without a valid signature of a trusted source.
 	ErrUntrusted = errors.New("change is not signed by a trusted source")
-	ErrFull      = errors.New("too many configuration entries")
+	// ErrFull reports that the store holds its maximum number of entries or sources.
+	ErrFull = errors.New("too many configuration entries")
 )
 
 // maxSources limits the size of version vectors in stores and in messages.
--- a/internal/configsync/store_test.go
+++ b/internal/configsync/store_test.go
@@ -111,6 +111,8 @@
 	})
 }
 
+// TestWatermarkStopsAtGapsAndAdvancesOverKnownChanges checks that the watermark never passes an unknown sequence. Otherwise no
+// peer would send the missing change.
 func TestWatermarkStopsAtGapsAndAdvancesOverKnownChanges(t *testing.T) {
 	s := NewStore(acceptAll{}, 100)
 	mustApply(t, s, change("a", 1, 1, "k1", ""), change("a", 3, 3, "k3", ""), change("a", 4, 4, "k3", ""), change("a", 6, 6, "k6", ""))
@@ -170,6 +172,8 @@
 	}
 }
 
+// TestRestoredStoreEqualsSavedStore checks that the saved entries and versions restore an equal store, and that invalid versions
+// are ignored.
 func TestRestoredStoreEqualsSavedStore(t *testing.T) {
 	proptest.Check(t, func(rt *rapid.T) {
 		h := newHistory(rand.New(rand.NewPCG(rapid.Uint64().Draw(rt, "seed"), 8)))
@@ -220,6 +224,8 @@
 	}
 }
 
+// TestChangesOfOneSequenceConverge merges different changes that a faulty source has signed with the same sequence. All stores
+// must choose the same changes, whatever the order.
 func TestChangesOfOneSequenceConverge(t *testing.T) {
 	changes := []Change{change("a", 1, 1, "k", "x"), change("a", 1, 1, "k", "y"), change("a", 1, 1, "other", "z"), change("a", 1, 2, "k", "x"),
 		change("a", 2, 2, "k", "x")}
