--- a/internal/conns/conns.go
+++ b/internal/conns/conns.go
@@ -26,15 +26,15 @@
 	// again where the first, times the share expected, is less than the second.
 	LossPrice, OpenPrice float64
 	StaleMost            float64 // share of calls that dead connections may fail; the nearer, the less is risked
-	BackoffLeast         time.Duration
-	BackoffMost          time.Duration // between openings ahead at an endpoint where they fail
+	MinBackoff           time.Duration
+	MaxBackoff           time.Duration // between openings ahead at an endpoint where they fail
 	Seed                 uint64
 }
 
 // Defaults returns the figures that a relay uses.
 func Defaults() Config {
 	return Config{MaxAge: 10 * time.Minute, Keep: 15 * time.Second, LossPrice: 1, OpenPrice: 0.02, StaleMost: 0.001,
-		BackoffLeast: 200 * time.Millisecond, BackoffMost: 30 * time.Second}
+		MinBackoff: 200 * time.Millisecond, MaxBackoff: 30 * time.Second}
 }
 
 // Check names the first field that makes no sense.
@@ -48,218 +48,220 @@
 		return fmt.Errorf("conns: MaxAge %v or Keep %v makes no sense", c.MaxAge, c.Keep)
 	case !(c.LossPrice > 0) || !(c.OpenPrice > 0) || !(c.StaleMost > 0 && c.StaleMost < 1):
 		return fmt.Errorf("conns: LossPrice, OpenPrice or StaleMost is out of range")
-	case c.BackoffLeast <= 0 || c.BackoffMost < c.BackoffLeast:
-		return fmt.Errorf("conns: BackoffLeast %v and BackoffMost %v make no span", c.BackoffLeast, c.BackoffMost)
+	case c.MinBackoff <= 0 || c.MaxBackoff < c.MinBackoff:
+		return fmt.Errorf("conns: BackoffLeast %v and BackoffMost %v make no span", c.MinBackoff, c.MaxBackoff)
 	}
 	return nil
 }
 
 const (
-	// raceMargin is left before the time at which a server closes: its close and our call would cross on the way.
-	raceMargin = 0.1
-	// closeShare of connections is to outlive the limit that seen closings set. These cost no call unless one crosses them on the
+	// closeMarginShare is left before the time at which a server closes: its close and our call would cross on the way.
+	closeMarginShare = 0.1
+	// minSurvivalShare of connections is to outlive the limit that seen closings set. These cost no call unless one crosses them on the
 	// way, so that a few early ones, as at a restart, are no reason to give up the rest.
-	closeShare = 0.5
-	// quarantine is how long the idle time of a loss is not tried again at first; it doubles with each loss.
-	quarantine, quarantineMost = 10 * time.Second, time.Hour
-	// tryEvery parts the tries of idle times beyond the limit.
-	tryEvery = 10 * time.Second
-	// noiseMost is the share of calls that may break for other reasons before one loss is no proof of anything; suspectsMost is
+	minSurvivalShare = 0.5
+	// minQuarantine is how long the idle time of a loss is not tried again at first; it doubles with each loss.
+	minQuarantine, maxQuarantine = 10 * time.Second, time.Hour
+	// trialInterval parts the tries of idle times beyond the limit.
+	trialInterval = 10 * time.Second
+	// maxUnrelatedLossShare is the share of calls that may break for other reasons before one loss is no proof of anything; suspectsMost is
 	// how many then are.
-	noiseMost, suspectsMost = 0.0005, 2
-	// contradicted losses, without a good reuse after as long among them, outweigh a longer good one of late.
-	contradicted = 3
-	// wary is how long after a loss for idling no idle time is believed in that has not gone well of late.
-	wary = time.Hour
-	// weighEvery is how often the evidence is weighed, besides after each loss.
-	weighEvery = 50 * time.Millisecond
-	// provenFor is how long a good reuse shows that others of its idle time will go well, and provenReach how far beyond that
+	maxUnrelatedLossShare, lossesNeededIfNoisy = 0.0005, 2
+	// lossesNeededIfContradicted losses, without a good reuse after as long among them, outweigh a longer good one of late.
+	lossesNeededIfContradicted = 3
+	// cautionPeriod is how long after a loss for idling no idle time is believed in that has not gone well of late.
+	cautionPeriod = time.Hour
+	// limitsRefreshInterval is how often the evidence is weighed, besides after each loss.
+	limitsRefreshInterval = 50 * time.Millisecond
+	// provenPeriod is how long a good reuse shows that others of its idle time will go well, and provenReach how far beyond that
 	// time it reaches; a loss leaves refuted of its idle time.
-	provenFor, provenReach, refuted = 5 * time.Minute, 1.25, 0.7
-	// shortIdle is too short to be why a connection died.
-	shortIdle = 100 * time.Millisecond
-	// evidenceHalf is the half-life of evidence, and evidenceFade how often it fades: servers are reconfigured unseen.
-	evidenceHalf, evidenceFade = 15 * time.Minute, 15 * time.Second
-	// recentGood is how long a good reuse speaks against a loss being for idling.
-	recentGood = 20 * time.Second
-	// quantile is the deviations above the mean that calls out at once are provided for.
-	quantile = 2.3
-	// demandFade smooths rates and service times; a tick is about tickUsual long.
-	demandFade = 0.3
-	// sameUses closings in a row behind the same number of calls make a limit of uses, and four times as many after each one that
+	provenPeriod, provenReachFactor, refutedIdleShare = 5 * time.Minute, 1.25, 0.7
+	// minSuspectIdle is too short to be why a connection died.
+	minSuspectIdle = 100 * time.Millisecond
+	// evidenceHalfLife is the half-life of evidence, and evidenceFade how often it fades: servers are reconfigured unseen.
+	evidenceHalfLife, evidenceDecayInterval = 15 * time.Minute, 15 * time.Second
+	// recentGoodPeriod is how long a good reuse speaks against a loss being for idling.
+	recentGoodPeriod = 20 * time.Second
+	// busyDeviations is the deviations above the mean that calls out at once are provided for.
+	busyDeviations = 2.3
+	// serviceSmoothing smooths rates and service times; a tick is about tickUsual long.
+	serviceSmoothing = 0.3
+	// minSameUses closings in a row behind the same number of calls make a limit of uses, and four times as many after each one that
 	// proved wrong, up to usesMost; one connection in usesTry goes on.
-	sameUses, usesMost, usesTry = 3, 200, 20
-	// capFor is how long a cap that a server seems to have is held to before one more is tried.
-	capFor = 30 * time.Second
-	// capRefusals in a row make a cap: one may be for anything.
-	capRefusals = 2
-	// capDoubt is how soon behind a refusal closings show that the server was not full but going down.
-	capDoubt = time.Second
-	// behindAnswer is how soon behind an answer a closing is for the number of calls.
-	behindAnswer = 50 * time.Millisecond
-	// thinLeast is how long a connection that is too many idles at least before it is given up.
-	thinLeast = time.Second
-	// staleWindow is the number of calls over which the share of losses is kept.
-	staleWindow = 20_000
+	minSameUses, maxSameUses, connsPerUsesTrial = 3, 200, 20
+	// connLimitPeriod is how long a cap that a server seems to have is held to before one more is tried.
+	connLimitPeriod = 30 * time.Second
+	// refusalsForConnLimit in a row make a cap: one may be for anything.
+	refusalsForConnLimit = 2
+	// connLimitDoubtPeriod is how soon behind a refusal closings show that the server was not full but going down.
+	connLimitDoubtPeriod = time.Second
+	// closeAfterAnswerWindow is how soon behind an answer a closing is for the number of calls.
+	closeAfterAnswerWindow = 50 * time.Millisecond
+	// minSurplusIdle is how long a connection that is too many idles at least before it is given up.
+	minSurplusIdle = time.Second
+	// staleWindowCalls is the number of calls over which the share of losses is kept.
+	staleWindowCalls = 20_000
 )
 
 // ID names a connection.
 type ID uint64
 
-// Why says why a connection is given up.
-type Why int
+// Reason says why a connection is given up.
+type Reason int
 
 // The reasons.
 const (
-	Idle     Why = iota // it may be dead by now, or will be before it is used
-	Age                 // it is old
-	Uses                // the server closes behind so many calls
-	Thin                // there are more than needed
-	Room                // another endpoint needs the descriptor
-	Leaving             // its endpoint gets nothing new
-	Moved               // its endpoint has another address
-	Server              // the server said that it closes
-	Pressure            // memory is short
-	Trust               // what it was trusted by has changed
-	whys
+	ReasonIdle         Reason = iota // it may be dead by now, or will be before it is used
+	ReasonAge                        // it is old
+	ReasonUses                       // the server closes behind so many calls
+	ReasonSurplus                    // there are more than needed
+	ReasonRoom                       // another endpoint needs the descriptor
+	ReasonDraining                   // its endpoint gets nothing new
+	ReasonMoved                      // its endpoint has another address
+	ReasonServerClosed               // the server said that it closes
+	ReasonPressure                   // memory is short
+	Trust                            // what it was trusted by has changed
+	reasonCount
 )
 
-var whyNames = [whys]string{"idle", "age", "uses", "thin", "room", "leaving", "moved", "server", "pressure", "trust"}
+var reasonNames = [reasonCount]string{"idle", "age", "uses", "thin", "room", "leaving", "moved", "server", "pressure", "trust"}
 
-func (w Why) String() string { return whyNames[w] }
+func (w Reason) String() string { return reasonNames[w] }
 
 // Give is a connection to be closed, and why.
 type Give struct {
 	ID  ID
-	Why Why
+	Why Reason
 }
 
 type state int
 
 const (
-	opening state = iota
-	busy
-	resting
+	stateOpening state = iota
+	stateBusy
+	stateIdle
 )
 
 type conn struct {
-	id      ID
-	ep      *endpoint
-	state   state
-	old     time.Duration // when it is given up for its age; 0 for never
-	since   time.Duration // of resting
-	carried int           // calls
-	idled   time.Duration // before the call that is out; 0 for the first
-	tries   bool          // it tries what a quarantine or a limit of uses forbids
-	ahead   bool          // it was opened before it was needed
+	id             ID
+	owner          *endpoint
+	state          state
+	expiresAt      time.Duration // when it is given up for its age; 0 for never
+	idleSince      time.Duration // of resting
+	calls          int           // calls
+	idleBeforeCall time.Duration // before the call that is out; 0 for the first
+	isTrial        bool          // it tries what a quarantine or a limit of uses forbids
+	preconnected   bool          // it was opened before it was needed
 }
 
 // What is seen of idling at an endpoint takes room, and of a long list most endpoints are never called, or seldom. Those at which
 // nothing was seen share these, which are never written to.
 var (
-	noReuses reuses
-	noSpells spells
-	noDead   = noReuses.dead()
+	emptyReuseHistory reuseHistory
+	emptyCloseHistory closeHistory
+	emptyDeadShares   = emptyReuseHistory.deadShares()
 )
 
 // used again, and ended: what is seen of these, to be written to.
-func (e *endpoint) usedAgain() *reuses {
-	if e.reuses == &noReuses {
-		e.reuses = &reuses{}
+func (e *endpoint) ownReuseHistory() *reuseHistory {
+	if e.reuseHistory == &emptyReuseHistory {
+		e.reuseHistory = &reuseHistory{}
 	}
-	return e.reuses
+	return e.reuseHistory
 }
 
-func (e *endpoint) ended() *spells {
-	if e.spells == &noSpells {
-		e.spells = &spells{}
+func (e *endpoint) ownCloseHistory() *closeHistory {
+	if e.closeHistory == &emptyCloseHistory {
+		e.closeHistory = &closeHistory{}
 	}
-	return e.spells
+	return e.closeHistory
 }
 
 type endpoint struct {
-	name, addr string
-	dest       int
-	open       bool // it may get something new
-	cold       bool // it is not to be pushed: one opening ahead at a time
-	conns      map[ID]*conn
-	rest       []*conn // those that rest, longest first
-	out        int     // busy
-
-	reuses *reuses
-	spells *spells
-
-	banned, bannedUntil time.Duration // idle times from banned on are not tried before
-	ban                 time.Duration // of the newest loss
-	exploring           bool
-	tryAt               time.Duration    // no idle time beyond the limit is tried before
-	goodIdle            [2]time.Duration // the longest good reuse of this stretch of time, and of the one before
-	goodFrom            time.Duration    // when this one began
-	proven              [2]time.Duration // the same over a longer stretch, but for what a loss has refuted since
-	provenFrom          time.Duration
-	lossAt              time.Duration // when one died for idling; 0 for never
-
-	suspects []time.Duration // idle times of losses that may have been for idling, or not
-
-	uses, usesSeen, usesN int // limit of calls a connection, 0 for none; the newest closing's, and how often in a row
-	usesNeed              int // closings in a row that make a limit
-	cap                   int // connections that the server seems to take; 0 for no limit
-	capAt                 time.Duration
-	refusals              int // in a row, while others were open
-	fails                 int
-	retryAt               time.Duration
-	goodOpen              time.Duration // the newest opening that went well
-
-	given [whys]int64
-	stale int64
-
-	fadedAt time.Duration // when the evidence faded
-
-	weighedAt  time.Duration // when the next three were made of the evidence; 0 for anew, as after a loss
-	dead       *[idleBounds]float64
-	soft, hard time.Duration
-
-	arrivals        int
-	rate, mean, dev float64 // calls a second; seconds a call takes, and its spread
-	peak            float64 // calls out at once, fading
-	expected        int     // calls that are known to come
-}
-
-// group is what the endpoints of a destination have in common: how many of their calls break for other reasons than idling.
-type group struct {
-	endpoints   []*endpoint // in the order of their coming
-	calls, lost float64     // of late
-}
-
-// noisy says that connections break for other reasons often enough to be taken for idle ones that died.
-func (g *group) noisy() bool { return g.lost >= 2 && g.lost > noiseMost*g.calls }
+	name, addr   string
+	dest         int
+	acceptsCalls bool // it may get something new
+	slowStart    bool // it is not to be pushed: one opening ahead at a time
+	conns        map[ID]*conn
+	idleConns    []*conn // those that rest, longest first
+	busyCount    int     // busy
+
+	reuseHistory *reuseHistory
+	closeHistory *closeHistory
+
+	quarantinedIdle, quarantinedUntil time.Duration // idle times from banned on are not tried before
+	quarantineLength                  time.Duration // of the newest loss
+	trialRunning                      bool
+	nextTrialAt                       time.Duration    // no idle time beyond the limit is tried before
+	recentGoodIdle                    [2]time.Duration // the longest good reuse of this stretch of time, and of the one before
+	recentGoodFrom                    time.Duration    // when this one began
+	provenIdle                        [2]time.Duration // the same over a longer stretch, but for what a loss has refuted since
+	provenIdleFrom                    time.Duration
+	idleLossAt                        time.Duration // when one died for idling; 0 for never
+
+	suspectedIdles []time.Duration // idle times of losses that may have been for idling, or not
+
+	maxUses, lastClosingUses, sameUsesCount int // limit of calls a connection, 0 for none; the newest closing's, and how often in a row
+	sameUsesNeeded                          int // closings in a row that make a limit
+	connLimit                               int // connections that the server seems to take; 0 for no limit
+	connLimitAt                             time.Duration
+	consecutiveRefusals                     int // in a row, while others were open
+	openFailures                            int
+	preconnectRetryAt                       time.Duration
+	lastOpenedAt                            time.Duration // the newest opening that went well
+
+	evicted    [reasonCount]int64
+	staleCalls int64
+
+	evidenceDecayedAt time.Duration // when the evidence faded
+
+	limitsComputedAt             time.Duration // when the next three were made of the evidence; 0 for anew, as after a loss
+	deadShares                   *[bucketCount]float64
+	softIdleLimit, hardIdleLimit time.Duration
+
+	arrivals                                             int
+	callsPerSecond, serviceSeconds, serviceSpreadSeconds float64 // calls a second; seconds a call takes, and its spread
+	peakBusy                                             float64 // calls out at once, fading
+	expectedCalls                                        int     // calls that are known to come
+}
+
+// destination is what the endpoints of a destination have in common: how many of their calls break for other reasons than idling.
+type destination struct {
+	endpoints                          []*endpoint // in the order of their coming
+	recentCalls, recentUnrelatedLosses float64     // of late
+}
+
+// hasUnrelatedLosses says that connections break for other reasons often enough to be taken for idle ones that died.
+func (g *destination) hasUnrelatedLosses() bool {
+	return g.recentUnrelatedLosses >= 2 && g.recentUnrelatedLosses > maxUnrelatedLossShare*g.recentCalls
+}
 
 // Pool decides for all endpoints. It is not safe for use by several goroutines at once.
 type Pool struct {
-	cfg    Config
-	eps    map[string]*endpoint
-	groups map[int]*group // by destination
-	conns  map[ID]*conn
-	frugal bool // nothing is to rest
-	next   ID
-	rng    *rand.Rand
-	last   time.Duration
-	ticked time.Duration // the newest tick
-	calls  float64       // of late
-	stale  float64
-	total  Counters
-	ends   Ends
+	cfg          Config
+	endpoints    map[string]*endpoint
+	destinations map[int]*destination // by destination
+	conns        map[ID]*conn
+	keepNoIdle   bool // nothing is to rest
+	lastID       ID
+	rng          *rand.Rand
+	clock        time.Duration
+	lastTickAt   time.Duration // the newest tick
+	recentCalls  float64       // of late
+	staleCalls   float64
+	counters     Counters
+	idleTimes    Ends
 }
 
 // Counters count since the start.
 type Counters struct {
-	Opened, Ahead, Unused int64 // connections; of them opened ahead, and never used
-	Calls, Reused, Stale  int64 // calls; on warm connections; failed by dead ones
-	Failed, CalledOff     int64 // openings; those that nobody needed any more
-	Waited                int64 // calls that had to wait for a connection of their endpoint
-	Given                 [whys]int64
-	Closed                int64 // by the server, before our eyes
-	Bans                  int64 // idle times put in quarantine
+	Opened, Ahead, NeverUsed int64 // connections; of them opened ahead, and never used
+	Calls, Reused, Stale     int64 // calls; on warm connections; failed by dead ones
+	OpenFailures, Canceled   int64 // openings; those that nobody needed any more
+	Waited                   int64 // calls that had to wait for a connection of their endpoint
+	Evicted                  [reasonCount]int64
+	Closed                   int64 // by the server, before our eyes
+	Quarantines              int64 // idle times put in quarantine
 }
 
 // New returns a Pool.
@@ -267,177 +269,177 @@
 	if err := cfg.Check(); err != nil {
 		return nil, err
 	}
-	return &Pool{cfg: cfg, eps: map[string]*endpoint{}, groups: map[int]*group{}, conns: map[ID]*conn{}, rng: rand.New(rand.NewPCG(cfg.Seed, 9))}, nil
+	return &Pool{cfg: cfg, endpoints: map[string]*endpoint{}, destinations: map[int]*destination{}, conns: map[ID]*conn{}, rng: rand.New(rand.NewPCG(cfg.Seed, 9))}, nil
 }
 
 // Counters returns the counters.
-func (p *Pool) Counters() Counters { return p.total }
+func (p *Pool) Counters() Counters { return p.counters }
 
 // Len is how many connections there are, those being opened included.
 func (p *Pool) Len() int { return len(p.conns) }
 
 // Limit changes how many connections there may be in all; what there is too many is given up as it rests.
-func (p *Pool) Limit(most int) { p.cfg.Most = most }
+func (p *Pool) Limit(maxConns int) { p.cfg.Most = maxConns }
 
 // Endpoint brings news of an endpoint: what is known of one that moves is forgotten, for another server stands there. What
 // has to be closed is returned; connections that are busy close as they come to rest.
-func (p *Pool) Endpoint(name, addr string, dest int, open bool) (give []Give) {
-	e := p.eps[name]
+func (p *Pool) Endpoint(name, addr string, dest int, acceptsCalls bool) (evict []Give) {
+	e := p.endpoints[name]
 	if e == nil {
-		if !open {
+		if !acceptsCalls {
 			return nil
 		}
-		e = &endpoint{name: name, addr: addr, dest: dest, reuses: &noReuses, spells: &noSpells, dead: &noDead, fadedAt: p.last, conns: map[ID]*conn{}}
+		e = &endpoint{name: name, addr: addr, dest: dest, reuseHistory: &emptyReuseHistory, closeHistory: &emptyCloseHistory, deadShares: &emptyDeadShares, evidenceDecayedAt: p.clock, conns: map[ID]*conn{}}
 		p.learnFromSiblings(e)
-		p.eps[name] = e
-		p.join(e, dest)
+		p.endpoints[name] = e
+		p.joinDestination(e, dest)
 	}
 	if e.dest != dest {
-		p.part(e)
-		p.join(e, dest)
+		p.leaveDestination(e)
+		p.joinDestination(e, dest)
 	}
-	why := Leaving
+	reason := ReasonDraining
 	if moved := e.addr != addr; moved {
-		next := &endpoint{name: name, addr: addr, dest: dest, reuses: &noReuses, spells: &noSpells, dead: &noDead, fadedAt: p.last, conns: e.conns, rest: e.rest, out: e.out, rate: e.rate, mean: e.mean, dev: e.dev, peak: e.peak}
+		next := &endpoint{name: name, addr: addr, dest: dest, reuseHistory: &emptyReuseHistory, closeHistory: &emptyCloseHistory, deadShares: &emptyDeadShares, evidenceDecayedAt: p.clock, conns: e.conns, idleConns: e.idleConns, busyCount: e.busyCount, callsPerSecond: e.callsPerSecond, serviceSeconds: e.serviceSeconds, serviceSpreadSeconds: e.serviceSpreadSeconds, peakBusy: e.peakBusy}
 		p.learnFromSiblings(next)
 		*e = *next
-		why = Moved
-	} else if open {
-		e.open, e.dest = open, dest
+		reason = ReasonMoved
+	} else if acceptsCalls {
+		e.acceptsCalls, e.dest = acceptsCalls, dest
 		return nil
 	}
-	e.open, e.dest = open, dest
-	give = p.giveAll(e, why)
-	if why == Moved {
+	e.acceptsCalls, e.dest = acceptsCalls, dest
+	evict = p.evictAllIdle(e, reason)
+	if reason == ReasonMoved {
 		for _, c := range e.conns {
-			c.old = 1 // long ago: it closes as it comes to rest
+			c.expiresAt = 1 // long ago: it closes as it comes to rest
 		}
 	}
-	p.forget(e)
-	return give
+	p.removeIfDrained(e)
+	return evict
 }
 
-// siblingsMost is how many others of its destination a new endpoint learns from: a few that are alike say what all do, and a list
+// maxSiblings is how many others of its destination a new endpoint learns from: a few that are alike say what all do, and a list
 // of thousands is taken in within a step.
-const siblingsMost = 16
+const maxSiblings = 16
 
 // learnFromSiblings has a new endpoint begin with what others of its destination have taught: they are most likely alike.
 func (p *Pool) learnFromSiblings(e *endpoint) {
-	g := p.groups[e.dest]
+	g := p.destinations[e.dest]
 	if g == nil {
 		return
 	}
-	for _, o := range g.endpoints[:min(len(g.endpoints), siblingsMost)] {
-		if o.name != e.name && o.open {
-			if o.bannedUntil > 0 && (e.bannedUntil == 0 || o.banned < e.banned) {
-				e.banned, e.bannedUntil, e.ban = o.banned, o.bannedUntil, o.ban
+	for _, o := range g.endpoints[:min(len(g.endpoints), maxSiblings)] {
+		if o.name != e.name && o.acceptsCalls {
+			if o.quarantinedUntil > 0 && (e.quarantinedUntil == 0 || o.quarantinedIdle < e.quarantinedIdle) {
+				e.quarantinedIdle, e.quarantinedUntil, e.quarantineLength = o.quarantinedIdle, o.quarantinedUntil, o.quarantineLength
 			}
-			if e.uses == 0 {
-				e.uses = o.uses
+			if e.maxUses == 0 {
+				e.maxUses = o.maxUses
 			}
-			e.lossAt = max(e.lossAt, o.lossAt)
-			if o := o.provenOf(p.last); o > e.proven[0] {
-				e.proven[0], e.provenFrom = o, p.last
+			e.idleLossAt = max(e.idleLossAt, o.idleLossAt)
+			if siblingProven := o.longestProvenIdle(p.clock); siblingProven > e.provenIdle[0] {
+				e.provenIdle[0], e.provenIdleFrom = siblingProven, p.clock
 			}
-			if o.reuses != &noReuses { // a part of what they know: it soon yields to what is seen here
-				e.usedAgain().learn(o.reuses)
+			if o.reuseHistory != &emptyReuseHistory { // a part of what they know: it soon yields to what is seen here
+				e.ownReuseHistory().mergePart(o.reuseHistory)
 			}
-			if o.spells != &noSpells {
-				e.ended().learn(o.spells)
+			if o.closeHistory != &emptyCloseHistory {
+				e.ownCloseHistory().mergePart(o.closeHistory)
 			}
 		}
 	}
 }
 
-func (p *Pool) join(e *endpoint, dest int) {
-	if e.dest = dest; p.groups[dest] == nil {
-		p.groups[dest] = &group{}
+func (p *Pool) joinDestination(e *endpoint, dest int) {
+	if e.dest = dest; p.destinations[dest] == nil {
+		p.destinations[dest] = &destination{}
 	}
-	p.groups[dest].endpoints = append(p.groups[dest].endpoints, e)
+	p.destinations[dest].endpoints = append(p.destinations[dest].endpoints, e)
 }
 
-func (p *Pool) part(e *endpoint) {
-	g := p.groups[e.dest]
+func (p *Pool) leaveDestination(e *endpoint) {
+	g := p.destinations[e.dest]
 	if g.endpoints = slices.DeleteFunc(g.endpoints, func(o *endpoint) bool { return o == e }); len(g.endpoints) == 0 {
-		delete(p.groups, e.dest)
+		delete(p.destinations, e.dest)
 	}
 }
 
-// forget ends what is kept of an endpoint that is gone, once no connection is left.
-func (p *Pool) forget(e *endpoint) {
-	if !e.open && len(e.conns) == 0 && p.eps[e.name] == e {
-		delete(p.eps, e.name)
-		p.part(e)
+// removeIfDrained ends what is kept of an endpoint that is gone, once no connection is left.
+func (p *Pool) removeIfDrained(e *endpoint) {
+	if !e.acceptsCalls && len(e.conns) == 0 && p.endpoints[e.name] == e {
+		delete(p.endpoints, e.name)
+		p.leaveDestination(e)
 	}
 }
 
 // Hint tells that an endpoint is cold or not, and how many calls are known to come there soon.
-func (p *Pool) Hint(name string, cold bool, expected int) {
-	if e := p.eps[name]; e != nil {
-		e.cold, e.expected = cold, expected
+func (p *Pool) Hint(name string, slowStart bool, expectedCalls int) {
+	if e := p.endpoints[name]; e != nil {
+		e.slowStart, e.expectedCalls = slowStart, expectedCalls
 	}
 }
 
-// sorted are an endpoint's connections in the order of their ids, so that the same events always lead to the same acts.
-func (e *endpoint) sorted() []*conn {
+// connsByID are an endpoint's connections in the order of their ids, so that the same events always lead to the same acts.
+func (e *endpoint) connsByID() []*conn {
 	return slices.SortedFunc(maps.Values(e.conns), func(a, b *conn) int { return cmp.Compare(a.id, b.id) })
 }
 
-// settle has a connection rest since then.
-func (e *endpoint) settle(c *conn, since time.Duration) {
-	c.state, c.since = resting, since
-	at := len(e.rest) // as a rule it is the newest
-	for at > 0 && e.rest[at-1].since > since {
+// addIdle has a connection rest since then.
+func (e *endpoint) addIdle(c *conn, idleSince time.Duration) {
+	c.state, c.idleSince = stateIdle, idleSince
+	at := len(e.idleConns) // as a rule it is the newest
+	for at > 0 && e.idleConns[at-1].idleSince > idleSince {
 		at--
 	}
-	e.rest = slices.Insert(e.rest, at, c)
+	e.idleConns = slices.Insert(e.idleConns, at, c)
 }
 
-// rouse ends a connection's rest.
-func (e *endpoint) rouse(c *conn) {
-	for i := len(e.rest) - 1; i >= 0; i-- { // as a rule it is the newest
-		if e.rest[i] == c {
-			e.rest = slices.Delete(e.rest, i, i+1)
+// removeIdle ends a connection's rest.
+func (e *endpoint) removeIdle(c *conn) {
+	for i := len(e.idleConns) - 1; i >= 0; i-- { // as a rule it is the newest
+		if e.idleConns[i] == c {
+			e.idleConns = slices.Delete(e.idleConns, i, i+1)
 			return
 		}
 	}
 }
 
-// giveAll gives up all that rests at an endpoint.
-func (p *Pool) giveAll(e *endpoint, why Why) (give []Give) {
-	for len(e.rest) > 0 {
-		give = append(give, p.give(e.rest[0], why))
+// evictAllIdle gives up all that rests at an endpoint.
+func (p *Pool) evictAllIdle(e *endpoint, reason Reason) (evict []Give) {
+	for len(e.idleConns) > 0 {
+		evict = append(evict, p.evict(e.idleConns[0], reason))
 	}
-	return give
+	return evict
 }
 
-func (p *Pool) give(c *conn, why Why) Give {
-	p.total.Given[why]++
-	c.ep.given[why]++
-	if c.state == resting {
-		c.ep.ended().add(p.last-c.since, false)
-		p.ends.Given[why].add(p.last - c.since)
+func (p *Pool) evict(c *conn, reason Reason) Give {
+	p.counters.Evicted[reason]++
+	c.owner.evicted[reason]++
+	if c.state == stateIdle {
+		c.owner.ownCloseHistory().add(p.clock-c.idleSince, false)
+		p.idleTimes.Evicted[reason].add(p.clock - c.idleSince)
 	}
-	p.drop(c)
-	return Give{c.id, why}
+	p.remove(c)
+	return Give{c.id, reason}
 }
 
-func (p *Pool) drop(c *conn) {
+func (p *Pool) remove(c *conn) {
 	switch c.state {
-	case busy:
-		c.ep.out--
-	case resting:
-		c.ep.rouse(c)
+	case stateBusy:
+		c.owner.busyCount--
+	case stateIdle:
+		c.owner.removeIdle(c)
 	}
-	if c.carried == 0 && c.ahead {
-		p.total.Unused++
+	if c.calls == 0 && c.preconnected {
+		p.counters.NeverUsed++
 	}
-	if c.tries {
-		c.ep.exploring = false
+	if c.isTrial {
+		c.owner.trialRunning = false
 	}
 	delete(p.conns, c.id)
-	delete(c.ep.conns, c.id)
-	p.forget(c.ep)
+	delete(c.owner.conns, c.id)
+	p.removeIfDrained(c.owner)
 }
 
 // Verdict says how a call gets its connection.
@@ -452,10 +454,10 @@
 
 // Call decides on a call to an endpoint: which connection it goes on. What has to be closed for it, or is found to be of
 // no use any more, is returned too.
-func (p *Pool) Call(now time.Duration, name string) (v Verdict, id ID, give []Give) {
-	p.now(now)
-	e := p.eps[name]
-	if e == nil || !e.open {
+func (p *Pool) Call(now time.Duration, name string) (v Verdict, id ID, evict []Give) {
+	p.advanceClock(now)
+	e := p.endpoints[name]
+	if e == nil || !e.acceptsCalls {
 		return Wait, 0, nil
 	}
 	e.arrivals++
@@ -463,337 +465,337 @@
 }
 
 // Again decides once more on a call that waited, or whose connection turned out to be closed.
-func (p *Pool) Again(now time.Duration, name string) (v Verdict, id ID, give []Give) {
-	p.now(now)
-	e := p.eps[name]
-	if e == nil || !e.open {
+func (p *Pool) Again(now time.Duration, name string) (v Verdict, id ID, evict []Give) {
+	p.advanceClock(now)
+	e := p.endpoints[name]
+	if e == nil || !e.acceptsCalls {
 		return Wait, 0, nil
 	}
-	c, give := p.best(e)
+	c, evict := p.bestIdle(e)
 	if c != nil {
-		p.take(c)
-		return Use, c.id, give
+		p.startCall(c)
+		return Use, c.id, evict
 	}
-	if e.full(p.last) {
-		p.total.Waited++
-		return Wait, 0, give
+	if e.atConnLimit(p.clock) {
+		p.counters.Waited++
+		return Wait, 0, evict
 	}
-	room, ok := p.room(e)
-	if give = append(give, room...); !ok {
-		p.total.Waited++
-		return Wait, 0, give
+	forRoom, ok := p.makeRoom(e)
+	if evict = append(evict, forRoom...); !ok {
+		p.counters.Waited++
+		return Wait, 0, evict
 	}
-	c = p.open(e)
-	return Open, c.id, give
+	c = p.openConn(e)
+	return Open, c.id, evict
 }
 
 // Unused puts back a connection that was to carry a call and did not: it rests on as if it had not been taken. If it may not,
 // it is to be closed, and why.
-func (p *Pool) Unused(now time.Duration, id ID) (rests bool, why Why) {
-	p.now(now)
+func (p *Pool) Unused(now time.Duration, id ID) (rests bool, reason Reason) {
+	p.advanceClock(now)
 	c := p.conns[id]
-	if c == nil || c.state != busy {
-		return false, Server
+	if c == nil || c.state != stateBusy {
+		return false, ReasonServerClosed
 	}
-	p.untake(c)
+	p.undoCall(c)
 	switch {
-	case !c.ep.open:
-		why = Leaving
-	case p.frugal:
-		why = Pressure
+	case !c.owner.acceptsCalls:
+		reason = ReasonDraining
+	case p.keepNoIdle:
+		reason = ReasonPressure
 	default:
-		c.ep.out--
-		c.ep.settle(c, p.last-c.idled)
+		c.owner.busyCount--
+		c.owner.addIdle(c, p.clock-c.idleBeforeCall)
 		return true, 0
 	}
-	p.total.Given[why]++
-	c.ep.given[why]++
-	p.drop(c)
-	return false, why
+	p.counters.Evicted[reason]++
+	c.owner.evicted[reason]++
+	p.remove(c)
+	return false, reason
 }
 
 // Gone tells that a connection that was to carry a call had been closed by the server before the first byte went out: it did
 // no harm, and counts as a closing that was seen.
 func (p *Pool) Gone(now time.Duration, id ID) {
-	p.now(now)
+	p.advanceClock(now)
 	c := p.conns[id]
-	if c == nil || c.state != busy {
+	if c == nil || c.state != stateBusy {
 		return
 	}
-	p.untake(c)
-	p.sawClosing(c, c.idled)
-	p.drop(c)
+	p.undoCall(c)
+	p.recordClosing(c, c.idleBeforeCall)
+	p.remove(c)
 }
 
-// untake has the counts forget a call that was not made after all.
-func (p *Pool) untake(c *conn) {
-	p.total.Calls--
-	p.calls = max(p.calls-1, 0)
-	if c.idled > 0 {
-		p.total.Reused--
+// undoCall has the counts forget a call that was not made after all.
+func (p *Pool) undoCall(c *conn) {
+	p.counters.Calls--
+	p.recentCalls = max(p.recentCalls-1, 0)
+	if c.idleBeforeCall > 0 {
+		p.counters.Reused--
 	}
-	if c.tries {
-		c.tries, c.ep.exploring = false, false
+	if c.isTrial {
+		c.isTrial, c.owner.trialRunning = false, false
 	}
 }
 
 // Cancel tells that an opening was called off.
 func (p *Pool) Cancel(now time.Duration, id ID) {
-	p.now(now)
-	if c := p.conns[id]; c != nil && c.state == opening {
-		p.total.CalledOff++
-		p.drop(c)
+	p.advanceClock(now)
+	if c := p.conns[id]; c != nil && c.state == stateOpening {
+		p.counters.Canceled++
+		p.remove(c)
 	}
 }
 
 // Drop gives up one resting connection; false if it does not rest.
-func (p *Pool) Drop(now time.Duration, id ID, why Why) bool {
-	p.now(now)
+func (p *Pool) Drop(now time.Duration, id ID, reason Reason) bool {
+	p.advanceClock(now)
 	c := p.conns[id]
-	if c == nil || c.state != resting {
+	if c == nil || c.state != stateIdle {
 		return false
 	}
-	p.give(c, why)
+	p.evict(c, reason)
 	return true
 }
 
 // Frugal has nothing rest while it is on.
-func (p *Pool) Frugal(now time.Duration, on bool) (give []Give) {
-	if p.frugal = on; on {
-		give = p.Shed(now, len(p.conns))
+func (p *Pool) Frugal(now time.Duration, on bool) (evict []Give) {
+	if p.keepNoIdle = on; on {
+		evict = p.Shed(now, len(p.conns))
 	}
-	return give
+	return evict
 }
 
 // Claim has a connection that has just come to rest carry a call that waited for one; false if it does not rest.
 func (p *Pool) Claim(now time.Duration, id ID) bool {
-	p.now(now)
+	p.advanceClock(now)
 	c := p.conns[id]
-	if c == nil || c.state != resting {
+	if c == nil || c.state != stateIdle {
 		return false
 	}
-	p.take(c)
+	p.startCall(c)
 	return true
 }
 
-func (p *Pool) now(now time.Duration) { p.last = max(p.last, now) }
+func (p *Pool) advanceClock(now time.Duration) { p.clock = max(p.clock, now) }
 
-// take has a resting connection carry a call.
-func (p *Pool) take(c *conn) {
-	c.ep.rouse(c)
-	c.idled = max(p.last-c.since, 1)
-	c.state = busy
-	c.ep.out++
-	c.ep.peak = max(c.ep.peak, float64(c.ep.out))
-	p.total.Calls++
-	p.total.Reused++
-	p.calls++
+// startCall has a resting connection carry a call.
+func (p *Pool) startCall(c *conn) {
+	c.owner.removeIdle(c)
+	c.idleBeforeCall = max(p.clock-c.idleSince, 1)
+	c.state = stateBusy
+	c.owner.busyCount++
+	c.owner.peakBusy = max(c.owner.peakBusy, float64(c.owner.busyCount))
+	p.counters.Calls++
+	p.counters.Reused++
+	p.recentCalls++
 }
 
-// open begins a connection.
-func (p *Pool) open(e *endpoint) *conn {
-	p.next++
-	c := &conn{id: p.next, ep: e}
+// openConn begins a connection.
+func (p *Pool) openConn(e *endpoint) *conn {
+	p.lastID++
+	c := &conn{id: p.lastID, owner: e}
 	if p.cfg.MaxAge > 0 { // a quarter to both sides: those that were opened together do not close together
-		c.old = p.last + time.Duration(float64(p.cfg.MaxAge)*(0.75+p.rng.Float64()/2))
+		c.expiresAt = p.clock + time.Duration(float64(p.cfg.MaxAge)*(0.75+p.rng.Float64()/2))
 	}
 	p.conns[c.id], e.conns[c.id] = c, c
-	p.total.Opened++
+	p.counters.Opened++
 	return c
 }
 
-// full says that the server seems to take no more connections. From time to time one more is tried.
-func (e *endpoint) full(now time.Duration) bool {
-	if e.cap > 0 && now-e.capAt > capFor {
-		e.cap, e.capAt = e.cap+1, now
+// atConnLimit says that the server seems to take no more connections. From time to time one more is tried.
+func (e *endpoint) atConnLimit(now time.Duration) bool {
+	if e.connLimit > 0 && now-e.connLimitAt > connLimitPeriod {
+		e.connLimit, e.connLimitAt = e.connLimit+1, now
 	}
-	return e.cap > 0 && len(e.conns) >= e.cap
+	return e.connLimit > 0 && len(e.conns) >= e.connLimit
 }
 
-// room makes room for one more connection in all. It comes from whoever rests with the most beyond its fair share; an
+// makeRoom makes room for one more connection in all. It comes from whoever rests with the most beyond its fair share; an
 // endpoint within its share gives nothing to one beyond its own.
-func (p *Pool) room(e *endpoint) (give []Give, ok bool) {
+func (p *Pool) makeRoom(e *endpoint) (evict []Give, ok bool) {
 	if len(p.conns) < p.cfg.Most {
 		return nil, true
 	}
-	fair := float64(p.cfg.Most) / float64(max(len(p.eps), 1))
+	fair := float64(p.cfg.Most) / float64(max(len(p.endpoints), 1))
 	var worst *conn
-	most := math.Inf(-1)
-	for _, o := range p.eps {
-		if o == e || len(o.rest) == 0 {
+	largestExcess := math.Inf(-1)
+	for _, o := range p.endpoints {
+		if o == e || len(o.idleConns) == 0 {
 			continue
 		}
-		c := o.rest[0]
-		over := float64(len(o.conns)) - max(min(o.target(), fair), 0)
-		if over > most || over == most && (c.since < worst.since || c.since == worst.since && c.id < worst.id) {
-			worst, most = c, over
+		c := o.idleConns[0]
+		excess := float64(len(o.conns)) - max(min(o.targetConns(), fair), 0)
+		if excess > largestExcess || excess == largestExcess && (c.idleSince < worst.idleSince || c.idleSince == worst.idleSince && c.id < worst.id) {
+			worst, largestExcess = c, excess
 		}
 	}
-	if worst == nil || most <= 0 && float64(len(e.conns)) >= fair {
+	if worst == nil || largestExcess <= 0 && float64(len(e.conns)) >= fair {
 		return nil, false
 	}
-	return []Give{p.give(worst, Room)}, true
+	return []Give{p.evict(worst, ReasonRoom)}, true
 }
 
-// best is the resting connection that is least likely dead, if that is worth the risk; others that are not are returned
+// bestIdle is the resting connection that is least likely dead, if that is worth the risk; others that are not are returned
 // to be closed. Where none is, one that idled beyond the limit may be tried from time to time: a server's time changes.
-func (p *Pool) best(e *endpoint) (best *conn, bad []Give) {
-	if e.weighedAt == 0 || p.last-e.weighedAt > weighEvery {
-		e.weighedAt = max(p.last, 1)
-		e.dead = &noDead
-		if e.reuses != &noReuses {
-			dead := e.reuses.dead()
-			e.dead = &dead
+func (p *Pool) bestIdle(e *endpoint) (bestIdle *conn, evicted []Give) {
+	if e.limitsComputedAt == 0 || p.clock-e.limitsComputedAt > limitsRefreshInterval {
+		e.limitsComputedAt = max(p.clock, 1)
+		e.deadShares = &emptyDeadShares
+		if e.reuseHistory != &emptyReuseHistory {
+			deadShares := e.reuseHistory.deadShares()
+			e.deadShares = &deadShares
 		}
 
-		e.soft, e.hard = p.limits(e)
+		e.softIdleLimit, e.hardIdleLimit = p.idleLimits(e)
 	}
-	dead, soft, hard := e.dead, e.soft, e.hard
+	deadShares, softIdleLimit, hardIdleLimit := e.deadShares, e.softIdleLimit, e.hardIdleLimit
 	risk := math.Inf(1)
-	var try, canary *conn
-	trusted := time.Duration(math.MaxInt64) // as long as nothing was lost, what is told of servers is believed
-	if e.lossAt > 0 && p.last-e.lossAt < wary {
-		trusted = max(time.Duration(provenReach*float64(e.provenOf(p.last))), shortIdle)
-	}
-	for i := len(e.rest) - 1; i >= 0; i-- { // newest first; what is given up leaves the list behind
-		c := e.rest[i]
-		why, over := p.over(c, soft)
-		if over && why == Idle && p.last-c.since < hard && p.mayTry(e) && try == nil {
-			try = c // the one that idled least is the best try
+	var trial, unproven *conn
+	trustedIdle := time.Duration(math.MaxInt64) // as long as nothing was lost, what is told of servers is believed
+	if e.idleLossAt > 0 && p.clock-e.idleLossAt < cautionPeriod {
+		trustedIdle = max(time.Duration(provenReachFactor*float64(e.longestProvenIdle(p.clock))), minSuspectIdle)
+	}
+	for i := len(e.idleConns) - 1; i >= 0; i-- { // newest first; what is given up leaves the list behind
+		c := e.idleConns[i]
+		reason, unfit := p.unfit(c, softIdleLimit)
+		if unfit && reason == ReasonIdle && p.clock-c.idleSince < hardIdleLimit && p.trialAllowed(e) && trial == nil {
+			trial = c // the one that idled least is the best try
 			continue
 		}
-		if over {
-			bad = append(bad, p.give(c, why))
+		if unfit {
+			evicted = append(evicted, p.evict(c, reason))
 			continue
 		}
-		if p.last-c.since > trusted {
-			if canary == nil { // the one that idled least
-				canary = c
+		if p.clock-c.idleSince > trustedIdle {
+			if unproven == nil { // the one that idled least
+				unproven = c
 			}
 			continue
 		}
-		if r := dead[bucket(p.last-c.since)]; best == nil || r < risk {
-			best, risk = c, r
+		if r := deadShares[bucketOf(p.clock-c.idleSince)]; bestIdle == nil || r < risk {
+			bestIdle, risk = c, r
 		}
 	}
-	if best != nil {
-		return best, bad
+	if bestIdle != nil {
+		return bestIdle, evicted
 	}
-	if canary != nil && !e.exploring {
-		e.exploring, canary.tries = true, true
-		return canary, bad
+	if unproven != nil && !e.trialRunning {
+		e.trialRunning, unproven.isTrial = true, true
+		return unproven, evicted
 	}
-	if try != nil && canary == nil {
-		e.exploring, e.tryAt, try.tries = true, p.last+tryEvery, true
-		return try, bad
+	if trial != nil && unproven == nil {
+		e.trialRunning, e.nextTrialAt, trial.isTrial = true, p.clock+trialInterval, true
+		return trial, evicted
 	}
-	return nil, bad
+	return nil, evicted
 }
 
-// provenOf is the longest idle time that went well in this stretch of provenFor or the one before. One call at a time tries
+// longestProvenIdle is the longest idle time that went well in this stretch of provenFor or the one before. One call at a time tries
 // more: in a clump, others that idled as long would be lost together.
-func (e *endpoint) provenOf(now time.Duration) time.Duration {
-	if n := now - e.provenFrom; n >= 2*provenFor {
-		e.proven, e.provenFrom = [2]time.Duration{}, now
-	} else if n >= provenFor {
-		e.proven, e.provenFrom = [2]time.Duration{0, e.proven[0]}, now
+func (e *endpoint) longestProvenIdle(now time.Duration) time.Duration {
+	if age := now - e.provenIdleFrom; age >= 2*provenPeriod {
+		e.provenIdle, e.provenIdleFrom = [2]time.Duration{}, now
+	} else if age >= provenPeriod {
+		e.provenIdle, e.provenIdleFrom = [2]time.Duration{0, e.provenIdle[0]}, now
 	}
-	return max(e.proven[0], e.proven[1])
+	return max(e.provenIdle[0], e.provenIdle[1])
 }
 
-// mayTry says whether an idle time beyond the limit may be tried now: one at a time, now and then, and not in quarantine.
-func (p *Pool) mayTry(e *endpoint) bool {
-	return !e.exploring && p.last >= e.tryAt && p.last >= e.bannedUntil
+// trialAllowed says whether an idle time beyond the limit may be tried now: one at a time, now and then, and not in quarantine.
+func (p *Pool) trialAllowed(e *endpoint) bool {
+	return !e.trialRunning && p.clock >= e.nextTrialAt && p.clock >= e.quarantinedUntil
 }
 
-// over says that a resting connection is not to be used again, and why.
-func (p *Pool) over(c *conn, limit time.Duration) (Why, bool) {
-	switch e := c.ep; {
-	case !e.open:
-		return Leaving, true
-	case p.last-c.since >= limit:
-		return Idle, true
-	case c.old > 0 && p.last >= c.old:
-		return Age, true
-	case e.uses > 0 && c.carried >= e.uses && c.id%usesTry != 0:
-		return Uses, true
+// unfit says that a resting connection is not to be used again, and why.
+func (p *Pool) unfit(c *conn, limit time.Duration) (Reason, bool) {
+	switch e := c.owner; {
+	case !e.acceptsCalls:
+		return ReasonDraining, true
+	case p.clock-c.idleSince >= limit:
+		return ReasonIdle, true
+	case c.expiresAt > 0 && p.clock >= c.expiresAt:
+		return ReasonAge, true
+	case e.maxUses > 0 && c.calls >= e.maxUses && c.id%connsPerUsesTrial != 0:
+		return ReasonUses, true
 	}
 	return 0, false
 }
 
-// limits are how long a connection to an endpoint may idle: as a rule less than what its losses allow and than what is in
+// idleLimits are how long a connection to an endpoint may idle: as a rule less than what its losses allow and than what is in
 // quarantine; and at most, less than servers are known to let it and than this one was seen to.
-func (p *Pool) limits(e *endpoint) (soft, hard time.Duration) {
-	hard = time.Duration(float64(p.cfg.IdleMost) * (1 - raceMargin))
-	if seen, ok := e.spells.until(closeShare); ok {
-		hard = min(hard, time.Duration(float64(seen)*(1-raceMargin)))
+func (p *Pool) idleLimits(e *endpoint) (soft, hard time.Duration) {
+	hard = time.Duration(float64(p.cfg.IdleMost) * (1 - closeMarginShare))
+	if survived, ok := e.closeHistory.survivedIdle(minSurvivalShare); ok {
+		hard = min(hard, time.Duration(float64(survived)*(1-closeMarginShare)))
 	}
-	soft = min(hard, e.reuses.limit(p.risk(), p.cfg.OpenPrice/p.cfg.LossPrice))
-	if e.banned > 0 {
-		soft = min(soft, time.Duration(float64(e.banned)*0.8))
+	soft = min(hard, e.reuseHistory.idleLimit(p.acceptableRisk(), p.cfg.OpenPrice/p.cfg.LossPrice))
+	if e.quarantinedIdle > 0 {
+		soft = min(soft, time.Duration(float64(e.quarantinedIdle)*0.8))
 	}
 	return soft, hard
 }
 
-// risk is the share of dead connections that a reuse may expect: what the prices allow, and less the nearer losses of late
+// acceptableRisk is the share of dead connections that a reuse may expect: what the prices allow, and less the nearer losses of late
 // are to what they may be.
-func (p *Pool) risk() float64 {
-	left := 1 - p.stale/max(p.calls*p.cfg.StaleMost, 1)
-	return p.cfg.OpenPrice / p.cfg.LossPrice * min(max(left, 0.05), 1)
+func (p *Pool) acceptableRisk() float64 {
+	remainingShare := 1 - p.staleCalls/max(p.recentCalls*p.cfg.StaleMost, 1)
+	return p.cfg.OpenPrice / p.cfg.LossPrice * min(max(remainingShare, 0.05), 1)
 }
 
 // Opened tells that a connection is up. With a call waiting for it that call is out on it now; else it rests.
-func (p *Pool) Opened(now time.Duration, id ID, call bool) {
-	p.now(now)
+func (p *Pool) Opened(now time.Duration, id ID, callWaits bool) {
+	p.advanceClock(now)
 	c := p.conns[id]
-	if c == nil || c.state != opening {
+	if c == nil || c.state != stateOpening {
 		return
 	}
-	e := c.ep
-	e.goodOpen, e.fails = p.last, e.fails/2
-	if !call {
-		e.settle(c, p.last)
+	e := c.owner
+	e.lastOpenedAt, e.openFailures = p.clock, e.openFailures/2
+	if !callWaits {
+		e.addIdle(c, p.clock)
 		return
 	}
-	c.state = busy
-	e.out++
-	e.peak = max(e.peak, float64(e.out))
-	p.total.Calls++
-	p.calls++
+	c.state = stateBusy
+	e.busyCount++
+	e.peakBusy = max(e.peakBusy, float64(e.busyCount))
+	p.counters.Calls++
+	p.recentCalls++
 }
 
 // Failed tells that a connection did not come up. Where others to the endpoint did of late, or are open, the server may take
 // no more.
 func (p *Pool) Failed(now time.Duration, id ID, refused bool) {
-	p.now(now)
+	p.advanceClock(now)
 	c := p.conns[id]
 	if c == nil {
 		return
 	}
-	e := c.ep
-	p.total.Failed++
-	p.drop(c)
-	if !refused || !p.refused(e) {
-		e.fails++
+	e := c.owner
+	p.counters.OpenFailures++
+	p.remove(c)
+	if !refused || !p.noteRefusal(e) {
+		e.openFailures++
 	}
-	wait := min(float64(p.cfg.BackoffLeast)*math.Exp2(float64(min(max(e.fails-1, 0), 30))), float64(p.cfg.BackoffMost))
-	e.retryAt = p.last + time.Duration(wait*(0.5+p.rng.Float64()/2))
+	wait := min(float64(p.cfg.MinBackoff)*math.Exp2(float64(min(max(e.openFailures-1, 0), 30))), float64(p.cfg.MaxBackoff))
+	e.preconnectRetryAt = p.clock + time.Duration(wait*(0.5+p.rng.Float64()/2))
 }
 
-// refused takes in that a server would not have one more connection, while others are open or were of late: it may take no
+// noteRefusal takes in that a server would not have one more connection, while others are open or were of late: it may take no
 // more. A connection that breaks under its first call is one of these. It returns false where the server seems to be down.
-func (p *Pool) refused(e *endpoint) bool {
-	up := 0
+func (p *Pool) noteRefusal(e *endpoint) bool {
+	openCount := 0
 	for _, o := range e.conns {
-		if o.state != opening {
-			up++
+		if o.state != stateOpening {
+			openCount++
 		}
 	}
-	if up == 0 || p.last-e.goodOpen >= capFor {
+	if openCount == 0 || p.clock-e.lastOpenedAt >= connLimitPeriod {
 		return false
 	}
-	if e.refusals++; e.refusals >= capRefusals {
-		e.cap, e.capAt = up, p.last
+	if e.consecutiveRefusals++; e.consecutiveRefusals >= refusalsForConnLimit {
+		e.connLimit, e.connLimitAt = openCount, p.clock
 	}
 	return true
 }
@@ -811,310 +813,310 @@
 )
 
 // Done tells the end of a call. It returns whether the connection rests from now on, and if not, why it is to be closed.
-func (p *Pool) Done(now time.Duration, id ID, end End, took time.Duration) (rests bool, why Why) {
-	p.now(now)
+func (p *Pool) Done(now time.Duration, id ID, end End, took time.Duration) (rests bool, reason Reason) {
+	p.advanceClock(now)
 	c := p.conns[id]
-	if c == nil || c.state != busy {
-		return false, Server
-	}
-	e := c.ep
-	c.carried++
-	if end == Answered && c.carried > max(e.usesSeen, e.uses) { // it goes on beyond what seemed the limit
-		e.usesN = 0
-		if e.uses > 0 {
-			e.uses, e.usesNeed = 0, min(max(e.usesNeed, sameUses)*4, usesMost)
+	if c == nil || c.state != stateBusy {
+		return false, ReasonServerClosed
+	}
+	e := c.owner
+	c.calls++
+	if end == Answered && c.calls > max(e.lastClosingUses, e.maxUses) { // it goes on beyond what seemed the limit
+		e.sameUsesCount = 0
+		if e.maxUses > 0 {
+			e.maxUses, e.sameUsesNeeded = 0, min(max(e.sameUsesNeeded, minSameUses)*4, maxSameUses)
 		}
 	}
-	p.learn(c, end)
-	if end == Answered && c.carried == 1 {
-		e.refusals = 0
+	p.recordIdleOutcome(c, end)
+	if end == Answered && c.calls == 1 {
+		e.consecutiveRefusals = 0
 	}
 	if end == Answered || end == Last {
-		e.served(took.Seconds())
+		e.recordServiceTime(took.Seconds())
 	}
-	if c.tries {
-		c.tries, e.exploring = false, false
+	if c.isTrial {
+		c.isTrial, e.trialRunning = false, false
 	}
-	why = Server
+	reason = ReasonServerClosed
 	switch {
 	case end != Answered:
-	case !e.open:
-		why = Leaving
-	case c.old > 0 && p.last >= c.old:
-		why = Age
-	case e.uses > 0 && c.carried >= e.uses && c.id%usesTry != 0:
-		why = Uses
+	case !e.acceptsCalls:
+		reason = ReasonDraining
+	case c.expiresAt > 0 && p.clock >= c.expiresAt:
+		reason = ReasonAge
+	case e.maxUses > 0 && c.calls >= e.maxUses && c.id%connsPerUsesTrial != 0:
+		reason = ReasonUses
 	case len(p.conns) > p.cfg.Most:
-		why = Room
-	case p.frugal:
-		why = Pressure
+		reason = ReasonRoom
+	case p.keepNoIdle:
+		reason = ReasonPressure
 	default:
-		e.out--
-		e.settle(c, p.last)
+		e.busyCount--
+		e.addIdle(c, p.clock)
 		return true, 0
 	}
 	if end == Last {
-		p.sawUses(e, c.carried)
+		p.recordClosingUses(e, c.calls)
 	}
-	p.total.Given[why]++
-	c.ep.given[why]++
-	p.drop(c)
-	if end == Dead && c.idled == 0 {
-		p.refused(e)
+	p.counters.Evicted[reason]++
+	c.owner.evicted[reason]++
+	p.remove(c)
+	if end == Dead && c.idleBeforeCall == 0 {
+		p.noteRefusal(e)
 	}
-	return false, why
+	return false, reason
 }
 
-// learn takes in what a call tells of idling.
-func (p *Pool) learn(c *conn, end End) {
-	e := c.ep
-	g := p.groups[e.dest]
-	if g.calls++; g.calls > staleWindow {
-		g.calls, g.lost = g.calls/2, g.lost/2
+// recordIdleOutcome takes in what a call tells of idling.
+func (p *Pool) recordIdleOutcome(c *conn, end End) {
+	e := c.owner
+	g := p.destinations[e.dest]
+	if g.recentCalls++; g.recentCalls > staleWindowCalls {
+		g.recentCalls, g.recentUnrelatedLosses = g.recentCalls/2, g.recentUnrelatedLosses/2
 	}
-	if c.idled == 0 {
+	if c.idleBeforeCall == 0 {
 		if end == Dead {
-			g.lost++
+			g.recentUnrelatedLosses++
 		}
 		return
 	}
 	if end != Dead {
 		if end != Cut { // what was cut tells nothing
-			e.suspects = slices.DeleteFunc(e.suspects, func(idle time.Duration) bool {
-				if idle <= c.idled {
-					g.lost++ // it was not for idling
+			e.suspectedIdles = slices.DeleteFunc(e.suspectedIdles, func(idle time.Duration) bool {
+				if idle <= c.idleBeforeCall {
+					g.recentUnrelatedLosses++ // it was not for idling
 				}
-				return idle <= c.idled
+				return idle <= c.idleBeforeCall
 			})
-			e.usedAgain().add(c.idled, false)
-			e.ended().add(c.idled, false)
-			e.goodOf(p.last)
-			e.goodIdle[0] = max(e.goodIdle[0], c.idled)
-			e.provenOf(p.last)
-			e.proven[0] = max(e.proven[0], c.idled)
-			if e.banned > 0 && c.idled >= e.banned { // it lives on that long now
-				e.banned, e.bannedUntil, e.ban = 0, 0, 0
+			e.ownReuseHistory().add(c.idleBeforeCall, false)
+			e.ownCloseHistory().add(c.idleBeforeCall, false)
+			e.longestRecentGoodIdle(p.clock)
+			e.recentGoodIdle[0] = max(e.recentGoodIdle[0], c.idleBeforeCall)
+			e.longestProvenIdle(p.clock)
+			e.provenIdle[0] = max(e.provenIdle[0], c.idleBeforeCall)
+			if e.quarantinedIdle > 0 && c.idleBeforeCall >= e.quarantinedIdle { // it lives on that long now
+				e.quarantinedIdle, e.quarantinedUntil, e.quarantineLength = 0, 0, 0
 			}
 		}
 		return
 	}
-	p.total.Stale++
-	e.stale++
-	e.weighedAt = 0
-	p.ends.Dead.add(c.idled)
-	p.stale++
-	if c.idled < shortIdle {
-		g.lost++
+	p.counters.Stale++
+	e.staleCalls++
+	e.limitsComputedAt = 0
+	p.idleTimes.Dead.add(c.idleBeforeCall)
+	p.staleCalls++
+	if c.idleBeforeCall < minSuspectIdle {
+		g.recentUnrelatedLosses++
 		return
 	}
-	need := 1
-	if g.noisy() {
-		need = suspectsMost
+	lossesNeeded := 1
+	if g.hasUnrelatedLosses() {
+		lossesNeeded = lossesNeededIfNoisy
 	}
-	if e.goodOf(p.last) > c.idled { // one that idled longer went well of late: the server has changed, or it is not for idling
-		need = contradicted
+	if e.longestRecentGoodIdle(p.clock) > c.idleBeforeCall { // one that idled longer went well of late: the server has changed, or it is not for idling
+		lossesNeeded = lossesNeededIfContradicted
 	}
-	if e.suspects = append(e.suspects, c.idled); len(e.suspects) < need {
+	if e.suspectedIdles = append(e.suspectedIdles, c.idleBeforeCall); len(e.suspectedIdles) < lossesNeeded {
 		return
 	}
-	e.ban = min(max(e.ban*2, quarantine), quarantineMost)
-	e.lossAt = p.last
-	for _, idle := range e.suspects {
-		for i := range e.proven {
-			e.proven[i] = min(e.proven[i], time.Duration(refuted*float64(idle)))
-			e.goodIdle[i] = min(e.goodIdle[i], time.Duration(refuted*float64(idle)))
+	e.quarantineLength = min(max(e.quarantineLength*2, minQuarantine), maxQuarantine)
+	e.idleLossAt = p.clock
+	for _, idle := range e.suspectedIdles {
+		for i := range e.provenIdle {
+			e.provenIdle[i] = min(e.provenIdle[i], time.Duration(refutedIdleShare*float64(idle)))
+			e.recentGoodIdle[i] = min(e.recentGoodIdle[i], time.Duration(refutedIdleShare*float64(idle)))
 		}
-		e.usedAgain().add(idle, true)
-		if e.banned == 0 || idle < e.banned {
-			e.banned = idle
+		e.ownReuseHistory().add(idle, true)
+		if e.quarantinedIdle == 0 || idle < e.quarantinedIdle {
+			e.quarantinedIdle = idle
 		}
 	}
-	e.suspects = e.suspects[:0]
-	e.bannedUntil = p.last + e.ban
-	p.total.Bans++
+	e.suspectedIdles = e.suspectedIdles[:0]
+	e.quarantinedUntil = p.clock + e.quarantineLength
+	p.counters.Quarantines++
 }
 
-// goodOf is the longest idle time that went well of late: in this stretch of recentGood and the one before.
-func (e *endpoint) goodOf(now time.Duration) time.Duration {
-	if n := now - e.goodFrom; n >= 2*recentGood {
-		e.goodIdle, e.goodFrom = [2]time.Duration{}, now
-	} else if n >= recentGood {
-		e.goodIdle, e.goodFrom = [2]time.Duration{0, e.goodIdle[0]}, now
+// longestRecentGoodIdle is the longest idle time that went well of late: in this stretch of recentGood and the one before.
+func (e *endpoint) longestRecentGoodIdle(now time.Duration) time.Duration {
+	if age := now - e.recentGoodFrom; age >= 2*recentGoodPeriod {
+		e.recentGoodIdle, e.recentGoodFrom = [2]time.Duration{}, now
+	} else if age >= recentGoodPeriod {
+		e.recentGoodIdle, e.recentGoodFrom = [2]time.Duration{0, e.recentGoodIdle[0]}, now
 	}
-	return max(e.goodIdle[0], e.goodIdle[1])
+	return max(e.recentGoodIdle[0], e.recentGoodIdle[1])
 }
 
-// served takes a service time into the usual one.
-func (e *endpoint) served(took float64) {
-	if e.mean == 0 {
-		e.mean, e.dev = took, took/2
+// recordServiceTime takes a service time into the usual one.
+func (e *endpoint) recordServiceTime(seconds float64) {
+	if e.serviceSeconds == 0 {
+		e.serviceSeconds, e.serviceSpreadSeconds = seconds, seconds/2
 	}
-	e.dev += demandFade * (math.Abs(took-e.mean) - e.dev)
-	e.mean += demandFade * (took - e.mean)
+	e.serviceSpreadSeconds += serviceSmoothing * (math.Abs(seconds-e.serviceSeconds) - e.serviceSpreadSeconds)
+	e.serviceSeconds += serviceSmoothing * (seconds - e.serviceSeconds)
 }
 
 // Closed tells that the server closed a resting connection, or one that was opening and never carried a call.
 func (p *Pool) Closed(now time.Duration, id ID) {
-	p.now(now)
+	p.advanceClock(now)
 	c := p.conns[id]
 	if c == nil {
 		return
 	}
-	if c.state == resting {
-		p.sawClosing(c, p.last-c.since)
+	if c.state == stateIdle {
+		p.recordClosing(c, p.clock-c.idleSince)
 	} else {
-		p.total.Closed++
+		p.counters.Closed++
 	}
-	p.drop(c)
+	p.remove(c)
 }
 
-// sawClosing notes that the server closed a connection that had idled for so long.
-func (p *Pool) sawClosing(c *conn, idle time.Duration) {
-	p.total.Closed++
-	p.ends.Closed.add(idle)
-	e := c.ep
-	if c.carried > 0 && idle < behindAnswer {
-		p.sawUses(e, c.carried) // for the number of calls, not for idling
+// recordClosing notes that the server closed a connection that had idled for so long.
+func (p *Pool) recordClosing(c *conn, idle time.Duration) {
+	p.counters.Closed++
+	p.idleTimes.Closed.add(idle)
+	e := c.owner
+	if c.calls > 0 && idle < closeAfterAnswerWindow {
+		p.recordClosingUses(e, c.calls) // for the number of calls, not for idling
 	} else {
-		e.ended().add(idle, true)
+		e.ownCloseHistory().add(idle, true)
 	}
-	if e.cap > 0 && p.last-e.capAt < capDoubt {
-		e.cap = 0 // it was going down, not full
+	if e.connLimit > 0 && p.clock-e.connLimitAt < connLimitDoubtPeriod {
+		e.connLimit = 0 // it was going down, not full
 	}
 }
 
-// sawUses notes that the server closed behind so many calls.
-func (p *Pool) sawUses(e *endpoint, n int) {
-	if e.usesSeen != n {
-		e.usesSeen, e.usesN = n, 0
+// recordClosingUses notes that the server closed behind so many calls.
+func (p *Pool) recordClosingUses(e *endpoint, calls int) {
+	if e.lastClosingUses != calls {
+		e.lastClosingUses, e.sameUsesCount = calls, 0
 	}
-	if e.usesN++; e.usesN >= max(e.usesNeed, sameUses) {
-		e.uses = n
+	if e.sameUsesCount++; e.sameUsesCount >= max(e.sameUsesNeeded, minSameUses) {
+		e.maxUses = calls
 	}
 }
 
-// target is how many connections an endpoint is to have: for the calls that Little's law has out at once, and the spread
+// targetConns is how many connections an endpoint is to have: for the calls that Little's law has out at once, and the spread
 // about them, and for the peak of late.
-func (e *endpoint) target() float64 {
-	if !e.open {
+func (e *endpoint) targetConns() float64 {
+	if !e.acceptsCalls {
 		return 0
 	}
-	out := e.rate * (e.mean + e.dev)
-	need := out + quantile*math.Sqrt(out)
-	if e.rate > 0.5 {
-		need = max(need, 1)
+	busy := e.callsPerSecond * (e.serviceSeconds + e.serviceSpreadSeconds)
+	needed := busy + busyDeviations*math.Sqrt(busy)
+	if e.callsPerSecond > 0.5 {
+		needed = max(needed, 1)
 	}
-	return math.Ceil(max(need, e.peak))
+	return math.Ceil(max(needed, e.peakBusy))
 }
 
 // Tick looks at everything: it is to come every quarter of a second or so. It returns what is to be closed, and for which
 // endpoints connections are to be opened ahead, under which ids.
-func (p *Pool) Tick(now time.Duration) (give []Give, ahead []ID) {
-	p.now(now)
-	dt := (p.last - p.ticked).Seconds()
-	p.ticked = p.last
-	if p.calls > staleWindow {
-		p.calls, p.stale = p.calls/2, p.stale/2
-	}
-	names := slices.Sorted(maps.Keys(p.eps))
+func (p *Pool) Tick(now time.Duration) (evict []Give, preconnects []ID) {
+	p.advanceClock(now)
+	seconds := (p.clock - p.lastTickAt).Seconds()
+	p.lastTickAt = p.clock
+	if p.recentCalls > staleWindowCalls {
+		p.recentCalls, p.staleCalls = p.recentCalls/2, p.staleCalls/2
+	}
+	names := slices.Sorted(maps.Keys(p.endpoints))
 	for _, name := range names {
-		e := p.eps[name]
-		e.fade(dt, p.cfg.Keep)
-		if p.last-e.fadedAt >= evidenceFade {
-			by := math.Exp2(-(p.last - e.fadedAt).Seconds() / evidenceHalf.Seconds())
-			e.fadedAt = p.last
-			if e.reuses != &noReuses {
-				e.reuses.fade(by)
+		e := p.endpoints[name]
+		e.decayDemand(seconds, p.cfg.Keep)
+		if p.clock-e.evidenceDecayedAt >= evidenceDecayInterval {
+			decayFactor := math.Exp2(-(p.clock - e.evidenceDecayedAt).Seconds() / evidenceHalfLife.Seconds())
+			e.evidenceDecayedAt = p.clock
+			if e.reuseHistory != &emptyReuseHistory {
+				e.reuseHistory.decay(decayFactor)
 			}
-			if e.spells != &noSpells {
-				e.spells.fade(by)
+			if e.closeHistory != &emptyCloseHistory {
+				e.closeHistory.decay(decayFactor)
 			}
 		}
-		soft, hard := p.limits(e)
-		spare := float64(len(e.conns)) - e.target()
-		resting := slices.Clone(e.rest)
+		soft, hard := p.idleLimits(e)
+		surplus := float64(len(e.conns)) - e.targetConns()
+		candidates := slices.Clone(e.idleConns)
 		// The fewer descriptors are left, the sooner what is not needed goes; while half are free it may as well rest.
-		thinAfter := max(thinLeast, time.Duration((1-2*float64(len(p.conns))/float64(p.cfg.Most))*float64(soft)))
-		var keep *conn // the newest beyond the limit, to be tried
-		if p.mayTry(e) && spare < 1 {
-			for _, c := range resting {
-				if idle := p.last - c.since; idle >= soft && idle < hard {
-					keep = c
+		surplusAfter := max(minSurplusIdle, time.Duration((1-2*float64(len(p.conns))/float64(p.cfg.Most))*float64(soft)))
+		var trial *conn // the newest beyond the limit, to be tried
+		if p.trialAllowed(e) && surplus < 1 {
+			for _, c := range candidates {
+				if idle := p.clock - c.idleSince; idle >= soft && idle < hard {
+					trial = c
 				}
 			}
 		}
-		for _, c := range resting {
-			why, over := p.over(c, soft)
-			if c == keep && why == Idle {
-				over = false
+		for _, c := range candidates {
+			reason, unfit := p.unfit(c, soft)
+			if c == trial && reason == ReasonIdle {
+				unfit = false
 			}
-			if !over && spare >= 1 && p.last-c.since >= thinAfter {
-				why, over = Thin, true
+			if !unfit && surplus >= 1 && p.clock-c.idleSince >= surplusAfter {
+				reason, unfit = ReasonSurplus, true
 			}
-			if over {
-				spare--
-				give = append(give, p.give(c, why))
+			if unfit {
+				surplus--
+				evict = append(evict, p.evict(c, reason))
 			}
 		}
 	}
 	for _, name := range names {
-		if e := p.eps[name]; e != nil && p.cfg.Ahead {
-			ahead = append(ahead, p.ahead(e)...)
+		if e := p.endpoints[name]; e != nil && p.cfg.Ahead {
+			preconnects = append(preconnects, p.preconnect(e)...)
 		}
 	}
-	return give, ahead
+	return evict, preconnects
 }
 
-// fade lets rate and peak follow the last tick.
-func (e *endpoint) fade(dt float64, keep time.Duration) {
-	if dt <= 0 {
+// decayDemand lets rate and peak follow the last tick.
+func (e *endpoint) decayDemand(seconds float64, halfLife time.Duration) {
+	if seconds <= 0 {
 		return
 	}
-	rate := float64(e.arrivals) / dt
+	callsPerSecond := float64(e.arrivals) / seconds
 	e.arrivals = 0
-	if rate > e.rate {
-		e.rate += 0.5 * (rate - e.rate)
+	if callsPerSecond > e.callsPerSecond {
+		e.callsPerSecond += 0.5 * (callsPerSecond - e.callsPerSecond)
 	} else {
-		e.rate += (1 - math.Exp2(-dt/keep.Seconds())) * (rate - e.rate)
+		e.callsPerSecond += (1 - math.Exp2(-seconds/halfLife.Seconds())) * (callsPerSecond - e.callsPerSecond)
 	}
-	if e.rate < 0.01 {
-		e.rate = 0
+	if e.callsPerSecond < 0.01 {
+		e.callsPerSecond = 0
 	}
-	e.peak = max(e.peak*math.Exp2(-dt/keep.Seconds()), float64(e.out))
-	if e.peak < 0.5 {
-		e.peak = 0
+	e.peakBusy = max(e.peakBusy*math.Exp2(-seconds/halfLife.Seconds()), float64(e.busyCount))
+	if e.peakBusy < 0.5 {
+		e.peakBusy = 0
 	}
 }
 
-// ahead opens what an endpoint will need: for calls that are known to come, and in place of what was given up while it was
+// preconnect opens what an endpoint will need: for calls that are known to come, and in place of what was given up while it was
 // called often. An endpoint that is cold, or where openings fail, gets one at a time.
-func (p *Pool) ahead(e *endpoint) (ids []ID) {
-	if !e.open || p.frugal || p.last < e.retryAt {
+func (p *Pool) preconnect(e *endpoint) (ids []ID) {
+	if !e.acceptsCalls || p.keepNoIdle || p.clock < e.preconnectRetryAt {
 		return nil
 	}
-	under, free := 0, 0
+	openingCount, freeCount := 0, 0
 	for _, c := range e.conns {
 		switch c.state {
-		case opening:
-			under++
-			free++
-		case resting:
-			free++
+		case stateOpening:
+			openingCount++
+			freeCount++
+		case stateIdle:
+			freeCount++
 		}
 	}
 	// A connection is worth opening if it is used before it has to be given up for idling.
-	want := 0
-	if soft, _ := p.limits(e); e.rate*soft.Seconds() > 3 {
-		want = int(e.target()) - len(e.conns)
-	}
-	want = max(want, e.expected-free)
-	if e.cold || e.fails > 0 || e.goodOpen == 0 { // it is new, or comes back
-		want = min(want, 1-under)
-	}
-	for ; want > 0 && !e.full(p.last) && len(p.conns) < p.cfg.Most; want-- { // never at another's cost
-		c := p.open(e)
-		c.ahead = true
-		p.total.Ahead++
+	wanted := 0
+	if soft, _ := p.idleLimits(e); e.callsPerSecond*soft.Seconds() > 3 {
+		wanted = int(e.targetConns()) - len(e.conns)
+	}
+	wanted = max(wanted, e.expectedCalls-freeCount)
+	if e.slowStart || e.openFailures > 0 || e.lastOpenedAt == 0 { // it is new, or comes back
+		wanted = min(wanted, 1-openingCount)
+	}
+	for ; wanted > 0 && !e.atConnLimit(p.clock) && len(p.conns) < p.cfg.Most; wanted-- { // never at another's cost
+		c := p.openConn(e)
+		c.preconnected = true
+		p.counters.Ahead++
 		ids = append(ids, c.id)
 	}
 	return ids
@@ -1122,13 +1124,13 @@
 
 // Unneeded names connections that are being opened ahead and that nobody will need any more: they may be called off.
 func (p *Pool) Unneeded() (ids []ID) {
-	for _, name := range slices.Sorted(maps.Keys(p.eps)) {
-		e := p.eps[name]
-		spare := len(e.conns) - max(int(e.target()), e.out+e.expected)
-		for _, c := range e.sorted() {
-			if c.state == opening && c.ahead && spare > 0 {
+	for _, name := range slices.Sorted(maps.Keys(p.endpoints)) {
+		e := p.endpoints[name]
+		surplus := len(e.conns) - max(int(e.targetConns()), e.busyCount+e.expectedCalls)
+		for _, c := range e.connsByID() {
+			if c.state == stateOpening && c.preconnected && surplus > 0 {
 				ids = append(ids, c.id)
-				spare--
+				surplus--
 			}
 		}
 	}
@@ -1136,20 +1138,20 @@
 }
 
 // Shed gives up resting connections while memory or descriptors are short: those beyond their endpoint's need first.
-func (p *Pool) Shed(now time.Duration, most int) (give []Give) {
-	p.now(now)
-	var rest []*conn
-	for _, e := range p.eps {
-		rest = append(rest, e.rest...)
-	}
-	slices.SortFunc(rest, func(a, b *conn) int {
-		spare := func(c *conn) float64 { return float64(len(c.ep.conns)) - c.ep.target() }
-		return cmp.Or(cmp.Compare(spare(b), spare(a)), cmp.Compare(a.since, b.since), cmp.Compare(a.id, b.id))
+func (p *Pool) Shed(now time.Duration, maxEvicted int) (evict []Give) {
+	p.advanceClock(now)
+	var idleConns []*conn
+	for _, e := range p.endpoints {
+		idleConns = append(idleConns, e.idleConns...)
+	}
+	slices.SortFunc(idleConns, func(a, b *conn) int {
+		surplus := func(c *conn) float64 { return float64(len(c.owner.conns)) - c.owner.targetConns() }
+		return cmp.Or(cmp.Compare(surplus(b), surplus(a)), cmp.Compare(a.idleSince, b.idleSince), cmp.Compare(a.id, b.id))
 	})
-	for _, c := range rest[:min(most, len(rest))] {
-		give = append(give, p.give(c, Pressure))
+	for _, c := range idleConns[:min(maxEvicted, len(idleConns))] {
+		evict = append(evict, p.evict(c, ReasonPressure))
 	}
-	return give
+	return evict
 }
 
 // EndpointOf names the endpoint of a connection.
@@ -1158,7 +1160,7 @@
 	if c == nil {
 		return "", false
 	}
-	return c.ep.name, true
+	return c.owner.name, true
 }
 
 // Histogram counts idle times at the end of connections: up to 10 ms, 100 ms, 1 s, 10 s, a minute, and longer.
@@ -1167,8 +1169,8 @@
 var histogramBounds = [len(Histogram{}) - 1]time.Duration{10 * time.Millisecond, 100 * time.Millisecond, time.Second, 10 * time.Second, time.Minute}
 
 func (h *Histogram) add(idle time.Duration) {
-	for i, most := range histogramBounds {
-		if idle <= most {
+	for i, bound := range histogramBounds {
+		if idle <= bound {
 			h[i]++
 			return
 		}
@@ -1193,61 +1195,61 @@
 
 // Ends are the histograms by cause: given up, by reason; closed by the server; and dead under a call.
 type Ends struct {
-	Given        [whys]Histogram
+	Evicted      [reasonCount]Histogram
 	Closed, Dead Histogram
 }
 
 // LogValue names those that hold any.
 func (e Ends) LogValue() slog.Value {
 	attrs := []slog.Attr{slog.Any("closed", e.Closed), slog.Any("dead", e.Dead)}
-	for w, h := range e.Given {
-		attrs = append(attrs, slog.Any(Why(w).String(), h))
+	for w, h := range e.Evicted {
+		attrs = append(attrs, slog.Any(Reason(w).String(), h))
 	}
 	return slog.GroupValue(attrs...)
 }
 
 // Ends returns how long connections had idled at their ends, by cause.
-func (p *Pool) Ends() Ends { return p.ends }
+func (p *Pool) Ends() Ends { return p.idleTimes }
 
 // State is what is known of one endpoint, for operators.
 type State struct {
-	Endpoint            string
-	Open, Cold          bool
-	Opening, Busy, Idle int
-	Target              int
-	Rate                float64       // calls a second
-	Service, Spread     time.Duration // of a call
-	IdleLimit           time.Duration
-	Banned              time.Duration // idle time in quarantine; 0 for none
-	Uses, Cap, Fails    int
-	Given               [whys]int64 // up, by reason
-	Stale               int64       // calls failed by dead connections
+	Endpoint                         string
+	AcceptsCalls, SlowStart          bool
+	Opening, Busy, Idle              int
+	Target                           int
+	CallsPerSecond                   float64       // calls a second
+	Service, Spread                  time.Duration // of a call
+	IdleLimit                        time.Duration
+	QuarantinedIdle                  time.Duration // idle time in quarantine; 0 for none
+	MaxUses, ConnLimit, OpenFailures int
+	Evicted                          [reasonCount]int64 // up, by reason
+	Stale                            int64              // calls failed by dead connections
 }
 
 // LogValue names the figures in a log line.
 func (s State) LogValue() slog.Value {
-	return slog.GroupValue(slog.String("member", s.Endpoint), slog.Bool("open", s.Open), slog.Bool("cold", s.Cold), slog.Int("opening", s.Opening),
-		slog.Int("busy", s.Busy), slog.Int("idle", s.Idle), slog.Int("target", s.Target), slog.Float64("rate", s.Rate),
+	return slog.GroupValue(slog.String("member", s.Endpoint), slog.Bool("open", s.AcceptsCalls), slog.Bool("cold", s.SlowStart), slog.Int("opening", s.Opening),
+		slog.Int("busy", s.Busy), slog.Int("idle", s.Idle), slog.Int("target", s.Target), slog.Float64("rate", s.CallsPerSecond),
 		slog.Duration("service", s.Service), slog.Duration("spread", s.Spread), slog.Duration("idle_limit", s.IdleLimit),
-		slog.Duration("banned", s.Banned), slog.Int("uses", s.Uses), slog.Int("cap", s.Cap), slog.Int("fails", s.Fails),
-		slog.Int64("stale", s.Stale), slog.Any("given", givenUp(s.Given)))
+		slog.Duration("banned", s.QuarantinedIdle), slog.Int("uses", s.MaxUses), slog.Int("cap", s.ConnLimit), slog.Int("fails", s.OpenFailures),
+		slog.Int64("stale", s.Stale), slog.Any("given", evictedByReason(s.Evicted)))
 }
 
 // LogValue names the counters in a log line.
 func (c Counters) LogValue() slog.Value {
-	return slog.GroupValue(slog.Int64("opened", c.Opened), slog.Int64("ahead", c.Ahead), slog.Int64("unused", c.Unused),
-		slog.Int64("called_off", c.CalledOff), slog.Int64("failed", c.Failed), slog.Int64("calls", c.Calls), slog.Int64("reused", c.Reused),
-		slog.Int64("stale", c.Stale), slog.Int64("bans", c.Bans), slog.Int64("waited", c.Waited), slog.Int64("closed", c.Closed),
-		slog.Any("given", givenUp(c.Given)))
+	return slog.GroupValue(slog.Int64("opened", c.Opened), slog.Int64("ahead", c.Ahead), slog.Int64("unused", c.NeverUsed),
+		slog.Int64("called_off", c.Canceled), slog.Int64("failed", c.OpenFailures), slog.Int64("calls", c.Calls), slog.Int64("reused", c.Reused),
+		slog.Int64("stale", c.Stale), slog.Int64("bans", c.Quarantines), slog.Int64("waited", c.Waited), slog.Int64("closed", c.Closed),
+		slog.Any("given", evictedByReason(c.Evicted)))
 }
 
-type givenUp [whys]int64
+type evictedByReason [reasonCount]int64
 
-func (g givenUp) LogValue() slog.Value {
+func (g evictedByReason) LogValue() slog.Value {
 	var attrs []slog.Attr
 	for w, n := range g {
 		if n > 0 {
-			attrs = append(attrs, slog.Int64(Why(w).String(), n))
+			attrs = append(attrs, slog.Int64(Reason(w).String(), n))
 		}
 	}
 	return slog.GroupValue(attrs...)
@@ -1255,21 +1257,21 @@
 
 // States are those of all endpoints, by name.
 func (p *Pool) States() (list []State) {
-	for _, name := range slices.Sorted(maps.Keys(p.eps)) {
-		e := p.eps[name]
-		soft, _ := p.limits(e)
-		s := State{Endpoint: name, Open: e.open, Cold: e.cold, Target: int(e.target()), Rate: e.rate, Service: time.Duration(e.mean * 1e9),
-			Spread: time.Duration(e.dev * 1e9), IdleLimit: soft, Uses: e.uses, Cap: e.cap, Fails: e.fails, Given: e.given, Stale: e.stale}
-		if p.last < e.bannedUntil {
-			s.Banned = e.banned
+	for _, name := range slices.Sorted(maps.Keys(p.endpoints)) {
+		e := p.endpoints[name]
+		soft, _ := p.idleLimits(e)
+		s := State{Endpoint: name, AcceptsCalls: e.acceptsCalls, SlowStart: e.slowStart, Target: int(e.targetConns()), CallsPerSecond: e.callsPerSecond, Service: time.Duration(e.serviceSeconds * 1e9),
+			Spread: time.Duration(e.serviceSpreadSeconds * 1e9), IdleLimit: soft, MaxUses: e.maxUses, ConnLimit: e.connLimit, OpenFailures: e.openFailures, Evicted: e.evicted, Stale: e.staleCalls}
+		if p.clock < e.quarantinedUntil {
+			s.QuarantinedIdle = e.quarantinedIdle
 		}
 		for _, c := range e.conns {
 			switch c.state {
-			case opening:
+			case stateOpening:
 				s.Opening++
-			case busy:
+			case stateBusy:
 				s.Busy++
-			case resting:
+			case stateIdle:
 				s.Idle++
 			}
 		}
--- a/internal/conns/conns_test.go
+++ b/internal/conns/conns_test.go
@@ -34,49 +34,49 @@
 
 // server is a scripted server in virtual time, and the connections that a Pool holds to it.
 type server struct {
-	t       *testing.T
-	p       *Pool
-	name    string
-	now     time.Duration
-	silent  time.Duration // it drops a connection unseen that idled so long; 0 for never
-	closes  time.Duration // it closes one before our eyes
-	uses    int           // it closes behind so many calls
-	conns   map[ID]*sconn
-	calls   int
-	stale   int
-	opened  int
-	rng     *rand.Rand
-	chance  float64 // share of the calls that break a warm connection for no reason
-	service time.Duration
+	t                 *testing.T
+	p                 *Pool
+	name              string
+	now               time.Duration
+	silentCloseAfter  time.Duration // it drops a connection unseen that idled so long; 0 for never
+	visibleCloseAfter time.Duration // it closes one before our eyes
+	closeAfterCalls   int           // it closes behind so many calls
+	conns             map[ID]*serverConn
+	calls             int
+	staleCalls        int
+	opened            int
+	rng               *rand.Rand
+	breakShare        float64 // share of the calls that break a warm connection for no reason
+	service           time.Duration
 }
 
-type sconn struct {
-	since   time.Duration
-	carried int
-	busy    bool
+type serverConn struct {
+	idleSince time.Duration
+	calls     int
+	busy      bool
 }
 
 func newServer(t *testing.T, p *Pool, name string) *server {
-	return &server{t: t, p: p, name: name, conns: map[ID]*sconn{}, rng: rand.New(rand.NewPCG(5, 5)), service: 20 * ms}
+	return &server{t: t, p: p, name: name, conns: map[ID]*serverConn{}, rng: rand.New(rand.NewPCG(5, 5)), service: 20 * ms}
 }
 
-// pass lets time pass: the server closes what it closes, and the pool ticks.
-func (s *server) pass(d time.Duration) {
+// advance lets time pass: the server closes what it closes, and the pool ticks.
+func (s *server) advance(d time.Duration) {
 	for end := s.now + d; s.now < end; {
 		step := min(250*ms, end-s.now)
 		s.now += step
 		for _, id := range s.ids() {
 			c := s.conns[id]
-			if !c.busy && s.closes > 0 && s.now-c.since >= s.closes {
+			if !c.busy && s.visibleCloseAfter > 0 && s.now-c.idleSince >= s.visibleCloseAfter {
 				s.p.Closed(s.now, id)
 				delete(s.conns, id)
 			}
 		}
-		give, ahead := s.p.Tick(s.now)
-		s.gone(give)
-		for _, id := range ahead {
+		evicted, preconnects := s.p.Tick(s.now)
+		s.closeEvicted(evicted)
+		for _, id := range preconnects {
 			s.opened++
-			s.conns[id] = &sconn{since: s.now}
+			s.conns[id] = &serverConn{idleSince: s.now}
 			s.p.Opened(s.now, id, false)
 		}
 	}
@@ -90,8 +90,8 @@
 	return ids
 }
 
-func (s *server) gone(give []Give) {
-	for _, g := range give {
+func (s *server) closeEvicted(evicted []Give) {
+	for _, g := range evicted {
 		if c := s.conns[g.ID]; c == nil || c.busy {
 			s.t.Fatalf("given up, but busy or not there: %v", g)
 		}
@@ -103,22 +103,22 @@
 func (s *server) call() (fresh bool) {
 	s.calls++
 	for {
-		v, id, give := s.p.Call(s.now, s.name)
-		s.gone(give)
+		v, id, evicted := s.p.Call(s.now, s.name)
+		s.closeEvicted(evicted)
 		switch v {
 		case Open:
 			fresh = true
 			s.opened++
-			s.conns[id] = &sconn{busy: true}
+			s.conns[id] = &serverConn{busy: true}
 			s.p.Opened(s.now, id, true)
 		case Use:
 			c := s.conns[id]
 			if c == nil || c.busy {
 				s.t.Fatalf("connection %d is gone or busy", id)
 			}
-			idle := s.now - c.since
-			if s.silent > 0 && idle >= s.silent || s.rng.Float64() < s.chance {
-				s.stale++
+			idle := s.now - c.idleSince
+			if s.silentCloseAfter > 0 && idle >= s.silentCloseAfter || s.rng.Float64() < s.breakShare {
+				s.staleCalls++
 				s.p.Done(s.now, id, Dead, 0)
 				delete(s.conns, id)
 				continue
@@ -135,46 +135,46 @@
 func (s *server) finish(id ID) {
 	s.now += s.service
 	c := s.conns[id]
-	c.carried++
+	c.calls++
 	if rests, _ := s.p.Done(s.now, id, Answered, s.service); !rests {
 		delete(s.conns, id)
 		return
 	}
-	c.busy, c.since = false, s.now
-	if s.uses > 0 && c.carried >= s.uses {
+	c.busy, c.idleSince = false, s.now
+	if s.closeAfterCalls > 0 && c.calls >= s.closeAfterCalls {
 		s.p.Closed(s.now, id)
 		delete(s.conns, id)
 	}
 }
 
-// traffic makes calls with gaps that are drawn evenly up to a longest.
-func (s *server) traffic(n int, longest time.Duration) {
+// makeCalls makes calls with gaps that are drawn evenly up to a longest.
+func (s *server) makeCalls(n int, maxGap time.Duration) {
 	for range n {
-		s.pass(time.Duration(s.rng.Float64() * float64(longest)))
+		s.advance(time.Duration(s.rng.Float64() * float64(maxGap)))
 		s.call()
 	}
 }
 
 // A server that drops connections unseen after a time that nobody told: the share of calls that it fails stays below one
 // in a thousand, and connections are used again below that time. At noon the time changes, to a shorter and a longer one.
-func TestSilentClose(t *testing.T) {
+func TestSilentCloseKeepsStaleCallsRare(t *testing.T) {
 	p := newPool(t, config(), "e")
 	s := newServer(t, p, "e")
-	s.silent = 5 * time.Second
-	s.traffic(20_000, 8*time.Second)
-	for _, silent := range []time.Duration{1500 * ms, 20 * time.Second} {
-		s.silent = silent
-		s.traffic(20_000, 8*time.Second)
+	s.silentCloseAfter = 5 * time.Second
+	s.makeCalls(20_000, 8*time.Second)
+	for _, silentCloseAfter := range []time.Duration{1500 * ms, 20 * time.Second} {
+		s.silentCloseAfter = silentCloseAfter
+		s.makeCalls(20_000, 8*time.Second)
 	}
-	if share := float64(s.stale) / float64(s.calls); share > 0.001 {
-		t.Errorf("%d of %d calls failed by dead connections", s.stale, s.calls)
+	if share := float64(s.staleCalls) / float64(s.calls); share > 0.001 {
+		t.Errorf("%d of %d calls failed by dead connections", s.staleCalls, s.calls)
 	}
 	if c := p.Counters(); c.Reused < int64(s.calls)/4 {
 		t.Errorf("%d of %d calls on warm connections", c.Reused, s.calls)
 	}
-	if s.silent = 1500 * ms; true {
+	if s.silentCloseAfter = 1500 * ms; true {
 		before := s.opened
-		s.traffic(5000, 1200*ms)
+		s.makeCalls(5000, 1200*ms)
 		if n := s.opened - before; n > 500 {
 			t.Errorf("%d connections opened for 5000 calls that come in time", n)
 		}
@@ -182,51 +182,51 @@
 }
 
 // A server that closes before our eyes costs no call: what it closes is learned and given up before.
-func TestSeenClose(t *testing.T) {
+func TestVisibleCloseCostsNoCall(t *testing.T) {
 	p := newPool(t, config(), "e")
 	s := newServer(t, p, "e")
-	s.closes = 3 * time.Second
-	s.traffic(3000, 6*time.Second)
+	s.visibleCloseAfter = 3 * time.Second
+	s.makeCalls(3000, 6*time.Second)
 	if limit := p.States()[0].IdleLimit; limit > 3*time.Second || limit < time.Second {
 		t.Errorf("idle limit %v", limit)
 	}
-	if c := p.Counters(); c.Stale > 0 || c.Given[Idle] == 0 {
+	if c := p.Counters(); c.Stale > 0 || c.Evicted[ReasonIdle] == 0 {
 		t.Errorf("%+v", c)
 	}
-	if e := p.Ends(); e.Given[Idle][3] == 0 || e.Closed[3] == 0 || e.Dead != (Histogram{}) { // within 1 to 10 s
+	if e := p.Ends(); e.Evicted[ReasonIdle][3] == 0 || e.Closed[3] == 0 || e.Dead != (Histogram{}) { // within 1 to 10 s
 		t.Errorf("%+v", e)
 	}
 }
 
 // Connections that break for no reason say nothing of idling: they go on being used again.
-func TestChanceLosses(t *testing.T) {
+func TestUnrelatedLossesLeaveReuse(t *testing.T) {
 	p := newPool(t, config(), "e")
 	s := newServer(t, p, "e")
-	s.chance = 0.005
-	s.traffic(5000, 2*time.Second)
+	s.breakShare = 0.005
+	s.makeCalls(5000, 2*time.Second)
 	if float64(s.opened) > 0.25*float64(s.calls) {
 		t.Errorf("%d connections for %d calls", s.opened, s.calls)
 	}
 }
 
 // A server that closes behind a number of calls: it is learned, and now and then tried whether it still holds.
-func TestLimitOfUses(t *testing.T) {
+func TestServerLimitsCallsPerConnection(t *testing.T) {
 	p := newPool(t, config(), "e")
 	s := newServer(t, p, "e")
-	s.uses = 7
-	s.traffic(500, 100*ms)
-	if u := p.States()[0].Uses; u != 7 {
+	s.closeAfterCalls = 7
+	s.makeCalls(500, 100*ms)
+	if u := p.States()[0].MaxUses; u != 7 {
 		t.Errorf("a limit of %d uses was learned", u)
 	}
 	closed := p.Counters().Closed
-	s.traffic(700, 100*ms)
+	s.makeCalls(700, 100*ms)
 	if n := p.Counters().Closed - closed; n > 20 {
 		t.Errorf("the server closed %d of about 100 before we did", n)
 	}
 }
 
-// hold has n calls out at once, and returns their connections.
-func hold(t *testing.T, p *Pool, now time.Duration, name string, n int) (ids []ID) {
+// startCalls has n calls out at once, and returns their connections.
+func startCalls(t *testing.T, p *Pool, now time.Duration, name string, n int) (ids []ID) {
 	t.Helper()
 	for range n {
 		v, id, _ := p.Call(now, name)
@@ -240,41 +240,41 @@
 	return ids
 }
 
-func rest(t *testing.T, p *Pool, now time.Duration, ids []ID) {
+func finishCalls(t *testing.T, p *Pool, now time.Duration, ids []ID) {
 	t.Helper()
 	for _, id := range ids {
-		if rests, why := p.Done(now, id, Answered, 20*ms); !rests {
-			t.Fatalf("%d was given up: %v", id, why)
+		if rests, reason := p.Done(now, id, Answered, 20*ms); !rests {
+			t.Fatalf("%d was given up: %v", id, reason)
 		}
 	}
 }
 
 // What a peak needed is kept for a while, and thinned slowly; a clump that comes in the middle finds some warm, and never
 // more are closed and opened than there are calls.
-func TestThinningAndAClump(t *testing.T) {
-	roomy := newPool(t, config(), "e")
+func TestSurplusEvictionAndBurst(t *testing.T) {
+	unlimited := newPool(t, config(), "e")
 	cfg := config()
 	cfg.Most = 100 // descriptors are short
 	p := newPool(t, cfg, "e")
 	now := time.Second
-	rest(t, p, now, hold(t, p, now, "e", 60))
-	rest(t, roomy, now, hold(t, roomy, now, "e", 60))
+	finishCalls(t, p, now, startCalls(t, p, now, "e", 60))
+	finishCalls(t, unlimited, now, startCalls(t, unlimited, now, "e", 60))
 	counts := []int{}
 	for range 40 { // 20 s: more than a half-life of the peak
 		now += 500 * ms
-		rest(t, p, now, hold(t, p, now, "e", 2))
+		finishCalls(t, p, now, startCalls(t, p, now, "e", 2))
 		p.Tick(now)
 		counts = append(counts, p.Len())
-		roomy.Tick(now)
+		unlimited.Tick(now)
 	}
-	if n := roomy.Len(); n != 60 { // nobody else needs them
+	if n := unlimited.Len(); n != 60 { // nobody else needs them
 		t.Errorf("%d of 60 are left though descriptors abound", n)
 	}
 	if counts[4] < 40 || counts[39] > 40 || !slices.IsSortedFunc(counts, func(a, b int) int { return b - a }) {
 		t.Errorf("%v", counts)
 	}
 	warm, opened := p.Len(), p.Counters().Opened
-	rest(t, p, now, hold(t, p, now, "e", 60))
+	finishCalls(t, p, now, startCalls(t, p, now, "e", 60))
 	if n := int(p.Counters().Opened - opened); n != 60-warm {
 		t.Errorf("%d opened for a clump of 60 with %d warm", n, warm)
 	}
@@ -282,25 +282,25 @@
 
 // An endpoint that takes four connections: the fifth fails twice, for once may be for anything, and calls then wait for one of the four; later one more
 // is tried.
-func TestCapOfAnEndpoint(t *testing.T) {
+func TestServerLimitsConnections(t *testing.T) {
 	p := newPool(t, config(), "e")
 	now := time.Second
-	ids := hold(t, p, now, "e", 4)
-	for range capRefusals {
+	ids := startCalls(t, p, now, "e", 4)
+	for range refusalsForConnLimit {
 		v, fifth, _ := p.Call(now, "e")
 		if v != Open {
 			t.Errorf("%v after one refusal", v)
 		}
 		p.Failed(now, fifth, true)
 	}
-	if v, _, _ := p.Call(now, "e"); v != Wait || p.States()[0].Cap != 4 {
-		t.Errorf("%v with a cap of %d", v, p.States()[0].Cap)
+	if v, _, _ := p.Call(now, "e"); v != Wait || p.States()[0].ConnLimit != 4 {
+		t.Errorf("%v with a cap of %d", v, p.States()[0].ConnLimit)
 	}
-	rest(t, p, now, ids[:1])
+	finishCalls(t, p, now, ids[:1])
 	if !p.Claim(now, ids[0]) || p.Claim(now, ids[0]) {
 		t.Error("the connection that came to rest is not to be had, or twice")
 	}
-	now += capFor + time.Second
+	now += connLimitPeriod + time.Second
 	if v, id, _ := p.Call(now, "e"); v != Open || id == 0 {
 		t.Errorf("after a while: %v", v)
 	}
@@ -310,21 +310,21 @@
 }
 
 // A server that moves, or is replaced at its address under another name, begins anew; what a sibling has lost is heeded.
-func TestReplacement(t *testing.T) {
+func TestMovedAndNewEndpoints(t *testing.T) {
 	p := newPool(t, config(), "a")
 	s := newServer(t, p, "a")
-	s.silent = 2 * time.Second
-	s.traffic(300, 5*time.Second)
-	taught := p.States()[0].IdleLimit
-	if taught >= 2*time.Second {
-		t.Fatalf("idle limit %v", taught)
-	}
-	give := p.Endpoint("a", "elsewhere", 0, true)
-	s.gone(give)
+	s.silentCloseAfter = 2 * time.Second
+	s.makeCalls(300, 5*time.Second)
+	learnedLimit := p.States()[0].IdleLimit
+	if learnedLimit >= 2*time.Second {
+		t.Fatalf("idle limit %v", learnedLimit)
+	}
+	evicted := p.Endpoint("a", "elsewhere", 0, true)
+	s.closeEvicted(evicted)
 	if limit := p.States()[0].IdleLimit; limit < 30*time.Second || p.Len() != 0 {
 		t.Errorf("moved, with %v and %d connections", limit, p.Len())
 	}
-	s.traffic(300, 5*time.Second)
+	s.makeCalls(300, 5*time.Second)
 	p.Endpoint("b", "addr b", 0, true)
 	if limit := p.States()[1].IdleLimit; limit > 5*time.Second {
 		t.Errorf("a new sibling begins with %v", limit)
@@ -337,7 +337,7 @@
 
 // Three hundred endpoints and 256 descriptors: never more, everybody is served, and nobody with little is robbed by one
 // with much.
-func TestMoreEndpointsThanDescriptors(t *testing.T) {
+func TestMoreEndpointsThanConnections(t *testing.T) {
 	cfg := config()
 	cfg.Most = 256
 	p := newPool(t, cfg)
@@ -387,45 +387,45 @@
 }
 
 // A drain with fifty busy connections: idle ones go at once, busy ones as their calls end, and then nothing is kept.
-func TestDrain(t *testing.T) {
+func TestDrainingEndpoint(t *testing.T) {
 	p := newPool(t, config(), "e")
 	now := time.Second
-	ids := hold(t, p, now, "e", 60)
-	rest(t, p, now, ids[50:])
-	if give := p.Endpoint("e", "addr e", 0, false); len(give) != 10 || give[0].Why != Leaving {
-		t.Errorf("%v", give)
+	ids := startCalls(t, p, now, "e", 60)
+	finishCalls(t, p, now, ids[50:])
+	if evicted := p.Endpoint("e", "addr e", 0, false); len(evicted) != 10 || evicted[0].Why != ReasonDraining {
+		t.Errorf("%v", evicted)
 	}
 	if v, _, _ := p.Call(now, "e"); v != Wait || p.Len() != 50 {
 		t.Errorf("%v, %d left", v, p.Len())
 	}
 	for i, id := range ids[:50] {
-		if rests, why := p.Done(now+time.Second, id, Answered, time.Second); rests || why != Leaving {
-			t.Errorf("%d rests at an endpoint that leaves: %v", i, why)
+		if rests, reason := p.Done(now+time.Second, id, Answered, time.Second); rests || reason != ReasonDraining {
+			t.Errorf("%d rests at an endpoint that leaves: %v", i, reason)
 		}
 	}
-	if p.Len() != 0 || len(p.eps) != 0 {
-		t.Errorf("%d connections, %d endpoints are kept", p.Len(), len(p.eps))
+	if p.Len() != 0 || len(p.endpoints) != 0 {
+		t.Errorf("%d connections, %d endpoints are kept", p.Len(), len(p.endpoints))
 	}
 }
 
 // Opened ahead: for calls that are known to come, and in place of what was given up; one at a time where the endpoint is
 // cold or openings fail; called off when nobody needs it.
-func TestAhead(t *testing.T) {
+func TestPreconnect(t *testing.T) {
 	cfg := config()
 	cfg.Ahead = true
 	p := newPool(t, cfg, "e", "cold")
 	now := time.Second
-	rest(t, p, now, hold(t, p, now, "e", 1)) // else it would be new, and not be pushed either
+	finishCalls(t, p, now, startCalls(t, p, now, "e", 1)) // else it would be new, and not be pushed either
 	p.Hint("e", false, 13)
 	p.Hint("cold", true, 12)
-	_, ahead := p.Tick(now)
-	by := map[string]int{}
-	for _, id := range ahead {
+	_, preconnects := p.Tick(now)
+	countByName := map[string]int{}
+	for _, id := range preconnects {
 		name, _ := p.EndpointOf(id)
-		by[name]++
+		countByName[name]++
 	}
-	if by["e"] != 12 || by["cold"] != 1 {
-		t.Errorf("%v", by)
+	if countByName["e"] != 12 || countByName["cold"] != 1 {
+		t.Errorf("%v", countByName)
 	}
 	if _, again := p.Tick(now + 250*ms); len(again) != 0 {
 		t.Errorf("%d more while those are being opened", len(again))
@@ -435,7 +435,7 @@
 	if ids := p.Unneeded(); len(ids) != 13 {
 		t.Errorf("%d may be called off", len(ids))
 	}
-	for _, id := range ahead {
+	for _, id := range preconnects {
 		if name, _ := p.EndpointOf(id); name == "e" {
 			p.Opened(now+300*ms, id, false)
 		} else {
@@ -465,17 +465,17 @@
 func TestAgeAndPressure(t *testing.T) {
 	p := newPool(t, config(), "e", "f")
 	now := time.Second
-	rest(t, p, now, hold(t, p, now, "e", 20))
-	rest(t, p, now, hold(t, p, now, "f", 2))
-	if give := p.Shed(now, 5); len(give) != 5 || give[0].Why != Pressure || p.Len() != 17 {
-		t.Errorf("%v, %d left", give, p.Len())
+	finishCalls(t, p, now, startCalls(t, p, now, "e", 20))
+	finishCalls(t, p, now, startCalls(t, p, now, "f", 2))
+	if evicted := p.Shed(now, 5); len(evicted) != 5 || evicted[0].Why != ReasonPressure || p.Len() != 17 {
+		t.Errorf("%v, %d left", evicted, p.Len())
 	}
 	closed := map[time.Duration]int64{}
 	for ; now < 20*time.Minute; now += 10 * time.Second {
-		before := p.Counters().Given[Age]
-		rest(t, p, now, hold(t, p, now, "e", 10))
+		before := p.Counters().Evicted[ReasonAge]
+		finishCalls(t, p, now, startCalls(t, p, now, "e", 10))
 		p.Tick(now)
-		if n := p.Counters().Given[Age] - before; n > 0 {
+		if n := p.Counters().Evicted[ReasonAge] - before; n > 0 {
 			closed[now.Truncate(30*time.Second)] += n
 		}
 	}
@@ -486,7 +486,7 @@
 
 // Random events, against what must always hold: no connection carries two calls, no cap is passed, each opening ends once,
 // nothing leaks, and the same events lead to the same acts.
-func TestModel(t *testing.T) {
+func TestRandomEventsKeepInvariants(t *testing.T) {
 	proptest.Check(t, func(t *rapid.T) {
 		cfg := config()
 		cfg.Most = rapid.IntRange(1, 12).Draw(t, "most")
@@ -500,8 +500,8 @@
 		owner := map[ID]string{}
 		listed := map[string]bool{}
 		now := time.Duration(0)
-		gone := func(give []Give) {
-			for _, g := range give {
+		removeEvicted := func(evicted []Give) {
+			for _, g := range evicted {
 				if conns[g.ID] != idle {
 					t.Fatalf("given up in state %d: %v", conns[g.ID], g)
 				}
@@ -527,11 +527,11 @@
 			switch rapid.IntRange(0, 9).Draw(t, "event") {
 			case 0:
 				open := rapid.Bool().Draw(t, "open")
-				gone(p.Endpoint(name, rapid.SampledFrom([]string{"x", "y"}).Draw(t, "addr"), 1, open))
+				removeEvicted(p.Endpoint(name, rapid.SampledFrom([]string{"x", "y"}).Draw(t, "addr"), 1, open))
 				listed[name] = open
 			case 1, 2, 3:
-				v, id, give := p.Call(now, name)
-				gone(give)
+				v, id, evicted := p.Call(now, name)
+				removeEvicted(evicted)
 				switch v {
 				case Use:
 					if conns[id] != idle || owner[id] != name {
@@ -574,9 +574,9 @@
 				}
 			case 9:
 				p.Hint(name, rapid.Bool().Draw(t, "cold"), rapid.IntRange(0, 5).Draw(t, "expected"))
-				give, ahead := p.Tick(now)
-				gone(give)
-				for _, id := range ahead {
+				evicted, preconnects := p.Tick(now)
+				removeEvicted(evicted)
+				for _, id := range preconnects {
 					owner[id], _ = p.EndpointOf(id)
 					conns[id] = up
 				}
@@ -601,9 +601,9 @@
 	})
 }
 
-func TestConfigurationsThatMakeNoSense(t *testing.T) {
+func TestInvalidConfigurations(t *testing.T) {
 	for i, change := range []func(*Config){func(c *Config) { c.Most = 0 }, func(c *Config) { c.IdleMost = 0 }, func(c *Config) { c.Keep = 0 },
-		func(c *Config) { c.LossPrice = 0 }, func(c *Config) { c.StaleMost = 1 }, func(c *Config) { c.BackoffMost = 0 }} {
+		func(c *Config) { c.LossPrice = 0 }, func(c *Config) { c.StaleMost = 1 }, func(c *Config) { c.MaxBackoff = 0 }} {
 		c := config()
 		change(&c)
 		if _, err := New(c); err == nil {
@@ -613,37 +613,37 @@
 }
 
 // Isotonic regression: what never falls, fits pooled shares, and cuts the limit where losses begin.
-func TestReuses(t *testing.T) {
-	var r reuses
+func TestReuseHistory(t *testing.T) {
+	var r reuseHistory
 	for range 100 {
 		for d := 10 * ms; d < 20*time.Second; d *= 2 {
 			r.add(d, d > 5*time.Second)
 		}
 	}
-	if l := r.limit(0.02, 0.02); l < 2500*ms || l > 8*time.Second {
+	if l := r.idleLimit(0.02, 0.02); l < 2500*ms || l > 8*time.Second {
 		t.Errorf("limit %v where losses begin beyond 5 s", l)
 	}
 	proptest.Check(t, func(t *rapid.T) {
-		var r reuses
+		var r reuseHistory
 		for range rapid.IntRange(0, 200).Draw(t, "uses") {
 			r.add(time.Duration(rapid.Int64Range(0, 1e12).Draw(t, "idle")), rapid.Bool().Draw(t, "lost"))
 		}
-		share := r.dead()
-		for b := 1; b < idleBounds; b++ {
+		share := r.deadShares()
+		for b := 1; b < bucketCount; b++ {
 			if share[b] < share[b-1]-1e-12 || share[b] > 1 || share[b] < 0 {
 				t.Fatalf("%v", share)
 			}
 		}
-		if r.limit(0.01, 1) > r.limit(0.1, 1) {
+		if r.idleLimit(0.01, 1) > r.idleLimit(0.1, 1) {
 			t.Fatal("less risk allows longer idling")
 		}
 	})
 }
 
 // Kaplan and Meier: spells that were cut short count as survived until then, and not as ended.
-func TestSpells(t *testing.T) {
-	var s spells
-	if _, ok := s.until(0.98); ok {
+func TestCloseHistory(t *testing.T) {
+	var s closeHistory
+	if _, ok := s.survivedIdle(0.98); ok {
 		t.Error("a limit out of nothing")
 	}
 	for range 100 {
@@ -652,7 +652,7 @@
 	for range 10 {
 		s.add(3*time.Second, true)
 	}
-	if d, ok := s.until(0.98); !ok || d > 3*time.Second || d < 2*time.Second {
+	if d, ok := s.survivedIdle(0.98); !ok || d > 3*time.Second || d < 2*time.Second {
 		t.Errorf("%v %v", d, ok)
 	}
 }
--- a/internal/conns/race_test.go
+++ b/internal/conns/happy_eyeballs_test.go
@@ -10,22 +10,22 @@
 	"slatemux/internal/proptest"
 )
 
-func addrs(texts ...string) (list []netip.AddrPort) {
+func parseAddrs(texts ...string) (list []netip.AddrPort) {
 	for _, t := range texts {
 		list = append(list, netip.MustParseAddrPort(t))
 	}
 	return list
 }
 
-// order plays a race in which nothing answers, and returns what was tried when.
-func order(a *Addresses, now time.Duration, list []netip.AddrPort) (tried []netip.AddrPort, at []time.Duration) {
+// attemptOrder plays a race in which nothing answers, and returns what was tried when.
+func attemptOrder(a *Addresses, now time.Duration, list []netip.AddrPort) (tried []netip.AddrPort, at []time.Duration) {
 	for r := a.Race(now, list); ; {
-		addr, try, again, _ := r.Next(now)
+		addr, try, wait, _ := r.Next(now)
 		switch {
 		case try:
 			tried, at = append(tried, addr), append(at, now)
-		case again > 0:
-			now += again
+		case wait > 0:
+			now += wait
 		default:
 			return tried, at
 		}
@@ -33,15 +33,15 @@
 }
 
 // The families take turns, a quarter of a second apart, each address once.
-func TestRaceTakesTurns(t *testing.T) {
-	list := addrs("[2001:db8::1]:1", "[2001:db8::2]:1", "192.0.2.1:1", "192.0.2.2:1", "192.0.2.1:1")
-	tried, at := order(NewAddresses(), time.Second, list)
-	want := addrs("[2001:db8::1]:1", "192.0.2.1:1", "[2001:db8::2]:1", "192.0.2.2:1")
+func TestAddressFamiliesAlternate(t *testing.T) {
+	list := parseAddrs("[2001:db8::1]:1", "[2001:db8::2]:1", "192.0.2.1:1", "192.0.2.2:1", "192.0.2.1:1")
+	tried, at := attemptOrder(NewAddresses(), time.Second, list)
+	want := parseAddrs("[2001:db8::1]:1", "192.0.2.1:1", "[2001:db8::2]:1", "192.0.2.2:1")
 	if len(tried) != len(want) {
 		t.Fatalf("%v", tried)
 	}
 	for i := range want {
-		if tried[i] != want[i] || at[i] != time.Second+time.Duration(i)*raceDelay {
+		if tried[i] != want[i] || at[i] != time.Second+time.Duration(i)*connectionAttemptDelay {
 			t.Errorf("%d: %v at %v", i, tried[i], at[i])
 		}
 	}
@@ -49,9 +49,9 @@
 
 // A failure starts the next at once, and puts its address behind the others for a while, longer each time; what answered goes
 // first from then on.
-func TestRaceRemembers(t *testing.T) {
+func TestFailedAddressGoesLast(t *testing.T) {
 	a := NewAddresses()
-	list := addrs("[2001:db8::1]:1", "192.0.2.1:1")
+	list := parseAddrs("[2001:db8::1]:1", "192.0.2.1:1")
 	now := time.Second
 	r := a.Race(now, list)
 	first, _, _, _ := r.Next(now)
@@ -64,13 +64,13 @@
 	if !r.Won(now+ms, second) {
 		t.Error("the only one to answer has not won")
 	}
-	if _, try, _, over := r.Next(now + time.Second); try || over {
+	if _, try, _, exhausted := r.Next(now + time.Second); try || exhausted {
 		t.Error("it goes on behind the winner")
 	}
-	if tried, _ := order(a, now+time.Second, list); tried[0] != list[1] {
+	if tried, _ := attemptOrder(a, now+time.Second, list); tried[0] != list[1] {
 		t.Errorf("%v first behind its failure", tried[0])
 	}
-	if tried, _ := order(a, now+troubleFor+time.Second, list); tried[0] != list[1] {
+	if tried, _ := attemptOrder(a, now+minPenalty+time.Second, list); tried[0] != list[1] {
 		t.Errorf("%v first though the other is known", tried[0])
 	}
 	a.Forget(now+2*time.Hour, time.Hour)
@@ -79,51 +79,51 @@
 	}
 }
 
-func TestRaceIsOver(t *testing.T) {
-	r := NewAddresses().Race(0, addrs("192.0.2.1:1"))
+func TestAllAddressesFailed(t *testing.T) {
+	r := NewAddresses().Race(0, parseAddrs("192.0.2.1:1"))
 	addr, _, _, _ := r.Next(0)
-	if _, _, _, over := r.Next(0); over {
+	if _, _, _, exhausted := r.Next(0); exhausted {
 		t.Error("over while one is under way")
 	}
 	r.Failed(1, addr)
-	if _, try, _, over := r.Next(1); try || !over {
+	if _, try, _, exhausted := r.Next(1); try || !exhausted {
 		t.Error("not over though all have failed")
 	}
-	if _, _, _, over := NewAddresses().Race(0, nil).Next(0); !over {
+	if _, _, _, exhausted := NewAddresses().Race(0, nil).Next(0); !exhausted {
 		t.Error("a race without addresses goes on")
 	}
 }
 
 // Whatever answers, fails and comes too late: each address is tried at most once, one wins at most, and the end is told.
-func TestRaces(t *testing.T) {
-	all := addrs("[2001:db8::1]:1", "[2001:db8::2]:1", "192.0.2.1:1", "192.0.2.2:1", "192.0.2.3:1")
+func TestRandomConnectionAttempts(t *testing.T) {
+	all := parseAddrs("[2001:db8::1]:1", "[2001:db8::2]:1", "192.0.2.1:1", "192.0.2.2:1", "192.0.2.3:1")
 	proptest.Check(t, func(t *rapid.T) {
 		a := NewAddresses()
 		now := time.Duration(0)
 		for range rapid.IntRange(1, 5).Draw(t, "races") {
 			list := rapid.SliceOfN(rapid.SampledFrom(all), 0, 8).Draw(t, "addresses")
 			r := a.Race(now, list)
-			tried, under, wins := map[netip.AddrPort]bool{}, []netip.AddrPort{}, 0
+			tried, inProgress, wins := map[netip.AddrPort]bool{}, []netip.AddrPort{}, 0
 			for range 100 {
-				addr, try, again, over := r.Next(now)
+				addr, try, wait, exhausted := r.Next(now)
 				if try {
 					if tried[addr] || wins > 0 {
 						t.Fatalf("%v tried twice, or behind the winner", addr)
 					}
 					tried[addr] = true
-					under = append(under, addr)
+					inProgress = append(inProgress, addr)
 				}
-				if over && (len(under) > 0 || wins > 0) {
+				if exhausted && (len(inProgress) > 0 || wins > 0) {
 					t.Fatal("over, but not at its end")
 				}
-				if len(under) == 0 && !try && again == 0 {
+				if len(inProgress) == 0 && !try && wait == 0 {
 					break
 				}
 				now += time.Duration(rapid.IntRange(0, 300).Draw(t, "ms")) * ms
-				if len(under) > 0 && rapid.Bool().Draw(t, "ends") {
-					i := rapid.IntRange(0, len(under)-1).Draw(t, "which")
-					addr := under[i]
-					under = append(under[:i], under[i+1:]...)
+				if len(inProgress) > 0 && rapid.Bool().Draw(t, "ends") {
+					i := rapid.IntRange(0, len(inProgress)-1).Draw(t, "which")
+					addr := inProgress[i]
+					inProgress = append(inProgress[:i], inProgress[i+1:]...)
 					if rapid.Bool().Draw(t, "answers") {
 						if r.Won(now, addr) {
 							wins++
