--- a/internal/conns/conns.go
+++ b/internal/conns/conns.go
@@ -1,7 +1,7 @@
-// Package conns decides about connections to servers: how many to hold to each endpoint, which idle one to use next, when
-// to open one ahead of need, and when to give one up. It does no I/O and reads no clock. Package flow tells it what
-// happens to connections, and does what it answers; the decision module says which endpoint gets a call and when, and
-// this one says on which connection.
+// Package conns decides about connections to servers: how many each endpoint keeps, which idle connection a call uses, when a
+// connection is opened in advance, and when one is closed. The package does no I/O and reads no clock. Package flow reports the events
+// of connections to a Pool and carries out the Pool's decisions. The decision module chooses the endpoint and the time of a call; the
+// Pool chooses the connection.
 package conns
 
 import (
@@ -15,154 +15,169 @@
 	"time"
 )
 
-// Config says what a Pool keeps to.
+// Config holds the limits and prices that a Pool works with.
 type Config struct {
-	Most     int           // connections in all, those being opened included
-	IdleMost time.Duration // servers are known to close a connection that idled for so long
-	MaxAge   time.Duration // a connection is given up after about so long; 0 for never
-	Keep     time.Duration // half-life of what a peak of calls makes it hold
-	Ahead    bool          // connections are opened before they are needed
-	// LossPrice and OpenPrice weigh a call that a dead connection fails against a new connection: a connection is used
-	// again where the first, times the share expected, is less than the second.
+	Most     int           // maximum number of connections in all, including those that are being opened
+	IdleMost time.Duration // idle time after which servers are known to close a connection
+	MaxAge   time.Duration // approximate age at which a connection is closed; 0 for no limit
+	Keep     time.Duration // half-life of the number of connections that are kept after a peak of calls
+	Ahead    bool          // connections are opened before calls need them
+	// LossPrice is the price of a call that fails on a dead connection, OpenPrice that of a new connection. A connection is
+	// reused while LossPrice times the probability that the connection is dead is less than OpenPrice.
 	LossPrice, OpenPrice float64
-	StaleMost            float64 // share of calls that dead connections may fail; the nearer, the less is risked
-	MinBackoff           time.Duration
-	MaxBackoff           time.Duration // between openings ahead at an endpoint where they fail
+	StaleMost            float64       // maximum share of calls that may fail on dead connections; near this share, less risk is taken
+	MinBackoff           time.Duration // first wait before the next preconnect to an endpoint after a failed opening; each failure doubles it
+	MaxBackoff           time.Duration // maximum of that wait
 	Seed                 uint64
 }
 
-// Defaults returns the figures that a relay uses.
+// Defaults returns the configuration of a relay, without Most, IdleMost, Ahead and Seed.
 func Defaults() Config {
 	return Config{MaxAge: 10 * time.Minute, Keep: 15 * time.Second, LossPrice: 1, OpenPrice: 0.02, StaleMost: 0.001,
 		MinBackoff: 200 * time.Millisecond, MaxBackoff: 30 * time.Second}
 }
 
-// Check names the first field that makes no sense.
+// Check returns an error that names the first invalid field.
 func (c *Config) Check() error {
 	switch {
 	case c.Most < 1:
-		return fmt.Errorf("conns: Most is %d", c.Most)
+		return fmt.Errorf("conns: Most is %d, must be at least 1", c.Most)
 	case c.IdleMost <= 0:
-		return fmt.Errorf("conns: IdleMost is %v", c.IdleMost)
+		return fmt.Errorf("conns: IdleMost is %v, must be positive", c.IdleMost)
 	case c.MaxAge < 0 || c.Keep <= 0:
-		return fmt.Errorf("conns: MaxAge %v or Keep %v makes no sense", c.MaxAge, c.Keep)
+		return fmt.Errorf("conns: MaxAge %v is negative, or Keep %v is not positive", c.MaxAge, c.Keep)
 	case !(c.LossPrice > 0) || !(c.OpenPrice > 0) || !(c.StaleMost > 0 && c.StaleMost < 1):
 		return fmt.Errorf("conns: LossPrice, OpenPrice or StaleMost is out of range")
 	case c.MinBackoff <= 0 || c.MaxBackoff < c.MinBackoff:
-		return fmt.Errorf("conns: BackoffLeast %v and BackoffMost %v make no span", c.MinBackoff, c.MaxBackoff)
+		return fmt.Errorf("conns: MinBackoff %v is not positive, or MaxBackoff %v is below it", c.MinBackoff, c.MaxBackoff)
 	}
 	return nil
 }
 
 const (
-	// closeMarginShare is left before the time at which a server closes: its close and our call would cross on the way.
+	// closeMarginShare is the part of an idle limit by which the relay stays below the time at which the server closes. Without the
+	// margin, the server's close and a call could cross on the network.
 	closeMarginShare = 0.1
-	// minSurvivalShare of connections is to outlive the limit that seen closings set. These cost no call unless one crosses them on the
-	// way, so that a few early ones, as at a restart, are no reason to give up the rest.
+	// minSurvivalShare is the share of connections that must outlive the limit learned from visible closings. A visible closing fails
+	// no call unless both cross on the network, so a few early closings, as at a restart, must not shorten the limit for the rest.
 	minSurvivalShare = 0.5
-	// minQuarantine is how long the idle time of a loss is not tried again at first; it doubles with each loss.
-	minQuarantine, maxQuarantine = 10 * time.Second, time.Hour
-	// trialInterval parts the tries of idle times beyond the limit.
+	// minQuarantine is how long the idle time of a first loss is not tried again. The quarantine doubles with each loss, up to
+	// maxQuarantine.
+	minQuarantine = 10 * time.Second
+	maxQuarantine = time.Hour
+	// trialInterval is the minimum time between two trials of an idle time beyond the limit.
 	trialInterval = 10 * time.Second
-	// maxUnrelatedLossShare is the share of calls that may break for other reasons before one loss is no proof of anything; suspectsMost is
-	// how many then are.
-	maxUnrelatedLossShare, lossesNeededIfNoisy = 0.0005, 2
-	// lossesNeededIfContradicted losses, without a good reuse after as long among them, outweigh a longer good one of late.
+	// maxUnrelatedLossShare is the share of calls that may break for reasons other than idling. Above this share a single loss no
+	// longer proves that idling was the reason; lossesNeededIfNoisy losses do.
+	maxUnrelatedLossShare = 0.0005
+	lossesNeededIfNoisy   = 2
+	// lossesNeededIfContradicted is the number of losses that outweigh a recent good reuse after a longer idle time. A good reuse after
+	// at least the idle time of such a loss removes that loss from the count.
 	lossesNeededIfContradicted = 3
-	// cautionPeriod is how long after a loss for idling no idle time is believed in that has not gone well of late.
+	// cautionPeriod is how long after a loss through idling only those idle times are trusted that recent reuses have proven.
 	cautionPeriod = time.Hour
-	// limitsRefreshInterval is how often the evidence is weighed, besides after each loss.
+	// limitsRefreshInterval is how long computed idle limits are used. A loss causes an immediate refresh.
 	limitsRefreshInterval = 50 * time.Millisecond
-	// provenPeriod is how long a good reuse shows that others of its idle time will go well, and provenReach how far beyond that
-	// time it reaches; a loss leaves refuted of its idle time.
-	provenPeriod, provenReachFactor, refutedIdleShare = 5 * time.Minute, 1.25, 0.7
-	// minSuspectIdle is too short to be why a connection died.
+	// provenPeriod is how long a good reuse proves that other connections survive the same idle time.
+	provenPeriod = 5 * time.Minute
+	// provenReachFactor times the longest proven idle time is still trusted.
+	provenReachFactor = 1.25
+	// refutedIdleShare is the part of a loss's idle time that remains proven after the loss.
+	refutedIdleShare = 0.7
+	// minSuspectIdle is the shortest idle time that can be the reason for a loss.
 	minSuspectIdle = 100 * time.Millisecond
-	// evidenceHalfLife is the half-life of evidence, and evidenceFade how often it fades: servers are reconfigured unseen.
-	evidenceHalfLife, evidenceDecayInterval = 15 * time.Minute, 15 * time.Second
-	// recentGoodPeriod is how long a good reuse speaks against a loss being for idling.
+	// evidenceHalfLife is the half-life of the evidence about idle times, because servers are reconfigured without notice.
+	evidenceHalfLife = 15 * time.Minute
+	// evidenceDecayInterval is the time between two decays of the evidence.
+	evidenceDecayInterval = 15 * time.Second
+	// recentGoodPeriod is how long a good reuse is evidence that idling was not the reason for a later loss.
 	recentGoodPeriod = 20 * time.Second
-	// busyDeviations is the deviations above the mean that calls out at once are provided for.
+	// busyDeviations is the number of standard deviations above the mean number of concurrent calls for which connections are kept.
 	busyDeviations = 2.3
-	// serviceSmoothing smooths rates and service times; a tick is about tickUsual long.
+	// serviceSmoothing is the weight of the newest call in the smoothed service time and its deviation.
 	serviceSmoothing = 0.3
-	// minSameUses closings in a row behind the same number of calls make a limit of uses, and four times as many after each one that
-	// proved wrong, up to usesMost; one connection in usesTry goes on.
-	minSameUses, maxSameUses, connsPerUsesTrial = 3, 200, 20
-	// connLimitPeriod is how long a cap that a server seems to have is held to before one more is tried.
+	// minSameUses is the number of consecutive closings after the same number of calls that make a limit of calls per connection.
+	// Each limit that proves wrong multiplies the number by four, up to maxSameUses.
+	minSameUses = 3
+	maxSameUses = 200
+	// connsPerUsesTrial is the number of connections of which one ignores the limit of calls per connection, to test the limit.
+	connsPerUsesTrial = 20
+	// connLimitPeriod is how long an assumed connection limit of a server holds before one more connection is tried.
 	connLimitPeriod = 30 * time.Second
-	// refusalsForConnLimit in a row make a cap: one may be for anything.
+	// refusalsForConnLimit is the number of consecutive refusals that make a connection limit. A single refusal can have any reason.
 	refusalsForConnLimit = 2
-	// connLimitDoubtPeriod is how soon behind a refusal closings show that the server was not full but going down.
+	// connLimitDoubtPeriod is the time after a refusal in which a closing shows that the server was shutting down and not full.
 	connLimitDoubtPeriod = time.Second
-	// closeAfterAnswerWindow is how soon behind an answer a closing is for the number of calls.
+	// closeAfterAnswerWindow is the time after an answer in which a closing is attributed to the number of calls.
 	closeAfterAnswerWindow = 50 * time.Millisecond
-	// minSurplusIdle is how long a connection that is too many idles at least before it is given up.
+	// minSurplusIdle is the minimum idle time of a surplus connection before it is closed.
 	minSurplusIdle = time.Second
-	// staleWindowCalls is the number of calls over which the share of losses is kept.
+	// staleWindowCalls is the number of calls after which the counts of recent calls and losses are halved.
 	staleWindowCalls = 20_000
 )
 
-// ID names a connection.
+// ID identifies a connection of a Pool.
 type ID uint64
 
-// Reason says why a connection is given up.
+// Reason is the cause for which a Pool closes a connection.
 type Reason int
 
 // The reasons.
 const (
-	ReasonIdle         Reason = iota // it may be dead by now, or will be before it is used
-	ReasonAge                        // it is old
-	ReasonUses                       // the server closes behind so many calls
-	ReasonSurplus                    // there are more than needed
-	ReasonRoom                       // another endpoint needs the descriptor
-	ReasonDraining                   // its endpoint gets nothing new
-	ReasonMoved                      // its endpoint has another address
-	ReasonServerClosed               // the server said that it closes
+	ReasonIdle         Reason = iota // the connection may be dead now, or will be before its next use
+	ReasonAge                        // the connection has reached its maximum age
+	ReasonUses                       // the server closes connections after this number of calls
+	ReasonSurplus                    // the endpoint has more connections than needed
+	ReasonRoom                       // another endpoint needs the file descriptor
+	ReasonDraining                   // the endpoint gets no new calls
+	ReasonMoved                      // the endpoint has a new address
+	ReasonServerClosed               // the server announced that it closes the connection
 	ReasonPressure                   // memory is short
-	Trust                            // what it was trusted by has changed
+	Trust                            // the trust settings under which the connection was opened have changed
 	reasonCount
 )
 
 var reasonNames = [reasonCount]string{"idle", "age", "uses", "thin", "room", "leaving", "moved", "server", "pressure", "trust"}
 
-func (w Reason) String() string { return reasonNames[w] }
+func (r Reason) String() string { return reasonNames[r] }
 
-// Give is a connection to be closed, and why.
+// Give is a connection that the caller has to close, and the reason.
 type Give struct {
 	ID  ID
 	Why Reason
 }
 
+// state is what a connection is doing.
 type state int
 
 const (
 	stateOpening state = iota
-	stateBusy
+	stateBusy          // the connection carries a call
 	stateIdle
 )
 
+// conn is one connection of a Pool.
 type conn struct {
 	id             ID
 	owner          *endpoint
 	state          state
-	expiresAt      time.Duration // when it is given up for its age; 0 for never
-	idleSince      time.Duration // of resting
-	calls          int           // calls
-	idleBeforeCall time.Duration // before the call that is out; 0 for the first
-	isTrial        bool          // it tries what a quarantine or a limit of uses forbids
-	preconnected   bool          // it was opened before it was needed
+	expiresAt      time.Duration // time at which the connection reaches its maximum age; 0 for never
+	idleSince      time.Duration
+	calls          int           // calls that the connection has completed
+	idleBeforeCall time.Duration // idle time before the current call; 0 for the first call
+	isTrial        bool          // the current call tests an idle time that is beyond the limit or not proven
+	preconnected   bool          // the connection was opened in advance
 }
 
-// What is seen of idling at an endpoint takes room, and of a long list most endpoints are never called, or seldom. Those at which
-// nothing was seen share these, which are never written to.
+// Histories take much memory, and most endpoints of a long list are called rarely or never. Endpoints without any observation share
+// these empty histories, which are never written to.
 var (
 	emptyReuseHistory reuseHistory
 	emptyCloseHistory closeHistory
 	emptyDeadShares   = emptyReuseHistory.deadShares()
 )
 
-// used again, and ended: what is seen of these, to be written to.
+// ownReuseHistory returns the endpoint's own, writable reuse history. The first call replaces the shared empty history.
 func (e *endpoint) ownReuseHistory() *reuseHistory {
 	if e.reuseHistory == &emptyReuseHistory {
 		e.reuseHistory = &reuseHistory{}
@@ -170,6 +185,7 @@
 	return e.reuseHistory
 }
 
+// ownCloseHistory returns the endpoint's own, writable close history. The first call replaces the shared empty history.
 func (e *endpoint) ownCloseHistory() *closeHistory {
 	if e.closeHistory == &emptyCloseHistory {
 		e.closeHistory = &closeHistory{}
@@ -177,91 +193,103 @@
 	return e.closeHistory
 }
 
+// endpoint is one server address of a destination, with its connections and what they have shown about the server.
 type endpoint struct {
 	name, addr   string
 	dest         int
-	acceptsCalls bool // it may get something new
-	slowStart    bool // it is not to be pushed: one opening ahead at a time
+	acceptsCalls bool // the endpoint may get new calls
+	slowStart    bool // at most one connection at a time is opened in advance
 	conns        map[ID]*conn
-	idleConns    []*conn // those that rest, longest first
-	busyCount    int     // busy
+	idleConns    []*conn // idle connections, the longest idle first
+	busyCount    int     // connections that carry a call
 
 	reuseHistory *reuseHistory
 	closeHistory *closeHistory
 
-	quarantinedIdle, quarantinedUntil time.Duration // idle times from banned on are not tried before
-	quarantineLength                  time.Duration // of the newest loss
-	trialRunning                      bool
-	nextTrialAt                       time.Duration    // no idle time beyond the limit is tried before
-	recentGoodIdle                    [2]time.Duration // the longest good reuse of this stretch of time, and of the one before
-	recentGoodFrom                    time.Duration    // when this one began
-	provenIdle                        [2]time.Duration // the same over a longer stretch, but for what a loss has refuted since
-	provenIdleFrom                    time.Duration
-	idleLossAt                        time.Duration // when one died for idling; 0 for never
-
-	suspectedIdles []time.Duration // idle times of losses that may have been for idling, or not
-
-	maxUses, lastClosingUses, sameUsesCount int // limit of calls a connection, 0 for none; the newest closing's, and how often in a row
-	sameUsesNeeded                          int // closings in a row that make a limit
-	connLimit                               int // connections that the server seems to take; 0 for no limit
-	connLimitAt                             time.Duration
-	consecutiveRefusals                     int // in a row, while others were open
-	openFailures                            int
-	preconnectRetryAt                       time.Duration
-	lastOpenedAt                            time.Duration // the newest opening that went well
+	quarantinedIdle  time.Duration // idle times from this one on are not tried before quarantinedUntil; 0 for none
+	quarantinedUntil time.Duration
+	quarantineLength time.Duration // length of the quarantine after the newest loss
+	trialRunning     bool
+	nextTrialAt      time.Duration    // no idle time beyond the limit is tried before this time
+	recentGoodIdle   [2]time.Duration // longest idle time of a good reuse, in the current and the previous period of recentGoodPeriod
+	recentGoodFrom   time.Duration    // start of the current period of recentGoodIdle
+	provenIdle       [2]time.Duration // the same for periods of provenPeriod, shortened by losses
+	provenIdleFrom   time.Duration    // start of the current period of provenIdle
+	idleLossAt       time.Duration    // time of the newest loss that is attributed to idling; 0 for never
+
+	suspectedIdles []time.Duration // idle times of losses that are not yet attributed to idling or to another reason
+
+	maxUses             int // limit of calls per connection; 0 for none
+	lastClosingUses     int // calls of the connection that the server closed last
+	sameUsesCount       int // consecutive closings after lastClosingUses calls
+	sameUsesNeeded      int // consecutive closings that make a limit
+	connLimit           int // number of connections that the server seems to accept; 0 for no limit
+	connLimitAt         time.Duration
+	consecutiveRefusals int // refusals in a row while other connections were open
+	openFailures        int // failed openings; each success halves the number
+	preconnectRetryAt   time.Duration
+	lastOpenedAt        time.Duration // time of the newest successful opening; 0 for never
 
 	evicted    [reasonCount]int64
 	staleCalls int64
 
-	evidenceDecayedAt time.Duration // when the evidence faded
+	evidenceDecayedAt time.Duration // time of the newest decay of the histories
 
-	limitsComputedAt             time.Duration // when the next three were made of the evidence; 0 for anew, as after a loss
+	limitsComputedAt             time.Duration // time at which the next three fields were computed; 0 after a loss, which makes them stale
 	deadShares                   *[bucketCount]float64
 	softIdleLimit, hardIdleLimit time.Duration
 
-	arrivals                                             int
-	callsPerSecond, serviceSeconds, serviceSpreadSeconds float64 // calls a second; seconds a call takes, and its spread
-	peakBusy                                             float64 // calls out at once, fading
-	expectedCalls                                        int     // calls that are known to come
+	arrivals             int // calls since the last tick
+	callsPerSecond       float64
+	serviceSeconds       float64 // smoothed duration of a call
+	serviceSpreadSeconds float64 // smoothed mean deviation of that duration
+	peakBusy             float64 // peak number of concurrent calls, decaying
+	expectedCalls        int     // calls that are known to come
 }
 
-// destination is what the endpoints of a destination have in common: how many of their calls break for other reasons than idling.
+// destination is the common state of the endpoints of a destination: how many of their calls break for reasons other than idling.
 type destination struct {
-	endpoints                          []*endpoint // in the order of their coming
-	recentCalls, recentUnrelatedLosses float64     // of late
+	endpoints                          []*endpoint // in the order in which they were added
+	recentCalls, recentUnrelatedLosses float64     // counted over the window of staleWindowCalls
 }
 
-// hasUnrelatedLosses says that connections break for other reasons often enough to be taken for idle ones that died.
-func (g *destination) hasUnrelatedLosses() bool {
-	return g.recentUnrelatedLosses >= 2 && g.recentUnrelatedLosses > maxUnrelatedLossShare*g.recentCalls
+// hasUnrelatedLosses reports whether connections break for other reasons so often that such a loss can be mistaken for one through
+// idling.
+func (d *destination) hasUnrelatedLosses() bool {
+	return d.recentUnrelatedLosses >= 2 && d.recentUnrelatedLosses > maxUnrelatedLossShare*d.recentCalls
 }
 
-// Pool decides for all endpoints. It is not safe for use by several goroutines at once.
+// Pool decides about the connections of all endpoints. It is not safe for concurrent use.
 type Pool struct {
 	cfg          Config
 	endpoints    map[string]*endpoint
-	destinations map[int]*destination // by destination
+	destinations map[int]*destination
 	conns        map[ID]*conn
-	keepNoIdle   bool // nothing is to rest
+	keepNoIdle   bool // connections are closed instead of becoming idle
 	lastID       ID
 	rng          *rand.Rand
-	clock        time.Duration
-	lastTickAt   time.Duration // the newest tick
-	recentCalls  float64       // of late
-	staleCalls   float64
+	clock        time.Duration // the latest time that a caller has passed
+	lastTickAt   time.Duration
+	recentCalls  float64 // calls in the window of staleWindowCalls
+	staleCalls   float64 // of recentCalls, those that failed on dead connections
 	counters     Counters
 	idleTimes    Ends
 }
 
-// Counters count since the start.
+// Counters counts events since the start.
 type Counters struct {
-	Opened, Ahead, NeverUsed int64 // connections; of them opened ahead, and never used
-	Calls, Reused, Stale     int64 // calls; on warm connections; failed by dead ones
-	OpenFailures, Canceled   int64 // openings; those that nobody needed any more
-	Waited                   int64 // calls that had to wait for a connection of their endpoint
-	Evicted                  [reasonCount]int64
-	Closed                   int64 // by the server, before our eyes
-	Quarantines              int64 // idle times put in quarantine
+	Opened       int64 // openings begun
+	Ahead        int64 // of Opened, those in advance of calls
+	NeverUsed    int64 // of Ahead, connections that ended without a call
+	Calls        int64
+	Reused       int64 // of Calls, those on connections that had been idle
+	Stale        int64 // of Calls, those that failed on dead connections
+	OpenFailures int64 // openings that failed
+	Canceled     int64 // openings that were canceled because no call needed them any more
+	Waited       int64 // calls that had to wait for a connection to their endpoint
+	Evicted      [reasonCount]int64
+	Closed       int64 // idle connections whose closing by the server was visible
+	Quarantines  int64 // quarantines of idle times
 }
 
 // New returns a Pool.
@@ -269,27 +297,29 @@
 	if err := cfg.Check(); err != nil {
 		return nil, err
 	}
-	return &Pool{cfg: cfg, endpoints: map[string]*endpoint{}, destinations: map[int]*destination{}, conns: map[ID]*conn{}, rng: rand.New(rand.NewPCG(cfg.Seed, 9))}, nil
+	return &Pool{cfg: cfg, endpoints: map[string]*endpoint{}, destinations: map[int]*destination{}, conns: map[ID]*conn{},
+		rng: rand.New(rand.NewPCG(cfg.Seed, 9))}, nil
 }
 
 // Counters returns the counters.
 func (p *Pool) Counters() Counters { return p.counters }
 
-// Len is how many connections there are, those being opened included.
+// Len returns the number of connections, including those that are being opened.
 func (p *Pool) Len() int { return len(p.conns) }
 
-// Limit changes how many connections there may be in all; what there is too many is given up as it rests.
+// Limit sets the maximum number of connections in all. A connection beyond the maximum is closed when its call ends.
 func (p *Pool) Limit(maxConns int) { p.cfg.Most = maxConns }
 
-// Endpoint brings news of an endpoint: what is known of one that moves is forgotten, for another server stands there. What
-// has to be closed is returned; connections that are busy close as they come to rest.
+// Endpoint adds, changes or drains an endpoint. An endpoint with a new address loses what was learned, because another server runs
+// there. Endpoint returns the idle connections that the caller has to close. Busy connections close when their calls end.
 func (p *Pool) Endpoint(name, addr string, dest int, acceptsCalls bool) (evict []Give) {
 	e := p.endpoints[name]
 	if e == nil {
 		if !acceptsCalls {
 			return nil
 		}
-		e = &endpoint{name: name, addr: addr, dest: dest, reuseHistory: &emptyReuseHistory, closeHistory: &emptyCloseHistory, deadShares: &emptyDeadShares, evidenceDecayedAt: p.clock, conns: map[ID]*conn{}}
+		e = &endpoint{name: name, addr: addr, dest: dest, reuseHistory: &emptyReuseHistory, closeHistory: &emptyCloseHistory,
+			deadShares: &emptyDeadShares, evidenceDecayedAt: p.clock, conns: map[ID]*conn{}}
 		p.learnFromSiblings(e)
 		p.endpoints[name] = e
 		p.joinDestination(e, dest)
@@ -300,7 +330,9 @@
 	}
 	reason := ReasonDraining
 	if moved := e.addr != addr; moved {
-		next := &endpoint{name: name, addr: addr, dest: dest, reuseHistory: &emptyReuseHistory, closeHistory: &emptyCloseHistory, deadShares: &emptyDeadShares, evidenceDecayedAt: p.clock, conns: e.conns, idleConns: e.idleConns, busyCount: e.busyCount, callsPerSecond: e.callsPerSecond, serviceSeconds: e.serviceSeconds, serviceSpreadSeconds: e.serviceSpreadSeconds, peakBusy: e.peakBusy}
+		next := &endpoint{name: name, addr: addr, dest: dest, reuseHistory: &emptyReuseHistory, closeHistory: &emptyCloseHistory,
+			deadShares: &emptyDeadShares, evidenceDecayedAt: p.clock, conns: e.conns, idleConns: e.idleConns, busyCount: e.busyCount,
+			callsPerSecond: e.callsPerSecond, serviceSeconds: e.serviceSeconds, serviceSpreadSeconds: e.serviceSpreadSeconds, peakBusy: e.peakBusy}
 		p.learnFromSiblings(next)
 		*e = *next
 		reason = ReasonMoved
@@ -312,24 +344,25 @@
 	evict = p.evictAllIdle(e, reason)
 	if reason == ReasonMoved {
 		for _, c := range e.conns {
-			c.expiresAt = 1 // long ago: it closes as it comes to rest
+			c.expiresAt = 1 // in the past: the connection closes when its call ends
 		}
 	}
 	p.removeIfDrained(e)
 	return evict
 }
 
-// maxSiblings is how many others of its destination a new endpoint learns from: a few that are alike say what all do, and a list
-// of thousands is taken in within a step.
+// maxSiblings is the number of other endpoints of its destination from which a new endpoint learns. A few similar endpoints show what
+// all of them do, and a list of thousands must be processed within one step.
 const maxSiblings = 16
 
-// learnFromSiblings has a new endpoint begin with what others of its destination have taught: they are most likely alike.
+// learnFromSiblings initializes a new endpoint with what other endpoints of its destination have shown, because they most likely behave
+// alike.
 func (p *Pool) learnFromSiblings(e *endpoint) {
-	g := p.destinations[e.dest]
-	if g == nil {
+	d := p.destinations[e.dest]
+	if d == nil {
 		return
 	}
-	for _, o := range g.endpoints[:min(len(g.endpoints), maxSiblings)] {
+	for _, o := range d.endpoints[:min(len(d.endpoints), maxSiblings)] {
 		if o.name != e.name && o.acceptsCalls {
 			if o.quarantinedUntil > 0 && (e.quarantinedUntil == 0 || o.quarantinedIdle < e.quarantinedIdle) {
 				e.quarantinedIdle, e.quarantinedUntil, e.quarantineLength = o.quarantinedIdle, o.quarantinedUntil, o.quarantineLength
@@ -341,7 +374,7 @@
 			if siblingProven := o.longestProvenIdle(p.clock); siblingProven > e.provenIdle[0] {
 				e.provenIdle[0], e.provenIdleFrom = siblingProven, p.clock
 			}
-			if o.reuseHistory != &emptyReuseHistory { // a part of what they know: it soon yields to what is seen here
+			if o.reuseHistory != &emptyReuseHistory { // only a part, so that observations of this endpoint soon outweigh it
 				e.ownReuseHistory().mergePart(o.reuseHistory)
 			}
 			if o.closeHistory != &emptyCloseHistory {
@@ -351,6 +384,7 @@
 	}
 }
 
+// joinDestination adds an endpoint to the state of a destination.
 func (p *Pool) joinDestination(e *endpoint, dest int) {
 	if e.dest = dest; p.destinations[dest] == nil {
 		p.destinations[dest] = &destination{}
@@ -358,14 +392,15 @@
 	p.destinations[dest].endpoints = append(p.destinations[dest].endpoints, e)
 }
 
+// leaveDestination removes an endpoint from the state of its destination, and the state with the last endpoint.
 func (p *Pool) leaveDestination(e *endpoint) {
-	g := p.destinations[e.dest]
-	if g.endpoints = slices.DeleteFunc(g.endpoints, func(o *endpoint) bool { return o == e }); len(g.endpoints) == 0 {
+	d := p.destinations[e.dest]
+	if d.endpoints = slices.DeleteFunc(d.endpoints, func(o *endpoint) bool { return o == e }); len(d.endpoints) == 0 {
 		delete(p.destinations, e.dest)
 	}
 }
 
-// removeIfDrained ends what is kept of an endpoint that is gone, once no connection is left.
+// removeIfDrained removes an endpoint that accepts no calls and has no connection left.
 func (p *Pool) removeIfDrained(e *endpoint) {
 	if !e.acceptsCalls && len(e.conns) == 0 && p.endpoints[e.name] == e {
 		delete(p.endpoints, e.name)
@@ -373,31 +408,31 @@
 	}
 }
 
-// Hint tells that an endpoint is cold or not, and how many calls are known to come there soon.
+// Hint sets whether an endpoint is in slow start, and how many calls are known to come there soon.
 func (p *Pool) Hint(name string, slowStart bool, expectedCalls int) {
 	if e := p.endpoints[name]; e != nil {
 		e.slowStart, e.expectedCalls = slowStart, expectedCalls
 	}
 }
 
-// connsByID are an endpoint's connections in the order of their ids, so that the same events always lead to the same acts.
+// connsByID returns the connections of an endpoint in the order of their IDs, so that the same events always lead to the same decisions.
 func (e *endpoint) connsByID() []*conn {
 	return slices.SortedFunc(maps.Values(e.conns), func(a, b *conn) int { return cmp.Compare(a.id, b.id) })
 }
 
-// addIdle has a connection rest since then.
+// addIdle marks a connection as idle since the given time and inserts it in idleConns.
 func (e *endpoint) addIdle(c *conn, idleSince time.Duration) {
 	c.state, c.idleSince = stateIdle, idleSince
-	at := len(e.idleConns) // as a rule it is the newest
+	at := len(e.idleConns) // usually the newest, at the end
 	for at > 0 && e.idleConns[at-1].idleSince > idleSince {
 		at--
 	}
 	e.idleConns = slices.Insert(e.idleConns, at, c)
 }
 
-// removeIdle ends a connection's rest.
+// removeIdle removes a connection from idleConns.
 func (e *endpoint) removeIdle(c *conn) {
-	for i := len(e.idleConns) - 1; i >= 0; i-- { // as a rule it is the newest
+	for i := len(e.idleConns) - 1; i >= 0; i-- { // usually the newest, at the end
 		if e.idleConns[i] == c {
 			e.idleConns = slices.Delete(e.idleConns, i, i+1)
 			return
@@ -405,7 +440,7 @@
 	}
 }
 
-// evictAllIdle gives up all that rests at an endpoint.
+// evictAllIdle evicts all idle connections of an endpoint.
 func (p *Pool) evictAllIdle(e *endpoint, reason Reason) (evict []Give) {
 	for len(e.idleConns) > 0 {
 		evict = append(evict, p.evict(e.idleConns[0], reason))
@@ -413,6 +448,7 @@
 	return evict
 }
 
+// evict removes a connection, counts the reason, and returns the connection for the caller to close.
 func (p *Pool) evict(c *conn, reason Reason) Give {
 	p.counters.Evicted[reason]++
 	c.owner.evicted[reason]++
@@ -424,6 +460,7 @@
 	return Give{c.id, reason}
 }
 
+// remove deletes a connection from the pool, and its endpoint if that is drained.
 func (p *Pool) remove(c *conn) {
 	switch c.state {
 	case stateBusy:
@@ -442,18 +479,18 @@
 	p.removeIfDrained(c.owner)
 }
 
-// Verdict says how a call gets its connection.
+// Verdict says how a call gets a connection.
 type Verdict int
 
 // The verdicts.
 const (
-	Use  Verdict = iota // the warm connection that is named
-	Open                // a new one, to be opened now under the id that is named
-	Wait                // none may be opened: one that comes to rest is to be had, or leave after a while
+	Use  Verdict = iota // the idle connection with the returned ID
+	Open                // a new connection, which the caller opens now under the returned ID
+	Wait                // no connection may be opened: the call waits for one that becomes idle, or gives up after some time
 )
 
-// Call decides on a call to an endpoint: which connection it goes on. What has to be closed for it, or is found to be of
-// no use any more, is returned too.
+// Call decides which connection a call to an endpoint uses. It also returns the connections that the caller has to close, to make room
+// for the call or because they are no longer usable.
 func (p *Pool) Call(now time.Duration, name string) (v Verdict, id ID, evict []Give) {
 	p.advanceClock(now)
 	e := p.endpoints[name]
@@ -464,7 +501,7 @@
 	return p.Again(now, name)
 }
 
-// Again decides once more on a call that waited, or whose connection turned out to be closed.
+// Again repeats the decision for a call that waited, or whose connection turned out to be closed.
 func (p *Pool) Again(now time.Duration, name string) (v Verdict, id ID, evict []Give) {
 	p.advanceClock(now)
 	e := p.endpoints[name]
@@ -489,9 +526,9 @@
 	return Open, c.id, evict
 }
 
-// Unused puts back a connection that was to carry a call and did not: it rests on as if it had not been taken. If it may not,
-// it is to be closed, and why.
-func (p *Pool) Unused(now time.Duration, id ID) (rests bool, reason Reason) {
+// Unused takes back a connection that did not carry its call after all. The connection remains idle as if it had not been taken. If the
+// connection must be closed instead, Unused returns false and the reason.
+func (p *Pool) Unused(now time.Duration, id ID) (idle bool, reason Reason) {
 	p.advanceClock(now)
 	c := p.conns[id]
 	if c == nil || c.state != stateBusy {
@@ -514,8 +551,8 @@
 	return false, reason
 }
 
-// Gone tells that a connection that was to carry a call had been closed by the server before the first byte went out: it did
-// no harm, and counts as a closing that was seen.
+// Gone reports that the server had closed a connection before the first byte of its call was sent. No call failed, so this counts as a
+// visible closing.
 func (p *Pool) Gone(now time.Duration, id ID) {
 	p.advanceClock(now)
 	c := p.conns[id]
@@ -527,7 +564,7 @@
 	p.remove(c)
 }
 
-// undoCall has the counts forget a call that was not made after all.
+// undoCall removes a call that was not made from the counts.
 func (p *Pool) undoCall(c *conn) {
 	p.counters.Calls--
 	p.recentCalls = max(p.recentCalls-1, 0)
@@ -539,7 +576,7 @@
 	}
 }
 
-// Cancel tells that an opening was called off.
+// Cancel reports that the opening of a connection was canceled.
 func (p *Pool) Cancel(now time.Duration, id ID) {
 	p.advanceClock(now)
 	if c := p.conns[id]; c != nil && c.state == stateOpening {
@@ -548,7 +585,7 @@
 	}
 }
 
-// Drop gives up one resting connection; false if it does not rest.
+// Drop evicts one idle connection. It returns false if the connection is not idle.
 func (p *Pool) Drop(now time.Duration, id ID, reason Reason) bool {
 	p.advanceClock(now)
 	c := p.conns[id]
@@ -559,7 +596,7 @@
 	return true
 }
 
-// Frugal has nothing rest while it is on.
+// Frugal sets whether connections are closed instead of becoming idle. It returns the idle connections that the caller has to close.
 func (p *Pool) Frugal(now time.Duration, on bool) (evict []Give) {
 	if p.keepNoIdle = on; on {
 		evict = p.Shed(now, len(p.conns))
@@ -567,7 +604,7 @@
 	return evict
 }
 
-// Claim has a connection that has just come to rest carry a call that waited for one; false if it does not rest.
+// Claim assigns a waiting call to a connection that has just become idle. It returns false if the connection is not idle.
 func (p *Pool) Claim(now time.Duration, id ID) bool {
 	p.advanceClock(now)
 	c := p.conns[id]
@@ -578,9 +615,10 @@
 	return true
 }
 
+// advanceClock sets the clock of the pool to now, but never back.
 func (p *Pool) advanceClock(now time.Duration) { p.clock = max(p.clock, now) }
 
-// startCall has a resting connection carry a call.
+// startCall assigns a call to an idle connection.
 func (p *Pool) startCall(c *conn) {
 	c.owner.removeIdle(c)
 	c.idleBeforeCall = max(p.clock-c.idleSince, 1)
@@ -592,11 +630,11 @@
 	p.recentCalls++
 }
 
-// openConn begins a connection.
+// openConn adds a connection that is being opened.
 func (p *Pool) openConn(e *endpoint) *conn {
 	p.lastID++
 	c := &conn{id: p.lastID, owner: e}
-	if p.cfg.MaxAge > 0 { // a quarter to both sides: those that were opened together do not close together
+	if p.cfg.MaxAge > 0 { // the maximum age varies by a quarter either way, so that connections opened together do not close together
 		c.expiresAt = p.clock + time.Duration(float64(p.cfg.MaxAge)*(0.75+p.rng.Float64()/2))
 	}
 	p.conns[c.id], e.conns[c.id] = c, c
@@ -604,7 +642,7 @@
 	return c
 }
 
-// atConnLimit says that the server seems to take no more connections. From time to time one more is tried.
+// atConnLimit reports whether the server seems to accept no more connections. After connLimitPeriod it allows one more as a trial.
 func (e *endpoint) atConnLimit(now time.Duration) bool {
 	if e.connLimit > 0 && now-e.connLimitAt > connLimitPeriod {
 		e.connLimit, e.connLimitAt = e.connLimit+1, now
@@ -612,8 +650,8 @@
 	return e.connLimit > 0 && len(e.conns) >= e.connLimit
 }
 
-// makeRoom makes room for one more connection in all. It comes from whoever rests with the most beyond its fair share; an
-// endpoint within its share gives nothing to one beyond its own.
+// makeRoom makes room for one more connection within the limit of the pool. It evicts an idle connection of the endpoint that exceeds
+// its fair share the most. An endpoint beyond its own fair share takes nothing from an endpoint within its share.
 func (p *Pool) makeRoom(e *endpoint) (evict []Give, ok bool) {
 	if len(p.conns) < p.cfg.Most {
 		return nil, true
@@ -627,7 +665,8 @@
 		}
 		c := o.idleConns[0]
 		excess := float64(len(o.conns)) - max(min(o.targetConns(), fair), 0)
-		if excess > largestExcess || excess == largestExcess && (c.idleSince < worst.idleSince || c.idleSince == worst.idleSince && c.id < worst.id) {
+		if excess > largestExcess || excess == largestExcess &&
+			(c.idleSince < worst.idleSince || c.idleSince == worst.idleSince && c.id < worst.id) {
 			worst, largestExcess = c, excess
 		}
 	}
@@ -637,8 +676,9 @@
 	return []Give{p.evict(worst, ReasonRoom)}, true
 }
 
-// bestIdle is the resting connection that is least likely dead, if that is worth the risk; others that are not are returned
-// to be closed. Where none is, one that idled beyond the limit may be tried from time to time: a server's time changes.
+// bestIdle returns the idle connection that is least likely dead, or nil if none is worth the risk, and evicts those that are unusable.
+// If no connection is within the limit, one that was idle for longer is used from time to time as a trial, because a server's idle
+// timeout can change.
 func (p *Pool) bestIdle(e *endpoint) (bestIdle *conn, evicted []Give) {
 	if e.limitsComputedAt == 0 || p.clock-e.limitsComputedAt > limitsRefreshInterval {
 		e.limitsComputedAt = max(p.clock, 1)
@@ -653,15 +693,15 @@
 	deadShares, softIdleLimit, hardIdleLimit := e.deadShares, e.softIdleLimit, e.hardIdleLimit
 	risk := math.Inf(1)
 	var trial, unproven *conn
-	trustedIdle := time.Duration(math.MaxInt64) // as long as nothing was lost, what is told of servers is believed
+	trustedIdle := time.Duration(math.MaxInt64) // without a loss, the configured idle time of servers is trusted
 	if e.idleLossAt > 0 && p.clock-e.idleLossAt < cautionPeriod {
 		trustedIdle = max(time.Duration(provenReachFactor*float64(e.longestProvenIdle(p.clock))), minSuspectIdle)
 	}
-	for i := len(e.idleConns) - 1; i >= 0; i-- { // newest first; what is given up leaves the list behind
+	for i := len(e.idleConns) - 1; i >= 0; i-- { // newest first; an eviction only shifts entries that were already visited
 		c := e.idleConns[i]
 		reason, unfit := p.unfit(c, softIdleLimit)
 		if unfit && reason == ReasonIdle && p.clock-c.idleSince < hardIdleLimit && p.trialAllowed(e) && trial == nil {
-			trial = c // the one that idled least is the best try
+			trial = c // the shortest idle time makes the best trial
 			continue
 		}
 		if unfit {
@@ -669,7 +709,7 @@
 			continue
 		}
 		if p.clock-c.idleSince > trustedIdle {
-			if unproven == nil { // the one that idled least
+			if unproven == nil { // the shortest idle time
 				unproven = c
 			}
 			continue
@@ -692,8 +732,8 @@
 	return nil, evicted
 }
 
-// longestProvenIdle is the longest idle time that went well in this stretch of provenFor or the one before. One call at a time tries
-// more: in a clump, others that idled as long would be lost together.
+// longestProvenIdle returns the longest idle time of a good reuse in the current or the previous period of provenPeriod. Only one call at
+// a time tries a longer one: in a burst, other connections with the same idle time would all be lost together.
 func (e *endpoint) longestProvenIdle(now time.Duration) time.Duration {
 	if age := now - e.provenIdleFrom; age >= 2*provenPeriod {
 		e.provenIdle, e.provenIdleFrom = [2]time.Duration{}, now
@@ -703,12 +743,13 @@
 	return max(e.provenIdle[0], e.provenIdle[1])
 }
 
-// trialAllowed says whether an idle time beyond the limit may be tried now: one at a time, now and then, and not in quarantine.
+// trialAllowed reports whether an idle time beyond the limit may be tried now: one trial at a time, at intervals of trialInterval, and
+// not during a quarantine.
 func (p *Pool) trialAllowed(e *endpoint) bool {
 	return !e.trialRunning && p.clock >= e.nextTrialAt && p.clock >= e.quarantinedUntil
 }
 
-// unfit says that a resting connection is not to be used again, and why.
+// unfit reports whether an idle connection must not be used again, and the reason.
 func (p *Pool) unfit(c *conn, limit time.Duration) (Reason, bool) {
 	switch e := c.owner; {
 	case !e.acceptsCalls:
@@ -723,8 +764,9 @@
 	return 0, false
 }
 
-// idleLimits are how long a connection to an endpoint may idle: as a rule less than what its losses allow and than what is in
-// quarantine; and at most, less than servers are known to let it and than this one was seen to.
+// idleLimits returns how long a connection to an endpoint may be idle. The soft limit follows from the losses of the endpoint and lies
+// below a quarantined idle time. The hard limit lies below the configured idle time of servers and the idle time after which this
+// server was seen to close connections.
 func (p *Pool) idleLimits(e *endpoint) (soft, hard time.Duration) {
 	hard = time.Duration(float64(p.cfg.IdleMost) * (1 - closeMarginShare))
 	if survived, ok := e.closeHistory.survivedIdle(minSurvivalShare); ok {
@@ -737,14 +779,15 @@
 	return soft, hard
 }
 
-// acceptableRisk is the share of dead connections that a reuse may expect: what the prices allow, and less the nearer losses of late
-// are to what they may be.
+// acceptableRisk returns the probability of being dead that a reused connection may have. The prices give its maximum, and the closer
+// the share of recent losses comes to StaleMost, the lower it is.
 func (p *Pool) acceptableRisk() float64 {
 	remainingShare := 1 - p.staleCalls/max(p.recentCalls*p.cfg.StaleMost, 1)
 	return p.cfg.OpenPrice / p.cfg.LossPrice * min(max(remainingShare, 0.05), 1)
 }
 
-// Opened tells that a connection is up. With a call waiting for it that call is out on it now; else it rests.
+// Opened reports that a connection is established. If a call waits for the connection, that call starts now; otherwise the connection
+// becomes idle.
 func (p *Pool) Opened(now time.Duration, id ID, callWaits bool) {
 	p.advanceClock(now)
 	c := p.conns[id]
@@ -764,8 +807,8 @@
 	p.recentCalls++
 }
 
-// Failed tells that a connection did not come up. Where others to the endpoint did of late, or are open, the server may take
-// no more.
+// Failed reports that a connection could not be established; refused says that the server refused or reset it. If other connections to
+// the endpoint are open and one was opened recently, the server may accept no more.
 func (p *Pool) Failed(now time.Duration, id ID, refused bool) {
 	p.advanceClock(now)
 	c := p.conns[id]
@@ -782,8 +825,8 @@
 	e.preconnectRetryAt = p.clock + time.Duration(wait*(0.5+p.rng.Float64()/2))
 }
 
-// noteRefusal takes in that a server would not have one more connection, while others are open or were of late: it may take no
-// more. A connection that breaks under its first call is one of these. It returns false where the server seems to be down.
+// noteRefusal records that a server refused a connection while others are open and one was opened recently: the server may accept no
+// more. A connection that breaks during its first call also counts. noteRefusal returns false if the server seems to be down.
 func (p *Pool) noteRefusal(e *endpoint) bool {
 	openCount := 0
 	for _, o := range e.conns {
@@ -805,15 +848,15 @@
 
 // The ends.
 const (
-	Answered End = iota // and the connection may carry another call
-	Last                // answered, and the server closes
-	Cut                 // given up by us, or the answer was spoilt
-	Dead                // the connection broke before the first byte of an answer
-	Broken              // it broke later
+	Answered End = iota // answered, and the connection may carry another call
+	Last                // answered, and the server closes the connection
+	Cut                 // aborted by the relay, or the answer was malformed
+	Dead                // the connection broke before the first byte of the answer
+	Broken              // the connection broke after the first byte of the answer
 )
 
-// Done tells the end of a call. It returns whether the connection rests from now on, and if not, why it is to be closed.
-func (p *Pool) Done(now time.Duration, id ID, end End, took time.Duration) (rests bool, reason Reason) {
+// Done reports the end of a call. It returns whether the connection becomes idle, and if not, the reason to close it.
+func (p *Pool) Done(now time.Duration, id ID, end End, duration time.Duration) (idle bool, reason Reason) {
 	p.advanceClock(now)
 	c := p.conns[id]
 	if c == nil || c.state != stateBusy {
@@ -821,7 +864,7 @@
 	}
 	e := c.owner
 	c.calls++
-	if end == Answered && c.calls > max(e.lastClosingUses, e.maxUses) { // it goes on beyond what seemed the limit
+	if end == Answered && c.calls > max(e.lastClosingUses, e.maxUses) { // the connection continues beyond the assumed limit
 		e.sameUsesCount = 0
 		if e.maxUses > 0 {
 			e.maxUses, e.sameUsesNeeded = 0, min(max(e.sameUsesNeeded, minSameUses)*4, maxSameUses)
@@ -832,7 +875,7 @@
 		e.consecutiveRefusals = 0
 	}
 	if end == Answered || end == Last {
-		e.recordServiceTime(took.Seconds())
+		e.recordServiceTime(duration.Seconds())
 	}
 	if c.isTrial {
 		c.isTrial, e.trialRunning = false, false
@@ -867,24 +910,24 @@
 	return false, reason
 }
 
-// recordIdleOutcome takes in what a call tells of idling.
+// recordIdleOutcome records what the end of a call shows about the idle time before that call.
 func (p *Pool) recordIdleOutcome(c *conn, end End) {
 	e := c.owner
-	g := p.destinations[e.dest]
-	if g.recentCalls++; g.recentCalls > staleWindowCalls {
-		g.recentCalls, g.recentUnrelatedLosses = g.recentCalls/2, g.recentUnrelatedLosses/2
+	d := p.destinations[e.dest]
+	if d.recentCalls++; d.recentCalls > staleWindowCalls {
+		d.recentCalls, d.recentUnrelatedLosses = d.recentCalls/2, d.recentUnrelatedLosses/2
 	}
 	if c.idleBeforeCall == 0 {
 		if end == Dead {
-			g.recentUnrelatedLosses++
+			d.recentUnrelatedLosses++
 		}
 		return
 	}
 	if end != Dead {
-		if end != Cut { // what was cut tells nothing
+		if end != Cut { // an aborted call shows nothing
 			e.suspectedIdles = slices.DeleteFunc(e.suspectedIdles, func(idle time.Duration) bool {
 				if idle <= c.idleBeforeCall {
-					g.recentUnrelatedLosses++ // it was not for idling
+					d.recentUnrelatedLosses++ // idling was not the reason
 				}
 				return idle <= c.idleBeforeCall
 			})
@@ -894,7 +937,7 @@
 			e.recentGoodIdle[0] = max(e.recentGoodIdle[0], c.idleBeforeCall)
 			e.longestProvenIdle(p.clock)
 			e.provenIdle[0] = max(e.provenIdle[0], c.idleBeforeCall)
-			if e.quarantinedIdle > 0 && c.idleBeforeCall >= e.quarantinedIdle { // it lives on that long now
+			if e.quarantinedIdle > 0 && c.idleBeforeCall >= e.quarantinedIdle { // connections now survive the quarantined idle time
 				e.quarantinedIdle, e.quarantinedUntil, e.quarantineLength = 0, 0, 0
 			}
 		}
@@ -906,14 +949,15 @@
 	p.idleTimes.Dead.add(c.idleBeforeCall)
 	p.staleCalls++
 	if c.idleBeforeCall < minSuspectIdle {
-		g.recentUnrelatedLosses++
+		d.recentUnrelatedLosses++
 		return
 	}
 	lossesNeeded := 1
-	if g.hasUnrelatedLosses() {
+	if d.hasUnrelatedLosses() {
 		lossesNeeded = lossesNeededIfNoisy
 	}
-	if e.longestRecentGoodIdle(p.clock) > c.idleBeforeCall { // one that idled longer went well of late: the server has changed, or it is not for idling
+	// A longer idle time went well recently: the server has changed, or idling is not the reason.
+	if e.longestRecentGoodIdle(p.clock) > c.idleBeforeCall {
 		lossesNeeded = lossesNeededIfContradicted
 	}
 	if e.suspectedIdles = append(e.suspectedIdles, c.idleBeforeCall); len(e.suspectedIdles) < lossesNeeded {
@@ -936,7 +980,7 @@
 	p.counters.Quarantines++
 }
 
-// longestRecentGoodIdle is the longest idle time that went well of late: in this stretch of recentGood and the one before.
+// longestRecentGoodIdle returns the longest idle time of a good reuse in the current or the previous period of recentGoodPeriod.
 func (e *endpoint) longestRecentGoodIdle(now time.Duration) time.Duration {
 	if age := now - e.recentGoodFrom; age >= 2*recentGoodPeriod {
 		e.recentGoodIdle, e.recentGoodFrom = [2]time.Duration{}, now
@@ -946,7 +990,7 @@
 	return max(e.recentGoodIdle[0], e.recentGoodIdle[1])
 }
 
-// recordServiceTime takes a service time into the usual one.
+// recordServiceTime adds the duration of a call to the smoothed service time and its deviation.
 func (e *endpoint) recordServiceTime(seconds float64) {
 	if e.serviceSeconds == 0 {
 		e.serviceSeconds, e.serviceSpreadSeconds = seconds, seconds/2
@@ -955,7 +999,7 @@
 	e.serviceSeconds += serviceSmoothing * (seconds - e.serviceSeconds)
 }
 
-// Closed tells that the server closed a resting connection, or one that was opening and never carried a call.
+// Closed reports that the server closed an idle connection, or a connection that was opening and never carried a call.
 func (p *Pool) Closed(now time.Duration, id ID) {
 	p.advanceClock(now)
 	c := p.conns[id]
@@ -970,22 +1014,22 @@
 	p.remove(c)
 }
 
-// recordClosing notes that the server closed a connection that had idled for so long.
+// recordClosing records that the server visibly closed a connection after the given idle time.
 func (p *Pool) recordClosing(c *conn, idle time.Duration) {
 	p.counters.Closed++
 	p.idleTimes.Closed.add(idle)
 	e := c.owner
 	if c.calls > 0 && idle < closeAfterAnswerWindow {
-		p.recordClosingUses(e, c.calls) // for the number of calls, not for idling
+		p.recordClosingUses(e, c.calls) // the number of calls is the reason, not idling
 	} else {
 		e.ownCloseHistory().add(idle, true)
 	}
 	if e.connLimit > 0 && p.clock-e.connLimitAt < connLimitDoubtPeriod {
-		e.connLimit = 0 // it was going down, not full
+		e.connLimit = 0 // the server was shutting down, not full
 	}
 }
 
-// recordClosingUses notes that the server closed behind so many calls.
+// recordClosingUses records that the server closed a connection after the given number of calls.
 func (p *Pool) recordClosingUses(e *endpoint, calls int) {
 	if e.lastClosingUses != calls {
 		e.lastClosingUses, e.sameUsesCount = calls, 0
@@ -995,8 +1039,8 @@
 	}
 }
 
-// targetConns is how many connections an endpoint is to have: for the calls that Little's law has out at once, and the spread
-// about them, and for the peak of late.
+// targetConns returns the number of connections that an endpoint needs. It covers the mean number of concurrent calls by Little's law,
+// their variation, and the recent peak.
 func (e *endpoint) targetConns() float64 {
 	if !e.acceptsCalls {
 		return 0
@@ -1009,8 +1053,8 @@
 	return math.Ceil(max(needed, e.peakBusy))
 }
 
-// Tick looks at everything: it is to come every quarter of a second or so. It returns what is to be closed, and for which
-// endpoints connections are to be opened ahead, under which ids.
+// Tick updates the state of all endpoints. The caller calls it about every quarter of a second, closes the connections of the first
+// result, and opens those of the second in advance of calls.
 func (p *Pool) Tick(now time.Duration) (evict []Give, preconnects []ID) {
 	p.advanceClock(now)
 	seconds := (p.clock - p.lastTickAt).Seconds()
@@ -1035,9 +1079,9 @@
 		soft, hard := p.idleLimits(e)
 		surplus := float64(len(e.conns)) - e.targetConns()
 		candidates := slices.Clone(e.idleConns)
-		// The fewer descriptors are left, the sooner what is not needed goes; while half are free it may as well rest.
+		// The more file descriptors are in use, the sooner surplus connections are closed: after minSurplusIdle once half are in use.
 		surplusAfter := max(minSurplusIdle, time.Duration((1-2*float64(len(p.conns))/float64(p.cfg.Most))*float64(soft)))
-		var trial *conn // the newest beyond the limit, to be tried
+		var trial *conn // the newest connection beyond the limit, kept for a trial
 		if p.trialAllowed(e) && surplus < 1 {
 			for _, c := range candidates {
 				if idle := p.clock - c.idleSince; idle >= soft && idle < hard {
@@ -1067,7 +1111,7 @@
 	return evict, preconnects
 }
 
-// decayDemand lets rate and peak follow the last tick.
+// decayDemand updates the call rate and the peak number of concurrent calls from the time since the last tick.
 func (e *endpoint) decayDemand(seconds float64, halfLife time.Duration) {
 	if seconds <= 0 {
 		return
@@ -1088,8 +1132,8 @@
 	}
 }
 
-// preconnect opens what an endpoint will need: for calls that are known to come, and in place of what was given up while it was
-// called often. An endpoint that is cold, or where openings fail, gets one at a time.
+// preconnect opens connections in advance: for calls that are known to come, and to replace evicted connections of an endpoint that is
+// called often. An endpoint in slow start, or with failed openings, gets one at a time.
 func (p *Pool) preconnect(e *endpoint) (ids []ID) {
 	if !e.acceptsCalls || p.keepNoIdle || p.clock < e.preconnectRetryAt {
 		return nil
@@ -1104,16 +1148,16 @@
 			freeCount++
 		}
 	}
-	// A connection is worth opening if it is used before it has to be given up for idling.
+	// A connection is worth opening if a call uses it before it reaches the idle limit.
 	wanted := 0
 	if soft, _ := p.idleLimits(e); e.callsPerSecond*soft.Seconds() > 3 {
 		wanted = int(e.targetConns()) - len(e.conns)
 	}
 	wanted = max(wanted, e.expectedCalls-freeCount)
-	if e.slowStart || e.openFailures > 0 || e.lastOpenedAt == 0 { // it is new, or comes back
+	if e.slowStart || e.openFailures > 0 || e.lastOpenedAt == 0 { // the endpoint is new or recovering
 		wanted = min(wanted, 1-openingCount)
 	}
-	for ; wanted > 0 && !e.atConnLimit(p.clock) && len(p.conns) < p.cfg.Most; wanted-- { // never at another's cost
+	for ; wanted > 0 && !e.atConnLimit(p.clock) && len(p.conns) < p.cfg.Most; wanted-- { // evicts no other connection
 		c := p.openConn(e)
 		c.preconnected = true
 		p.counters.Ahead++
@@ -1122,7 +1166,7 @@
 	return ids
 }
 
-// Unneeded names connections that are being opened ahead and that nobody will need any more: they may be called off.
+// Unneeded returns connections that are being opened in advance and that no call will need. The caller may cancel them.
 func (p *Pool) Unneeded() (ids []ID) {
 	for _, name := range slices.Sorted(maps.Keys(p.endpoints)) {
 		e := p.endpoints[name]
@@ -1137,7 +1181,8 @@
 	return ids
 }
 
-// Shed gives up resting connections while memory or descriptors are short: those beyond their endpoint's need first.
+// Shed evicts up to maxEvicted idle connections while memory or file descriptors are short, those of the endpoints with the largest
+// surplus first.
 func (p *Pool) Shed(now time.Duration, maxEvicted int) (evict []Give) {
 	p.advanceClock(now)
 	var idleConns []*conn
@@ -1154,7 +1199,7 @@
 	return evict
 }
 
-// EndpointOf names the endpoint of a connection.
+// EndpointOf returns the name of the endpoint of a connection, and false if the connection is unknown.
 func (p *Pool) EndpointOf(id ID) (string, bool) {
 	c := p.conns[id]
 	if c == nil {
@@ -1163,11 +1208,13 @@
 	return c.owner.name, true
 }
 
-// Histogram counts idle times at the end of connections: up to 10 ms, 100 ms, 1 s, 10 s, a minute, and longer.
+// Histogram counts idle times at the end of connections, in classes up to 10 ms, 100 ms, 1 s, 10 s, a minute, and longer.
 type Histogram [6]int64
 
-var histogramBounds = [len(Histogram{}) - 1]time.Duration{10 * time.Millisecond, 100 * time.Millisecond, time.Second, 10 * time.Second, time.Minute}
+var histogramBounds = [len(Histogram{}) - 1]time.Duration{10 * time.Millisecond, 100 * time.Millisecond, time.Second,
+	10 * time.Second, time.Minute}
 
+// add counts an idle time in its class.
 func (h *Histogram) add(idle time.Duration) {
 	for i, bound := range histogramBounds {
 		if idle <= bound {
@@ -1178,7 +1225,7 @@
 	h[len(h)-1]++
 }
 
-// LogValue names each class that holds any.
+// LogValue lists the classes that are not empty.
 func (h Histogram) LogValue() slog.Value {
 	var attrs []slog.Attr
 	for i, n := range h {
@@ -1193,13 +1240,13 @@
 	return slog.GroupValue(attrs...)
 }
 
-// Ends are the histograms by cause: given up, by reason; closed by the server; and dead under a call.
+// Ends holds histograms of idle times at the end of connections: evicted, by reason; closed by the server; and dead during a call.
 type Ends struct {
 	Evicted      [reasonCount]Histogram
 	Closed, Dead Histogram
 }
 
-// LogValue names those that hold any.
+// LogValue lists the histograms by cause.
 func (e Ends) LogValue() slog.Value {
 	attrs := []slog.Attr{slog.Any("closed", e.Closed), slog.Any("dead", e.Dead)}
 	for w, h := range e.Evicted {
@@ -1208,34 +1255,35 @@
 	return slog.GroupValue(attrs...)
 }
 
-// Ends returns how long connections had idled at their ends, by cause.
+// Ends returns the histograms of idle times at the end of connections.
 func (p *Pool) Ends() Ends { return p.idleTimes }
 
-// State is what is known of one endpoint, for operators.
+// State is the state of one endpoint, for operators.
 type State struct {
 	Endpoint                         string
 	AcceptsCalls, SlowStart          bool
 	Opening, Busy, Idle              int
-	Target                           int
-	CallsPerSecond                   float64       // calls a second
-	Service, Spread                  time.Duration // of a call
+	Target                           int // number of connections that the endpoint needs
+	CallsPerSecond                   float64
+	Service, Spread                  time.Duration // smoothed duration of a call, and its mean deviation
 	IdleLimit                        time.Duration
-	QuarantinedIdle                  time.Duration // idle time in quarantine; 0 for none
-	MaxUses, ConnLimit, OpenFailures int
-	Evicted                          [reasonCount]int64 // up, by reason
-	Stale                            int64              // calls failed by dead connections
+	QuarantinedIdle                  time.Duration      // idle time in quarantine; 0 for none
+	MaxUses, ConnLimit, OpenFailures int                // limits of calls per connection and of connections, 0 for none; failed openings
+	Evicted                          [reasonCount]int64 // evicted connections by reason
+	Stale                            int64              // calls that failed on dead connections
 }
 
-// LogValue names the figures in a log line.
+// LogValue lists the fields for a log line.
 func (s State) LogValue() slog.Value {
-	return slog.GroupValue(slog.String("member", s.Endpoint), slog.Bool("open", s.AcceptsCalls), slog.Bool("cold", s.SlowStart), slog.Int("opening", s.Opening),
-		slog.Int("busy", s.Busy), slog.Int("idle", s.Idle), slog.Int("target", s.Target), slog.Float64("rate", s.CallsPerSecond),
-		slog.Duration("service", s.Service), slog.Duration("spread", s.Spread), slog.Duration("idle_limit", s.IdleLimit),
-		slog.Duration("banned", s.QuarantinedIdle), slog.Int("uses", s.MaxUses), slog.Int("cap", s.ConnLimit), slog.Int("fails", s.OpenFailures),
-		slog.Int64("stale", s.Stale), slog.Any("given", evictedByReason(s.Evicted)))
+	return slog.GroupValue(slog.String("member", s.Endpoint), slog.Bool("open", s.AcceptsCalls), slog.Bool("cold", s.SlowStart),
+		slog.Int("opening", s.Opening), slog.Int("busy", s.Busy), slog.Int("idle", s.Idle), slog.Int("target", s.Target),
+		slog.Float64("rate", s.CallsPerSecond), slog.Duration("service", s.Service), slog.Duration("spread", s.Spread),
+		slog.Duration("idle_limit", s.IdleLimit), slog.Duration("banned", s.QuarantinedIdle), slog.Int("uses", s.MaxUses),
+		slog.Int("cap", s.ConnLimit), slog.Int("fails", s.OpenFailures), slog.Int64("stale", s.Stale),
+		slog.Any("given", evictedByReason(s.Evicted)))
 }
 
-// LogValue names the counters in a log line.
+// LogValue lists the counters for a log line.
 func (c Counters) LogValue() slog.Value {
 	return slog.GroupValue(slog.Int64("opened", c.Opened), slog.Int64("ahead", c.Ahead), slog.Int64("unused", c.NeverUsed),
 		slog.Int64("called_off", c.Canceled), slog.Int64("failed", c.OpenFailures), slog.Int64("calls", c.Calls), slog.Int64("reused", c.Reused),
@@ -1243,11 +1291,13 @@
 		slog.Any("given", evictedByReason(c.Evicted)))
 }
 
+// evictedByReason counts evicted connections by reason.
 type evictedByReason [reasonCount]int64
 
-func (g evictedByReason) LogValue() slog.Value {
+// LogValue lists the reasons that occurred.
+func (r evictedByReason) LogValue() slog.Value {
 	var attrs []slog.Attr
-	for w, n := range g {
+	for w, n := range r {
 		if n > 0 {
 			attrs = append(attrs, slog.Int64(Reason(w).String(), n))
 		}
@@ -1255,13 +1305,15 @@
 	return slog.GroupValue(attrs...)
 }
 
-// States are those of all endpoints, by name.
+// States returns the states of all endpoints, sorted by name.
 func (p *Pool) States() (list []State) {
 	for _, name := range slices.Sorted(maps.Keys(p.endpoints)) {
 		e := p.endpoints[name]
 		soft, _ := p.idleLimits(e)
-		s := State{Endpoint: name, AcceptsCalls: e.acceptsCalls, SlowStart: e.slowStart, Target: int(e.targetConns()), CallsPerSecond: e.callsPerSecond, Service: time.Duration(e.serviceSeconds * 1e9),
-			Spread: time.Duration(e.serviceSpreadSeconds * 1e9), IdleLimit: soft, MaxUses: e.maxUses, ConnLimit: e.connLimit, OpenFailures: e.openFailures, Evicted: e.evicted, Stale: e.staleCalls}
+		s := State{Endpoint: name, AcceptsCalls: e.acceptsCalls, SlowStart: e.slowStart, Target: int(e.targetConns()),
+			CallsPerSecond: e.callsPerSecond, Service: time.Duration(e.serviceSeconds * 1e9),
+			Spread: time.Duration(e.serviceSpreadSeconds * 1e9), IdleLimit: soft, MaxUses: e.maxUses, ConnLimit: e.connLimit,
+			OpenFailures: e.openFailures, Evicted: e.evicted, Stale: e.staleCalls}
 		if p.clock < e.quarantinedUntil {
 			s.QuarantinedIdle = e.quarantinedIdle
 		}
--- a/internal/conns/happy_eyeballs.go
+++ b/internal/conns/happy_eyeballs.go
@@ -7,28 +7,34 @@
 	"time"
 )
 
-// connectionAttemptDelay is how long an opening to one address has before the next address is tried beside it (RFC 8305, section 5).
+// connectionAttemptDelay is the time that a connection attempt has before the next address is tried in parallel (RFC 8305, section 5).
 const connectionAttemptDelay = 250 * time.Millisecond
 
-// minPenalty is how long an address that failed goes behind the others, at first; it doubles with each failure in a row.
-const minPenalty, maxPenalty = 5 * time.Second, 10 * time.Minute
+// minPenalty is how long an address that failed once is tried after all others. The time doubles with each consecutive failure, up to
+// maxPenalty.
+const (
+	minPenalty = 5 * time.Second
+	maxPenalty = 10 * time.Minute
+)
 
-// Addresses remembers how the addresses of endpoints did. It is not safe for use by several goroutines at once.
+// Addresses remembers the results of connection attempts per address. It is not safe for concurrent use.
 type Addresses struct{ known map[netip.AddrPort]*address }
 
+// address holds the results of earlier attempts to connect to one address.
 type address struct {
 	consecutiveFailures int
-	penalizedUntil      time.Duration // it goes behind the others
-	connectTime         time.Duration // to connect, smoothed
+	penalizedUntil      time.Duration // until this time the address is tried after all others
+	connectTime         time.Duration // smoothed duration of a successful attempt; 0 for unknown
 	usedAt              time.Duration
 }
 
-// NewAddresses returns an empty memory.
+// NewAddresses returns an empty Addresses.
 func NewAddresses() *Addresses { return &Addresses{map[netip.AddrPort]*address{}} }
 
-// Len is how many addresses are remembered.
+// Len returns the number of remembered addresses.
 func (a *Addresses) Len() int { return len(a.known) }
 
+// entry returns the record of an address, which it creates if needed, and marks the address as used.
 func (a *Addresses) entry(now time.Duration, addr netip.AddrPort) *address {
 	s := a.known[addr]
 	if s == nil {
@@ -39,7 +45,7 @@
 	return s
 }
 
-// Forget ends what is kept of addresses that nobody has used for so long.
+// Forget removes the addresses that were not used for maxUnused.
 func (a *Addresses) Forget(now, maxUnused time.Duration) {
 	for addr, s := range a.known {
 		if now-s.usedAt >= maxUnused {
@@ -48,25 +54,25 @@
 	}
 }
 
-// Race tries the addresses of one endpoint, each a while after the one before or at once where that failed, until one answers
-// (RFC 8305, Happy Eyeballs).
+// Race runs the Happy Eyeballs algorithm (RFC 8305) on the addresses of one endpoint. The next address is tried after
+// connectionAttemptDelay, or at once if the previous attempt failed, until one attempt succeeds.
 type Race struct {
 	addresses  *Addresses
-	order      []netip.AddrPort
-	startedAt  []time.Duration
-	next       int
-	inProgress int
+	order      []netip.AddrPort // in the order of the attempts
+	startedAt  []time.Duration  // start of the attempt to each address of order
+	next       int              // index in order of the next address
+	inProgress int              // attempts without a result
 	nextDueAt  time.Duration
 	connected  bool
 }
 
-// Race begins one. Addresses that failed of late go last; else the two families take turns, the one of the quickest known
-// address first, and version 6 where nothing is known.
+// Race starts connection attempts to a list of addresses. Recently failed addresses come last. The others alternate between the address
+// families, starting with the family of the address that connects fastest, or with IPv6 if no connect time is known.
 func (a *Addresses) Race(now time.Duration, addrs []netip.AddrPort) *Race {
 	var ipv6, ipv4, recentlyFailed []netip.AddrPort
 	for _, addr := range addrs {
 		switch s := a.entry(now, addr); {
-		case slices.Contains(ipv6, addr) || slices.Contains(ipv4, addr) || slices.Contains(recentlyFailed, addr):
+		case slices.Contains(ipv6, addr) || slices.Contains(ipv4, addr) || slices.Contains(recentlyFailed, addr): // a duplicate
 		case s.penalizedUntil > now:
 			recentlyFailed = append(recentlyFailed, addr)
 		case addr.Addr().Unmap().Is4():
@@ -75,7 +81,7 @@
 			ipv6 = append(ipv6, addr)
 		}
 	}
-	compareConnectTimes := func(x, y netip.AddrPort) int { // what is not known goes behind what is
+	compareConnectTimes := func(x, y netip.AddrPort) int { // an unknown time sorts after all known ones
 		tx, ty := a.known[x].connectTime, a.known[y].connectTime
 		if (tx == 0) != (ty == 0) {
 			return cmp.Compare(ty, tx)
@@ -88,7 +94,7 @@
 		return cmp.Compare(a.known[x].penalizedUntil, a.known[y].penalizedUntil)
 	})
 	if len(ipv6) > 0 && len(ipv4) > 0 && a.known[ipv4[0]].connectTime > 0 && compareConnectTimes(ipv4[0], ipv6[0]) < 0 {
-		ipv6, ipv4 = ipv4, ipv6
+		ipv6, ipv4 = ipv4, ipv6 // below, the family that ipv6 holds goes first
 	}
 	r := &Race{addresses: a, nextDueAt: now}
 	for i := range max(len(ipv6), len(ipv4)) {
@@ -104,8 +110,8 @@
 	return r
 }
 
-// Next names the address to be tried now, if one is due, and else how long until one is: 0 for none. Over says that all have
-// failed.
+// Next returns the address to try now, if one is due. Otherwise it returns the wait until the next one is due, or 0 if none will be. The
+// result exhausted says that all attempts have failed.
 func (r *Race) Next(now time.Duration) (addr netip.AddrPort, try bool, wait time.Duration, exhausted bool) {
 	if r.connected || r.next == len(r.order) {
 		return addr, false, 0, !r.connected && r.inProgress == 0
@@ -121,7 +127,7 @@
 	return addr, true, 0, false
 }
 
-// Failed tells that an address did not answer: the next is due at once.
+// Failed reports that the attempt to connect to an address failed. The next address is due at once.
 func (r *Race) Failed(now time.Duration, addr netip.AddrPort) {
 	r.inProgress--
 	r.nextDueAt = now
@@ -130,7 +136,7 @@
 	s.penalizedUntil = now + min(minPenalty<<min(s.consecutiveFailures-1, 20), maxPenalty)
 }
 
-// Won tells that an address answered. True for the first: any other is to be closed.
+// Won reports that an address accepted the connection. It returns true for the first one; the caller closes any other.
 func (r *Race) Won(now time.Duration, addr netip.AddrPort) bool {
 	r.inProgress--
 	s := r.addresses.entry(now, addr)
--- a/internal/conns/idle_history.go
+++ b/internal/conns/idle_history.go
@@ -5,19 +5,22 @@
 	"time"
 )
 
-// Idle times are kept in buckets, perDecade to each power of ten from shortest on.
+// Idle times are counted in logarithmic buckets: bucketsPerDecade for each power of ten, from minBucketIdle on.
 const (
 	minBucketIdle    = time.Millisecond
 	bucketsPerDecade = 8
-	bucketCount      = bucketsPerDecade * 7 // up to some hours
-	// maxBucketWeight is how many reuses a bucket remembers: more, and a server that changes would be believed too long.
+	bucketCount      = bucketsPerDecade * 7 // covers idle times up to some hours
+	// maxBucketWeight is the maximum weight of the observations in a bucket. With a higher weight, old observations of a server that
+	// changes would count for too long.
 	maxBucketWeight = 200
-	// minClosings closings tell of a limit; one or two tell of a restart.
+	// minClosings is the weight of the visible closings that make an idle limit. One or two closings can be a restart.
 	minClosings = 2.5
-	// priorReuses reuses without a loss are taken for granted where nothing is known, priorLoss their share of losses.
-	priorReuses, priorLossShare = 100, 0.0005
+	// priorReuses is the weight of the reuses that are assumed before any observation, priorLossShare the share of losses among them.
+	priorReuses    = 100
+	priorLossShare = 0.0005
 )
 
+// bucketOf returns the index of the bucket of an idle time.
 func bucketOf(idle time.Duration) int {
 	if idle <= minBucketIdle {
 		return 0
@@ -25,60 +28,61 @@
 	return min(int(math.Log10(float64(idle)/float64(minBucketIdle))*bucketsPerDecade)+1, bucketCount-1)
 }
 
-// bucketUpperBound is the longest idle time of a bucket.
+// bucketUpperBound returns the longest idle time of a bucket.
 func bucketUpperBound(b int) time.Duration {
 	return time.Duration(float64(minBucketIdle) * math.Pow(10, float64(b)/bucketsPerDecade))
 }
 
-// reuseHistory is what is known of connections that were used again after idling: each use tells whether the connection was
-// still alive after that time, and nothing of when it died. Such current-status data are estimated by isotonic regression
-// (Ayer, Brunk, Ewing, Reid and Silverman 1955): the longer idle, the likelier dead.
+// reuseHistory counts the outcomes of reuses by the idle time before them. A reuse shows whether the connection was still alive after
+// that time, but not when it died. Isotonic regression estimates the share of dead connections from such current-status data (Ayer,
+// Brunk, Ewing, Reid and Silverman 1955), on the assumption that longer idle times make a dead connection more likely.
 type reuseHistory struct {
-	alive, lost [bucketCount]float64
+	alive, dead [bucketCount]float64
 }
 
-func (r *reuseHistory) add(idle time.Duration, lost bool) {
+// add counts one reuse.
+func (r *reuseHistory) add(idle time.Duration, dead bool) {
 	b := bucketOf(idle)
-	if lost {
-		r.lost[b]++
+	if dead {
+		r.dead[b]++
 	} else {
 		r.alive[b]++
 	}
-	if n := r.alive[b] + r.lost[b]; n > maxBucketWeight {
+	if n := r.alive[b] + r.dead[b]; n > maxBucketWeight {
 		r.alive[b] *= maxBucketWeight / n
-		r.lost[b] *= maxBucketWeight / n
+		r.dead[b] *= maxBucketWeight / n
 	}
 }
 
-// mergePart takes in a part of what is known elsewhere.
+// mergePart adds a fifth of the counts of another endpoint.
 func (r *reuseHistory) mergePart(o *reuseHistory) {
 	for b := range bucketCount {
 		r.alive[b] += o.alive[b] / 5
-		r.lost[b] += o.lost[b] / 5
+		r.dead[b] += o.dead[b] / 5
 	}
 }
 
-// decay forgets a part of the evidence.
+// decay scales all counts by a factor below one.
 func (r *reuseHistory) decay(factor float64) {
 	for b := range bucketCount {
 		r.alive[b] *= factor
-		r.lost[b] *= factor
+		r.dead[b] *= factor
 	}
 }
 
-// deadShares estimates, for each bucket, the share of connections that are dead after so long, never falling: neighbours that
-// would are pooled (the pool-adjacent-violators algorithm).
+// deadShares estimates for each bucket the share of connections that are dead after that idle time. The estimate never falls from one
+// bucket to the next: adjacent buckets that violate this are pooled (the pool-adjacent-violators algorithm).
 func (r *reuseHistory) deadShares() (share [bucketCount]float64) {
 	type block struct {
-		lost, n float64
+		dead, n float64
 		len     int
 	}
 	var blocks [bucketCount]block
 	top := 0
 	for b := range bucketCount {
-		blocks[top] = block{r.lost[b] + priorLossShare*priorReuses/bucketCount, r.alive[b] + r.lost[b] + priorReuses/bucketCount, 1}
-		for top > 0 && blocks[top-1].lost*blocks[top].n >= blocks[top].lost*blocks[top-1].n {
-			blocks[top-1].lost += blocks[top].lost
+		blocks[top] = block{r.dead[b] + priorLossShare*priorReuses/bucketCount, r.alive[b] + r.dead[b] + priorReuses/bucketCount, 1}
+		for top > 0 && blocks[top-1].dead*blocks[top].n >= blocks[top].dead*blocks[top-1].n {
+			blocks[top-1].dead += blocks[top].dead
 			blocks[top-1].n += blocks[top].n
 			blocks[top-1].len += blocks[top].len
 			top--
@@ -88,22 +92,22 @@
 	b := 0
 	for _, bl := range blocks[:top] {
 		for range bl.len {
-			share[b] = bl.lost / bl.n
+			share[b] = bl.dead / bl.n
 			b++
 		}
 	}
 	return share
 }
 
-// idleLimit is the longest idle time after which no more than a share is dead, or else no more than twice the share over all
-// idle times, and never more than most: what breaks connections whether they idle long or not is no reason to keep them
-// from idling.
+// idleLimit returns the longest idle time at which the share of dead connections is at most maxDeadShare. Twice the share over all idle
+// times is accepted too, but never more than maxShare: causes that break connections after any idle time are no reason to shorten the
+// limit.
 func (r *reuseHistory) idleLimit(maxDeadShare, maxShare float64) time.Duration {
-	lost, n := priorLossShare*priorReuses, float64(priorReuses)
+	dead, n := priorLossShare*priorReuses, float64(priorReuses)
 	for b := range bucketCount {
-		lost, n = lost+r.lost[b], n+r.alive[b]+r.lost[b]
+		dead, n = dead+r.dead[b], n+r.alive[b]+r.dead[b]
 	}
-	maxDeadShare = min(max(maxDeadShare, 2*lost/n), maxShare)
+	maxDeadShare = min(max(maxDeadShare, 2*dead/n), maxShare)
 	last := -1
 	for b, s := range r.deadShares() {
 		if s > maxDeadShare {
@@ -117,12 +121,14 @@
 	return bucketUpperBound(last)
 }
 
-// closeHistory is what is known of how long connections idle until the server closes them before our eyes: exact times, and
-// spells that a reuse or our own closing cut short, which count as survived until then (Kaplan and Meier 1958).
+// closeHistory counts the idle times after which the server visibly closed connections, and the idle times that ended otherwise. The
+// latter, by a reuse or by the relay's own closing, are censored: they show only that the connection survived until then (Kaplan and
+// Meier 1958).
 type closeHistory struct {
-	closed, censored [bucketCount]float32 // there is one for each endpoint
+	closed, censored [bucketCount]float32 // float32 saves memory: every endpoint in use has its own counts
 }
 
+// mergePart adds a fifth of the counts of another endpoint.
 func (s *closeHistory) mergePart(o *closeHistory) {
 	for b := range bucketCount {
 		s.closed[b] += o.closed[b] / 5
@@ -130,6 +136,7 @@
 	}
 }
 
+// add counts one idle time.
 func (s *closeHistory) add(idle time.Duration, closed bool) {
 	b := bucketOf(idle)
 	if closed {
@@ -143,7 +150,8 @@
 	}
 }
 
-// survivedIdle is the longest idle time that a share of connections survives; false where no closing was seen that would tell.
+// survivedIdle returns the longest idle time that at least the given share of connections survives. It returns false if the
+// visible closings are too few or set no such limit.
 func (s *closeHistory) survivedIdle(share float64) (time.Duration, bool) {
 	atRisk, closings := 0.0, 0.0
 	for b := range bucketCount {
@@ -168,7 +176,7 @@
 	return 0, false
 }
 
-// decay forgets a part of the evidence.
+// decay scales all counts by a factor below one.
 func (s *closeHistory) decay(factor float64) {
 	for b := range bucketCount {
 		s.closed[b] *= float32(factor)
