--- a/internal/conns/bench_test.go
+++ b/internal/conns/bench_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// BenchmarkCall is the decisions of one call on a warm connection, with 20 that rest.
+// BenchmarkCall measures the decisions of one call on a reused connection, with 20 idle connections.
 func BenchmarkCall(b *testing.B) {
 	cfg := config()
 	cfg.MaxAge, cfg.IdleMost = 0, time.Hour
--- a/internal/conns/conns_test.go
+++ b/internal/conns/conns_test.go
@@ -32,21 +32,21 @@
 	return p
 }
 
-// server is a scripted server in virtual time, and the connections that a Pool holds to it.
+// server is a scripted server in virtual time, with the connections that a Pool holds to it.
 type server struct {
 	t                 *testing.T
 	p                 *Pool
 	name              string
 	now               time.Duration
-	silentCloseAfter  time.Duration // it drops a connection unseen that idled so long; 0 for never
-	visibleCloseAfter time.Duration // it closes one before our eyes
-	closeAfterCalls   int           // it closes behind so many calls
+	silentCloseAfter  time.Duration // idle time after which it drops a connection silently; 0 for never
+	visibleCloseAfter time.Duration // idle time after which it closes a connection visibly; 0 for never
+	closeAfterCalls   int           // number of calls after which it closes a connection; 0 for never
 	conns             map[ID]*serverConn
 	calls             int
 	staleCalls        int
 	opened            int
 	rng               *rand.Rand
-	breakShare        float64 // share of the calls that break a warm connection for no reason
+	breakShare        float64 // share of the calls on reused connections that break for reasons other than idling
 	service           time.Duration
 }
 
@@ -56,11 +56,12 @@
 	busy      bool
 }
 
+// newServer returns a server that holds no connection.
 func newServer(t *testing.T, p *Pool, name string) *server {
 	return &server{t: t, p: p, name: name, conns: map[ID]*serverConn{}, rng: rand.New(rand.NewPCG(5, 5)), service: 20 * ms}
 }
 
-// advance lets time pass: the server closes what it closes, and the pool ticks.
+// advance moves the time forward in steps: the server closes connections as scripted, and the pool ticks.
 func (s *server) advance(d time.Duration) {
 	for end := s.now + d; s.now < end; {
 		step := min(250*ms, end-s.now)
@@ -82,6 +83,7 @@
 	}
 }
 
+// ids returns the IDs of the open connections in order.
 func (s *server) ids() (ids []ID) {
 	for id := range s.conns {
 		ids = append(ids, id)
@@ -90,16 +92,17 @@
 	return ids
 }
 
+// closeEvicted closes the connections that the pool evicted. They must be open and idle.
 func (s *server) closeEvicted(evicted []Give) {
 	for _, g := range evicted {
 		if c := s.conns[g.ID]; c == nil || c.busy {
-			s.t.Fatalf("given up, but busy or not there: %v", g)
+			s.t.Fatalf("evicted, but busy or unknown: %v", g)
 		}
 		delete(s.conns, g.ID)
 	}
 }
 
-// call makes one call, again on a new connection where a dead one failed it, and returns how long it was until it began.
+// call makes one call, and repeats it on another connection after a loss. It reports whether the call opened a connection.
 func (s *server) call() (fresh bool) {
 	s.calls++
 	for {
@@ -114,7 +117,7 @@
 		case Use:
 			c := s.conns[id]
 			if c == nil || c.busy {
-				s.t.Fatalf("connection %d is gone or busy", id)
+				s.t.Fatalf("connection %d is unknown or busy", id)
 			}
 			idle := s.now - c.idleSince
 			if s.silentCloseAfter > 0 && idle >= s.silentCloseAfter || s.rng.Float64() < s.breakShare {
@@ -125,18 +128,19 @@
 			}
 			c.busy = true
 		case Wait:
-			s.t.Fatal("told to wait")
+			s.t.Fatal("the call has to wait for a connection")
 		}
 		s.finish(id)
 		return fresh
 	}
 }
 
+// finish completes the call on a connection after the service time.
 func (s *server) finish(id ID) {
 	s.now += s.service
 	c := s.conns[id]
 	c.calls++
-	if rests, _ := s.p.Done(s.now, id, Answered, s.service); !rests {
+	if staysOpen, _ := s.p.Done(s.now, id, Answered, s.service); !staysOpen {
 		delete(s.conns, id)
 		return
 	}
@@ -147,7 +151,7 @@
 	}
 }
 
-// makeCalls makes calls with gaps that are drawn evenly up to a longest.
+// makeCalls makes n calls, with random gaps that are distributed uniformly up to maxGap.
 func (s *server) makeCalls(n int, maxGap time.Duration) {
 	for range n {
 		s.advance(time.Duration(s.rng.Float64() * float64(maxGap)))
@@ -155,8 +159,9 @@
 	}
 }
 
-// A server that drops connections unseen after a time that nobody told: the share of calls that it fails stays below one
-// in a thousand, and connections are used again below that time. At noon the time changes, to a shorter and a longer one.
+// A server drops idle connections silently after an unknown time, so that a call on such a connection fails. Less than one call in a
+// thousand may fail, and connections must be reused below that time. The time changes twice during the test, to a shorter and to a longer
+// one.
 func TestSilentCloseKeepsStaleCallsRare(t *testing.T) {
 	p := newPool(t, config(), "e")
 	s := newServer(t, p, "e")
@@ -167,65 +172,66 @@
 		s.makeCalls(20_000, 8*time.Second)
 	}
 	if share := float64(s.staleCalls) / float64(s.calls); share > 0.001 {
-		t.Errorf("%d of %d calls failed by dead connections", s.staleCalls, s.calls)
+		t.Errorf("%d of %d calls failed on dead connections", s.staleCalls, s.calls)
 	}
 	if c := p.Counters(); c.Reused < int64(s.calls)/4 {
-		t.Errorf("%d of %d calls on warm connections", c.Reused, s.calls)
+		t.Errorf("%d of %d calls on reused connections", c.Reused, s.calls)
 	}
 	if s.silentCloseAfter = 1500 * ms; true {
 		before := s.opened
 		s.makeCalls(5000, 1200*ms)
 		if n := s.opened - before; n > 500 {
-			t.Errorf("%d connections opened for 5000 calls that come in time", n)
+			t.Errorf("%d connections opened for 5000 calls within the idle time", n)
 		}
 	}
 }
 
-// A server that closes before our eyes costs no call: what it closes is learned and given up before.
+// A server closes idle connections visibly. No call may fail: the pool learns the time and closes connections before.
 func TestVisibleCloseCostsNoCall(t *testing.T) {
 	p := newPool(t, config(), "e")
 	s := newServer(t, p, "e")
 	s.visibleCloseAfter = 3 * time.Second
 	s.makeCalls(3000, 6*time.Second)
 	if limit := p.States()[0].IdleLimit; limit > 3*time.Second || limit < time.Second {
-		t.Errorf("idle limit %v", limit)
+		t.Errorf("idle limit %v, want 1 to 3 s", limit)
 	}
 	if c := p.Counters(); c.Stale > 0 || c.Evicted[ReasonIdle] == 0 {
-		t.Errorf("%+v", c)
+		t.Errorf("stale calls, or no eviction for idling: %+v", c)
 	}
-	if e := p.Ends(); e.Evicted[ReasonIdle][3] == 0 || e.Closed[3] == 0 || e.Dead != (Histogram{}) { // within 1 to 10 s
-		t.Errorf("%+v", e)
+	if e := p.Ends(); e.Evicted[ReasonIdle][3] == 0 || e.Closed[3] == 0 || e.Dead != (Histogram{}) { // the class of 1 to 10 s
+		t.Errorf("histograms of idle times: %+v", e)
 	}
 }
 
-// Connections that break for no reason say nothing of idling: they go on being used again.
+// Connections that break for reasons other than idling must not shorten the idle limit: the pool goes on reusing connections.
 func TestUnrelatedLossesLeaveReuse(t *testing.T) {
 	p := newPool(t, config(), "e")
 	s := newServer(t, p, "e")
 	s.breakShare = 0.005
 	s.makeCalls(5000, 2*time.Second)
 	if float64(s.opened) > 0.25*float64(s.calls) {
-		t.Errorf("%d connections for %d calls", s.opened, s.calls)
+		t.Errorf("%d connections opened for %d calls", s.opened, s.calls)
 	}
 }
 
-// A server that closes behind a number of calls: it is learned, and now and then tried whether it still holds.
+// A server closes connections after a number of calls. The pool learns that number and closes connections itself, apart from a few that
+// test whether the limit still holds.
 func TestServerLimitsCallsPerConnection(t *testing.T) {
 	p := newPool(t, config(), "e")
 	s := newServer(t, p, "e")
 	s.closeAfterCalls = 7
 	s.makeCalls(500, 100*ms)
 	if u := p.States()[0].MaxUses; u != 7 {
-		t.Errorf("a limit of %d uses was learned", u)
+		t.Errorf("learned a limit of %d calls per connection", u)
 	}
 	closed := p.Counters().Closed
 	s.makeCalls(700, 100*ms)
 	if n := p.Counters().Closed - closed; n > 20 {
-		t.Errorf("the server closed %d of about 100 before we did", n)
+		t.Errorf("the server closed %d of about 100 connections before the pool did", n)
 	}
 }
 
-// startCalls has n calls out at once, and returns their connections.
+// startCalls starts n concurrent calls and returns their connections.
 func startCalls(t *testing.T, p *Pool, now time.Duration, name string, n int) (ids []ID) {
 	t.Helper()
 	for range n {
@@ -233,55 +239,56 @@
 		if v == Open {
 			p.Opened(now, id, true)
 		} else if v != Use {
-			t.Fatalf("call %d of %d waits", len(ids), n)
+			t.Fatalf("call %d of %d has to wait", len(ids), n)
 		}
 		ids = append(ids, id)
 	}
 	return ids
 }
 
+// finishCalls ends the calls on connections, which must all become idle.
 func finishCalls(t *testing.T, p *Pool, now time.Duration, ids []ID) {
 	t.Helper()
 	for _, id := range ids {
-		if rests, reason := p.Done(now, id, Answered, 20*ms); !rests {
-			t.Fatalf("%d was given up: %v", id, reason)
+		if staysOpen, reason := p.Done(now, id, Answered, 20*ms); !staysOpen {
+			t.Fatalf("connection %d was closed: %v", id, reason)
 		}
 	}
 }
 
-// What a peak needed is kept for a while, and thinned slowly; a clump that comes in the middle finds some warm, and never
-// more are closed and opened than there are calls.
+// After a peak of calls, connections are kept for a while and then closed one after the other. A later burst must find some of them, and
+// open only the missing ones.
 func TestSurplusEvictionAndBurst(t *testing.T) {
 	unlimited := newPool(t, config(), "e")
 	cfg := config()
-	cfg.Most = 100 // descriptors are short
+	cfg.Most = 100 // few connections are allowed
 	p := newPool(t, cfg, "e")
 	now := time.Second
 	finishCalls(t, p, now, startCalls(t, p, now, "e", 60))
 	finishCalls(t, unlimited, now, startCalls(t, unlimited, now, "e", 60))
 	counts := []int{}
-	for range 40 { // 20 s: more than a half-life of the peak
+	for range 40 { // 20 s, more than the half-life of the peak
 		now += 500 * ms
 		finishCalls(t, p, now, startCalls(t, p, now, "e", 2))
 		p.Tick(now)
 		counts = append(counts, p.Len())
 		unlimited.Tick(now)
 	}
-	if n := unlimited.Len(); n != 60 { // nobody else needs them
-		t.Errorf("%d of 60 are left though descriptors abound", n)
+	if n := unlimited.Len(); n != 60 { // no other endpoint needs them
+		t.Errorf("%d of 60 connections are left although the limit allows many more", n)
 	}
 	if counts[4] < 40 || counts[39] > 40 || !slices.IsSortedFunc(counts, func(a, b int) int { return b - a }) {
-		t.Errorf("%v", counts)
+		t.Errorf("connections after each tick: %v", counts)
 	}
 	warm, opened := p.Len(), p.Counters().Opened
 	finishCalls(t, p, now, startCalls(t, p, now, "e", 60))
 	if n := int(p.Counters().Opened - opened); n != 60-warm {
-		t.Errorf("%d opened for a clump of 60 with %d warm", n, warm)
+		t.Errorf("%d connections opened for a burst of 60 calls with %d idle ones", n, warm)
 	}
 }
 
-// An endpoint that takes four connections: the fifth fails twice, for once may be for anything, and calls then wait for one of the four; later one more
-// is tried.
+// A server accepts four connections. The fifth is refused twice, because a single refusal can have any reason. Then calls wait for one of
+// the four, and after connLimitPeriod one more connection is tried.
 func TestServerLimitsConnections(t *testing.T) {
 	p := newPool(t, config(), "e")
 	now := time.Second
@@ -289,27 +296,28 @@
 	for range refusalsForConnLimit {
 		v, fifth, _ := p.Call(now, "e")
 		if v != Open {
-			t.Errorf("%v after one refusal", v)
+			t.Errorf("%v after fewer than two refusals", v)
 		}
 		p.Failed(now, fifth, true)
 	}
 	if v, _, _ := p.Call(now, "e"); v != Wait || p.States()[0].ConnLimit != 4 {
-		t.Errorf("%v with a cap of %d", v, p.States()[0].ConnLimit)
+		t.Errorf("%v with a connection limit of %d", v, p.States()[0].ConnLimit)
 	}
 	finishCalls(t, p, now, ids[:1])
 	if !p.Claim(now, ids[0]) || p.Claim(now, ids[0]) {
-		t.Error("the connection that came to rest is not to be had, or twice")
+		t.Error("the connection that became idle was not claimed exactly once")
 	}
 	now += connLimitPeriod + time.Second
 	if v, id, _ := p.Call(now, "e"); v != Open || id == 0 {
-		t.Errorf("after a while: %v", v)
+		t.Errorf("after connLimitPeriod: %v", v)
 	}
 	if v, _, _ := p.Call(now, "e"); v != Wait {
-		t.Errorf("one more is tried, not two: %v", v)
+		t.Errorf("a second additional connection: %v", v)
 	}
 }
 
-// A server that moves, or is replaced at its address under another name, begins anew; what a sibling has lost is heeded.
+// An endpoint with a new address starts without what was learned at the old address. A new endpoint of the same destination starts with
+// what was learned from its losses, and one of another destination does not.
 func TestMovedAndNewEndpoints(t *testing.T) {
 	p := newPool(t, config(), "a")
 	s := newServer(t, p, "a")
@@ -317,26 +325,26 @@
 	s.makeCalls(300, 5*time.Second)
 	learnedLimit := p.States()[0].IdleLimit
 	if learnedLimit >= 2*time.Second {
-		t.Fatalf("idle limit %v", learnedLimit)
+		t.Fatalf("idle limit %v, want less than 2 s", learnedLimit)
 	}
 	evicted := p.Endpoint("a", "elsewhere", 0, true)
 	s.closeEvicted(evicted)
 	if limit := p.States()[0].IdleLimit; limit < 30*time.Second || p.Len() != 0 {
-		t.Errorf("moved, with %v and %d connections", limit, p.Len())
+		t.Errorf("after the move: idle limit %v and %d connections", limit, p.Len())
 	}
 	s.makeCalls(300, 5*time.Second)
 	p.Endpoint("b", "addr b", 0, true)
 	if limit := p.States()[1].IdleLimit; limit > 5*time.Second {
-		t.Errorf("a new sibling begins with %v", limit)
+		t.Errorf("a new endpoint of the same destination starts with idle limit %v", limit)
 	}
 	p.Endpoint("c", "addr c", 1, true)
 	if limit := p.States()[2].IdleLimit; limit < 30*time.Second {
-		t.Errorf("one of another destination begins with %v", limit)
+		t.Errorf("an endpoint of another destination starts with idle limit %v", limit)
 	}
 }
 
-// Three hundred endpoints and 256 descriptors: never more, everybody is served, and nobody with little is robbed by one
-// with much.
+// Three hundred endpoints share 256 connections. The limit must hold, every call must get a connection, and an endpoint with many
+// connections must not take any from an endpoint with few.
 func TestMoreEndpointsThanConnections(t *testing.T) {
 	cfg := config()
 	cfg.Most = 256
@@ -350,20 +358,20 @@
 		name := fmt.Sprint(rng.IntN(300))
 		v, id, _ := p.Call(now, name)
 		if v == Wait {
-			t.Fatal("nobody is busy, and a call waits")
+			t.Fatal("a call has to wait although no connection is busy")
 		}
 		if v == Open {
 			p.Opened(now, id, true)
 		}
 		if p.Len() > 256 {
-			t.Fatalf("%d connections", p.Len())
+			t.Fatalf("%d connections, at most 256 are allowed", p.Len())
 		}
 		p.Done(now+ms, id, Answered, ms)
 		if rng.IntN(50) == 0 {
 			p.Tick(now)
 		}
 	}
-	// One endpoint wants everything while the others idle with one each: it stops where others are within their share.
+	// One endpoint wants all connections while the others have one idle connection each. It stops where the others are within their share.
 	busy := []ID{}
 	for {
 		v, id, _ := p.Call(now, "0")
@@ -382,40 +390,41 @@
 		}
 	}
 	if p.Len() > 256 || len(busy) < 20 {
-		t.Errorf("%d in all, %d of one, %d of the others", p.Len(), len(busy), others)
+		t.Errorf("%d connections in all, %d of the busy endpoint, %d of the others", p.Len(), len(busy), others)
 	}
 }
 
-// A drain with fifty busy connections: idle ones go at once, busy ones as their calls end, and then nothing is kept.
+// An endpoint with fifty busy connections is drained. Idle connections close at once, busy ones when their calls end, and then the
+// endpoint is removed.
 func TestDrainingEndpoint(t *testing.T) {
 	p := newPool(t, config(), "e")
 	now := time.Second
 	ids := startCalls(t, p, now, "e", 60)
 	finishCalls(t, p, now, ids[50:])
 	if evicted := p.Endpoint("e", "addr e", 0, false); len(evicted) != 10 || evicted[0].Why != ReasonDraining {
-		t.Errorf("%v", evicted)
+		t.Errorf("want 10 evictions for draining: %v", evicted)
 	}
 	if v, _, _ := p.Call(now, "e"); v != Wait || p.Len() != 50 {
-		t.Errorf("%v, %d left", v, p.Len())
+		t.Errorf("%v, %d connections left", v, p.Len())
 	}
 	for i, id := range ids[:50] {
-		if rests, reason := p.Done(now+time.Second, id, Answered, time.Second); rests || reason != ReasonDraining {
-			t.Errorf("%d rests at an endpoint that leaves: %v", i, reason)
+		if staysOpen, reason := p.Done(now+time.Second, id, Answered, time.Second); staysOpen || reason != ReasonDraining {
+			t.Errorf("connection %d stays open at a draining endpoint, or another reason: %v", i, reason)
 		}
 	}
 	if p.Len() != 0 || len(p.endpoints) != 0 {
-		t.Errorf("%d connections, %d endpoints are kept", p.Len(), len(p.endpoints))
+		t.Errorf("%d connections, %d endpoints are left", p.Len(), len(p.endpoints))
 	}
 }
 
-// Opened ahead: for calls that are known to come, and in place of what was given up; one at a time where the endpoint is
-// cold or openings fail; called off when nobody needs it.
+// Connections are opened in advance for calls that are known to come. An endpoint in slow start or with failed openings gets one at a
+// time. Openings that no call needs any more may be canceled.
 func TestPreconnect(t *testing.T) {
 	cfg := config()
 	cfg.Ahead = true
 	p := newPool(t, cfg, "e", "cold")
 	now := time.Second
-	finishCalls(t, p, now, startCalls(t, p, now, "e", 1)) // else it would be new, and not be pushed either
+	finishCalls(t, p, now, startCalls(t, p, now, "e", 1)) // a new endpoint would get only one connection in advance
 	p.Hint("e", false, 13)
 	p.Hint("cold", true, 12)
 	_, preconnects := p.Tick(now)
@@ -425,15 +434,15 @@
 		countByName[name]++
 	}
 	if countByName["e"] != 12 || countByName["cold"] != 1 {
-		t.Errorf("%v", countByName)
+		t.Errorf("preconnects by endpoint: %v", countByName)
 	}
 	if _, again := p.Tick(now + 250*ms); len(again) != 0 {
-		t.Errorf("%d more while those are being opened", len(again))
+		t.Errorf("%d more preconnects while the first are being opened", len(again))
 	}
 	p.Hint("e", false, 0)
 	p.Hint("cold", false, 0)
 	if ids := p.Unneeded(); len(ids) != 13 {
-		t.Errorf("%d may be called off", len(ids))
+		t.Errorf("%d openings may be canceled", len(ids))
 	}
 	for _, id := range preconnects {
 		if name, _ := p.EndpointOf(id); name == "e" {
@@ -444,31 +453,32 @@
 	}
 	p.Hint("cold", false, 5)
 	if _, ids := p.Tick(now + 310*ms); len(ids) != 0 {
-		t.Error("no pause after an opening failed")
+		t.Error("no wait after a failed opening")
 	}
 	if _, ids := p.Tick(now + 600*ms); len(ids) != 1 {
-		t.Errorf("%d openings ahead where they fail", len(ids))
+		t.Errorf("%d preconnects to an endpoint where openings fail", len(ids))
 	}
 	if v, _, _ := p.Call(now+600*ms, "cold"); v != Open {
-		t.Errorf("a call is held back by what failed ahead: %v", v)
+		t.Errorf("a call has to wait because a preconnect failed: %v", v)
 	}
 	p.Frugal(now+600*ms, true)
 	p.Hint("e", false, 50)
 	if _, ids := p.Tick(now + time.Second); len(ids) != 0 {
-		t.Errorf("%d opened ahead while nothing is to rest", len(ids))
+		t.Errorf("%d preconnects although no connection may be idle", len(ids))
 	}
 	if c := p.Counters(); c.Ahead != 14 {
-		t.Errorf("%+v", c)
+		t.Errorf("want 14 preconnects: %+v", c)
 	}
 }
 
+// Shed closes the given number of idle connections. Connections of one age must not reach their maximum age all together.
 func TestAgeAndPressure(t *testing.T) {
 	p := newPool(t, config(), "e", "f")
 	now := time.Second
 	finishCalls(t, p, now, startCalls(t, p, now, "e", 20))
 	finishCalls(t, p, now, startCalls(t, p, now, "f", 2))
 	if evicted := p.Shed(now, 5); len(evicted) != 5 || evicted[0].Why != ReasonPressure || p.Len() != 17 {
-		t.Errorf("%v, %d left", evicted, p.Len())
+		t.Errorf("evicted %v, %d connections left", evicted, p.Len())
 	}
 	closed := map[time.Duration]int64{}
 	for ; now < 20*time.Minute; now += 10 * time.Second {
@@ -480,12 +490,12 @@
 		}
 	}
 	if len(closed) < 3 {
-		t.Errorf("given up for age all together: %v", closed)
+		t.Errorf("connections were closed for their age all together: %v", closed)
 	}
 }
 
-// Random events, against what must always hold: no connection carries two calls, no cap is passed, each opening ends once,
-// nothing leaks, and the same events lead to the same acts.
+// Random events, checked against what must always hold: no connection carries two calls, the limit is kept, each opening ends once, and
+// no connection or endpoint leaks.
 func TestRandomEventsKeepInvariants(t *testing.T) {
 	proptest.Check(t, func(t *rapid.T) {
 		cfg := config()
@@ -495,7 +505,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		const idle, busyState, up = 1, 2, 3
+		const idle, busy, opening = 1, 2, 3
 		conns := map[ID]int{}
 		owner := map[ID]string{}
 		listed := map[string]bool{}
@@ -503,7 +513,7 @@
 		removeEvicted := func(evicted []Give) {
 			for _, g := range evicted {
 				if conns[g.ID] != idle {
-					t.Fatalf("given up in state %d: %v", conns[g.ID], g)
+					t.Fatalf("evicted in state %d: %v", conns[g.ID], g)
 				}
 				delete(conns, g.ID)
 			}
@@ -537,30 +547,30 @@
 					if conns[id] != idle || owner[id] != name {
 						t.Fatalf("connection %d of %s in state %d for %s", id, owner[id], conns[id], name)
 					}
-					conns[id] = busyState
+					conns[id] = busy
 				case Open:
 					if conns[id] != 0 {
-						t.Fatalf("%d is opened twice", id)
+						t.Fatalf("connection %d is opened twice", id)
 					}
-					owner[id], conns[id] = name, up
+					owner[id], conns[id] = name, opening
 				}
 			case 4:
-				if id, ok := pick(up); ok {
+				if id, ok := pick(opening); ok {
 					call := rapid.Bool().Draw(t, "call")
 					p.Opened(now, id, call)
-					conns[id] = map[bool]int{true: busyState, false: idle}[call]
+					conns[id] = map[bool]int{true: busy, false: idle}[call]
 				}
 			case 5:
-				if id, ok := pick(up); ok {
+				if id, ok := pick(opening); ok {
 					p.Failed(now, id, rapid.Bool().Draw(t, "refused"))
 					delete(conns, id)
 				}
 			case 6, 7:
-				if id, ok := pick(busyState); ok {
+				if id, ok := pick(busy); ok {
 					end := rapid.SampledFrom([]End{Answered, Answered, Last, Cut, Dead, Broken}).Draw(t, "end")
-					if rests, _ := p.Done(now, id, end, 10*ms); rests {
+					if staysOpen, _ := p.Done(now, id, end, 10*ms); staysOpen {
 						if end != Answered {
-							t.Fatalf("rests after %v", end)
+							t.Fatalf("the connection stays open after %v", end)
 						}
 						conns[id] = idle
 					} else {
@@ -578,41 +588,42 @@
 				removeEvicted(evicted)
 				for _, id := range preconnects {
 					owner[id], _ = p.EndpointOf(id)
-					conns[id] = up
+					conns[id] = opening
 				}
 			}
 			if p.Len() != len(conns) || len(conns) > cfg.Most {
-				t.Fatalf("%d connections are known, %d there, %d allowed", p.Len(), len(conns), cfg.Most)
+				t.Fatalf("the pool has %d connections, the test %d, and %d are allowed", p.Len(), len(conns), cfg.Most)
 			}
 			sum := Counters{}
 			for _, s := range p.States() {
 				if s.Opening+s.Busy+s.Idle == 0 && !listed[s.Endpoint] {
-					t.Fatalf("%s is kept for nothing", s.Endpoint)
+					t.Fatalf("endpoint %s is kept although it is neither listed nor has connections", s.Endpoint)
 				}
 				sum.Opened += int64(s.Opening + s.Busy + s.Idle)
 				if s.IdleLimit < 0 || s.IdleLimit > cfg.IdleMost || s.Target < 0 {
-					t.Fatalf("%+v", s)
+					t.Fatalf("state out of range: %+v", s)
 				}
 			}
 			if sum.Opened != int64(len(conns)) {
-				t.Fatalf("endpoints have %d, there are %d", sum.Opened, len(conns))
+				t.Fatalf("the endpoints have %d connections, the test has %d", sum.Opened, len(conns))
 			}
 		}
 	})
 }
 
+// New must reject each configuration with an invalid field.
 func TestInvalidConfigurations(t *testing.T) {
 	for i, change := range []func(*Config){func(c *Config) { c.Most = 0 }, func(c *Config) { c.IdleMost = 0 }, func(c *Config) { c.Keep = 0 },
 		func(c *Config) { c.LossPrice = 0 }, func(c *Config) { c.StaleMost = 1 }, func(c *Config) { c.MaxBackoff = 0 }} {
 		c := config()
 		change(&c)
 		if _, err := New(c); err == nil {
-			t.Errorf("%d was taken", i)
+			t.Errorf("configuration %d was accepted", i)
 		}
 	}
 }
 
-// Isotonic regression: what never falls, fits pooled shares, and cuts the limit where losses begin.
+// The isotonic regression must never fall from one idle time to a longer one, and the limit must lie where losses begin.
 func TestReuseHistory(t *testing.T) {
 	var r reuseHistory
 	for range 100 {
@@ -621,7 +632,7 @@
 		}
 	}
 	if l := r.idleLimit(0.02, 0.02); l < 2500*ms || l > 8*time.Second {
-		t.Errorf("limit %v where losses begin beyond 5 s", l)
+		t.Errorf("limit %v, but losses begin beyond 5 s", l)
 	}
 	proptest.Check(t, func(t *rapid.T) {
 		var r reuseHistory
@@ -631,20 +642,20 @@
 		share := r.deadShares()
 		for b := 1; b < bucketCount; b++ {
 			if share[b] < share[b-1]-1e-12 || share[b] > 1 || share[b] < 0 {
-				t.Fatalf("%v", share)
+				t.Fatalf("shares of dead connections fall or are out of range: %v", share)
 			}
 		}
 		if r.idleLimit(0.01, 1) > r.idleLimit(0.1, 1) {
-			t.Fatal("less risk allows longer idling")
+			t.Fatal("a smaller accepted share of dead connections allows a longer idle time")
 		}
 	})
 }
 
-// Kaplan and Meier: spells that were cut short count as survived until then, and not as ended.
+// The Kaplan-Meier estimate counts censored idle times as survived until then, and not as closings.
 func TestCloseHistory(t *testing.T) {
 	var s closeHistory
 	if _, ok := s.survivedIdle(0.98); ok {
-		t.Error("a limit out of nothing")
+		t.Error("a limit without any observation")
 	}
 	for range 100 {
 		s.add(100*ms, false)
@@ -653,6 +664,6 @@
 		s.add(3*time.Second, true)
 	}
 	if d, ok := s.survivedIdle(0.98); !ok || d > 3*time.Second || d < 2*time.Second {
-		t.Errorf("%v %v", d, ok)
+		t.Errorf("survived idle time %v, %v", d, ok)
 	}
 }
--- a/internal/conns/happy_eyeballs_test.go
+++ b/internal/conns/happy_eyeballs_test.go
@@ -10,6 +10,7 @@
 	"slatemux/internal/proptest"
 )
 
+// parseAddrs parses addresses with ports.
 func parseAddrs(texts ...string) (list []netip.AddrPort) {
 	for _, t := range texts {
 		list = append(list, netip.MustParseAddrPort(t))
@@ -17,7 +18,7 @@
 	return list
 }
 
-// attemptOrder plays a race in which nothing answers, and returns what was tried when.
+// attemptOrder runs connection attempts that never get an answer. It returns the addresses in the order of the attempts, and their times.
 func attemptOrder(a *Addresses, now time.Duration, list []netip.AddrPort) (tried []netip.AddrPort, at []time.Duration) {
 	for r := a.Race(now, list); ; {
 		addr, try, wait, _ := r.Next(now)
@@ -32,23 +33,23 @@
 	}
 }
 
-// The families take turns, a quarter of a second apart, each address once.
+// The address families alternate at intervals of a quarter of a second, and each address is tried once.
 func TestAddressFamiliesAlternate(t *testing.T) {
 	list := parseAddrs("[2001:db8::1]:1", "[2001:db8::2]:1", "192.0.2.1:1", "192.0.2.2:1", "192.0.2.1:1")
 	tried, at := attemptOrder(NewAddresses(), time.Second, list)
 	want := parseAddrs("[2001:db8::1]:1", "192.0.2.1:1", "[2001:db8::2]:1", "192.0.2.2:1")
 	if len(tried) != len(want) {
-		t.Fatalf("%v", tried)
+		t.Fatalf("addresses tried: %v", tried)
 	}
 	for i := range want {
 		if tried[i] != want[i] || at[i] != time.Second+time.Duration(i)*connectionAttemptDelay {
-			t.Errorf("%d: %v at %v", i, tried[i], at[i])
+			t.Errorf("attempt %d: %v at %v", i, tried[i], at[i])
 		}
 	}
 }
 
-// A failure starts the next at once, and puts its address behind the others for a while, longer each time; what answered goes
-// first from then on.
+// After a failure the next address is tried at once. The failed address is tried last for a while, longer after each failure. An address
+// that answered is tried first from then on.
 func TestFailedAddressGoesLast(t *testing.T) {
 	a := NewAddresses()
 	list := parseAddrs("[2001:db8::1]:1", "192.0.2.1:1")
@@ -59,42 +60,44 @@
 	r.Failed(now, first)
 	second, try, _, _ := r.Next(now)
 	if first != list[0] || second != list[1] || !try {
-		t.Fatalf("%v, %v", first, second)
+		t.Fatalf("first address %v, then %v", first, second)
 	}
 	if !r.Won(now+ms, second) {
-		t.Error("the only one to answer has not won")
+		t.Error("the only address that answered is not the first")
 	}
 	if _, try, _, exhausted := r.Next(now + time.Second); try || exhausted {
-		t.Error("it goes on behind the winner")
+		t.Error("attempts go on after a connection")
 	}
 	if tried, _ := attemptOrder(a, now+time.Second, list); tried[0] != list[1] {
-		t.Errorf("%v first behind its failure", tried[0])
+		t.Errorf("%v is tried first after its failure", tried[0])
 	}
 	if tried, _ := attemptOrder(a, now+minPenalty+time.Second, list); tried[0] != list[1] {
-		t.Errorf("%v first though the other is known", tried[0])
+		t.Errorf("%v is tried first although the other address has a known connect time", tried[0])
 	}
 	a.Forget(now+2*time.Hour, time.Hour)
 	if a.Len() != 0 {
-		t.Errorf("%d are remembered", a.Len())
+		t.Errorf("%d addresses are remembered", a.Len())
 	}
 }
 
+// The attempts are exhausted only when all of them have failed, or when there is no address.
 func TestAllAddressesFailed(t *testing.T) {
 	r := NewAddresses().Race(0, parseAddrs("192.0.2.1:1"))
 	addr, _, _, _ := r.Next(0)
 	if _, _, _, exhausted := r.Next(0); exhausted {
-		t.Error("over while one is under way")
+		t.Error("exhausted while an attempt is in progress")
 	}
 	r.Failed(1, addr)
 	if _, try, _, exhausted := r.Next(1); try || !exhausted {
-		t.Error("not over though all have failed")
+		t.Error("not exhausted although all attempts have failed")
 	}
 	if _, _, _, exhausted := NewAddresses().Race(0, nil).Next(0); !exhausted {
-		t.Error("a race without addresses goes on")
+		t.Error("not exhausted without any address")
 	}
 }
 
-// Whatever answers, fails and comes too late: each address is tried at most once, one wins at most, and the end is told.
+// For any sequence of answers, failures and late answers, each address is tried at most once, at most one is the first to answer, and
+// exhaustion is reported only at the end.
 func TestRandomConnectionAttempts(t *testing.T) {
 	all := parseAddrs("[2001:db8::1]:1", "[2001:db8::2]:1", "192.0.2.1:1", "192.0.2.2:1", "192.0.2.3:1")
 	proptest.Check(t, func(t *rapid.T) {
@@ -108,13 +111,13 @@
 				addr, try, wait, exhausted := r.Next(now)
 				if try {
 					if tried[addr] || wins > 0 {
-						t.Fatalf("%v tried twice, or behind the winner", addr)
+						t.Fatalf("%v tried twice, or after a connection", addr)
 					}
 					tried[addr] = true
 					inProgress = append(inProgress, addr)
 				}
 				if exhausted && (len(inProgress) > 0 || wins > 0) {
-					t.Fatal("over, but not at its end")
+					t.Fatal("exhausted, but attempts are in progress or one has succeeded")
 				}
 				if len(inProgress) == 0 && !try && wait == 0 {
 					break
@@ -134,7 +137,7 @@
 				}
 			}
 			if wins > 1 {
-				t.Fatalf("%d winners", wins)
+				t.Fatalf("%d addresses were the first to answer", wins)
 			}
 		}
 	})
