--- a/internal/conns/bench_test.go
+++ b/internal/conns/bench_test.go
@@ -7,7 +7,7 @@
 
 // BenchmarkCall measures the decisions of one call on a reused connection, with 20 idle connections.
 func BenchmarkCall(b *testing.B) {
-	cfg := config()
+	cfg := testConfig()
 	cfg.MaxAge, cfg.IdleMost = 0, time.Hour
 	p, err := New(cfg)
 	if err != nil {
--- a/internal/conns/conns.go
+++ b/internal/conns/conns.go
@@ -2,6 +2,10 @@
 // connection is opened in advance, and when one is closed. The package does no I/O and reads no clock. Package flow reports the events
 // of connections to a Pool and carries out the Pool's decisions. The decision module chooses the endpoint and the time of a call; the
 // Pool chooses the connection.
+//
+// Some terms: a reuse is a call on a connection that was idle, and a good reuse is one that was answered. A closing by the server is
+// visible if the relay sees it while the connection is idle; otherwise the connection is dead, and the next call on it fails. Such a
+// failed call is a loss, or a stale call.
 package conns
 
 import (
@@ -139,6 +143,7 @@
 
 var reasonNames = [reasonCount]string{"idle", "age", "uses", "thin", "room", "leaving", "moved", "server", "pressure", "trust"}
 
+// String returns the name of the reason in log lines.
 func (r Reason) String() string { return reasonNames[r] }
 
 // Give is a connection that the caller has to close, and the reason.
@@ -292,7 +297,7 @@
 	Quarantines  int64 // quarantines of idle times
 }
 
-// New returns a Pool.
+// New returns a Pool without endpoints, or an error if the configuration is invalid.
 func New(cfg Config) (*Pool, error) {
 	if err := cfg.Check(); err != nil {
 		return nil, err
--- a/internal/conns/conns_test.go
+++ b/internal/conns/conns_test.go
@@ -14,12 +14,14 @@
 
 const ms = time.Millisecond
 
-func config() Config {
+// testConfig returns the defaults with limits that most tests do not reach.
+func testConfig() Config {
 	c := Defaults()
 	c.Most, c.IdleMost, c.Seed = 1000, 60*time.Second, 1
 	return c
 }
 
+// newPool returns a Pool with the given endpoints, each of its own destination.
 func newPool(t *testing.T, cfg Config, endpoints ...string) *Pool {
 	t.Helper()
 	p, err := New(cfg)
@@ -50,6 +52,7 @@
 	service           time.Duration
 }
 
+// serverConn is the server's side of one connection.
 type serverConn struct {
 	idleSince time.Duration
 	calls     int
@@ -163,7 +166,7 @@
 // thousand may fail, and connections must be reused below that time. The time changes twice during the test, to a shorter and to a longer
 // one.
 func TestSilentCloseKeepsStaleCallsRare(t *testing.T) {
-	p := newPool(t, config(), "e")
+	p := newPool(t, testConfig(), "e")
 	s := newServer(t, p, "e")
 	s.silentCloseAfter = 5 * time.Second
 	s.makeCalls(20_000, 8*time.Second)
@@ -188,7 +191,7 @@
 
 // A server closes idle connections visibly. No call may fail: the pool learns the time and closes connections before.
 func TestVisibleCloseCostsNoCall(t *testing.T) {
-	p := newPool(t, config(), "e")
+	p := newPool(t, testConfig(), "e")
 	s := newServer(t, p, "e")
 	s.visibleCloseAfter = 3 * time.Second
 	s.makeCalls(3000, 6*time.Second)
@@ -205,7 +208,7 @@
 
 // Connections that break for reasons other than idling must not shorten the idle limit: the pool goes on reusing connections.
 func TestUnrelatedLossesLeaveReuse(t *testing.T) {
-	p := newPool(t, config(), "e")
+	p := newPool(t, testConfig(), "e")
 	s := newServer(t, p, "e")
 	s.breakShare = 0.005
 	s.makeCalls(5000, 2*time.Second)
@@ -217,7 +220,7 @@
 // A server closes connections after a number of calls. The pool learns that number and closes connections itself, apart from a few that
 // test whether the limit still holds.
 func TestServerLimitsCallsPerConnection(t *testing.T) {
-	p := newPool(t, config(), "e")
+	p := newPool(t, testConfig(), "e")
 	s := newServer(t, p, "e")
 	s.closeAfterCalls = 7
 	s.makeCalls(500, 100*ms)
@@ -259,8 +262,8 @@
 // After a peak of calls, connections are kept for a while and then closed one after the other. A later burst must find some of them, and
 // open only the missing ones.
 func TestSurplusEvictionAndBurst(t *testing.T) {
-	unlimited := newPool(t, config(), "e")
-	cfg := config()
+	unlimited := newPool(t, testConfig(), "e")
+	cfg := testConfig()
 	cfg.Most = 100 // few connections are allowed
 	p := newPool(t, cfg, "e")
 	now := time.Second
@@ -290,7 +293,7 @@
 // A server accepts four connections. The fifth is refused twice, because a single refusal can have any reason. Then calls wait for one of
 // the four, and after connLimitPeriod one more connection is tried.
 func TestServerLimitsConnections(t *testing.T) {
-	p := newPool(t, config(), "e")
+	p := newPool(t, testConfig(), "e")
 	now := time.Second
 	ids := startCalls(t, p, now, "e", 4)
 	for range refusalsForConnLimit {
@@ -319,7 +322,7 @@
 // An endpoint with a new address starts without what was learned at the old address. A new endpoint of the same destination starts with
 // what was learned from its losses, and one of another destination does not.
 func TestMovedAndNewEndpoints(t *testing.T) {
-	p := newPool(t, config(), "a")
+	p := newPool(t, testConfig(), "a")
 	s := newServer(t, p, "a")
 	s.silentCloseAfter = 2 * time.Second
 	s.makeCalls(300, 5*time.Second)
@@ -346,7 +349,7 @@
 // Three hundred endpoints share 256 connections. The limit must hold, every call must get a connection, and an endpoint with many
 // connections must not take any from an endpoint with few.
 func TestMoreEndpointsThanConnections(t *testing.T) {
-	cfg := config()
+	cfg := testConfig()
 	cfg.Most = 256
 	p := newPool(t, cfg)
 	for i := range 300 {
@@ -397,7 +400,7 @@
 // An endpoint with fifty busy connections is drained. Idle connections close at once, busy ones when their calls end, and then the
 // endpoint is removed.
 func TestDrainingEndpoint(t *testing.T) {
-	p := newPool(t, config(), "e")
+	p := newPool(t, testConfig(), "e")
 	now := time.Second
 	ids := startCalls(t, p, now, "e", 60)
 	finishCalls(t, p, now, ids[50:])
@@ -420,7 +423,7 @@
 // Connections are opened in advance for calls that are known to come. An endpoint in slow start or with failed openings gets one at a
 // time. Openings that no call needs any more may be canceled.
 func TestPreconnect(t *testing.T) {
-	cfg := config()
+	cfg := testConfig()
 	cfg.Ahead = true
 	p := newPool(t, cfg, "e", "cold")
 	now := time.Second
@@ -473,7 +476,7 @@
 
 // Shed closes the given number of idle connections. Connections of one age must not reach their maximum age all together.
 func TestAgeAndPressure(t *testing.T) {
-	p := newPool(t, config(), "e", "f")
+	p := newPool(t, testConfig(), "e", "f")
 	now := time.Second
 	finishCalls(t, p, now, startCalls(t, p, now, "e", 20))
 	finishCalls(t, p, now, startCalls(t, p, now, "f", 2))
@@ -498,7 +501,7 @@
 // no connection or endpoint leaks.
 func TestRandomEventsKeepInvariants(t *testing.T) {
 	proptest.Check(t, func(t *rapid.T) {
-		cfg := config()
+		cfg := testConfig()
 		cfg.Most = rapid.IntRange(1, 12).Draw(t, "most")
 		cfg.Ahead = rapid.Bool().Draw(t, "ahead")
 		p, err := New(cfg)
@@ -615,7 +618,7 @@
 func TestInvalidConfigurations(t *testing.T) {
 	for i, change := range []func(*Config){func(c *Config) { c.Most = 0 }, func(c *Config) { c.IdleMost = 0 }, func(c *Config) { c.Keep = 0 },
 		func(c *Config) { c.LossPrice = 0 }, func(c *Config) { c.StaleMost = 1 }, func(c *Config) { c.MaxBackoff = 0 }} {
-		c := config()
+		c := testConfig()
 		change(&c)
 		if _, err := New(c); err == nil {
 			t.Errorf("configuration %d was accepted", i)
--- a/internal/conns/idle_history.go
+++ b/internal/conns/idle_history.go
@@ -150,8 +150,8 @@
 	}
 }
 
-// survivedIdle returns the longest idle time that at least the given share of connections survives. It returns false if the
-// visible closings are too few or set no such limit.
+// survivedIdle returns the longest idle time that at least the given share of connections survives. It returns false if
+// the visible closings are too few, or if at least that share of connections survived all of them.
 func (s *closeHistory) survivedIdle(share float64) (time.Duration, bool) {
 	atRisk, closings := 0.0, 0.0
 	for b := range bucketCount {
