--- a/internal/conns/conns.go
+++ b/internal/conns/conns.go
@@ -35,25 +35,25 @@
 	Seed                 uint64
 }
 
-// Defaults returns the configuration of a relay, without Most, IdleMost, Ahead and Seed.
+// Defaults returns the configuration of a relay. The caller adds the maximum number of connections and their maximum idle time.
 func Defaults() Config {
 	return Config{MaxAge: 10 * time.Minute, Keep: 15 * time.Second, LossPrice: 1, OpenPrice: 0.02, StaleMost: 0.001,
 		MinBackoff: 200 * time.Millisecond, MaxBackoff: 30 * time.Second}
 }
 
-// Check returns an error that names the first invalid field.
+// Check returns an error that describes the first invalid value.
 func (c *Config) Check() error {
 	switch {
 	case c.Most < 1:
-		return fmt.Errorf("conns: Most is %d, must be at least 1", c.Most)
+		return fmt.Errorf("conns: maximum number of connections is %d, must be at least 1", c.Most)
 	case c.IdleMost <= 0:
-		return fmt.Errorf("conns: IdleMost is %v, must be positive", c.IdleMost)
+		return fmt.Errorf("conns: maximum idle time is %v, must be positive", c.IdleMost)
 	case c.MaxAge < 0 || c.Keep <= 0:
-		return fmt.Errorf("conns: MaxAge %v is negative, or Keep %v is not positive", c.MaxAge, c.Keep)
+		return fmt.Errorf("conns: maximum age %v is negative, or half-life of a peak %v is not positive", c.MaxAge, c.Keep)
 	case !(c.LossPrice > 0) || !(c.OpenPrice > 0) || !(c.StaleMost > 0 && c.StaleMost < 1):
-		return fmt.Errorf("conns: LossPrice, OpenPrice or StaleMost is out of range")
+		return fmt.Errorf("conns: price of a loss, price of an opening or maximum share of stale calls is out of range")
 	case c.MinBackoff <= 0 || c.MaxBackoff < c.MinBackoff:
-		return fmt.Errorf("conns: MinBackoff %v is not positive, or MaxBackoff %v is below it", c.MinBackoff, c.MaxBackoff)
+		return fmt.Errorf("conns: minimum backoff %v is not positive, or maximum backoff %v is below the minimum", c.MinBackoff, c.MaxBackoff)
 	}
 	return nil
 }
@@ -285,7 +285,7 @@
 type Counters struct {
 	Opened       int64 // openings begun
 	Ahead        int64 // of Opened, those in advance of calls
-	NeverUsed    int64 // of Ahead, connections that ended without a call
+	NeverUsed    int64 // connections opened in advance that ended without a call
 	Calls        int64
 	Reused       int64 // of Calls, those on connections that had been idle
 	Stale        int64 // of Calls, those that failed on dead connections
@@ -316,7 +316,7 @@
 func (p *Pool) Limit(maxConns int) { p.cfg.Most = maxConns }
 
 // Endpoint adds, changes or drains an endpoint. An endpoint with a new address loses what was learned, because another server runs
-// there. Endpoint returns the idle connections that the caller has to close. Busy connections close when their calls end.
+// there. The result lists the idle connections that the caller has to close. Busy connections close when their calls end.
 func (p *Pool) Endpoint(name, addr string, dest int, acceptsCalls bool) (evict []Give) {
 	e := p.endpoints[name]
 	if e == nil {
@@ -532,7 +532,7 @@
 }
 
 // Unused takes back a connection that did not carry its call after all. The connection remains idle as if it had not been taken. If the
-// connection must be closed instead, Unused returns false and the reason.
+// connection must be closed instead, the result is false and the reason.
 func (p *Pool) Unused(now time.Duration, id ID) (idle bool, reason Reason) {
 	p.advanceClock(now)
 	c := p.conns[id]
@@ -784,8 +784,8 @@
 	return soft, hard
 }
 
-// acceptableRisk returns the probability of being dead that a reused connection may have. The prices give its maximum, and the closer
-// the share of recent losses comes to StaleMost, the lower it is.
+// acceptableRisk returns the highest acceptable probability that a reused connection is dead. The prices set the upper bound of this
+// probability. It falls as the share of recent losses approaches the configured maximum.
 func (p *Pool) acceptableRisk() float64 {
 	remainingShare := 1 - p.staleCalls/max(p.recentCalls*p.cfg.StaleMost, 1)
 	return p.cfg.OpenPrice / p.cfg.LossPrice * min(max(remainingShare, 0.05), 1)
