--- a/internal/governor/governor.go
+++ b/internal/governor/governor.go
@@ -1,6 +1,6 @@
-// Package governor carries out what package overload decides: it reads the meters on a tick, asks for the act
-// that holds until the next, and hands each part of the relay its share of it. The front asks it about every
-// hand-in. It owns the controller; nothing else touches that.
+// Package governor applies the decisions of package overload to the relay. On each tick a Governor reads the meters, passes a
+// sample to its overload.Controller and applies the returned actions to the parts of the relay. The front asks the Governor to
+// admit each submission. Only the Governor accesses the controller.
 package governor
 
 import (
@@ -16,246 +16,259 @@
 	"slatemux/internal/vitals"
 )
 
-// Meters are what a Governor reads. Ping has one of them measure a wait until the next reading.
+// Meters measure the load of the process.
 type Meters interface {
+	// Read returns the measurements since the previous call.
 	Read(now time.Time) vitals.Reading
+	// Ping starts a probe that measures how long a reader waits for the processor. The next reading contains the result.
 	Ping()
 }
 
-// Relay holds open messages and steps.
+// Relay holds the open messages and processes them in steps.
 type Relay interface {
-	// Squeeze bounds how many messages may be open, and the bytes that they take as a share of the usual bound.
-	Squeeze(messages int, heavy, byteScale float64)
-	// Stretch sets the least time between two steps.
-	Stretch(least time.Duration)
+	// Squeeze limits the number of open messages, and their bytes to the share openBytesScale of the usual limit. sizeWeight is
+	// the weight of a message's size in the choice of the messages to return.
+	Squeeze(messages int, sizeWeight, openBytesScale float64)
+	// Stretch sets the shortest time between two steps.
+	Stretch(minInterval time.Duration)
+	// Load returns the current load of the relay.
 	Load() relay.Load
 }
 
-// Idler gives up idle connections while it is asked to.
+// Idler holds idle connections. While FreeIdle is on, it closes them.
 type Idler interface{ FreeIdle(on bool) }
 
-// Front is the side of the clients.
+// Front serves the clients.
 type Front interface {
 	Idler
-	// Handing is how many connections carry hand-ins at present.
+	// Handing returns the number of client connections that currently carry submissions.
 	Handing() int
 }
 
-// Config is what a Governor works with.
+// Config configures a Governor.
 type Config struct {
 	Control  overload.Config
 	Tick     time.Duration
-	Brownout bool
-	Step     time.Duration // usual least time between steps
-	Memory   int64         // bytes that the process may take
+	Brownout bool          // costly activities may be reduced
+	Step     time.Duration // usual shortest time between steps
+	Memory   int64         // bytes of memory that the process may use
 	Meters   Meters
-	Quiet    func(on bool) // rests log lines below warnings; nil for nothing to rest
+	Quiet    func(on bool) // suppresses log lines below warnings; may be nil
 }
 
-// gcUsual and gcEasy are the collector's targets, in percent of the live heap: as the runtime has it, and where
-// the processor is short and memory is not.
-const gcUsual, gcEasy = 100, 400
+const (
+	// defaultGCPercent is the default garbage collection target of the Go runtime.
+	defaultGCPercent = 100
+	// relaxedGCPercent is the target while the processor is overloaded and memory is ample.
+	relaxedGCPercent = 400
+)
 
-// A relay that was handed no more than restMost messages in a tick, and used less than restBusy of its processor, ticks
-// restTicks times less often, until it is handed more: waking up costs an idle program most of what it uses.
-const restMost, restBusy, restTicks = 10, 0.1, 5
+// A relay is idle after a tick with at most maxIdleSubmissions submissions and less than maxIdleBusyShare of its processor used.
+// An idle relay ticks idleTickFactor times less often until more is submitted, because wake-ups cause most of the processor use
+// of an idle program.
+const (
+	maxIdleSubmissions = 10
+	maxIdleBusyShare   = 0.1
+	idleTickFactor     = 5
+)
 
 // Governor drives one overload.Controller.
 type Governor struct {
-	cfg    Config
-	origin time.Time
-	pace   atomic.Int64
-	memory atomic.Int64
+	cfg         Config
+	origin      time.Time    // zero of the controller's clock
+	readPause   atomic.Int64 // nanoseconds
+	memoryLimit atomic.Int64 // bytes
 
-	kick chan struct{} // ends a rest
+	wake chan struct{} // ends the idle state
 
-	mu      sync.Mutex
-	handIns int // since the newest tick
-	resting bool
-	ctrl    *overload.Controller
-	act     overload.Act
-	read    vitals.Reading
+	mu          sync.Mutex
+	submissions int // since the latest tick
+	idle        bool
+	controller  *overload.Controller
+	actions     overload.Actions
+	reading     vitals.Reading
 
-	// Of the goroutine in Run alone.
-	relay   Relay
-	front   Front
-	flows   Idler
-	given   given
-	ended   int64 // messages, as of the newest tick
-	percent int
+	// Only the goroutine in Run accesses these.
+	relay         Relay
+	front         Front
+	flows         Idler
+	applied       applied
+	endedMessages int64 // total as of the latest tick
+	gcPercent     int
 }
 
-// given is what the parts were last told, so that each is told changes alone.
-type given struct {
-	open             int
-	heavy, byteScale float64
-	free             bool
-	step             time.Duration
-	shedding         bool
-	brownout         overload.Brownout
+// applied holds the settings that the parts have. The Governor passes on only changes.
+type applied struct {
+	maxOpen                    int
+	sizeWeight, openBytesScale float64
+	freeIdle                   bool
+	stepInterval               time.Duration
+	shedding                   bool
+	brownout                   overload.Brownout
 }
 
-// New returns a Governor. It fails on a configuration that makes no sense.
+// New returns a Governor, or an error if the configuration is invalid.
 func New(cfg Config) (*Governor, error) {
-	ctrl, err := overload.New(cfg.Control)
+	controller, err := overload.New(cfg.Control)
 	if err != nil {
 		return nil, err
 	}
-	g := &Governor{cfg: cfg, origin: time.Now(), ctrl: ctrl, percent: gcUsual, kick: make(chan struct{}, 1)}
-	g.memory.Store(cfg.Memory)
-	g.given = given{open: cfg.Control.OpenMost, byteScale: 1, step: cfg.Step}
+	g := &Governor{cfg: cfg, origin: time.Now(), controller: controller, gcPercent: defaultGCPercent, wake: make(chan struct{}, 1)}
+	g.memoryLimit.Store(cfg.Memory)
+	g.applied = applied{maxOpen: cfg.Control.OpenMost, openBytesScale: 1, stepInterval: cfg.Step}
 	return g, nil
 }
 
-// Limit changes the memory that the process may take.
-func (g *Governor) Limit(memory int64) { g.memory.Store(memory) }
+// Limit changes the memory that the process may use, in bytes.
+func (g *Governor) Limit(memoryLimit int64) { g.memoryLimit.Store(memoryLimit) }
 
-// Admit rules on a hand-in. Any goroutine may ask.
+// Admit decides on a submission. It is safe for concurrent use.
 func (g *Governor) Admit(h overload.HandIn) overload.Ruling {
 	now := time.Since(g.origin)
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.handIns++; g.resting && g.handIns > restMost {
-		g.resting = false
+	if g.submissions++; g.idle && g.submissions > maxIdleSubmissions {
+		g.idle = false
 		select {
-		case g.kick <- struct{}{}:
+		case g.wake <- struct{}{}:
 		default:
 		}
 	}
-	return g.ctrl.Admit(now, h)
+	return g.controller.Admit(now, h)
 }
 
-// Pace is how long a connection rests after a refusal before more is read from it.
-func (g *Governor) Pace() time.Duration { return time.Duration(g.pace.Load()) }
+// Pace returns how long a connection is not read after a refusal.
+func (g *Governor) Pace() time.Duration { return time.Duration(g.readPause.Load()) }
 
-// Run ticks until ctx ends, and then lets everything be as without it.
+// Run ticks until ctx ends. It then restores the default garbage collection target and the log lines.
 func (g *Governor) Run(ctx context.Context, relay Relay, front Front, flows Idler) {
 	g.relay, g.front, g.flows = relay, front, flows
-	tick := time.NewTimer(g.cfg.Tick)
-	defer tick.Stop()
+	timer := time.NewTimer(g.cfg.Tick)
+	defer timer.Stop()
 	for {
 		select {
 		case <-ctx.Done():
-			debug.SetGCPercent(gcUsual)
+			debug.SetGCPercent(defaultGCPercent)
 			if g.cfg.Quiet != nil {
 				g.cfg.Quiet(false)
 			}
 			return
-		case <-tick.C:
-			tick.Reset(g.step(time.Now()))
-		case <-g.kick:
-			tick.Reset(g.cfg.Tick)
+		case <-timer.C:
+			timer.Reset(g.tick(time.Now()))
+		case <-g.wake:
+			timer.Reset(g.cfg.Tick)
 		}
 	}
 }
 
-// step is one tick. It returns how long after it the next is due.
-func (g *Governor) step(now time.Time) time.Duration {
+// tick processes one tick. It returns the time until the next one.
+func (g *Governor) tick(now time.Time) time.Duration {
 	r := g.cfg.Meters.Read(now)
 	g.cfg.Meters.Ping()
-	l := g.relay.Load()
-	s := overload.Sample{Busy: r.Busy, Bytes: l.Bytes, Held: l.Open, Waiting: l.Waiting, Clients: g.front.Handing(),
-		Ended: int(l.Ended - g.ended), Holding: r.Section / r.Cores, Delay: max(r.Age-g.given.step, 0)}
-	g.ended = l.Ended
-	// A step comes up to its own spacing after a hand-in; that is no queue. The probe waits for the processor alone.
+	load := g.relay.Load()
+	s := overload.Sample{BusyShare: r.Busy, OpenBytesShare: load.Bytes, Open: load.Open, Waiting: load.Waiting, Clients: g.front.Handing(),
+		Ended: int(load.Ended - g.endedMessages), SchedulingShare: r.Section / r.Cores, Delay: max(r.Age-g.applied.stepInterval, 0)}
+	g.endedMessages = load.Ended
+	// The step interval is subtracted from Age because a submission waits up to that long for its step without any queue. The
+	// probe waits only for the processor, so nothing is subtracted from it.
 	s.Delay = max(s.Delay, r.Probe)
-	if most := g.memory.Load(); most > 0 {
-		s.Memory = float64(r.RSS) / float64(most)
+	if limit := g.memoryLimit.Load(); limit > 0 {
+		s.MemoryShare = float64(r.RSS) / float64(limit)
 	}
 	g.mu.Lock()
-	act := g.ctrl.Tick(now.Sub(g.origin), s)
-	g.act, g.read = act, r
-	g.resting = g.handIns <= restMost && r.Busy < restBusy && act.Cause == overload.None && s.Memory < g.cfg.Control.MemoryHigh
-	g.handIns = 0
+	actions := g.controller.Tick(now.Sub(g.origin), s)
+	g.actions, g.reading = actions, r
+	g.idle = g.submissions <= maxIdleSubmissions && r.Busy < maxIdleBusyShare && actions.Cause == overload.CauseNone && s.MemoryShare < g.cfg.Control.MemoryHigh
+	g.submissions = 0
 	next := g.cfg.Tick
-	if g.resting {
-		next *= restTicks
+	if g.idle {
+		next *= idleTickFactor
 	}
 	g.mu.Unlock()
 	if slog.Default().Enabled(context.Background(), slog.LevelDebug) {
-		slog.Debug("overload tick", "shedding", act.Shedding, "limit", int(act.Limit), "cut", act.Cut, "pace", act.Pace,
-			"open_most", act.OpenMost, "busy", s.Busy, "cpu", r.CPU, "stretch", r.Stretch, "age", r.Age, "probe", r.Probe,
-			"loop", r.Loop, "open", s.Held, "waiting", s.Waiting, "ended", s.Ended, "holding", s.Holding, "hand_ins", r.HandIns)
+		slog.Debug("overload tick", "shedding", actions.Shedding, "limit", int(actions.WorkLimit), "cut", actions.CutLevel, "pace", actions.ReadPause,
+			"open_most", actions.MaxOpen, "busy", s.BusyShare, "cpu", r.CPU, "stretch", r.Stretch, "age", r.Age, "probe", r.Probe,
+			"loop", r.Loop, "open", s.Open, "waiting", s.Waiting, "ended", s.Ended, "holding", s.SchedulingShare, "hand_ins", r.HandIns)
 	}
-	g.apply(act, s, r)
+	g.apply(actions, s, r)
 	return next
 }
 
-// apply tells the parts what has changed.
-func (g *Governor) apply(act overload.Act, s overload.Sample, r vitals.Reading) {
-	g.pace.Store(int64(act.Pace))
+// apply passes on to the parts of the relay what has changed.
+func (g *Governor) apply(actions overload.Actions, s overload.Sample, r vitals.Reading) {
+	g.readPause.Store(int64(actions.ReadPause))
 	if !g.cfg.Brownout {
-		act.Brownout = overload.Full
+		actions.Brownout = overload.BrownoutOff
 	}
-	next := given{open: act.OpenMost, heavy: act.Heavy, byteScale: act.ByteScale, free: act.FreeIdle,
-		step: g.cfg.Step << min(act.Brownout, 2), shedding: act.Shedding, brownout: act.Brownout}
-	if next.open != g.given.open || next.heavy != g.given.heavy || next.byteScale != g.given.byteScale {
-		g.relay.Squeeze(next.open, next.heavy, next.byteScale)
+	next := applied{maxOpen: actions.MaxOpen, sizeWeight: actions.SizeWeight, openBytesScale: actions.OpenBytesScale, freeIdle: actions.FreeIdle,
+		stepInterval: g.cfg.Step << min(actions.Brownout, 2), shedding: actions.Shedding, brownout: actions.Brownout}
+	if next.maxOpen != g.applied.maxOpen || next.sizeWeight != g.applied.sizeWeight || next.openBytesScale != g.applied.openBytesScale {
+		g.relay.Squeeze(next.maxOpen, next.sizeWeight, next.openBytesScale)
 	}
-	if next.step != g.given.step {
-		g.relay.Stretch(next.step)
+	if next.stepInterval != g.applied.stepInterval {
+		g.relay.Stretch(next.stepInterval)
 	}
-	if next.free != g.given.free {
-		slog.Warn("memory short: idle connections", "given_up", next.free, "memory", s.Memory)
-		g.front.FreeIdle(next.free)
-		g.flows.FreeIdle(next.free)
+	if next.freeIdle != g.applied.freeIdle {
+		slog.Warn("memory short: idle connections", "given_up", next.freeIdle, "memory", s.MemoryShare)
+		g.front.FreeIdle(next.freeIdle)
+		g.flows.FreeIdle(next.freeIdle)
 	}
-	if next.shedding != g.given.shedding {
+	if next.shedding != g.applied.shedding {
 		if next.shedding {
-			slog.Warn("overload: shedding begins", "cause", act.Cause.String(), "reading", act.Reading, "limit", int(act.Limit),
-				"cut", act.Cut, "busy", s.Busy, "stretch", r.Stretch, "delay", s.Delay, "loop", r.Loop, "held", s.Held)
+			slog.Warn("overload: shedding begins", "cause", actions.Cause.String(), "reading", actions.Reading, "limit", int(actions.WorkLimit),
+				"cut", actions.CutLevel, "busy", s.BusyShare, "stretch", r.Stretch, "delay", s.Delay, "loop", r.Loop, "held", s.Open)
 		} else {
-			slog.Warn("overload: shedding ends", "busy", s.Busy, "delay", s.Delay, "held", s.Held)
+			slog.Warn("overload: shedding ends", "busy", s.BusyShare, "delay", s.Delay, "held", s.Open)
 		}
 	}
-	if next.open < g.given.open && g.given.open == g.cfg.Control.OpenMost {
-		slog.Warn("overload: held work goes back", "messages", next.open, "held", s.Held, "delay", s.Delay, "memory", s.Memory)
+	if next.maxOpen < g.applied.maxOpen && g.applied.maxOpen == g.cfg.Control.OpenMost {
+		slog.Warn("overload: held work goes back", "messages", next.maxOpen, "held", s.Open, "delay", s.Delay, "memory", s.MemoryShare)
 	}
-	if next.brownout != g.given.brownout {
-		if g.cfg.Quiet != nil && next.brownout == overload.Full {
+	if next.brownout != g.applied.brownout {
+		if g.cfg.Quiet != nil && next.brownout == overload.BrownoutOff {
 			g.cfg.Quiet(false)
 		}
-		slog.Info("overload: brownout", "level", int(next.brownout), "step", next.step)
-		if g.cfg.Quiet != nil && g.given.brownout == overload.Full {
+		slog.Info("overload: brownout", "level", int(next.brownout), "step", next.stepInterval)
+		if g.cfg.Quiet != nil && g.applied.brownout == overload.BrownoutOff {
 			g.cfg.Quiet(true)
 		}
 	}
-	percent := gcUsual
-	if next.brownout >= overload.Sparing && act.Easy {
-		percent = gcEasy
+	gcPercent := defaultGCPercent
+	if next.brownout >= overload.BrownoutHeavy && actions.AmpleMemory {
+		gcPercent = relaxedGCPercent
 	}
-	if percent != g.percent {
-		g.percent = percent
-		debug.SetGCPercent(percent)
+	if gcPercent != g.gcPercent {
+		g.gcPercent = gcPercent
+		debug.SetGCPercent(gcPercent)
 	}
-	g.given = next
+	g.applied = next
 }
 
-// State is what holds at present, for counters.
+// State is the current state of a Governor, for the counters in the log.
 type State struct {
-	Act      overload.Act
+	Actions  overload.Actions
 	Reading  vitals.Reading
 	Counters overload.Counters
 }
 
-// State returns it.
+// State returns the current state.
 func (g *Governor) State() State {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return State{g.act, g.read, g.ctrl.Counters()}
+	return State{g.actions, g.reading, g.controller.Counters()}
 }
 
-// LogValue names the figures in a log line.
+// LogValue returns the state as log attributes.
 func (s State) LogValue() slog.Value {
 	c := s.Counters
-	return slog.GroupValue(slog.Bool("shedding", s.Act.Shedding), slog.String("cause", s.Act.Cause.String()),
-		slog.Int("limit", int(s.Act.Limit)), slog.Int("cut", s.Act.Cut), slog.Duration("pace", s.Act.Pace),
-		slog.Int("brownout", int(s.Act.Brownout)), slog.Int("open_most", s.Act.OpenMost),
-		slog.Int("largest", s.Act.LargeMost), slog.Float64("busy", s.Reading.Busy),
+	return slog.GroupValue(slog.Bool("shedding", s.Actions.Shedding), slog.String("cause", s.Actions.Cause.String()),
+		slog.Int("limit", int(s.Actions.WorkLimit)), slog.Int("cut", s.Actions.CutLevel), slog.Duration("pace", s.Actions.ReadPause),
+		slog.Int("brownout", int(s.Actions.Brownout)), slog.Int("open_most", s.Actions.MaxOpen),
+		slog.Int("largest", s.Actions.MaxBodyBytes), slog.Float64("busy", s.Reading.Busy),
 		slog.Float64("stretch", s.Reading.Stretch), slog.Duration("delay", max(s.Reading.Age, s.Reading.Probe)),
 		slog.Int64("rss", s.Reading.RSS), slog.Int64("heap", s.Reading.Heap), slog.Float64("gc_share", s.Reading.GCShare),
 		slog.Duration("sched_p99", s.Reading.Sched), slog.Int64("offered", c.Offered), slog.Int64("admitted", c.Admitted),
-		slog.Int64("refused_worth", c.RefusedWorth), slog.Int64("refused_large", c.RefusedLarge),
-		slog.Int64("floor", c.FloorAdmitted), slog.Int64("over_share", c.OverShare), slog.Int64("sheds", c.Sheds),
-		slog.Int64("squeezes", c.Squeezes))
+		slog.Int64("refused_worth", c.RefusedByWorth), slog.Int64("refused_large", c.RefusedBySize),
+		slog.Int64("floor", c.FloorAdmitted), slog.Int64("over_share", c.OverTenantShare), slog.Int64("sheds", c.SheddingStarts),
+		slog.Int64("squeezes", c.OpenLimitCuts))
 }
--- a/internal/governor/governor_test.go
+++ b/internal/governor/governor_test.go
@@ -13,139 +13,145 @@
 
 const ms = time.Millisecond
 
-// world is everything that a governor reads and tells.
-type world struct {
+// fakeParts implements all interfaces that a Governor uses. It returns preset measurements and records the calls that it receives.
+type fakeParts struct {
 	reading vitals.Reading
 	load    relay.Load
-	told    []string
+	calls   []string
 	now     time.Time
 	quiet   bool
 	pings   int
 }
 
-func (w *world) Read(time.Time) vitals.Reading { return w.reading }
-func (w *world) Ping()                         { w.pings++ }
-func (w *world) Load() relay.Load              { return w.load }
-func (w *world) Handing() int                  { return 3 }
-func (w *world) Stretch(d time.Duration)       { w.told = append(w.told, fmt.Sprint("step ", d)) }
-func (w *world) FreeIdle(on bool)              { w.told = append(w.told, fmt.Sprint("free ", on)) }
-func (w *world) Squeeze(n int, heavy, scale float64) {
-	w.told = append(w.told, fmt.Sprintf("squeeze %d %v %.2f", n, heavy > 0, scale))
+func (parts *fakeParts) Read(time.Time) vitals.Reading { return parts.reading }
+func (parts *fakeParts) Ping()                         { parts.pings++ }
+func (parts *fakeParts) Load() relay.Load              { return parts.load }
+func (parts *fakeParts) Handing() int                  { return 3 }
+func (parts *fakeParts) Stretch(d time.Duration) {
+	parts.calls = append(parts.calls, fmt.Sprint("step ", d))
 }
-func (w *world) took() string {
-	s := strings.Join(w.told, ", ")
-	w.told = nil
+func (parts *fakeParts) FreeIdle(on bool) { parts.calls = append(parts.calls, fmt.Sprint("free ", on)) }
+func (parts *fakeParts) Squeeze(messages int, sizeWeight, scale float64) {
+	parts.calls = append(parts.calls, fmt.Sprintf("squeeze %d %v %.2f", messages, sizeWeight > 0, scale))
+}
+
+// takeCalls returns the recorded calls and clears them.
+func (parts *fakeParts) takeCalls() string {
+	s := strings.Join(parts.calls, ", ")
+	parts.calls = nil
 	return s
 }
 
-func start(t *testing.T) (*Governor, *world) {
+// newTestGovernor returns a Governor whose parts are all the returned fakeParts. The governor does not run: tests call tick.
+func newTestGovernor(t *testing.T) (*Governor, *fakeParts) {
 	control := overload.Defaults()
 	control.Classes = []overload.Class{{Name: "pay", Worth: 1, Aim: time.Second, Deadline: 4 * time.Second}}
 	control.OpenMost = 100
-	w := &world{reading: vitals.Reading{Cores: 1, Stretch: 1, Window: 50 * ms}}
-	g, err := New(Config{Control: control, Tick: 50 * ms, Brownout: true, Step: 5 * ms, Memory: 1000, Meters: w,
-		Quiet: func(on bool) { w.quiet = on }})
+	parts := &fakeParts{reading: vitals.Reading{Cores: 1, Stretch: 1, Window: 50 * ms}}
+	g, err := New(Config{Control: control, Tick: 50 * ms, Brownout: true, Step: 5 * ms, Memory: 1000, Meters: parts,
+		Quiet: func(on bool) { parts.quiet = on }})
 	if err != nil {
 		t.Fatal(err)
 	}
-	g.relay, g.front, g.flows, w.now = w, w, w, g.origin
-	return g, w
+	g.relay, g.front, g.flows, parts.now = parts, parts, parts, g.origin
+	return g, parts
 }
 
-// ticks lets hand-ins come and ticks pass.
-func ticks(g *Governor, w *world, n, handIns int) (refused int) {
+// runTicks runs n ticks with a number of submissions before each, and returns how many were refused.
+func runTicks(g *Governor, parts *fakeParts, n, handIns int) (refused int) {
 	for range n {
 		for range handIns {
 			if g.Admit(overload.HandIn{Class: "pay", Left: 4 * time.Second, Size: 10}).Refused {
 				refused++
 			}
 		}
-		w.load.Ended += int64(handIns)
-		w.now = w.now.Add(50 * ms)
-		g.step(w.now)
+		parts.load.Ended += int64(handIns)
+		parts.now = parts.now.Add(50 * ms)
+		g.tick(parts.now)
 	}
 	return refused
 }
 
-// A calm relay is told nothing at all.
-func TestCalmRelayIsToldNothing(t *testing.T) {
-	g, w := start(t)
-	w.reading.Busy, w.reading.Age, w.reading.RSS = 0.5, 5*ms, 300
-	if n := ticks(g, w, 20, 50); n > 0 || w.took() != "" || g.Pace() != 0 || w.quiet {
-		t.Errorf("%d refused, told %q", n, w.took())
+// At a normal load the governor must not change any setting of the parts.
+func TestNormalLoadChangesNothing(t *testing.T) {
+	g, parts := newTestGovernor(t)
+	parts.reading.Busy, parts.reading.Age, parts.reading.RSS = 0.5, 5*ms, 300
+	if n := runTicks(g, parts, 20, 50); n > 0 || parts.takeCalls() != "" || g.Pace() != 0 || parts.quiet {
+		t.Errorf("%d refused, calls %q", n, parts.takeCalls())
 	}
 }
 
-// A busy relay sheds, steps less often and logs less; the usual spacing of steps is no queue.
-func TestBusyRelay(t *testing.T) {
-	g, w := start(t)
-	w.reading.Busy, w.reading.Age = 1, 5*ms
-	ticks(g, w, 5, 200)
-	if got := w.took(); got != "step 10ms" || !w.quiet || !g.State().Act.Shedding {
-		t.Errorf("told %q, state %+v", got, g.State().Act)
-	}
-	if refused := ticks(g, w, 1, 1000); refused == 0 {
+// A busy relay sheds, steps less often and logs less. The usual interval of steps must not count as queueing delay, or the relay
+// would react to a queue that does not exist.
+func TestBusyRelaySheds(t *testing.T) {
+	g, parts := newTestGovernor(t)
+	parts.reading.Busy, parts.reading.Age = 1, 5*ms
+	runTicks(g, parts, 5, 200)
+	if got := parts.takeCalls(); got != "step 10ms" || !parts.quiet || !g.State().Actions.Shedding {
+		t.Errorf("calls %q, actions %+v", got, g.State().Actions)
+	}
+	if refused := runTicks(g, parts, 1, 1000); refused == 0 {
 		t.Error("nothing is refused while shedding")
 	}
-	w.reading.Age, w.load.Open = 200*ms, 80
-	ticks(g, w, 10, 200)
-	if !w.quiet {
-		t.Error("lines of little weight go on")
+	parts.reading.Age, parts.load.Open = 200*ms, 80
+	runTicks(g, parts, 10, 200)
+	if !parts.quiet {
+		t.Error("log lines below warnings are not suppressed")
 	}
-	if got := w.took(); !strings.Contains(got, "step 20ms") || !strings.Contains(got, "squeeze") || g.percent != gcEasy {
-		t.Errorf("far behind, told %q, collector at %d", got, g.percent)
+	if got := parts.takeCalls(); !strings.Contains(got, "step 20ms") || !strings.Contains(got, "squeeze") || g.gcPercent != relaxedGCPercent {
+		t.Errorf("far behind: calls %q, garbage collection target %d", got, g.gcPercent)
 	}
 }
 
-// Short memory is told to the parts once each way.
-func TestShortMemory(t *testing.T) {
-	g, w := start(t)
-	w.reading.RSS = 900
-	ticks(g, w, 1, 1)
-	if got := w.took(); !strings.Contains(got, "squeeze 100 true 0.50, free true, free true") {
-		t.Errorf("told %q", got)
-	}
-	ticks(g, w, 3, 1)
-	if got := w.took(); got != "" {
-		t.Errorf("told again: %q", got)
+// The start and the end of memory pressure are each passed on to the parts once.
+func TestMemoryPressureIsAppliedOnce(t *testing.T) {
+	g, parts := newTestGovernor(t)
+	parts.reading.RSS = 900
+	runTicks(g, parts, 1, 1)
+	if got := parts.takeCalls(); !strings.Contains(got, "squeeze 100 true 0.50, free true, free true") {
+		t.Errorf("calls %q", got)
+	}
+	runTicks(g, parts, 3, 1)
+	if got := parts.takeCalls(); got != "" {
+		t.Errorf("repeated calls: %q", got)
 	}
 	g.Limit(10_000)
-	ticks(g, w, 1, 1)
-	if got := w.took(); !strings.Contains(got, "squeeze 100 false 1.00, free false, free false") {
-		t.Errorf("with more memory, told %q", got)
+	runTicks(g, parts, 1, 1)
+	if got := parts.takeCalls(); !strings.Contains(got, "squeeze 100 false 1.00, free false, free false") {
+		t.Errorf("with more memory: calls %q", got)
 	}
 }
 
-// Without brownout nothing rests, and the shedding is the same.
-func TestWithoutBrownout(t *testing.T) {
-	g, w := start(t)
+// With brownout disabled no activity is reduced, and shedding works as before.
+func TestBrownoutDisabled(t *testing.T) {
+	g, parts := newTestGovernor(t)
 	g.cfg.Brownout = false
-	w.reading.Busy = 1
-	ticks(g, w, 5, 200)
-	if got := w.took(); got != "" || w.quiet || !g.State().Act.Shedding {
-		t.Errorf("told %q", got)
+	parts.reading.Busy = 1
+	runTicks(g, parts, 5, 200)
+	if got := parts.takeCalls(); got != "" || parts.quiet || !g.State().Actions.Shedding {
+		t.Errorf("calls %q", got)
 	}
 }
 
-// With nothing to do it ticks less often; a burst of hand-ins ends that at once.
-func TestRest(t *testing.T) {
-	g, w := start(t)
-	w.reading.Busy = 0.01
-	if next := g.step(g.origin.Add(50 * ms)); next != 250*ms || w.pings != 1 {
-		t.Errorf("the next tick in %v, %d pings", next, w.pings)
-	}
-	for range restMost + 1 {
+// An idle relay ticks less often. A burst of submissions must end this at once, or overload would go unnoticed for several ticks.
+func TestIdleRelayTicksLessOften(t *testing.T) {
+	g, parts := newTestGovernor(t)
+	parts.reading.Busy = 0.01
+	if next := g.tick(g.origin.Add(50 * ms)); next != 250*ms || parts.pings != 1 {
+		t.Errorf("idle: next tick in %v, %d pings", next, parts.pings)
+	}
+	for range maxIdleSubmissions + 1 {
 		g.Admit(overload.HandIn{Class: "pay", Left: time.Second})
 	}
 	select {
-	case <-g.kick:
+	case <-g.wake:
 	default:
-		t.Error("a burst does not wake it")
+		t.Error("a burst of submissions does not wake the governor")
 	}
-	if next := g.step(g.origin.Add(100 * ms)); next != 50*ms {
-		t.Errorf("after a burst the next tick is in %v", next)
+	if next := g.tick(g.origin.Add(100 * ms)); next != 50*ms {
+		t.Errorf("after a burst: next tick in %v", next)
 	}
-	if w.reading.Busy = 0.5; g.step(g.origin.Add(150*ms)) != 50*ms {
-		t.Error("a busy relay rests")
+	if parts.reading.Busy = 0.5; g.tick(g.origin.Add(150*ms)) != 50*ms {
+		t.Error("a busy relay ticks less often")
 	}
 }
--- a/internal/limitstore/limitstore.go
+++ b/internal/limitstore/limitstore.go
@@ -26,17 +26,17 @@
 )
 
 const (
-	name, newSuffix = "learned", ".new"
-	// version is the first word of the file; another one is not read.
-	version, before = "slatemux-learned-2", "slatemux-learned-1"
-	// entry is what a destination takes in the file at the most, and block what a file is counted in: a folder that has no
+	fileName, tempSuffix = "learned", ".new"
+	// formatVersion is the first word of the file; another one is not read.
+	formatVersion, previousVersion = "slatemux-learned-2", "slatemux-learned-1"
+	// entryBytes is what a destination takes in the file at the most, and block what a file is counted in: a folder that has no
 	// room for two blocks gets no file. A sixteenth of 3 MB holds over a thousand destinations twice.
-	entry, block = 50, 512
-	// differs is how much a limit must have changed to be written, for reports are noisy, and writeEvery the least time between
+	entryBytes, blockBytes = 50, 512
+	// minChangeShare is how much a limit must have changed to be written, for reports are noisy, and writeEvery the least time between
 	// two writes.
-	differs, writeEvery = 0.1, time.Second
-	// old is when a limit says nothing any more.
-	old = 10 * time.Minute
+	minChangeShare, writeInterval = 0.1, time.Second
+	// maxAge is when a limit says nothing any more.
+	maxAge = 10 * time.Minute
 )
 
 // Limit is what a destination was last known to take, in calls a second from all senders.
@@ -68,8 +68,8 @@
 	return errors.Join(err, rerr, merr)
 }
 
-func (l *Limit) sane(now time.Time) bool {
-	return l.Rate > 0 && !math.IsInf(l.Rate, 0) && now.Sub(l.At) < old && l.At.Sub(now) < old
+func (l *Limit) valid(now time.Time) bool {
+	return l.Rate > 0 && !math.IsInf(l.Rate, 0) && now.Sub(l.At) < maxAge && l.At.Sub(now) < maxAge
 }
 
 // Encode writes limits as the file holds them: a line with version and checksum, and one of JSON.
@@ -78,7 +78,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("recall: %w", err)
 	}
-	return fmt.Appendf(nil, "%s %08x\n%s\n", version, crc32.ChecksumIEEE(body), body), nil
+	return fmt.Appendf(nil, "%s %08x\n%s\n", formatVersion, crc32.ChecksumIEEE(body), body), nil
 }
 
 // Decode reads what Encode wrote, less what makes no sense at that time. A clock that was set back makes no limit older than
@@ -88,8 +88,8 @@
 	word, sum, _ := strings.Cut(head, " ")
 	body = strings.TrimSuffix(body, "\n")
 	switch {
-	case !ok || word != version && word != before:
-		return nil, fmt.Errorf("recall: not a file of %s", version)
+	case !ok || word != formatVersion && word != previousVersion:
+		return nil, fmt.Errorf("recall: not a file of %s", formatVersion)
 	case sum != fmt.Sprintf("%08x", crc32.ChecksumIEEE([]byte(body))):
 		return nil, errors.New("recall: torn: the checksum does not fit")
 	}
@@ -97,13 +97,13 @@
 	if err := json.Unmarshal([]byte(body), &limits); err != nil {
 		return nil, fmt.Errorf("recall: %w", err)
 	}
-	return slices.DeleteFunc(limits, func(l Limit) bool { return !l.sane(now) }), nil
+	return slices.DeleteFunc(limits, func(l Limit) bool { return !l.valid(now) }), nil
 }
 
-// Memory holds the limits and writes them now and then.
-type Memory struct {
-	dir  string
-	most int // destinations
+// Store holds the limits and writes them now and then.
+type Store struct {
+	dir        string
+	maxEntries int // destinations
 
 	mu      sync.Mutex
 	limits  map[int]Limit
@@ -112,10 +112,10 @@
 }
 
 // Open reads the file of a folder, if there is one. With the one that takes its place it may hold so many bytes.
-func Open(dir string, bytes int64, now time.Time) *Memory {
-	m := &Memory{dir: dir, most: int(bytes / 2 / block * block / entry), limits: map[int]Limit{}, written: map[int]float64{}, dirty: make(chan struct{}, 1)}
-	_ = os.Remove(filepath.Join(dir, name+newSuffix)) // left by a process that died in a write
-	raw, err := os.ReadFile(filepath.Join(dir, name))
+func Open(dir string, bytes int64, now time.Time) *Store {
+	m := &Store{dir: dir, maxEntries: int(bytes / 2 / blockBytes * blockBytes / entryBytes), limits: map[int]Limit{}, written: map[int]float64{}, dirty: make(chan struct{}, 1)}
+	_ = os.Remove(filepath.Join(dir, fileName+tempSuffix)) // left by a process that died in a write
+	raw, err := os.ReadFile(filepath.Join(dir, fileName))
 	if errors.Is(err, fs.ErrNotExist) {
 		return m
 	}
@@ -126,14 +126,14 @@
 	if err != nil {
 		slog.Warn("limits not remembered", "err", err)
 	}
-	for _, l := range limits[:min(len(limits), m.most)] {
+	for _, l := range limits[:min(len(limits), m.maxEntries)] {
 		m.limits[l.Destination], m.written[l.Destination] = l, l.Rate
 	}
 	return m
 }
 
 // Limits returns the rates that are known, by destination.
-func (m *Memory) Limits() map[int]float64 {
+func (m *Store) Limits() map[int]float64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	rates := make(map[int]float64, len(m.limits))
@@ -143,7 +143,7 @@
 	return rates
 }
 
-func (m *Memory) sorted() []Limit {
+func (m *Store) sortedLimits() []Limit {
 	list := make([]Limit, 0, len(m.limits))
 	for _, l := range m.limits {
 		list = append(list, l)
@@ -153,18 +153,18 @@
 }
 
 // Learn takes in what a destination reported at that time. It does not block.
-func (m *Memory) Learn(destination int, rate float64, at time.Time) {
+func (m *Store) Learn(destination int, rate float64, at time.Time) {
 	l := Limit{destination, rate, at}
-	if !l.sane(l.At) {
+	if !l.valid(l.At) {
 		return
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if _, known := m.limits[l.Destination]; !known && len(m.limits) >= m.most {
+	if _, known := m.limits[l.Destination]; !known && len(m.limits) >= m.maxEntries {
 		return
 	}
 	m.limits[l.Destination] = l
-	if was := m.written[l.Destination]; math.Abs(l.Rate-was) > differs*was {
+	if was := m.written[l.Destination]; math.Abs(l.Rate-was) > minChangeShare*was {
 		select {
 		case m.dirty <- struct{}{}:
 		default:
@@ -173,7 +173,7 @@
 }
 
 // Run writes what has changed until ctx ends, and once more then. While nothing changes it sleeps.
-func (m *Memory) Run(ctx context.Context) {
+func (m *Store) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
@@ -183,7 +183,7 @@
 			}
 			select { // what comes meanwhile shares the next write
 			case <-ctx.Done():
-			case <-time.After(writeEvery):
+			case <-time.After(writeInterval):
 			}
 		}
 	}
@@ -193,9 +193,9 @@
 }
 
 // write replaces the file at once or not at all.
-func (m *Memory) write() error {
+func (m *Store) write() error {
 	m.mu.Lock()
-	list := m.sorted()
+	list := m.sortedLimits()
 	for _, l := range list {
 		m.written[l.Destination] = l.Rate
 	}
@@ -207,12 +207,12 @@
 	if err != nil {
 		return err
 	}
-	return replace(m.dir, name, raw)
+	return replaceFile(m.dir, fileName, raw)
 }
 
-// replace writes a file at once or not at all.
-func replace(dir, name string, raw []byte) error {
-	to := filepath.Join(dir, name+newSuffix)
+// replaceFile writes a file at once or not at all.
+func replaceFile(dir, name string, raw []byte) error {
+	to := filepath.Join(dir, name+tempSuffix)
 	if err := os.WriteFile(to, raw, 0o600); err != nil {
 		return fmt.Errorf("recall: %w", err)
 	}
--- a/internal/limitstore/limitstore_test.go
+++ b/internal/limitstore/limitstore_test.go
@@ -16,31 +16,31 @@
 	"slatemux/internal/proptest"
 )
 
-var noon = time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC)
+var testTime = time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC)
 
-func TestLimitsOutliveTheProcess(t *testing.T) {
+func TestLimitsSurviveRestart(t *testing.T) {
 	dir := t.TempDir()
-	m := Open(dir, 20_000, noon)
+	m := Open(dir, 20_000, testTime)
 	if len(m.Limits()) > 0 {
 		t.Fatal("an empty folder remembers")
 	}
-	m.Learn(3, 25, noon)
-	m.Learn(1, 250, noon)
-	m.Learn(3, 25.5, noon) // noise
+	m.Learn(3, 25, testTime)
+	m.Learn(1, 250, testTime)
+	m.Learn(3, 25.5, testTime) // noise
 	for _, absurd := range []float64{0, -1, math.NaN(), math.Inf(1)} {
-		m.Learn(2, absurd, noon)
+		m.Learn(2, absurd, testTime)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	m.Run(ctx) // the end writes too
-	got := Open(dir, 20_000, noon.Add(time.Second)).Limits()
+	got := Open(dir, 20_000, testTime.Add(time.Second)).Limits()
 	if want := map[int]float64{1: 250, 3: 25.5}; !maps.Equal(got, want) {
 		t.Errorf("%v", got)
 	}
-	if got := Open(dir, 20_000, noon.Add(time.Hour)).Limits(); len(got) > 0 {
+	if got := Open(dir, 20_000, testTime.Add(time.Hour)).Limits(); len(got) > 0 {
 		t.Errorf("after an hour: %v", got)
 	}
-	if got := Open(dir, 20_000, noon.Add(-time.Minute)).Limits(); len(got) != 2 {
+	if got := Open(dir, 20_000, testTime.Add(-time.Minute)).Limits(); len(got) != 2 {
 		t.Errorf("with the clock a minute back: %v", got)
 	}
 	if names, _ := filepath.Glob(filepath.Join(dir, "*")); len(names) != 1 {
@@ -49,53 +49,53 @@
 }
 
 // What cannot be read is passed over whole, and the next write mends it.
-func TestTornAndForeign(t *testing.T) {
-	good, err := Encode([]Limit{{1, 250, noon}, {2, 30, noon}})
+func TestUnreadableFileIsIgnored(t *testing.T) {
+	good, err := Encode([]Limit{{1, 250, testTime}, {2, 30, testTime}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	for what, raw := range map[string]string{"torn": string(good[:len(good)/2]), "empty": "", "foreign": "REDIS0011\xfa",
 		"newer": "slatemux-learned-2 00000000\n[]\n", "no list": "slatemux-learned-1 8c736521\nnull\n"} {
 		dir := t.TempDir()
-		path := filepath.Join(dir, name)
+		path := filepath.Join(dir, fileName)
 		if err := os.WriteFile(path, []byte(raw), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		m := Open(dir, 20_000, noon)
+		m := Open(dir, 20_000, testTime)
 		if len(m.Limits()) > 0 {
 			t.Errorf("%s: remembers %v", what, m.Limits())
 		}
-		m.Learn(7, 9, noon)
-		if err := m.write(); err != nil || len(Open(dir, 20_000, noon).Limits()) != 1 {
+		m.Learn(7, 9, testTime)
+		if err := m.write(); err != nil || len(Open(dir, 20_000, testTime).Limits()) != 1 {
 			t.Errorf("%s: not mended: %v", what, err)
 		}
 	}
 	proptest.Check(t, func(t *rapid.T) {
-		limits, err := Decode(proptest.Garbage(t, good), noon)
+		limits, err := Decode(proptest.Garbage(t, good), testTime)
 		for _, l := range limits {
-			if !l.sane(noon) {
+			if !l.valid(testTime) {
 				t.Fatalf("%v, %v", limits, err)
 			}
 		}
 	})
 }
 
-func TestBounded(t *testing.T) {
-	m := Open(t.TempDir(), 20_000, noon)
+func TestFileStaysWithinItsBound(t *testing.T) {
+	m := Open(t.TempDir(), 20_000, testTime)
 	for d := range 300 {
-		m.Learn(1e9+d, 1e6-math.Pi*float64(d), noon.Add(123456789))
+		m.Learn(1e9+d, 1e6-math.Pi*float64(d), testTime.Add(123456789))
 	}
-	raw, err := Encode(m.sorted())
-	if err != nil || len(m.Limits()) != 194 || len(raw) > 19*block {
+	raw, err := Encode(m.sortedLimits())
+	if err != nil || len(m.Limits()) != 194 || len(raw) > 19*blockBytes {
 		t.Errorf("%d limits in %d bytes, %v", len(m.Limits()), len(raw), err)
 	}
 }
 
 // A folder that holds next to nothing gets no file, for one counts in whole blocks.
-func TestNoRoom(t *testing.T) {
+func TestNoFileWithoutRoom(t *testing.T) {
 	dir := t.TempDir()
-	m := Open(dir, 2*block-1, noon)
-	m.Learn(7, 25, noon)
+	m := Open(dir, 2*blockBytes-1, testTime)
+	m.Learn(7, 25, testTime)
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	m.Run(ctx)
@@ -106,7 +106,7 @@
 
 // The smallest folder that a deployment has named, 3 MB, remembers over a thousand destinations; a file of the version before is
 // read.
-func TestThousandDestinations(t *testing.T) {
+func TestSmallestDeploymentHoldsAThousandDestinations(t *testing.T) {
 	dir, now := t.TempDir(), time.Now()
 	m := Open(dir, 3_000_000/16, now)
 	for d := range 1500 {
@@ -115,7 +115,7 @@
 	if err := m.write(); err != nil {
 		t.Fatal(err)
 	}
-	if info, err := os.Stat(filepath.Join(dir, name)); err != nil || info.Size() > 3_000_000/32 {
+	if info, err := os.Stat(filepath.Join(dir, fileName)); err != nil || info.Size() > 3_000_000/32 {
 		t.Errorf("%v, %v: there is no room for it twice", info.Size(), err)
 	}
 	got := Open(dir, 3_000_000/16, now).Limits()
@@ -123,7 +123,7 @@
 		t.Errorf("%d destinations are remembered, 1400 with %v", len(got), got[1400])
 	}
 	body := `[{"destination":7,"rate":25,"at":"` + now.UTC().Format(time.RFC3339Nano) + `"}]`
-	if old, err := Decode(fmt.Appendf(nil, "%s %08x\n%s\n", before, crc32.ChecksumIEEE([]byte(body)), body), now); err != nil || len(old) != 1 || old[0].Rate != 25 {
+	if old, err := Decode(fmt.Appendf(nil, "%s %08x\n%s\n", previousVersion, crc32.ChecksumIEEE([]byte(body)), body), now); err != nil || len(old) != 1 || old[0].Rate != 25 {
 		t.Errorf("%v, %v", old, err)
 	}
 }
--- a/internal/overload/overload.go
+++ b/internal/overload/overload.go
@@ -1,12 +1,12 @@
-// Package overload decides what a relay that cannot keep up with its own load does about it: which worth may
-// still come in, how much held work goes back, how fast refused connections are read again, and which costly
-// habits rest. It does no I/O, reads no clock and starts no goroutine: its caller feeds it readings and
-// hand-ins with the time of each, and carries out what comes back.
+// Package overload implements admission control and load shedding for a relay. A Controller decides which submissions
+// are refused by worth, how many messages may stay open, how long refused connections are not read, and which costly
+// activities are reduced (brownout). It does no I/O, reads no clock and starts no goroutine: the caller passes in
+// samples and submissions with their times, and applies the Actions that Tick returns.
 //
-// The ways that were weighed, and whence the parts come, stand in docs/overload.md. In short: hand-ins are
-// ranked by worth per unit of the program's own work and cut at a level, as DAGOR does; the level follows from
-// a rate that a controller steers by how busy the processor is and how long hand-ins queue, as Cinnamon and
-// the gradient limits do; memory scales bounds between two marks, as Envoy's overload manager does.
+// Submissions are ranked by worth per unit of the relay's own work and cut off at a level, as in DAGOR. The cut-off
+// level follows from an admitted rate. A controller adjusts this rate by processor use and queueing delay, as in Cinnamon and
+// the gradient limits. Memory use scales several limits between two thresholds, as in Envoy's overload manager.
+// docs/overload.md compares the alternatives.
 package overload
 
 import (
@@ -21,564 +21,595 @@
 type Class struct {
 	Name      string
 	Worth     float64
-	LateWorth float64 // least share of the worth that is left until the deadline
+	LateWorth float64 // share of Worth that a message keeps until its deadline, at least
 	Aim       time.Duration
 	Deadline  time.Duration
 }
 
-// Tenant is a customer and the share of the relay's capacity that is fair for it.
+// Tenant is a customer and its fair share of the relay's capacity.
 type Tenant struct {
 	Name  string
-	Share float64 // of all tenants' shares, which need not sum to 1
+	Share float64 // relative to the sum of all tenants' shares, which need not be 1
 }
 
-// Config says what a Controller works with. Times are positive; shares lie in 0..1.
+// Config configures a Controller. Times are positive; shares lie in 0..1.
 type Config struct {
 	Classes      []Class
 	Tenants      []Tenant
-	OverShare    float64 // what the worth of a hand-in beyond its tenant's share is multiplied with
-	LateByHalves bool    // worth halves with each further aim; else it falls evenly to the deadline
-
-	TargetBusy  float64       // share of the processor given that may be used or waited for
-	TargetDelay time.Duration // that a hand-in may queue
-	Confirm     int           // ticks in a row over a target before anything is refused
-	LeastRate   float64       // hand-ins a second below which the processor is no reason to refuse
-	Floor       float64       // share of the capacity that every class keeps, however little it is worth
-	BodyWork    int           // bytes of a body that cost as much work as a hand-in without one
-
-	RefusalShare          float64       // of the work that may go into refusals; beyond it, reading is paced
-	MostPace              time.Duration // longest rest of a connection after a refusal
-	RetryLeast            time.Duration // told to a refused client where the pressure is least,
-	RetryMost             time.Duration // and at most
-	MemoryHigh            float64       // share of the memory limit from which bounds shrink,
-	MemoryFull            float64       // and at which they have shrunk to their least
-	OpenMost              int           // messages held at once when nothing presses
-	LargeMost, LargeLeast int           // body sizes admitted at MemoryHigh and at MemoryFull, bytes
-	Seed                  uint64
-}
-
-// Defaults returns the figures that a relay uses where its file names none. Classes, tenants and OpenMost are
-// the caller's to add.
+	OverShare    float64 // factor on the worth of a submission beyond its tenant's share
+	LateByHalves bool    // worth halves with each further aim past the aim; otherwise it falls linearly to the deadline
+
+	TargetBusy  float64       // share of the available processor that may be used or waited for
+	TargetDelay time.Duration // queueing delay that a submission may have
+	Confirm     int           // consecutive ticks over a target before shedding begins
+	LeastRate   float64       // submissions a second below which nothing is shed
+	Floor       float64       // share of the capacity that each class keeps, however low its worth
+	BodyWork    int           // bytes of body that cost as much work as a submission without a body
+
+	RefusalShare       float64       // share of all work that refusals may take; above it, reading is paused
+	MostPace           time.Duration // longest pause in reading from a connection after a refusal
+	RetryLeast         time.Duration // wait named to a refused client under the least pressure
+	RetryMost          time.Duration // longest wait named to a refused client
+	MemoryHigh         float64       // share of the memory limit at which limits begin to shrink
+	MemoryFull         float64       // share of the memory limit at which limits reach their minimum
+	OpenMost           int           // messages that may be open without pressure
+	MaxBodyBytes       int           // largest body admitted up to MemoryHigh
+	MaxBodyBytesAtFull int           // largest body admitted from MemoryFull
+	Seed               uint64
+}
+
+// Defaults returns the values that a relay uses where its configuration file sets none. The caller adds Classes, Tenants
+// and OpenMost.
 func Defaults() Config {
 	return Config{TargetBusy: 0.92, TargetDelay: 25 * time.Millisecond, Confirm: 3, LeastRate: 50, Floor: 0.02,
 		BodyWork: 16 << 10, RefusalShare: 0.25, MostPace: 100 * time.Millisecond,
 		RetryLeast: 250 * time.Millisecond, RetryMost: 3 * time.Second, MemoryHigh: 0.80, MemoryFull: 0.95,
-		LargeMost: 64 << 10, LargeLeast: 1 << 10}
+		MaxBodyBytes: 64 << 10, MaxBodyBytesAtFull: 1 << 10}
 }
 
-// Check names the first field that makes no sense.
+// Check returns an error that names the first invalid field.
 func (c *Config) Check() error {
-	within := func(x, least, most float64) bool { return x >= least && x <= most }
+	within := func(x, lowest, highest float64) bool { return x >= lowest && x <= highest }
 	switch {
 	case len(c.Classes) == 0:
 		return errors.New("overload: Classes is empty")
 	case !within(c.TargetBusy, 0.1, 1):
 		return fmt.Errorf("overload: TargetBusy is %v, not within 0.1..1", c.TargetBusy)
 	case c.TargetDelay <= 0:
-		return fmt.Errorf("overload: TargetDelay is %v", c.TargetDelay)
+		return fmt.Errorf("overload: TargetDelay is %v, not positive", c.TargetDelay)
 	case c.Confirm < 1:
-		return fmt.Errorf("overload: Confirm is %d", c.Confirm)
+		return fmt.Errorf("overload: Confirm is %d, less than 1", c.Confirm)
 	case !within(c.Floor*float64(len(c.Classes)), 0, 0.5):
-		return fmt.Errorf("overload: Floor of %v leaves %d classes less than half of the capacity", c.Floor, len(c.Classes))
+		return fmt.Errorf("overload: Floor of %v for each of %d classes is not within 0 to half of the capacity", c.Floor, len(c.Classes))
 	case c.BodyWork < 1:
-		return fmt.Errorf("overload: BodyWork is %d", c.BodyWork)
+		return fmt.Errorf("overload: BodyWork is %d, less than 1", c.BodyWork)
 	case !within(c.RefusalShare, 0.01, 0.9):
 		return fmt.Errorf("overload: RefusalShare is %v, not within 0.01..0.9", c.RefusalShare)
 	case c.RetryLeast <= 0 || c.RetryMost < c.RetryLeast:
-		return fmt.Errorf("overload: RetryLeast %v and RetryMost %v make no span", c.RetryLeast, c.RetryMost)
+		return fmt.Errorf("overload: RetryLeast %v is not positive or exceeds RetryMost %v", c.RetryLeast, c.RetryMost)
 	case !(c.MemoryHigh > 0 && c.MemoryHigh < c.MemoryFull && c.MemoryFull <= 1):
-		return fmt.Errorf("overload: MemoryHigh %v and MemoryFull %v make no span within 0..1", c.MemoryHigh, c.MemoryFull)
-	case c.LargeLeast < 1 || c.LargeMost < c.LargeLeast:
-		return fmt.Errorf("overload: LargeMost %d and LargeLeast %d make no span", c.LargeMost, c.LargeLeast)
+		return fmt.Errorf("overload: MemoryHigh %v and MemoryFull %v are not in order within 0..1", c.MemoryHigh, c.MemoryFull)
+	case c.MaxBodyBytesAtFull < 1 || c.MaxBodyBytes < c.MaxBodyBytesAtFull:
+		return fmt.Errorf("overload: MaxBodyBytes %d is less than MaxBodyBytesAtFull %d, or the latter is less than 1",
+			c.MaxBodyBytes, c.MaxBodyBytesAtFull)
 	}
 	return nil
 }
 
-// Sample is what the meters read over the window that ends with a tick.
+// Sample holds the measurements of the window that ends with a tick.
 type Sample struct {
-	Busy    float64       // share of the processor given that was used, or waited for while runnable
-	Delay   time.Duration // that the middle hand-in, or the probe where it waited longer, queued
-	Memory  float64       // share of the memory limit in use
-	Bytes   float64       // share of the bytes that open messages may take
-	Held    int           // open messages
-	Waiting int           // of them, those that no attempt is out for
-	Ended   int           // open messages that ended in the window
-	Holding float64       // share of the processor given that deciding on what is held took
-	Clients int           // connections on which something was handed in of late
-}
-
-// Cause says which reading an act comes from.
+	BusyShare       float64       // share of the available processor that was used, or waited for while runnable
+	Delay           time.Duration // queueing delay of the median submission, or of the probe if that is longer
+	MemoryShare     float64       // share of the memory limit in use
+	OpenBytesShare  float64       // share in use of the bytes that open messages may take
+	Open            int           // open messages
+	Waiting         int           // open messages without an attempt under way
+	Ended           int           // open messages that ended in the window
+	SchedulingShare float64       // share of the available processor spent on deciding about open messages
+	Clients         int           // connections with a recent submission
+}
+
+// Cause is the measurement that led to an action.
 type Cause int
 
 // The causes.
 const (
-	None   Cause = iota
-	Busy         // the processor
-	Delay        // queueing
-	Memory       // bytes in use
-	Bytes        // bytes of open messages
-	causes
+	CauseNone      Cause = iota
+	CauseBusy            // processor use
+	CauseDelay           // queueing delay
+	CauseMemory          // memory in use
+	CauseOpenBytes       // bytes of open messages
+	causeCount
 )
 
-var causeNames = [causes]string{"none", "busy", "delay", "memory", "bytes"}
+var causeNames = [causeCount]string{"none", "busy", "delay", "memory", "bytes"}
 
 func (c Cause) String() string { return causeNames[c] }
 
-// Brownout says how far costly habits rest. Each level includes those before it.
+// Brownout is the level to which costly activities are reduced. Each level includes the lower ones.
 type Brownout int
 
 // The levels.
 const (
-	Full    Brownout = iota // nothing rests
-	Quiet                   // steps are further apart, lines below warnings are not logged
-	Sparing                 // steps are still further apart, and the collector runs less often if memory allows
+	BrownoutOff   Brownout = iota // nothing is reduced
+	BrownoutLight                 // steps are further apart, and log lines below warnings are suppressed
+	BrownoutHeavy                 // steps are further apart again, and the garbage collector runs less often if memory allows
 )
 
-// Act is what holds until the next tick.
-type Act struct {
-	Shedding bool
-	Cause    Cause   // of Shedding
-	Reading  float64 // the one behind Cause, in its own unit: a share, or milliseconds
-	Limit    float64 // work a second that is admitted while Shedding
-	Cut      int     // level below which only floors are admitted
-	Pace     time.Duration
-	Brownout Brownout
+// Actions are the settings that apply until the next tick.
+type Actions struct {
+	Shedding  bool
+	Cause     Cause         // of Shedding
+	Reading   float64       // value of the measurement behind Cause, as a share or in milliseconds
+	WorkLimit float64       // work a second that is admitted while Shedding
+	CutLevel  int           // level below which only class floors are admitted
+	ReadPause time.Duration // how long a connection is not read after a refusal
+	Brownout  Brownout
 
-	OpenMost  int     // messages that may be open; those beyond go back, the module chooses
-	Heavy     float64 // how much a held message's size counts in that choice; 0 for not at all
-	LargeMost int     // bytes: larger bodies are refused
-	ByteScale float64 // of the bytes that open messages may take
-	FreeIdle  bool    // idle connections are given up
-	Easy      bool    // memory is easy: the collector may run less often
+	MaxOpen        int     // messages that may be open; the module chooses which of those beyond are returned
+	SizeWeight     float64 // weight of an open message's size in that choice; 0 ignores the size
+	MaxBodyBytes   int     // larger bodies are refused
+	OpenBytesScale float64 // factor on the bytes that open messages may take
+	FreeIdle       bool    // idle connections are closed
+	AmpleMemory    bool    // memory use is low enough for the garbage collector to run less often
 }
 
 const (
-	levels = 64
-	// perOctave levels make one doubling of worth per work; level noughtLevel is worth 1 per unit.
-	perOctave, noughtLevel = 4, 32
-	// fade is what a tick leaves of the counts before it: their horizon is about three ticks.
-	fade = 0.7
-	// A tick lowers the limit by down of the excess, at most by downMost, and raises it by up of the room.
-	down, downMost, up, upLeast = 0.5, 0.3, 1.0, 0.01
-	// A queue shrinks if it does so by fallLeast of the time; the limit does not fall below limitLeast of what ends.
-	fallLeast, limitLeast = 0.02, 0.3
-	// calmTicks with nothing refused for want of capacity end the shedding.
-	calmTicks = 6
-	// refusalWork is the work of a refusal, as measured (docs/overload.md), against a hand-in without body.
-	refusalWork = 0.25
-	// overShare is how far beyond its share of what is offered a tenant may be.
-	overShare = 1.25
-	// The time told is up to paceTold times longer where refused connections rest.
-	paceTold = 4
-	// held work goes back by squeeze a tick while pressing, and comes back by stretch.
-	squeeze, stretch, pressTicks = 0.9, 1.1, 4
-	// Deciding on what is held may take holdingMost of the processor before held work goes back.
-	holdingMost = 0.3
-	// waitMost is how much of what ends may wait for its call, and waitFew how many messages besides.
-	waitMost, waitFew = 100 * time.Millisecond, 50
+	levelCount = 64
+	// levelsPerOctave is the number of levels in one doubling of worth per work.
+	levelsPerOctave = 4
+	// unitLevel is the level of worth 1 per unit of work.
+	unitLevel = 32
+	// tickDecay is the factor that each tick applies to the decayed sums. They cover about three ticks.
+	tickDecay = 0.7
+	// limitDecrease is the share of the excess load by which a tick lowers the limit.
+	limitDecrease = 0.5
+	// maxLimitDecrease is the largest share of the limit that one tick takes away.
+	maxLimitDecrease = 0.3
+	// limitIncrease is the share of the spare load by which a tick raises the limit.
+	limitIncrease = 1.0
+	// minLimitIncrease is the share of the limit that a tick adds without any spare load.
+	minLimitIncrease = 0.01
+	// minDelayDropRate is the drop of the queueing delay, as a share of the time that passes, from which a queue counts
+	// as shrinking.
+	minDelayDropRate = 0.02
+	// minLimitShare is the share of the rate of ended work below which the limit does not fall.
+	minLimitShare = 0.3
+	// minCalmTicks is the number of consecutive ticks without a refusal for lack of capacity that ends shedding.
+	minCalmTicks = 6
+	// workPerRefusal is the work of a refusal relative to a submission without a body (docs/overload.md).
+	workPerRefusal = 0.25
+	// tenantShareTolerance is the factor by which a tenant may exceed its share of the offered work.
+	tenantShareTolerance = 1.25
+	// pauseRetryFactor lengthens the wait named to a refused client: by this many times at the longest read pause.
+	pauseRetryFactor = 4
+	// openShrinkFactor is applied to the number of messages that may be open on each tick under pressure.
+	openShrinkFactor = 0.9
+	// openGrowFactor is applied to the number of messages that may be open on each tick after pressure.
+	openGrowFactor = 1.1
+	// minPressureTicks is the number of consecutive ticks under pressure before open messages are returned.
+	minPressureTicks = 4
+	// maxSchedulingShare is the share of the processor that deciding about open messages may take before some are returned.
+	maxSchedulingShare = 0.3
+	// allowedWaitingTime is the time for which the rate of ended work may wait for its call without counting as a queue.
+	allowedWaitingTime = 100 * time.Millisecond
+	// allowedWaitingCount is how many messages may wait in addition.
+	allowedWaitingCount = 50
 )
 
-// Controller decides for one relay. It is not safe for use by several goroutines at once.
+// Controller makes the overload decisions of one relay. It is not safe for concurrent use.
 type Controller struct {
-	cfg     Config
-	classes map[string]*class
-	tenants map[string]*tenant
-	others  *tenant // of all that the settings do not name
-	shares  float64
-	rng     *rand.Rand
-
-	last    time.Duration // of the newest tick
-	offered [levels]float64
-	span    float64 // seconds that offered stands for, faded alike
-	asked   float64 // work of all tenants, faded
-	thru    float64 // smoothed work a second admitted
-	ended   float64 // smoothed work a second that ended
-	refused float64 // smoothed refusals a second
-	each    float64 // smoothed work of one admitted hand-in
-	window  counts
-
-	act         Act
-	over, calm  int // ticks in a row
-	pressing    int
-	frac, error float64 // share admitted at the cut level, and what the rounding owes
-	tokens      float64
-	bucketAt    time.Duration
-	excess      float64       // offered over limit, less 1
-	load        float64       // smoothed, for the brownout
-	delay       time.Duration // of the newest sample
-	total       Counters
-}
-
-// counts are of one window, in work.
-type counts struct {
-	admitted, refused float64
-	n, nRefused       int // hand-ins
-}
-
-type class struct {
+	cfg            Config
+	classes        map[string]*classState
+	tenants        map[string]*tenantState
+	unnamedTenants *tenantState // of all tenants that the settings do not name
+	totalShares    float64
+	rng            *rand.Rand
+
+	lastTickAt     time.Duration
+	offeredByLevel [levelCount]float64 // decayed work
+	offeredSeconds float64             // decayed time that offeredByLevel covers
+	offeredWork    float64             // decayed work of all tenants
+	admittedRate   float64             // smoothed work a second that is admitted
+	endedRate      float64             // smoothed work a second that ends
+	refusalRate    float64             // smoothed refusals a second
+	meanWork       float64             // smoothed work of an admitted submission
+	window         windowCounts
+
+	actions       Actions
+	overTicks     int     // consecutive ticks over a target
+	calmTicks     int     // consecutive ticks without a refusal for lack of capacity
+	pressureTicks int     // consecutive ticks with too many open messages
+	cutLevelShare float64 // share of the submissions at the cut level that is admitted
+	roundingError float64 // sum of cutLevelShare that is not yet admitted as whole submissions
+	tokens        float64
+	tokensAt      time.Duration // time of the latest refill
+	excess        float64       // offered work over the limit, less 1
+	load          float64       // smoothed load relative to the target
+	lastDelay     time.Duration // queueing delay of the latest sample
+	counters      Counters
+}
+
+// windowCounts are sums over one window.
+type windowCounts struct {
+	admittedWork, refusedWork   float64
+	admittedCount, refusedCount int // submissions
+}
+
+// classState is a class and the tokens of its floor.
+type classState struct {
 	Class
-	floor float64 // tokens
+	floorTokens float64
 }
 
-type tenant struct{ share, offered, admitted float64 }
+// tenantState holds a tenant's share and its decayed work.
+type tenantState struct{ share, offeredWork, admittedWork float64 }
 
-// Counters count since the start.
+// Counters are totals since the start.
 type Counters struct {
-	Offered, Admitted                                    int64
-	RefusedWorth, RefusedLarge, FloorAdmitted, OverShare int64
-	Sheds, Squeezes                                      int64 // times that shedding, and giving back, began
+	Offered, Admitted                                             int64
+	RefusedByWorth, RefusedBySize, FloorAdmitted, OverTenantShare int64
+	SheddingStarts                                                int64
+	OpenLimitCuts                                                 int64 // times that returning open messages began
 }
 
-// New returns a Controller. It fails on a configuration that makes no sense.
+// New returns a Controller, or an error if the configuration is invalid.
 func New(cfg Config) (*Controller, error) {
 	if err := cfg.Check(); err != nil {
 		return nil, err
 	}
-	c := &Controller{cfg: cfg, classes: map[string]*class{}, tenants: map[string]*tenant{}, others: &tenant{},
+	c := &Controller{cfg: cfg, classes: map[string]*classState{}, tenants: map[string]*tenantState{}, unnamedTenants: &tenantState{},
 		rng: rand.New(rand.NewPCG(cfg.Seed, 7))}
-	for _, k := range cfg.Classes {
-		c.classes[k.Name] = &class{Class: k}
+	for _, class := range cfg.Classes {
+		c.classes[class.Name] = &classState{Class: class}
 	}
 	for _, t := range cfg.Tenants {
-		c.tenants[t.Name] = &tenant{share: t.Share}
-		c.shares += t.Share
+		c.tenants[t.Name] = &tenantState{share: t.Share}
+		c.totalShares += t.Share
 	}
-	c.act = c.rest()
+	c.actions = c.normalActions()
 	return c, nil
 }
 
-// rest is the act of a relay that nothing presses.
-func (c *Controller) rest() Act {
-	return Act{OpenMost: c.cfg.OpenMost, LargeMost: c.cfg.LargeMost, ByteScale: 1, Easy: true}
+// normalActions returns the actions of a relay without pressure.
+func (c *Controller) normalActions() Actions {
+	return Actions{MaxOpen: c.cfg.OpenMost, MaxBodyBytes: c.cfg.MaxBodyBytes, OpenBytesScale: 1, AmpleMemory: true}
 }
 
-// Counters returns the counters.
-func (c *Controller) Counters() Counters { return c.total }
+// Counters returns the totals since the start.
+func (c *Controller) Counters() Counters { return c.counters }
 
-// HandIn is what is known of a message before its body is read.
+// HandIn describes a submission before its body is read.
 type HandIn struct {
 	Class, Tenant string
 	Size          int           // of the body, bytes
-	Left          time.Duration // until its deadline
+	Left          time.Duration // until the deadline
 }
 
-// Ruling is the answer to a hand-in.
+// Ruling is the decision on a submission.
 type Ruling struct {
 	Refused bool
 	Cause   Cause
-	RetryIn time.Duration // with Refused: when the client may come again
+	RetryIn time.Duration // with Refused: wait before the client retries
 }
 
-// Admit rules on a hand-in.
+// Admit decides on a submission.
 func (c *Controller) Admit(now time.Duration, h HandIn) Ruling {
-	c.total.Offered++
-	k, t := c.classes[h.Class], c.tenant(h.Tenant)
+	c.counters.Offered++
+	class, tenant := c.classes[h.Class], c.tenantState(h.Tenant)
 	work := c.work(h.Size)
-	level := c.level(k, t, h, work)
-	c.offered[level] += work
-	t.offered += work
-	c.asked += work
-	if h.Size > c.act.LargeMost {
-		c.total.RefusedLarge++
-		c.window.refused += work
-		c.window.nRefused++
-		return c.refuse(Memory)
-	}
-	if c.act.Shedding && !c.passes(now, k, level, work) {
-		c.total.RefusedWorth++
-		c.window.refused += work
-		c.window.nRefused++
-		return c.refuse(c.act.Cause)
-	}
-	c.total.Admitted++
-	c.window.admitted += work
-	c.window.n++
-	t.admitted += work
+	level := c.level(class, tenant, h, work)
+	c.offeredByLevel[level] += work
+	tenant.offeredWork += work
+	c.offeredWork += work
+	if h.Size > c.actions.MaxBodyBytes {
+		c.counters.RefusedBySize++
+		c.window.refusedWork += work
+		c.window.refusedCount++
+		return c.refusal(CauseMemory)
+	}
+	if c.actions.Shedding && !c.passes(now, class, level, work) {
+		c.counters.RefusedByWorth++
+		c.window.refusedWork += work
+		c.window.refusedCount++
+		return c.refusal(c.actions.Cause)
+	}
+	c.counters.Admitted++
+	c.window.admittedWork += work
+	c.window.admittedCount++
+	tenant.admittedWork += work
 	return Ruling{}
 }
 
-func (c *Controller) refuse(why Cause) Ruling {
-	return Ruling{Refused: true, Cause: why, RetryIn: c.retryIn()}
+func (c *Controller) refusal(cause Cause) Ruling {
+	return Ruling{Refused: true, Cause: cause, RetryIn: c.retryIn()}
 }
 
-// retryIn grows with the pressure and is spread evenly by half of itself to both sides, so that those who were
-// refused together do not come back together.
+// retryIn returns the wait for a refused client. The wait grows with the pressure. A random factor of 0.5 to 1.5
+// keeps clients that are refused together from retrying together.
 func (c *Controller) retryIn() time.Duration {
-	in := float64(c.cfg.RetryLeast) * (1 + max(c.excess, 0))
-	if c.cfg.MostPace > 0 { // resting connections hide what else would come
-		in *= 1 + paceTold*float64(c.act.Pace)/float64(c.cfg.MostPace)
+	wait := float64(c.cfg.RetryLeast) * (1 + max(c.excess, 0))
+	if c.cfg.MostPace > 0 { // paused connections hide a part of the demand
+		wait *= 1 + pauseRetryFactor*float64(c.actions.ReadPause)/float64(c.cfg.MostPace)
 	}
-	in = min(in, float64(c.cfg.RetryMost)/1.5)
-	return max(time.Duration(in*(0.5+c.rng.Float64())), c.cfg.RetryLeast/2)
+	wait = min(wait, float64(c.cfg.RetryMost)/1.5)
+	return max(time.Duration(wait*(0.5+c.rng.Float64())), c.cfg.RetryLeast/2)
 }
 
-func (c *Controller) tenant(name string) *tenant {
+func (c *Controller) tenantState(name string) *tenantState {
 	if t := c.tenants[name]; t != nil {
 		return t
 	}
-	return c.others
+	return c.unnamedTenants
 }
 
-// work is what a hand-in costs the relay, in units of one without a body.
+// work returns the work of a submission with a body of size bytes. The unit is the work of a submission without a body.
 func (c *Controller) work(size int) float64 { return 1 + float64(size)/float64(c.cfg.BodyWork) }
 
-// level ranks a hand-in by worth per unit of work on a scale of octaves. What comes beyond its tenant's share
-// ranks behind what does not, but takes what others leave.
-func (c *Controller) level(k *class, t *tenant, h HandIn, work float64) int {
+// level ranks a submission by worth per unit of work on a logarithmic scale. A submission beyond its tenant's share
+// ranks lower by the factor OverShare, and can still use capacity that other tenants leave free.
+func (c *Controller) level(class *classState, tenant *tenantState, h HandIn, work float64) int {
 	worth := 1.0
-	if k != nil {
-		worth = c.worth(k, h.Left)
+	if class != nil {
+		worth = c.worth(class, h.Left)
 	}
-	if c.act.Shedding && c.beyond(t) {
+	if c.actions.Shedding && c.exceedsTenantShare(tenant) {
 		worth *= c.cfg.OverShare
-		c.total.OverShare++
+		c.counters.OverTenantShare++
 	}
 	if !(worth > 0) {
 		return 0
 	}
-	return min(max(noughtLevel+int(math.Round(perOctave*math.Log2(worth/work))), 0), levels-1)
+	return min(max(unitLevel+int(math.Round(levelsPerOctave*math.Log2(worth/work))), 0), levelCount-1)
 }
 
-// beyond says that a tenant offers more than its share of all that is offered, and has had its share of the limit:
-// one that asks for little is never beyond, however low the limit is.
-func (c *Controller) beyond(t *tenant) bool {
-	if c.shares == 0 {
+// exceedsTenantShare reports whether a tenant offers more than its share of all offered work and has already been admitted its
+// share of the limit. A tenant that offers little is therefore never over its share, however low the limit is.
+func (c *Controller) exceedsTenantShare(tenant *tenantState) bool {
+	if c.totalShares == 0 {
 		return false
 	}
-	share := t.share / c.shares
-	return t.offered > overShare*share*c.asked && t.admitted > share*c.act.Limit*c.span
+	share := tenant.share / c.totalShares
+	return tenant.offeredWork > tenantShareTolerance*share*c.offeredWork && tenant.admittedWork > share*c.actions.WorkLimit*c.offeredSeconds
 }
 
-// worth is what delivering a message is worth by the time that it has left: all of it within the aim, then less.
-func (c *Controller) worth(k *class, left time.Duration) float64 {
-	late := k.Deadline - left - k.Aim
-	if late <= 0 || k.Aim <= 0 {
-		return k.Worth
+// worth returns the worth of delivering a message with the given time left until its deadline: the full worth within the
+// aim, and less after it.
+func (c *Controller) worth(class *classState, left time.Duration) float64 {
+	late := class.Deadline - left - class.Aim
+	if late <= 0 || class.Aim <= 0 {
+		return class.Worth
 	}
-	part := 1 - float64(late)/float64(max(k.Deadline-k.Aim, 1))
+	remaining := 1 - float64(late)/float64(max(class.Deadline-class.Aim, 1))
 	if c.cfg.LateByHalves {
-		part = math.Exp2(-float64(late) / float64(k.Aim))
+		remaining = math.Exp2(-float64(late) / float64(class.Aim))
 	}
-	return k.Worth * max(part, k.LateWorth, 0)
+	return class.Worth * max(remaining, class.LateWorth, 0)
 }
 
-// passes says whether a hand-in comes in while shedding: above the cut always, unless the limit is far overdrawn;
-// at the cut in part; below it where tokens lie idle, or its class's floor pays.
-func (c *Controller) passes(now time.Duration, k *class, level int, work float64) bool {
-	c.refill(now)
-	burst := c.burst()
+// passes reports whether a submission is admitted while shedding. Above the cut level every submission passes unless the limit
+// is far overdrawn. At the cut level a share passes. Below it a submission passes only while most tokens are unused. A
+// submission that does not pass by its level can still be admitted from the floor of its class.
+func (c *Controller) passes(now time.Duration, class *classState, level int, work float64) bool {
+	c.refillTokens(now)
+	burst := c.burstTokens()
 	switch {
-	case level > c.act.Cut:
+	case level > c.actions.CutLevel:
 		if c.tokens < -2*burst {
-			return c.floor(k, work)
+			return c.admitFromFloor(class, work)
 		}
-	case level == c.act.Cut && c.tokens > 0:
-		if c.error += c.frac; c.error < 1 {
-			return c.floor(k, work)
+	case level == c.actions.CutLevel && c.tokens > 0:
+		if c.roundingError += c.cutLevelShare; c.roundingError < 1 {
+			return c.admitFromFloor(class, work)
 		}
-		c.error--
+		c.roundingError--
 	case c.tokens <= 0.75*burst:
-		return c.floor(k, work)
+		return c.admitFromFloor(class, work)
 	}
 	c.tokens -= work
 	return true
 }
 
-func (c *Controller) burst() float64 { return max(c.act.Limit*0.05, 2) }
+// burstTokens returns the largest number of unused tokens.
+func (c *Controller) burstTokens() float64 { return max(c.actions.WorkLimit*0.05, 2) }
 
-// refill brings the tokens of the limit and of the floors up to date.
-func (c *Controller) refill(now time.Duration) {
-	dt := max(now-c.bucketAt, 0).Seconds()
-	c.bucketAt = max(now, c.bucketAt)
-	c.tokens = min(c.tokens+c.act.Limit*dt, c.burst())
-	for _, k := range c.classes {
-		k.floor = min(k.floor+c.act.Limit*c.cfg.Floor*dt, max(c.burst()*c.cfg.Floor, 2))
+// refillTokens adds the tokens of the limit and of the class floors for the time since the latest refill.
+func (c *Controller) refillTokens(now time.Duration) {
+	dt := max(now-c.tokensAt, 0).Seconds()
+	c.tokensAt = max(now, c.tokensAt)
+	c.tokens = min(c.tokens+c.actions.WorkLimit*dt, c.burstTokens())
+	for _, class := range c.classes {
+		class.floorTokens = min(class.floorTokens+c.actions.WorkLimit*c.cfg.Floor*dt, max(c.burstTokens()*c.cfg.Floor, 2))
 	}
 }
 
-// floor admits from what a class keeps in any case. It is paid from the limit too, so that the sum holds.
-func (c *Controller) floor(k *class, work float64) bool {
-	if k == nil || k.floor < work {
+// admitFromFloor admits a submission if the floor of its class has enough tokens. The work also counts against the limit, so
+// that the total stays within it.
+func (c *Controller) admitFromFloor(class *classState, work float64) bool {
+	if class == nil || class.floorTokens < work {
 		return false
 	}
-	k.floor -= work
+	class.floorTokens -= work
 	c.tokens -= work
-	c.total.FloorAdmitted++
+	c.counters.FloorAdmitted++
 	return true
 }
 
-// Tick takes in a sample and says what holds until the next. Ticks should come every 20 to 100 ms.
-func (c *Controller) Tick(now time.Duration, s Sample) Act {
-	dt := (now - c.last).Seconds()
+// Tick processes a sample and returns the actions that apply until the next tick. Ticks should come every 20 to 100 ms.
+func (c *Controller) Tick(now time.Duration, s Sample) Actions {
+	dt := (now - c.lastTickAt).Seconds()
 	if dt <= 0 {
-		return c.act
-	}
-	c.last = now
-	c.thru += 0.4 * (c.window.admitted/dt - c.thru)
-	if c.window.n > 0 {
-		c.each += 0.4 * (c.window.admitted/float64(c.window.n) - c.each)
-	}
-	c.ended += 0.4 * (float64(s.Ended)*max(c.each, 1)/dt - c.ended)
-	c.span = c.span*fade + dt
-	offered := 0.0
-	for _, n := range c.offered {
-		offered += n
-	}
-	offered /= c.span
-	c.steer(now, s, offered, dt)
-	c.cut(offered)
-	c.pace(s, dt)
-	c.memory(s)
-	c.hold(s)
-	c.rests()
-	c.window = counts{}
-	for i := range c.offered {
-		c.offered[i] *= fade
-	}
-	c.asked *= fade
+		return c.actions
+	}
+	c.lastTickAt = now
+	c.admittedRate += 0.4 * (c.window.admittedWork/dt - c.admittedRate)
+	if c.window.admittedCount > 0 {
+		c.meanWork += 0.4 * (c.window.admittedWork/float64(c.window.admittedCount) - c.meanWork)
+	}
+	c.endedRate += 0.4 * (float64(s.Ended)*max(c.meanWork, 1)/dt - c.endedRate)
+	c.offeredSeconds = c.offeredSeconds*tickDecay + dt
+	offeredRate := 0.0
+	for _, work := range c.offeredByLevel {
+		offeredRate += work
+	}
+	offeredRate /= c.offeredSeconds
+	c.updateLimit(now, s, offeredRate, dt)
+	c.updateCutLevel(offeredRate)
+	c.updateReadPause(s, dt)
+	c.updateMemoryLimits(s)
+	c.updateOpenLimit(s)
+	c.updateBrownout()
+	c.window = windowCounts{}
+	for i := range c.offeredByLevel {
+		c.offeredByLevel[i] *= tickDecay
+	}
+	c.offeredWork *= tickDecay
 	for _, t := range c.tenants {
-		t.offered, t.admitted = t.offered*fade, t.admitted*fade
+		t.offeredWork, t.admittedWork = t.offeredWork*tickDecay, t.admittedWork*tickDecay
 	}
-	c.others.offered, c.others.admitted = c.others.offered*fade, c.others.admitted*fade
-	return c.act
+	c.unnamedTenants.offeredWork, c.unnamedTenants.admittedWork = c.unnamedTenants.offeredWork*tickDecay, c.unnamedTenants.admittedWork*tickDecay
+	return c.actions
 }
 
-// steer moves the limit, and with it begins and ends the shedding.
-func (c *Controller) steer(now time.Duration, s Sample, offered, dt float64) {
-	// A queue that shrinks is what a stall left, or what was let in before the limit fell: it needs time and no
-	// lower limit.
-	falling := (c.delay - s.Delay).Seconds() > fallLeast*dt
-	c.delay = s.Delay
-	cause, reading, load := Busy, s.Busy, s.Busy/c.cfg.TargetBusy
-	if d := float64(s.Delay) / float64(c.cfg.TargetDelay); d > max(load, 1) {
-		cause, reading, load = Delay, float64(s.Delay)/float64(time.Millisecond), d
+// updateLimit adjusts the limit and begins or ends shedding.
+func (c *Controller) updateLimit(now time.Duration, s Sample, offeredRate, dt float64) {
+	// A shrinking allowed is left over from a stall or was admitted before the limit fell. It drains without a lower limit.
+	shrinking := (c.lastDelay - s.Delay).Seconds() > minDelayDropRate*dt
+	c.lastDelay = s.Delay
+	cause, reading, load := CauseBusy, s.BusyShare, s.BusyShare/c.cfg.TargetBusy
+	if delayLoad := float64(s.Delay) / float64(c.cfg.TargetDelay); delayLoad > max(load, 1) {
+		cause, reading, load = CauseDelay, float64(s.Delay)/float64(time.Millisecond), delayLoad
 	}
-	// What waits for its call beyond a moment's work is a queue too, though one that a partner may cause: it
-	// counts where the processor is short, and then no more comes in than goes out.
-	rate, grow := c.thru, up
-	waiting, queue := float64(s.Waiting)*max(c.each, 1), waitMost.Seconds()*c.ended+waitFew
-	if waiting > queue && load > 0.75 {
-		grow = up / 4
+	// Messages that wait for their call, beyond a small allowance, are a allowed too. A partner can cause this allowed without any
+	// overload here, so it counts only while the processor is near its target. Then the relay admits no more than it completes.
+	rate, growth := c.admittedRate, limitIncrease
+	waiting, allowed := float64(s.Waiting)*max(c.meanWork, 1), allowedWaitingTime.Seconds()*c.endedRate+allowedWaitingCount
+	if waiting > allowed && load > 0.75 {
+		growth = limitIncrease / 4
 	}
-	if waiting > queue && load > 0.95 {
-		rate = min(c.thru, c.ended) * max(1-(waiting/queue-1)/20, 0.85)
+	if waiting > allowed && load > 0.95 {
+		rate = min(c.admittedRate, c.endedRate) * max(1-(waiting/allowed-1)/20, 0.85)
 	}
 	c.load += 0.3 * (load - c.load)
-	if c.over++; waiting > queue && load > 1.05 {
-		c.over++ // a jump: every tick takes in more than can be done
+	if c.overTicks++; waiting > allowed && load > 1.05 {
+		c.overTicks++ // sudden overload: each tick admits more than the relay can complete, so it is confirmed faster
 	}
-	if load <= 1 || falling || offered < c.cfg.LeastRate {
-		c.over = 0
+	if load <= 1 || shrinking || offeredRate < c.cfg.LeastRate {
+		c.overTicks = 0
 	}
-	cut := 1 - max(min(down*(load-1), downMost), 0)
-	if falling {
-		cut = 1
+	scale := 1 - max(min(limitDecrease*(load-1), maxLimitDecrease), 0)
+	if shrinking {
+		scale = 1
 	}
 	switch {
-	case !c.act.Shedding:
-		if c.over < c.cfg.Confirm {
+	case !c.actions.Shedding:
+		if c.overTicks < c.cfg.Confirm {
 			return
 		}
-		c.act.Shedding, c.act.Cause, c.act.Reading, c.calm = true, cause, reading, 0
-		c.act.Limit = max(rate*cut, c.cfg.LeastRate)
-		c.tokens, c.bucketAt, c.error = c.burst(), now, 0
-		c.total.Sheds++
+		c.actions.Shedding, c.actions.Cause, c.actions.Reading, c.calmTicks = true, cause, reading, 0
+		c.actions.WorkLimit = max(rate*scale, c.cfg.LeastRate)
+		c.tokens, c.tokensAt, c.roundingError = c.burstTokens(), now, 0
+		c.counters.SheddingStarts++
 		return
 	case load > 1:
-		c.act.Cause, c.act.Reading = cause, reading
-		c.act.Limit = max(min(c.act.Limit, 1.1*rate)*cut, limitLeast*c.ended, c.cfg.LeastRate)
+		c.actions.Cause, c.actions.Reading = cause, reading
+		c.actions.WorkLimit = max(min(c.actions.WorkLimit, 1.1*rate)*scale, minLimitShare*c.endedRate, c.cfg.LeastRate)
 	default:
-		c.act.Limit = min(c.act.Limit*(1+upLeast+grow*max(1-max(load, c.load), 0)), max(c.act.Limit, 1.5*c.thru))
+		c.actions.WorkLimit = min(c.actions.WorkLimit*(1+minLimitIncrease+growth*max(1-max(load, c.load), 0)), max(c.actions.WorkLimit, 1.5*c.admittedRate))
 	}
-	c.calm++
-	// While connections rest, what is offered is not all that would come.
-	if load > 1 || c.act.Pace > 0 || offered > 0.95*c.act.Limit && c.window.refused > 0 {
-		c.calm = 0
+	c.calmTicks++
+	// While connections are paused, the offered work understates the demand.
+	if load > 1 || c.actions.ReadPause > 0 || offeredRate > 0.95*c.actions.WorkLimit && c.window.refusedWork > 0 {
+		c.calmTicks = 0
 	}
-	if c.calm >= calmTicks {
-		c.act.Shedding, c.act.Cause, c.act.Reading, c.over = false, None, 0, 0
+	if c.calmTicks >= minCalmTicks {
+		c.actions.Shedding, c.actions.Cause, c.actions.Reading, c.overTicks = false, CauseNone, 0, 0
 	}
 }
 
-// cut finds the level at which the limit is used up by what was offered of late, from the most worth down.
-func (c *Controller) cut(offered float64) {
-	c.act.Cut, c.frac, c.excess = 0, 1, 0
-	if !c.act.Shedding {
+// updateCutLevel finds the cut level: the level at which the recently offered work, added up from the highest level down,
+// reaches the limit.
+func (c *Controller) updateCutLevel(offeredRate float64) {
+	c.actions.CutLevel, c.cutLevelShare, c.excess = 0, 1, 0
+	if !c.actions.Shedding {
 		return
 	}
-	c.excess = offered/max(c.act.Limit, 1) - 1
-	room := c.act.Limit
-	for level := levels - 1; level >= 0; level-- {
-		rate := c.offered[level] / c.span
+	c.excess = offeredRate/max(c.actions.WorkLimit, 1) - 1
+	room := c.actions.WorkLimit
+	for level := levelCount - 1; level >= 0; level-- {
+		rate := c.offeredByLevel[level] / c.offeredSeconds
 		if rate >= room {
-			c.act.Cut, c.frac = level, room/rate
+			c.actions.CutLevel, c.cutLevelShare = level, room/rate
 			return
 		}
 		room -= rate
 	}
 }
 
-// pace lets connections rest after a refusal where refusals take more work than their share. So many clients that
-// are refused R times a second come N/R apart each; the rest moves by half of what that is short of.
-func (c *Controller) pace(s Sample, dt float64) {
-	c.refused += 0.4 * (float64(c.window.nRefused)/dt - c.refused)
-	most := c.cfg.RefusalShare / (1 - c.cfg.RefusalShare) * max(c.thru, c.cfg.LeastRate, 1) / refusalWork
+// updateReadPause sets how long a connection is not read after a refusal. The pause grows while refusals take more work than
+// RefusalShare. N clients that are refused R times a second in total each retry every N/R seconds. The pause changes by half of
+// the difference between this interval and the interval at the highest permitted rate of refusals.
+func (c *Controller) updateReadPause(s Sample, dt float64) {
+	c.refusalRate += 0.4 * (float64(c.window.refusedCount)/dt - c.refusalRate)
+	maxRate := c.cfg.RefusalShare / (1 - c.cfg.RefusalShare) * max(c.admittedRate, c.cfg.LeastRate, 1) / workPerRefusal
 	switch {
-	case !c.act.Shedding:
-		c.act.Pace = 0
-	case c.refused > 0:
-		short := float64(s.Clients) * (1/most - 1/c.refused) / 2
-		c.act.Pace = min(max(c.act.Pace+time.Duration(short*float64(time.Second)), c.act.Pace*8/10), c.cfg.MostPace)
+	case !c.actions.Shedding:
+		c.actions.ReadPause = 0
+	case c.refusalRate > 0:
+		missingSeconds := float64(s.Clients) * (1/maxRate - 1/c.refusalRate) / 2
+		c.actions.ReadPause = min(max(c.actions.ReadPause+time.Duration(missingSeconds*float64(time.Second)), c.actions.ReadPause*8/10), c.cfg.MostPace)
 	default:
-		c.act.Pace = c.act.Pace * 8 / 10
+		c.actions.ReadPause = c.actions.ReadPause * 8 / 10
 	}
-	if c.act.Pace < time.Millisecond/4 {
-		c.act.Pace = 0
+	if c.actions.ReadPause < time.Millisecond/4 {
+		c.actions.ReadPause = 0
 	}
 }
 
-// memory scales bounds between its two marks: the larger a body, the sooner it is turned away.
-func (c *Controller) memory(s Sample) {
-	part := max(s.Memory, s.Bytes)
-	scale := min(max((part-c.cfg.MemoryHigh)/(c.cfg.MemoryFull-c.cfg.MemoryHigh), 0), 1)
-	ratio := float64(c.cfg.LargeLeast) / float64(c.cfg.LargeMost)
-	c.act.LargeMost = int(float64(c.cfg.LargeMost) * math.Pow(ratio, scale))
-	own := min(max((s.Memory-c.cfg.MemoryHigh)/(c.cfg.MemoryFull-c.cfg.MemoryHigh), 0), 1)
-	c.act.ByteScale = 1 - 0.75*own
-	c.act.FreeIdle = own > 0.3
-	c.act.Easy = s.Memory < 0.75*c.cfg.MemoryHigh
-	c.act.Heavy = 0
+// updateMemoryLimits scales limits between MemoryHigh and MemoryFull. The largest bodies are refused first.
+func (c *Controller) updateMemoryLimits(s Sample) {
+	used := max(s.MemoryShare, s.OpenBytesShare)
+	scale := min(max((used-c.cfg.MemoryHigh)/(c.cfg.MemoryFull-c.cfg.MemoryHigh), 0), 1)
+	ratio := float64(c.cfg.MaxBodyBytesAtFull) / float64(c.cfg.MaxBodyBytes)
+	c.actions.MaxBodyBytes = int(float64(c.cfg.MaxBodyBytes) * math.Pow(ratio, scale))
+	memoryScale := min(max((s.MemoryShare-c.cfg.MemoryHigh)/(c.cfg.MemoryFull-c.cfg.MemoryHigh), 0), 1)
+	c.actions.OpenBytesScale = 1 - 0.75*memoryScale
+	c.actions.FreeIdle = memoryScale > 0.3
+	c.actions.AmpleMemory = s.MemoryShare < 0.75*c.cfg.MemoryHigh
+	c.actions.SizeWeight = 0
 	if scale > 0 {
-		c.act.Heavy = 1
+		c.actions.SizeWeight = 1
 	}
 }
 
-// hold lowers what may be open while the relay is far behind, or its memory nearly full, and restores it after.
-func (c *Controller) hold(s Sample) {
-	behind := c.act.Shedding && (s.Delay > 3*c.cfg.TargetDelay || s.Holding > holdingMost)
-	full := s.Memory > (c.cfg.MemoryHigh+c.cfg.MemoryFull)/2
-	if c.pressing++; !behind && !full {
-		c.pressing = 0
+// updateOpenLimit lowers the number of messages that may be open while the relay is far behind or its memory is nearly full, and
+// restores the number afterwards.
+func (c *Controller) updateOpenLimit(s Sample) {
+	behind := c.actions.Shedding && (s.Delay > 3*c.cfg.TargetDelay || s.SchedulingShare > maxSchedulingShare)
+	full := s.MemoryShare > (c.cfg.MemoryHigh+c.cfg.MemoryFull)/2
+	if c.pressureTicks++; !behind && !full {
+		c.pressureTicks = 0
 	}
 	switch {
-	case c.pressing >= pressTicks && s.Held > 0:
-		if c.act.OpenMost == c.cfg.OpenMost {
-			c.total.Squeezes++
+	case c.pressureTicks >= minPressureTicks && s.Open > 0:
+		if c.actions.MaxOpen == c.cfg.OpenMost {
+			c.counters.OpenLimitCuts++
 		}
-		c.act.OpenMost = max(int(float64(min(s.Held, c.act.OpenMost))*squeeze), 1)
-	case c.pressing == 0 && c.act.OpenMost < c.cfg.OpenMost && s.Holding < holdingMost/2:
-		c.act.OpenMost = min(int(float64(c.act.OpenMost)*stretch)+1, c.cfg.OpenMost)
+		c.actions.MaxOpen = max(int(float64(min(s.Open, c.actions.MaxOpen))*openShrinkFactor), 1)
+	case c.pressureTicks == 0 && c.actions.MaxOpen < c.cfg.OpenMost && s.SchedulingShare < maxSchedulingShare/2:
+		c.actions.MaxOpen = min(int(float64(c.actions.MaxOpen)*openGrowFactor)+1, c.cfg.OpenMost)
 	}
 }
 
-// rests sets the brownout; a level is left only well below where it was entered.
-func (c *Controller) rests() {
+// updateBrownout sets the brownout level. A level ends at a clearly lower load than the one at which it begins, so that it does
+// not oscillate.
+func (c *Controller) updateBrownout() {
 	switch {
-	case !c.act.Shedding:
-		c.act.Brownout = Full
+	case !c.actions.Shedding:
+		c.actions.Brownout = BrownoutOff
 	case c.load > 2:
-		c.act.Brownout = Sparing
-	case c.act.Brownout == Full || c.load < 1.2:
-		c.act.Brownout = Quiet
+		c.actions.Brownout = BrownoutHeavy
+	case c.actions.Brownout == BrownoutOff || c.load < 1.2:
+		c.actions.Brownout = BrownoutLight
 	}
 }
--- a/internal/overload/overload_test.go
+++ b/internal/overload/overload_test.go
@@ -13,7 +13,7 @@
 
 const ms = time.Millisecond
 
-func config() Config {
+func testConfig() Config {
 	c := Defaults()
 	c.Classes = []Class{
 		{Name: "pay", Worth: 1, LateWorth: 0.5, Aim: 4 * time.Second, Deadline: 28 * time.Second},
@@ -24,225 +24,230 @@
 	return c
 }
 
-// flow is a stream of hand-ins into the model.
-type flow struct {
+// clientStream is a stream of submissions to the model.
+type clientStream struct {
 	HandIn
-	rate float64
+	perSecond float64
 
-	due, queued                float64
-	turn, read                 int
-	resting                    []time.Duration // until when its refused clients rest
+	dueCount                   float64 // submissions due, with their fraction
+	queuedCount                float64 // admitted submissions that wait in the queue
+	turns, read                int
+	paused                     []time.Duration // ends of the pauses of its refused connections
 	offered, admitted, refused int
 }
 
-// clients is how many connections each flow has, with one message at a time on each; what finds none free is not read.
-const clients = 400
+// connectionsPerStream is the number of connections of a stream. Each carries one message at a time. A submission that finds
+// no free connection is not read.
+const connectionsPerStream = 400
 
-// model is a relay of one core in virtual time: it does so much work a second, a refusal costs a part of it, and
-// what is admitted queues. Whoever reads the meters sees what the real ones would show.
-type model struct {
-	t        *testing.T
-	c        *Controller
-	capacity float64 // work a second
-	now      time.Duration
-	queue    float64 // work
-	used     float64 // in the window
-	act      Act
-	worst    time.Duration // queueing delay
-	sample   func(*Sample)
+// relayModel simulates a relay with one core in virtual time. It does a fixed amount of work a second. A refusal costs work, and
+// admitted submissions queue. The model passes samples to the controller as real meters would.
+type relayModel struct {
+	t            *testing.T
+	controller   *Controller
+	capacity     float64 // work a second
+	now          time.Duration
+	queuedWork   float64
+	usedWork     float64 // in the current window
+	actions      Actions
+	maxDelay     time.Duration // longest queueing delay
+	adjustSample func(*Sample)
 }
 
-func newModel(t *testing.T, cfg Config, capacity float64) *model {
-	c, err := New(cfg)
+func newModel(t *testing.T, cfg Config, capacity float64) *relayModel {
+	controller, err := New(cfg)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &model{t: t, c: c, capacity: capacity}
+	return &relayModel{t: t, controller: controller, capacity: capacity}
 }
 
-func (m *model) run(span time.Duration, flows ...*flow) {
+// run advances the model by span in steps of 1 ms, with a tick every 50 ms.
+func (m *relayModel) run(span time.Duration, flows ...*clientStream) {
 	for end := m.now + span; m.now < end; {
 		m.now += ms
 		for _, f := range flows {
-			for f.due += f.rate / 1000; f.due >= 1; f.due-- {
+			for f.dueCount += f.perSecond / 1000; f.dueCount >= 1; f.dueCount-- {
 				f.offered++
-				if f.queued+float64(len(f.resting)) >= clients {
+				if f.queuedCount+float64(len(f.paused)) >= connectionsPerStream {
 					continue
 				}
 				f.read++
 				h := f.HandIn
-				if f.turn++; h.Tenant == "" { // both alike
-					h.Tenant = []string{"a", "b"}[f.turn%2]
+				if f.turns++; h.Tenant == "" { // the tenants take turns
+					h.Tenant = []string{"a", "b"}[f.turns%2]
 				}
-				if r := m.c.Admit(m.now, h); r.Refused {
+				if r := m.controller.Admit(m.now, h); r.Refused {
 					f.refused++
-					m.queue += refusalWork
-					f.resting = append(f.resting, m.now+m.act.Pace)
+					m.queuedWork += workPerRefusal
+					f.paused = append(f.paused, m.now+m.actions.ReadPause)
 				} else {
 					f.admitted++
-					m.queue += m.c.work(f.Size)
-					f.queued++
+					m.queuedWork += m.controller.work(f.Size)
+					f.queuedCount++
 				}
 			}
 		}
-		done := min(m.queue, m.capacity/1000)
+		done := min(m.queuedWork, m.capacity/1000)
 		for _, f := range flows {
-			for len(f.resting) > 0 && f.resting[0] <= m.now {
-				f.resting = f.resting[1:]
+			for len(f.paused) > 0 && f.paused[0] <= m.now {
+				f.paused = f.paused[1:]
 			}
-			f.queued *= 1 - done/max(m.queue, 1e-9)
+			f.queuedCount *= 1 - done/max(m.queuedWork, 1e-9)
 		}
-		m.queue -= done
-		m.used += done
-		delay := time.Duration(m.queue / m.capacity * float64(time.Second))
-		m.worst = max(m.worst, delay)
+		m.queuedWork -= done
+		m.usedWork += done
+		delay := time.Duration(m.queuedWork / m.capacity * float64(time.Second))
+		m.maxDelay = max(m.maxDelay, delay)
 		if m.now%(50*ms) == 0 {
-			s := Sample{Busy: m.used / (m.capacity * 0.05), Delay: delay, Ended: int(m.used), Memory: 0.3, Clients: clients * len(flows)}
-			if m.sample != nil {
-				m.sample(&s)
+			s := Sample{BusyShare: m.usedWork / (m.capacity * 0.05), Delay: delay, Ended: int(m.usedWork), MemoryShare: 0.3, Clients: connectionsPerStream * len(flows)}
+			if m.adjustSample != nil {
+				m.adjustSample(&s)
 			}
-			m.act = m.c.Tick(m.now, s)
-			m.used = 0
+			m.actions = m.controller.Tick(m.now, s)
+			m.usedWork = 0
 		}
 	}
 }
 
-// share is what was admitted of that which was read.
-func (f *flow) share() float64 { return float64(f.admitted) / float64(max(f.read, 1)) }
+// admittedShare returns the share of the read submissions that was admitted.
+func (f *clientStream) admittedShare() float64 { return float64(f.admitted) / float64(max(f.read, 1)) }
 
-func pay(rate float64) *flow {
-	return &flow{HandIn: HandIn{Class: "pay", Size: 200, Left: 28 * time.Second}, rate: rate}
+func payStream(perSecond float64) *clientStream {
+	return &clientStream{HandIn: HandIn{Class: "pay", Size: 200, Left: 28 * time.Second}, perSecond: perSecond}
 }
 
-func slot(rate float64) *flow {
-	return &flow{HandIn: HandIn{Class: "slot", Size: 200, Left: 5 * time.Second}, rate: rate}
+func slotStream(perSecond float64) *clientStream {
+	return &clientStream{HandIn: HandIn{Class: "slot", Size: 200, Left: 5 * time.Second}, perSecond: perSecond}
 }
 
-// A calm day with the odd stall: nothing is refused, nothing rests.
-func TestCalmDayIsLeftAlone(t *testing.T) {
-	m := newModel(t, config(), 10_000)
-	p, s := pay(4500), slot(3000)
+// At a load below the capacity, with a stall now and then, nothing is refused and no action is taken. The test guards against
+// shedding because of a queue that drains by itself.
+func TestNormalLoadRefusesNothing(t *testing.T) {
+	m := newModel(t, testConfig(), 10_000)
+	p, s := payStream(4500), slotStream(3000)
 	for range 20 {
 		m.run(3*time.Second, p, s)
-		m.queue += 800 // 80 ms of work out of nothing: a collection, a noisy neighbour
+		m.queuedWork += 800 // 80 ms of sudden work, as from a garbage collection or a noisy neighbour
 	}
-	if p.refused+s.refused > 0 || m.c.Counters().Sheds > 0 || m.act != m.c.rest() {
-		t.Errorf("%d and %d refused, act %+v", p.refused, s.refused, m.act)
+	if p.refused+s.refused > 0 || m.controller.Counters().SheddingStarts > 0 || m.actions != m.controller.normalActions() {
+		t.Errorf("%d and %d refused, actions %+v", p.refused, s.refused, m.actions)
 	}
 }
 
-// A jump to twice what fits, within one tick: what is worth most is served, the queue stays short, the core is
-// used, and within a second of the load's end nothing is refused any more.
-func TestJumpToTwiceTheLoad(t *testing.T) {
-	m := newModel(t, config(), 10_000)
-	m.run(2*time.Second, pay(4500), slot(3000))
-	p, s := pay(12_000), slot(8_000)
+// The load rises to twice the capacity within one tick. The class with the most worth must be served, the queue must stay short
+// and the core must be used. Refusals must end within a second after the load falls.
+func TestStepToTwiceTheCapacity(t *testing.T) {
+	m := newModel(t, testConfig(), 10_000)
+	m.run(2*time.Second, payStream(4500), slotStream(3000))
+	p, s := payStream(12_000), slotStream(8_000)
 	m.run(10*time.Second, p, s)
-	if s.share() < 0.82 { // refusing the rest takes what 2,000 of them would
-		t.Errorf("slot: %.3f admitted", s.share())
+	if s.admittedShare() < 0.82 { // refusing the others costs as much work as 2,000 slot submissions
+		t.Errorf("slot: %.3f admitted", s.admittedShare())
 	}
 	if total := float64(p.admitted+s.admitted) / 10; total < 6_500 {
-		t.Errorf("%.0f a second admitted of 10000 that fit", total)
+		t.Errorf("%.0f submissions a second admitted, of a capacity of 10000", total)
 	}
-	if m.worst > 100*ms {
-		t.Errorf("queued up to %v", m.worst)
+	if m.maxDelay > 100*ms {
+		t.Errorf("longest queueing delay: %v", m.maxDelay)
 	}
 	if float64(s.read) < 0.8*float64(s.offered) {
-		t.Errorf("of %d slot %d were read", s.offered, s.read)
+		t.Errorf("of %d slot submissions %d were read", s.offered, s.read)
 	}
-	if n := m.c.Counters().Sheds; n > 2 {
+	if n := m.controller.Counters().SheddingStarts; n > 2 {
 		t.Errorf("shedding began %d times", n)
 	}
-	p, s = pay(4500), slot(3000)
+	p, s = payStream(4500), slotStream(3000)
 	m.run(time.Second, p, s)
-	if p, s = pay(4500), slot(3000); true {
+	if p, s = payStream(4500), slotStream(3000); true {
 		m.run(2*time.Second, p, s)
 	}
-	if p.refused+s.refused > 0 || m.act.Shedding {
-		t.Errorf("a second after the load's end: %d and %d refused, shedding %v", p.refused, s.refused, m.act.Shedding)
+	if p.refused+s.refused > 0 || m.actions.Shedding {
+		t.Errorf("a second after the load fell: %d and %d refused, shedding %v", p.refused, s.refused, m.actions.Shedding)
 	}
 }
 
-// At ten times what fits, where a refusal costs a quarter of a hand-in, refusals do not eat the core.
-func TestTenTimesTheLoadDoesNotCollapse(t *testing.T) {
-	m := newModel(t, config(), 10_000)
-	p, s := pay(60_000), slot(40_000)
+// The load is ten times the capacity, and a refusal costs a quarter of the work of a submission. Refusals must not use up the core.
+func TestTenTimesTheCapacity(t *testing.T) {
+	m := newModel(t, testConfig(), 10_000)
+	p, s := payStream(60_000), slotStream(40_000)
 	m.run(time.Second, p, s)
-	p, s = pay(60_000), slot(40_000)
+	p, s = payStream(60_000), slotStream(40_000)
 	m.run(5*time.Second, p, s)
 	if total := float64(p.admitted+s.admitted) / 5; total < 6_500 {
-		t.Errorf("%.0f a second admitted of 10000 that fit", total)
+		t.Errorf("%.0f submissions a second admitted, of a capacity of 10000", total)
 	}
 	if p.admitted > s.admitted/4 {
-		t.Errorf("%d pay admitted beside %d slot that were refused", p.admitted, s.refused)
+		t.Errorf("%d pay submissions admitted while %d slot submissions were refused", p.admitted, s.refused)
 	}
-	if m.act.Pace == 0 {
-		t.Error("refusals take more than their share, and no connection rests")
+	if m.actions.ReadPause == 0 {
+		t.Error("refusals take more than their share, and reading is not paused")
 	}
 }
 
-// A processor that others take, and give back: the limit follows both ways.
-func TestStarvedProcessor(t *testing.T) {
-	m := newModel(t, config(), 10_000)
-	m.run(2*time.Second, pay(3000), slot(2000))
+// Other programs take the processor and release it again. The limit must follow in both directions.
+func TestCPUStarvation(t *testing.T) {
+	m := newModel(t, testConfig(), 10_000)
+	m.run(2*time.Second, payStream(3000), slotStream(2000))
 	m.capacity = 2_500
-	p, s := pay(3000), slot(2000)
+	p, s := payStream(3000), slotStream(2000)
 	m.run(5*time.Second, p, s)
-	if s.share() < 0.65 || p.share() > 0.1 {
-		t.Errorf("starved: %.2f of slot and %.2f of pay admitted", s.share(), p.share())
+	if s.admittedShare() < 0.65 || p.admittedShare() > 0.1 {
+		t.Errorf("CPU-starved: %.2f of slot and %.2f of pay admitted", s.admittedShare(), p.admittedShare())
 	}
 	m.capacity = 10_000
-	m.run(time.Second, pay(3000), slot(2000))
-	p, s = pay(3000), slot(2000)
+	m.run(time.Second, payStream(3000), slotStream(2000))
+	p, s = payStream(3000), slotStream(2000)
 	m.run(2*time.Second, p, s)
 	if p.refused+s.refused > 0 {
-		t.Errorf("%d refused a second after the processor was back", p.refused+s.refused)
+		t.Errorf("%d refused a second after the processor was released", p.refused+s.refused)
 	}
 }
 
-// What is worth little is not starved for ever: each class keeps its floor.
-func TestFloorOfAClass(t *testing.T) {
-	m := newModel(t, config(), 10_000)
-	p, s := pay(5_000), slot(40_000)
+// A class of low worth must not starve under a lasting overload: each class keeps its floor.
+func TestClassFloor(t *testing.T) {
+	m := newModel(t, testConfig(), 10_000)
+	p, s := payStream(5_000), slotStream(40_000)
 	m.run(10*time.Second, p, s)
 	if rate := float64(p.admitted) / 10; rate < 0.01*10_000 || rate > 0.1*10_000 {
-		t.Errorf("%.0f a second of the class with little worth", rate)
+		t.Errorf("%.0f submissions a second of the class of low worth admitted", rate)
 	}
-	if m.c.Counters().FloorAdmitted == 0 {
-		t.Error("no floor paid")
+	if m.controller.Counters().FloorAdmitted == 0 {
+		t.Error("nothing was admitted from a floor")
 	}
 }
 
-// One tenant far over its share does not cost the others theirs; alone it may have everything.
-func TestTenantOverItsShare(t *testing.T) {
-	m := newModel(t, config(), 10_000)
-	flood, calm := slot(30_000), slot(3_000)
+// A tenant far over its share must not take the share of another tenant. It may use the capacity that is left. The same holds for a
+// tenant that the settings do not name.
+func TestTenantExceedsItsShare(t *testing.T) {
+	m := newModel(t, testConfig(), 10_000)
+	flood, calm := slotStream(30_000), slotStream(3_000)
 	calm.Tenant, flood.Tenant = "a", "b"
 	m.run(time.Second, flood, calm)
 	flood.read, flood.admitted, calm.read, calm.admitted = 0, 0, 0, 0
 	m.run(5*time.Second, flood, calm)
-	if calm.share() < 0.95 {
-		t.Errorf("the calm tenant: %.3f admitted", calm.share())
+	if calm.admittedShare() < 0.95 {
+		t.Errorf("tenant within its share: %.3f admitted", calm.admittedShare())
 	}
 	if rate := float64(flood.admitted) / 5; rate < 3_500 {
-		t.Errorf("the rest is not used: %.0f a second of the tenant over its share", rate)
+		t.Errorf("free capacity is not used: %.0f submissions a second of the tenant over its share", rate)
 	}
-	unknown := slot(30_000)
+	unknown := slotStream(30_000)
 	unknown.Tenant = "nobody"
 	calm.read, calm.admitted = 0, 0
 	m.run(5*time.Second, unknown, calm)
-	if calm.share() < 0.95 {
-		t.Errorf("beside a tenant that the settings do not name: %.3f admitted", calm.share())
+	if calm.admittedShare() < 0.95 {
+		t.Errorf("next to a tenant that the settings do not name: %.3f admitted", calm.admittedShare())
 	}
 }
 
-// Worth falls with the time that a message has lost, and with the work that it costs.
-func TestWorthPerWork(t *testing.T) {
-	c, err := New(config())
+// The level of a submission falls as it gets later and as its work grows.
+func TestLevelRanksByWorthPerWork(t *testing.T) {
+	c, err := New(testConfig())
 	if err != nil {
 		t.Fatal(err)
 	}
-	level := func(h HandIn) int { return c.level(c.classes[h.Class], c.tenant(h.Tenant), h, c.work(h.Size)) }
+	level := func(h HandIn) int { return c.level(c.classes[h.Class], c.tenantState(h.Tenant), h, c.work(h.Size)) }
 	fresh := HandIn{Class: "slot", Tenant: "a", Left: 5 * time.Second}
 	late, large, pay := fresh, fresh, HandIn{Class: "pay", Tenant: "a", Left: 28 * time.Second}
 	late.Left, large.Size = 2*time.Second, 60_000
@@ -250,120 +255,120 @@
 		t.Errorf("levels: fresh %d, late %d, large %d, pay %d", level(fresh), level(late), level(large), level(pay))
 	}
 	if got := c.worth(c.classes["slot"], 0); math.Abs(got-0.3) > 1e-9 {
-		t.Errorf("at its deadline a slot is worth %v, not the least share of 3", got)
+		t.Errorf("worth of a slot message at its deadline: %v, want 0.3, the product of Worth and LateWorth", got)
 	}
-	if level(HandIn{Class: "unknown"}) != noughtLevel {
-		t.Error("a class that is not known does not count as worth 1")
+	if level(HandIn{Class: "unknown"}) != unitLevel {
+		t.Error("an unknown class is not ranked with worth 1")
 	}
 }
 
-// The time told grows with the pressure and is spread.
-func TestRetryTimes(t *testing.T) {
-	m := newModel(t, config(), 10_000)
-	times := func(p, s *flow) (least, most, mean time.Duration) {
+// The wait named to refused clients grows with the pressure and is spread at random.
+func TestRetryInGrowsAndSpreads(t *testing.T) {
+	m := newModel(t, testConfig(), 10_000)
+	waits := func(p, s *clientStream) (shortest, longest, mean time.Duration) {
 		m.run(3*time.Second, p, s)
-		least = time.Hour
+		shortest = time.Hour
 		for range 500 {
-			in := m.c.retryIn()
-			least, most, mean = min(least, in), max(most, in), mean+in/500
+			wait := m.controller.retryIn()
+			shortest, longest, mean = min(shortest, wait), max(longest, wait), mean+wait/500
 		}
-		return least, most, mean
+		return shortest, longest, mean
 	}
-	_, _, light := times(pay(9_000), slot(6_000))
-	least, most, heavy := times(pay(60_000), slot(40_000))
-	if heavy < 2*light {
-		t.Errorf("told %v at 1.5 times the load and %v at ten times", light, heavy)
+	_, _, lightLoad := waits(payStream(9_000), slotStream(6_000))
+	shortest, longest, heavyLoad := waits(payStream(60_000), slotStream(40_000))
+	if heavyLoad < 2*lightLoad {
+		t.Errorf("mean wait %v at 1.5 times the capacity and %v at ten times", lightLoad, heavyLoad)
 	}
-	if most < 2*least || most > m.c.cfg.RetryMost || least < m.c.cfg.RetryLeast/2 {
-		t.Errorf("spread from %v to %v", least, most)
+	if longest < 2*shortest || longest > m.controller.cfg.RetryMost || shortest < m.controller.cfg.RetryLeast/2 {
+		t.Errorf("waits between %v and %v", shortest, longest)
 	}
 }
 
-// Short memory turns large bodies away first, shrinks what may be held, gives up idle connections, sends held work
-// back; and all of that ends with it.
-func TestShortMemory(t *testing.T) {
-	m := newModel(t, config(), 10_000)
+// Under memory pressure large bodies are refused first, the bytes of open messages are limited, idle connections are closed and,
+// with memory nearly full, open messages are returned. All of this must end when the pressure ends.
+func TestMemoryPressure(t *testing.T) {
+	m := newModel(t, testConfig(), 10_000)
 	memory := 0.85
-	m.sample = func(s *Sample) { s.Memory, s.Held = memory, 600 }
-	small, large := slot(100), slot(100)
+	m.adjustSample = func(s *Sample) { s.MemoryShare, s.Open = memory, 600 }
+	small, large := slotStream(100), slotStream(100)
 	small.Size, large.Size = 500, 60_000
 	m.run(time.Second, small, large)
 	large.read, large.admitted = 0, 0
 	m.run(time.Second, small, large)
 	if small.refused > 0 || large.admitted > 0 {
-		t.Errorf("%d small ones refused, %d large ones admitted", small.refused, large.admitted)
+		t.Errorf("%d small bodies refused, %d large bodies admitted", small.refused, large.admitted)
 	}
-	if m.act.ByteScale >= 1 || !m.act.FreeIdle || m.act.Heavy == 0 || m.act.OpenMost != 1000 || m.act.Easy {
-		t.Errorf("%+v", m.act)
+	if m.actions.OpenBytesScale >= 1 || !m.actions.FreeIdle || m.actions.SizeWeight == 0 || m.actions.MaxOpen != 1000 || m.actions.AmpleMemory {
+		t.Errorf("%+v", m.actions)
 	}
 	memory = 0.94
 	m.run(time.Second, small, large)
-	if m.act.OpenMost >= 600 || m.c.Counters().Squeezes != 1 {
-		t.Errorf("with memory nearly full %d may be open", m.act.OpenMost)
+	if m.actions.MaxOpen >= 600 || m.controller.Counters().OpenLimitCuts != 1 {
+		t.Errorf("memory nearly full: %d messages may be open", m.actions.MaxOpen)
 	}
 	memory = 0.5
 	m.run(3*time.Second, small, large)
-	if m.act != m.c.rest() {
-		t.Errorf("afterwards: %+v", m.act)
+	if m.actions != m.controller.normalActions() {
+		t.Errorf("after the pressure: %+v", m.actions)
 	}
 }
 
-// The bytes of open messages count like memory for what comes in, and for nothing else.
-func TestOpenBytesNearTheirBound(t *testing.T) {
-	m := newModel(t, config(), 10_000)
-	m.sample = func(s *Sample) { s.Bytes = 0.93 }
-	small, large := slot(100), slot(100)
+// The bytes of open messages near their limit restrict submissions as memory use does, and lead to no other action.
+func TestOpenBytesPressure(t *testing.T) {
+	m := newModel(t, testConfig(), 10_000)
+	m.adjustSample = func(s *Sample) { s.OpenBytesShare = 0.93 }
+	small, large := slotStream(100), slotStream(100)
 	small.Size, large.Size = 500, 60_000
 	m.run(time.Second, small, large)
-	if small.refused > 0 || large.refused == 0 || m.act.FreeIdle || m.act.ByteScale < 1 || m.act.OpenMost != 1000 {
-		t.Errorf("%d small and %d large refused, %+v", small.refused, large.refused, m.act)
+	if small.refused > 0 || large.refused == 0 || m.actions.FreeIdle || m.actions.OpenBytesScale < 1 || m.actions.MaxOpen != 1000 {
+		t.Errorf("%d small and %d large bodies refused, %+v", small.refused, large.refused, m.actions)
 	}
 }
 
-// What waits for its call while the processor is short holds the limit down to what goes out; a partner's outage
-// alone, the processor idle, refuses nothing.
-func TestWaitingWork(t *testing.T) {
-	m := newModel(t, config(), 10_000)
-	m.sample = func(s *Sample) { s.Waiting, s.Held = 50_000, 50_000 }
-	p := pay(2_000)
+// Messages that wait for their call while the processor is busy must lower the limit to the rate of completion. During a partner's
+// outage with an idle processor the same queue must not lead to refusals.
+func TestWaitingMessagesLowerTheLimit(t *testing.T) {
+	m := newModel(t, testConfig(), 10_000)
+	m.adjustSample = func(s *Sample) { s.Waiting, s.Open = 50_000, 50_000 }
+	p := payStream(2_000)
 	m.run(5*time.Second, p)
 	if p.refused > 0 {
-		t.Errorf("%d refused for an outage", p.refused)
+		t.Errorf("%d refused because of an outage", p.refused)
 	}
-	m.sample = func(s *Sample) { s.Waiting, s.Held, s.Busy, s.Ended, s.Holding = 50_000, 900, 1, 100, 0.6 }
-	m.run(2*time.Second, pay(8_000))
-	if !m.act.Shedding || m.act.Limit > 2_500 {
-		t.Errorf("limit %.0f where 2000 a second end", m.act.Limit)
+	m.adjustSample = func(s *Sample) { s.Waiting, s.Open, s.BusyShare, s.Ended, s.SchedulingShare = 50_000, 900, 1, 100, 0.6 }
+	m.run(2*time.Second, payStream(8_000))
+	if !m.actions.Shedding || m.actions.WorkLimit > 2_500 {
+		t.Errorf("limit %.0f where 2000 messages a second end", m.actions.WorkLimit)
 	}
-	if m.act.OpenMost > 500 {
-		t.Errorf("deciding takes 0.6 of the processor, and %d may be open", m.act.OpenMost)
+	if m.actions.MaxOpen > 500 {
+		t.Errorf("deciding about open messages takes 0.6 of the processor, and %d may be open", m.actions.MaxOpen)
 	}
 }
 
-// Brownout goes by the load and ends with the shedding.
-func TestBrownout(t *testing.T) {
-	m := newModel(t, config(), 10_000)
-	m.sample = func(s *Sample) { s.Delay = 30 * ms }
-	m.run(time.Second, pay(5_000))
-	if m.act.Brownout != Quiet {
-		t.Errorf("%v at 30 ms", m.act.Brownout)
-	}
-	m.sample = func(s *Sample) { s.Delay = 100 * ms }
-	m.run(time.Second, pay(5_000))
-	if m.act.Brownout != Sparing || m.act.Cause != Delay || m.act.Reading != 100 {
-		t.Errorf("%+v at 100 ms", m.act)
-	}
-	m.sample = nil
-	m.run(3*time.Second, pay(100))
-	if m.act.Brownout != Full {
-		t.Errorf("%v afterwards", m.act.Brownout)
+// The brownout level follows the load and returns to BrownoutOff when shedding ends.
+func TestBrownoutLevels(t *testing.T) {
+	m := newModel(t, testConfig(), 10_000)
+	m.adjustSample = func(s *Sample) { s.Delay = 30 * ms }
+	m.run(time.Second, payStream(5_000))
+	if m.actions.Brownout != BrownoutLight {
+		t.Errorf("brownout level %v at a delay of 30 ms", m.actions.Brownout)
+	}
+	m.adjustSample = func(s *Sample) { s.Delay = 100 * ms }
+	m.run(time.Second, payStream(5_000))
+	if m.actions.Brownout != BrownoutHeavy || m.actions.Cause != CauseDelay || m.actions.Reading != 100 {
+		t.Errorf("%+v at a delay of 100 ms", m.actions)
+	}
+	m.adjustSample = nil
+	m.run(3*time.Second, payStream(100))
+	if m.actions.Brownout != BrownoutOff {
+		t.Errorf("brownout level %v after shedding", m.actions.Brownout)
 	}
 }
 
-// Whatever is read and handed in, no figure leaves its bounds.
-func TestBoundsHoldForAnything(t *testing.T) {
+// Property: for any samples and submissions, all values of Actions and all waits stay within their bounds.
+func TestActionsStayWithinBounds(t *testing.T) {
 	proptest.Check(t, func(t *rapid.T) {
-		cfg := config()
+		cfg := testConfig()
 		c, err := New(cfg)
 		if err != nil {
 			t.Fatal(err)
@@ -376,48 +381,49 @@
 					Tenant: rapid.SampledFrom([]string{"a", "b", ""}).Draw(t, "tenant"), Size: rapid.IntRange(0, 1<<20).Draw(t, "size"),
 					Left: time.Duration(rapid.Int64Range(-1e12, 1e12).Draw(t, "left"))})
 				if r.Refused && (r.RetryIn < cfg.RetryLeast/2 || r.RetryIn > cfg.RetryMost) {
-					t.Fatalf("told to come back in %v", r.RetryIn)
+					t.Fatalf("RetryIn is %v", r.RetryIn)
 				}
 			}
 			now += time.Duration(rapid.IntRange(0, 200).Draw(t, "tick")) * ms
 			any := func(name string) float64 { return rapid.Float64Range(0, 10).Draw(t, name) }
-			a := c.Tick(now, Sample{Busy: any("busy"), Delay: time.Duration(any("delay") * 1e9), Memory: any("memory"), Bytes: any("bytes"),
-				Held: rapid.IntRange(0, 1e6).Draw(t, "held"), Waiting: rapid.IntRange(0, 1e6).Draw(t, "waiting"),
-				Ended: rapid.IntRange(0, 1e6).Draw(t, "ended"), Holding: any("holding")})
-			if a.Pace < 0 || a.Pace > cfg.MostPace || a.OpenMost < 1 || a.OpenMost > cfg.OpenMost || a.LargeMost < cfg.LargeLeast ||
-				a.LargeMost > cfg.LargeMost || !(a.ByteScale >= 0.25 && a.ByteScale <= 1) || math.IsNaN(a.Limit) || math.IsInf(a.Limit, 0) ||
-				a.Shedding && a.Limit < cfg.LeastRate || a.Cut < 0 || a.Cut >= levels {
+			a := c.Tick(now, Sample{BusyShare: any("busy"), Delay: time.Duration(any("delay") * 1e9), MemoryShare: any("memory"), OpenBytesShare: any("bytes"),
+				Open: rapid.IntRange(0, 1e6).Draw(t, "held"), Waiting: rapid.IntRange(0, 1e6).Draw(t, "waiting"),
+				Ended: rapid.IntRange(0, 1e6).Draw(t, "ended"), SchedulingShare: any("holding")})
+			if a.ReadPause < 0 || a.ReadPause > cfg.MostPace || a.MaxOpen < 1 || a.MaxOpen > cfg.OpenMost || a.MaxBodyBytes < cfg.MaxBodyBytesAtFull ||
+				a.MaxBodyBytes > cfg.MaxBodyBytes || !(a.OpenBytesScale >= 0.25 && a.OpenBytesScale <= 1) || math.IsNaN(a.WorkLimit) || math.IsInf(a.WorkLimit, 0) ||
+				a.Shedding && a.WorkLimit < cfg.LeastRate || a.CutLevel < 0 || a.CutLevel >= levelCount {
 				t.Fatalf("%+v", a)
 			}
 		}
 	})
 }
 
-func TestConfigurationsThatMakeNoSense(t *testing.T) {
-	for want, spoil := range map[string]func(*Config){
-		"Classes":      func(c *Config) { c.Classes = nil },
-		"TargetBusy":   func(c *Config) { c.TargetBusy = math.NaN() },
-		"TargetDelay":  func(c *Config) { c.TargetDelay = 0 },
-		"Confirm":      func(c *Config) { c.Confirm = 0 },
-		"Floor":        func(c *Config) { c.Floor = 0.4 },
-		"BodyWork":     func(c *Config) { c.BodyWork = 0 },
-		"RefusalShare": func(c *Config) { c.RefusalShare = 0 },
-		"RetryMost":    func(c *Config) { c.RetryMost = ms },
-		"MemoryHigh":   func(c *Config) { c.MemoryHigh = 0.99 },
-		"LargeLeast":   func(c *Config) { c.LargeLeast = 1 << 30 },
+func TestCheckNamesTheInvalidField(t *testing.T) {
+	for want, change := range map[string]func(*Config){
+		"Classes":            func(c *Config) { c.Classes = nil },
+		"TargetBusy":         func(c *Config) { c.TargetBusy = math.NaN() },
+		"TargetDelay":        func(c *Config) { c.TargetDelay = 0 },
+		"Confirm":            func(c *Config) { c.Confirm = 0 },
+		"Floor":              func(c *Config) { c.Floor = 0.4 },
+		"BodyWork":           func(c *Config) { c.BodyWork = 0 },
+		"RefusalShare":       func(c *Config) { c.RefusalShare = 0 },
+		"RetryMost":          func(c *Config) { c.RetryMost = ms },
+		"MemoryHigh":         func(c *Config) { c.MemoryHigh = 0.99 },
+		"MaxBodyBytesAtFull": func(c *Config) { c.MaxBodyBytesAtFull = 1 << 30 },
 	} {
-		cfg := config()
-		spoil(&cfg)
+		cfg := testConfig()
+		change(&cfg)
 		if _, err := New(cfg); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: %v", want, err)
+			t.Errorf("error without %s: %v", want, err)
 		}
 	}
 }
 
+// BenchmarkAdmit measures Admit at a normal load and while shedding.
 func BenchmarkAdmit(b *testing.B) {
 	for _, shedding := range []bool{false, true} {
 		b.Run(map[bool]string{false: "calm", true: "shedding"}[shedding], func(b *testing.B) {
-			c, err := New(config())
+			c, err := New(testConfig())
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -427,7 +433,7 @@
 					for range 5000 {
 						c.Admit(time.Duration(i)*50*ms, h)
 					}
-					c.Tick(time.Duration(i)*50*ms, Sample{Busy: 1})
+					c.Tick(time.Duration(i)*50*ms, Sample{BusyShare: 1})
 				}
 			}
 			b.ReportAllocs()
--- a/internal/tlspolicy/gate.go
+++ b/internal/tlspolicy/handshake_gate.go
@@ -31,14 +31,14 @@
 
 // Gate decides when handshakes begin. Times count from any one origin. It is not safe for several goroutines at once.
 type Gate struct {
-	cfg     GateConfig
-	cost    float64 // seconds, smoothed
-	tokens  float64 // seconds of handshake time
-	at      time.Duration
-	busy    float64 // the program's own load, 0 to 1
-	waiting []Ask   // most worth first, then in order of arrival
-	under   map[string]int
-	count   GateCounters
+	cfg          GateConfig
+	costSeconds  float64 // seconds, smoothed
+	tokenSeconds float64 // seconds of handshake time
+	tokensAt     time.Duration
+	busyShare    float64 // the program's own load, 0 to 1
+	waiting      []Ask   // most worth first, then in order of arrival
+	active       map[string]int
+	counters     GateCounters
 }
 
 // GateCounters count since the start.
@@ -46,11 +46,11 @@
 
 // NewGate returns a Gate.
 func NewGate(cfg GateConfig) *Gate {
-	return &Gate{cfg: cfg, cost: cfg.Cost.Seconds(), tokens: cfg.Burst.Seconds(), under: map[string]int{}}
+	return &Gate{cfg: cfg, costSeconds: cfg.Cost.Seconds(), tokenSeconds: cfg.Burst.Seconds(), active: map[string]int{}}
 }
 
 // Counters returns the counters.
-func (g *Gate) Counters() GateCounters { return g.count }
+func (g *Gate) Counters() GateCounters { return g.counters }
 
 // Waiting is how many flows wait.
 func (g *Gate) Waiting() int { return len(g.waiting) }
@@ -66,11 +66,11 @@
 }
 
 // Load tells the program's own load, as a share of what it may use: the more, the fewer handshakes.
-func (g *Gate) Load(busy float64) { g.busy = min(max(busy, 0), 1) }
+func (g *Gate) Load(busy float64) { g.busyShare = min(max(busy, 0), 1) }
 
 // Add takes a flow in. Next says when it may begin.
 func (g *Gate) Add(a Ask) {
-	g.count.Asked++
+	g.counters.Asked++
 	at, _ := slices.BinarySearchFunc(g.waiting, a, func(o, a Ask) int {
 		if c := cmp.Compare(a.Worth, o.Worth); c != 0 {
 			return c
@@ -80,36 +80,36 @@
 	g.waiting = slices.Insert(g.waiting, at, a)
 }
 
-// rate is handshake time a second: all of the share while half of the program is idle, little when it is full.
-func (g *Gate) rate() float64 {
-	room := min(max((1-g.busy)*2, 0.1), 1)
-	return max(g.cfg.Share*room, g.cfg.Least*g.cost)
+// tokenRate is handshake time a second: all of the share while half of the program is idle, little when it is full.
+func (g *Gate) tokenRate() float64 {
+	room := min(max((1-g.busyShare)*2, 0.1), 1)
+	return max(g.cfg.Share*room, g.cfg.Least*g.costSeconds)
 }
 
 // Next returns the flows whose handshakes begin now, most worth first, and those whose time is up; and when to ask
 // again, a duration from now: 0 if nothing waits for time alone.
 func (g *Gate) Next(now time.Duration) (begin, expired []uint64, again time.Duration) {
-	g.tokens = min(g.tokens+g.rate()*max(now-g.at, 0).Seconds(), max(g.cfg.Burst.Seconds(), g.cost))
-	g.at = max(now, g.at)
+	g.tokenSeconds = min(g.tokenSeconds+g.tokenRate()*max(now-g.tokensAt, 0).Seconds(), max(g.cfg.Burst.Seconds(), g.costSeconds))
+	g.tokensAt = max(now, g.tokensAt)
 	g.waiting = slices.DeleteFunc(g.waiting, func(a Ask) bool {
 		if a.Deadline <= now {
 			expired = append(expired, a.ID)
-			g.count.Expired++
+			g.counters.Expired++
 			return true
 		}
-		if g.tokens < g.cost || g.under[a.Endpoint] >= g.cfg.PerEndpoint {
+		if g.tokenSeconds < g.costSeconds || g.active[a.Endpoint] >= g.cfg.PerEndpoint {
 			return false
 		}
-		g.tokens -= g.cost
-		g.under[a.Endpoint]++
-		g.count.Begun++
+		g.tokenSeconds -= g.costSeconds
+		g.active[a.Endpoint]++
+		g.counters.Begun++
 		begin = append(begin, a.ID)
 		return true
 	})
 	for _, a := range g.waiting {
 		in := a.Deadline - now
-		if g.under[a.Endpoint] < g.cfg.PerEndpoint {
-			in = min(in, time.Duration(max(g.cost-g.tokens, 0)/g.rate()*float64(time.Second))+time.Microsecond)
+		if g.active[a.Endpoint] < g.cfg.PerEndpoint {
+			in = min(in, time.Duration(max(g.costSeconds-g.tokenSeconds, 0)/g.tokenRate()*float64(time.Second))+time.Microsecond)
 		}
 		if again == 0 || in < again {
 			again = in
@@ -120,11 +120,11 @@
 
 // Done takes in the end of a handshake that had begun, and the processor time that it took; 0 if it is not known.
 func (g *Gate) Done(endpoint string, took time.Duration) {
-	if g.under[endpoint]--; g.under[endpoint] <= 0 {
-		delete(g.under, endpoint)
+	if g.active[endpoint]--; g.active[endpoint] <= 0 {
+		delete(g.active, endpoint)
 	}
 	if took > 0 {
-		g.cost += 0.1 * (min(took.Seconds(), 0.1) - g.cost)
+		g.costSeconds += 0.1 * (min(took.Seconds(), 0.1) - g.costSeconds)
 	}
 }
 
@@ -134,7 +134,7 @@
 	for i, a := range g.waiting {
 		if a.Endpoint == endpoint {
 			g.waiting = slices.Delete(g.waiting, i, i+1)
-			g.count.Carried++
+			g.counters.Carried++
 			return a.ID, true
 		}
 	}
--- a/internal/tlspolicy/policy.go
+++ b/internal/tlspolicy/policy.go
@@ -113,7 +113,7 @@
 // For finds the policy of a pool member, by its destination, name and address; nil for plain.
 func (t Table) For(destination int, host, dial string) *Policy {
 	for i := range t {
-		if p := &t[i]; p.fits(destination, host, dial) {
+		if p := &t[i]; p.matches(destination, host, dial) {
 			if p.Plain {
 				return nil
 			}
@@ -123,7 +123,7 @@
 	return nil
 }
 
-func (p *Policy) fits(destination int, host, dial string) bool {
+func (p *Policy) matches(destination int, host, dial string) bool {
 	for i, d := range p.Destinations {
 		if d == destination {
 			break
@@ -170,7 +170,7 @@
 		}
 		var err error
 		if chains, err = leaf.Verify(x509.VerifyOptions{Roots: roots, Intermediates: between, DNSName: name, CurrentTime: now}); err != nil {
-			return classify(err, leaf)
+			return classifyX509(err, leaf)
 		}
 	}
 	if len(p.Pins) == 0 {
@@ -185,7 +185,7 @@
 			}
 		}
 	}
-	return failure(PinMissing, leaf, nil)
+	return newFailure(PinMissing, leaf, nil)
 }
 
 // Cause is what made a handshake fail.
@@ -206,16 +206,16 @@
 	NotTLS        // what came is no TLS
 	Stalled       // nothing came in time
 	Broken        // the connection ended
-	causes
+	causeCount
 )
 
-var causeNames = [causes]string{"other", "expired", "not yet valid", "unknown root", "wrong name", "pin", "no certificate",
+var causeNames = [causeCount]string{"other", "expired", "not yet valid", "unknown root", "wrong name", "pin", "no certificate",
 	"unsuitable certificate", "client certificate refused", "no version in common", "not TLS", "stalled", "broken"}
 
 func (c Cause) String() string { return causeNames[c] }
 
 // Causes is how many causes there are.
-const Causes = int(causes)
+const Causes = int(causeCount)
 
 // Failure is a failed handshake, with what is known of the certificate that was shown.
 type Failure struct {
@@ -240,7 +240,7 @@
 
 func (f *Failure) Unwrap() error { return f.Err }
 
-func failure(cause Cause, leaf *x509.Certificate, err error) *Failure {
+func newFailure(cause Cause, leaf *x509.Certificate, err error) *Failure {
 	f := &Failure{Cause: cause, Err: err}
 	if leaf != nil {
 		sum := sha256.Sum256(leaf.Raw)
@@ -261,7 +261,7 @@
 		if len(verify.UnverifiedCertificates) > 0 {
 			leaf = verify.UnverifiedCertificates[0]
 		}
-		f := classify(verify.Err, leaf)
+		f := classifyX509(verify.Err, leaf)
 		if f.Cause == Expired && leaf != nil && now.Before(leaf.NotBefore) {
 			f.Cause = NotYetValid
 		}
@@ -274,37 +274,37 @@
 	switch {
 	case errors.As(err, &record), strings.Contains(text, "first record does not look like a TLS handshake"),
 		strings.Contains(text, "unexpected message"), strings.Contains(text, "oversized record"):
-		return failure(NotTLS, nil, err)
+		return newFailure(NotTLS, nil, err)
 	case errors.As(err, &alert):
-		if cause, ok := alerts[uint8(alert)]; ok {
-			return failure(cause, nil, err)
+		if cause, ok := alertCauses[uint8(alert)]; ok {
+			return newFailure(cause, nil, err)
 		}
 	case strings.Contains(text, "remote error: tls: "): // crypto/tls tells an alert of the server by a type of its own
-		for number, cause := range alerts {
+		for number, cause := range alertCauses {
 			if strings.HasSuffix(text, tls.AlertError(number).Error()) {
-				return failure(cause, nil, err)
+				return newFailure(cause, nil, err)
 			}
 		}
 	case strings.Contains(text, "unsupported version"), strings.Contains(text, "unsupported protocol version"),
 		strings.Contains(text, "no cipher suite"):
-		return failure(Versions, nil, err)
+		return newFailure(Versions, nil, err)
 	}
 	if errors.As(err, &timeout) && timeout.Timeout() {
-		return failure(Stalled, nil, err)
+		return newFailure(Stalled, nil, err)
 	}
 	if strings.Contains(text, "EOF") || strings.Contains(text, "reset") || strings.Contains(text, "broken pipe") || strings.Contains(text, "closed") {
-		return failure(Broken, nil, err)
+		return newFailure(Broken, nil, err)
 	}
-	return failure(Other, nil, err)
+	return newFailure(Other, nil, err)
 }
 
-// alerts are what servers say of why they end a handshake (RFC 8446, section 6.2). handshake_failure is told where nothing
+// alertCauses are what servers say of why they end a handshake (RFC 8446, section 6.2). handshake_failure is told where nothing
 // is in common, and by some where a certificate of ours is missing.
-var alerts = map[uint8]Cause{40: Versions, 70: Versions, 71: Versions, 42: ClientRefused, 43: ClientRefused, 44: ClientRefused, 45: ClientRefused,
+var alertCauses = map[uint8]Cause{40: Versions, 70: Versions, 71: Versions, 42: ClientRefused, 43: ClientRefused, 44: ClientRefused, 45: ClientRefused,
 	46: ClientRefused, 48: ClientRefused, 49: ClientRefused, 116: ClientRefused, 112: WrongName}
 
-// classify finds the cause behind an error of x509.
-func classify(err error, leaf *x509.Certificate) *Failure {
+// classifyX509 finds the cause behind an error of x509.
+func classifyX509(err error, leaf *x509.Certificate) *Failure {
 	var invalid x509.CertificateInvalidError
 	var unknown x509.UnknownAuthorityError
 	var name x509.HostnameError
@@ -320,5 +320,5 @@
 	case errors.As(err, &name):
 		cause = WrongName
 	}
-	return failure(cause, leaf, err)
+	return newFailure(cause, leaf, err)
 }
--- a/internal/tlspolicy/tlspolicy_test.go
+++ b/internal/tlspolicy/tlspolicy_test.go
@@ -25,7 +25,7 @@
 	return v
 }
 
-func policy(change func(*Policy)) Policy {
+func testPolicy(change func(*Policy)) Policy {
 	p := Policy{Name: "bank", SystemRoots: true, MinVersion: tls.VersionTLS12, Sessions: 4}
 	if change != nil {
 		change(&p)
@@ -33,7 +33,7 @@
 	return p
 }
 
-func TestPoliciesThatMakeNoSense(t *testing.T) {
+func TestCheckNamesTheInvalidField(t *testing.T) {
 	pin := Pin{1}
 	for want, change := range map[string]func(*Policy){
 		"hosts":             func(p *Policy) { p.Hosts = "[" },
@@ -46,24 +46,24 @@
 		"sessions":          func(p *Policy) { p.Sessions = -1 },
 		"server_name":       func(p *Policy) { p.ServerName = "*.bank" },
 	} {
-		p := policy(change)
+		p := testPolicy(change)
 		if err := p.Check(); err == nil || !strings.Contains(err.Error(), want) || !strings.Contains(err.Error(), "bank") {
 			t.Errorf("%s: %v", want, err)
 		}
 	}
-	if err := (Table{policy(nil), policy(nil)}).Check(); err == nil {
+	if err := (Table{testPolicy(nil), testPolicy(nil)}).Check(); err == nil {
 		t.Error("two of one name were taken")
 	}
-	if err := (Table{policy(nil), {Name: "rest", Plain: true}}).Check(); err != nil {
+	if err := (Table{testPolicy(nil), {Name: "rest", Plain: true}}).Check(); err != nil {
 		t.Error(err)
 	}
 }
 
-func TestFirstPolicyThatFits(t *testing.T) {
-	table := Table{policy(func(p *Policy) { p.Name, p.Destinations = "seven", []int{7, 9} }),
+func TestFirstMatchingPolicyApplies(t *testing.T) {
+	table := Table{testPolicy(func(p *Policy) { p.Name, p.Destinations = "seven", []int{7, 9} }),
 		{Name: "inside", Hosts: "10.*", Plain: true},
-		policy(func(p *Policy) { p.Name, p.Hosts = "bank", "*.bank.example.org" }),
-		policy(func(p *Policy) { p.Name, p.Hosts, p.Destinations = "pay", "pay-*", []int{3} })}
+		testPolicy(func(p *Policy) { p.Name, p.Hosts = "bank", "*.bank.example.org" }),
+		testPolicy(func(p *Policy) { p.Name, p.Hosts, p.Destinations = "pay", "pay-*", []int{3} })}
 	for _, c := range []struct {
 		dest             int
 		host, dial, want string
@@ -80,7 +80,7 @@
 			t.Errorf("%+v: %q", c, name)
 		}
 	}
-	p := policy(nil)
+	p := testPolicy(nil)
 	if p.ServerNameOf("pay.example.org:443") != "pay.example.org" || p.ServerNameOf("odd") != "odd" {
 		t.Error("the name is not the address's host")
 	}
@@ -89,7 +89,7 @@
 	}
 }
 
-func TestPins(t *testing.T) {
+func TestParsePin(t *testing.T) {
 	root := must(ca.Root("root", ca.P256))
 	pin := PinOf(root.Cert)
 	if got, err := ParsePin(pin.String()); err != nil || got != pin {
@@ -127,7 +127,7 @@
 		{WrongName, "pay.example.com", roots, now, nil},
 		{Expired, "pay.example.org", roots, now.Add(48 * time.Hour), nil},
 	} {
-		p := policy(func(p *Policy) { p.Pins = c.pins })
+		p := testPolicy(func(p *Policy) { p.Pins = c.pins })
 		err := p.Accept(resumed, c.name, c.roots, c.at)
 		var f *Failure
 		if c.cause == -1 {
@@ -140,17 +140,17 @@
 			t.Errorf("want %v: %v", c.cause, err)
 		}
 	}
-	p := policy(nil)
+	p := testPolicy(nil)
 	if err := p.Accept(&tls.ConnectionState{}, "x", roots, now); Classify(err, now).Cause != NoCertificate {
 		t.Errorf("%v", err)
 	}
 }
 
-type timeout struct{}
+type timeoutError struct{}
 
-func (timeout) Error() string   { return "i/o timeout" }
-func (timeout) Timeout() bool   { return true }
-func (timeout) Temporary() bool { return true }
+func (timeoutError) Error() string   { return "i/o timeout" }
+func (timeoutError) Timeout() bool   { return true }
+func (timeoutError) Temporary() bool { return true }
 
 func TestClassify(t *testing.T) {
 	leaf := must(must(ca.Root("root", ca.P256)).Issue(ca.Leaf{Names: []string{"x"}})).Cert
@@ -169,7 +169,7 @@
 		{tls.AlertError(48), ClientRefused},
 		{tls.AlertError(70), Versions},
 		{tls.AlertError(80), Other},
-		{timeout{}, Stalled},
+		{timeoutError{}, Stalled},
 		{&net.OpError{Op: "read", Err: syscall.ECONNRESET}, Broken},
 		{io.EOF, Broken},
 		{errors.New("what"), Other},
@@ -183,7 +183,7 @@
 const ms = time.Millisecond
 
 // Handshakes begin at the rate that their cost allows, most worth first, and never wait for ever.
-func TestGateAdmitsByWorthAtARate(t *testing.T) {
+func TestGateStartsMostWorthAtTheRate(t *testing.T) {
 	g := NewGate(GateConfig{Share: 0.2, Least: 1, PerEndpoint: 100, Cost: 10 * ms, Burst: 20 * ms})
 	for i := range 20 {
 		g.Add(Ask{ID: uint64(i), Endpoint: fmt.Sprint(i), Worth: float64(i % 2), Deadline: time.Hour})
@@ -206,7 +206,7 @@
 }
 
 // A busy program admits fewer, and a few in any case; costs are learned.
-func TestGateHeedsTheLoad(t *testing.T) {
+func TestGateRateFollowsLoadAndCost(t *testing.T) {
 	count := func(busy float64) (n int) {
 		g := NewGate(GateConfig{Share: 0.2, Least: 2, PerEndpoint: 1000, Cost: 2 * ms, Burst: 2 * ms})
 		g.Load(busy)
@@ -226,13 +226,13 @@
 	for range 100 {
 		g.Done("e", 8*ms)
 	}
-	if g.cost < 0.0079 {
-		t.Errorf("learned a cost of %v", g.cost)
+	if g.costSeconds < 0.0079 {
+		t.Errorf("learned a cost of %v", g.costSeconds)
 	}
 }
 
 // Few at a time to one endpoint; what waits gets the connection that falls idle there, most worth first.
-func TestGateCarriesTheQueue(t *testing.T) {
+func TestGateAssignsIdleConnections(t *testing.T) {
 	g := NewGate(GateConfig{Share: 1, PerEndpoint: 1, Cost: ms, Burst: time.Second})
 	g.Add(Ask{ID: 1, Endpoint: "a", Deadline: time.Hour})
 	g.Add(Ask{ID: 2, Endpoint: "a", Deadline: time.Hour})
@@ -263,7 +263,7 @@
 }
 
 // Whatever comes: each flow is begun, carried, expired or dropped at most once, and no endpoint has more than its due.
-func TestGateProperties(t *testing.T) {
+func TestGateEndsEachRequestOnce(t *testing.T) {
 	proptest.Check(t, func(t *rapid.T) {
 		cfg := GateConfig{Share: 0.3, Least: 1, PerEndpoint: rapid.IntRange(1, 3).Draw(t, "per"), Cost: ms, Burst: 5 * ms}
 		g := NewGate(cfg)
