--- a/internal/limitstore/limitstore_test.go
+++ b/internal/limitstore/limitstore_test.go
@@ -18,112 +18,115 @@
 
 var testTime = time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC)
 
+// Limits must survive a restart, unless they are old. Invalid rates are not recorded.
 func TestLimitsSurviveRestart(t *testing.T) {
 	dir := t.TempDir()
-	m := Open(dir, 20_000, testTime)
-	if len(m.Limits()) > 0 {
-		t.Fatal("an empty folder remembers")
+	store := Open(dir, 20_000, testTime)
+	if len(store.Limits()) > 0 {
+		t.Fatal("an empty folder contains limits")
 	}
-	m.Learn(3, 25, testTime)
-	m.Learn(1, 250, testTime)
-	m.Learn(3, 25.5, testTime) // noise
-	for _, absurd := range []float64{0, -1, math.NaN(), math.Inf(1)} {
-		m.Learn(2, absurd, testTime)
+	store.Learn(3, 25, testTime)
+	store.Learn(1, 250, testTime)
+	store.Learn(3, 25.5, testTime) // a change too small to request a write
+	for _, invalid := range []float64{0, -1, math.NaN(), math.Inf(1)} {
+		store.Learn(2, invalid, testTime)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	m.Run(ctx) // the end writes too
+	store.Run(ctx) // a write at the end of ctx
 	got := Open(dir, 20_000, testTime.Add(time.Second)).Limits()
 	if want := map[int]float64{1: 250, 3: 25.5}; !maps.Equal(got, want) {
-		t.Errorf("%v", got)
+		t.Errorf("limits after a restart: %v", got)
 	}
 	if got := Open(dir, 20_000, testTime.Add(time.Hour)).Limits(); len(got) > 0 {
-		t.Errorf("after an hour: %v", got)
+		t.Errorf("limits after an hour: %v", got)
 	}
 	if got := Open(dir, 20_000, testTime.Add(-time.Minute)).Limits(); len(got) != 2 {
-		t.Errorf("with the clock a minute back: %v", got)
+		t.Errorf("limits with the clock set back by a minute: %v", got)
 	}
 	if names, _ := filepath.Glob(filepath.Join(dir, "*")); len(names) != 1 {
-		t.Errorf("the folder holds %v", names)
+		t.Errorf("files in the folder: %v", names)
 	}
 }
 
-// What cannot be read is passed over whole, and the next write mends it.
+// A file that cannot be read must yield no limits, and the next write must replace it. A file may be truncated, corrupt or in
+// another format. Decode must not return an invalid limit for any input.
 func TestUnreadableFileIsIgnored(t *testing.T) {
 	good, err := Encode([]Limit{{1, 250, testTime}, {2, 30, testTime}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	for what, raw := range map[string]string{"torn": string(good[:len(good)/2]), "empty": "", "foreign": "REDIS0011\xfa",
-		"newer": "slatemux-learned-2 00000000\n[]\n", "no list": "slatemux-learned-1 8c736521\nnull\n"} {
+	for kind, raw := range map[string]string{"truncated": string(good[:len(good)/2]), "empty": "", "other format": "REDIS0011\xfa",
+		"wrong checksum": "slatemux-learned-2 00000000\n[]\n", "no list": "slatemux-learned-1 8c736521\nnull\n"} {
 		dir := t.TempDir()
 		path := filepath.Join(dir, fileName)
 		if err := os.WriteFile(path, []byte(raw), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		m := Open(dir, 20_000, testTime)
-		if len(m.Limits()) > 0 {
-			t.Errorf("%s: remembers %v", what, m.Limits())
+		store := Open(dir, 20_000, testTime)
+		if len(store.Limits()) > 0 {
+			t.Errorf("%s: limits %v", kind, store.Limits())
 		}
-		m.Learn(7, 9, testTime)
-		if err := m.write(); err != nil || len(Open(dir, 20_000, testTime).Limits()) != 1 {
-			t.Errorf("%s: not mended: %v", what, err)
+		store.Learn(7, 9, testTime)
+		if err := store.write(); err != nil || len(Open(dir, 20_000, testTime).Limits()) != 1 {
+			t.Errorf("%s: not replaced: %v", kind, err)
 		}
 	}
 	proptest.Check(t, func(t *rapid.T) {
 		limits, err := Decode(proptest.Garbage(t, good), testTime)
 		for _, l := range limits {
 			if !l.valid(testTime) {
-				t.Fatalf("%v, %v", limits, err)
+				t.Fatalf("invalid limit in %v, error %v", limits, err)
 			}
 		}
 	})
 }
 
+// The number of limits and the size of the file must stay within the space that Open is given, for the longest entries.
 func TestFileStaysWithinItsBound(t *testing.T) {
-	m := Open(t.TempDir(), 20_000, testTime)
+	store := Open(t.TempDir(), 20_000, testTime)
 	for d := range 300 {
-		m.Learn(1e9+d, 1e6-math.Pi*float64(d), testTime.Add(123456789))
+		store.Learn(1e9+d, 1e6-math.Pi*float64(d), testTime.Add(123456789))
 	}
-	raw, err := Encode(m.sortedLimits())
-	if err != nil || len(m.Limits()) != 194 || len(raw) > 19*blockBytes {
-		t.Errorf("%d limits in %d bytes, %v", len(m.Limits()), len(raw), err)
+	raw, err := Encode(store.sortedLimits())
+	if err != nil || len(store.Limits()) != 194 || len(raw) > 19*blockBytes {
+		t.Errorf("%d limits in %d bytes, %v", len(store.Limits()), len(raw), err)
 	}
 }
 
-// A folder that holds next to nothing gets no file, for one counts in whole blocks.
+// Files are counted in whole blocks. With room for less than two blocks, no file may be written.
 func TestNoFileWithoutRoom(t *testing.T) {
 	dir := t.TempDir()
-	m := Open(dir, 2*blockBytes-1, testTime)
-	m.Learn(7, 25, testTime)
+	store := Open(dir, 2*blockBytes-1, testTime)
+	store.Learn(7, 25, testTime)
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	m.Run(ctx)
-	if names, _ := filepath.Glob(filepath.Join(dir, "*")); len(names) != 0 || len(m.Limits()) != 0 {
-		t.Errorf("the folder holds %v", names)
+	store.Run(ctx)
+	if names, _ := filepath.Glob(filepath.Join(dir, "*")); len(names) != 0 || len(store.Limits()) != 0 {
+		t.Errorf("files in the folder: %v", names)
 	}
 }
 
-// The smallest folder that a deployment has named, 3 MB, remembers over a thousand destinations; a file of the version before is
-// read.
+// The smallest folder of a deployment, 3 MB, must have room for the limits of over a thousand destinations. A file of the previous
+// format must be readable.
 func TestSmallestDeploymentHoldsAThousandDestinations(t *testing.T) {
 	dir, now := t.TempDir(), time.Now()
-	m := Open(dir, 3_000_000/16, now)
+	store := Open(dir, 3_000_000/16, now)
 	for d := range 1500 {
-		m.Learn(d, 1e6/float64(d+3), now)
+		store.Learn(d, 1e6/float64(d+3), now)
 	}
-	if err := m.write(); err != nil {
+	if err := store.write(); err != nil {
 		t.Fatal(err)
 	}
 	if info, err := os.Stat(filepath.Join(dir, fileName)); err != nil || info.Size() > 3_000_000/32 {
-		t.Errorf("%v, %v: there is no room for it twice", info.Size(), err)
+		t.Errorf("file of %v bytes, error %v: the space does not hold the file twice", info.Size(), err)
 	}
 	got := Open(dir, 3_000_000/16, now).Limits()
 	if len(got) != 1500 || math.Abs(got[1400]-1e6/1403) > 0.01 {
-		t.Errorf("%d destinations are remembered, 1400 with %v", len(got), got[1400])
+		t.Errorf("%d destinations, rate of destination 1400: %v", len(got), got[1400])
 	}
 	body := `[{"destination":7,"rate":25,"at":"` + now.UTC().Format(time.RFC3339Nano) + `"}]`
-	if old, err := Decode(fmt.Appendf(nil, "%s %08x\n%s\n", previousVersion, crc32.ChecksumIEEE([]byte(body)), body), now); err != nil || len(old) != 1 || old[0].Rate != 25 {
-		t.Errorf("%v, %v", old, err)
+	if legacy, err := Decode(fmt.Appendf(nil, "%s %08x\n%s\n", previousVersion, crc32.ChecksumIEEE([]byte(body)), body), now); err != nil || len(legacy) != 1 || legacy[0].Rate != 25 {
+		t.Errorf("limits from the previous format: %v, error %v", legacy, err)
 	}
 }
--- a/internal/overload/overload.go
+++ b/internal/overload/overload.go
@@ -124,6 +124,7 @@
 
 var causeNames = [causeCount]string{"none", "busy", "delay", "memory", "bytes"}
 
+// String returns the name of the cause for logs.
 func (c Cause) String() string { return causeNames[c] }
 
 // Brownout is the level to which costly activities are reduced. Each level includes the lower ones.
@@ -321,6 +322,7 @@
 	return Ruling{}
 }
 
+// refusal returns the decision that refuses a submission for the given cause.
 func (c *Controller) refusal(cause Cause) Ruling {
 	return Ruling{Refused: true, Cause: cause, RetryIn: c.retryIn()}
 }
@@ -336,6 +338,7 @@
 	return max(time.Duration(wait*(0.5+c.rng.Float64())), c.cfg.RetryLeast/2)
 }
 
+// tenantState returns the state of the named tenant, or the common state of all tenants that the settings do not name.
 func (c *Controller) tenantState(name string) *tenantState {
 	if t := c.tenants[name]; t != nil {
 		return t
@@ -473,15 +476,15 @@
 
 // updateLimit adjusts the limit and begins or ends shedding.
 func (c *Controller) updateLimit(now time.Duration, s Sample, offeredRate, dt float64) {
-	// A shrinking allowed is left over from a stall or was admitted before the limit fell. It drains without a lower limit.
+	// A shrinking queue is left over from a stall or was admitted before the limit fell. It drains without a lower limit.
 	shrinking := (c.lastDelay - s.Delay).Seconds() > minDelayDropRate*dt
 	c.lastDelay = s.Delay
 	cause, reading, load := CauseBusy, s.BusyShare, s.BusyShare/c.cfg.TargetBusy
 	if delayLoad := float64(s.Delay) / float64(c.cfg.TargetDelay); delayLoad > max(load, 1) {
 		cause, reading, load = CauseDelay, float64(s.Delay)/float64(time.Millisecond), delayLoad
 	}
-	// Messages that wait for their call, beyond a small allowance, are a allowed too. A partner can cause this allowed without any
-	// overload here, so it counts only while the processor is near its target. Then the relay admits no more than it completes.
+	// Messages that wait for their call, beyond a small allowance, are also a queue. A partner can cause this queue without any
+	// overload here, so it counts only while the processor is near its target. The relay then admits no more than it completes.
 	rate, growth := c.admittedRate, limitIncrease
 	waiting, allowed := float64(s.Waiting)*max(c.meanWork, 1), allowedWaitingTime.Seconds()*c.endedRate+allowedWaitingCount
 	if waiting > allowed && load > 0.75 {
--- a/internal/overload/overload_test.go
+++ b/internal/overload/overload_test.go
@@ -299,7 +299,7 @@
 		t.Errorf("%d small bodies refused, %d large bodies admitted", small.refused, large.admitted)
 	}
 	if m.actions.OpenBytesScale >= 1 || !m.actions.FreeIdle || m.actions.SizeWeight == 0 || m.actions.MaxOpen != 1000 || m.actions.AmpleMemory {
-		t.Errorf("%+v", m.actions)
+		t.Errorf("actions with memory above MemoryHigh: %+v", m.actions)
 	}
 	memory = 0.94
 	m.run(time.Second, small, large)
@@ -392,12 +392,13 @@
 			if a.ReadPause < 0 || a.ReadPause > cfg.MostPace || a.MaxOpen < 1 || a.MaxOpen > cfg.OpenMost || a.MaxBodyBytes < cfg.MaxBodyBytesAtFull ||
 				a.MaxBodyBytes > cfg.MaxBodyBytes || !(a.OpenBytesScale >= 0.25 && a.OpenBytesScale <= 1) || math.IsNaN(a.WorkLimit) || math.IsInf(a.WorkLimit, 0) ||
 				a.Shedding && a.WorkLimit < cfg.LeastRate || a.CutLevel < 0 || a.CutLevel >= levelCount {
-				t.Fatalf("%+v", a)
+				t.Fatalf("out of bounds: %+v", a)
 			}
 		}
 	})
 }
 
+// The error for an invalid configuration must name the field.
 func TestCheckNamesTheInvalidField(t *testing.T) {
 	for want, change := range map[string]func(*Config){
 		"Classes":            func(c *Config) { c.Classes = nil },
--- a/internal/tlspolicy/handshake_gate.go
+++ b/internal/tlspolicy/handshake_gate.go
@@ -6,56 +6,57 @@
 	"time"
 )
 
-// GateConfig says how many handshakes a Gate admits. A handshake costs the program processor time and the server more:
-// after an outage hundreds of messages want a connection at one moment.
+// GateConfig limits the handshakes that a Gate starts. A handshake costs processor time here and more at the server. After an
+// outage hundreds of messages need a connection at the same moment.
 type GateConfig struct {
-	Share       float64       // of one core that handshakes may take while the program has room
-	Least       float64       // handshakes a second that are admitted in any case, or no message would ever go
-	PerEndpoint int           // handshakes under way at one endpoint; what waits beyond may get its connection
-	Cost        time.Duration // taken for a handshake's processor time until some are measured
-	Burst       time.Duration // of handshake time that may be saved up
+	Share       float64       // share of one core that handshakes may take while the process has spare capacity
+	Least       float64       // handshakes a second that start at any load, so that messages can still be sent
+	PerEndpoint int           // concurrent handshakes with one endpoint; further requests may get one of its idle connections
+	Cost        time.Duration // assumed processor time of a handshake until measurements replace it
+	Burst       time.Duration // unused processor time for handshakes that may accumulate
 }
 
-// GateDefaults returns the figures that a relay uses where its file names none.
+// GateDefaults returns the values that a relay uses where its configuration file sets none.
 func GateDefaults() GateConfig {
 	return GateConfig{Share: 0.5, Least: 5, PerEndpoint: 2, Cost: 2 * time.Millisecond, Burst: 30 * time.Millisecond}
 }
 
-// Ask is a flow that wants a new connection.
+// Ask is the request of a flow for a connection.
 type Ask struct {
 	ID       uint64
 	Endpoint string
 	Worth    float64
-	Deadline time.Duration // it is of no use after
+	Deadline time.Duration // time at which the request expires
 }
 
-// Gate decides when handshakes begin. Times count from any one origin. It is not safe for several goroutines at once.
+// Gate decides when handshakes start. All times are measured from one origin that the caller chooses. A Gate is not safe for
+// concurrent use.
 type Gate struct {
 	cfg          GateConfig
-	costSeconds  float64 // seconds, smoothed
-	tokenSeconds float64 // seconds of handshake time
-	tokensAt     time.Duration
-	busyShare    float64 // the program's own load, 0 to 1
-	waiting      []Ask   // most worth first, then in order of arrival
-	active       map[string]int
+	costSeconds  float64        // smoothed processor time of a handshake
+	tokenSeconds float64        // available processor time for handshakes
+	tokensAt     time.Duration  // time of the latest refill
+	busyShare    float64        // load of the process, 0 to 1
+	waiting      []Ask          // by descending worth, then in order of arrival
+	active       map[string]int // handshakes under way, by endpoint
 	counters     GateCounters
 }
 
-// GateCounters count since the start.
+// GateCounters are totals since the start.
 type GateCounters struct{ Asked, Begun, Carried, Expired int64 }
 
-// NewGate returns a Gate.
+// NewGate returns a Gate without requests.
 func NewGate(cfg GateConfig) *Gate {
 	return &Gate{cfg: cfg, costSeconds: cfg.Cost.Seconds(), tokenSeconds: cfg.Burst.Seconds(), active: map[string]int{}}
 }
 
-// Counters returns the counters.
+// Counters returns the totals since the start.
 func (g *Gate) Counters() GateCounters { return g.counters }
 
-// Waiting is how many flows wait.
+// Waiting returns the number of waiting requests.
 func (g *Gate) Waiting() int { return len(g.waiting) }
 
-// WaitingAt is how many flows wait for a connection to one endpoint.
+// WaitingAt returns the number of requests that wait for a connection to endpoint.
 func (g *Gate) WaitingAt(endpoint string) (n int) {
 	for _, a := range g.waiting {
 		if a.Endpoint == endpoint {
@@ -65,30 +66,30 @@
 	return n
 }
 
-// Load tells the program's own load, as a share of what it may use: the more, the fewer handshakes.
-func (g *Gate) Load(busy float64) { g.busyShare = min(max(busy, 0), 1) }
+// Load sets the load of the process as a share of its capacity. A higher load lowers the rate of handshakes.
+func (g *Gate) Load(busyShare float64) { g.busyShare = min(max(busyShare, 0), 1) }
 
-// Add takes a flow in. Next says when it may begin.
+// Add queues a request. Next returns its ID when its handshake may start.
 func (g *Gate) Add(a Ask) {
 	g.counters.Asked++
-	at, _ := slices.BinarySearchFunc(g.waiting, a, func(o, a Ask) int {
-		if c := cmp.Compare(a.Worth, o.Worth); c != 0 {
+	index, _ := slices.BinarySearchFunc(g.waiting, a, func(queued, a Ask) int {
+		if c := cmp.Compare(a.Worth, queued.Worth); c != 0 {
 			return c
 		}
-		return -1 // behind those of its worth
+		return -1 // after requests of equal worth
 	})
-	g.waiting = slices.Insert(g.waiting, at, a)
+	g.waiting = slices.Insert(g.waiting, index, a)
 }
 
-// tokenRate is handshake time a second: all of the share while half of the program is idle, little when it is full.
+// tokenRate returns the processor time for handshakes that is added a second: all of Share up to a load of one half, and less above.
 func (g *Gate) tokenRate() float64 {
-	room := min(max((1-g.busyShare)*2, 0.1), 1)
-	return max(g.cfg.Share*room, g.cfg.Least*g.costSeconds)
+	spare := min(max((1-g.busyShare)*2, 0.1), 1)
+	return max(g.cfg.Share*spare, g.cfg.Least*g.costSeconds)
 }
 
-// Next returns the flows whose handshakes begin now, most worth first, and those whose time is up; and when to ask
-// again, a duration from now: 0 if nothing waits for time alone.
-func (g *Gate) Next(now time.Duration) (begin, expired []uint64, again time.Duration) {
+// Next returns the IDs of the requests whose handshakes start now, by descending worth, and of those that have expired. nextIn is
+// the time until the next call is due; 0 if no request waits.
+func (g *Gate) Next(now time.Duration) (started, expired []uint64, nextIn time.Duration) {
 	g.tokenSeconds = min(g.tokenSeconds+g.tokenRate()*max(now-g.tokensAt, 0).Seconds(), max(g.cfg.Burst.Seconds(), g.costSeconds))
 	g.tokensAt = max(now, g.tokensAt)
 	g.waiting = slices.DeleteFunc(g.waiting, func(a Ask) bool {
@@ -103,22 +104,22 @@
 		g.tokenSeconds -= g.costSeconds
 		g.active[a.Endpoint]++
 		g.counters.Begun++
-		begin = append(begin, a.ID)
+		started = append(started, a.ID)
 		return true
 	})
 	for _, a := range g.waiting {
-		in := a.Deadline - now
+		wait := a.Deadline - now
 		if g.active[a.Endpoint] < g.cfg.PerEndpoint {
-			in = min(in, time.Duration(max(g.costSeconds-g.tokenSeconds, 0)/g.tokenRate()*float64(time.Second))+time.Microsecond)
+			wait = min(wait, time.Duration(max(g.costSeconds-g.tokenSeconds, 0)/g.tokenRate()*float64(time.Second))+time.Microsecond)
 		}
-		if again == 0 || in < again {
-			again = in
+		if nextIn == 0 || wait < nextIn {
+			nextIn = wait
 		}
 	}
-	return begin, expired, again
+	return started, expired, nextIn
 }
 
-// Done takes in the end of a handshake that had begun, and the processor time that it took; 0 if it is not known.
+// Done reports the end of a handshake with endpoint. took is the processor time of the handshake; 0 if unknown.
 func (g *Gate) Done(endpoint string, took time.Duration) {
 	if g.active[endpoint]--; g.active[endpoint] <= 0 {
 		delete(g.active, endpoint)
@@ -128,8 +129,8 @@
 	}
 }
 
-// Freed says that a connection to an endpoint has fallen idle, and returns the flow that it is for, most worth first;
-// false if none waits there. So one handshake may carry the queue.
+// Freed reports that a connection to endpoint has become idle. It removes the waiting request of the highest worth for the endpoint
+// and returns its ID, or false if none waits. One handshake can thus serve several requests in turn.
 func (g *Gate) Freed(endpoint string) (id uint64, ok bool) {
 	for i, a := range g.waiting {
 		if a.Endpoint == endpoint {
@@ -141,7 +142,7 @@
 	return 0, false
 }
 
-// Drop takes out a flow that waits no more.
+// Drop removes a request that no longer waits.
 func (g *Gate) Drop(id uint64) {
 	g.waiting = slices.DeleteFunc(g.waiting, func(a Ask) bool { return a.ID == id })
 }
--- a/internal/tlspolicy/policy.go
+++ b/internal/tlspolicy/policy.go
@@ -1,6 +1,6 @@
-// Package tlspolicy holds the decisions about connections to servers over TLS: which policy a pool member has, whether
-// the chain that it shows is acceptable, what a failure was, and when a handshake may begin. It does no I/O and reads
-// no clock: package secure connects, reads files and watches them.
+// Package tlspolicy makes the decisions about TLS connections to pool members: which policy applies to a member, whether its
+// certificate chain is acceptable, why a handshake failed, and when a handshake may start. It does no I/O and reads no clock.
+// Package secure connects, reads the files of policies and watches them.
 package tlspolicy
 
 import (
@@ -18,84 +18,86 @@
 	"time"
 )
 
-// Pin is the SHA-256 of a certificate's SubjectPublicKeyInfo, as RFC 7469 has it.
+// Pin is the SHA-256 of a certificate's SubjectPublicKeyInfo, as in RFC 7469.
 type Pin [sha256.Size]byte
 
-// ParsePin reads a pin in base64, with "sha256/" before it or not.
+// ParsePin parses a pin in base64, with or without the prefix "sha256/".
 func ParsePin(text string) (Pin, error) {
 	var p Pin
 	raw, err := base64.StdEncoding.DecodeString(strings.TrimPrefix(text, "sha256/"))
 	if err != nil || len(raw) != len(p) {
-		return p, fmt.Errorf("%q is not the base64 of a SHA-256", text)
+		return p, fmt.Errorf("%q is not a SHA-256 in base64", text)
 	}
 	copy(p[:], raw)
 	return p, nil
 }
 
-// PinOf is the pin of a certificate.
+// PinOf returns the pin of a certificate.
 func PinOf(c *x509.Certificate) Pin { return sha256.Sum256(c.RawSubjectPublicKeyInfo) }
 
+// String formats the pin as ParsePin accepts it.
 func (p Pin) String() string { return "sha256/" + base64.StdEncoding.EncodeToString(p[:]) }
 
-// Policy is what connections to some pool members must keep to.
+// Policy contains the requirements for connections to a group of pool members.
 type Policy struct {
 	Name         string // for logs and errors
-	Destinations []int  // none for any
-	Hosts        string // pattern of the member's name or address, as path.Match has it; empty for any
-	Plain        bool   // no TLS; nothing below counts
+	Destinations []int  // destinations that the policy applies to; empty for all
+	Hosts        string // path.Match pattern of the member's name or address; empty for all
+	Plain        bool   // no TLS; the fields below do not apply
 
-	ServerName       string // that the certificate must have; empty for the host of the address
+	ServerName       string // name that the certificate must have; empty for the host of the address
 	RootFiles        []string
 	RootDirs         []string
 	SystemRoots      bool
 	MinVersion       uint16 // tls.VersionTLS12 or tls.VersionTLS13
-	Pins             []Pin  // one of which a certificate of the verified chain must have; none for any
-	Certificate, Key string // files of the client's pair; empty for none
-	Sessions         int    // kept for resumption, over the members of a destination; 0 for none
+	Pins             []Pin  // a certificate of the verified chain must match one of them; empty to accept any
+	Certificate, Key string // files of the client certificate and its key; empty for none
+	Sessions         int    // sessions kept for resumption, over all members of a destination; 0 for none
 }
 
-// Check names the first field that makes no sense.
+// Check returns an error that names the first invalid field.
 func (p *Policy) Check() error {
-	wrong := func(format string, args ...any) error {
+	invalid := func(format string, args ...any) error {
 		return fmt.Errorf("policy %q: "+format, append([]any{p.Name}, args...)...)
 	}
 	if _, err := path.Match(p.Hosts, ""); err != nil {
-		return wrong("hosts: %q is not a pattern", p.Hosts)
+		return invalid("hosts: %q is not a pattern", p.Hosts)
 	}
 	if p.Plain {
 		if p.ServerName != "" || len(p.RootFiles)+len(p.RootDirs)+len(p.Pins) > 0 || p.SystemRoots || p.Certificate != "" || p.Key != "" {
-			return wrong("plain connections are not verified: it must have nothing else")
+			return invalid("plain connections are not verified: the policy must set no TLS field")
 		}
 		return nil
 	}
 	switch {
 	case len(p.RootFiles)+len(p.RootDirs) == 0 && !p.SystemRoots:
-		return wrong("no trust roots: name root_file, root_dir or system_roots")
+		return invalid("no trust roots: name root_file, root_dir or system_roots")
 	case p.MinVersion != tls.VersionTLS12 && p.MinVersion != tls.VersionTLS13:
-		return wrong("min_version: %#x is not TLS 1.2 or 1.3", p.MinVersion)
+		return invalid("min_version: %#x is not TLS 1.2 or 1.3", p.MinVersion)
 	case len(p.Pins) == 1:
-		return wrong("pin: one alone shuts everybody out when its key is replaced; add a spare's")
+		return invalid("pin: a single pin blocks all connections when its key is replaced; add the pin of a spare key")
 	case (p.Certificate == "") != (p.Key == ""):
-		return wrong("certificate and key come together")
+		return invalid("certificate and key must be set together")
 	case p.Sessions < 0 || p.Sessions > 1<<16:
-		return wrong("sessions: %d is not within 0 to 65536", p.Sessions)
+		return invalid("sessions: %d is not within 0 to 65536", p.Sessions)
 	case strings.ContainsAny(p.ServerName, " /:*"):
-		return wrong("server_name: %q is not a host name", p.ServerName)
+		return invalid("server_name: %q is not a host name", p.ServerName)
 	}
 	seen := map[Pin]bool{}
 	for _, pin := range p.Pins {
 		if seen[pin] {
-			return wrong("pin: %v twice is no spare", pin)
+			return invalid("pin: %v is listed twice; add the pin of another key", pin)
 		}
 		seen[pin] = true
 	}
 	return nil
 }
 
-// Table is a list of policies of which the first that fits counts. What none fits is plain.
+// Table is a list of policies. The first policy that matches a pool member applies. A member without a match is connected
+// without TLS.
 type Table []Policy
 
-// Check checks each policy.
+// Check returns an error if a policy is invalid or if two policies have the same name.
 func (t Table) Check() error {
 	names := map[string]bool{}
 	for i := range t {
@@ -110,7 +112,7 @@
 	return nil
 }
 
-// For finds the policy of a pool member, by its destination, name and address; nil for plain.
+// For returns the policy of a pool member with the given destination, name and address; nil for a connection without TLS.
 func (t Table) For(destination int, host, dial string) *Policy {
 	for i := range t {
 		if p := &t[i]; p.matches(destination, host, dial) {
@@ -123,6 +125,7 @@
 	return nil
 }
 
+// matches reports whether the policy applies to a pool member with the given destination, name and address.
 func (p *Policy) matches(destination int, host, dial string) bool {
 	for i, d := range p.Destinations {
 		if d == destination {
@@ -134,16 +137,16 @@
 	if p.Hosts == "" {
 		return true
 	}
-	bare, _, err := net.SplitHostPort(dial)
+	address, _, err := net.SplitHostPort(dial)
 	if err != nil {
-		bare = dial
+		address = dial
 	}
-	byName, _ := path.Match(p.Hosts, host) // the pattern was checked
-	byAddr, _ := path.Match(p.Hosts, bare)
-	return byName || byAddr
+	byName, _ := path.Match(p.Hosts, host) // Check has validated the pattern
+	byAddress, _ := path.Match(p.Hosts, address)
+	return byName || byAddress
 }
 
-// Name is the name that the member's certificate must have.
+// ServerNameOf returns the name that the certificate of the member at address dial must have.
 func (p *Policy) ServerNameOf(dial string) string {
 	if p.ServerName != "" {
 		return p.ServerName
@@ -155,8 +158,9 @@
 	return host
 }
 
-// Accept says whether a connection that crypto/tls has let through may be used. A new one is verified already; of a
-// resumed one the chain is verified again, for the roots may have changed since, and time has passed. Then the pins.
+// Accept returns an error if a connection that crypto/tls has established must not be used. crypto/tls has verified the chain of a
+// new connection. Accept verifies the chain of a resumed connection again, because the roots may have changed and certificates may
+// have expired since. It then checks the pins.
 func (p *Policy) Accept(cs *tls.ConnectionState, name string, roots *x509.CertPool, now time.Time) error {
 	if len(cs.PeerCertificates) == 0 {
 		return &Failure{Cause: NoCertificate}
@@ -164,12 +168,12 @@
 	leaf := cs.PeerCertificates[0]
 	chains := cs.VerifiedChains
 	if cs.DidResume || len(chains) == 0 {
-		between := x509.NewCertPool()
+		intermediates := x509.NewCertPool()
 		for _, c := range cs.PeerCertificates[1:] {
-			between.AddCert(c)
+			intermediates.AddCert(c)
 		}
 		var err error
-		if chains, err = leaf.Verify(x509.VerifyOptions{Roots: roots, Intermediates: between, DNSName: name, CurrentTime: now}); err != nil {
+		if chains, err = leaf.Verify(x509.VerifyOptions{Roots: roots, Intermediates: intermediates, DNSName: name, CurrentTime: now}); err != nil {
 			return classifyX509(err, leaf)
 		}
 	}
@@ -188,7 +192,7 @@
 	return newFailure(PinMissing, leaf, nil)
 }
 
-// Cause is what made a handshake fail.
+// Cause is the reason for which a handshake failed.
 type Cause int
 
 // The causes.
@@ -200,32 +204,34 @@
 	WrongName
 	PinMissing
 	NoCertificate
-	Unsuitable    // the certificate is for something else, or its chain breaks a constraint
-	ClientRefused // the server wants another certificate of ours, or one at all
-	Versions      // no version or cipher in common
-	NotTLS        // what came is no TLS
-	Stalled       // nothing came in time
-	Broken        // the connection ended
+	Unsuitable    // the certificate is not for servers, or its chain violates a constraint
+	ClientRefused // the server requires a client certificate, or another one
+	Versions      // no version or cipher suite in common
+	NotTLS        // the server does not speak TLS
+	Stalled       // no response in time
+	Broken        // the connection was closed or reset
 	causeCount
 )
 
 var causeNames = [causeCount]string{"other", "expired", "not yet valid", "unknown root", "wrong name", "pin", "no certificate",
 	"unsuitable certificate", "client certificate refused", "no version in common", "not TLS", "stalled", "broken"}
 
+// String returns the name of the cause for logs and counters.
 func (c Cause) String() string { return causeNames[c] }
 
-// Causes is how many causes there are.
+// Causes is the number of causes.
 const Causes = int(causeCount)
 
-// Failure is a failed handshake, with what is known of the certificate that was shown.
+// Failure is the error of a failed handshake, with details of the certificate that the server presented.
 type Failure struct {
 	Cause               Cause
 	Subject             string
 	NotBefore, NotAfter time.Time
-	Fingerprint         string // SHA-256 of the certificate, hexadecimal; empty where none was shown
+	Fingerprint         string // SHA-256 of the certificate, hexadecimal; empty without a certificate
 	Err                 error
 }
 
+// Error describes the cause and, if known, the certificate.
 func (f *Failure) Error() string {
 	text := "tls: " + f.Cause.String()
 	if f.Fingerprint != "" {
@@ -238,8 +244,10 @@
 	return text
 }
 
+// Unwrap returns the underlying error, if any.
 func (f *Failure) Unwrap() error { return f.Err }
 
+// newFailure returns a Failure with the details of leaf, which may be nil.
 func newFailure(cause Cause, leaf *x509.Certificate, err error) *Failure {
 	f := &Failure{Cause: cause, Err: err}
 	if leaf != nil {
@@ -249,7 +257,8 @@
 	return f
 }
 
-// Classify finds the cause behind the error of a handshake; now tells an expired certificate from one not yet valid.
+// Classify determines the cause of a handshake error. It uses now to distinguish an expired certificate from one that is not yet
+// valid.
 func Classify(err error, now time.Time) *Failure {
 	var known *Failure
 	if errors.As(err, &known) {
@@ -279,7 +288,7 @@
 		if cause, ok := alertCauses[uint8(alert)]; ok {
 			return newFailure(cause, nil, err)
 		}
-	case strings.Contains(text, "remote error: tls: "): // crypto/tls tells an alert of the server by a type of its own
+	case strings.Contains(text, "remote error: tls: "): // crypto/tls reports an alert of the server with an unexported type
 		for number, cause := range alertCauses {
 			if strings.HasSuffix(text, tls.AlertError(number).Error()) {
 				return newFailure(cause, nil, err)
@@ -298,12 +307,24 @@
 	return newFailure(Other, nil, err)
 }
 
-// alertCauses are what servers say of why they end a handshake (RFC 8446, section 6.2). handshake_failure is told where nothing
-// is in common, and by some where a certificate of ours is missing.
-var alertCauses = map[uint8]Cause{40: Versions, 70: Versions, 71: Versions, 42: ClientRefused, 43: ClientRefused, 44: ClientRefused, 45: ClientRefused,
-	46: ClientRefused, 48: ClientRefused, 49: ClientRefused, 116: ClientRefused, 112: WrongName}
+// alertCauses maps the alerts with which servers end a handshake (RFC 8446, section 6.2). Servers send handshake_failure if no
+// version or cipher suite is in common. Some also send it if the client certificate is missing.
+var alertCauses = map[uint8]Cause{
+	40:  Versions,      // handshake_failure
+	70:  Versions,      // protocol_version
+	71:  Versions,      // insufficient_security
+	42:  ClientRefused, // bad_certificate
+	43:  ClientRefused, // unsupported_certificate
+	44:  ClientRefused, // certificate_revoked
+	45:  ClientRefused, // certificate_expired
+	46:  ClientRefused, // certificate_unknown
+	48:  ClientRefused, // unknown_ca
+	49:  ClientRefused, // access_denied
+	116: ClientRefused, // certificate_required
+	112: WrongName,     // unrecognized_name
+}
 
-// classifyX509 finds the cause behind an error of x509.
+// classifyX509 determines the cause of an error of package x509.
 func classifyX509(err error, leaf *x509.Certificate) *Failure {
 	var invalid x509.CertificateInvalidError
 	var unknown x509.UnknownAuthorityError
@@ -313,7 +334,7 @@
 	case errors.As(err, &invalid) && invalid.Reason == x509.Expired:
 		cause = Expired
 		if invalid.Cert != nil && leaf != nil && !bytes.Equal(invalid.Cert.Raw, leaf.Raw) {
-			leaf = invalid.Cert // one further up has expired: it is the one to name
+			leaf = invalid.Cert // another certificate of the chain has expired: report that one
 		}
 	case errors.As(err, &unknown):
 		cause = UnknownRoot
