--- a/internal/overload/overload.go
+++ b/internal/overload/overload.go
@@ -3,9 +3,9 @@
 // activities are reduced (brownout). It does no I/O, reads no clock and starts no goroutine: the caller passes in
 // samples and submissions with their times, and applies the Actions that Tick returns.
 //
-// Submissions are ranked by worth per unit of the relay's own work and cut off at a level, as in DAGOR. The cut-off
-// level follows from an admitted rate. A controller adjusts this rate by processor use and queueing delay, as in Cinnamon and
-// the gradient limits. Memory use scales several limits between two thresholds, as in Envoy's overload manager.
+// Submissions are ranked by worth per unit of the relay's own work and cut off at a level, as in DAGOR. The cut-off level follows
+// from a limit on the admitted work. The controller adjusts this limit by processor use and queueing delay, as in Cinnamon and the
+// gradient limits. Memory use scales several limits between two thresholds, as in Envoy's overload manager.
 // docs/overload.md compares the alternatives.
 package overload
 
@@ -17,11 +17,11 @@
 	"time"
 )
 
-// Class is what the controller needs to know of one class of message.
+// Class describes a class of messages.
 type Class struct {
 	Name      string
 	Worth     float64
-	LateWorth float64 // share of Worth that a message keeps until its deadline, at least
+	LateWorth float64 // lowest share of Worth that a message keeps until its deadline
 	Aim       time.Duration
 	Deadline  time.Duration
 }
@@ -42,9 +42,9 @@
 	TargetBusy  float64       // share of the available processor that may be used or waited for
 	TargetDelay time.Duration // queueing delay that a submission may have
 	Confirm     int           // consecutive ticks over a target before shedding begins
-	LeastRate   float64       // submissions a second below which nothing is shed
+	LeastRate   float64       // submissions a second below which shedding does not begin; also the lowest limit
 	Floor       float64       // share of the capacity that each class keeps, however low its worth
-	BodyWork    int           // bytes of body that cost as much work as a submission without a body
+	BodyWork    int           // bytes of a body that cost as much work as a submission without a body
 
 	RefusalShare       float64       // share of all work that refusals may take; above it, reading is paused
 	MostPace           time.Duration // longest pause in reading from a connection after a refusal
@@ -143,7 +143,7 @@
 	Cause     Cause         // of Shedding
 	Reading   float64       // value of the measurement behind Cause, as a share or in milliseconds
 	WorkLimit float64       // work a second that is admitted while Shedding
-	CutLevel  int           // level below which only class floors are admitted
+	CutLevel  int           // level below which only unused capacity and class floors admit submissions
 	ReadPause time.Duration // how long a connection is not read after a refusal
 	Brownout  Brownout
 
@@ -163,11 +163,11 @@
 	unitLevel = 32
 	// tickDecay is the factor that each tick applies to the decayed sums. They cover about three ticks.
 	tickDecay = 0.7
-	// limitDecrease is the share of the excess load by which a tick lowers the limit.
+	// limitDecrease converts load above the target into the share of the limit that a tick takes away.
 	limitDecrease = 0.5
 	// maxLimitDecrease is the largest share of the limit that one tick takes away.
 	maxLimitDecrease = 0.3
-	// limitIncrease is the share of the spare load by which a tick raises the limit.
+	// limitIncrease converts load below the target into the share of the limit that a tick adds.
 	limitIncrease = 1.0
 	// minLimitIncrease is the share of the limit that a tick adds without any spare load.
 	minLimitIncrease = 0.01
@@ -182,7 +182,7 @@
 	workPerRefusal = 0.25
 	// tenantShareTolerance is the factor by which a tenant may exceed its share of the offered work.
 	tenantShareTolerance = 1.25
-	// pauseRetryFactor lengthens the wait named to a refused client: by this many times at the longest read pause.
+	// pauseRetryFactor is how many times the wait named to a refused client grows when the read pause is longest.
 	pauseRetryFactor = 4
 	// openShrinkFactor is applied to the number of messages that may be open on each tick under pressure.
 	openShrinkFactor = 0.9
@@ -192,9 +192,9 @@
 	minPressureTicks = 4
 	// maxSchedulingShare is the share of the processor that deciding about open messages may take before some are returned.
 	maxSchedulingShare = 0.3
-	// allowedWaitingTime is the time for which the rate of ended work may wait for its call without counting as a queue.
-	allowedWaitingTime = 100 * time.Millisecond
-	// allowedWaitingCount is how many messages may wait in addition.
+	// Messages that wait for their call count as a queue beyond the work that ends in allowedWaitingTime plus
+	// allowedWaitingCount messages.
+	allowedWaitingTime  = 100 * time.Millisecond
 	allowedWaitingCount = 50
 )
 
