--- a/internal/overload/overload.go
+++ b/internal/overload/overload.go
@@ -207,15 +207,15 @@
 	totalShares    float64
 	rng            *rand.Rand
 
-	lastTickAt     time.Duration
-	offeredByLevel [levelCount]float64 // decayed work
-	offeredSeconds float64             // decayed time that offeredByLevel covers
-	offeredWork    float64             // decayed work of all tenants
-	admittedRate   float64             // smoothed work a second that is admitted
-	endedRate      float64             // smoothed work a second that ends
-	refusalRate    float64             // smoothed refusals a second
-	meanWork       float64             // smoothed work of an admitted submission
-	window         windowCounts
+	lastTickAt       time.Duration
+	offeredByLevel   [levelCount]float64 // decayed work
+	offeredSeconds   float64             // decayed time that offeredByLevel covers
+	totalOfferedWork float64             // decayed work of all tenants
+	admittedRate     float64             // smoothed work a second that is admitted
+	endedRate        float64             // smoothed work a second that ends
+	refusalRate      float64             // smoothed refusals a second
+	meanWork         float64             // smoothed work of an admitted submission
+	window           windowCounts
 
 	actions       Actions
 	overTicks     int     // consecutive ticks over a target
@@ -302,7 +302,7 @@
 	level := c.level(class, tenant, h, work)
 	c.offeredByLevel[level] += work
 	tenant.offeredWork += work
-	c.offeredWork += work
+	c.totalOfferedWork += work
 	if h.Size > c.actions.MaxBodyBytes {
 		c.counters.RefusedBySize++
 		c.window.refusedWork += work
@@ -373,7 +373,7 @@
 		return false
 	}
 	share := tenant.share / c.totalShares
-	return tenant.offeredWork > tenantShareTolerance*share*c.offeredWork && tenant.admittedWork > share*c.actions.WorkLimit*c.offeredSeconds
+	return tenant.offeredWork > tenantShareTolerance*share*c.totalOfferedWork && tenant.admittedWork > share*c.actions.WorkLimit*c.offeredSeconds
 }
 
 // worth returns the worth of delivering a message with the given time left until its deadline: the full worth within the
@@ -466,7 +466,7 @@
 	for i := range c.offeredByLevel {
 		c.offeredByLevel[i] *= tickDecay
 	}
-	c.offeredWork *= tickDecay
+	c.totalOfferedWork *= tickDecay
 	for _, t := range c.tenants {
 		t.offeredWork, t.admittedWork = t.offeredWork*tickDecay, t.admittedWork*tickDecay
 	}
