--- a/internal/dispatch/cold_test.go
+++ b/internal/dispatch/cold_fleet_test.go
@@ -9,7 +9,7 @@
 // A cold destination bears what the settings allow it then, from all senders together, and twice the root of that and 2 for chance: it does
 // not fall by the calls of those that had been told of its outage, however many senders there are, whatever part of the load each has,
 // however calls ended in the outage, and with refused calls that draw on the limit or not.
-func TestColdSumOfAFleet(t *testing.T) {
+func TestColdDestinationUnderFleet(t *testing.T) {
 	f := fleetSettings(1).Safety
 	for _, peers := range []int{2, 6, 20, 30, 60, 300} {
 		for _, limit := range []float64{4, 8, 20} {
@@ -17,17 +17,17 @@
 				t.Run(fmt.Sprintf("%d senders, %.0f a second, status %d", peers, limit, fails), func(t *testing.T) {
 					t.Parallel()
 					for seed := uint64(1); seed <= 4; seed++ {
-						d := &bucketModel{id: 1, limit: limit, low: 1, draws: seed%2 == 0, tells: 0.5, wait: 500 * ms,
-							outFrom: 5 * time.Second, outTo: 17 * time.Second, fails: fails, after: after}
-						c := newCrowd(t, peers, seed, d)
-						c.arrivals(1, "safe", limit*0.5, 0, 32*time.Second)
-						c.arrivals(1, "keyed", limit*0.35, 0, 32*time.Second)
+						d := &bucketModel{id: 1, limit: limit, lowShare: 1, refusalsConsume: seed%2 == 0, waitShare: 0.5, wait: 500 * ms,
+							outFrom: 5 * time.Second, outTo: 17 * time.Second, outageStatus: fails, outageLatency: after}
+						c := newFleetModel(t, peers, seed, d)
+						c.generate(1, "safe", limit*0.5, 0, 32*time.Second)
+						c.generate(1, "keyed", limit*0.35, 0, 32*time.Second)
 						c.run(32 * time.Second)
-						if at, calls, told, bears := d.falls(f); at > 0 {
+						if at, calls, told, bears := d.overload(f); at > 0 {
 							t.Errorf("seed %d: it falls %v after its return: %d calls, %d of senders that saw the outage; it bears %.1f",
 								seed, at-d.outTo, calls, told, bears)
 						}
-						if taken := sum(c.calls[1], 24, 32) - sum(c.turned[1], 24, 32); !d.draws && float64(taken) < 0.1*8*limit {
+						if taken := sumSeconds(c.calls[1], 24, 32) - sumSeconds(c.refused[1], 24, 32); !d.refusalsConsume && float64(taken) < 0.1*8*limit {
 							t.Errorf("seed %d: %d calls taken in 8 s, seven and more after the return, of %.0f a second", seed, taken, limit)
 						}
 					}
--- a/internal/dispatch/told_test.go
+++ b/internal/dispatch/fleet_report_test.go
@@ -10,8 +10,8 @@
 	"slatemux/internal/proptest"
 )
 
-// met returns a sender that has met two destinations with one endpoint each, at 10 s.
-func met(t *testing.T, set Settings) *Sender {
+// newWarmSender returns a sender that has met two destinations with one endpoint each, at 10 s.
+func newWarmSender(t *testing.T, set Settings) *Sender {
 	s := newSender(t, set, ep("e", 1), ep("f", 2))
 	s.Step(9900*ms, []Event{req("w", "safe", 1), req("x", "safe", 2)})
 	s.Step(10*time.Second, []Event{answer("w", 0, "e", OK), answer("x", 0, "f", OK)})
@@ -19,10 +19,10 @@
 }
 
 // What others were told to wait for holds here too, one destination alone, and ends when it is said to.
-func TestToldToWait(t *testing.T) {
-	s := met(t, testSettings())
-	for _, d := range s.dests {
-		d.shared.weight = 1e6 // senders come back one by one at the destination's limit: at this one all at once
+func TestReportedWait(t *testing.T) {
+	s := newWarmSender(t, testSettings())
+	for _, d := range s.destinations {
+		d.limiter.weight = 1e6 // senders come back one by one at the destination's limit: at this one all at once
 	}
 	acts := s.Step(10005*ms, []Event{Told{Kind: ToldWait, Destination: 1, For: 400 * ms}, req("a", "safe", 1), req("b", "safe", 2)})
 	if got := sends(acts); !slices.Equal(got, []string{"b"}) {
@@ -47,9 +47,9 @@
 
 // An endpoint that others hold to be out gets single tries; theirs put ours off; what they say is over is over, and a
 // success of our own that is newer stands against them.
-func TestToldOut(t *testing.T) {
+func TestReportedOutage(t *testing.T) {
 	out := Told{Kind: ToldOut, Endpoint: "e", Age: 2 * time.Second}
-	s := met(t, testSettings())
+	s := newWarmSender(t, testSettings())
 	s.Step(10005*ms, []Event{out})
 	if s.endpoints["e"].outage {
 		t.Error("out, though a call that was begun in that outage went well here")
@@ -57,7 +57,7 @@
 	out.Age = 10 * ms
 	s.Step(10020*ms, []Event{out})
 	e := s.endpoints["e"]
-	if !e.outage || !e.hearsay || s.endpoints["f"].outage {
+	if !e.outage || !e.reportedOnly || s.endpoints["f"].outage {
 		t.Fatal("not taken out, or another was")
 	}
 	tell := func() (since time.Duration) {
@@ -67,46 +67,46 @@
 	if tell() >= 0 {
 		t.Error("what others alone have met is told as met here")
 	}
-	first := e.ledger.nextTry
+	first := e.limiter.nextTrial
 	now := first - 5*ms
 	out.Age = now - 10010*ms
 	s.Step(now, []Event{out})
-	if e.ledger.nextTry <= first {
+	if e.limiter.nextTrial <= first {
 		t.Error("another's failed try did not put ours off")
 	}
 	s.Step(now+5*ms, []Event{Told{Kind: ToldNothing, Endpoint: "e"}, req("a", "safe", 1), req("b", "safe", 1)})
-	if e.outage || e.ramp {
+	if e.outage || e.ramping {
 		t.Error("what has lapsed still restrains")
 	}
 
-	s, out.Age = met(t, testSettings()), 10*ms
+	s, out.Age = newWarmSender(t, testSettings()), 10*ms
 	s.Step(10020*ms, []Event{out, Told{Kind: ToldOut, Endpoint: "nobody"}})
 	s.Step(10100*ms, []Event{Told{Kind: ToldBack, Endpoint: "e", Age: 50 * ms}})
-	if e = s.endpoints["e"]; e.outage || !e.ramp || e.rampFrom != 10050*ms {
+	if e = s.endpoints["e"]; e.outage || !e.ramping || e.rampSince != 10050*ms {
 		t.Errorf("back, and not ramping from when it came back: %+v", e)
 	}
 }
 
 // In an outage that a sender has met itself the others' word that it is over makes its next try due no sooner than its own
 // schedule has it, and ends nothing.
-func TestToldBackInAnOutageOfOurOwn(t *testing.T) {
-	s := met(t, testSettings())
+func TestReportedRecoveryInOwnOutage(t *testing.T) {
+	s := newWarmSender(t, testSettings())
 	e := s.endpoints["e"]
-	s.takeOut(e)
-	own := e.ledger.nextTry
+	s.markOutage(e)
+	own := e.limiter.nextTrial
 	s.Step(10005*ms, []Event{Told{Kind: ToldOut, Endpoint: "e"}})
-	if e.hearsay || e.ledger.ownTry != own {
+	if e.reportedOnly || e.limiter.ownTrial != own {
 		t.Error("our own outage has become hearsay")
 	}
 	s.Step(10010*ms, []Event{Told{Kind: ToldBack, Endpoint: "e"}})
-	if !e.outage || e.ledger.nextTry < own {
-		t.Errorf("the next try is due at %v, by itself at %v; out %v", e.ledger.nextTry, own, e.outage)
+	if !e.outage || e.limiter.nextTrial < own {
+		t.Errorf("the next try is due at %v, by itself at %v; out %v", e.limiter.nextTrial, own, e.outage)
 	}
 }
 
 // Whatever is told, and in whatever order, a sender sends no message that it would not have sent by then alone, and none
 // to an endpoint that it does not know.
-func TestToldOnlyRestrains(t *testing.T) {
+func TestFleetReportsAddNoSends(t *testing.T) {
 	proptest.Check(t, func(t *rapid.T) {
 		play := func(told map[int]Event) (sent []string) {
 			s, err := New(testSettings(), 4)
@@ -125,7 +125,7 @@
 		}
 		told := map[int]Event{}
 		for range rapid.IntRange(1, 12).Draw(t, "told") {
-			told[rapid.IntRange(1, 40).Draw(t, "at")] = Told{Kind: Tidings(rapid.IntRange(0, 3).Draw(t, "kind")), Destination: rapid.IntRange(0, 3).Draw(t, "dest"),
+			told[rapid.IntRange(1, 40).Draw(t, "at")] = Told{Kind: FleetReportKind(rapid.IntRange(0, 3).Draw(t, "kind")), Destination: rapid.IntRange(0, 3).Draw(t, "dest"),
 				Endpoint: rapid.SampledFrom([]string{"", "e", "f", "g"}).Draw(t, "endpoint"), For: time.Duration(rapid.IntRange(0, 3000).Draw(t, "for")) * ms,
 				Age: time.Duration(rapid.IntRange(0, 3000).Draw(t, "age")) * ms}
 		}
@@ -138,7 +138,7 @@
 
 // A part of a limit that the fleet deals takes the place of what a sender estimates: calls go at its rate, little is saved, and
 // in a ramp at as much of it as the destination has capacity by then. When it has lapsed the sender decides alone.
-func TestToldShare(t *testing.T) {
+func TestReportedShare(t *testing.T) {
 	count := func(s *Sender, from, to time.Duration, reported Report) (n int) {
 		var back []Event
 		for now := from; now < to; now += 5 * ms {
@@ -159,7 +159,7 @@
 	share := func(rate float64, d time.Duration) Told {
 		return Told{Kind: ToldShare, Destination: 1, Rate: rate, For: d}
 	}
-	s := met(t, set)
+	s := newWarmSender(t, set)
 	s.Step(10005*ms, []Event{share(50, 2*time.Second)})
 	if n := count(s, 10010*ms, 12*time.Second, Report{Left: 1, Limit: 100}); n < 95 || n > 106 {
 		t.Errorf("%d calls in 2 s at 50 a second, and 5 saved", n)
@@ -173,7 +173,7 @@
 		t.Errorf("%d calls at no rate", n)
 	}
 	e := s.endpoints["e"]
-	e.ramp, e.rampFrom = true, 15*time.Second
+	e.ramping, e.rampSince = true, 15*time.Second
 	s.Step(15005*ms, []Event{share(50, 2*time.Second)})
 	f := set.Safety
 	warm := f.StartCapacity + (1-f.StartCapacity)*float64(time.Second)/float64(f.Cold) // in the middle of the two seconds
--- a/internal/dispatch/fleet_test.go
+++ b/internal/dispatch/fleet_test.go
@@ -17,33 +17,33 @@
 
 // bucketModel is a destination.
 type bucketModel struct {
-	id             int
-	limit          float64 // calls a second; what it is at a time is limitAt's
-	low            float64 // share of it from lowFrom to lowTo
-	lowFrom, lowTo time.Duration
-	draws          bool    // refused calls use the limit up too
-	tells          float64 // share of refusals that tell a wait
-	wait           time.Duration
-	left           float64
-	at, seenAt     time.Duration
-	seen           Report
+	id                    int
+	limit                 float64 // calls a second; what it is at a time is limitAt's
+	lowShare              float64 // share of it from lowFrom to lowTo
+	lowFrom, lowTo        time.Duration
+	refusalsConsume       bool    // refused calls use the limit up too
+	waitShare             float64 // share of refusals that tell a wait
+	wait                  time.Duration
+	tokens                float64
+	updatedAt, reportedAt time.Duration
+	report                Report
 
 	outFrom, outTo time.Duration // nothing is answered well meanwhile, and it is cold behind that
-	fails          Status        // how calls end meanwhile
-	after          time.Duration // so long after they began
-	log            []arrival     // of calls, in their order
+	outageStatus   Status        // how calls end meanwhile
+	outageLatency  time.Duration // so long after they began
+	arrivals       []arrival     // of calls, in their order
 }
 
 // arrival is a call; told says that its sender had been told of the outage.
 type arrival struct {
-	at   time.Duration
-	told bool
+	at        time.Duration
+	sawOutage bool
 }
 
-func (b *bucketModel) out(now time.Duration) bool { return now >= b.outFrom && now < b.outTo }
+func (b *bucketModel) isOut(now time.Duration) bool { return now >= b.outFrom && now < b.outTo }
 
-// warm is the share of its capacity that it has, at least.
-func (b *bucketModel) warm(now time.Duration, f Safety) float64 {
+// warmShare is the share of its capacity that it has, at least.
+func (b *bucketModel) warmShare(now time.Duration, f Safety) float64 {
 	if b.outTo == 0 || now < b.outTo {
 		return 1
 	}
@@ -52,65 +52,65 @@
 
 func (b *bucketModel) limitAt(now time.Duration) float64 {
 	if now >= b.lowFrom && now < b.lowTo {
-		return b.limit * b.low
+		return b.limit * b.lowShare
 	}
-	return b.limit * b.warm(now, fleetSettings(1).Safety)
+	return b.limit * b.warmShare(now, fleetSettings(1).Safety)
 }
 
 // call says whether a call is taken. The report is up to 800 ms old and a little noisy.
 func (b *bucketModel) call(now time.Duration, rng *rand.Rand) (ok bool, r Report) {
 	limit := b.limitAt(now)
-	b.left = min(b.left+limit*(now-b.at).Seconds(), limit)
-	b.at = now
-	if ok = b.left >= 1; ok || b.draws {
-		b.left = max(b.left-1, -limit)
+	b.tokens = min(b.tokens+limit*(now-b.updatedAt).Seconds(), limit)
+	b.updatedAt = now
+	if ok = b.tokens >= 1; ok || b.refusalsConsume {
+		b.tokens = max(b.tokens-1, -limit)
 	}
-	r = b.seen
-	if now-b.seenAt > 800*ms || b.seenAt == 0 {
+	r = b.report
+	if now-b.reportedAt > 800*ms || b.reportedAt == 0 {
 		noise := func() float64 { return math.Exp(0.08 * rng.NormFloat64()) }
-		b.seen, b.seenAt = Report{Left: min(b.left/limit*noise(), 1), Limit: limit * noise()}, now
+		b.report, b.reportedAt = Report{Left: min(b.tokens/limit*noise(), 1), Limit: limit * noise()}, now
 	}
 	return ok, r
 }
 
-// happening is something that a sender is to be told at a time.
-type happening struct {
-	at   time.Duration
-	seq  int
-	who  int
-	what Event
+// timedEvent is something that a sender is to be told at a time.
+type timedEvent struct {
+	at     time.Duration
+	seq    int
+	sender int
+	event  Event
 }
 
-type agenda []happening
+type eventQueue []timedEvent
 
-func (a agenda) Len() int { return len(a) }
-func (a agenda) Less(i, j int) bool {
+func (a eventQueue) Len() int { return len(a) }
+func (a eventQueue) Less(i, j int) bool {
 	return a[i].at < a[j].at || a[i].at == a[j].at && a[i].seq < a[j].seq
 }
-func (a agenda) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
-func (a *agenda) Push(x any)   { *a = append(*a, x.(happening)) }
-func (a *agenda) Pop() any {
+func (a eventQueue) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
+func (a *eventQueue) Push(x any)   { *a = append(*a, x.(timedEvent)) }
+func (a *eventQueue) Pop() any {
 	last := (*a)[len(*a)-1]
 	*a = (*a)[:len(*a)-1]
 	return last
 }
 
-// crowd is many senders and what they meet.
-type crowd struct {
-	senders       []*Sender
-	dests         map[int]*bucketModel
-	rng           *rand.Rand
-	todo          agenda
-	seq           int
-	eps           []Endpoint
-	held          []map[string]Request     // by sender: taken on and not ended
-	first         map[string]time.Duration // when a message was first asked for
-	class         map[string]*Class
-	dest          map[string]int
-	tries         map[string]int // by its clients
-	attempt       map[string]int
-	calls, turned map[int]map[int]int // by destination and second
-	told          map[[2]int]bool     // by sender and destination: told of its outage
+// fleetModel is many senders and what they meet.
+type fleetModel struct {
+	senders        []*Sender
+	destinations   map[int]*bucketModel
+	rng            *rand.Rand
+	events         eventQueue
+	seq            int
+	endpoints      []Endpoint
+	held           []map[string]Request     // by sender: taken on and not ended
+	submittedAt    map[string]time.Duration // when a message was first asked for
+	classOf        map[string]*Class
+	destinationOf  map[string]int
+	submissions    map[string]int // by its clients
+	attempts       map[string]int
+	calls, refused map[int]map[int]int // by destination and second
+	sawOutage      map[[2]int]bool     // by sender and destination: told of its outage
 }
 
 func fleetSettings(peers int) Settings {
@@ -125,94 +125,94 @@
 	return set
 }
 
-func newCrowd(t testing.TB, n int, seed uint64, dests ...*bucketModel) *crowd {
-	c := &crowd{dests: map[int]*bucketModel{}, rng: rand.New(rand.NewPCG(seed, 1)), first: map[string]time.Duration{},
-		class: map[string]*Class{}, dest: map[string]int{}, tries: map[string]int{}, attempt: map[string]int{},
-		calls: map[int]map[int]int{}, turned: map[int]map[int]int{}, told: map[[2]int]bool{}}
+func newFleetModel(t testing.TB, n int, seed uint64, dests ...*bucketModel) *fleetModel {
+	c := &fleetModel{destinations: map[int]*bucketModel{}, rng: rand.New(rand.NewPCG(seed, 1)), submittedAt: map[string]time.Duration{},
+		classOf: map[string]*Class{}, destinationOf: map[string]int{}, submissions: map[string]int{}, attempts: map[string]int{},
+		calls: map[int]map[int]int{}, refused: map[int]map[int]int{}, sawOutage: map[[2]int]bool{}}
 	set := fleetSettings(n)
 	for _, d := range dests {
-		c.dests[d.id] = d
-		d.left = d.limit
+		c.destinations[d.id] = d
+		d.tokens = d.limit
 		e := ep(fmt.Sprint("e", d.id), d.id)
 		e.Weight = d.limit * (0.67 + 0.83*c.rng.Float64())
-		c.eps = append(c.eps, e)
-		c.calls[d.id], c.turned[d.id] = map[int]int{}, map[int]int{}
+		c.endpoints = append(c.endpoints, e)
+		c.calls[d.id], c.refused[d.id] = map[int]int{}, map[int]int{}
 	}
 	for i := range n {
 		s, err := New(set, int64(seed)*1000+int64(i))
 		if err != nil {
 			t.Fatal(err)
 		}
-		s.Step(0, []Event{Members{Whole: true, Endpoints: c.eps}})
+		s.Step(0, []Event{Members{Whole: true, Endpoints: c.endpoints}})
 		c.senders, c.held = append(c.senders, s), append(c.held, map[string]Request{})
 	}
 	return c
 }
 
-func (c *crowd) add(at time.Duration, who int, what Event) {
+func (c *fleetModel) schedule(at time.Duration, who int, what Event) {
 	c.seq++
-	heap.Push(&c.todo, happening{at, c.seq, who, what})
+	heap.Push(&c.events, timedEvent{at, c.seq, who, what})
 }
 
-// arrivals has messages come to a destination at a rate.
-func (c *crowd) arrivals(dest int, class string, rate float64, from, to time.Duration) {
+// generate has messages come to a destination at a rate.
+func (c *fleetModel) generate(dest int, class string, rate float64, from, to time.Duration) {
 	for at := from; at < to; {
 		at += time.Duration(c.rng.ExpFloat64() / rate * float64(time.Second))
-		c.hand(at, fmt.Sprintf("m%d", len(c.first)), class, dest)
+		c.submit(at, fmt.Sprintf("m%d", len(c.submittedAt)), class, dest)
 	}
 }
 
-func (c *crowd) hand(at time.Duration, id, class string, dest int) {
-	c.first[id] = at
+func (c *fleetModel) submit(at time.Duration, id, class string, dest int) {
+	c.submittedAt[id] = at
 	who := c.rng.IntN(len(c.senders))
-	for i := range c.senders[0].set.Classes {
-		if k := &c.senders[0].set.Classes[i]; k.Name == class {
-			c.class[id] = k
+	for i := range c.senders[0].settings.Classes {
+		if k := &c.senders[0].settings.Classes[i]; k.Name == class {
+			c.classOf[id] = k
 		}
 	}
-	c.dest[id] = dest
-	c.add(at, who, Request{ID: id, Class: class, Destination: dest, TimeLeft: c.class[id].Deadline})
+	c.destinationOf[id] = dest
+	c.schedule(at, who, Request{ID: id, Class: class, Destination: dest, TimeLeft: c.classOf[id].Deadline})
 }
 
 // run goes on until nothing is left to do.
-func (c *crowd) run(to time.Duration) {
-	for len(c.todo) > 0 && c.todo[0].at < to {
-		h := heap.Pop(&c.todo).(happening)
-		if r, ok := h.what.(Request); ok {
-			c.held[h.who][r.ID] = r
+func (c *fleetModel) run(to time.Duration) {
+	for len(c.events) > 0 && c.events[0].at < to {
+		h := heap.Pop(&c.events).(timedEvent)
+		if r, ok := h.event.(Request); ok {
+			c.held[h.sender][r.ID] = r
 		}
-		if o, ok := h.what.(Outcome); ok && o.Status != OK {
-			if d := c.dests[c.dest[root(o.ID)]]; h.at >= d.outFrom && h.at < d.outTo {
-				c.told[[2]int{h.who, d.id}] = true
+		if o, ok := h.event.(Outcome); ok && o.Status != OK {
+			if d := c.destinations[c.destinationOf[originalID(o.ID)]]; h.at >= d.outFrom && h.at < d.outTo {
+				c.sawOutage[[2]int{h.sender, d.id}] = true
 			}
 		}
-		for _, a := range c.senders[h.who].Step(h.at, []Event{h.what}) {
-			c.act(h.at, h.who, a)
+		for _, a := range c.senders[h.sender].Step(h.at, []Event{h.event}) {
+			c.act(h.at, h.sender, a)
 		}
 	}
 }
 
-func (c *crowd) act(now time.Duration, who int, a Action) {
+func (c *fleetModel) act(now time.Duration, who int, a Action) {
 	switch a := a.(type) {
 	case Wake:
-		c.add(max(a.At, now+ms), who, Woken{})
+		c.schedule(max(a.At, now+ms), who, Woken{})
 	case Send:
-		n := c.attempt[a.ID]
-		c.attempt[a.ID]++
-		d := c.dests[c.dest[root(a.ID)]]
+		n := c.attempts[a.ID]
+		c.attempts[a.ID]++
+		d := c.destinations[c.destinationOf[originalID(a.ID)]]
 		sec := int(now / time.Second)
 		c.calls[d.id][sec]++
 		rtt := time.Duration(20+20*c.rng.Float64()) * ms
-		d.log = append(d.log, arrival{now + rtt/2, c.told[[2]int{who, d.id}]})
-		if d.out(now + rtt/2) {
-			took := d.after
-			if d.fails == TimedOut && a.TimeOut > 0 {
+		d.arrivals = append(d.arrivals, arrival{now + rtt/2, c.sawOutage[[2]int{who, d.id}]})
+		if d.isOut(now + rtt/2) {
+			took := d.outageLatency
+			if d.outageStatus == TimedOut && a.TimeOut > 0 {
 				took = a.TimeOut
-			} else if d.fails == TimedOut {
+			} else if d.outageStatus == TimedOut {
 				took = 5 * time.Second
 			}
-			o := Outcome{ID: a.ID, Attempt: n, Endpoint: a.Endpoint, Status: d.fails, Latency: took}
-			c.add(now+took, who, o)
+			o := Outcome{ID: a.ID, Attempt: n, Endpoint: a.Endpoint, Status: d.outageStatus, Latency: took}
+			c.schedule(now+took, who, o)
 			return
 		}
 		ok, rep := d.call(now+rtt/2, c.rng)
@@ -222,33 +222,33 @@
 			rtt += time.Duration(math.Exp(math.Log(200)+0.5*c.rng.NormFloat64())) * ms
 			delete(c.held[who], a.ID)
 		} else {
-			c.turned[d.id][sec]++
-			if c.rng.Float64() < d.tells {
+			c.refused[d.id][sec]++
+			if c.rng.Float64() < d.waitShare {
 				o.Wait = d.wait
 			}
 		}
 		o.Latency = rtt
-		c.add(now+rtt, who, o)
+		c.schedule(now+rtt, who, o)
 	case Fail:
 		delete(c.held[who], a.ID)
 	case Refuse:
 		delete(c.held[who], a.ID)
-		id := root(a.ID)
-		if c.tries[id]++; c.tries[id] <= 3 {
-			wait := time.Duration((400 + 700*c.rng.Float64()) * float64(ms) * math.Pow(2, float64(c.tries[id]-1)))
+		id := originalID(a.ID)
+		if c.submissions[id]++; c.submissions[id] <= 3 {
+			wait := time.Duration((400 + 700*c.rng.Float64()) * float64(ms) * math.Pow(2, float64(c.submissions[id]-1)))
 			if c.rng.Float64() < 0.6 {
 				wait = max(a.RetryAfter, wait/4)
 			}
 			at := now + wait
-			if left := c.first[id] + c.class[id].Deadline - at; left > 0 {
-				next := fmt.Sprintf("%s.%d", id, c.tries[id])
-				c.add(at, c.rng.IntN(len(c.senders)), Request{ID: next, Class: c.class[id].Name, Destination: c.dest[id], TimeLeft: left})
+			if left := c.submittedAt[id] + c.classOf[id].Deadline - at; left > 0 {
+				next := fmt.Sprintf("%s.%d", id, c.submissions[id])
+				c.schedule(at, c.rng.IntN(len(c.senders)), Request{ID: next, Class: c.classOf[id].Name, Destination: c.destinationOf[id], TimeLeft: left})
 			}
 		}
 	}
 }
 
-func root(id string) string {
+func originalID(id string) string {
 	for i := range id {
 		if id[i] == '.' {
 			return id[:i]
@@ -258,22 +258,22 @@
 }
 
 // restart has senders start anew at a moment, with what each had taken on, and with the limits that it had learned or not.
-func (c *crowd) restart(t testing.TB, now time.Duration, part float64, remember bool) {
+func (c *fleetModel) restart(t testing.TB, now time.Duration, part float64, remember bool) {
 	for i := range int(part * float64(len(c.senders))) {
-		s, err := New(c.senders[i].set, int64(i)+77)
+		s, err := New(c.senders[i].settings, int64(i)+77)
 		if err != nil {
 			t.Fatal(err)
 		}
-		events := []Event{Members{Whole: true, Endpoints: c.eps}}
+		events := []Event{Members{Whole: true, Endpoints: c.endpoints}}
 		if remember {
-			for _, d := range c.dests {
+			for _, d := range c.destinations {
 				events = append(events, Recalled{Destination: d.id, Limit: d.limitAt(now)})
 			}
 		}
 		for _, id := range slices.Sorted(maps.Keys(c.held[i])) {
 			r := c.held[i][id]
-			r.TimeLeft = max(c.first[root(id)]+c.class[root(id)].Deadline-now, 0)
-			r.Attempts, r.MayHaveRun = c.attempt[id], false
+			r.TimeLeft = max(c.submittedAt[originalID(id)]+c.classOf[originalID(id)].Deadline-now, 0)
+			r.Attempts, r.MayHaveRun = c.attempts[id], false
 			events = append(events, r)
 		}
 		c.senders[i] = s
@@ -283,7 +283,7 @@
 	}
 }
 
-func sum(by map[int]int, from, to int) (n int) {
+func sumSeconds(by map[int]int, from, to int) (n int) {
 	for s := from; s < to; s++ {
 		n += by[s]
 	}
@@ -292,7 +292,7 @@
 
 // Each sender keeps to the endpoint that it has a connection to. Where all took the first of the list for a start, a
 // destination's other endpoints would stand idle while its queue ran over.
-func TestFleetBeginsSpread(t *testing.T) {
+func TestFleetSpreadsFirstCalls(t *testing.T) {
 	first := map[string]int{}
 	for seed := range int64(80) {
 		s, err := New(fleetSettings(80), seed)
@@ -314,14 +314,14 @@
 // A limit that is lowered under a fleet: every sender reads the same report and is refused at the same time. While refused
 // calls use the limit up too, a fleet that goes on asking gets little through. Before a report's room was shared by the
 // number of senders, some 40 % of these calls were refused.
-func TestFleetUnderALoweredLimit(t *testing.T) {
+func TestFleetUnderLoweredLimit(t *testing.T) {
 	for seed := uint64(1); seed <= 4; seed++ {
-		c := newCrowd(t, 80, seed, &bucketModel{id: 1, limit: 280, low: 0.4, lowFrom: 6 * time.Second, lowTo: 15 * time.Second,
-			draws: true, tells: 0.6, wait: 600 * ms})
-		c.arrivals(1, "safe", 180, 0, 15*time.Second)
-		c.arrivals(1, "keyed", 50, 0, 15*time.Second)
+		c := newFleetModel(t, 80, seed, &bucketModel{id: 1, limit: 280, lowShare: 0.4, lowFrom: 6 * time.Second, lowTo: 15 * time.Second,
+			refusalsConsume: true, waitShare: 0.6, wait: 600 * ms})
+		c.generate(1, "safe", 180, 0, 15*time.Second)
+		c.generate(1, "keyed", 50, 0, 15*time.Second)
 		c.run(15 * time.Second)
-		calls, turned := sum(c.calls[1], 8, 15), sum(c.turned[1], 8, 15)
+		calls, turned := sumSeconds(c.calls[1], 8, 15), sumSeconds(c.refused[1], 8, 15)
 		if taken := calls - turned; float64(turned) > 0.2*float64(calls) || float64(taken) < 0.75*7*0.4*280 {
 			t.Errorf("seed %d: of %d calls in 7 s at 112 a second, %d were refused", seed, calls, turned)
 		}
@@ -332,12 +332,12 @@
 // those that do not take every destination to be without limit.
 func TestFleetRestarts(t *testing.T) {
 	refused := func(seed uint64, remember bool) int {
-		c := newCrowd(t, 80, seed, &bucketModel{id: 1, limit: 150, low: 1, draws: true, tells: 0.6, wait: 600 * ms})
-		c.arrivals(1, "keyed", 190, 0, 12*time.Second)
+		c := newFleetModel(t, 80, seed, &bucketModel{id: 1, limit: 150, lowShare: 1, refusalsConsume: true, waitShare: 0.6, wait: 600 * ms})
+		c.generate(1, "keyed", 190, 0, 12*time.Second)
 		c.run(8 * time.Second)
 		c.restart(t, 8*time.Second, 0.7, remember)
 		c.run(12 * time.Second)
-		return sum(c.turned[1], 8, 11)
+		return sumSeconds(c.refused[1], 8, 11)
 	}
 	for seed := uint64(1); seed <= 3; seed++ {
 		with, without := refused(seed, true), refused(seed, false)
@@ -348,24 +348,24 @@
 	}
 }
 
-// falls says when a cold destination gets more calls within the tip window than it bears, chance included, of which over two thirds are
+// overload says when a cold destination gets more calls within the tip window than it bears, chance included, of which over two thirds are
 // from senders that had been told of its outage; 0 if never.
-func (b *bucketModel) falls(f Safety) (at time.Duration, calls, told int, bears float64) {
+func (b *bucketModel) overload(f Safety) (at time.Duration, calls, told int, bears float64) {
 	from := 0
-	for i, last := range b.log {
+	for i, last := range b.arrivals {
 		if last.at < b.outTo || last.at > b.outTo+f.Cold { // while it is out, it is down and not cold
 			continue
 		}
-		for b.log[from].at <= max(last.at-f.TipAfter, b.outTo-1) {
+		for b.arrivals[from].at <= max(last.at-f.TipAfter, b.outTo-1) {
 			from++
 		}
 		n := 0
-		for _, a := range b.log[from : i+1] {
-			if a.told {
+		for _, a := range b.arrivals[from : i+1] {
+			if a.sawOutage {
 				n++
 			}
 		}
-		budget := f.FallMultiple * b.warm(max(last.at-f.TipAfter/2, b.outTo), f) * b.limit * f.TipAfter.Seconds()
+		budget := f.FallMultiple * b.warmShare(max(last.at-f.TipAfter/2, b.outTo), f) * b.limit * f.TipAfter.Seconds()
 		bears := budget + 2*math.Sqrt(budget) + 2
 		if all := i + 1 - from; float64(all) > bears {
 			if 3*n > 2*all {
--- a/internal/dispatch/sender_test.go
+++ b/internal/dispatch/sender_test.go
@@ -111,7 +111,7 @@
 	return how
 }
 
-func TestSettingsThatMakeNoSense(t *testing.T) {
+func TestInvalidSettings(t *testing.T) {
 	for field, spoil := range map[string]func(*Settings){
 		"Classes":     func(s *Settings) { s.Classes = nil },
 		"MaxCalls":    func(s *Settings) { s.MaxCalls = 0 },
@@ -141,7 +141,7 @@
 }
 
 // A call that the estimate cannot pay for is blocked until the limit has refilled.
-func TestEstimateBlocks(t *testing.T) {
+func TestEmptyEstimateBlocksSends(t *testing.T) {
 	s := newSender(t, testSettings(), ep("e", 1))
 	s.Step(0, []Event{req("a", "safe", 1)})
 	s.Step(100*ms, []Event{Outcome{ID: "a", Endpoint: "e", Settled: true, Report: &Report{Left: 0, Limit: 4}}})
@@ -166,7 +166,7 @@
 }
 
 // Reports that make no sense do no harm.
-func TestNonsenseReports(t *testing.T) {
+func TestInvalidReports(t *testing.T) {
 	for _, r := range []Report{{math.NaN(), 5}, {-1, 5}, {9, 5}, {0.5, math.NaN()}, {0.5, -3},
 		{0.5, math.Inf(1)}, {math.Inf(1), 5}, {}} {
 		s := newSender(t, testSettings(), ep("e", 1))
@@ -178,14 +178,14 @@
 		if got := run(s, 315*ms, 3*time.Second); len(sends(got)) > 3 {
 			t.Errorf("report %v: %v", r, got)
 		}
-		if len(s.endpoints["e"].flights) == 0 {
+		if len(s.endpoints["e"].calls) == 0 {
 			t.Errorf("report %v: nothing goes any more", r)
 		}
 	}
 }
 
 // A message past its aim yields to one that can still make it.
-func TestOverdueYields(t *testing.T) {
+func TestMissedAimYields(t *testing.T) {
 	s := newSender(t, testSettings(), ep("e", 1))
 	s.Step(0, []Event{req("a", "safe", 1)})
 	s.Step(10*ms, []Event{Outcome{ID: "a", Endpoint: "e", Status: Full, Wait: 2 * time.Second}})
@@ -280,7 +280,7 @@
 }
 
 // A told wait binds every message and every endpoint that shares the limit; a longer one stands.
-func TestWaits(t *testing.T) {
+func TestRetryAfterBindsAllEndpoints(t *testing.T) {
 	s := newSender(t, testSettings(), ep("e", 1), ep("f", 1))
 	s.Step(0, []Event{req("a", "safe", 1), req("b", "safe", 1)})
 	s.Step(50*ms, []Event{Outcome{ID: "a", Endpoint: "e", Status: Full, Wait: 900 * ms},
@@ -295,7 +295,7 @@
 }
 
 // Where routes are apart, a wait binds the one route.
-func TestWaitOfARoute(t *testing.T) {
+func TestWaitOfSeparateRoute(t *testing.T) {
 	s := newSender(t, testSettings(), Endpoint{ID: "e", Zone: "a", Kind: "apart", Destination: 1},
 		Endpoint{ID: "f", Zone: "b", Kind: "apart", Destination: 1})
 	s.Step(0, []Event{req("a", "safe", 1)})
@@ -366,7 +366,7 @@
 			}
 		}
 		f := testSettings().Safety
-		seen := s.endpoints["e"].ledger.capacity()
+		seen := s.endpoints["e"].limiter.capacity()
 		for i := range times {
 			in := 0
 			for _, x := range times[i:] {
@@ -386,7 +386,7 @@
 }
 
 // A destination that takes calls and answers none must not hold the slots, whatever its limit allows.
-func TestSilenceIsBounded(t *testing.T) {
+func TestSilentDestinationHoldsFewSlots(t *testing.T) {
 	s := newSender(t, testSettings(), ep("e", 1), ep("f", 2))
 	s.Step(0, []Event{req("first", "safe", 1)})
 	s.Step(100*ms, []Event{Outcome{ID: "first", Endpoint: "e", Settled: true, Latency: 100 * ms,
@@ -399,8 +399,8 @@
 				s.Step(now+50*ms, []Event{answer(a.ID, 0, "f", OK)})
 			}
 		}
-		if d := s.dests[1]; d.out > 3 {
-			t.Fatalf("%d calls out at the silent destination", d.out)
+		if d := s.destinations[1]; d.callsOut > 3 {
+			t.Fatalf("%d calls out at the silent destination", d.callsOut)
 		}
 		if !strings.Contains(fmt.Sprint(sends(acts)), fmt.Sprint("g", i)) {
 			t.Fatalf("the other destination got nothing at %v", now)
@@ -433,25 +433,25 @@
 		t.Fatalf("sent %v", got)
 	}
 	s.Step(1005*ms, []Event{answer("m", 0, "e", Errored)})
-	if s.out != 1 {
-		t.Errorf("%d calls out", s.out)
+	if s.callsOut != 1 {
+		t.Errorf("%d calls out", s.callsOut)
 	}
 }
 
 // What was spent after the reporting attempt was sent may not be in its report.
 func TestLaterSpendsCount(t *testing.T) {
-	l := &ledger{kind: &kind{span: 1}, peers: 1}
+	l := &limiter{kind: &kind{burstSeconds: 1}, peers: 1}
 	for _, at := range []time.Duration{100 * ms, 200 * ms, 300 * ms} {
 		l.spend(at)
 	}
-	l.finalize(&Report{Left: 0.5, Limit: 10}, 100*ms, 400*ms)
+	l.applyReport(&Report{Left: 0.5, Limit: 10}, 100*ms, 400*ms)
 	if got := l.estimate(400 * ms); got > 3.01 {
 		t.Errorf("5 reported as left, 2 spent since: estimate %.2f", got)
 	}
 }
 
 // Calls whose answers are lost everywhere give up their slots when messages wait.
-func TestReclaim(t *testing.T) {
+func TestReclaimSlot(t *testing.T) {
 	set := testSettings()
 	set.MaxCalls = 2
 	s := newSender(t, set, ep("e", 1), ep("f", 2), ep("g", 3))
@@ -494,36 +494,36 @@
 	s.Step(0, []Event{answer("x", 0, "e", OK), Hangup{ID: "x"}, Woken{}, ProbeResult{Endpoint: "x"}, MembersLost{}})
 	s.Step(5*ms, []Event{req("a", "safe", 1)})
 	s.Step(9*ms, []Event{answer("a", 0, "e", OK), answer("a", 0, "e", OK)})
-	if s.out != 0 || s.dests[1].out != 0 {
-		t.Errorf("%d calls out after one send and two outcomes", s.out)
+	if s.callsOut != 0 || s.destinations[1].callsOut != 0 {
+		t.Errorf("%d calls out after one send and two outcomes", s.callsOut)
 	}
 }
 
-// TestRules drives senders with random legal events and checks what the rules promise; the same seed must
+// TestRandomEventsKeepRules drives senders with random legal events and checks what the rules promise; the same seed must
 // give the same actions.
-func TestRules(t *testing.T) {
+func TestRandomEventsKeepRules(t *testing.T) {
 	for seed := range uint64(40) {
-		first, second := drive(t, seed), drive(t, seed)
+		first, second := runRandomEvents(t, seed), runRandomEvents(t, seed)
 		if !reflect.DeepEqual(first, second) {
 			t.Fatalf("seed %d: a replay acts otherwise", seed)
 		}
 	}
 }
 
-type held struct {
-	class     Class
-	key       int64
-	deadline  time.Duration
-	tries     int
-	out       bool
-	ended     bool
-	mayHave   bool
-	firstSent time.Duration
-	dest      int
-	at        int
+type modelMessage struct {
+	class      Class
+	key        int64
+	deadline   time.Duration
+	attempts   int
+	inFlight   bool
+	ended      bool
+	mayHaveRun bool
+	firstSent  time.Duration
+	dest       int
+	number     int
 }
 
-func drive(t *testing.T, seed uint64) []string {
+func runRandomEvents(t *testing.T, seed uint64) []string {
 	r := rand.New(rand.NewPCG(seed, 7))
 	set := testSettings()
 	set.Cancel = seed%3 != 0
@@ -536,7 +536,7 @@
 	s := newSender(t, set, eps...)
 	state := map[string]State{}
 	waits := map[string]time.Duration{}
-	messages := map[string]*held{}
+	messages := map[string]*modelMessage{}
 	rest := map[int64]time.Duration{}
 	type pending struct {
 		at time.Duration
@@ -552,7 +552,7 @@
 			c := set.Classes[r.IntN(len(set.Classes))]
 			q := req(fmt.Sprint("m", n), c.Name, r.IntN(3))
 			q.Key, q.HasKey = int64(r.IntN(3)), true
-			messages[q.ID] = &held{class: c, key: q.Key, deadline: now + q.TimeLeft, dest: q.Destination, at: n}
+			messages[q.ID] = &modelMessage{class: c, key: q.Key, deadline: now + q.TimeLeft, dest: q.Destination, number: n}
 			evs = append(evs, q)
 		}
 		if r.IntN(400) == 0 {
@@ -571,13 +571,13 @@
 			if now >= m.deadline {
 				p.o.Status = TimedOut
 			}
-			m.out = false
+			m.inFlight = false
 			switch p.o.Status {
 			case OK:
 				p.o.Settled, m.ended = true, true
 			case Errored, TimedOut, Reset, Cancelled:
-				if !m.mayHave {
-					m.mayHave, m.firstSent = true, p.at-p.o.Latency
+				if !m.mayHaveRun {
+					m.mayHaveRun, m.firstSent = true, p.at-p.o.Latency
 				}
 				if p.o.Status != Errored && m.class.OrderedByKey {
 					rest[m.key] = now + set.Safety.OrderPause
@@ -610,24 +610,24 @@
 				switch {
 				case m.ended:
 					bad = "has ended"
-				case m.out:
+				case m.inFlight:
 					bad = "has an attempt out"
-				case m.tries >= set.MaxAttempts:
+				case m.attempts >= set.MaxAttempts:
 					bad = "has had its attempts"
-				case m.mayHave && m.class.Effect == Unsafe:
+				case m.mayHaveRun && m.class.Effect == Unsafe:
 					bad = "may have run and is unsafe"
-				case m.mayHave && m.class.Effect == Keyed && now >= m.firstSent+m.class.Memory:
+				case m.mayHaveRun && m.class.Effect == Keyed && now >= m.firstSent+m.class.Memory:
 					bad = "is past its keyed window"
 				case state[a.Endpoint] != Listed:
 					bad = "goes to an endpoint that drains"
 				case now < waits[a.Endpoint]:
 					bad = "breaks a wait"
-				case m.class.OrderedByKey && m.tries == 0 && now < rest[m.key]:
+				case m.class.OrderedByKey && m.attempts == 0 && now < rest[m.key]:
 					bad = "breaks the rest of its key"
 				}
 				if m.class.OrderedByKey {
 					for _, o := range messages {
-						if o.class.OrderedByKey && o.key == m.key && o.at < m.at && (!o.ended || o.out) {
+						if o.class.OrderedByKey && o.key == m.key && o.number < m.number && (!o.ended || o.inFlight) {
 							bad = "overtakes one of its key"
 						}
 					}
@@ -635,7 +635,7 @@
 				if bad != "" {
 					t.Fatalf("seed %d, %v: %s %s", seed, now, a.ID, bad)
 				}
-				m.out = true
+				m.inFlight = true
 				took := time.Duration(20+r.IntN(600)) * ms
 				if a.TimeOut > 0 {
 					took = min(took, a.TimeOut)
@@ -644,9 +644,9 @@
 				if r.IntN(20) == 0 {
 					took = time.Hour
 				}
-				out = append(out, pending{now + took, Outcome{ID: a.ID, Attempt: m.tries, Endpoint: a.Endpoint,
+				out = append(out, pending{now + took, Outcome{ID: a.ID, Attempt: m.attempts, Endpoint: a.Endpoint,
 					Status: st, Latency: took}})
-				m.tries++
+				m.attempts++
 			case Cancel:
 				if !set.Cancel {
 					t.Fatalf("seed %d: a cancel that is not permitted", seed)
@@ -663,12 +663,12 @@
 					id = f.ID
 				} else {
 					id = a.(Refuse).ID
-					if m := messages[id]; m.mayHave && (m.class.Effect == Unsafe || m.class.ZoneScope) {
+					if m := messages[id]; m.mayHaveRun && (m.class.Effect == Unsafe || m.class.ZoneScope) {
 						t.Fatalf("seed %d: %s refused though it may have run", seed, id)
 					}
 				}
 				m := messages[id]
-				if m.ended || m.out || now > m.deadline {
+				if m.ended || m.inFlight || now > m.deadline {
 					t.Fatalf("seed %d, %v: %s answered twice, with an attempt out, or late", seed, now, id)
 				}
 				m.ended = true
@@ -688,21 +688,21 @@
 
 // What an allowance holds is learned from refusals: a full report of a plain rate is not a second's worth.
 func TestAllowanceIsLearned(t *testing.T) {
-	l := &ledger{kind: &kind{span: budgetWindow}, peers: 1}
-	l.finalize(&Report{Left: 1, Limit: 20}, 0, 0)
+	l := &limiter{kind: &kind{burstSeconds: defaultBurstSeconds}, peers: 1}
+	l.applyReport(&Report{Left: 1, Limit: 20}, 0, 0)
 	before := l.estimate(0)
-	l.refuse(0, 0, true, 0.5)
-	l.finalize(&Report{Left: 1, Limit: 20}, 0, 0)
+	l.recordRefusal(0, 0, true, 0.5)
+	l.applyReport(&Report{Left: 1, Limit: 20}, 0, 0)
 	if after := l.estimate(0); !(after < before) {
 		t.Errorf("a full allowance is taken as %.1f calls before a refusal and %.1f after", before, after)
 	}
 }
 
 // A report belongs to all senders: what reads half empty, or holds less than a call for each, is shared.
-func TestPartOfAReport(t *testing.T) {
+func TestReportIsShared(t *testing.T) {
 	for _, c := range []struct{ left, limit, most float64 }{{0.5, 12, 3.1}, {1, 3, 2.5}} {
-		l := &ledger{kind: &kind{span: 1}, peers: 4}
-		l.finalize(&Report{Left: c.left, Limit: c.limit}, 0, 0)
+		l := &limiter{kind: &kind{burstSeconds: 1}, peers: 4}
+		l.applyReport(&Report{Left: c.left, Limit: c.limit}, 0, 0)
 		if got := l.estimate(0); got > c.most {
 			t.Errorf("%.1f left of %.0f: one of four senders takes %.1f", c.left, c.limit, got)
 		}
@@ -710,7 +710,7 @@
 }
 
 // A refusal over the limit between successes is no outage, or every busy limit would start a cold ramp.
-func TestRefusalsOverTheLimitAreNoOutage(t *testing.T) {
+func TestRateLimitRefusalsAreNoOutage(t *testing.T) {
 	s := newSender(t, testSettings(), ep("e", 1))
 	for i := range 12 {
 		id, now := fmt.Sprint(i), time.Duration(i)*400*ms
@@ -729,16 +729,16 @@
 }
 
 // Where answers are lost on all calls alike, two lost in a row are no outage of an endpoint.
-func TestLossEverywhereIsNoOutage(t *testing.T) {
+func TestGlobalLossIsNoOutage(t *testing.T) {
 	s := newSender(t, testSettings(), ep("e", 1))
 	e := s.endpoints["e"]
-	s.every = 0.4
-	s.failed(e, &flight{sent: s.now}, Outcome{Status: TimedOut})
-	s.failed(e, &flight{sent: s.now}, Outcome{Status: TimedOut})
+	s.missedShare = 0.4
+	s.recordFailure(e, &call{sentAt: s.now}, Outcome{Status: TimedOut})
+	s.recordFailure(e, &call{sentAt: s.now}, Outcome{Status: TimedOut})
 	if e.outage {
 		t.Error("taken out by two lost answers where 4 in 10 are lost everywhere")
 	}
-	s.failed(e, &flight{sent: s.now}, Outcome{Status: Errored})
+	s.recordFailure(e, &call{sentAt: s.now}, Outcome{Status: Errored})
 	if !e.outage {
 		t.Error("errors that the endpoint answers count at once")
 	}
@@ -771,21 +771,21 @@
 	}
 }
 
-// many is the settings of one of many senders.
-func many() Settings {
+// manySenders is the settings of one of many senders.
+func manySenders() Settings {
 	set := testSettings()
 	set.Peers = 400
 	return set
 }
 
 // Of many senders few ask a destination at the same time: a report that shows room pays for a call.
-func TestRareCallsPass(t *testing.T) {
+func TestRareCallsAreAllowed(t *testing.T) {
 	for _, c := range []struct {
 		left float64
 		want bool
 	}{{1, true}, {0.5, true}, {0.1, false}} {
-		l := &ledger{kind: &kind{span: 1}, peers: 400, bold: 400}
-		l.finalize(&Report{Left: c.left, Limit: 4}, 0, 0)
+		l := &limiter{kind: &kind{burstSeconds: 1}, peers: 400, evenShares: 400}
+		l.applyReport(&Report{Left: c.left, Limit: 4}, 0, 0)
 		if got := l.estimate(100 * ms); got >= 1 != c.want {
 			t.Errorf("%.1f of 4 left: estimate %.2f for one of 400 senders", c.left, got)
 		}
@@ -794,11 +794,11 @@
 
 // Each refusal puts the next call off further, down to what is used of an even share.
 func TestRefusalsBackOff(t *testing.T) {
-	l := &ledger{kind: &kind{span: 1}, peers: 400, bold: 400, limit: 4}
+	l := &limiter{kind: &kind{burstSeconds: 1}, peers: 400, evenShares: 400, limit: 4}
 	last := l.share()
 	for range 12 {
-		l.refuse(0, 0, false, 0.5)
-		if l.share() >= last || l.share() < (1-unused)/l.peers {
+		l.recordRefusal(0, 0, false, 0.5)
+		if l.share() >= last || l.share() < (1-unusedShare)/l.peers {
 			t.Fatalf("share %v after %v", l.share(), last)
 		}
 		last = l.share()
@@ -809,7 +809,7 @@
 }
 
 // Where many senders call rarely, one failure is an outage to them; where few call often, it takes two.
-func TestOneFailureOfMany(t *testing.T) {
+func TestSingleFailureWithManySenders(t *testing.T) {
 	for peers, want := range map[int]bool{400: true, 2: false} {
 		set := testSettings()
 		set.Peers = peers
@@ -823,40 +823,40 @@
 }
 
 // The gap between tries does not grow with the number of senders where few of them can have met the outage.
-func TestColdGapOfMany(t *testing.T) {
-	s := newSender(t, many(), ep("e", 1))
+func TestColdGapWithManySenders(t *testing.T) {
+	s := newSender(t, manySenders(), ep("e", 1))
 	s.Step(10*time.Second, []Event{req("a", "safe", 1)})
 	s.Step(10100*ms, []Event{answer("a", 0, "e", Errored)})
 	e := s.endpoints["e"]
-	e.ledger.limit = 4
-	early, late := s.coldGap(e, e.outFrom), s.coldGap(e, e.outFrom+10*time.Second)
-	if early < s.set.Safety.TipAfter || late < 2*early || late > 5*s.set.Safety.Cold {
+	e.limiter.limit = 4
+	early, late := s.coldGap(e, e.outageSince), s.coldGap(e, e.outageSince+10*time.Second)
+	if early < s.settings.Safety.TipAfter || late < 2*early || late > 5*s.settings.Safety.Cold {
 		t.Errorf("gap %v at first, %v after ten seconds", early, late)
 	}
-	e.ledger.limit = 400 // every sender meets it: the budget is shared by all
-	f := s.set.Safety
+	e.limiter.limit = 400 // every sender meets it: the budget is shared by all
+	f := s.settings.Safety
 	least := time.Duration(400 / (f.FallMultiple * f.StartCapacity * 400) * float64(time.Second))
-	if got := s.coldGap(e, e.outFrom+10*time.Second); got < least {
+	if got := s.coldGap(e, e.outageSince+10*time.Second); got < least {
 		t.Errorf("gap %v where all senders saw the outage, %v would use up the budget", got, least)
 	}
 }
 
 // A shut destination is shut with all its endpoints, and senders that were told when it opens don't come
 // back at one moment.
-func TestShutDestination(t *testing.T) {
+func TestLongWaitTakesOutDestination(t *testing.T) {
 	tries := map[time.Duration]bool{}
 	for seed := range int64(5) {
-		s, err := New(many(), seed)
+		s, err := New(manySenders(), seed)
 		if err != nil {
 			t.Fatal(err)
 		}
 		s.Step(0, []Event{Members{Whole: true, Endpoints: []Endpoint{ep("e", 1), ep("f", 1)}}, req("a", "safe", 1)})
 		s.Step(50*ms, []Event{Outcome{ID: "a", Endpoint: "e", Status: Full, Wait: 5 * time.Second}})
 		for _, e := range s.endpoints {
-			if !e.outage || e.ledger.nextTry < 5050*ms {
-				t.Errorf("seed %d: %s out: %v, next try %v", seed, e.id, e.outage, e.ledger.nextTry)
+			if !e.outage || e.limiter.nextTrial < 5050*ms {
+				t.Errorf("seed %d: %s out: %v, next try %v", seed, e.id, e.outage, e.limiter.nextTrial)
 			}
-			tries[e.ledger.nextTry] = true
+			tries[e.limiter.nextTrial] = true
 		}
 	}
 	if len(tries) < 5 { // the endpoints of one sender share the next try
@@ -867,16 +867,16 @@
 // An answer without a report, or with one that cannot be read, tells nothing of the spends before it: an older
 // attempt's report that comes late must still be less those made after it.
 func TestLateReportKeepsLaterSpends(t *testing.T) {
-	l := &ledger{kind: &kind{span: 1}, peers: 1}
+	l := &limiter{kind: &kind{burstSeconds: 1}, peers: 1}
 	for _, at := range []time.Duration{100 * ms, 200 * ms, 300 * ms} {
 		l.spend(at)
 	}
-	l.finalize(nil, 300*ms, 390*ms)
-	l.finalize(&Report{Left: 0.5, Limit: 10}, 100*ms, 400*ms)
+	l.applyReport(nil, 300*ms, 390*ms)
+	l.applyReport(&Report{Left: 0.5, Limit: 10}, 100*ms, 400*ms)
 	if got := l.estimate(400 * ms); got > 3.01 {
 		t.Errorf("5 reported as left, 2 spent since: estimate %.2f", got)
 	}
-	l.spend(400*ms + 2*spendsKept)
+	l.spend(400*ms + 2*spendRetention)
 	if len(l.spends) != 1 {
 		t.Errorf("%d spends kept", len(l.spends))
 	}
@@ -884,8 +884,8 @@
 
 // A new endpoint of a destination that is out is tried like the others: it is cold and not the place for all
 // that waits.
-func TestNewEndpointInAnOutage(t *testing.T) {
-	s := newSender(t, many(), ep("e", 1))
+func TestNewEndpointDuringOutage(t *testing.T) {
+	s := newSender(t, manySenders(), ep("e", 1))
 	s.Step(10*time.Second, []Event{req("a", "safe", 1)})
 	s.Step(10100*ms, []Event{answer("a", 0, "e", ConnectFailed)})
 	acts := s.Step(11*time.Second, []Event{Members{Endpoints: []Endpoint{ep("f", 1)}}})
@@ -895,17 +895,17 @@
 }
 
 // Unsafe messages that one clump brought don't come back to a destination that is out at one moment.
-func TestUnsafeTriesAreSpread(t *testing.T) {
+func TestUnsafeTrialsAreSpread(t *testing.T) {
 	at := map[time.Duration]bool{}
 	for seed := range int64(6) {
-		s, err := New(many(), seed)
+		s, err := New(manySenders(), seed)
 		if err != nil {
 			t.Fatal(err)
 		}
 		s.Step(0, []Event{Members{Whole: true, Endpoints: []Endpoint{ep("e", 1)}}})
 		s.Step(10*time.Second, []Event{req("a", "unsafe", 1)})
 		s.Step(10050*ms, []Event{answer("a", 0, "e", ConnectFailed)})
-		s.endpoints["e"].ledger.nextTry = 0
+		s.endpoints["e"].limiter.nextTrial = 0
 		for now := 10055 * ms; now < 24*time.Second; now += 5 * ms {
 			if sends(s.Step(now, nil)) != nil {
 				at[now] = true
@@ -921,7 +921,7 @@
 // Senders meet an outage one after the other, each with a message that it holds. Two thirds of a destination's load
 // from those that saw the outage is what breaks the rule: they must stay under that, whatever it can take, also where
 // it has several endpoints and each sender knows one of them to be out.
-func TestShareOfThoseThatSawTheOutage(t *testing.T) {
+func TestOutageAwareSendersStayUnderTwoThirds(t *testing.T) {
 	all := []Endpoint{ep("e", 1), ep("f", 1), ep("g", 1)}
 	for _, c := range []struct {
 		eps     []Endpoint
@@ -935,7 +935,7 @@
 		{all[:2], Outcome{Status: Full, Latency: 50 * ms}},
 		{all[:2], Outcome{Status: Full, Latency: 50 * ms, Report: &Report{Limit: 6}}},
 	} {
-		set := many()
+		set := manySenders()
 		set.Classes[0].Deadline = 28 * time.Second
 		type sender struct {
 			*Sender
@@ -979,7 +979,7 @@
 
 // What coldGap argues, over many sizes: with first calls at the capacity or at half of it, the senders that saw an outage of
 // any age send less than twice what the others do, or less than pushes the destination over.
-func TestColdGapKeepsTheRule(t *testing.T) {
+func TestColdGapBound(t *testing.T) {
 	for _, peers := range []int{2, 40, 400} {
 		set := testSettings()
 		set.Peers = peers
@@ -987,12 +987,12 @@
 		e := s.endpoints["e"]
 		e.outage = true
 		for capacity := 2.0; capacity < 5000; capacity *= 1.5 {
-			e.ledger.limit = capacity
+			e.limiter.limit = capacity
 			for _, c := range []struct{ demand, clump float64 }{{capacity, 0}, {capacity / 2, 0},
 				{capacity / 2, 2.5 * capacity}, {capacity / 4, 0}, {capacity / 4, 2.5 * capacity}} {
 				for age := 2.0; age < 60; age *= 1.5 {
 					gap := func(a float64) float64 {
-						return s.coldGap(e, e.outFrom+time.Duration(a*float64(time.Second))).Seconds()
+						return s.coldGap(e, e.outageSince+time.Duration(a*float64(time.Second))).Seconds()
 					}
 					mine, left, step := c.demand/float64(peers), math.Exp(-c.clump/float64(peers)), age/200
 					saw := float64(peers) * (1 - left) / gap(age)
@@ -1012,19 +1012,19 @@
 }
 
 // A connection refused at once may be one too many at that endpoint; one that gets no answer takes the destination's other endpoints out, too, unless they answered since.
-func TestOthersOfADestinationThatFails(t *testing.T) {
+func TestSiblingsOfFailedEndpoint(t *testing.T) {
 	fail := func(s *Sender, id, endpoint string, after time.Duration) {
-		s.failed(s.endpoints[endpoint], &flight{sent: s.now}, Outcome{ID: id, Status: ConnectFailed, Latency: after})
+		s.recordFailure(s.endpoints[endpoint], &call{sentAt: s.now}, Outcome{ID: id, Status: ConnectFailed, Latency: after})
 	}
-	s := newSender(t, many(), ep("e", 1), ep("f", 1), ep("g", 2), ep("h", 2))
+	s := newSender(t, manySenders(), ep("e", 1), ep("f", 1), ep("g", 2), ep("h", 2))
 	s.Step(10*time.Second, nil)
 	fail(s, "a", "e", 20*ms)
 	if s.endpoints["f"].outage {
 		t.Error("taken out by a connection refused at once elsewhere")
 	}
-	s = newSender(t, many(), ep("e", 1), ep("f", 1), ep("g", 1))
+	s = newSender(t, manySenders(), ep("e", 1), ep("f", 1), ep("g", 1))
 	s.Step(10*time.Second, nil)
-	s.endpoints["g"].lastGood = s.now
+	s.endpoints["g"].lastAnswered = s.now
 	fail(s, "a", "e", 500*ms)
 	if !s.endpoints["f"].outage || s.endpoints["g"].outage {
 		t.Errorf("out: f %v, g, which has answered, %v", s.endpoints["f"].outage, s.endpoints["g"].outage)
@@ -1033,22 +1033,22 @@
 
 // A ramp ends with the cold time, also where no call has gone meanwhile.
 func TestRampEnds(t *testing.T) {
-	s := newSender(t, many(), ep("e", 1))
+	s := newSender(t, manySenders(), ep("e", 1))
 	e := s.endpoints["e"]
 	s.Step(10*time.Second, nil)
-	e.ledger.limit, e.ledger.left, e.ledger.at = 40, 10, s.now
-	e.ramp, e.outFrom, e.rampFrom, e.lastSend = true, 0, s.now, s.now
+	e.limiter.limit, e.limiter.available, e.limiter.availableAt = 40, 10, s.now
+	e.ramping, e.outageSince, e.rampSince, e.lastSent = true, 0, s.now, s.now
 	if got := sends(s.Step(11*time.Second, []Event{req("a", "safe", 1)})); got != nil {
 		t.Errorf("sent %v in the ramp at once", got)
 	}
-	if got := sends(run(s, 11*time.Second, 10*time.Second+s.set.Safety.Cold)); len(got) == 0 {
+	if got := sends(run(s, 11*time.Second, 10*time.Second+s.settings.Safety.Cold)); len(got) == 0 {
 		t.Error("held though the cold time is over")
 	}
 }
 
 // What cannot go before its time is up is refused at once, with the time to come back, and not held back to
 // near its deadline: past a told wait, and behind more calls than the reported limit lets through.
-func TestHopelessIsRefusedAtOnce(t *testing.T) {
+func TestUndeliverableIsRefusedAtOnce(t *testing.T) {
 	s := newSender(t, testSettings(), ep("e", 1))
 	s.Step(0, []Event{req("a", "safe", 1)})
 	for _, a := range s.Step(100*ms, []Event{Outcome{ID: "a", Endpoint: "e", Status: Full, Wait: 30 * time.Second}}) {
@@ -1074,7 +1074,7 @@
 }
 
 // Messages past their aim yield to those that can make it: they count those as ahead, and each other.
-func TestLateCountAllThatGoFirst(t *testing.T) {
+func TestLateMessagesCountAllAhead(t *testing.T) {
 	s := newSender(t, testSettings(), ep("e", 1))
 	s.Step(0, []Event{req("first", "safe", 1)})
 	s.Step(100*ms, []Event{Outcome{ID: "first", Endpoint: "e", Status: OK, Settled: true, Latency: 100 * ms,
@@ -1097,7 +1097,7 @@
 }
 
 // A message that another process has tried goes on from there.
-func TestRequestWithAttemptsBehindIt(t *testing.T) {
+func TestRequestWithEarlierAttempts(t *testing.T) {
 	s := newSender(t, testSettings(), ep("e", 1))
 	tried := func(id string, attempts int, first time.Duration) Request {
 		r := req(id, "keyed", 1)
@@ -1125,7 +1125,7 @@
 // What is kept of an endpoint ends with it, and of a destination with its last endpoint, message and told wait:
 // a day on which all of them are replaced leaves nothing behind, and the health of one that is gone says
 // nothing of the next at its destination. While a call is out, its endpoint is still needed.
-func TestNothingStaysOfWhatIsGone(t *testing.T) {
+func TestGoneEndpointsAreForgotten(t *testing.T) {
 	set := testSettings()
 	s := newSender(t, set)
 	now := time.Duration(0)
@@ -1154,10 +1154,10 @@
 	}
 	s.Step(now, []Event{Request{ID: "odd", Class: "unheard of", Destination: 99, TimeLeft: time.Second}})
 	run(s, now, now+2*time.Second)
-	if len(s.endpoints)+len(s.dests)+len(s.messages)+len(s.queue)+len(s.flying) > 0 || len(s.lanes) > 8 ||
+	if len(s.endpoints)+len(s.destinations)+len(s.messages)+len(s.queue)+len(s.inFlight) > 0 || len(s.keyQueues) > 8 ||
 		len(s.classes) != len(set.Classes) {
 		t.Errorf("kept: %d endpoints, %d destinations, %d messages, %d lanes, %d classes", len(s.endpoints),
-			len(s.dests), len(s.messages), len(s.lanes), len(s.classes))
+			len(s.destinations), len(s.messages), len(s.keyQueues), len(s.classes))
 	}
 }
 
@@ -1168,10 +1168,10 @@
 	set := testSettings()
 	set.MaxCalls = 40
 	s := newSender(t, set, ep("e", 1), ep("f", 1))
-	s.takeOut(s.endpoints["f"])
+	s.markOutage(s.endpoints["f"])
 	s.endpoints["e"].window = 20
 	s.Step(0, []Event{req("a", "safe", 1), req("b", "safe", 1), req("c", "safe", 1)})
-	if got := len(s.endpoints["e"].flights); got != 3 {
+	if got := len(s.endpoints["e"].calls); got != 3 {
 		t.Fatalf("%d calls out", got)
 	}
 	s.Step(50*ms, []Event{answer("a", 0, "e", Reset)})
@@ -1182,27 +1182,27 @@
 	s.Step(200*ms, []Event{answer("d", 0, "e", OK)})
 	s.Step(400*ms, []Event{answer("b", 0, "e", TimedOut)})
 	s.Step(410*ms, []Event{answer("c", 0, "e", TimedOut)})
-	if e := s.endpoints["e"]; e.outage || e.fails > 0 {
-		t.Errorf("out: %v, %d failures counted although a later call was answered", e.outage, e.fails)
+	if e := s.endpoints["e"]; e.outage || e.failures > 0 {
+		t.Errorf("out: %v, %d failures counted although a later call was answered", e.outage, e.failures)
 	}
 }
 
 // Reports are refreshed now and then, and answers in between bring the same one again. Our share of the room that it
 // tells of is granted once, and not with each answer: many senders would draw the limit many times over.
-func TestReportThatComesAgain(t *testing.T) {
-	l := &ledger{kind: &kind{span: 1}, peers: 80, bold: 80}
+func TestRepeatedReport(t *testing.T) {
+	l := &limiter{kind: &kind{burstSeconds: 1}, peers: 80, evenShares: 80}
 	half := &Report{Left: 0.5, Limit: 200}
-	l.finalize(half, 0, 0)
-	granted := l.left
+	l.applyReport(half, 0, 0)
+	granted := l.available
 	l.spend(10 * ms)
 	l.spend(20 * ms)
-	l.finalize(half, 20*ms, 100*ms)
-	if l.left > granted-1.9 {
-		t.Errorf("%.2f calls were left of %.2f, with the same report as before: %.2f", granted-2, granted, l.left)
+	l.applyReport(half, 20*ms, 100*ms)
+	if l.available > granted-1.9 {
+		t.Errorf("%.2f calls were left of %.2f, with the same report as before: %.2f", granted-2, granted, l.available)
 	}
-	l.finalize(&Report{Left: 0.6, Limit: 200}, 30*ms, 150*ms)
-	if l.left < granted {
-		t.Errorf("a new report grants %.2f", l.left)
+	l.applyReport(&Report{Left: 0.6, Limit: 200}, 30*ms, 150*ms)
+	if l.available < granted {
+		t.Errorf("a new report grants %.2f", l.available)
 	}
 }
 
@@ -1217,8 +1217,8 @@
 		back := ep("e", 1)
 		back.Cold = cold
 		s.Step(20*time.Second, []Event{Members{Endpoints: []Endpoint{back}}})
-		if e := s.endpoints["e"]; e.ramp != cold || cold && e.rampFrom != 20*time.Second {
-			t.Errorf("cold %v: ramp %v from %v", cold, e.ramp, e.rampFrom)
+		if e := s.endpoints["e"]; e.ramping != cold || cold && e.rampSince != 20*time.Second {
+			t.Errorf("cold %v: ramp %v from %v", cold, e.ramping, e.rampSince)
 		}
 		if s.Avoided() != 0 {
 			t.Errorf("cold %v: %d avoided", cold, s.Avoided())
@@ -1271,18 +1271,18 @@
 				}
 				s.Step(now+20*ms, evs)
 				x := s.endpoints["e"]
-				for what, v := range map[string]float64{"share": x.ledger.share(), "capacity": x.ledger.capacity(), "rarely": x.ledger.rarely(),
-					"often": x.ledger.often(), "estimate": x.ledger.estimate(now), "gap": s.coldGap(x, now).Seconds(), "left": x.ledger.left} {
+				for what, v := range map[string]float64{"share": x.limiter.share(), "capacity": x.limiter.capacity(), "rarely": x.limiter.sparseness(),
+					"often": x.limiter.excess(), "estimate": x.limiter.estimate(now), "gap": s.coldGap(x, now).Seconds(), "left": x.limiter.available} {
 					overspent := (what == "estimate" || what == "left") && v < 0
 					if math.IsNaN(v) || math.IsInf(v, 0) || v < 0 && !overspent {
 						t.Fatalf("%d senders, limit %v, step %d: %s is %v", peers, limit, n, what, v)
 					}
 				}
-				if v := x.ledger.share(); v == 0 || v > 1 {
+				if v := x.limiter.share(); v == 0 || v > 1 {
 					t.Fatalf("%d senders: a share of %v", peers, v)
 				}
-				if x.ledger.nextTry < 0 || x.ledger.heldUntil < 0 {
-					t.Fatalf("%d senders: a try at %v, held until %v", peers, x.ledger.nextTry, x.ledger.heldUntil)
+				if x.limiter.nextTrial < 0 || x.limiter.fleetWait < 0 {
+					t.Fatalf("%d senders: a try at %v, held until %v", peers, x.limiter.nextTrial, x.limiter.fleetWait)
 				}
 			}
 			if sent == 0 {
@@ -1310,20 +1310,20 @@
 		evs = append(evs, req(fmt.Sprint("m", i), "safe", 1))
 	}
 	acts := s.Step(200*ms, evs)
-	if got := sends(acts); len(got) != 3 || s.out != 1 || len(ends(acts)) != 0 {
-		t.Fatalf("%v are sent by %d calls; %v", got, s.out, ends(acts))
+	if got := sends(acts); len(got) != 3 || s.callsOut != 1 || len(ends(acts)) != 0 {
+		t.Fatalf("%v are sent by %d calls; %v", got, s.callsOut, ends(acts))
 	}
-	if left := s.endpoints["e"].ledger.left; left < 0 || left >= 1 {
+	if left := s.endpoints["e"].limiter.available; left < 0 || left >= 1 {
 		t.Errorf("a call costs %v", 1-left)
 	}
 	refused := func(i int) Event { return Outcome{ID: fmt.Sprint("m", i), Endpoint: "e", Status: Full, Wait: 300 * ms} }
 	s.Step(300*ms, []Event{refused(0), refused(1)})
-	if e := s.endpoints["e"]; e.refusals != 1 || s.out != 1 || len(e.flights) != 1 {
-		t.Errorf("%d refusals by one call; %d calls out", e.refusals, s.out)
+	if e := s.endpoints["e"]; e.refusals != 1 || s.callsOut != 1 || len(e.calls) != 1 {
+		t.Errorf("%d refusals by one call; %d calls out", e.refusals, s.callsOut)
 	}
 	s.Step(310*ms, []Event{refused(2)})
-	if s.out != 0 || len(s.endpoints["e"].flights) != 0 {
-		t.Errorf("%d calls out behind the last of one", s.out)
+	if s.callsOut != 0 || len(s.endpoints["e"].calls) != 0 {
+		t.Errorf("%d calls out behind the last of one", s.callsOut)
 	}
 	all := map[string]bool{}
 	for now := 320 * ms; now < 9*time.Second; now += 5 * ms {
@@ -1347,7 +1347,7 @@
 		t.Errorf("%d of 8 messages go in 9 s at one call a second", len(all))
 	}
 	// What goes to an endpoint that is out goes alone.
-	s.takeOut(s.endpoints["e"])
+	s.markOutage(s.endpoints["e"])
 	acts = s.Step(60*time.Second, []Event{req("x", "safe", 1), req("y", "safe", 1)})
 	if got := sends(acts); len(got) != 1 {
 		t.Errorf("tried with %v", got)
--- a/internal/dispatch/shed_test.go
+++ b/internal/dispatch/shed_test.go
@@ -12,21 +12,21 @@
 	"slatemux/internal/proptest"
 )
 
-// victims is shedding as its comment has it, one victim after another over all that is held.
-func victims(s *Sender, over int) (ids []string) {
+// pickOneByOne is shedding as its comment has it, one victim after another over all that is held.
+func pickOneByOne(s *Sender, over int) (ids []string) {
 	queue := slices.Clone(s.queue)
 	held := map[*destination]int{}
 	for _, m := range queue {
-		held[m.dest] = m.dest.held
+		held[m.dest] = m.dest.queued
 	}
 	score := func(m *message) float64 {
-		if !s.harmless(m) {
+		if !s.safeToReturn(m) {
 			return -1
 		}
-		was := m.dest.held
-		m.dest.held = held[m.dest]
-		defer func() { m.dest.held = was }()
-		return s.backlog(m.dest) / (m.worth + 0.1)
+		was := m.dest.queued
+		m.dest.queued = held[m.dest]
+		defer func() { m.dest.queued = was }()
+		return s.backlogSeconds(m.dest) / (m.worth + 0.1)
 	}
 	for ; over > 0 && len(queue) > 0; over-- {
 		worst := slices.MaxFunc(queue, func(a, b *message) int { return cmp.Compare(score(a), score(b)) })
@@ -41,7 +41,7 @@
 }
 
 // Shedding many at once picks those that picking one by one would, in that order.
-func TestShedPicksAsOneByOne(t *testing.T) {
+func TestShedMatchesOneByOneSelection(t *testing.T) {
 	proptest.Check(t, func(t *rapid.T) {
 		set := testSettings()
 		set.MaxOpen = 80
@@ -62,7 +62,7 @@
 				MayHaveRun: class == "unsafe" && rapid.Bool().Draw(t, "ran")}})
 		}
 		most := rapid.IntRange(1, 80).Draw(t, "most")
-		want := victims(s, len(s.messages)-int(crowded*float64(most)))
+		want := pickOneByOne(s, len(s.messages)-int(shedThreshold*float64(most)))
 		var got []string
 		for _, a := range s.Step(70*time.Millisecond, []Event{HoldCap{Messages: most}}) {
 			if r, ok := a.(Refuse); ok {
@@ -108,7 +108,7 @@
 		t.Errorf("under no cap %d messages are left, and %d calls are out", len(s.messages), len(out))
 	}
 	s.Step(50*ms, []Event{HoldCap{Messages: 1000}})
-	if s.most != 40 {
-		t.Errorf("the cap is %d", s.most)
+	if s.holdCap != 40 {
+		t.Errorf("the cap is %d", s.holdCap)
 	}
 }
--- a/internal/dispatch/types.go
+++ b/internal/dispatch/types.go
@@ -126,8 +126,8 @@
 	Prices         Prices
 }
 
-// check says what makes no sense in the settings, by field.
-func (set *Settings) check() error {
+// validate says what makes no sense in the settings, by field.
+func (set *Settings) validate() error {
 	set.Peers = max(set.Peers, 1)
 	set.CallsPerConn = max(set.CallsPerConn, 1)
 	switch {
@@ -219,7 +219,7 @@
 // Told is what other senders of the fleet have found out, or the part of a limit that the fleet deals this one. No message goes
 // out for it, and what this sender has met itself stands.
 type Told struct {
-	Kind        Tidings
+	Kind        FleetReportKind
 	Destination int           // ToldWait: of all its endpoints, or of the one that is named
 	Endpoint    string        // ToldOut, ToldBack and ToldNothing: what is out or back
 	For         time.Duration // ToldWait: nothing goes there for so long from now; 0 ends what was told before. ToldShare: it holds so long
@@ -227,16 +227,16 @@
 	Age         time.Duration // ToldOut: how long it has been out; ToldBack: how long it has been coming back
 }
 
-// Tidings are the kinds of what is told.
-type Tidings int
+// FleetReportKind are the kinds of what is told.
+type FleetReportKind int
 
 // The tidings.
 const (
-	ToldWait    Tidings = iota // the destination told another sender to wait
-	ToldOut                    // enough others hold the endpoint to be out, or another's try there has failed just now
-	ToldBack                   // another's call there went well after that
-	ToldNothing                // what was told has lapsed
-	ToldShare                  // of the destination's limit, this sender has a part
+	ToldWait    FleetReportKind = iota // the destination told another sender to wait
+	ToldOut                            // enough others hold the endpoint to be out, or another's try there has failed just now
+	ToldBack                           // another's call there went well after that
+	ToldNothing                        // what was told has lapsed
+	ToldShare                          // of the destination's limit, this sender has a part
 )
 
 // MembersLost says that a Watch failed or that the subscription broke.
@@ -354,14 +354,14 @@
 // since is negative for one that is not, or that only others have spoken of. It decides nothing. Call it between steps, from the
 // goroutine that steps; now is the time of the last one.
 func (s *Sender) Health(destination int, tell func(endpoint string, since time.Duration)) {
-	d := s.dests[destination]
+	d := s.destinations[destination]
 	if d == nil {
 		return
 	}
-	for _, e := range d.eps {
+	for _, e := range d.endpoints {
 		if since := time.Duration(-1); e.state == Listed {
-			if e.outage && !e.hearsay {
-				since = max(e.outFrom, 0)
+			if e.outage && !e.reportedOnly {
+				since = max(e.outageSince, 0)
 			}
 			tell(e.id, since)
 		}
