--- a/internal/dispatch/fleet_test.go
+++ b/internal/dispatch/fleet_test.go
@@ -165,8 +165,8 @@
 func (c *fleetModel) submit(at time.Duration, id, class string, dest int) {
 	c.submittedAt[id] = at
 	who := c.rng.IntN(len(c.senders))
-	for i := range c.senders[0].settings.Classes {
-		if k := &c.senders[0].settings.Classes[i]; k.Name == class {
+	for i := range c.senders[0].cfg.Classes {
+		if k := &c.senders[0].cfg.Classes[i]; k.Name == class {
 			c.classOf[id] = k
 		}
 	}
@@ -260,7 +260,7 @@
 // restart has senders start anew at a moment, with what each had taken on, and with the limits that it had learned or not.
 func (c *fleetModel) restart(t testing.TB, now time.Duration, part float64, remember bool) {
 	for i := range int(part * float64(len(c.senders))) {
-		s, err := New(c.senders[i].settings, int64(i)+77)
+		s, err := New(c.senders[i].cfg, int64(i)+77)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/dispatch/sender_test.go
+++ b/internal/dispatch/sender_test.go
@@ -830,11 +830,11 @@
 	e := s.endpoints["e"]
 	e.limiter.limit = 4
 	early, late := s.coldGap(e, e.outageSince), s.coldGap(e, e.outageSince+10*time.Second)
-	if early < s.settings.Safety.TipAfter || late < 2*early || late > 5*s.settings.Safety.Cold {
+	if early < s.cfg.Safety.TipAfter || late < 2*early || late > 5*s.cfg.Safety.Cold {
 		t.Errorf("gap %v at first, %v after ten seconds", early, late)
 	}
 	e.limiter.limit = 400 // every sender meets it: the budget is shared by all
-	f := s.settings.Safety
+	f := s.cfg.Safety
 	least := time.Duration(400 / (f.FallMultiple * f.StartCapacity * 400) * float64(time.Second))
 	if got := s.coldGap(e, e.outageSince+10*time.Second); got < least {
 		t.Errorf("gap %v where all senders saw the outage, %v would use up the budget", got, least)
@@ -1041,7 +1041,7 @@
 	if got := sends(s.Step(11*time.Second, []Event{req("a", "safe", 1)})); got != nil {
 		t.Errorf("sent %v in the ramp at once", got)
 	}
-	if got := sends(run(s, 11*time.Second, 10*time.Second+s.settings.Safety.Cold)); len(got) == 0 {
+	if got := sends(run(s, 11*time.Second, 10*time.Second+s.cfg.Safety.Cold)); len(got) == 0 {
 		t.Error("held though the cold time is over")
 	}
 }
