--- a/internal/dispatch/cold_fleet_test.go
+++ b/internal/dispatch/cold_fleet_test.go
@@ -27,7 +27,7 @@
 							t.Errorf("seed %d: it falls %v after its return: %d calls, %d of senders that saw the outage; it bears %.1f",
 								seed, at-d.outTo, calls, told, bears)
 						}
-						if taken := sumSeconds(c.calls[1], 24, 32) - sumSeconds(c.refused[1], 24, 32); !d.refusalsConsume && float64(taken) < 0.1*8*limit {
+						if taken := sumSeconds(c.calls[1], 24, 32) - sumSeconds(c.refusedCalls[1], 24, 32); !d.refusalsConsume && float64(taken) < 0.1*8*limit {
 							t.Errorf("seed %d: %d calls taken in 8 s, seven and more after the return, of %.0f a second", seed, taken, limit)
 						}
 					}
--- a/internal/dispatch/fleet_report_test.go
+++ b/internal/dispatch/fleet_report_test.go
@@ -22,7 +22,7 @@
 func TestReportedWait(t *testing.T) {
 	s := newWarmSender(t, testSettings())
 	for _, d := range s.destinations {
-		d.limiter.weight = 1e6 // senders come back one by one at the destination's limit: at this one all at once
+		d.shared.weight = 1e6 // senders come back one by one at the destination's limit: at this one all at once
 	}
 	acts := s.Step(10005*ms, []Event{Told{Kind: ToldWait, Destination: 1, For: 400 * ms}, req("a", "safe", 1), req("b", "safe", 2)})
 	if got := sends(acts); !slices.Equal(got, []string{"b"}) {
--- a/internal/dispatch/fleet_test.go
+++ b/internal/dispatch/fleet_test.go
@@ -97,20 +97,20 @@
 
 // fleetModel is many senders and what they meet.
 type fleetModel struct {
-	senders        []*Sender
-	destinations   map[int]*bucketModel
-	rng            *rand.Rand
-	events         eventQueue
-	seq            int
-	endpoints      []Endpoint
-	held           []map[string]Request     // by sender: taken on and not ended
-	submittedAt    map[string]time.Duration // when a message was first asked for
-	classOf        map[string]*Class
-	destinationOf  map[string]int
-	submissions    map[string]int // by its clients
-	attempts       map[string]int
-	calls, refused map[int]map[int]int // by destination and second
-	sawOutage      map[[2]int]bool     // by sender and destination: told of its outage
+	senders             []*Sender
+	destinations        map[int]*bucketModel
+	rng                 *rand.Rand
+	events              eventQueue
+	seq                 int
+	endpoints           []Endpoint
+	held                []map[string]Request     // by sender: taken on and not ended
+	submittedAt         map[string]time.Duration // when a message was first asked for
+	classOf             map[string]*Class
+	destinationOf       map[string]int
+	submissions         map[string]int // by its clients
+	attempts            map[string]int
+	calls, refusedCalls map[int]map[int]int // by destination and second
+	sawOutage           map[[2]int]bool     // by sender and destination: told of its outage
 }
 
 func fleetSettings(peers int) Settings {
@@ -128,7 +128,7 @@
 func newFleetModel(t testing.TB, n int, seed uint64, dests ...*bucketModel) *fleetModel {
 	c := &fleetModel{destinations: map[int]*bucketModel{}, rng: rand.New(rand.NewPCG(seed, 1)), submittedAt: map[string]time.Duration{},
 		classOf: map[string]*Class{}, destinationOf: map[string]int{}, submissions: map[string]int{}, attempts: map[string]int{},
-		calls: map[int]map[int]int{}, refused: map[int]map[int]int{}, sawOutage: map[[2]int]bool{}}
+		calls: map[int]map[int]int{}, refusedCalls: map[int]map[int]int{}, sawOutage: map[[2]int]bool{}}
 	set := fleetSettings(n)
 	for _, d := range dests {
 		c.destinations[d.id] = d
@@ -136,7 +136,7 @@
 		e := ep(fmt.Sprint("e", d.id), d.id)
 		e.Weight = d.limit * (0.67 + 0.83*c.rng.Float64())
 		c.endpoints = append(c.endpoints, e)
-		c.calls[d.id], c.refused[d.id] = map[int]int{}, map[int]int{}
+		c.calls[d.id], c.refusedCalls[d.id] = map[int]int{}, map[int]int{}
 	}
 	for i := range n {
 		s, err := New(set, int64(seed)*1000+int64(i))
@@ -222,7 +222,7 @@
 			rtt += time.Duration(math.Exp(math.Log(200)+0.5*c.rng.NormFloat64())) * ms
 			delete(c.held[who], a.ID)
 		} else {
-			c.refused[d.id][sec]++
+			c.refusedCalls[d.id][sec]++
 			if c.rng.Float64() < d.waitShare {
 				o.Wait = d.wait
 			}
@@ -321,7 +321,7 @@
 		c.generate(1, "safe", 180, 0, 15*time.Second)
 		c.generate(1, "keyed", 50, 0, 15*time.Second)
 		c.run(15 * time.Second)
-		calls, turned := sumSeconds(c.calls[1], 8, 15), sumSeconds(c.refused[1], 8, 15)
+		calls, turned := sumSeconds(c.calls[1], 8, 15), sumSeconds(c.refusedCalls[1], 8, 15)
 		if taken := calls - turned; float64(turned) > 0.2*float64(calls) || float64(taken) < 0.75*7*0.4*280 {
 			t.Errorf("seed %d: of %d calls in 7 s at 112 a second, %d were refused", seed, calls, turned)
 		}
@@ -337,7 +337,7 @@
 		c.run(8 * time.Second)
 		c.restart(t, 8*time.Second, 0.7, remember)
 		c.run(12 * time.Second)
-		return sumSeconds(c.refused[1], 8, 11)
+		return sumSeconds(c.refusedCalls[1], 8, 11)
 	}
 	for seed := uint64(1); seed <= 3; seed++ {
 		with, without := refused(seed, true), refused(seed, false)
--- a/internal/dispatch/sender.go
+++ b/internal/dispatch/sender.go
@@ -136,12 +136,12 @@
 
 // destination groups the endpoints that a message may go to.
 type destination struct {
-	id        int
-	endpoints []*endpoint
-	limiter   *limiter
-	callsOut  int
-	queued    int // messages in Sender.queue
-	messages  int // messages that are not forgotten yet
+	id           int
+	endpoints    []*endpoint
+	shared       *limiter // of all endpoints, unless each is a separate route
+	callsOut     int
+	queued       int // messages in Sender.queue
+	openMessages int // messages that are not forgotten yet
 }
 
 // New returns a Sender for these settings. The seed spreads what many senders would do at one moment.
@@ -234,10 +234,10 @@
 		if e == nil {
 			d, k := s.destinationFor(row.Destination), getOrCreate(s.kinds, row.Kind)
 			k.burstSeconds = cmp.Or(k.burstSeconds, defaultBurstSeconds)
-			if d.limiter == nil || k.ownLimits {
-				d.limiter = &limiter{kind: k, peers: float64(s.cfg.Peers), evenShares: float64(s.cfg.Peers)}
+			if d.shared == nil || k.ownLimits {
+				d.shared = &limiter{kind: k, peers: float64(s.cfg.Peers), evenShares: float64(s.cfg.Peers)}
 			}
-			e = &endpoint{id: row.ID, dest: d, limiter: d.limiter, window: initialWindow,
+			e = &endpoint{id: row.ID, dest: d, limiter: d.shared, window: initialWindow,
 				tieBreak: maxTieBreak * s.startRNG.Float64()}
 			s.endpoints[row.ID] = e
 			d.endpoints, e.limiter.endpoints = append(d.endpoints, e), append(e.limiter.endpoints, e)
@@ -260,10 +260,10 @@
 // as unlimited. Random tokens spread the first calls of senders that start together with messages to deliver.
 func (s *Sender) restoreLimit(ev Recalled) {
 	d := s.destinations[ev.Destination]
-	if d == nil || d.limiter == nil || d.limiter.kind.ownLimits || d.limiter.limit > 0 || !(ev.Limit > 0) {
+	if d == nil || d.shared == nil || d.shared.kind.ownLimits || d.shared.limit > 0 || !(ev.Limit > 0) {
 		return
 	}
-	l := d.limiter
+	l := d.shared
 	l.limit, l.availableAt = ev.Limit, s.now
 	l.limitShare, l.available = l.share(), 2*s.startRNG.Float64()
 }
@@ -281,9 +281,9 @@
 				l.fleetWait += time.Duration(s.rng.Float64() * min(1e9*l.peers/l.capacity(), float64(ev.For)))
 			}
 		}
-	case ev.Kind == ToldShare && d != nil && d.limiter != nil && !d.limiter.kind.ownLimits:
-		d.limiter.estimate(s.now)
-		d.limiter.grant, d.limiter.grantUntil = ev.Rate, s.now+ev.For
+	case ev.Kind == ToldShare && d != nil && d.shared != nil && !d.shared.kind.ownLimits:
+		d.shared.estimate(s.now)
+		d.shared.grant, d.shared.grantUntil = ev.Rate, s.now+ev.For
 	case e == nil || ev.Kind == ToldOut && e.lastAnswered >= from:
 	case ev.Kind == ToldOut: // trials in turn, a gap after a failed one: all hear of each
 		if !e.outage {
@@ -319,7 +319,7 @@
 }
 
 func (s *Sender) forgetDestination(d *destination) {
-	if len(d.endpoints) == 0 && d.messages == 0 && (d.limiter == nil || d.limiter.waitEnd <= s.now) {
+	if len(d.endpoints) == 0 && d.openMessages == 0 && (d.shared == nil || d.shared.waitEnd <= s.now) {
 		delete(s.destinations, d.id)
 	}
 }
@@ -350,7 +350,7 @@
 			t.tokens--
 		}
 	}
-	m.dest.messages++
+	m.dest.openMessages++
 	if c.OrderedByKey && ev.HasKey {
 		if len(s.keyQueues) > 2*len(s.messages)+initialWindow { // drop the empty ones whose rest has ended
 			over := func(_ int64, l *keyQueue) bool { return len(l.messages) == 0 && l.restUntil <= s.now }
@@ -452,9 +452,9 @@
 // few call at the same time. It is 0 where each calls all the time.
 func (l *limiter) sparseness() float64 { return max(1-2*l.capacity()*defaultBurstSeconds/l.peers, 0) }
 
-// recordRefusal sets the estimate to zero and starts a wait if the refusal asks for one. A longer wait
+// applyRefusal sets the estimate to zero and starts a wait if the refusal asks for one. A longer wait
 // stands. Many senders are refused at one moment, so chance shifts the refill by up to half a call.
-func (l *limiter) recordRefusal(wait, now time.Duration, first bool, chance float64) {
+func (l *limiter) applyRefusal(wait, now time.Duration, first bool, chance float64) {
 	l.refusals++
 	l.evenShares, l.sharesAt = 1+(l.evenShares-1)*excessShrinkFactor, now
 	l.available, l.availableAt, l.reportSentAt, l.limitShare = 0.5-chance, now+wait, now,
@@ -687,7 +687,7 @@
 // recordRefusal notes a refused call. A long wait, or several refusals in a row, mean an outage of the
 // destination, with all endpoints that share its limiter.
 func (s *Sender) recordRefusal(e *endpoint, wait time.Duration) {
-	e.limiter.recordRefusal(wait, s.now, e.refusals == 0 && !e.outage && !e.ramping, s.rng.Float64())
+	e.limiter.applyRefusal(wait, s.now, e.refusals == 0 && !e.outage && !e.ramping, s.rng.Float64())
 	e.refusals++
 	maxStreak, tip := refusalStreak, s.cfg.Safety.TipAfter
 	if s.withoutRecentSuccess(e) { // rare callers with one refusal each would push over a cold one
@@ -939,7 +939,7 @@
 		return
 	}
 	delete(s.messages, m.id)
-	m.dest.messages--
+	m.dest.openMessages--
 	s.forgetDestination(m.dest)
 	if l := m.keyQueue; l != nil {
 		l.messages = slices.DeleteFunc(l.messages, func(o *message) bool { return o == m })
--- a/internal/dispatch/sender_test.go
+++ b/internal/dispatch/sender_test.go
@@ -691,7 +691,7 @@
 	l := &limiter{kind: &kind{burstSeconds: defaultBurstSeconds}, peers: 1}
 	l.applyReport(&Report{Left: 1, Limit: 20}, 0, 0)
 	before := l.estimate(0)
-	l.recordRefusal(0, 0, true, 0.5)
+	l.applyRefusal(0, 0, true, 0.5)
 	l.applyReport(&Report{Left: 1, Limit: 20}, 0, 0)
 	if after := l.estimate(0); !(after < before) {
 		t.Errorf("a full allowance is taken as %.1f calls before a refusal and %.1f after", before, after)
@@ -797,7 +797,7 @@
 	l := &limiter{kind: &kind{burstSeconds: 1}, peers: 400, evenShares: 400, limit: 4}
 	last := l.share()
 	for range 12 {
-		l.recordRefusal(0, 0, false, 0.5)
+		l.applyRefusal(0, 0, false, 0.5)
 		if l.share() >= last || l.share() < (1-unusedShare)/l.peers {
 			t.Fatalf("share %v after %v", l.share(), last)
 		}
