--- a/internal/dispatch/cold_fleet_test.go
+++ b/internal/dispatch/cold_fleet_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// A cold destination bears what the settings allow it then, from all senders together, and twice the root of that and 2 for chance: it does
-// not fall by the calls of those that had been told of its outage, however many senders there are, whatever part of the load each has,
-// however calls ended in the outage, and with refused calls that draw on the limit or not.
+// A cold destination takes from all senders together what the settings allow it at that time, plus a chance margin of twice the
+// root of that and 2. Senders that saw its outage must not push it over. This holds for any number of senders and share of the
+// load, any way in which calls fail during the outage, and with refused calls that do or do not use up the limit.
 func TestColdDestinationUnderFleet(t *testing.T) {
 	f := fleetSettings(1).Safety
 	for _, peers := range []int{2, 6, 20, 30, 60, 300} {
--- a/internal/dispatch/example_test.go
+++ b/internal/dispatch/example_test.go
@@ -7,7 +7,7 @@
 	"slatemux/internal/dispatch"
 )
 
-// A sender is told of one endpoint and of one message; the call is answered well.
+// A sender learns of one endpoint and one message. The call succeeds.
 func Example() {
 	s, err := dispatch.New(dispatch.Settings{
 		Classes: []dispatch.Class{{Name: "update", Effect: dispatch.Safe, Aim: 2 * time.Second,
--- a/internal/dispatch/fleet_report_test.go
+++ b/internal/dispatch/fleet_report_test.go
@@ -10,7 +10,7 @@
 	"slatemux/internal/proptest"
 )
 
-// newWarmSender returns a sender that has met two destinations with one endpoint each, at 10 s.
+// newWarmSender returns a sender that has called two destinations with one endpoint each, at 10 s.
 func newWarmSender(t *testing.T, set Settings) *Sender {
 	s := newSender(t, set, ep("e", 1), ep("f", 2))
 	s.Step(9900*ms, []Event{req("w", "safe", 1), req("x", "safe", 2)})
@@ -18,11 +18,11 @@
 	return s
 }
 
-// What others were told to wait for holds here too, one destination alone, and ends when it is said to.
+// A wait that another sender was asked for holds here too, for that destination alone, and ends when a report says so.
 func TestReportedWait(t *testing.T) {
 	s := newWarmSender(t, testSettings())
 	for _, d := range s.destinations {
-		d.shared.weight = 1e6 // senders come back one by one at the destination's limit: at this one all at once
+		d.shared.weight = 1e6 // after the wait, senders resume at the rate of the limit: with this one all at once
 	}
 	acts := s.Step(10005*ms, []Event{Told{Kind: ToldWait, Destination: 1, For: 400 * ms}, req("a", "safe", 1), req("b", "safe", 2)})
 	if got := sends(acts); !slices.Equal(got, []string{"b"}) {
@@ -38,15 +38,15 @@
 	if got := sends(s.Step(10510*ms, []Event{Told{Kind: ToldWait, Destination: 2, Endpoint: "f"}})); !slices.Equal(got, []string{"c"}) {
 		t.Errorf("sent %v after the wait was taken back", got)
 	}
-	// What cannot go before its time is up is refused at once, as in a wait of one's own.
+	// A message that cannot go before its deadline is refused at once, as in a wait that this sender was asked for.
 	acts = s.Step(10600*ms, []Event{Told{Kind: ToldWait, Destination: 1, For: time.Minute}, req("d", "safe", 1)})
 	if ends(acts)["d"] != "refused" {
 		t.Error("held for a wait that outlasts it")
 	}
 }
 
-// An endpoint that others hold to be out gets single tries; theirs put ours off; what they say is over is over, and a
-// success of our own that is newer stands against them.
+// An endpoint that others report to be out gets single trial calls. Failed trials of others delay the next one here. A report
+// that lapses ends the outage. A newer success of this sender overrides the report.
 func TestReportedOutage(t *testing.T) {
 	out := Told{Kind: ToldOut, Endpoint: "e", Age: 2 * time.Second}
 	s := newWarmSender(t, testSettings())
@@ -87,8 +87,8 @@
 	}
 }
 
-// In an outage that a sender has met itself the others' word that it is over makes its next try due no sooner than its own
-// schedule has it, and ends nothing.
+// In an outage that a sender has seen itself, a report that the endpoint is back does not end the outage. It makes the next
+// trial due, but no sooner than the sender's own schedule.
 func TestReportedRecoveryInOwnOutage(t *testing.T) {
 	s := newWarmSender(t, testSettings())
 	e := s.endpoints["e"]
@@ -104,8 +104,8 @@
 	}
 }
 
-// Whatever is told, and in whatever order, a sender sends no message that it would not have sent by then alone, and none
-// to an endpoint that it does not know.
+// Whatever the reports and their order, a sender sends no more messages than it would by then without them, and none to an
+// unknown endpoint.
 func TestFleetReportsAddNoSends(t *testing.T) {
 	proptest.Check(t, func(t *rapid.T) {
 		play := func(told map[int]Event) (sent []string) {
@@ -136,8 +136,8 @@
 	})
 }
 
-// A part of a limit that the fleet deals takes the place of what a sender estimates: calls go at its rate, little is saved, and
-// in a ramp at as much of it as the destination has capacity by then. When it has lapsed the sender decides alone.
+// A part of a limit that the fleet grants replaces the sender's estimate: calls go at the granted rate, little is saved, and in
+// a ramp the rate is reduced to the capacity that the destination has by then. After the grant the sender decides alone.
 func TestReportedShare(t *testing.T) {
 	count := func(s *Sender, from, to time.Duration, reported Report) (n int) {
 		var back []Event
--- a/internal/dispatch/fleet_test.go
+++ b/internal/dispatch/fleet_test.go
@@ -11,30 +11,30 @@
 	"time"
 )
 
-// What many senders do together, in virtual time, against destinations that are simple on purpose: a bucket of calls that is
-// shared by all, refused calls drawing on it too where draws says so, reports that are refreshed now and then and come late.
-// It shows a crowd, and is no simulator to tune on: the bounds are far from what the module reaches.
+// These tests run many senders in virtual time against simple destinations: a token bucket shared by all senders, optionally
+// consumed by refused calls as well, with reports that are refreshed now and then and arrive late. The model shows effects of a
+// whole fleet. It is not for tuning: the bounds are far from what the module achieves.
 
-// bucketModel is a destination.
+// bucketModel models a destination as a token bucket.
 type bucketModel struct {
 	id                    int
-	limit                 float64 // calls a second; what it is at a time is limitAt's
-	lowShare              float64 // share of it from lowFrom to lowTo
+	limit                 float64 // calls a second, before the reductions of limitAt
+	lowShare              float64 // share of the limit from lowFrom to lowTo
 	lowFrom, lowTo        time.Duration
-	refusalsConsume       bool    // refused calls use the limit up too
-	waitShare             float64 // share of refusals that tell a wait
+	refusalsConsume       bool    // refused calls use up the limit, too
+	waitShare             float64 // share of refusals that ask for a wait
 	wait                  time.Duration
 	tokens                float64
 	updatedAt, reportedAt time.Duration
 	report                Report
 
-	outFrom, outTo time.Duration // nothing is answered well meanwhile, and it is cold behind that
-	outageStatus   Status        // how calls end meanwhile
-	outageLatency  time.Duration // so long after they began
-	arrivals       []arrival     // of calls, in their order
+	outFrom, outTo time.Duration // no call succeeds from outFrom to outTo, and the destination is cold after that
+	outageStatus   Status        // how calls end during the outage
+	outageLatency  time.Duration // time from the start of such a call to its end
+	arrivals       []arrival     // calls, in order of arrival
 }
 
-// arrival is a call; told says that its sender had been told of the outage.
+// arrival is a call. In sawOutage it records whether its sender had seen a call fail in the outage.
 type arrival struct {
 	at        time.Duration
 	sawOutage bool
@@ -42,7 +42,7 @@
 
 func (b *bucketModel) isOut(now time.Duration) bool { return now >= b.outFrom && now < b.outTo }
 
-// warmShare is the share of its capacity that it has, at least.
+// warmShare is the least share of its capacity that the destination has.
 func (b *bucketModel) warmShare(now time.Duration, f Safety) float64 {
 	if b.outTo == 0 || now < b.outTo {
 		return 1
@@ -57,7 +57,7 @@
 	return b.limit * b.warmShare(now, fleetSettings(1).Safety)
 }
 
-// call says whether a call is taken. The report is up to 800 ms old and a little noisy.
+// call reports whether a call is accepted. The report is up to 800 ms old and slightly noisy.
 func (b *bucketModel) call(now time.Duration, rng *rand.Rand) (ok bool, r Report) {
 	limit := b.limitAt(now)
 	b.tokens = min(b.tokens+limit*(now-b.updatedAt).Seconds(), limit)
@@ -73,7 +73,7 @@
 	return ok, r
 }
 
-// timedEvent is something that a sender is to be told at a time.
+// timedEvent is an event for a sender at a time.
 type timedEvent struct {
 	at     time.Duration
 	seq    int
@@ -95,7 +95,7 @@
 	return last
 }
 
-// fleetModel is many senders and what they meet.
+// fleetModel holds many senders and their destinations, messages and clients.
 type fleetModel struct {
 	senders             []*Sender
 	destinations        map[int]*bucketModel
@@ -103,14 +103,14 @@
 	events              eventQueue
 	seq                 int
 	endpoints           []Endpoint
-	held                []map[string]Request     // by sender: taken on and not ended
-	submittedAt         map[string]time.Duration // when a message was first asked for
+	held                []map[string]Request     // by sender: accepted and not ended
+	submittedAt         map[string]time.Duration // first submission of a message
 	classOf             map[string]*Class
 	destinationOf       map[string]int
-	submissions         map[string]int // by its clients
+	submissions         map[string]int // times that clients submitted a message again
 	attempts            map[string]int
 	calls, refusedCalls map[int]map[int]int // by destination and second
-	sawOutage           map[[2]int]bool     // by sender and destination: told of its outage
+	sawOutage           map[[2]int]bool     // by sender and destination: a call of the sender failed in the outage
 }
 
 func fleetSettings(peers int) Settings {
@@ -154,7 +154,7 @@
 	heap.Push(&c.events, timedEvent{at, c.seq, who, what})
 }
 
-// generate has messages come to a destination at a rate.
+// generate schedules messages for a destination at a rate, at random times.
 func (c *fleetModel) generate(dest int, class string, rate float64, from, to time.Duration) {
 	for at := from; at < to; {
 		at += time.Duration(c.rng.ExpFloat64() / rate * float64(time.Second))
@@ -174,7 +174,7 @@
 	c.schedule(at, who, Request{ID: id, Class: class, Destination: dest, TimeLeft: c.classOf[id].Deadline})
 }
 
-// run goes on until nothing is left to do.
+// run processes events until the time to, or until none is left.
 func (c *fleetModel) run(to time.Duration) {
 	for len(c.events) > 0 && c.events[0].at < to {
 		h := heap.Pop(&c.events).(timedEvent)
@@ -257,7 +257,7 @@
 	return id
 }
 
-// restart has senders start anew at a moment, with what each had taken on, and with the limits that it had learned or not.
+// restart replaces senders by new ones with the messages that each had accepted, and with or without the learned limits.
 func (c *fleetModel) restart(t testing.TB, now time.Duration, part float64, remember bool) {
 	for i := range int(part * float64(len(c.senders))) {
 		s, err := New(c.senders[i].cfg, int64(i)+77)
@@ -290,8 +290,8 @@
 	return n
 }
 
-// Each sender keeps to the endpoint that it has a connection to. Where all took the first of the list for a start, a
-// destination's other endpoints would stand idle while its queue ran over.
+// Each sender keeps to the endpoint that it has a connection to. If all started with the first endpoint of the list, the other
+// endpoints of the destination would be idle while its queue overflows.
 func TestFleetSpreadsFirstCalls(t *testing.T) {
 	first := map[string]int{}
 	for seed := range int64(80) {
@@ -311,9 +311,9 @@
 	}
 }
 
-// A limit that is lowered under a fleet: every sender reads the same report and is refused at the same time. While refused
-// calls use the limit up too, a fleet that goes on asking gets little through. Before a report's room was shared by the
-// number of senders, some 40 % of these calls were refused.
+// A limit is lowered under a fleet: every sender reads the same report and is refused at the same time. If refused calls use up
+// the limit and the fleet keeps calling, few calls get through. When senders did not divide the room in a report by their
+// number, some 40 % of these calls were refused.
 func TestFleetUnderLoweredLimit(t *testing.T) {
 	for seed := uint64(1); seed <= 4; seed++ {
 		c := newFleetModel(t, 80, seed, &bucketModel{id: 1, limit: 280, lowShare: 0.4, lowFrom: 6 * time.Second, lowTo: 15 * time.Second,
@@ -328,8 +328,8 @@
 	}
 }
 
-// Seven of ten senders start anew at one moment, with all that they had taken on. Those that remember the limits spread it;
-// those that do not take every destination to be without limit.
+// Seven of ten senders restart at one moment with all messages that they had accepted. Senders that remember the limits spread
+// these messages. Senders without the limits treat every destination as unlimited.
 func TestFleetRestarts(t *testing.T) {
 	refused := func(seed uint64, remember bool) int {
 		c := newFleetModel(t, 80, seed, &bucketModel{id: 1, limit: 150, lowShare: 1, refusalsConsume: true, waitShare: 0.6, wait: 600 * ms})
@@ -348,12 +348,12 @@
 	}
 }
 
-// overload says when a cold destination gets more calls within the tip window than it bears, chance included, of which over two thirds are
-// from senders that had been told of its outage; 0 if never.
+// overload returns when a cold destination first gets more calls within the tip window than it takes, chance included, if over
+// two thirds of them are from senders that saw the outage, and 0 otherwise.
 func (b *bucketModel) overload(f Safety) (at time.Duration, calls, told int, bears float64) {
 	from := 0
 	for i, last := range b.arrivals {
-		if last.at < b.outTo || last.at > b.outTo+f.Cold { // while it is out, it is down and not cold
+		if last.at < b.outTo || last.at > b.outTo+f.Cold { // during the outage the destination is down, not cold
 			continue
 		}
 		for b.arrivals[from].at <= max(last.at-f.TipAfter, b.outTo-1) {
@@ -371,7 +371,7 @@
 			if 3*n > 2*all {
 				return last.at, all, n, bears
 			}
-			return 0, all, n, bears // the first fall decides
+			return 0, all, n, bears // the first overload decides
 		}
 	}
 	return 0, 0, 0, 0
--- a/internal/dispatch/sender_test.go
+++ b/internal/dispatch/sender_test.go
@@ -13,7 +13,7 @@
 
 const ms = time.Millisecond
 
-// The module is reviewed in an hour: it stays short and narrow.
+// sender.go must stay short and narrow, so that it can be reviewed in an hour.
 func TestModuleSize(t *testing.T) {
 	text, err := os.ReadFile("sender.go")
 	if err != nil {
@@ -78,7 +78,7 @@
 		Latency: 100 * ms}
 }
 
-// run steps the sender through its wakes until the time, and returns what it did on the way.
+// run steps the sender every 5 ms from one time to another, and returns all actions.
 func run(s *Sender, from, to time.Duration) []Action {
 	var all []Action
 	for now := from; now <= to; now += 5 * ms {
@@ -97,7 +97,7 @@
 	return ids
 }
 
-// ends tells how each message ended: refused or failed.
+// ends returns how each message ended: refused or failed.
 func ends(acts []Action) map[string]string {
 	how := map[string]string{}
 	for _, a := range acts {
@@ -128,7 +128,7 @@
 	}
 }
 
-// Held messages leave earliest deadline first.
+// Queued messages leave in order of their deadlines.
 func TestDeadlineOrder(t *testing.T) {
 	s := newSender(t, testSettings(), ep("e", 1))
 	s.Step(0, []Event{req("first", "safe", 1)})
@@ -140,7 +140,7 @@
 	}
 }
 
-// A call that the estimate cannot pay for is blocked until the limit has refilled.
+// A call that exceeds the estimate waits until the limit has refilled.
 func TestEmptyEstimateBlocksSends(t *testing.T) {
 	s := newSender(t, testSettings(), ep("e", 1))
 	s.Step(0, []Event{req("a", "safe", 1)})
@@ -153,7 +153,7 @@
 	}
 }
 
-// A spend that no report answers must fade: a small limit would be blocked for good.
+// A spend that no report covers must expire. Otherwise a small limit would block calls for good.
 func TestSpendWithoutReportFades(t *testing.T) {
 	s := newSender(t, testSettings(), ep("e", 1))
 	s.Step(0, []Event{req("a", "safe", 1)})
@@ -165,7 +165,7 @@
 	}
 }
 
-// Reports that make no sense do no harm.
+// Reports with invalid values have no effect.
 func TestInvalidReports(t *testing.T) {
 	for _, r := range []Report{{math.NaN(), 5}, {-1, 5}, {9, 5}, {0.5, math.NaN()}, {0.5, -3},
 		{0.5, math.Inf(1)}, {math.Inf(1), 5}, {}} {
@@ -195,7 +195,7 @@
 	}
 }
 
-// Every message ends once and in time: with nothing listed, an unknown destination, or everything gone.
+// Every message ends once and in time: without listed endpoints, with an unknown destination, or after all endpoints are gone.
 func TestAnswerAtDeadline(t *testing.T) {
 	s := newSender(t, testSettings(), ep("e", 1))
 	s.Step(0, []Event{Members{Endpoints: []Endpoint{{ID: "e", Kind: "shared", Destination: 1, State: Gone}}},
@@ -206,7 +206,7 @@
 	}
 }
 
-// With an attempt out the answer waits for it, and the time-out at the deadline is answered at once.
+// While an attempt is out there is no final answer. The timeout at the deadline is answered at once.
 func TestTimeOutAtDeadline(t *testing.T) {
 	set := testSettings()
 	s := newSender(t, set, ep("e", 1))
@@ -226,7 +226,7 @@
 		class string
 		st    Status
 		again bool
-		end   string // once no more is sent
+		end   string // when the message is not sent again
 	}{
 		{"safe", Errored, true, ""}, {"safe", Full, true, ""}, {"keyed", TimedOut, true, ""},
 		{"unsafe", Full, true, ""}, {"unsafe", ConnectFailed, true, ""}, {"unsafe", Moot, true, ""},
@@ -242,7 +242,7 @@
 	}
 }
 
-// The keyed window counts from the first sending that may have run.
+// The time in which a keyed message may be repeated starts with the first sending that may have run.
 func TestKeyedWindow(t *testing.T) {
 	s := newSender(t, testSettings(), ep("e", 1))
 	s.Step(0, []Event{req("m", "keyed", 1)})
@@ -253,7 +253,7 @@
 	}
 }
 
-// A keyed message with the scope of a zone goes again only where the first attempt went.
+// A keyed message with zone scope is repeated only in the zone of its first attempt.
 func TestKeyedZone(t *testing.T) {
 	s := newSender(t, testSettings(), ep("e", 1), Endpoint{ID: "f", Zone: "b", Kind: "shared", Destination: 1})
 	s.Step(0, []Event{req("m", "zoned", 1)})
@@ -265,7 +265,7 @@
 	}
 }
 
-// Nothing goes to an endpoint that drains or is gone, told by a change, a whole list or a removal.
+// No call goes to an endpoint that drains or is gone, whether a change, a full list or a removal says so.
 func TestDrain(t *testing.T) {
 	for name, ev := range map[string]Members{
 		"cordoned": {Endpoints: []Endpoint{{ID: "e", Kind: "shared", Destination: 1, State: Draining}}},
@@ -279,7 +279,7 @@
 	}
 }
 
-// A told wait binds every message and every endpoint that shares the limit; a longer one stands.
+// A retry-after wait holds for every message and for every endpoint that shares the limit. A longer wait stands.
 func TestRetryAfterBindsAllEndpoints(t *testing.T) {
 	s := newSender(t, testSettings(), ep("e", 1), ep("f", 1))
 	s.Step(0, []Event{req("a", "safe", 1), req("b", "safe", 1)})
@@ -294,7 +294,7 @@
 	}
 }
 
-// Where routes are apart, a wait binds the one route.
+// With separate routes, a wait holds for its route only.
 func TestWaitOfSeparateRoute(t *testing.T) {
 	s := newSender(t, testSettings(), Endpoint{ID: "e", Zone: "a", Kind: "apart", Destination: 1},
 		Endpoint{ID: "f", Zone: "b", Kind: "apart", Destination: 1})
@@ -310,7 +310,7 @@
 	}
 }
 
-// Messages of a key go one at a time, in order, with a rest after an attempt that may still run.
+// Messages of one key go one at a time, in order, with a pause after an attempt that may still run.
 func TestOrderByKey(t *testing.T) {
 	s := newSender(t, testSettings(), ep("e", 1))
 	a, b := req("a", "ordered", 1), req("b", "ordered", 1)
@@ -331,7 +331,7 @@
 	}
 }
 
-// An outage gets few calls, and after it the ramp keeps under our part of the cold budget.
+// An outage gets few calls. In the ramp after it, the calls stay under this sender's part of the cold budget.
 func TestColdBudget(t *testing.T) {
 	for _, st := range []Status{Errored, Full, ConnectFailed, TimedOut} {
 		s := newSender(t, testSettings(), ep("e", 1))
@@ -385,7 +385,7 @@
 	}
 }
 
-// A destination that takes calls and answers none must not hold the slots, whatever its limit allows.
+// A destination that accepts calls and never answers must not hold the slots, whatever its limit allows.
 func TestSilentDestinationHoldsFewSlots(t *testing.T) {
 	s := newSender(t, testSettings(), ep("e", 1), ep("f", 2))
 	s.Step(0, []Event{req("first", "safe", 1)})
@@ -408,7 +408,7 @@
 	}
 }
 
-// No more attempts than the settings allow: the message is answered instead.
+// A message with MaxAttempts attempts is answered instead of sent again.
 func TestAttemptsRunOut(t *testing.T) {
 	set := testSettings()
 	set.MaxAttempts = 2
@@ -424,7 +424,7 @@
 	}
 }
 
-// An outcome told again, of an attempt that is over, does not end the one that is out.
+// A repeated outcome of an earlier attempt does not end the present attempt.
 func TestStaleOutcome(t *testing.T) {
 	s := newSender(t, testSettings(), ep("e", 1))
 	s.Step(0, []Event{req("m", "safe", 1)})
@@ -438,7 +438,7 @@
 	}
 }
 
-// What was spent after the reporting attempt was sent may not be in its report.
+// A report may not include calls sent after the attempt that brought it.
 func TestLaterSpendsCount(t *testing.T) {
 	l := &limiter{kind: &kind{burstSeconds: 1}, peers: 1}
 	for _, at := range []time.Duration{100 * ms, 200 * ms, 300 * ms} {
@@ -450,7 +450,7 @@
 	}
 }
 
-// Calls whose answers are lost everywhere give up their slots when messages wait.
+// When answers are lost everywhere, calls give up their slots to waiting messages.
 func TestReclaimSlot(t *testing.T) {
 	set := testSettings()
 	set.MaxCalls = 2
@@ -468,7 +468,7 @@
 	}
 }
 
-// Near the hold cap the least worth is refused, at once and with a time to come back.
+// Near the hold cap, messages of the least worth are refused at once, with a time to come back.
 func TestShed(t *testing.T) {
 	s := newSender(t, testSettings(), ep("e", 1))
 	s.Step(0, []Event{Members{Whole: true}})
@@ -488,7 +488,7 @@
 	}
 }
 
-// Events for what is not held, and outcomes told twice, are passed over.
+// Events for unknown messages and repeated outcomes are ignored.
 func TestStrayEvents(t *testing.T) {
 	s := newSender(t, testSettings(), ep("e", 1))
 	s.Step(0, []Event{answer("x", 0, "e", OK), Hangup{ID: "x"}, Woken{}, ProbeResult{Endpoint: "x"}, MembersLost{}})
@@ -499,7 +499,7 @@
 	}
 }
 
-// TestRandomEventsKeepRules drives senders with random legal events and checks what the rules promise; the same seed must
+// TestRandomEventsKeepRules sends random legal events to senders and checks every action against the rules. The same seed must
 // give the same actions.
 func TestRandomEventsKeepRules(t *testing.T) {
 	for seed := range uint64(40) {
@@ -686,7 +686,7 @@
 	return log
 }
 
-// What an allowance holds is learned from refusals: a full report of a plain rate is not a second's worth.
+// The size of an allowance is learned from refusals: a full allowance may hold less than one second of the limit.
 func TestAllowanceIsLearned(t *testing.T) {
 	l := &limiter{kind: &kind{burstSeconds: defaultBurstSeconds}, peers: 1}
 	l.applyReport(&Report{Left: 1, Limit: 20}, 0, 0)
@@ -698,7 +698,7 @@
 	}
 }
 
-// A report belongs to all senders: what reads half empty, or holds less than a call for each, is shared.
+// A report is for all senders. An allowance that is half empty, or holds less than a call for each sender, is shared.
 func TestReportIsShared(t *testing.T) {
 	for _, c := range []struct{ left, limit, most float64 }{{0.5, 12, 3.1}, {1, 3, 2.5}} {
 		l := &limiter{kind: &kind{burstSeconds: 1}, peers: 4}
@@ -709,7 +709,7 @@
 	}
 }
 
-// A refusal over the limit between successes is no outage, or every busy limit would start a cold ramp.
+// Refusals over the limit between successes are no outage. Otherwise every busy limit would start a ramp.
 func TestRateLimitRefusalsAreNoOutage(t *testing.T) {
 	s := newSender(t, testSettings(), ep("e", 1))
 	for i := range 12 {
@@ -728,7 +728,7 @@
 	}
 }
 
-// Where answers are lost on all calls alike, two lost in a row are no outage of an endpoint.
+// If answers are lost on calls to all endpoints alike, two lost answers in a row are no outage of one endpoint.
 func TestGlobalLossIsNoOutage(t *testing.T) {
 	s := newSender(t, testSettings(), ep("e", 1))
 	e := s.endpoints["e"]
@@ -744,7 +744,7 @@
 	}
 }
 
-// Where changes come only on request the sender subscribes at once, and again some time after a failure.
+// If list changes come only on request, the sender subscribes at once, and again some time after a failure.
 func TestWatch(t *testing.T) {
 	set := testSettings()
 	set.OnRequest = true
@@ -771,14 +771,14 @@
 	}
 }
 
-// manySenders is the settings of one of many senders.
+// manySenders returns the settings of one of many senders.
 func manySenders() Settings {
 	set := testSettings()
 	set.Peers = 400
 	return set
 }
 
-// Of many senders few ask a destination at the same time: a report that shows room pays for a call.
+// Of many senders few call a destination at the same time, so a report that shows room allows a call.
 func TestRareCallsAreAllowed(t *testing.T) {
 	for _, c := range []struct {
 		left float64
@@ -792,7 +792,7 @@
 	}
 }
 
-// Each refusal puts the next call off further, down to what is used of an even share.
+// Each refusal delays the next call further, down to the used part of an even share.
 func TestRefusalsBackOff(t *testing.T) {
 	l := &limiter{kind: &kind{burstSeconds: 1}, peers: 400, evenShares: 400, limit: 4}
 	last := l.share()
@@ -808,7 +808,7 @@
 	}
 }
 
-// Where many senders call rarely, one failure is an outage to them; where few call often, it takes two.
+// With many senders that call rarely, one failure is an outage. With few senders that call often, it takes two.
 func TestSingleFailureWithManySenders(t *testing.T) {
 	for peers, want := range map[int]bool{400: true, 2: false} {
 		set := testSettings()
@@ -822,7 +822,7 @@
 	}
 }
 
-// The gap between tries does not grow with the number of senders where few of them can have met the outage.
+// The gap between trial calls does not grow with the number of senders if few of them can have seen the outage.
 func TestColdGapWithManySenders(t *testing.T) {
 	s := newSender(t, manySenders(), ep("e", 1))
 	s.Step(10*time.Second, []Event{req("a", "safe", 1)})
@@ -833,7 +833,7 @@
 	if early < s.cfg.Safety.TipAfter || late < 2*early || late > 5*s.cfg.Safety.Cold {
 		t.Errorf("gap %v at first, %v after ten seconds", early, late)
 	}
-	e.limiter.limit = 400 // every sender meets it: the budget is shared by all
+	e.limiter.limit = 400 // every sender sees the outage and all share the budget
 	f := s.cfg.Safety
 	least := time.Duration(400 / (f.FallMultiple * f.StartCapacity * 400) * float64(time.Second))
 	if got := s.coldGap(e, e.outageSince+10*time.Second); got < least {
@@ -841,8 +841,8 @@
 	}
 }
 
-// A shut destination is shut with all its endpoints, and senders that were told when it opens don't come
-// back at one moment.
+// A destination that asks for a long wait is out with all its endpoints. Senders that know the end of the wait must not return
+// at one moment.
 func TestLongWaitTakesOutDestination(t *testing.T) {
 	tries := map[time.Duration]bool{}
 	for seed := range int64(5) {
@@ -859,13 +859,13 @@
 			tries[e.limiter.nextTrial] = true
 		}
 	}
-	if len(tries) < 5 { // the endpoints of one sender share the next try
+	if len(tries) < 5 { // the endpoints of one sender share the next trial
 		t.Errorf("%d different times for 5 senders", len(tries))
 	}
 }
 
-// An answer without a report, or with one that cannot be read, tells nothing of the spends before it: an older
-// attempt's report that comes late must still be less those made after it.
+// An answer without a readable report says nothing about the spends before it. A late report of an older attempt must still be
+// reduced by the spends after that attempt.
 func TestLateReportKeepsLaterSpends(t *testing.T) {
 	l := &limiter{kind: &kind{burstSeconds: 1}, peers: 1}
 	for _, at := range []time.Duration{100 * ms, 200 * ms, 300 * ms} {
@@ -882,8 +882,8 @@
 	}
 }
 
-// A new endpoint of a destination that is out is tried like the others: it is cold and not the place for all
-// that waits.
+// A new endpoint of a destination in an outage gets trial calls like the others. It is cold, and all waiting messages would
+// be too many for it.
 func TestNewEndpointDuringOutage(t *testing.T) {
 	s := newSender(t, manySenders(), ep("e", 1))
 	s.Step(10*time.Second, []Event{req("a", "safe", 1)})
@@ -894,7 +894,7 @@
 	}
 }
 
-// Unsafe messages that one clump brought don't come back to a destination that is out at one moment.
+// Unsafe messages that arrive at many senders in one burst must not go to an endpoint in an outage at one moment.
 func TestUnsafeTrialsAreSpread(t *testing.T) {
 	at := map[time.Duration]bool{}
 	for seed := range int64(6) {
@@ -918,9 +918,9 @@
 	}
 }
 
-// Senders meet an outage one after the other, each with a message that it holds. Two thirds of a destination's load
-// from those that saw the outage is what breaks the rule: they must stay under that, whatever it can take, also where
-// it has several endpoints and each sender knows one of them to be out.
+// Senders see an outage one after another, each with a message to deliver. If two thirds of a destination's calls come from
+// senders that saw the outage, they are at fault. They must stay below that at any capacity, also when the destination has
+// several endpoints and each sender knows one of them to be out.
 func TestOutageAwareSendersStayUnderTwoThirds(t *testing.T) {
 	all := []Endpoint{ep("e", 1), ep("f", 1), ep("g", 1)}
 	for _, c := range []struct {
@@ -968,7 +968,7 @@
 				}
 			}
 		}
-		if 2*saw > 3*first { // two standard deviations under two thirds
+		if 2*saw > 3*first { // two standard deviations below two thirds
 			t.Errorf("%d endpoints, %+v: %d calls of senders that saw the outage, %d of others", len(c.eps), c.outcome, saw, first)
 		}
 		if saw == 0 && c.outcome.Status != Full { // calls after refusals have a budget of their own
@@ -977,8 +977,8 @@
 	}
 }
 
-// What coldGap argues, over many sizes: with first calls at the capacity or at half of it, the senders that saw an outage of
-// any age send less than twice what the others do, or less than pushes the destination over.
+// The argument of coldGap, checked for many sizes: with first calls at the capacity or a part of it, senders that saw an outage
+// of any age send less than twice as much as the others, or less than pushes the destination over.
 func TestColdGapBound(t *testing.T) {
 	for _, peers := range []int{2, 40, 400} {
 		set := testSettings()
@@ -1011,7 +1011,8 @@
 	}
 }
 
-// A connection refused at once may be one too many at that endpoint; one that gets no answer takes the destination's other endpoints out, too, unless they answered since.
+// A connection that is refused at once may only be one too many at that endpoint. A connection attempt without an answer is an
+// outage of all endpoints of the destination, except those that answered since.
 func TestSiblingsOfFailedEndpoint(t *testing.T) {
 	fail := func(s *Sender, id, endpoint string, after time.Duration) {
 		s.recordFailure(s.endpoints[endpoint], &call{sentAt: s.now}, Outcome{ID: id, Status: ConnectFailed, Latency: after})
@@ -1031,7 +1032,7 @@
 	}
 }
 
-// A ramp ends with the cold time, also where no call has gone meanwhile.
+// A ramp ends with the cold time, even without any call.
 func TestRampEnds(t *testing.T) {
 	s := newSender(t, manySenders(), ep("e", 1))
 	e := s.endpoints["e"]
@@ -1046,8 +1047,8 @@
 	}
 }
 
-// What cannot go before its time is up is refused at once, with the time to come back, and not held back to
-// near its deadline: past a told wait, and behind more calls than the reported limit lets through.
+// A message that cannot go before its deadline is refused at once with a time to come back, not held until near its deadline.
+// The reason is a longer wait, or more messages ahead than the reported limit lets through.
 func TestUndeliverableIsRefusedAtOnce(t *testing.T) {
 	s := newSender(t, testSettings(), ep("e", 1))
 	s.Step(0, []Event{req("a", "safe", 1)})
@@ -1062,7 +1063,7 @@
 	s = newSender(t, testSettings(), ep("e", 1))
 	s.Step(0, []Event{req("first", "safe", 1)})
 	s.Step(100*ms, []Event{Outcome{ID: "first", Endpoint: "e", Status: OK, Settled: true, Latency: 100 * ms,
-		Report: &Report{Left: 0, Limit: 2}}}) // our part: one call a second
+		Report: &Report{Left: 0, Limit: 2}}}) // this sender's part: one call a second
 	var batch []Event
 	for i := range 20 {
 		batch = append(batch, req(fmt.Sprint("m", i), "safe", 1))
@@ -1073,12 +1074,13 @@
 	}
 }
 
-// Messages past their aim yield to those that can make it: they count those as ahead, and each other.
+// Messages past their aim yield to those that can make it. In the estimate of their turn they count these as ahead, and the
+// earlier ones of their own kind.
 func TestLateMessagesCountAllAhead(t *testing.T) {
 	s := newSender(t, testSettings(), ep("e", 1))
 	s.Step(0, []Event{req("first", "safe", 1)})
 	s.Step(100*ms, []Event{Outcome{ID: "first", Endpoint: "e", Status: OK, Settled: true, Latency: 100 * ms,
-		Report: &Report{Left: 0, Limit: 2}}}) // our part: one call a second
+		Report: &Report{Left: 0, Limit: 2}}}) // this sender's part: one call a second
 	var batch []Event
 	for i := range 12 {
 		late := req(fmt.Sprint("late", i), "safe", 1)
@@ -1096,7 +1098,7 @@
 	}
 }
 
-// A message that another process has tried goes on from there.
+// A message that another process has tried continues with the number of its attempts.
 func TestRequestWithEarlierAttempts(t *testing.T) {
 	s := newSender(t, testSettings(), ep("e", 1))
 	tried := func(id string, attempts int, first time.Duration) Request {
@@ -1122,9 +1124,9 @@
 	}
 }
 
-// What is kept of an endpoint ends with it, and of a destination with its last endpoint, message and told wait:
-// a day on which all of them are replaced leaves nothing behind, and the health of one that is gone says
-// nothing of the next at its destination. While a call is out, its endpoint is still needed.
+// State of an endpoint ends with the endpoint, and state of a destination with its last endpoint, message and wait. A day on
+// which all are replaced leaves nothing behind, and the health of a gone endpoint does not affect the next one at its
+// destination. While a call is out, its endpoint is kept.
 func TestGoneEndpointsAreForgotten(t *testing.T) {
 	set := testSettings()
 	s := newSender(t, set)
@@ -1146,7 +1148,7 @@
 		if s.endpoints[id] == nil {
 			t.Fatal("an endpoint with a call out was forgotten")
 		}
-		for attempt, st := range []Status{Errored, OK} { // the second, stray one changes nothing
+		for attempt, st := range []Status{Errored, OK} { // the second outcome is a stray one and changes nothing
 			s.Step(now, []Event{answer(name, attempt, id, st)})
 		}
 		now += 2 * set.Classes[4].Deadline
@@ -1161,9 +1163,8 @@
 	}
 }
 
-// One call that breaks is no outage while others are out at the endpoint, also where its sibling is out; nor are
-// calls that are missed although one sent later was answered. Else a destination that works loses its last
-// endpoint by chance.
+// One broken call is no outage while other calls are out at the endpoint, even if its sibling is out. Missed calls are no
+// outage if a later call was answered. Otherwise a working destination would lose its last endpoint by chance.
 func TestChanceFailuresAreNoOutage(t *testing.T) {
 	set := testSettings()
 	set.MaxCalls = 40
@@ -1187,8 +1188,8 @@
 	}
 }
 
-// Reports are refreshed now and then, and answers in between bring the same one again. Our share of the room that it
-// tells of is granted once, and not with each answer: many senders would draw the limit many times over.
+// Reports are refreshed now and then, and answers in between carry the same report again. This sender's share of the reported
+// room is granted once, not with each answer. Otherwise many senders would use the limit many times over.
 func TestRepeatedReport(t *testing.T) {
 	l := &limiter{kind: &kind{burstSeconds: 1}, peers: 80, evenShares: 80}
 	half := &Report{Left: 0.5, Limit: 200}
@@ -1206,8 +1207,8 @@
 	}
 }
 
-// An endpoint that operators had out comes back cold: it was restarted while out, and is ramped up. One that
-// discovery alone lists again, without that word, is not.
+// An endpoint that returns from maintenance by operators is cold, since it was restarted, and ramps up. An endpoint that only
+// discovery lists again, without Cold, does not.
 func TestColdAfterMaintenance(t *testing.T) {
 	for _, cold := range []bool{true, false} {
 		s := newSender(t, testSettings(), ep("e", 1))
@@ -1230,8 +1231,8 @@
 	}
 }
 
-// Shares, gaps and waits stay what they are with any number of senders: none is nought, endless or negative, and one that has
-// something to send for a destination in good health sends it within a time that the number explains.
+// With any number of senders, shares, gaps and waits are finite and not negative, and no share is zero. A sender with messages
+// for a healthy destination sends at least one within 20 s.
 func TestAnyNumberOfSenders(t *testing.T) {
 	for _, peers := range []int{-1, 0, 1, 2, 350, 1024, 5000, math.MaxInt} {
 		for _, limit := range []float64{0.5, 20, 1e6} {
@@ -1292,8 +1293,8 @@
 	}
 }
 
-// Where a call carries several messages, those that go to an endpoint in one step cost one spend and one slot, up to that many; a
-// limit in calls lets that many more messages through, and nothing is handed back that could go along. The call's end counts once.
+// A call may carry several messages. Messages that go to an endpoint in one step, up to the bundle size, cost one spend and one
+// slot, so a limit in calls lets that many more messages through. No message that fits is refused. A call's end counts once.
 func TestBundles(t *testing.T) {
 	set := testSettings()
 	set.Kinds = append(set.Kinds, Kind{Name: "bundled", OwnLimits: true, Bundle: 3})
@@ -1346,7 +1347,7 @@
 	if len(all) != 8 {
 		t.Errorf("%d of 8 messages go in 9 s at one call a second", len(all))
 	}
-	// What goes to an endpoint that is out goes alone.
+	// To an endpoint in an outage a message goes alone.
 	s.markOutage(s.endpoints["e"])
 	acts = s.Step(60*time.Second, []Event{req("x", "safe", 1), req("y", "safe", 1)})
 	if got := sends(acts); len(got) != 1 {
--- a/internal/dispatch/shed_test.go
+++ b/internal/dispatch/shed_test.go
@@ -12,7 +12,7 @@
 	"slatemux/internal/proptest"
 )
 
-// pickOneByOne is shedding as its comment has it, one victim after another over all that is held.
+// pickOneByOne selects messages to shed as the comment of shed describes, one after another over the whole queue.
 func pickOneByOne(s *Sender, over int) (ids []string) {
 	queue := slices.Clone(s.queue)
 	held := map[*destination]int{}
@@ -40,7 +40,7 @@
 	return ids
 }
 
-// Shedding many at once picks those that picking one by one would, in that order.
+// Shedding many messages at once selects the same messages, in the same order, as shedding them one by one.
 func TestShedMatchesOneByOneSelection(t *testing.T) {
 	proptest.Check(t, func(t *rapid.T) {
 		set := testSettings()
@@ -54,7 +54,7 @@
 			eps = append(eps, Endpoint{ID: fmt.Sprint("e", i), Kind: "partner", Destination: i % 3, State: Draining,
 				Weight: rapid.Float64Range(1, 50).Draw(t, "weight")})
 		}
-		s.Step(0, []Event{Members{Whole: true, Endpoints: eps}}) // nobody may be called: all is held
+		s.Step(0, []Event{Members{Whole: true, Endpoints: eps}}) // no call may start: all messages are queued
 		for i := range 60 {
 			class := rapid.SampledFrom([]string{"safe", "keyed", "unsafe"}).Draw(t, "class")
 			s.Step(time.Duration(i)*time.Millisecond, []Event{Request{ID: fmt.Sprint(i), Class: class,
@@ -75,8 +75,8 @@
 	})
 }
 
-// A lower hold cap sends held work back, never what may have run or is out; with Heavy the large goes first. A cap
-// beyond the settings' is theirs.
+// A lower hold cap refuses queued messages, never one that may have run or has an attempt out. With Heavy, large messages go
+// first. A cap above Settings.MaxOpen counts as MaxOpen.
 func TestHoldCap(t *testing.T) {
 	set := testSettings()
 	set.MaxOpen = 40
@@ -96,7 +96,7 @@
 		t.Fatalf("%d out, %d ended before any cap", len(out), len(ends(acts)))
 	}
 	refused := ends(s.Step(30*ms, []Event{HoldCap{Messages: 13, Heavy: 1}}))
-	if got := len(s.messages); got != 11 { // crowded of 13
+	if got := len(s.messages); got != 11 { // shedThreshold of 13
 		t.Errorf("%d messages held under a cap of 13", got)
 	}
 	for id := range refused {
--- a/internal/dispatch/types.go
+++ b/internal/dispatch/types.go
@@ -233,7 +233,7 @@
 // The kinds of reports.
 const (
 	ToldWait    FleetReportKind = iota // the destination asked another sender to wait
-	ToldOut                            // enough other senders see an outage of the endpoint, or a trial call of another sender has just failed
+	ToldOut                            // enough others see an outage of the endpoint, or a trial call of another sender has just failed
 	ToldBack                           // a later call of another sender succeeded
 	ToldNothing                        // the earlier report has lapsed
 	ToldShare                          // a part of the destination's limit for this sender
