--- a/internal/dispatch/cold_fleet_test.go
+++ b/internal/dispatch/cold_fleet_test.go
@@ -23,12 +23,12 @@
 						c.generate(1, "safe", limit*0.5, 0, 32*time.Second)
 						c.generate(1, "keyed", limit*0.35, 0, 32*time.Second)
 						c.run(32 * time.Second)
-						if at, calls, told, bears := d.overload(f); at > 0 {
-							t.Errorf("seed %d: it falls %v after its return: %d calls, %d of senders that saw the outage; it bears %.1f",
-								seed, at-d.outTo, calls, told, bears)
+						if at, calls, aware, capacity := d.overload(f); at > 0 {
+							t.Errorf("seed %d: the destination is pushed over %v after its outage: %d calls, %d of senders that saw the outage; it takes %.1f",
+								seed, at-d.outTo, calls, aware, capacity)
 						}
 						if taken := sumSeconds(c.calls[1], 24, 32) - sumSeconds(c.refusedCalls[1], 24, 32); !d.refusalsConsume && float64(taken) < 0.1*8*limit {
-							t.Errorf("seed %d: %d calls taken in 8 s, seven and more after the return, of %.0f a second", seed, taken, limit)
+							t.Errorf("seed %d: %d calls accepted in the 8 s that begin 7 s after the outage, at a limit of %.0f a second", seed, taken, limit)
 						}
 					}
 				})
--- a/internal/dispatch/collections.go
+++ b/internal/dispatch/collections.go
@@ -1,8 +1,8 @@
 package dispatch
 
-// This file holds what the decisions need of maps and lists, and no decision.
+// This file holds helpers for maps and slices, and no decisions.
 
-// getOrCreate returns the value under a key, a new one where there is none.
+// getOrCreate returns the value under a key. It adds a zero value if there is none.
 func getOrCreate[K comparable, V any](m map[K]*V, k K) *V {
 	if m[k] == nil {
 		m[k] = new(V)
@@ -10,7 +10,7 @@
 	return m[k]
 }
 
-// groupBy sorts the elements of a list that are to be kept into lists by their keys, in the order that they have.
+// groupBy sorts the elements to keep into lists by key. Each list has the order of the input.
 func groupBy[K comparable, V any](list []V, key func(V) (k K, keep bool)) map[K][]V {
 	by := map[K][]V{}
 	for _, v := range list {
@@ -21,7 +21,7 @@
 	return by
 }
 
-// removeFirst takes the first element off the list under a key, and the key away with the last.
+// removeFirst removes the first element of the list under a key. It removes the key with the last element.
 func removeFirst[K comparable, V any](m map[K][]V, k K) {
 	if m[k] = m[k][1:]; len(m[k]) == 0 {
 		delete(m, k)
--- a/internal/dispatch/fleet_report_test.go
+++ b/internal/dispatch/fleet_report_test.go
@@ -29,19 +29,19 @@
 		t.Errorf("sent %v", got)
 	}
 	if got := sends(run(s, 10010*ms, 10400*ms)); len(got) != 0 {
-		t.Errorf("sent %v into the wait", got)
+		t.Errorf("sent %v during the wait", got)
 	}
 	if got := sends(run(s, 10405*ms, 10450*ms)); !slices.Equal(got, []string{"a"}) {
-		t.Errorf("sent %v when it was over", got)
+		t.Errorf("sent %v after the wait", got)
 	}
 	s.Step(10500*ms, []Event{Told{Kind: ToldWait, Destination: 2, Endpoint: "f", For: 5 * time.Second}, req("c", "safe", 2)})
 	if got := sends(s.Step(10510*ms, []Event{Told{Kind: ToldWait, Destination: 2, Endpoint: "f"}})); !slices.Equal(got, []string{"c"}) {
-		t.Errorf("sent %v after the wait was taken back", got)
+		t.Errorf("sent %v after the wait was cancelled", got)
 	}
 	// A message that cannot go before its deadline is refused at once, as in a wait that this sender was asked for.
 	acts = s.Step(10600*ms, []Event{Told{Kind: ToldWait, Destination: 1, For: time.Minute}, req("d", "safe", 1)})
 	if ends(acts)["d"] != "refused" {
-		t.Error("held for a wait that outlasts it")
+		t.Error("held for a wait that ends after its deadline")
 	}
 }
 
@@ -52,38 +52,38 @@
 	s := newWarmSender(t, testSettings())
 	s.Step(10005*ms, []Event{out})
 	if s.endpoints["e"].outage {
-		t.Error("out, though a call that was begun in that outage went well here")
+		t.Error("in an outage, though a call sent during the reported outage succeeded here")
 	}
 	out.Age = 10 * ms
 	s.Step(10020*ms, []Event{out})
 	e := s.endpoints["e"]
 	if !e.outage || !e.reportedOnly || s.endpoints["f"].outage {
-		t.Fatal("not taken out, or another was")
+		t.Fatal("the endpoint is in no outage, or another one is")
 	}
-	tell := func() (since time.Duration) {
+	reportedSince := func() (since time.Duration) {
 		s.Health(1, func(_ string, at time.Duration) { since = at })
 		return since
 	}
-	if tell() >= 0 {
-		t.Error("what others alone have met is told as met here")
+	if reportedSince() >= 0 {
+		t.Error("Health shows an outage that only other senders saw")
 	}
 	first := e.limiter.nextTrial
 	now := first - 5*ms
 	out.Age = now - 10010*ms
 	s.Step(now, []Event{out})
 	if e.limiter.nextTrial <= first {
-		t.Error("another's failed try did not put ours off")
+		t.Error("a failed trial call of another sender did not delay the next one here")
 	}
 	s.Step(now+5*ms, []Event{Told{Kind: ToldNothing, Endpoint: "e"}, req("a", "safe", 1), req("b", "safe", 1)})
 	if e.outage || e.ramping {
-		t.Error("what has lapsed still restrains")
+		t.Error("a lapsed report still restricts calls")
 	}
 
 	s, out.Age = newWarmSender(t, testSettings()), 10*ms
 	s.Step(10020*ms, []Event{out, Told{Kind: ToldOut, Endpoint: "nobody"}})
 	s.Step(10100*ms, []Event{Told{Kind: ToldBack, Endpoint: "e", Age: 50 * ms}})
 	if e = s.endpoints["e"]; e.outage || !e.ramping || e.rampSince != 10050*ms {
-		t.Errorf("back, and not ramping from when it came back: %+v", e)
+		t.Errorf("no ramp from the start of the recovery: %+v", e)
 	}
 }
 
@@ -93,14 +93,14 @@
 	s := newWarmSender(t, testSettings())
 	e := s.endpoints["e"]
 	s.markOutage(e)
-	own := e.limiter.nextTrial
+	ownTrial := e.limiter.nextTrial
 	s.Step(10005*ms, []Event{Told{Kind: ToldOut, Endpoint: "e"}})
-	if e.reportedOnly || e.limiter.ownTrial != own {
-		t.Error("our own outage has become hearsay")
+	if e.reportedOnly || e.limiter.ownTrial != ownTrial {
+		t.Error("an outage seen by this sender has become a reported one")
 	}
 	s.Step(10010*ms, []Event{Told{Kind: ToldBack, Endpoint: "e"}})
-	if !e.outage || e.limiter.nextTrial < own {
-		t.Errorf("the next try is due at %v, by itself at %v; out %v", e.limiter.nextTrial, own, e.outage)
+	if !e.outage || e.limiter.nextTrial < ownTrial {
+		t.Errorf("the next trial call is due at %v, without the report at %v; outage %v", e.limiter.nextTrial, ownTrial, e.outage)
 	}
 }
 
@@ -108,7 +108,7 @@
 // unknown endpoint.
 func TestFleetReportsAddNoSends(t *testing.T) {
 	proptest.Check(t, func(t *rapid.T) {
-		play := func(told map[int]Event) (sent []string) {
+		simulate := func(reports map[int]Event) (sent []string) {
 			s, err := New(testSettings(), 4)
 			if err != nil {
 				t.Fatal(err)
@@ -116,22 +116,22 @@
 			s.Step(0, []Event{Members{Whole: true, Endpoints: []Endpoint{ep("e", 1), ep("f", 2)}}})
 			for i := 1; i <= 40; i++ {
 				events := []Event{req(string(rune('A'+i)), "safe", 1+i%2)}
-				if told[i] != nil {
-					events = append(events, told[i])
+				if reports[i] != nil {
+					events = append(events, reports[i])
 				}
 				sent = append(sent, sends(s.Step(time.Duration(i)*50*ms, events))...)
 			}
 			return sent
 		}
-		told := map[int]Event{}
+		reports := map[int]Event{}
 		for range rapid.IntRange(1, 12).Draw(t, "told") {
-			told[rapid.IntRange(1, 40).Draw(t, "at")] = Told{Kind: FleetReportKind(rapid.IntRange(0, 3).Draw(t, "kind")), Destination: rapid.IntRange(0, 3).Draw(t, "dest"),
+			reports[rapid.IntRange(1, 40).Draw(t, "at")] = Told{Kind: FleetReportKind(rapid.IntRange(0, 3).Draw(t, "kind")), Destination: rapid.IntRange(0, 3).Draw(t, "dest"),
 				Endpoint: rapid.SampledFrom([]string{"", "e", "f", "g"}).Draw(t, "endpoint"), For: time.Duration(rapid.IntRange(0, 3000).Draw(t, "for")) * ms,
 				Age: time.Duration(rapid.IntRange(0, 3000).Draw(t, "age")) * ms}
 		}
-		alone, restrained := play(nil), play(told)
-		if len(restrained) > len(alone) {
-			t.Errorf("%v sent, alone %v", restrained, alone)
+		alone, withReports := simulate(nil), simulate(reports)
+		if len(withReports) > len(alone) {
+			t.Errorf("%v sent, %v without reports", withReports, alone)
 		}
 	})
 }
@@ -162,15 +162,15 @@
 	s := newWarmSender(t, set)
 	s.Step(10005*ms, []Event{share(50, 2*time.Second)})
 	if n := count(s, 10010*ms, 12*time.Second, Report{Left: 1, Limit: 100}); n < 95 || n > 106 {
-		t.Errorf("%d calls in 2 s at 50 a second, and 5 saved", n)
+		t.Errorf("%d calls in 2 s at 50 a second and 5 saved", n)
 	}
 	alone := count(s, 12010*ms, 14*time.Second, Report{Left: 1, Limit: 100})
 	if alone > 60 {
-		t.Errorf("%d calls in 2 s of a limit of 100 that 20 share", alone)
+		t.Errorf("%d calls in 2 s under a limit of 100 shared by 20 senders", alone)
 	}
 	s.Step(14005*ms, []Event{share(0, time.Second)})
 	if n := count(s, 14010*ms, 15*time.Second, Report{Left: 1, Limit: 100}); n != 0 {
-		t.Errorf("%d calls at no rate", n)
+		t.Errorf("%d calls at a granted rate of 0", n)
 	}
 	e := s.endpoints["e"]
 	e.ramping, e.rampSince = true, 15*time.Second
--- a/internal/dispatch/fleet_test.go
+++ b/internal/dispatch/fleet_test.go
@@ -103,7 +103,7 @@
 	events              eventQueue
 	seq                 int
 	endpoints           []Endpoint
-	held                []map[string]Request     // by sender: accepted and not ended
+	accepted            []map[string]Request     // by sender: accepted and not ended
 	submittedAt         map[string]time.Duration // first submission of a message
 	classOf             map[string]*Class
 	destinationOf       map[string]int
@@ -144,14 +144,14 @@
 			t.Fatal(err)
 		}
 		s.Step(0, []Event{Members{Whole: true, Endpoints: c.endpoints}})
-		c.senders, c.held = append(c.senders, s), append(c.held, map[string]Request{})
+		c.senders, c.accepted = append(c.senders, s), append(c.accepted, map[string]Request{})
 	}
 	return c
 }
 
-func (c *fleetModel) schedule(at time.Duration, who int, what Event) {
+func (c *fleetModel) schedule(at time.Duration, sender int, event Event) {
 	c.seq++
-	heap.Push(&c.events, timedEvent{at, c.seq, who, what})
+	heap.Push(&c.events, timedEvent{at, c.seq, sender, event})
 }
 
 // generate schedules messages for a destination at a rate, at random times.
@@ -164,14 +164,14 @@
 
 func (c *fleetModel) submit(at time.Duration, id, class string, dest int) {
 	c.submittedAt[id] = at
-	who := c.rng.IntN(len(c.senders))
+	sender := c.rng.IntN(len(c.senders))
 	for i := range c.senders[0].cfg.Classes {
 		if k := &c.senders[0].cfg.Classes[i]; k.Name == class {
 			c.classOf[id] = k
 		}
 	}
 	c.destinationOf[id] = dest
-	c.schedule(at, who, Request{ID: id, Class: class, Destination: dest, TimeLeft: c.classOf[id].Deadline})
+	c.schedule(at, sender, Request{ID: id, Class: class, Destination: dest, TimeLeft: c.classOf[id].Deadline})
 }
 
 // run processes events until the time to, or until none is left.
@@ -179,7 +179,7 @@
 	for len(c.events) > 0 && c.events[0].at < to {
 		h := heap.Pop(&c.events).(timedEvent)
 		if r, ok := h.event.(Request); ok {
-			c.held[h.sender][r.ID] = r
+			c.accepted[h.sender][r.ID] = r
 		}
 		if o, ok := h.event.(Outcome); ok && o.Status != OK {
 			if d := c.destinations[c.destinationOf[originalID(o.ID)]]; h.at >= d.outFrom && h.at < d.outTo {
@@ -192,10 +192,10 @@
 	}
 }
 
-func (c *fleetModel) act(now time.Duration, who int, a Action) {
+func (c *fleetModel) act(now time.Duration, sender int, a Action) {
 	switch a := a.(type) {
 	case Wake:
-		c.schedule(max(a.At, now+ms), who, Woken{})
+		c.schedule(max(a.At, now+ms), sender, Woken{})
 	case Send:
 		n := c.attempts[a.ID]
 		c.attempts[a.ID]++
@@ -203,7 +203,7 @@
 		sec := int(now / time.Second)
 		c.calls[d.id][sec]++
 		rtt := time.Duration(20+20*c.rng.Float64()) * ms
-		d.arrivals = append(d.arrivals, arrival{now + rtt/2, c.sawOutage[[2]int{who, d.id}]})
+		d.arrivals = append(d.arrivals, arrival{now + rtt/2, c.sawOutage[[2]int{sender, d.id}]})
 		if d.isOut(now + rtt/2) {
 			took := d.outageLatency
 			if d.outageStatus == TimedOut && a.TimeOut > 0 {
@@ -212,7 +212,7 @@
 				took = 5 * time.Second
 			}
 			o := Outcome{ID: a.ID, Attempt: n, Endpoint: a.Endpoint, Status: d.outageStatus, Latency: took}
-			c.schedule(now+took, who, o)
+			c.schedule(now+took, sender, o)
 			return
 		}
 		ok, rep := d.call(now+rtt/2, c.rng)
@@ -220,7 +220,7 @@
 		if ok {
 			o.Status, o.Settled = OK, true
 			rtt += time.Duration(math.Exp(math.Log(200)+0.5*c.rng.NormFloat64())) * ms
-			delete(c.held[who], a.ID)
+			delete(c.accepted[sender], a.ID)
 		} else {
 			c.refusedCalls[d.id][sec]++
 			if c.rng.Float64() < d.waitShare {
@@ -228,11 +228,11 @@
 			}
 		}
 		o.Latency = rtt
-		c.schedule(now+rtt, who, o)
+		c.schedule(now+rtt, sender, o)
 	case Fail:
-		delete(c.held[who], a.ID)
+		delete(c.accepted[sender], a.ID)
 	case Refuse:
-		delete(c.held[who], a.ID)
+		delete(c.accepted[sender], a.ID)
 		id := originalID(a.ID)
 		if c.submissions[id]++; c.submissions[id] <= 3 {
 			wait := time.Duration((400 + 700*c.rng.Float64()) * float64(ms) * math.Pow(2, float64(c.submissions[id]-1)))
@@ -270,8 +270,8 @@
 				events = append(events, Recalled{Destination: d.id, Limit: d.limitAt(now)})
 			}
 		}
-		for _, id := range slices.Sorted(maps.Keys(c.held[i])) {
-			r := c.held[i][id]
+		for _, id := range slices.Sorted(maps.Keys(c.accepted[i])) {
+			r := c.accepted[i][id]
 			r.TimeLeft = max(c.submittedAt[originalID(id)]+c.classOf[originalID(id)].Deadline-now, 0)
 			r.Attempts, r.MayHaveRun = c.attempts[id], false
 			events = append(events, r)
@@ -321,9 +321,9 @@
 		c.generate(1, "safe", 180, 0, 15*time.Second)
 		c.generate(1, "keyed", 50, 0, 15*time.Second)
 		c.run(15 * time.Second)
-		calls, turned := sumSeconds(c.calls[1], 8, 15), sumSeconds(c.refusedCalls[1], 8, 15)
-		if taken := calls - turned; float64(turned) > 0.2*float64(calls) || float64(taken) < 0.75*7*0.4*280 {
-			t.Errorf("seed %d: of %d calls in 7 s at 112 a second, %d were refused", seed, calls, turned)
+		calls, refused := sumSeconds(c.calls[1], 8, 15), sumSeconds(c.refusedCalls[1], 8, 15)
+		if taken := calls - refused; float64(refused) > 0.2*float64(calls) || float64(taken) < 0.75*7*0.4*280 {
+			t.Errorf("seed %d: of %d calls in 7 s at 112 a second, %d were refused", seed, calls, refused)
 		}
 	}
 }
@@ -343,14 +343,14 @@
 		with, without := refused(seed, true), refused(seed, false)
 		t.Log(with, without)
 		if with > 100 || without < 2*with {
-			t.Errorf("seed %d: in 3 s after the restart %d calls were refused, and %d where limits were forgotten", seed, with, without)
+			t.Errorf("seed %d: in 3 s after the restart %d calls were refused, and %d without remembered limits", seed, with, without)
 		}
 	}
 }
 
 // overload returns when a cold destination first gets more calls within the tip window than it takes, chance included, if over
 // two thirds of them are from senders that saw the outage, and 0 otherwise.
-func (b *bucketModel) overload(f Safety) (at time.Duration, calls, told int, bears float64) {
+func (b *bucketModel) overload(f Safety) (at time.Duration, calls, aware int, capacity float64) {
 	from := 0
 	for i, last := range b.arrivals {
 		if last.at < b.outTo || last.at > b.outTo+f.Cold { // during the outage the destination is down, not cold
@@ -366,12 +366,12 @@
 			}
 		}
 		budget := f.FallMultiple * b.warmShare(max(last.at-f.TipAfter/2, b.outTo), f) * b.limit * f.TipAfter.Seconds()
-		bears := budget + 2*math.Sqrt(budget) + 2
-		if all := i + 1 - from; float64(all) > bears {
+		capacity := budget + 2*math.Sqrt(budget) + 2
+		if all := i + 1 - from; float64(all) > capacity {
 			if 3*n > 2*all {
-				return last.at, all, n, bears
+				return last.at, all, n, capacity
 			}
-			return 0, all, n, bears // the first overload decides
+			return 0, all, n, capacity // the first overload decides
 		}
 	}
 	return 0, 0, 0, 0
--- a/internal/dispatch/sender.go
+++ b/internal/dispatch/sender.go
@@ -29,7 +29,7 @@
 	// One of many senders may take more than an even share of a limit. A report of less left than steadyShare
 	// lowers this excess at once, one of more raises it for maxGrowthTime at most, since all senders read it.
 	excessShrinkFactor = 0.25            // at a refusal
-	unusedShare        = 0.1             // of an even share: refused calls that use up the limit must fade
+	unusedShare        = 0.1             // unused without excess, or refused calls could keep a limit empty
 	steadyShare        = 0.35            // left of the limit
 	excessGrowthRate   = 0.05            // a second, times the share left above steadyShare
 	maxGrowthTime      = 5 * time.Second // after a report
@@ -291,8 +291,8 @@
 		}
 		gap := min(float64(s.now-e.outageSince)*fleetTrialAges, maxFleetTrialShare*float64(s.cfg.Safety.Cold))
 		gap = max(gap, float64(s.coldGap(e, s.now))/e.limiter.peers)
-		apart := min(e.limiter.peers, e.limiter.capacity()) * float64(s.pollInterval())
-		e.limiter.nextTrial = s.now + time.Duration(gap+s.rng.Float64()*max(gap, apart))
+		spread := min(e.limiter.peers, e.limiter.capacity()) * float64(s.pollInterval())
+		e.limiter.nextTrial = s.now + time.Duration(gap+s.rng.Float64()*max(gap, spread))
 		if !e.reportedOnly {
 			e.limiter.nextTrial = max(e.limiter.nextTrial, e.limiter.ownTrial)
 		}
@@ -353,8 +353,8 @@
 	m.dest.openMessages++
 	if c.OrderedByKey && ev.HasKey {
 		if len(s.keyQueues) > 2*len(s.messages)+initialWindow { // drop the empty ones whose rest has ended
-			over := func(_ int64, l *keyQueue) bool { return len(l.messages) == 0 && l.restUntil <= s.now }
-			maps.DeleteFunc(s.keyQueues, over)
+			done := func(_ int64, l *keyQueue) bool { return len(l.messages) == 0 && l.restUntil <= s.now }
+			maps.DeleteFunc(s.keyQueues, done)
 		}
 		m.keyQueue = getOrCreate(s.keyQueues, ev.Key)
 		m.keyQueue.messages = append(m.keyQueue.messages, m)
@@ -384,7 +384,7 @@
 	limitShare, available     float64       // this sender's share; calls it may make, as of availableAt
 	availableAt, reportSentAt time.Duration // reportSentAt: when the attempt with the newest report was sent
 	spends                    []time.Duration
-	waitEnd, fleetWait        time.Duration // end of a wait that this sender, or another one, was told
+	waitEnd, fleetWait        time.Duration // end of a wait that this sender, or another one, was asked for
 	nextTrial, ownTrial       time.Duration // next trial call in an outage; the same without reports
 	refusals                  int           // in a row
 	lastReport                Report
@@ -513,12 +513,12 @@
 	if e.meanSeconds == 0 {
 		return s.cfg.ConnectTimeout + s.cfg.Classes[0].Aim/2
 	}
-	late := max(e.meanSeconds+missedAfterSpreads*e.spreadSeconds, missedAfterMeans*e.meanSeconds)
-	return time.Duration(late * float64(time.Second))
+	seconds := max(e.meanSeconds+missedAfterSpreads*e.spreadSeconds, missedAfterMeans*e.meanSeconds)
+	return time.Duration(seconds * float64(time.Second))
 }
 
-// isSilent reports whether calls are missed and no later one is answered. A destination that hangs or is very
-// slow must not fill the call slots. The disadvantage: a destination with widely varying latency is slowed.
+// isSilent reports whether calls are missed and no later one is answered. A destination that hangs, is
+// unreachable or very slow must not fill the call slots. Disadvantage: widely varying latency slows calls.
 func (s *Sender) isSilent(e *endpoint) bool {
 	missed := min(e.failures, 1)
 	for _, c := range e.calls {
@@ -552,10 +552,10 @@
 		at = e.rampSince
 	}
 	age, rate, tip := max(at-e.outageSince, f.Cold/4).Seconds(), e.limiter.capacity(), f.TipAfter.Seconds()
-	calls := 2 * rate * age / peers
-	full := rate * f.FallMultiple * warm
-	count := tip * (full - min(peers/age/math.E, full/3))
-	mean := max(math.Pow(math.Sqrt(count+0.25)-0.5, 2), count-math.Sqrt(peers)/2)
+	expectedCalls := 2 * rate * age / peers
+	fallRate := rate * f.FallMultiple * warm
+	budget := tip * (fallRate - min(peers/age/math.E, fallRate/3))
+	safeBudget := max(math.Pow(math.Sqrt(budget+0.25)-0.5, 2), budget-math.Sqrt(peers)/2)
 	listed, outages, failing := 0.0, 0.0, 1.0
 	for _, o := range e.limiter.endpoints {
 		if o.state == Listed {
@@ -569,11 +569,11 @@
 		}
 	}
 	share, sparse := 1.0, sparseTrialAges*failing*max(at-e.outageSince, f.Cold/5).Seconds()
-	if unseen := math.Exp(-calls); e.ramping {
-		share, outages = max(1-unseen-calls*unseen, 1e-3), 1
-		sparse = listed * share * peers / (rate * unseen)
+	if noCalls := math.Exp(-expectedCalls); e.ramping {
+		share, outages = max(1-noCalls-expectedCalls*noCalls, 1e-3), 1
+		sparse = listed * share * peers / (rate * noCalls)
 	}
-	gap := min(max(listed/max(outages, 1), 1)*tip*peers*share/max(mean, 1e-3), sparse)
+	gap := min(max(listed/max(outages, 1), 1)*tip*peers*share/max(safeBudget, 1e-3), sparse)
 	return time.Duration(float64(time.Second) * gap)
 }
 
@@ -655,8 +655,8 @@
 	s.missedShare -= missedWeight * s.missedShare
 	e.failureShare -= failureWeight * e.failureShare
 	e.lastAnswered = max(e.lastAnswered, sent)
-	l, now, span := e.limiter, s.now, max(s.cfg.Safety.TipAfter, time.Second)
-	if now-l.windowStart >= span {
+	l, now, window := e.limiter, s.now, max(s.cfg.Safety.TipAfter, time.Second)
+	if now-l.windowStart >= window {
 		if l.windowStart > 0 {
 			l.successRate = max(l.successRate*0.9,
 				(l.successes-l.sparseness()*math.Sqrt(l.successes))/(now-l.windowStart).Seconds())
--- a/internal/dispatch/sender_test.go
+++ b/internal/dispatch/sender_test.go
@@ -99,20 +99,20 @@
 
 // ends returns how each message ended: refused or failed.
 func ends(acts []Action) map[string]string {
-	how := map[string]string{}
+	results := map[string]string{}
 	for _, a := range acts {
 		switch a := a.(type) {
 		case Refuse:
-			how[a.ID] += "refused"
+			results[a.ID] += "refused"
 		case Fail:
-			how[a.ID] += "failed"
+			results[a.ID] += "failed"
 		}
 	}
-	return how
+	return results
 }
 
 func TestInvalidSettings(t *testing.T) {
-	for field, spoil := range map[string]func(*Settings){
+	for field, invalidate := range map[string]func(*Settings){
 		"Classes":     func(s *Settings) { s.Classes = nil },
 		"MaxCalls":    func(s *Settings) { s.MaxCalls = 0 },
 		"MaxOpen":     func(s *Settings) { s.MaxOpen = -1 },
@@ -121,7 +121,7 @@
 		"Safety":      func(s *Settings) { s.Safety.Cold = -1 },
 	} {
 		set := testSettings()
-		spoil(&set)
+		invalidate(&set)
 		if _, err := New(set, 1); err == nil || !strings.Contains(err.Error(), field) {
 			t.Errorf("%s: error %v does not name the field", field, err)
 		}
@@ -136,7 +136,7 @@
 	s.Step(110*ms, []Event{req("u", "unsafe", 1), req("k", "keyed", 1), req("s", "safe", 1)})
 	got := sends(run(s, 115*ms, 4*time.Second))
 	if len(got) < 2 || got[0] != "first" || got[1] != "s" {
-		t.Errorf("left as %v", got)
+		t.Errorf("sent in the order %v", got)
 	}
 }
 
@@ -146,7 +146,7 @@
 	s.Step(0, []Event{req("a", "safe", 1)})
 	s.Step(100*ms, []Event{Outcome{ID: "a", Endpoint: "e", Settled: true, Report: &Report{Left: 0, Limit: 4}}})
 	if got := sends(s.Step(110*ms, []Event{req("b", "safe", 1)})); got != nil {
-		t.Errorf("sent %v on an empty allowance", got)
+		t.Errorf("sent %v with an empty allowance", got)
 	}
 	if got := sends(run(s, 115*ms, time.Second)); len(got) != 1 {
 		t.Errorf("sent %v after the limit has refilled", got)
@@ -161,7 +161,7 @@
 	s.Step(200*ms, []Event{req("b", "keyed", 1)})
 	s.Step(1600*ms, []Event{Outcome{ID: "b", Endpoint: "e", Status: TimedOut}})
 	if got := sends(run(s, 1605*ms, 5*time.Second)); len(got) == 0 {
-		t.Error("nothing went again after a call without a report")
+		t.Error("nothing was sent after a call without a report")
 	}
 }
 
@@ -179,7 +179,7 @@
 			t.Errorf("report %v: %v", r, got)
 		}
 		if len(s.endpoints["e"].calls) == 0 {
-			t.Errorf("report %v: nothing goes any more", r)
+			t.Errorf("report %v: no call is out", r)
 		}
 	}
 }
@@ -191,7 +191,7 @@
 	s.Step(10*ms, []Event{Outcome{ID: "a", Endpoint: "e", Status: Full, Wait: 2 * time.Second}})
 	s.Step(1900*ms, []Event{req("b", "unsafe", 1)})
 	if got := sends(run(s, 1905*ms, 2100*ms)); len(got) == 0 || got[0] != "b" {
-		t.Errorf("left as %v", got)
+		t.Errorf("sent in the order %v", got)
 	}
 }
 
@@ -200,9 +200,9 @@
 	s := newSender(t, testSettings(), ep("e", 1))
 	s.Step(0, []Event{Members{Endpoints: []Endpoint{{ID: "e", Kind: "shared", Destination: 1, State: Gone}}},
 		req("gone", "safe", 1), req("unknown", "unsafe", 77)})
-	how := ends(run(s, 5*ms, 15*time.Second))
-	if how["gone"] != "refused" || how["unknown"] != "refused" {
-		t.Errorf("ended as %v", how)
+	results := ends(run(s, 5*ms, 15*time.Second))
+	if results["gone"] != "refused" || results["unknown"] != "refused" {
+		t.Errorf("ended as %v", results)
 	}
 }
 
@@ -212,11 +212,11 @@
 	s := newSender(t, set, ep("e", 1))
 	s.Step(0, []Event{req("u", "unsafe", 1)})
 	if acts := run(s, 5*ms, 14*time.Second-5*ms); len(ends(acts)) != 0 {
-		t.Fatalf("answered while an attempt was out: %v", acts)
+		t.Fatalf("final answer while an attempt was out: %v", acts)
 	}
-	how := ends(s.Step(14*time.Second, []Event{Outcome{ID: "u", Endpoint: "e", Status: TimedOut}}))
-	if how["u"] != "failed" {
-		t.Errorf("ended as %v", how)
+	results := ends(s.Step(14*time.Second, []Event{Outcome{ID: "u", Endpoint: "e", Status: TimedOut}}))
+	if results["u"] != "failed" {
+		t.Errorf("ended as %v", results)
 	}
 }
 
@@ -261,7 +261,7 @@
 		Members{Endpoints: []Endpoint{{ID: "e", Zone: "a", Kind: "shared", Destination: 1, State: Draining}}}})
 	acts = append(acts, run(s, 105*ms, 12*time.Second)...)
 	if len(sends(acts)) != 0 || ends(acts)["m"] != "failed" {
-		t.Errorf("left the zone: %v", acts)
+		t.Errorf("not kept to its zone: %v", acts)
 	}
 }
 
@@ -320,14 +320,14 @@
 	}
 	s.Step(100*ms, []Event{Hangup{ID: "a"}})
 	if got := sends(run(s, 105*ms, time.Second)); got != nil {
-		t.Errorf("sent %v while the head has an attempt out", got)
+		t.Errorf("sent %v while the first message of the key has an attempt out", got)
 	}
 	s.Step(1100*ms, []Event{Outcome{ID: "a", Endpoint: "e", Status: TimedOut, Settled: true}})
 	if got := sends(run(s, 1105*ms, 1395*ms)); got != nil {
-		t.Errorf("sent %v during the rest", got)
+		t.Errorf("sent %v during the pause", got)
 	}
 	if got := sends(run(s, 1400*ms, 6*time.Second)); len(got) == 0 || got[0] != "b" {
-		t.Errorf("sent %v after the rest", got)
+		t.Errorf("sent %v after the pause", got)
 	}
 }
 
@@ -341,7 +341,7 @@
 			n  int
 		}
 		var out []call
-		tries := map[string]int{}
+		attempts := map[string]int{}
 		n, back := 0, 20*time.Second
 		for now := time.Duration(0); now < 30*time.Second; now += 50 * ms {
 			var evs []Event
@@ -357,8 +357,8 @@
 			evs = append(evs, req(fmt.Sprint(n), "safe", 1))
 			for _, a := range s.Step(now, evs) {
 				if a, ok := a.(Send); ok {
-					out = append(out, call{a.ID, tries[a.ID]})
-					tries[a.ID]++
+					out = append(out, call{a.ID, attempts[a.ID]})
+					attempts[a.ID]++
 					if now > back-3*time.Second {
 						times = append(times, now)
 					}
@@ -380,7 +380,7 @@
 			}
 		}
 		if len(times) == 0 {
-			t.Errorf("%v: never came back", st)
+			t.Errorf("%v: no calls after the outage", st)
 		}
 	}
 }
@@ -403,7 +403,7 @@
 			t.Fatalf("%d calls out at the silent destination", d.callsOut)
 		}
 		if !strings.Contains(fmt.Sprint(sends(acts)), fmt.Sprint("g", i)) {
-			t.Fatalf("the other destination got nothing at %v", now)
+			t.Fatalf("the other destination got no call at %v", now)
 		}
 	}
 }
@@ -464,7 +464,7 @@
 		}
 	}
 	if cancelled == 0 {
-		t.Error("lost calls keep all slots")
+		t.Error("calls without answers keep all slots")
 	}
 }
 
@@ -477,11 +477,11 @@
 		class := []string{"safe", "unsafe"}[i%2]
 		acts = append(acts, s.Step(time.Duration(i)*5*ms, []Event{req(fmt.Sprint(class, i), class, 1)})...)
 	}
-	how := ends(acts)
-	if len(how) == 0 {
+	results := ends(acts)
+	if len(results) == 0 {
 		t.Fatal("nothing refused")
 	}
-	for id, end := range how {
+	for id, end := range results {
 		if !strings.HasPrefix(id, "safe") || end != "refused" {
 			t.Errorf("%s %s", id, end)
 		}
@@ -505,7 +505,7 @@
 	for seed := range uint64(40) {
 		first, second := runRandomEvents(t, seed), runRandomEvents(t, seed)
 		if !reflect.DeepEqual(first, second) {
-			t.Fatalf("seed %d: a replay acts otherwise", seed)
+			t.Fatalf("seed %d: the second run differs", seed)
 		}
 	}
 }
@@ -538,11 +538,11 @@
 	waits := map[string]time.Duration{}
 	messages := map[string]*modelMessage{}
 	rest := map[int64]time.Duration{}
-	type pending struct {
+	type pendingOutcome struct {
 		at time.Duration
 		o  Outcome
 	}
-	var out []pending
+	var out []pendingOutcome
 	var log []string
 	n := 0
 	for now := time.Duration(0); now < 40*time.Second; now += 5 * ms {
@@ -623,12 +623,12 @@
 				case now < waits[a.Endpoint]:
 					bad = "breaks a wait"
 				case m.class.OrderedByKey && m.attempts == 0 && now < rest[m.key]:
-					bad = "breaks the rest of its key"
+					bad = "breaks the pause of its key"
 				}
 				if m.class.OrderedByKey {
 					for _, o := range messages {
 						if o.class.OrderedByKey && o.key == m.key && o.number < m.number && (!o.ended || o.inFlight) {
-							bad = "overtakes one of its key"
+							bad = "overtakes an earlier message of its key"
 						}
 					}
 				}
@@ -644,7 +644,7 @@
 				if r.IntN(20) == 0 {
 					took = time.Hour
 				}
-				out = append(out, pending{now + took, Outcome{ID: a.ID, Attempt: m.attempts, Endpoint: a.Endpoint,
+				out = append(out, pendingOutcome{now + took, Outcome{ID: a.ID, Attempt: m.attempts, Endpoint: a.Endpoint,
 					Status: st, Latency: took}})
 				m.attempts++
 			case Cancel:
@@ -724,7 +724,7 @@
 		s.Step(now+20*ms, []Event{answer(id, 0, "e", st), Hangup{ID: id}})
 	}
 	if s.endpoints["e"].outage {
-		t.Error("taken out by refusals over the limit")
+		t.Error("refusals over the limit caused an outage")
 	}
 }
 
@@ -736,11 +736,11 @@
 	s.recordFailure(e, &call{sentAt: s.now}, Outcome{Status: TimedOut})
 	s.recordFailure(e, &call{sentAt: s.now}, Outcome{Status: TimedOut})
 	if e.outage {
-		t.Error("taken out by two lost answers where 4 in 10 are lost everywhere")
+		t.Error("two lost answers caused an outage where 4 in 10 are lost everywhere")
 	}
 	s.recordFailure(e, &call{sentAt: s.now}, Outcome{Status: Errored})
 	if !e.outage {
-		t.Error("errors that the endpoint answers count at once")
+		t.Error("an error answer caused no outage")
 	}
 }
 
@@ -764,10 +764,10 @@
 		t.Errorf("subscribed %d times", n)
 	}
 	if n := watches(s.Step(time.Second, []Event{MembersLost{}})); n != 0 {
-		t.Error("asked again at once")
+		t.Error("subscribed again at once")
 	}
 	if n := watches(run(s, time.Second, 5*time.Second)); n != 1 {
-		t.Errorf("asked again %d times", n)
+		t.Errorf("subscribed again %d times", n)
 	}
 }
 
@@ -817,7 +817,7 @@
 		s.Step(10*time.Second, []Event{req("a", "safe", 1)})
 		s.Step(10100*ms, []Event{answer("a", 0, "e", Errored)})
 		if got := s.endpoints["e"].outage; got != want {
-			t.Errorf("%d senders: out after one failure: %v", peers, got)
+			t.Errorf("%d senders: outage after one failure: %v", peers, got)
 		}
 	}
 }
@@ -837,14 +837,14 @@
 	f := s.cfg.Safety
 	least := time.Duration(400 / (f.FallMultiple * f.StartCapacity * 400) * float64(time.Second))
 	if got := s.coldGap(e, e.outageSince+10*time.Second); got < least {
-		t.Errorf("gap %v where all senders saw the outage, %v would use up the budget", got, least)
+		t.Errorf("gap %v where all senders saw the outage, want at least %v", got, least)
 	}
 }
 
 // A destination that asks for a long wait is out with all its endpoints. Senders that know the end of the wait must not return
 // at one moment.
 func TestLongWaitTakesOutDestination(t *testing.T) {
-	tries := map[time.Duration]bool{}
+	trials := map[time.Duration]bool{}
 	for seed := range int64(5) {
 		s, err := New(manySenders(), seed)
 		if err != nil {
@@ -856,11 +856,11 @@
 			if !e.outage || e.limiter.nextTrial < 5050*ms {
 				t.Errorf("seed %d: %s out: %v, next try %v", seed, e.id, e.outage, e.limiter.nextTrial)
 			}
-			tries[e.limiter.nextTrial] = true
+			trials[e.limiter.nextTrial] = true
 		}
 	}
-	if len(tries) < 5 { // the endpoints of one sender share the next trial
-		t.Errorf("%d different times for 5 senders", len(tries))
+	if len(trials) < 5 { // the endpoints of one sender share the next trial
+		t.Errorf("%d different trial times for 5 senders", len(trials))
 	}
 }
 
@@ -890,7 +890,7 @@
 	s.Step(10100*ms, []Event{answer("a", 0, "e", ConnectFailed)})
 	acts := s.Step(11*time.Second, []Event{Members{Endpoints: []Endpoint{ep("f", 1)}}})
 	if got := sends(acts); got != nil || !s.endpoints["f"].outage {
-		t.Errorf("sent %v to a new endpoint, out: %v", got, s.endpoints["f"].outage)
+		t.Errorf("sent %v to a new endpoint; outage: %v", got, s.endpoints["f"].outage)
 	}
 }
 
@@ -914,7 +914,7 @@
 		}
 	}
 	if len(at) < 5 {
-		t.Errorf("6 senders tried at %d moments", len(at))
+		t.Errorf("6 senders sent trial calls at %d different times", len(at))
 	}
 }
 
@@ -944,7 +944,7 @@
 			n    int
 		}
 		var senders []*sender
-		first, saw := 0, 0
+		unaware, aware := 0, 0
 		for now := time.Duration(0); now <= 24*time.Second; now += 50 * ms {
 			if now%(200*ms) == 0 {
 				s, _ := New(set, int64(now))
@@ -960,19 +960,19 @@
 						o.ID, o.Attempt, o.Endpoint = "a", s.n, a.Endpoint
 						s.evs[back] = append(s.evs[back], o)
 						if s.n++; now >= 14*time.Second && s.n == 1 {
-							first++
+							unaware++
 						} else if now >= 14*time.Second {
-							saw++
+							aware++
 						}
 					}
 				}
 			}
 		}
-		if 2*saw > 3*first { // two standard deviations below two thirds
-			t.Errorf("%d endpoints, %+v: %d calls of senders that saw the outage, %d of others", len(c.eps), c.outcome, saw, first)
+		if 2*aware > 3*unaware { // two standard deviations below two thirds
+			t.Errorf("%d endpoints, %+v: %d calls of senders that saw the outage, %d of others", len(c.eps), c.outcome, aware, unaware)
 		}
-		if saw == 0 && c.outcome.Status != Full { // calls after refusals have a budget of their own
-			t.Errorf("%d endpoints, %+v: no tries at all", len(c.eps), c.outcome)
+		if aware == 0 && c.outcome.Status != Full { // calls after refusals have a budget of their own
+			t.Errorf("%d endpoints, %+v: no trial calls", len(c.eps), c.outcome)
 		}
 	}
 }
@@ -988,22 +988,22 @@
 		e.outage = true
 		for capacity := 2.0; capacity < 5000; capacity *= 1.5 {
 			e.limiter.limit = capacity
-			for _, c := range []struct{ demand, clump float64 }{{capacity, 0}, {capacity / 2, 0},
+			for _, c := range []struct{ demand, burst float64 }{{capacity, 0}, {capacity / 2, 0},
 				{capacity / 2, 2.5 * capacity}, {capacity / 4, 0}, {capacity / 4, 2.5 * capacity}} {
 				for age := 2.0; age < 60; age *= 1.5 {
 					gap := func(a float64) float64 {
 						return s.coldGap(e, e.outageSince+time.Duration(a*float64(time.Second))).Seconds()
 					}
-					mine, left, step := c.demand/float64(peers), math.Exp(-c.clump/float64(peers)), age/200
-					saw := float64(peers) * (1 - left) / gap(age)
+					perSender, unawareShare, step := c.demand/float64(peers), math.Exp(-c.burst/float64(peers)), age/200
+					aware := float64(peers) * (1 - unawareShare) / gap(age)
 					for a := step / 2; a < age; a += step {
-						saw += step * c.demand * left * math.Exp(-mine*(age-a)) / gap(a)
+						aware += step * c.demand * unawareShare * math.Exp(-perSender*(age-a)) / gap(a)
 					}
-					others := c.demand * left * math.Exp(-mine*age)
+					unaware := c.demand * unawareShare * math.Exp(-perSender*age)
 					budget := set.Safety.FallMultiple * set.Safety.StartCapacity * capacity
-					if saw > max(2*others, budget-others) {
+					if aware > max(2*unaware, budget-unaware) {
 						t.Errorf("%d senders, capacity %.1f, %+v, age %.0f s: %.2f calls a second from those that "+
-							"saw it, %.2f from others, budget %.2f", peers, capacity, c, age, saw, others, budget)
+							"saw it, %.2f from others, budget %.2f", peers, capacity, c, age, aware, unaware, budget)
 					}
 				}
 			}
@@ -1021,14 +1021,14 @@
 	s.Step(10*time.Second, nil)
 	fail(s, "a", "e", 20*ms)
 	if s.endpoints["f"].outage {
-		t.Error("taken out by a connection refused at once elsewhere")
+		t.Error("a connection refused at once by one endpoint took out another")
 	}
 	s = newSender(t, manySenders(), ep("e", 1), ep("f", 1), ep("g", 1))
 	s.Step(10*time.Second, nil)
 	s.endpoints["g"].lastAnswered = s.now
 	fail(s, "a", "e", 500*ms)
 	if !s.endpoints["f"].outage || s.endpoints["g"].outage {
-		t.Errorf("out: f %v, g, which has answered, %v", s.endpoints["f"].outage, s.endpoints["g"].outage)
+		t.Errorf("outage: f %v; g, which has answered, %v", s.endpoints["f"].outage, s.endpoints["g"].outage)
 	}
 }
 
@@ -1040,10 +1040,10 @@
 	e.limiter.limit, e.limiter.available, e.limiter.availableAt = 40, 10, s.now
 	e.ramping, e.outageSince, e.rampSince, e.lastSent = true, 0, s.now, s.now
 	if got := sends(s.Step(11*time.Second, []Event{req("a", "safe", 1)})); got != nil {
-		t.Errorf("sent %v in the ramp at once", got)
+		t.Errorf("sent %v at the start of the ramp", got)
 	}
 	if got := sends(run(s, 11*time.Second, 10*time.Second+s.cfg.Safety.Cold)); len(got) == 0 {
-		t.Error("held though the cold time is over")
+		t.Error("held after the cold time")
 	}
 }
 
@@ -1058,7 +1058,7 @@
 		}
 	}
 	if len(s.messages) != 0 {
-		t.Error("held into a wait that is longer than its time")
+		t.Error("held for a wait that ends after its deadline")
 	}
 	s = newSender(t, testSettings(), ep("e", 1))
 	s.Step(0, []Event{req("first", "safe", 1)})
@@ -1070,7 +1070,7 @@
 	}
 	refused := len(ends(s.Step(110*ms, batch)))
 	if refused < 8 || refused > 11 {
-		t.Errorf("%d of 20 refused at once where ten seconds let ten through", refused)
+		t.Errorf("%d of 20 refused at once, want about 10: ten can go in ten seconds", refused)
 	}
 }
 
@@ -1087,11 +1087,11 @@
 		late.TimeLeft = 8 * time.Second
 		batch = append(batch, late, req(fmt.Sprint("new", i), "keyed", 1))
 	}
-	how := ends(s.Step(110*ms, batch))
-	if len(how) != 12 {
-		t.Errorf("%d refused, want the 12 late ones: 12 others go first, and 8 s let 8 through", len(how))
+	results := ends(s.Step(110*ms, batch))
+	if len(results) != 12 {
+		t.Errorf("%d refused, want the 12 late ones: 12 others go first, and 8 s let 8 through", len(results))
 	}
-	for id := range how {
+	for id := range results {
 		if !strings.HasPrefix(id, "late") {
 			t.Errorf("%s refused", id)
 		}
@@ -1111,8 +1111,8 @@
 	if got := sends(acts); len(got) != 1 || got[0] != "in" {
 		t.Errorf("sent %v", got)
 	}
-	if how := ends(acts); how["out"] != "failed" || how["spent"] != "refused" {
-		t.Errorf("%v", how)
+	if results := ends(acts); results["out"] != "failed" || results["spent"] != "refused" {
+		t.Errorf("%v", results)
 	}
 	s.Step(2*time.Second, []Event{answer("in", 0, "e", OK)}) // not the newest attempt
 	if len(s.messages) != 1 {
@@ -1135,7 +1135,7 @@
 		id, name := fmt.Sprint("e", i), fmt.Sprint("m", i)
 		s.Step(now, []Event{Members{Endpoints: []Endpoint{ep(id, i%3)}}})
 		if s.endpoints[id].outage {
-			t.Fatalf("%s is out before its first call", id)
+			t.Fatalf("%s is in an outage before its first call", id)
 		}
 		r := req(name, "ordered", i%3)
 		r.Key, r.HasKey = int64(i), true
@@ -1158,7 +1158,7 @@
 	run(s, now, now+2*time.Second)
 	if len(s.endpoints)+len(s.destinations)+len(s.messages)+len(s.queue)+len(s.inFlight) > 0 || len(s.keyQueues) > 8 ||
 		len(s.classes) != len(set.Classes) {
-		t.Errorf("kept: %d endpoints, %d destinations, %d messages, %d lanes, %d classes", len(s.endpoints),
+		t.Errorf("kept: %d endpoints, %d destinations, %d messages, %d key queues, %d classes", len(s.endpoints),
 			len(s.destinations), len(s.messages), len(s.keyQueues), len(s.classes))
 	}
 }
@@ -1177,14 +1177,14 @@
 	}
 	s.Step(50*ms, []Event{answer("a", 0, "e", Reset)})
 	if s.endpoints["e"].outage {
-		t.Error("out after one of three calls broke")
+		t.Error("outage after one of three calls broke")
 	}
 	s.Step(60*ms, []Event{req("d", "safe", 1)})
 	s.Step(200*ms, []Event{answer("d", 0, "e", OK)})
 	s.Step(400*ms, []Event{answer("b", 0, "e", TimedOut)})
 	s.Step(410*ms, []Event{answer("c", 0, "e", TimedOut)})
 	if e := s.endpoints["e"]; e.outage || e.failures > 0 {
-		t.Errorf("out: %v, %d failures counted although a later call was answered", e.outage, e.failures)
+		t.Errorf("outage: %v, %d failures counted although a later call was answered", e.outage, e.failures)
 	}
 }
 
@@ -1219,7 +1219,7 @@
 		back.Cold = cold
 		s.Step(20*time.Second, []Event{Members{Endpoints: []Endpoint{back}}})
 		if e := s.endpoints["e"]; e.ramping != cold || cold && e.rampSince != 20*time.Second {
-			t.Errorf("cold %v: ramp %v from %v", cold, e.ramping, e.rampSince)
+			t.Errorf("cold %v: ramping %v since %v", cold, e.ramping, e.rampSince)
 		}
 		if s.Avoided() != 0 {
 			t.Errorf("cold %v: %d avoided", cold, s.Avoided())
@@ -1250,7 +1250,7 @@
 					switch a := a.(type) {
 					case Send:
 						if sent++; a.TimeOut < 0 {
-							t.Fatalf("%d senders: a time-out of %v", peers, a.TimeOut)
+							t.Fatalf("%d senders: a timeout of %v", peers, a.TimeOut)
 						}
 						o := Outcome{ID: a.ID, Endpoint: a.Endpoint, Latency: 20 * ms, Status: Full, Wait: 50 * ms, Report: &Report{Left: 0.5, Limit: limit}}
 						if n%5 == 0 {
@@ -1262,18 +1262,18 @@
 						evs = append(evs, o)
 					case Refuse:
 						if a.RetryAfter < 0 || a.RetryAfter > set.MaxRetryAfter {
-							t.Fatalf("%d senders: come again in %v", peers, a.RetryAfter)
+							t.Fatalf("%d senders: RetryAfter is %v", peers, a.RetryAfter)
 						}
 					case Wake:
 						if a.At < now {
-							t.Fatalf("%d senders: a wake at %v, %v ago", peers, a.At, now-a.At)
+							t.Fatalf("%d senders: a wake at %v, %v in the past", peers, a.At, now-a.At)
 						}
 					}
 				}
 				s.Step(now+20*ms, evs)
 				x := s.endpoints["e"]
-				for what, v := range map[string]float64{"share": x.limiter.share(), "capacity": x.limiter.capacity(), "rarely": x.limiter.sparseness(),
-					"often": x.limiter.excess(), "estimate": x.limiter.estimate(now), "gap": s.coldGap(x, now).Seconds(), "left": x.limiter.available} {
+				for what, v := range map[string]float64{"share": x.limiter.share(), "capacity": x.limiter.capacity(), "sparseness": x.limiter.sparseness(),
+					"excess": x.limiter.excess(), "estimate": x.limiter.estimate(now), "gap": s.coldGap(x, now).Seconds(), "left": x.limiter.available} {
 					overspent := (what == "estimate" || what == "left") && v < 0
 					if math.IsNaN(v) || math.IsInf(v, 0) || v < 0 && !overspent {
 						t.Fatalf("%d senders, limit %v, step %d: %s is %v", peers, limit, n, what, v)
@@ -1283,7 +1283,7 @@
 					t.Fatalf("%d senders: a share of %v", peers, v)
 				}
 				if x.limiter.nextTrial < 0 || x.limiter.fleetWait < 0 {
-					t.Fatalf("%d senders: a try at %v, held until %v", peers, x.limiter.nextTrial, x.limiter.fleetWait)
+					t.Fatalf("%d senders: next trial at %v, reported wait until %v", peers, x.limiter.nextTrial, x.limiter.fleetWait)
 				}
 			}
 			if sent == 0 {
@@ -1312,7 +1312,7 @@
 	}
 	acts := s.Step(200*ms, evs)
 	if got := sends(acts); len(got) != 3 || s.callsOut != 1 || len(ends(acts)) != 0 {
-		t.Fatalf("%v are sent by %d calls; %v", got, s.callsOut, ends(acts))
+		t.Fatalf("sent %v in %d calls; ended %v", got, s.callsOut, ends(acts))
 	}
 	if left := s.endpoints["e"].limiter.available; left < 0 || left >= 1 {
 		t.Errorf("a call costs %v", 1-left)
@@ -1324,7 +1324,7 @@
 	}
 	s.Step(310*ms, []Event{refused(2)})
 	if s.callsOut != 0 || len(s.endpoints["e"].calls) != 0 {
-		t.Errorf("%d calls out behind the last of one", s.callsOut)
+		t.Errorf("%d calls out after the last outcome", s.callsOut)
 	}
 	all := map[string]bool{}
 	for now := 320 * ms; now < 9*time.Second; now += 5 * ms {
@@ -1341,16 +1341,16 @@
 		}
 		s.Step(now, evs)
 		if n := len(ends(acts)); n > 0 {
-			t.Fatalf("handed back: %v", ends(acts))
+			t.Fatalf("ended without delivery: %v", ends(acts))
 		}
 	}
 	if len(all) != 8 {
-		t.Errorf("%d of 8 messages go in 9 s at one call a second", len(all))
+		t.Errorf("%d of 8 messages sent in 9 s at one call a second", len(all))
 	}
 	// To an endpoint in an outage a message goes alone.
 	s.markOutage(s.endpoints["e"])
 	acts = s.Step(60*time.Second, []Event{req("x", "safe", 1), req("y", "safe", 1)})
 	if got := sends(acts); len(got) != 1 {
-		t.Errorf("tried with %v", got)
+		t.Errorf("trial call with %v", got)
 	}
 }
--- a/internal/dispatch/shed_test.go
+++ b/internal/dispatch/shed_test.go
@@ -93,7 +93,7 @@
 		}
 	}
 	if len(out) == 0 || len(ends(acts)) > 0 {
-		t.Fatalf("%d out, %d ended before any cap", len(out), len(ends(acts)))
+		t.Fatalf("%d out, %d ended without a lower cap", len(out), len(ends(acts)))
 	}
 	refused := ends(s.Step(30*ms, []Event{HoldCap{Messages: 13, Heavy: 1}}))
 	if got := len(s.messages); got != 11 { // shedThreshold of 13
@@ -101,11 +101,11 @@
 	}
 	for id := range refused {
 		if n := id[len(id)-1]; out[id] || (n-'0')%2 == 0 {
-			t.Errorf("%s went back: out %v, or small while large ones stayed", id, out[id])
+			t.Errorf("%s refused: its attempt is out (%v), or it is small", id, out[id])
 		}
 	}
 	if rest := ends(s.Step(40*ms, []Event{HoldCap{Messages: 0}})); len(s.messages) != len(out) || len(rest) == 0 {
-		t.Errorf("under no cap %d messages are left, and %d calls are out", len(s.messages), len(out))
+		t.Errorf("under the least cap %d messages are left, %d calls are out", len(s.messages), len(out))
 	}
 	s.Step(50*ms, []Event{HoldCap{Messages: 1000}})
 	if s.holdCap != 40 {
