--- a/internal/dispatch/sender.go
+++ b/internal/dispatch/sender.go
@@ -269,7 +269,7 @@
 }
 
 // applyFleetReport applies what other senders found out. All receive it at once, so chance spreads reactions.
-// Reports end an outage known from reports alone. They do not advance trials in one that this sender met.
+// Reports end an outage known from reports alone. In one seen here, trials come no sooner than without.
 func (s *Sender) applyFleetReport(ev Told) {
 	e, from, d := s.endpoints[ev.Endpoint], s.now-ev.Age, s.destinations[ev.Destination]
 	switch {
@@ -285,7 +285,7 @@
 		d.shared.estimate(s.now)
 		d.shared.grant, d.shared.grantUntil = ev.Rate, s.now+ev.For
 	case e == nil || ev.Kind == ToldOut && e.lastAnswered >= from:
-	case ev.Kind == ToldOut: // trials in turn, a gap after a failed one: all hear of each
+	case ev.Kind == ToldOut: // senders take turns, a gap after a failed trial, so that all hear of each one
 		if !e.outage {
 			e.outage, e.ramping, e.reportedOnly, e.outageSince = true, false, true, from
 		}
@@ -376,7 +376,7 @@
 // limiter tracks the limit of a destination, or of a separate route: reports, spends and retry-after waits.
 type limiter struct {
 	limit, weight             float64 // calls a second of all senders: as reported, 0 for none; as listed
-	grant                     float64 // this sender's part as dealt by the fleet, in force until grantUntil
+	grant                     float64 // this sender's part until grantUntil; the last one after that
 	grantUntil                time.Duration
 	kind                      *kind
 	endpoints                 []*endpoint
@@ -534,11 +534,11 @@
 // that push the destination over. Senders are at fault when two thirds of B or more come from those that saw
 // the outage. Each of two bounds prevents this without knowing the end of the outage; the smaller gap is
 // used. With many senders, small destinations get few trial calls soon after their return.
-//   - Budget, when most senders saw the outage. They may send B less the calls of others, of which a third of
-//     B does most harm and at most P/eA come from P senders at age A, at any demand. The budget is lowered by
-//     a standard deviation: sqrt(m) for m independent calls, sqrt(P)/2 for P senders with spaced calls. All
-//     share it in an outage. In the ramp, those share it that can have several messages in twice the age,
-//     since no sender is in both.
+//   - Budget, when most senders saw the outage. They may send B less the calls of others. Those do most
+//     harm at a third of B, and are at most P/eA from P senders at age A, at any demand. The budget is cut by
+//     a standard deviation: sqrt(m) for m independent calls, sqrt(P)/2 for P senders with spaced calls.
+//     In an outage all share it. In the ramp, only senders share it that can have several messages in twice
+//     the age, since no sender is in both.
 //   - Sparse trials, when few saw the outage: sparseTrialAges ages apart, with an age of at least a fifth of
 //     the cold time t. To f first calls a second, senders that saw it add f (1 + ln(A/t)) / sparseTrialAges,
 //     f/2 at A = 4 t, or f in the ramp. This is half of the 2 f that make two thirds, at any capacity.
@@ -861,7 +861,7 @@
 	case Full:
 		s.recordRefusal(e, ev.Wait)
 	case ConnectFailed, Errored, Reset:
-		// A broken idle connection says nothing of the endpoint. If that is down, the next call fails.
+		// A broken idle connection says nothing about the endpoint: the next call fails if it is down.
 		if ev.Status != Reset || c.idleFor == 0 {
 			s.recordFailure(e, c, ev)
 		}
--- a/internal/dispatch/types.go
+++ b/internal/dispatch/types.go
@@ -88,7 +88,7 @@
 	FallMultiple  float64       // calls above this multiple of the present capacity ...
 	TipAfter      time.Duration // ... during this time push a cold destination into an outage again
 	OrderPause    time.Duration // pause of a key after an attempt that may still be running
-	DrainGrace    time.Duration // nothing new goes to an endpoint this long after notice of its drain
+	DrainGrace    time.Duration // for this long after notice of its drain, an endpoint may still get new calls
 	AskEvery      time.Duration // OnRequest: a sender that has not asked for this long counts as notified
 }
 
