--- a/internal/allowance/allocations.go
+++ b/internal/allowance/allocations.go
@@ -12,8 +12,8 @@
 	renewalMargin = 100 * time.Millisecond
 	// ownShareDuration is how long this relay's own share is allocated for.
 	ownShareDuration = 2 * time.Second
-	// allocationTolerance is the share by which an allocation may change without being returned anew.
-	allocationTolerance = 0.02
+	// allocationToleranceRatio is the share by which an allocation may change without being returned anew.
+	allocationToleranceRatio = 0.02
 )
 
 // allocations returns the allocations that have changed or are about to expire.
@@ -39,7 +39,7 @@
 // addAnnouncedDestinations adds destinations whose limits only other relays have read.
 func (a *Allocator) addAnnouncedDestinations(now time.Duration) {
 	for _, s := range a.shards {
-		for n := range s.holder.limits {
+		for n := range s.holder.announcedLimits {
 			if a.destinations[n] == nil && len(a.destinations) < maxDestinations {
 				a.destination(now, n)
 			}
@@ -85,7 +85,7 @@
 // isCurrent reports whether the last allocation stands: it is about as much, and lasts for a while.
 func (d *localDestination) isCurrent(now time.Duration, next Allocation) bool {
 	left := d.allocatedAt + d.allocated.Duration - now
-	similar := math.Abs(next.Rate-d.allocated.Rate) <= allocationTolerance*d.allocated.Rate
+	similar := math.Abs(next.Rate-d.allocated.Rate) <= allocationToleranceRatio*d.allocated.Rate
 	sameSign := (next.Rate > 0) == (d.allocated.Rate > 0)
 	return similar && sameSign && left > next.Duration/2
 }
--- a/internal/allowance/allocator.go
+++ b/internal/allowance/allocator.go
@@ -14,8 +14,8 @@
 	isolationTimeout = 60 * time.Second
 	// maxDestinations bounds the destinations that an allocator keeps.
 	maxDestinations = 16384
-	// sequenceShift puts the incarnation above the sequence numbers of one process.
-	sequenceShift = 32
+	// incarnationShiftBits puts the incarnation above the sequence numbers of one process.
+	incarnationShiftBits = 32
 	// allocatorStream separates the random sequence of allocators from others of the same seed.
 	allocatorStream = 0xa110
 )
@@ -23,34 +23,34 @@
 // Allocator is one relay's part in dividing the limits: a Holder for each shard that it uses, and an Owner for each shard
 // that it owns. It is not safe for concurrent use.
 type Allocator struct {
-	cfg           Config
-	self          string
-	firstSequence uint64
-	loansEnd      time.Duration // loans that an earlier process made are over then
-	leasesEnd     time.Duration // leases that an earlier process granted are over then
-	rng           *rand.Rand
-	members       []string      // live members, this relay included
-	lastCompany   time.Duration // when another member was last alive
-	sequence      uint64        // of the newest claim
-	shards        map[int]*shardState
-	destinations  map[int]*localDestination
-	counters      Counters
-	outbox        []Message
+	cfg             Config
+	self            string
+	firstSequence   uint64
+	priorLoansEnd   time.Duration // loans that an earlier process made are over then
+	priorLeasesEnd  time.Duration // leases that an earlier process granted are over then
+	rng             *rand.Rand
+	members         []string      // live members, this relay included
+	lastConnectedAt time.Duration // when another member was last alive
+	sequence        uint64        // of the newest claim
+	shards          map[int]*shardState
+	destinations    map[int]*localDestination
+	counters        Counters
+	outbox          []Message
 }
 
 // shardState is what an allocator keeps of a shard.
 type shardState struct {
-	holder    *Holder
-	owner     *Owner // nil where this relay has never been the owner
-	lastClaim time.Duration
-	nextClaim time.Duration
+	holder      *Holder
+	owner       *Owner // nil where this relay has never been the owner
+	lastClaimAt time.Duration
+	nextClaimAt time.Duration
 	// lastAnswer is when the current owner last answered, or was first asked.
-	lastAnswer time.Duration
-	avoided    map[string]avoidance // owners that did not answer
-	lastPoll   time.Duration
+	lastAnswerAt time.Duration
+	avoided      map[string]avoidance // owners that did not answer
+	lastPollAt   time.Duration
 	// acknowledge is set when a grant has lowered a rate: the owner can grant it to others once it knows that this relay
 	// has seen the grant.
-	acknowledge bool
+	mustAcknowledge bool
 }
 
 // avoidance is how long an owner that did not answer is not asked.
@@ -66,19 +66,19 @@
 		return nil, err
 	}
 	a := &Allocator{
-		cfg:           cfg,
-		self:          self,
-		firstSequence: incarnation << sequenceShift,
-		sequence:      incarnation << sequenceShift,
-		rng:           rand.New(rand.NewPCG(seed, allocatorStream)),
-		members:       []string{self},
-		lastCompany:   never,
-		shards:        map[int]*shardState{},
-		destinations:  map[int]*localDestination{},
+		cfg:             cfg,
+		self:            self,
+		firstSequence:   incarnation << incarnationShiftBits,
+		sequence:        incarnation << incarnationShiftBits,
+		rng:             rand.New(rand.NewPCG(seed, allocatorStream)),
+		members:         []string{self},
+		lastConnectedAt: never,
+		shards:          map[int]*shardState{},
+		destinations:    map[int]*localDestination{},
 	}
 	if restarted {
-		a.loansEnd = now + cfg.LoanDuration
-		a.leasesEnd = now + cfg.LeaseDuration
+		a.priorLoansEnd = now + cfg.LoanDuration
+		a.priorLeasesEnd = now + cfg.LeaseDuration
 	}
 	return a, nil
 }
@@ -89,7 +89,7 @@
 // SetMembers sets the live members, this relay included or not.
 func (a *Allocator) SetMembers(now time.Duration, live []string) {
 	if len(a.members) > 1 {
-		a.lastCompany = now
+		a.lastConnectedAt = now
 	}
 	for _, s := range a.shards {
 		// A member that has come, or come back, may be asked again.
@@ -108,9 +108,9 @@
 func (a *Allocator) Tick(now time.Duration) []Allocation {
 	connected := len(a.members) > 1
 	if connected {
-		a.lastCompany = now
+		a.lastConnectedAt = now
 	}
-	if now-a.lastCompany >= isolationTimeout {
+	if now-a.lastConnectedAt >= isolationTimeout {
 		return nil
 	}
 	if connected { // a relay that is cut off has its own share
@@ -141,7 +141,7 @@
 		return
 	}
 	d := a.destination(now, destination)
-	if d.limit > 0 && math.Abs(limit-d.limit) > limitStep*d.limit {
+	if d.limit > 0 && math.Abs(limit-d.limit) > limitStepRatio*d.limit {
 		d.claimNow = true // other relays should know at once
 	}
 	d.limit = limit
@@ -170,9 +170,9 @@
 	s := a.shards[n]
 	if s == nil {
 		s = &shardState{
-			holder:    NewHolder(&a.cfg, a.loansEnd),
-			avoided:   map[string]avoidance{},
-			lastClaim: never,
+			holder:      NewHolder(&a.cfg, a.priorLoansEnd),
+			avoided:     map[string]avoidance{},
+			lastClaimAt: never,
 		}
 		a.shards[n] = s
 	}
--- a/internal/allowance/claims.go
+++ b/internal/allowance/claims.go
@@ -10,11 +10,11 @@
 const (
 	// minClaimInterval is the least time between two claims for a shard, and between two polls of its relays.
 	minClaimInterval = 50 * time.Millisecond
-	// heartbeatJitterMin and heartbeatJitterRange spread the heartbeats: each comes after 0.8 to 1.2 intervals.
-	heartbeatJitterMin   = 0.8
-	heartbeatJitterRange = 0.4
-	// minDemand is the least demand that is worth a claim, in calls a second.
-	minDemand = 0.01
+	// minHeartbeatFactor and heartbeatJitterRange spread the heartbeats: each comes after 0.8 to 1.2 intervals.
+	minHeartbeatFactor   = 0.8
+	heartbeatFactorRange = 0.4
+	// minDemandRate is the least demand that is worth a claim, in calls a second.
+	minDemandRate = 0.01
 	// maxAvoidance bounds how long an owner that did not answer is not asked: at first a loan, then twice as long each time.
 	maxAvoidance = 30 * time.Second
 	// maxClaimed is how many destinations a claim may list, so that it fits into a packet.
@@ -34,15 +34,15 @@
 func (a *Allocator) sendDueClaims(now time.Duration) {
 	due := map[int]bool{}
 	for n, s := range a.shards {
-		if s.acknowledge && s.mayClaim(now) {
+		if s.mustAcknowledge && s.mayClaim(now) {
 			due[n] = true
 		}
 	}
 	for n, d := range a.destinations {
 		d.updateRates(now)
 		s := a.shard(Shard(n))
-		claimDue := now >= s.nextClaim || d.claimNow && s.mayClaim(now)
-		if claimDue && d.demand(n).total() > minDemand {
+		claimDue := now >= s.nextClaimAt || d.claimNow && s.mayClaim(now)
+		if claimDue && d.demand(n).total() > minDemandRate {
 			due[Shard(n)] = true
 		}
 	}
@@ -52,7 +52,7 @@
 }
 
 // mayClaim reports whether a claim may be sent before the next heartbeat.
-func (s *shardState) mayClaim(now time.Duration) bool { return now-s.lastClaim >= minClaimInterval }
+func (s *shardState) mayClaim(now time.Duration) bool { return now-s.lastClaimAt >= minClaimInterval }
 
 // sendClaim sends a claim to the owner of a shard.
 func (a *Allocator) sendClaim(now time.Duration, shard int) {
@@ -62,13 +62,13 @@
 		a.avoid(now, s, owner)
 		owner = a.ownerOf(now, shard, s)
 	}
-	if owner != s.holder.Owner() || s.lastClaim < now-a.cfg.LoanDuration {
-		s.lastAnswer = now // the owner was not asked before
+	if owner != s.holder.Owner() || s.lastClaimAt < now-a.cfg.LoanDuration {
+		s.lastAnswerAt = now // the owner was not asked before
 	}
-	jitter := heartbeatJitterMin + heartbeatJitterRange*a.rng.Float64()
-	s.lastClaim = now
-	s.nextClaim = now + time.Duration(jitter*float64(a.cfg.HeartbeatInterval))
-	s.acknowledge = false
+	jitter := minHeartbeatFactor + heartbeatFactorRange*a.rng.Float64()
+	s.lastClaimAt = now
+	s.nextClaimAt = now + time.Duration(jitter*float64(a.cfg.HeartbeatInterval))
+	s.mustAcknowledge = false
 	demands, readings := a.claimContents(now, shard)
 	a.sequence++
 	claim := s.holder.Claim(now, shard, owner, a.sequence, demands, readings)
@@ -83,7 +83,7 @@
 // isUnresponsive reports whether an owner that was asked has not answered for a lease.
 func (a *Allocator) isUnresponsive(now time.Duration, s *shardState, owner string) bool {
 	wasAsked := owner == s.holder.Owner() && owner != a.self
-	return wasAsked && now-s.lastAnswer > a.cfg.LeaseDuration
+	return wasAsked && now-s.lastAnswerAt > a.cfg.LeaseDuration
 }
 
 // avoid keeps an owner from being asked for a time, which doubles from one failure to the next.
@@ -101,7 +101,7 @@
 		}
 		d := a.destinations[n]
 		d.claimNow = false
-		if demand := d.demand(n); demand.total() > minDemand {
+		if demand := d.demand(n); demand.total() > minDemandRate {
 			demands = append(demands, demand)
 		}
 		if age := now - d.limitReadAt; age < readingLifetime {
@@ -122,19 +122,19 @@
 		if s.owner == nil || a.ownerOf(now, n, s) != a.self {
 			continue
 		}
-		if now-s.lastPoll >= minClaimInterval && s.owner.HasDemand(now) {
-			s.lastPoll = now
+		if now-s.lastPollAt >= minClaimInterval && s.owner.HasDemand(now) {
+			s.lastPollAt = now
 			a.pollShard(now, n, s)
 		}
 	}
 }
 
 func (a *Allocator) pollShard(now time.Duration, shard int, s *shardState) {
-	for _, member := range s.owner.Underserved(now) {
+	for _, member := range s.owner.UnderservedRelays(now) {
 		a.sendGrant(now, shard, s, member, false)
 	}
 	silence := (a.cfg.LoanDuration - a.cfg.LeaseDuration) * 2 / 3
-	for _, member := range s.owner.Silent(now, a.members, silence) {
+	for _, member := range s.owner.SilentRelays(now, a.members, silence) {
 		a.sendGrant(now, shard, s, member, true)
 		if member == a.self { // like any other relay, it lends with a claim that acknowledges the grant
 			a.sendClaim(now, shard)
@@ -163,7 +163,7 @@
 	a.removeForeign(&claim)
 	s := a.shard(claim.Shard)
 	if s.owner == nil {
-		s.owner = NewOwner(&a.cfg, a.firstSequence, a.leasesEnd)
+		s.owner = NewOwner(&a.cfg, a.firstSequence, a.priorLeasesEnd)
 	}
 	if s.owner.ReceiveClaim(now, from, claim) {
 		a.sendGrant(now, claim.Shard, s, from, false)
@@ -192,14 +192,14 @@
 	if a.isPoll(now, s, from, &grant) {
 		a.answerPoll(now, s, from, grant)
 	} else if s.holder.ReceiveGrant(now, from, grant) {
-		s.lastAnswer = now
+		s.lastAnswerAt = now
 		delete(s.avoided, from)
-		a.counters.Taken++
+		a.counters.GrantsAccepted++
 	} else {
 		a.counters.Strays++
 	}
-	if s.holder.hasLess(now, before) {
-		s.acknowledge = true
+	if s.holder.hasLoweredLease(now, before) {
+		s.mustAcknowledge = true
 	}
 }
 
@@ -222,7 +222,7 @@
 	if !s.holder.ReceiveGrant(now, from, grant) {
 		return
 	}
-	s.lastAnswer = now
-	a.counters.Taken++
+	s.lastAnswerAt = now
+	a.counters.GrantsAccepted++
 	a.sendClaim(now, grant.Shard)
 }
--- a/internal/allowance/config.go
+++ b/internal/allowance/config.go
@@ -20,21 +20,21 @@
 
 // The durations of DefaultConfig.
 const (
-	// baseHeartbeat and heartbeatPerRelay give the heartbeat interval: the larger the fleet, the more rarely a relay sends
+	// baseHeartbeatInterval and heartbeatPerRelay give the heartbeat interval: the larger the fleet, the more rarely a relay sends
 	// a claim, so that the load of an owner grows by less.
-	baseHeartbeat     = 250 * time.Millisecond
-	heartbeatPerRelay = 3 * time.Millisecond
+	baseHeartbeatInterval     = 250 * time.Millisecond
+	heartbeatIntervalPerRelay = 3 * time.Millisecond
 	// leaseHeartbeats is the length of a lease in heartbeats: a lease outlives one lost message.
 	leaseHeartbeats = 3
 	// loanHeartbeats is the length of a loan in heartbeats, with a quarter more: a loan outlives a lease and one more lost
 	// message. Longer ones would cost more where an owner dies.
 	loanHeartbeats = 6
-	// defaultDrift is generous for crystal clocks, which drift by some 1e-5.
-	defaultDrift = 1e-3
-	// maxDrift bounds Config.MaxClockDrift.
-	maxDrift = 0.1
-	// minLoanHeartbeats is by how many heartbeats a loan has to outlast a lease.
-	minLoanHeartbeats = 3
+	// defaultClockDriftRatio is generous for crystal clocks, which drift by some 1e-5.
+	defaultClockDriftRatio = 1e-3
+	// maxClockDriftRatio bounds Config.MaxClockDrift.
+	maxClockDriftRatio = 0.1
+	// minLoanMarginHeartbeats is by how many heartbeats a loan has to outlast a lease.
+	minLoanMarginHeartbeats = 3
 )
 
 // Config holds what all relays of a fleet have to agree on.
@@ -55,14 +55,14 @@
 
 // DefaultConfig returns the configuration of a fleet of so many relays.
 func DefaultConfig(relays, quorum int) Config {
-	heartbeat := baseHeartbeat + time.Duration(relays)*heartbeatPerRelay
+	heartbeat := baseHeartbeatInterval + time.Duration(relays)*heartbeatIntervalPerRelay
 	return Config{
 		Relays:            relays,
 		LeaseDuration:     leaseHeartbeats * heartbeat,
 		LoanDuration:      loanHeartbeats*heartbeat + heartbeat/4,
 		HeartbeatInterval: heartbeat,
 		Quorum:            quorum,
-		MaxClockDrift:     defaultDrift,
+		MaxClockDrift:     defaultClockDriftRatio,
 	}
 }
 
@@ -77,23 +77,23 @@
 		return errors.New("allowance: a lease without a duration")
 	case c.HeartbeatInterval <= 0:
 		return errors.New("allowance: no heartbeat interval")
-	case c.LoanDuration < c.LeaseDuration+minLoanHeartbeats*c.HeartbeatInterval:
+	case c.LoanDuration < c.LeaseDuration+minLoanMarginHeartbeats*c.HeartbeatInterval:
 		return errors.New("allowance: a loan has to outlast a lease and three heartbeats")
-	case !(c.MaxClockDrift >= 0 && c.MaxClockDrift < maxDrift):
+	case !(c.MaxClockDrift >= 0 && c.MaxClockDrift < maxClockDriftRatio):
 		return errors.New("allowance: a clock drift outside of 0 to 0.1")
 	}
 	return nil
 }
 
-// shorten is the least that a clock may show when another has counted a duration.
-func (c *Config) shorten(d time.Duration) time.Duration {
+// shortenForDrift is the least that a clock may show when another has counted a duration.
+func (c *Config) shortenForDrift(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (1 - c.MaxClockDrift))
 }
 
 // Bound is how many calls all relays together send to a destination in a window at most, whatever fails;
 // docs/fleet-limits.md derives it. Calls that a stopped process was about to send come on top.
 func Bound(limit float64, relays int, window time.Duration) float64 {
-	const clockDrift = 1e-3
-	burst := limit / 10
-	return limit*window.Seconds()*(1+clockDrift) + float64(relays) + burst
+	const clockDriftRatio = 1e-3
+	burstCalls := limit / 10
+	return limit*window.Seconds()*(1+clockDriftRatio) + float64(relays) + burstCalls
 }
--- a/internal/allowance/demand.go
+++ b/internal/allowance/demand.go
@@ -6,17 +6,17 @@
 )
 
 const (
-	// backlogTime is the time in which waiting calls are to be sent.
-	backlogTime = time.Second
-	// minAveraging and maxAveraging bound the time over which arrivals are averaged.
-	minAveraging = 500 * time.Millisecond
-	maxAveraging = 4 * time.Second
-	// averagedArrivals is the number of arrivals that are averaged over, within these bounds.
-	averagedArrivals = 4.0
-	// minRate keeps the averaging time finite where nothing arrives.
-	minRate = 1e-9
-	// updateInterval is the least time between two updates of the averages, in seconds.
-	updateInterval = 0.05
+	// backlogDrainTime is the time in which waiting calls are to be sent.
+	backlogDrainTime = time.Second
+	// minAveragingTime and maxAveraging bound the time over which arrivals are averaged.
+	minAveragingTime = 500 * time.Millisecond
+	maxAveragingTime = 4 * time.Second
+	// averagedArrivalCount is the number of arrivals that are averaged over, within these bounds.
+	averagedArrivalCount = 4.0
+	// minArrivalRate keeps the averaging time finite where nothing arrives.
+	minArrivalRate = 1e-9
+	// minUpdateSeconds is the least time between two updates of the averages, in seconds.
+	minUpdateSeconds = 0.05
 )
 
 // localDestination is what an allocator keeps of a destination.
@@ -53,7 +53,7 @@
 // updateRates averages the arrivals exponentially, over a shorter time the more there are.
 func (d *localDestination) updateRates(now time.Duration) {
 	elapsed := (now - d.updatedAt).Seconds()
-	if elapsed < updateInterval {
+	if elapsed < minUpdateSeconds {
 		return
 	}
 	d.updatedAt = now
@@ -61,11 +61,11 @@
 	for _, r := range d.rates {
 		total += r
 	}
-	averaging := averagedArrivals / max(total, minRate)
-	averaging = min(max(averaging, minAveraging.Seconds()), maxAveraging.Seconds())
-	keep := math.Exp(-elapsed / averaging)
+	averaging := averagedArrivalCount / max(total, minArrivalRate)
+	averaging = min(max(averaging, minAveragingTime.Seconds()), maxAveragingTime.Seconds())
+	decay := math.Exp(-elapsed / averaging)
 	for i := range Levels {
-		d.rates[i] = d.rates[i]*keep + (1-keep)*d.arrived[i]/elapsed
+		d.rates[i] = d.rates[i]*decay + (1-decay)*d.arrived[i]/elapsed
 		d.arrived[i] = 0
 	}
 }
@@ -74,7 +74,7 @@
 func (d *localDestination) demand(destination int) Demand {
 	demand := Demand{Destination: destination}
 	for i := range Levels {
-		demand.Rates[i] = d.rates[i] + float64(d.waiting[i])/backlogTime.Seconds()
+		demand.Rates[i] = d.rates[i] + float64(d.waiting[i])/backlogDrainTime.Seconds()
 	}
 	return demand
 }
--- a/internal/allowance/divide.go
+++ b/internal/allowance/divide.go
@@ -16,18 +16,18 @@
 // divide divides a rate by the relays' demands: the highest priority level first, max-min fair within a level, and a small
 // share for the levels below. What is left goes to all relays with demand. The result is added to targets.
 func divide(rate float64, names []string, demandOf func(string) *Demand, targets map[string]float64) {
-	levels, total := sumDemands(names, demandOf)
-	if total <= 0 || rate <= 0 {
+	levelDemands, totalDemand := sumDemands(names, demandOf)
+	if totalDemand <= 0 || rate <= 0 {
 		return
 	}
 	left := rate
 	for level := range Levels {
-		below := total
+		lowerDemand := totalDemand
 		for higher := range level + 1 {
-			below -= levels[higher]
+			lowerDemand -= levelDemands[higher]
 		}
-		reserved := min(lowerLevelShare*rate, max(below, 0))
-		part := min(levels[level], max(left-reserved, 0))
+		reserved := min(lowerLevelShare*rate, max(lowerDemand, 0))
+		part := min(levelDemands[level], max(left-reserved, 0))
 		left -= divideMaxMin(part, names, func(name string) float64 {
 			if demand := demandOf(name); demand != nil {
 				return max(demand.Rates[level], 0)
@@ -41,24 +41,24 @@
 	}
 	for _, name := range names {
 		if demand := demandOf(name); demand != nil {
-			targets[name] += spare * demand.total() / total
+			targets[name] += spare * demand.total() / totalDemand
 		}
 	}
 }
 
 // sumDemands sums the demands of all relays, by priority level and in total.
-func sumDemands(names []string, demandOf func(string) *Demand) (levels [Levels]float64, total float64) {
+func sumDemands(names []string, demandOf func(string) *Demand) (levelDemands [Levels]float64, totalDemand float64) {
 	for _, name := range names {
 		demand := demandOf(name)
 		if demand == nil {
 			continue
 		}
 		for level, rate := range demand.Rates {
-			levels[level] += max(rate, 0)
-			total += max(rate, 0)
+			levelDemands[level] += max(rate, 0)
+			totalDemand += max(rate, 0)
 		}
 	}
-	return levels, total
+	return levelDemands, totalDemand
 }
 
 // divideMaxMin divides a rate max-min fairly: no relay gets more than it wants, and the least that any unsatisfied relay
--- a/internal/allowance/explore_test.go
+++ b/internal/allowance/explore_test.go
@@ -8,8 +8,8 @@
 	"slatemux/internal/lab/explore"
 )
 
-// small sets durations of few ticks, so that a short path goes through leases and loans that run out.
-func small(c explore.Config) explore.Config {
+// withShortDurations sets durations of few ticks, so that a short path goes through leases and loans that run out.
+func withShortDurations(c explore.Config) explore.Config {
 	c.Limits = allowance.Config{
 		Relays:            c.Relays,
 		LeaseDuration:     2 * explore.Tick,
@@ -20,8 +20,8 @@
 	return c
 }
 
-// searches are what every interleaving of is gone through: from the start, and from a fleet that is at work.
-var searches = []explore.Config{
+// searchConfigs are what every interleaving of is gone through: from the start, and from a fleet that is at work.
+var searchConfigs = []explore.Config{
 	{Relays: 2, Owners: 2, Steps: 8, Losses: 1, Restarts: 1, Flight: 3},
 	{Relays: 2, Owners: 1, Steps: 9, Jumps: 1, Restarts: 1, Flight: 3, Rounds: 4},
 	{Relays: 2, Owners: 2, Steps: 10, Jumps: 1, Flight: 3, Rounds: 4},
@@ -31,20 +31,20 @@
 	{Relays: 3, Owners: 1, Steps: 8, Jumps: 1, Pushes: 1, Flight: 3, Rounds: 4},
 }
 
-// walks are paths of chance of a larger fleet, over many leases and loans.
-var walks = explore.Config{Relays: 4, Owners: 3, Steps: 100, Losses: 5, Restarts: 3, Jumps: 8, Pushes: 8, Flight: 6, Rounds: 4}
+// walkConfig are paths of chance of a larger fleet, over many leases and loans.
+var walkConfig = explore.Config{Relays: 4, Owners: 3, Steps: 100, Losses: 5, Restarts: 3, Jumps: 8, Pushes: 8, Flight: 6, Rounds: 4}
 
 // No interleaving lets the relays use more than the limit.
-func TestNoInterleavingGoesOverTheLimit(t *testing.T) {
-	for _, c := range searches {
-		from := time.Now()
-		r := explore.Run(explore.Real(small(c)))
-		t.Logf("%d relays, %d owners, %d steps: %d states, %d steps, at most %.3f of the limit in %v", c.Relays, c.Owners, c.Steps, r.States, r.Steps, r.Most, time.Since(from))
+func TestNoInterleavingExceedsLimit(t *testing.T) {
+	for _, c := range searchConfigs {
+		startedAt := time.Now()
+		r := explore.Run(explore.Real(withShortDurations(c)))
+		t.Logf("%d relays, %d owners, %d steps: %d states, %d steps, at most %.3f of the limit in %v", c.Relays, c.Owners, c.Steps, r.States, r.Steps, r.Most, time.Since(startedAt))
 		if r.Breach != nil || r.Most < 0.9 || r.States < 10000 {
 			t.Errorf("%+v after %q", r, r.Breach)
 		}
 	}
-	r := explore.Walk(explore.Real(small(walks)), 20000, 1)
+	r := explore.Walk(explore.Real(withShortDurations(walkConfig)), 20000, 1)
 	t.Logf("walks: %d steps, at most %.3f", r.Steps, r.Most)
 	if r.Breach != nil || r.Most < 0.9 {
 		t.Errorf("%.3f of the limit after %q", r.Most, r.Breach)
@@ -52,34 +52,34 @@
 }
 
 // Each rule is needed: without it the search finds a way over the limit.
-func TestEachRuleIsNeeded(t *testing.T) {
+func TestSearchFindsEachMutation(t *testing.T) {
 	type (
-		holder = allowance.FlawedHolder
-		owner  = allowance.FlawedOwner
+		holder = allowance.MutantHolder
+		owner  = allowance.MutantOwner
 	)
-	for flaw, search := range map[string]int{"lends twice": 2, "takes older grants": 3, "lease from its receipt": 1, "its own share while it is lent": 1,
+	for mutation, searchIndex := range map[string]int{"lends twice": 2, "takes older grants": 3, "lease from its receipt": 1, "its own share while it is lent": 1,
 		"loan from its receipt": 2, "what it granted before counts no more": 1, "leases that outlast the loans": 3, "what others have is not asked": 1,
 		"starts without a wait for its loans": 1, "starts without a wait for its leases": 4} {
-		t.Run(flaw, func(t *testing.T) {
+		t.Run(mutation, func(t *testing.T) {
 			c := explore.Config{}
 			c.NewHolder = func(cfg *allowance.Config, lentUntil time.Duration) explore.Holder {
-				if flaw == "starts without a wait for its loans" {
+				if mutation == "starts without a wait for its loans" {
 					lentUntil = 0
 				}
-				return copiedHolder{holder{Holder: allowance.NewHolder(cfg, lentUntil), Flaw: flaw}}
+				return mutantHolder{holder{Holder: allowance.NewHolder(cfg, lentUntil), Mutation: mutation}}
 			}
 			c.NewOwner = func(cfg *allowance.Config, firstSequence uint64, grantsFrom time.Duration) explore.Owner {
-				if flaw == "starts without a wait for its leases" {
+				if mutation == "starts without a wait for its leases" {
 					grantsFrom = 0
 				}
-				return copiedOwner{owner{Owner: allowance.NewOwner(cfg, firstSequence, grantsFrom), Flaw: flaw}}
+				return mutantOwner{owner{Owner: allowance.NewOwner(cfg, firstSequence, grantsFrom), Mutation: mutation}}
 			}
-			with := func(s explore.Config) explore.Config {
-				s = small(s)
+			mutated := func(s explore.Config) explore.Config {
+				s = withShortDurations(s)
 				s.NewHolder, s.NewOwner = c.NewHolder, c.NewOwner
 				return s
 			}
-			r := explore.Run(with(searches[search]))
+			r := explore.Run(mutated(searchConfigs[searchIndex]))
 			if r.Breach == nil {
 				t.Fatalf("not found in %d states", r.States)
 			}
@@ -88,16 +88,16 @@
 	}
 }
 
-type copiedHolder struct{ allowance.FlawedHolder }
+type mutantHolder struct{ allowance.MutantHolder }
 
-func (h copiedHolder) Copy() explore.Holder {
+func (h mutantHolder) Copy() explore.Holder {
 	h.Holder = h.Clone()
 	return h
 }
 
-type copiedOwner struct{ allowance.FlawedOwner }
+type mutantOwner struct{ allowance.MutantOwner }
 
-func (o copiedOwner) Copy() explore.Owner {
+func (o mutantOwner) Copy() explore.Owner {
 	o.Owner = o.Clone()
 	return o
 }
--- a/internal/allowance/grants.go
+++ b/internal/allowance/grants.go
@@ -14,15 +14,15 @@
 	o.sequence++
 	o.sentAt[o.sequence] = now
 	r := o.relay(to)
-	if r.lastClaim == 0 && r.grantsSinceHeard == 0 {
-		r.lastHeard = now // its silence counts from here
+	if r.lastClaimSequence == 0 && r.grantsSinceHeard == 0 {
+		r.lastHeardAt = now // its silence counts from here
 	}
-	r.lastGrant = now
+	r.lastGrantAt = now
 	r.grantsSinceHeard++
 	grant := Grant{
 		Shard:         shard,
 		Sequence:      o.sequence,
-		LastClaim:     r.lastClaim,
+		LastClaim:     r.lastClaimSequence,
 		LeaseDuration: o.cfg.LeaseDuration,
 	}
 	if grant.LastClaim == 0 {
@@ -99,12 +99,12 @@
 
 // grantableRate is a relay's target, or about as much as it has, as far as the rate is free or its own already.
 func (o *Owner) grantableRate(now time.Duration, n int, d *ownedDestination, to string, free float64) float64 {
-	if now < o.grantsFrom {
+	if now < o.grantsStartAt {
 		return 0
 	}
 	r := o.relays[to]
 	rate := d.targets[to]
-	if current := r.newestRate(now, n); rate < current && rate >= (1-rateTolerance)*current {
+	if current := r.newestRate(now, n); rate < current && rate >= (1-rateToleranceRatio)*current {
 		rate = current
 	}
 	return max(min(rate, free+r.outstandingRate(now, n)), 0)
--- a/internal/allowance/holder.go
+++ b/internal/allowance/holder.go
@@ -3,11 +3,11 @@
 import "time"
 
 const (
-	// rememberedClaims is how many of the newest claims a holder can match with grants.
-	rememberedClaims = 8
-	// grantMemoryLoans is how long a holder remembers the newest grant of an owner, in loans: no grant is under way for
+	// maxRecentClaims is how many of the newest claims a holder can match with grants.
+	maxRecentClaims = 8
+	// grantRetentionLoans is how long a holder remembers the newest grant of an owner, in loans: no grant is under way for
 	// longer.
-	grantMemoryLoans = 10
+	grantRetentionLoans = 10
 	// limitLifetimeLoans is how long a limit that an owner announced counts, in loans: after that the owner has changed, or
 	// died, and may have known less.
 	limitLifetimeLoans = 2
@@ -20,15 +20,15 @@
 	cfg *Config
 	// lentTo has the relay's shares until lentUntil, by the relay's clock. It is "" for shares that an earlier process may
 	// have lent, to an owner that is not known any more.
-	lentTo     string
-	lentUntil  time.Duration
-	owner      string               // the owner that the newest claim went to
-	ownerHeard time.Duration        // when that owner was last heard
-	grantsSeen map[string]seenGrant // the newest grant of each owner
-	claims     [rememberedClaims]sentClaim
-	nextClaim  int // the place of the next claim in claims
-	leases     map[int]lease
-	limits     map[int]announcedLimit
+	lentTo          string
+	lentUntil       time.Duration
+	owner           string               // the owner that the newest claim went to
+	ownerHeardAt    time.Duration        // when that owner was last heard
+	grantsSeen      map[string]seenGrant // the newest grant of each owner
+	recentClaims    [maxRecentClaims]sentClaim
+	nextClaimIndex  int // the place of the next claim in claims
+	leases          map[int]lease
+	announcedLimits map[int]announcedLimit
 }
 
 // announcedLimit is a destination's limit as an owner announced it.
@@ -58,11 +58,11 @@
 // NewHolder returns a holder. Shares that an earlier process may have lent are back at lentUntil.
 func NewHolder(cfg *Config, lentUntil time.Duration) *Holder {
 	return &Holder{
-		cfg:        cfg,
-		lentUntil:  lentUntil,
-		grantsSeen: map[string]seenGrant{},
-		leases:     map[int]lease{},
-		limits:     map[int]announcedLimit{},
+		cfg:             cfg,
+		lentUntil:       lentUntil,
+		grantsSeen:      map[string]seenGrant{},
+		leases:          map[int]lease{},
+		announcedLimits: map[int]announcedLimit{},
 	}
 }
 
@@ -70,7 +70,7 @@
 func (h *Holder) Claim(now time.Duration, shard int, owner string, sequence uint64, demands []Demand, readings []Reading) Claim {
 	if owner != h.owner {
 		h.owner = owner
-		h.ownerHeard = now
+		h.ownerHeardAt = now
 	}
 	claim := Claim{
 		Shard:     shard,
@@ -84,8 +84,8 @@
 		h.lentTo = owner
 		h.lentUntil = now + claim.LoanDuration
 	}
-	h.claims[h.nextClaim] = sentClaim{sequence: sequence, at: now}
-	h.nextClaim = (h.nextClaim + 1) % len(h.claims)
+	h.recentClaims[h.nextClaimIndex] = sentClaim{sequence: sequence, at: now}
+	h.nextClaimIndex = (h.nextClaimIndex + 1) % len(h.recentClaims)
 	return claim
 }
 
@@ -95,7 +95,7 @@
 	if now >= h.lentUntil {
 		return true
 	}
-	return h.lentTo == owner && now-h.ownerHeard <= maxMissedHeartbeats*h.cfg.HeartbeatInterval
+	return h.lentTo == owner && now-h.ownerHeardAt <= maxMissedHeartbeats*h.cfg.HeartbeatInterval
 }
 
 // ReceiveGrant accepts a grant, and reports whether it counts. It does not where it is older than one that was seen: an
@@ -105,7 +105,7 @@
 		return false
 	}
 	h.grantsSeen[from] = seenGrant{sequence: grant.Sequence, at: now}
-	h.ownerHeard = now
+	h.ownerHeardAt = now
 	h.dropExpired(now)
 	until := h.leaseEnd(&grant)
 	clear(h.leases)
@@ -113,7 +113,7 @@
 		if !(s.Rate >= 0 && s.Limit >= s.Rate) {
 			continue
 		}
-		h.limits[s.Destination] = announcedLimit{limit: s.Limit, at: now}
+		h.announcedLimits[s.Destination] = announcedLimit{limit: s.Limit, at: now}
 		if until > now && s.Rate > 0 {
 			h.leases[s.Destination] = lease{rate: s.Rate, until: until}
 		}
@@ -124,9 +124,9 @@
 // leaseEnd is when the leases of a grant end. They run from when the claim was sent that the grant answers: the owner
 // counts from a later moment. A grant that answers none of the remembered claims ends at 0.
 func (h *Holder) leaseEnd(grant *Grant) (until time.Duration) {
-	for _, c := range h.claims {
+	for _, c := range h.recentClaims {
 		if c.sequence == grant.LastClaim && grant.LastClaim > 0 {
-			until = c.at + h.cfg.shorten(min(grant.LeaseDuration, h.cfg.LeaseDuration))
+			until = c.at + h.cfg.shortenForDrift(min(grant.LeaseDuration, h.cfg.LeaseDuration))
 		}
 	}
 	return until
@@ -135,13 +135,13 @@
 // dropExpired forgets old grants and announced limits.
 func (h *Holder) dropExpired(now time.Duration) {
 	for owner, g := range h.grantsSeen {
-		if now-g.at > grantMemoryLoans*h.cfg.LoanDuration {
+		if now-g.at > grantRetentionLoans*h.cfg.LoanDuration {
 			delete(h.grantsSeen, owner)
 		}
 	}
-	for destination, l := range h.limits {
+	for destination, l := range h.announcedLimits {
 		if now-l.at >= limitLifetimeLoans*h.cfg.LoanDuration {
-			delete(h.limits, destination)
+			delete(h.announcedLimits, destination)
 		}
 	}
 }
@@ -160,17 +160,17 @@
 
 // Limit is a destination's limit as an owner has lately announced it.
 func (h *Holder) Limit(now time.Duration, destination int) (limit float64, ok bool) {
-	l, ok := h.limits[destination]
+	l, ok := h.announcedLimits[destination]
 	return l.limit, ok && now-l.at < limitLifetimeLoans*h.cfg.LoanDuration
 }
 
 // Owner is the owner that the newest claim went to; "" for none.
 func (h *Holder) Owner() string { return h.owner }
 
-// hasLess reports whether a lease that still ran is now clearly lower.
-func (h *Holder) hasLess(now time.Duration, before map[int]lease) bool {
+// hasLoweredLease reports whether a lease that still ran is now clearly lower.
+func (h *Holder) hasLoweredLease(now time.Duration, before map[int]lease) bool {
 	for destination, l := range before {
-		if now < l.until && h.leases[destination].rate < (1-rateTolerance)*l.rate {
+		if now < l.until && h.leases[destination].rate < (1-rateToleranceRatio)*l.rate {
 			return true
 		}
 	}
--- a/internal/allowance/owner.go
+++ b/internal/allowance/owner.go
@@ -7,19 +7,19 @@
 )
 
 const (
-	// rateTolerance is by which share a relay's rate must differ from its target for a change: demand is noisy, and what one
+	// rateToleranceRatio is by which share a relay's rate must differ from its target for a change: demand is noisy, and what one
 	// relay gives up another can have only after a round trip.
-	rateTolerance = 0.1
-	// maxOwned bounds the destinations that an owner keeps of a shard.
-	maxOwned = maxDestinations / Shards
-	// relayMemoryLoans is how long an owner remembers a grant that it sent, a silent relay, and demand, in loans.
-	relayMemoryLoans = 2
-	// destinationMemoryLoans is how long an owner remembers a destination that nobody wants, in loans.
-	destinationMemoryLoans = 4
+	rateToleranceRatio = 0.1
+	// maxOwnedDestinations bounds the destinations that an owner keeps of a shard.
+	maxOwnedDestinations = maxDestinations / Shards
+	// relayRetentionLoans is how long an owner remembers a grant that it sent, a silent relay, and demand, in loans.
+	relayRetentionLoans = 2
+	// destinationRetentionLoans is how long an owner remembers a destination that nobody wants, in loans.
+	destinationRetentionLoans = 4
 	// maxBackoffShift bounds how often the pause between two polls of a silent relay doubles.
 	maxBackoffShift = 4
-	// freePolls is how many grants a relay may leave unanswered before that pause grows.
-	freePolls = 2
+	// pollsBeforeBackoff is how many grants a relay may leave unanswered before that pause grows.
+	pollsBeforeBackoff = 2
 )
 
 // Owner is the owner's side of one shard: relays lend it their shares, and it grants leases from them.
@@ -29,20 +29,20 @@
 	sentAt   map[uint64]time.Duration // when grants were sent, by sequence
 	relays   map[string]*relayState
 	// names are those of relays, in order, so that sums and choices come out the same each time.
-	names        []string
-	destinations map[int]*ownedDestination
-	targetsAt    time.Duration // when the targets were calculated
-	grantsFrom   time.Duration // leases of an earlier process are over then
+	names            []string
+	destinations     map[int]*ownedDestination
+	targetsUpdatedAt time.Duration // when the targets were calculated
+	grantsStartAt    time.Duration // leases of an earlier process are over then
 }
 
 // relayState is what an owner keeps of a relay.
 type relayState struct {
-	lastClaim   uint64        // sequence of its newest claim
-	lastHeard   time.Duration // when that claim came
-	loanUntil   time.Duration // its shares are lent until then, by the owner's clock
-	demands     map[int]*Demand
-	outstanding []sentGrant // grants that it may still use, by sequence
-	lastGrant   time.Duration
+	lastClaimSequence uint64        // sequence of its newest claim
+	lastHeardAt       time.Duration // when that claim came
+	loanUntil         time.Duration // its shares are lent until then, by the owner's clock
+	demands           map[int]*Demand
+	outstanding       []sentGrant // grants that it may still use, by sequence
+	lastGrantAt       time.Duration
 	// grantsSinceHeard counts the grants since its newest claim, the answer included.
 	grantsSinceHeard int
 }
@@ -56,15 +56,15 @@
 
 // NewOwner returns an owner. Its grants are numbered from after firstSequence, above those of an earlier process. It
 // grants nothing until grantsFrom, when the leases of the earlier process are over.
-func NewOwner(cfg *Config, firstSequence uint64, grantsFrom time.Duration) *Owner {
+func NewOwner(cfg *Config, firstSequence uint64, grantsStartAt time.Duration) *Owner {
 	return &Owner{
-		cfg:          cfg,
-		sequence:     firstSequence,
-		sentAt:       map[uint64]time.Duration{},
-		relays:       map[string]*relayState{},
-		destinations: map[int]*ownedDestination{},
-		targetsAt:    -targetLifetime,
-		grantsFrom:   grantsFrom,
+		cfg:              cfg,
+		sequence:         firstSequence,
+		sentAt:           map[uint64]time.Duration{},
+		relays:           map[string]*relayState{},
+		destinations:     map[int]*ownedDestination{},
+		targetsUpdatedAt: -targetLifetime,
+		grantsStartAt:    grantsStartAt,
 	}
 }
 
@@ -83,11 +83,11 @@
 // ReceiveClaim accepts a claim, and reports whether it is new.
 func (o *Owner) ReceiveClaim(now time.Duration, from string, claim Claim) bool {
 	r := o.relay(from)
-	if claim.Sequence <= r.lastClaim {
+	if claim.Sequence <= r.lastClaimSequence {
 		return false
 	}
-	r.lastClaim = claim.Sequence
-	r.lastHeard = now
+	r.lastClaimSequence = claim.Sequence
+	r.lastHeardAt = now
 	r.grantsSinceHeard = 0
 	o.extendLoan(r, &claim)
 	// The relay does not use what was granted before the grant that it acknowledges.
@@ -105,7 +105,7 @@
 	if !ok || claim.LoanDuration <= 0 {
 		return
 	}
-	duration := o.cfg.shorten(min(claim.LoanDuration, o.cfg.LoanDuration))
+	duration := o.cfg.shortenForDrift(min(claim.LoanDuration, o.cfg.LoanDuration))
 	r.loanUntil = max(r.loanUntil, sentAt+duration)
 }
 
@@ -116,7 +116,7 @@
 		d := o.destination(demand.Destination)
 		if d != nil && isLimit(demand.total()) {
 			r.demands[demand.Destination] = &demand
-			d.lastDemand = now
+			d.lastDemandAt = now
 		}
 	}
 }
@@ -135,7 +135,7 @@
 func (o *Owner) destination(n int) *ownedDestination {
 	d := o.destinations[n]
 	if d == nil {
-		if len(o.destinations) >= maxOwned {
+		if len(o.destinations) >= maxOwnedDestinations {
 			return nil
 		}
 		d = newOwnedDestination()
@@ -147,15 +147,15 @@
 // HasDemand reports whether any relay has lately wanted to send to a destination of the shard.
 func (o *Owner) HasDemand(now time.Duration) bool {
 	for _, d := range o.destinations {
-		if now-d.lastDemand < relayMemoryLoans*o.cfg.LoanDuration {
+		if now-d.lastDemandAt < relayRetentionLoans*o.cfg.LoanDuration {
 			return true
 		}
 	}
 	return false
 }
 
-// Underserved lists the relays that should have a higher rate, and can since others have given some up.
-func (o *Owner) Underserved(now time.Duration) (list []string) {
+// UnderservedRelays lists the relays that should have a higher rate, and can since others have given some up.
+func (o *Owner) UnderservedRelays(now time.Duration) (list []string) {
 	o.updateTargets(now)
 	lenders := o.countLenders(now, 0)
 	for _, n := range slices.Sorted(maps.Keys(o.destinations)) {
@@ -167,7 +167,7 @@
 			}
 			current := o.relays[name].newestRate(now, n)
 			possible := o.grantableRate(now, n, d, name, free)
-			if possible > current*(1+rateTolerance) {
+			if possible > current*(1+rateToleranceRatio) {
 				list = append(list, name)
 				free -= possible - current
 			}
@@ -180,15 +180,15 @@
 // mayPush reports whether a grant without a new claim is worth sending: a lease that answers an old claim is soon over.
 func (o *Owner) mayPush(now time.Duration, name string) bool {
 	r := o.relays[name]
-	return now-r.lastHeard < o.cfg.LeaseDuration/2 && now-r.lastGrant >= minClaimInterval
+	return now-r.lastHeardAt < o.cfg.LeaseDuration/2 && now-r.lastGrantAt >= minClaimInterval
 }
 
-// Silent lists the members that have not been heard for a duration and are to be asked: the shares of idle relays are not
+// SilentRelays lists the members that have not been heard for a duration and are to be asked: the shares of idle relays are not
 // lent otherwise. A relay that does not answer is asked again soon, then less and less often.
-func (o *Owner) Silent(now time.Duration, members []string, duration time.Duration) (list []string) {
+func (o *Owner) SilentRelays(now time.Duration, members []string, duration time.Duration) (list []string) {
 	for _, member := range members {
 		r := o.relays[member]
-		if r == nil || now-r.lastHeard >= duration && r.mayPoll(now, duration/4) {
+		if r == nil || now-r.lastHeardAt >= duration && r.mayPoll(now, duration/4) {
 			list = append(list, member)
 		}
 	}
@@ -197,6 +197,6 @@
 
 // mayPoll reports whether the pause since the last grant is over.
 func (r *relayState) mayPoll(now, pause time.Duration) bool {
-	shift := min(max(r.grantsSinceHeard-freePolls, 0), maxBackoffShift)
-	return r.grantsSinceHeard == 0 || now-r.lastGrant >= pause<<shift
+	shift := min(max(r.grantsSinceHeard-pollsBeforeBackoff, 0), maxBackoffShift)
+	return r.grantsSinceHeard == 0 || now-r.lastGrantAt >= pause<<shift
 }
--- a/internal/allowance/snapshot.go
+++ b/internal/allowance/snapshot.go
@@ -30,8 +30,8 @@
 	separator = '|'
 	// neverByte encodes a time that never was.
 	neverByte = 0xff
-	// ancient is the age from which on a time counts as never.
-	ancient = time.Hour
+	// neverAge is the age from which on a time counts as never.
+	neverAge = time.Hour
 	// rateResolution rounds rates: sums differ in their last bits by the order of their terms.
 	rateResolution = 1e6
 )
@@ -41,7 +41,7 @@
 	c := *h
 	c.grantsSeen = maps.Clone(h.grantsSeen)
 	c.leases = maps.Clone(h.leases)
-	c.limits = maps.Clone(h.limits)
+	c.announcedLimits = maps.Clone(h.announcedLimits)
 	return &c
 }
 
@@ -76,7 +76,7 @@
 }
 
 func appendTime(b []byte, now, t time.Duration) []byte {
-	if t <= now-ancient {
+	if t <= now-neverAge {
 		return append(b, neverByte)
 	}
 	return binary.AppendVarint(b, int64(t-now))
@@ -96,13 +96,13 @@
 	b = append(b, 0)
 	// Times that are over are encoded alike.
 	b = appendTime(b, now, max(h.lentUntil, now))
-	b = appendTime(b, now, max(h.ownerHeard, now-maxMissedHeartbeats*h.cfg.HeartbeatInterval-1))
+	b = appendTime(b, now, max(h.ownerHeardAt, now-maxMissedHeartbeats*h.cfg.HeartbeatInterval-1))
 	for _, owner := range slices.Sorted(maps.Keys(h.grantsSeen)) {
 		b = append(b, owner...)
 		b = appendSequence(b, GrantSequence, owner, h.grantsSeen[owner].sequence)
 	}
-	for i := range h.claims {
-		c := h.claims[(h.nextClaim+i)%len(h.claims)]
+	for i := range h.recentClaims {
+		c := h.recentClaims[(h.nextClaimIndex+i)%len(h.recentClaims)]
 		if c.sequence > 0 && now-c.at < h.cfg.LeaseDuration { // no lease comes of an older claim
 			b = appendSequence(b, ClaimSequence, "", c.sequence)
 			b = appendTime(b, now, c.at)
@@ -121,8 +121,8 @@
 
 // AppendState appends the encoding of the owner's state.
 func (o *Owner) AppendState(b []byte, now time.Duration, appendSequence AppendSequence) []byte {
-	b = appendTime(b, now, o.targetsAt)
-	b = appendTime(b, now, max(o.grantsFrom, now))
+	b = appendTime(b, now, o.targetsUpdatedAt)
+	b = appendTime(b, now, max(o.grantsStartAt, now))
 	for _, n := range slices.Sorted(maps.Keys(o.destinations)) {
 		b = append(b, '!')
 		b = appendInt(b, n)
@@ -138,9 +138,9 @@
 		r := o.relays[name]
 		b = append(b, separator)
 		b = append(b, name...)
-		b = appendSequence(b, ClaimSequence, name, r.lastClaim)
+		b = appendSequence(b, ClaimSequence, name, r.lastClaimSequence)
 		b = appendTime(b, now, max(r.loanUntil, now))
-		b = appendTime(b, now, max(r.lastHeard, now-o.cfg.LeaseDuration-1))
+		b = appendTime(b, now, max(r.lastHeardAt, now-o.cfg.LeaseDuration-1))
 		b = r.appendState(b, now, appendSequence)
 	}
 	return b
--- a/internal/allowance/status.go
+++ b/internal/allowance/status.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// unknownAge is State.AgeMS of a limit that this relay has not read.
-const unknownAge = -1
+// unknownAgeMillis is State.AgeMS of a limit that this relay has not read.
+const unknownAgeMillis = -1
 
 // State is the state of a destination's limit, for operators.
 type State struct {
@@ -46,7 +46,7 @@
 		Own:         own,
 		Wants:       d.demand(n).total(),
 		Owner:       a.ownerOf(now, Shard(n), s),
-		AgeMS:       unknownAge,
+		AgeMS:       unknownAgeMillis,
 		Bound:       Bound(limit, a.cfg.Relays, time.Second),
 	}
 	if until > now {
@@ -56,13 +56,13 @@
 		state.AgeMS = milliseconds(now - d.limitReadAt)
 	}
 	if s.owner != nil && state.Owner == a.self {
-		state.addOwner(now, s.owner)
+		state.addOwnerState(now, s.owner)
 	}
 	return state
 }
 
-// addOwner adds what the owner knows.
-func (s *State) addOwner(now time.Duration, o *Owner) {
+// addOwnerState adds what the owner knows.
+func (s *State) addOwnerState(now time.Duration, o *Owner) {
 	for _, r := range o.relays {
 		if r.loanUntil > now {
 			s.Lenders++
--- a/internal/allowance/targets.go
+++ b/internal/allowance/targets.go
@@ -14,18 +14,18 @@
 	targetLifetime = 20 * time.Millisecond
 	// readingLifetime is how long a reading of a limit counts.
 	readingLifetime = 5 * time.Second
-	// limitSmoothing is the weight of a new median of the readings.
-	limitSmoothing = 0.2
-	// limitStep is the share by which a limit must change to count at once, without smoothing.
-	limitStep = 0.25
+	// limitSmoothingWeight is the weight of a new median of the readings.
+	limitSmoothingWeight = 0.2
+	// limitStepRatio is the share by which a limit must change to count at once, without smoothing.
+	limitStepRatio = 0.25
 )
 
 // ownedDestination is what an owner keeps of a destination.
 type ownedDestination struct {
-	readings   map[string]limitReading // the newest of each relay
-	limit      float64                 // smoothed; 0 for unknown
-	targets    map[string]float64      // rates that relays should have
-	lastDemand time.Duration
+	readings     map[string]limitReading // the newest of each relay
+	limit        float64                 // smoothed; 0 for unknown
+	targets      map[string]float64      // rates that relays should have
+	lastDemandAt time.Duration
 }
 
 // limitReading is a limit that a relay has read.
@@ -36,9 +36,9 @@
 
 func newOwnedDestination() *ownedDestination {
 	return &ownedDestination{
-		readings:   map[string]limitReading{},
-		targets:    map[string]float64{},
-		lastDemand: never,
+		readings:     map[string]limitReading{},
+		targets:      map[string]float64{},
+		lastDemandAt: never,
 	}
 }
 
@@ -51,10 +51,10 @@
 
 // updateTargets calculates how much each relay should have of each destination.
 func (o *Owner) updateTargets(now time.Duration) {
-	if now-o.targetsAt < targetLifetime {
+	if now-o.targetsUpdatedAt < targetLifetime {
 		return
 	}
-	o.targetsAt = now
+	o.targetsUpdatedAt = now
 	o.forgetOldGrants(now)
 	o.forgetSilentRelays(now)
 	lenders := o.countLenders(now, targetLifetime)
@@ -64,7 +64,7 @@
 		demandOf := func(name string) *Demand { return o.relays[name].demands[n] }
 		clear(d.targets)
 		divide(lentRate, o.names, demandOf, d.targets)
-		if now-d.lastDemand > destinationMemoryLoans*o.cfg.LoanDuration && len(d.readings) == 0 {
+		if now-d.lastDemandAt > destinationRetentionLoans*o.cfg.LoanDuration && len(d.readings) == 0 {
 			delete(o.destinations, n)
 		}
 	}
@@ -73,7 +73,7 @@
 // forgetOldGrants forgets when grants were sent that no claim acknowledges any more.
 func (o *Owner) forgetOldGrants(now time.Duration) {
 	for sequence, at := range o.sentAt {
-		if at < now-relayMemoryLoans*o.cfg.LoanDuration {
+		if at < now-relayRetentionLoans*o.cfg.LoanDuration {
 			delete(o.sentAt, sequence)
 		}
 	}
@@ -81,15 +81,15 @@
 
 // forgetSilentRelays drops expired grants, demands that were not renewed, and relays that have nothing more.
 func (o *Owner) forgetSilentRelays(now time.Duration) {
-	oldest := now - relayMemoryLoans*o.cfg.LoanDuration
+	oldest := now - relayRetentionLoans*o.cfg.LoanDuration
 	o.names = slices.DeleteFunc(o.names, func(name string) bool {
 		r := o.relays[name]
 		r.outstanding = slices.DeleteFunc(r.outstanding, func(g sentGrant) bool { return now >= g.until })
-		if r.lastHeard < oldest && r.loanUntil < now && len(r.outstanding) == 0 {
+		if r.lastHeardAt < oldest && r.loanUntil < now && len(r.outstanding) == 0 {
 			delete(o.relays, name)
 			return true
 		}
-		if now-r.lastHeard > o.cfg.LeaseDuration { // it cannot renew a lease that it does not ask for
+		if now-r.lastHeardAt > o.cfg.LeaseDuration { // it cannot renew a lease that it does not ask for
 			clear(r.demands)
 		}
 		return false
@@ -103,10 +103,10 @@
 	if !ok {
 		return
 	}
-	if d.limit == 0 || math.Abs(median-d.limit) > limitStep*d.limit {
+	if d.limit == 0 || math.Abs(median-d.limit) > limitStepRatio*d.limit {
 		d.limit = median
 	} else {
-		d.limit += limitSmoothing * (median - d.limit)
+		d.limit += limitSmoothingWeight * (median - d.limit)
 	}
 }
 
--- a/internal/spread/announce.go
+++ b/internal/spread/announce.go
@@ -10,45 +10,45 @@
 
 // Announce sends statements of this relay's own, which the store has, to all members: directly in a small fleet, and in two
 // hops in a larger one.
-func (s *Spread) Announce(now time.Duration, news []verdicts.Statement) []Send {
-	s.out = nil
-	if len(news) == 0 {
+func (s *Spread) Announce(now time.Duration, statements []verdicts.Statement) []Send {
+	s.outgoing = nil
+	if len(statements) == 0 {
 		return nil
 	}
-	slices.SortStableFunc(news, func(a, b verdicts.Statement) int { return int(a.Kind) - int(b.Kind) })
-	if len(s.others) <= maxDirect {
-		for _, m := range s.others {
-			s.send(now, m, Packet{News: news})
+	slices.SortStableFunc(statements, func(a, b verdicts.Statement) int { return int(a.Kind) - int(b.Kind) })
+	if len(s.otherMembers) <= maxDirectMembers {
+		for _, m := range s.otherMembers {
+			s.send(now, m, Packet{News: statements})
 		}
-		return s.out
+		return s.outgoing
 	}
-	s.announceByGroups(now, news)
-	return s.out
+	s.announceByGroups(now, statements)
+	return s.outgoing
 }
 
 // announceByGroups sends statements to one random member of each group, which forwards them to the others of its group.
-func (s *Spread) announceByGroups(now time.Duration, news []verdicts.Statement) {
+func (s *Spread) announceByGroups(now time.Duration, statements []verdicts.Statement) {
 	salt := s.rng.Uint64()
-	groups := int(math.Ceil(math.Sqrt(float64(len(s.others)))))
-	for g, members := range s.grouped(salt, groups) {
+	groups := int(math.Ceil(math.Sqrt(float64(len(s.otherMembers)))))
+	for g, members := range s.groupMembers(salt, groups) {
 		if len(members) == 0 {
 			continue
 		}
 		forwarder := members[s.rng.IntN(len(members))]
-		s.send(now, forwarder, Packet{News: news, Salt: salt, Group: g, Groups: groups})
+		s.send(now, forwarder, Packet{News: statements, Salt: salt, Group: g, Groups: groups})
 	}
 }
 
-// grouped divides the other members into groups by the hashes of their names.
-func (s *Spread) grouped(salt uint64, groups int) [][]string {
-	lists := make([][]string, groups)
-	for _, m := range s.others {
+// groupMembers divides the other members into groups by the hashes of their names.
+func (s *Spread) groupMembers(salt uint64, groups int) [][]string {
+	groupLists := make([][]string, groups)
+	for _, m := range s.otherMembers {
 		g := groupOf(salt, m, groups)
-		lists[g] = append(lists[g], m)
+		groupLists[g] = append(groupLists[g], m)
 	}
-	return lists
+	return groupLists
 }
 
 func groupOf(salt uint64, member string, groups int) int {
-	return int(hash(salt, member) % uint64(groups))
+	return int(hashName(salt, member) % uint64(groups))
 }
--- a/internal/spread/bound.go
+++ b/internal/spread/bound.go
@@ -10,7 +10,7 @@
 // time between comparisons. docs/fleet-verdicts.md derives it.
 func Bound(members int, delay time.Duration, loss float64, exchange time.Duration) time.Duration {
 	hops := 2 * delay
-	if members <= maxDirect+1 {
+	if members <= maxDirectMembers+1 {
 		hops = delay
 	}
 	if loss <= 0 || members < 2 {
@@ -19,6 +19,6 @@
 	arrives := (1 - loss) * (1 - loss)
 	missed := 1 - arrives
 	staysMissed := 1 - (1-missed)*arrives
-	exchanges := math.Ceil(math.Log(boundCertainty*float64(members)*missed) / -math.Log(staysMissed))
-	return hops + time.Duration((1+jitter)*max(exchanges, 1)*float64(exchange)) + 2*delay
+	exchanges := math.Ceil(math.Log(boundMissOdds*float64(members)*missed) / -math.Log(staysMissed))
+	return hops + time.Duration((1+exchangeJitterRatio)*max(exchanges, 1)*float64(exchange)) + 2*delay
 }
--- a/internal/spread/exchange.go
+++ b/internal/spread/exchange.go
@@ -6,37 +6,37 @@
 
 // Tick begins a comparison with a random member where one is due.
 func (s *Spread) Tick(now time.Duration) []Send {
-	s.out = nil
+	s.outgoing = nil
 	s.recordCall(now)
 	if now < s.nextExchange {
 		return nil
 	}
-	s.nextExchange = now + s.exchangePause()
-	if len(s.others) == 0 {
-		s.lastAnswered = now
+	s.nextExchange = now + s.drawExchangeDelay()
+	if len(s.otherMembers) == 0 {
+		s.lastAnsweredAsk = now
 		return nil
 	}
-	partner := s.others[s.rng.IntN(len(s.others))]
-	s.asked[partner] = now
-	s.counters.Asked++
+	partner := s.otherMembers[s.rng.IntN(len(s.otherMembers))]
+	s.askedAt[partner] = now
+	s.counters.ExchangesStarted++
 	s.send(now, partner, Packet{Ask: true, Summary: s.store.Summary(now), Members: s.membersHash})
-	return s.out
+	return s.outgoing
 }
 
 // recordAnswer notes that a member has answered a comparison.
 func (s *Spread) recordAnswer(from string) {
-	askedAt, ok := s.asked[from]
+	askedAt, ok := s.askedAt[from]
 	if !ok {
 		return
 	}
-	delete(s.asked, from)
-	s.lastAnswered = max(s.lastAnswered, askedAt)
+	delete(s.askedAt, from)
+	s.lastAnsweredAsk = max(s.lastAnsweredAsk, askedAt)
 	s.counters.Answered++
 }
 
-// compare answers a summary with what its sender may lack. The answer to an Ask carries our summary, so that both sides end
+// answerSummary answers a summary with what its sender may lack. The answer to an Ask carries our summary, so that both sides end
 // with the union.
-func (s *Spread) compare(now time.Duration, p *Packet) {
+func (s *Spread) answerSummary(now time.Duration, p *Packet) {
 	if p.Members != 0 && p.Members != s.membersHash {
 		s.counters.Differed++
 	}
--- a/internal/spread/spread_test.go
+++ b/internal/spread/spread_test.go
@@ -8,13 +8,13 @@
 )
 
 // Two that know of other members tell each other so when they compare, whichever of them asks; two that know the same do not.
-func TestMembersThatDiffer(t *testing.T) {
+func TestMembershipMismatchIsCounted(t *testing.T) {
 	for name, c := range map[string]struct {
 		a, b   []string
 		differ bool
 	}{"the same": {[]string{"a", "b", "c"}, []string{"c", "b", "a"}, false}, "one too few": {[]string{"a", "b", "c"}, []string{"a", "b"}, true}} {
 		t.Run(name, func(t *testing.T) {
-			of := func(self string, members []string) *Spread {
+			newSpread := func(self string, members []string) *Spread {
 				s, err := New(Config{Self: self, Exchange: time.Second, Bytes: 1e6, Size: func(*Packet) int { return 100 }, Packet: 1000}, 0, verdicts.NewStore(), 1)
 				if err != nil {
 					t.Fatal(err)
@@ -22,7 +22,7 @@
 				s.SetMembers(members)
 				return s
 			}
-			a, b := of("a", c.a), of("b", c.b)
+			a, b := newSpread("a", c.a), newSpread("b", c.b)
 			var ask []Send
 			for now := 2 * time.Second; len(ask) == 0 || ask[0].To != "b"; now += 2 * time.Second {
 				ask = a.Tick(now)
--- a/internal/verdicts/announcer.go
+++ b/internal/verdicts/announcer.go
@@ -5,25 +5,25 @@
 	"time"
 )
 
-// minExtension is how much longer than the known waits a wait has to be to be announced: a partner that is at its limit
+// minWaitExtension is how much longer than the known waits a wait has to be to be announced: a partner that is at its limit
 // turns away calls of many relays at one moment, and a wait that is over before it is known holds nobody.
-const minExtension = 50 * time.Millisecond
+const minWaitExtension = 50 * time.Millisecond
 
 // Announcer makes this relay's own statements. What the fleet knows already is not announced again.
 type Announcer struct {
-	origin  string
-	version Version          // of the newest statement
-	outages map[Subject]bool // members that it has announced to be out
-	bans    map[Subject]bool // members that operators have taken down
+	origin           string
+	version          Version          // of the newest statement
+	announcedOutages map[Subject]bool // members that it has announced to be out
+	activeBans       map[Subject]bool // members that operators have taken down
 }
 
 // NewAnnouncer returns an announcer for a relay's incarnation.
 func NewAnnouncer(origin string, incarnation uint64) *Announcer {
 	return &Announcer{
-		origin:  origin,
-		version: Version{Incarnation: incarnation},
-		outages: map[Subject]bool{},
-		bans:    map[Subject]bool{},
+		origin:           origin,
+		version:          Version{Incarnation: incarnation},
+		announcedOutages: map[Subject]bool{},
+		activeBans:       map[Subject]bool{},
 	}
 }
 
@@ -40,8 +40,8 @@
 	return true
 }
 
-// number gives a statement its origin, version and life.
-func (a *Announcer) number(s Statement) Statement {
+// stamp gives a statement its origin, version and life.
+func (a *Announcer) stamp(s Statement) Statement {
 	a.version.Seq++
 	s.Origin = a.origin
 	s.Version = a.version
@@ -53,23 +53,23 @@
 
 // Wait announces a wait that a destination asked this relay for, unless known waits last as long.
 func (a *Announcer) Wait(now time.Duration, store *Store, o Observation) (Statement, bool) {
-	if o.Outcome != Refused || o.Wait < minExtension {
+	if o.Outcome != Refused || o.Wait < minWaitExtension {
 		return Statement{}, false
 	}
-	group := o.group()
-	for _, known := range store.About(now, group) {
-		if !known.Over && known.Length-known.Age+minExtension > o.Wait {
+	subject := o.waitSubject()
+	for _, known := range store.About(now, subject) {
+		if !known.Over && known.Length-known.Age+minWaitExtension > o.Wait {
 			return Statement{}, false
 		}
 	}
-	return a.number(Statement{Subject: group, Length: o.Wait, Life: min(o.Wait, Wait.Life())}), true
+	return a.stamp(Statement{Subject: subject, Length: o.Wait, Life: min(o.Wait, Wait.Life())}), true
 }
 
 // Outage announces an outage that has lasted so long, or another try there that failed.
 func (a *Announcer) Outage(destination int, member string, lasted time.Duration) Statement {
 	s := Subject{Kind: Health, Destination: destination, Member: member}
-	a.outages[s] = true
-	return a.number(Statement{Subject: s, Length: max(lasted, 0)})
+	a.announcedOutages[s] = true
+	return a.stamp(Statement{Subject: s, Length: max(lasted, 0)})
 }
 
 // Recovery announces that a member answered after an outage. Where nobody has announced the outage there is nothing to
@@ -77,44 +77,44 @@
 func (a *Announcer) Recovery(now time.Duration, store *Store, destination int, member string) (Statement, bool) {
 	s := Subject{Kind: Health, Destination: destination, Member: member}
 	isOutage := func(known Statement) bool { return !known.Over }
-	if !a.outages[s] && !slices.ContainsFunc(store.About(now, s), isOutage) {
+	if !a.announcedOutages[s] && !slices.ContainsFunc(store.About(now, s), isOutage) {
 		return Statement{}, false
 	}
-	delete(a.outages, s)
-	return a.number(Statement{Subject: s, Over: true}), true
+	delete(a.announcedOutages, s)
+	return a.stamp(Statement{Subject: s, Over: true}), true
 }
 
 // Drain announces that discovery, at a version of its list, drains a member, or with over lists it again.
 func (a *Announcer) Drain(destination int, member string, list int64, over bool) Statement {
 	s := Subject{Kind: Drain, Destination: destination, Member: member}
-	return a.number(Statement{Subject: s, List: list, Over: over})
+	return a.stamp(Statement{Subject: s, List: list, Over: over})
 }
 
 // Ban announces that operators took a member down, or brought it up. RenewBans repeats bans that stand.
 func (a *Announcer) Ban(destination int, member string, down bool) Statement {
 	s := Subject{Kind: Ban, Destination: destination, Member: member}
 	if down {
-		a.bans[s] = true
+		a.activeBans[s] = true
 	} else {
-		delete(a.bans, s)
+		delete(a.activeBans, s)
 	}
-	return a.number(Statement{Subject: s, Over: !down})
+	return a.stamp(Statement{Subject: s, Over: !down})
 }
 
 // RenewBans announces all bans that stand, and forgets members that are not listed any more. Call it a few times within
 // the life of a ban.
 func (a *Announcer) RenewBans(listed func(member string) bool) (list []Statement) {
-	for s := range a.outages {
+	for s := range a.announcedOutages {
 		if !listed(s.Member) {
-			delete(a.outages, s)
+			delete(a.announcedOutages, s)
 		}
 	}
-	for s := range a.bans {
+	for s := range a.activeBans {
 		if !listed(s.Member) {
-			delete(a.bans, s)
+			delete(a.activeBans, s)
 			continue
 		}
-		list = append(list, a.number(Statement{Subject: s}))
+		list = append(list, a.stamp(Statement{Subject: s}))
 	}
 	return list
 }
--- a/internal/verdicts/bars.go
+++ b/internal/verdicts/exclusion.go
@@ -11,7 +11,7 @@
 // bars a member only while another of its destination remains that this relay has not seen fail: a single statement may
 // choose among members, and shut nobody out.
 func (j *Judge) Barred(now time.Duration) []string {
-	origins := j.barringOrigins(now)
+	origins := j.excludingOrigins(now)
 	if len(origins) == 0 {
 		return nil
 	}
@@ -37,9 +37,9 @@
 	return slices.Sorted(maps.Keys(barred))
 }
 
-// barringOrigins returns the origins that drain or ban a member, by member. Drains that are no newer than the own list do
+// excludingOrigins returns the origins that drain or ban a member, by member. Drains that are no newer than the own list do
 // not count: the list decides.
-func (j *Judge) barringOrigins(now time.Duration) map[string]map[string]bool {
+func (j *Judge) excludingOrigins(now time.Duration) map[string]map[string]bool {
 	origins := map[string]map[string]bool{}
 	for _, s := range j.store.All(now) {
 		isDrain := s.Kind == Drain && s.List > j.poolVersion
@@ -57,7 +57,7 @@
 // isUsable reports whether a member is neither out nor failing.
 func (j *Judge) isUsable(m Member) bool {
 	s := j.members[Subject{Kind: Health, Destination: m.Destination, Member: m.Name}]
-	return s == nil || s.failed <= s.succeeded && !s.out
+	return s == nil || s.lastFailureStart <= s.lastSuccessStart && !s.reportedOut
 }
 
 func (j *Judge) poolByName() []Member {
--- a/internal/verdicts/health.go
+++ b/internal/verdicts/health.go
@@ -5,24 +5,24 @@
 	"time"
 )
 
-// maxRetryAge is the age from which a failed try of another relay does not put off our next one any more.
-const maxRetryAge = time.Second
+// maxTrialAge is the age from which a failed try of another relay does not put off our next one any more.
+const maxTrialAge = time.Second
 
 // memberState is what a judge keeps of a member's health.
 type memberState struct {
-	succeeded   time.Duration // when the newest of our calls that succeeded was begun
-	failed      time.Duration // when the newest of our calls that failed was begun
-	ownOutSince time.Duration // since when this relay itself holds it out; never where it does not
-	out         bool          // returned as out
-	putOffBy    string        // the origin whose statement last put our next try off
-	lastUse     time.Duration
+	lastSuccessStart time.Duration // when the newest of our calls that succeeded was begun
+	lastFailureStart time.Duration // when the newest of our calls that failed was begun
+	ownOutageStart   time.Duration // since when this relay itself holds it out; never where it does not
+	reportedOut      bool          // returned as out
+	lastDelayOrigin  string        // the origin whose statement last put our next try off
+	lastUse          time.Duration
 }
 
-func (j *Judge) member(now time.Duration, destination int, name string) *memberState {
+func (j *Judge) memberFor(now time.Duration, destination int, name string) *memberState {
 	s := Subject{Kind: Health, Destination: destination, Member: name}
 	m := j.members[s]
 	if m == nil {
-		m = &memberState{succeeded: never, failed: never, ownOutSince: never}
+		m = &memberState{lastSuccessStart: never, lastFailureStart: never, ownOutageStart: never}
 		j.members[s] = m
 	}
 	m.lastUse = now
@@ -30,35 +30,35 @@
 }
 
 // judgeHealth decides whether a member counts as out. A new statement may put off the next try at one that does already.
-func (j *Judge) judgeHealth(now time.Duration, destination int, name string, news *Statement) []Restraint {
-	m := j.member(now, destination, name)
+func (j *Judge) judgeHealth(now time.Duration, destination int, name string, received *Statement) []Restraint {
+	m := j.memberFor(now, destination, name)
 	list := j.store.About(now, Subject{Kind: Health, Destination: destination, Member: name})
-	recovered := j.announcedRecovery(now, list)
-	starts := j.announcedOutages(now, list, recovered)
-	others := len(starts)
-	if m.ownOutSince > never {
-		starts = append(starts, m.ownOutSince)
+	recovered := j.latestRecovery(now, list)
+	starts := j.outageStarts(now, list, recovered)
+	otherOrigins := len(starts)
+	if m.ownOutageStart > never {
+		starts = append(starts, m.ownOutageStart)
 	}
 	slices.Sort(starts)
-	out := others > 0 && len(starts) >= j.quorum
-	if out && m.succeeded > starts[j.quorum-1] {
+	out := otherOrigins > 0 && len(starts) >= j.quorum
+	if out && m.lastSuccessStart > starts[j.quorum-1] {
 		out = false
 		j.counters.Overruled++
-	} else if others > 0 && !out {
+	} else if otherOrigins > 0 && !out {
 		j.counters.Unagreed++
 	}
 	r := Restraint{Destination: destination, Member: name}
 	switch {
-	case out && (!m.out || putsOff(news, m)):
-		m.out = true
+	case out && (!m.reportedOut || delaysTrial(received, m)):
+		m.reportedOut = true
 		r.Order = Out
 		r.At = starts[j.quorum-1]
-		if news != nil {
-			m.putOffBy = news.Origin
+		if received != nil {
+			m.lastDelayOrigin = received.Origin
 		}
-	case !out && m.out:
-		m.out = false
-		m.putOffBy = ""
+	case !out && m.reportedOut:
+		m.reportedOut = false
+		m.lastDelayOrigin = ""
 		r.Order, r.At = Free, now
 		if recovered > never {
 			r.Order, r.At = Back, recovered
@@ -70,14 +70,14 @@
 	return []Restraint{r}
 }
 
-// putsOff reports whether a new statement puts off our next try: it tells of a fresh failure, and is not of the origin that
+// delaysTrial reports whether a new statement puts off our next try: it tells of a fresh failure, and is not of the origin that
 // did so last, for one origin could put the next try off for ever.
-func putsOff(news *Statement, m *memberState) bool {
-	return news != nil && !news.Over && news.Age < maxRetryAge && news.Origin != m.putOffBy
+func delaysTrial(received *Statement, m *memberState) bool {
+	return received != nil && !received.Over && received.Age < maxTrialAge && received.Origin != m.lastDelayOrigin
 }
 
-// announcedRecovery is when others last announced that a member answered again; never for not.
-func (j *Judge) announcedRecovery(now time.Duration, list []Statement) time.Duration {
+// latestRecovery is when others last announced that a member answered again; never for not.
+func (j *Judge) latestRecovery(now time.Duration, list []Statement) time.Duration {
 	newest := never
 	for _, s := range list {
 		if s.Over && s.Origin != j.self {
@@ -87,8 +87,8 @@
 	return newest
 }
 
-// announcedOutages lists the beginnings of the outages that others have announced after a recovery.
-func (j *Judge) announcedOutages(now time.Duration, list []Statement, recovered time.Duration) (starts []time.Duration) {
+// outageStarts lists the beginnings of the outages that others have announced after a recovery.
+func (j *Judge) outageStarts(now time.Duration, list []Statement, recovered time.Duration) (starts []time.Duration) {
 	for _, s := range list {
 		madeAt := now - s.Age
 		if !s.Over && s.Origin != j.self && madeAt > recovered {
--- a/internal/verdicts/judge.go
+++ b/internal/verdicts/judge.go
@@ -85,29 +85,29 @@
 // Observe takes in the end of one of this relay's own calls.
 func (j *Judge) Observe(now time.Duration, o Observation) []Restraint {
 	j.evictOldest()
-	m := j.member(now, o.Destination, o.Member)
+	m := j.memberFor(now, o.Destination, o.Member)
 	switch o.Outcome {
 	case Succeeded:
-		m.succeeded = max(m.succeeded, o.Begun)
+		m.lastSuccessStart = max(m.lastSuccessStart, o.Begun)
 		restraints := j.judgeHealth(now, o.Destination, o.Member, nil)
 		return append(restraints, j.endContradictedHold(now, o)...)
 	case Failed:
-		m.failed = max(m.failed, o.Begun)
+		m.lastFailureStart = max(m.lastFailureStart, o.Begun)
 	case Refused:
-		h := j.hold(now, o.group())
-		h.refusedAt[j.self] = now
-		h.ownUntil = max(h.ownUntil, now+o.Wait)
-		return j.judgeWait(now, o.group(), nil)
+		h := j.holdFor(now, o.waitSubject())
+		h.lastRefusals[j.self] = now
+		h.ownWaitEnd = max(h.ownWaitEnd, now+o.Wait)
+		return j.judgeWait(now, o.waitSubject(), nil)
 	}
 	return nil
 }
 
 // SetOwnHealth takes in whether this relay itself holds a member out, because its own calls have failed since.
 func (j *Judge) SetOwnHealth(now time.Duration, destination int, member string, out bool, since time.Duration) []Restraint {
-	m := j.member(now, destination, member)
-	m.ownOutSince = never
+	m := j.memberFor(now, destination, member)
+	m.ownOutageStart = never
 	if out {
-		m.ownOutSince = since
+		m.ownOutageStart = since
 	}
 	return j.judgeHealth(now, destination, member, nil)
 }
@@ -141,7 +141,7 @@
 func (j *Judge) Forget(origin string) {
 	for _, h := range j.holds {
 		delete(h.budgets, origin)
-		delete(h.refusedAt, origin)
+		delete(h.lastRefusals, origin)
 	}
 }
 
--- a/internal/verdicts/observation.go
+++ b/internal/verdicts/observation.go
@@ -22,8 +22,8 @@
 	Wait        time.Duration // that the member asked for; with Refused
 }
 
-// group is the subject that a wait binds.
-func (o Observation) group() Subject {
+// waitSubject is the subject that a wait binds.
+func (o Observation) waitSubject() Subject {
 	if o.Route {
 		return Subject{Kind: Wait, Destination: o.Destination, Member: o.Member}
 	}
--- a/internal/verdicts/statement.go
+++ b/internal/verdicts/statement.go
@@ -28,18 +28,18 @@
 var kindNames = [kinds]string{Wait: "wait", Health: "health", Drain: "drain", Ban: "ban"}
 
 func (k Kind) String() string {
-	if !k.Known() {
+	if !k.IsKnown() {
 		return "unknown"
 	}
 	return kindNames[k]
 }
 
-// Known says whether this build knows the kind. A statement of another is neither merged nor forwarded.
-func (k Kind) Known() bool { return k > 0 && k < kinds }
+// IsKnown says whether this build knows the kind. A statement of another is neither merged nor forwarded.
+func (k Kind) IsKnown() bool { return k > 0 && k < kinds }
 
-// lives bounds how long a statement of each kind is in force, whatever life its origin gives it: after that, a relay that
+// maxLifetimes bounds how long a statement of each kind is in force, whatever life its origin gives it: after that, a relay that
 // hears nothing more decides alone again.
-var lives = [kinds]time.Duration{
+var maxLifetimes = [kinds]time.Duration{
 	Wait:   60 * time.Second,
 	Health: 15 * time.Second,
 	Drain:  60 * time.Second,
@@ -48,10 +48,10 @@
 
 // Life is the longest life of a statement of the kind. A wait lives for its length.
 func (k Kind) Life() time.Duration {
-	if !k.Known() {
+	if !k.IsKnown() {
 		return 0
 	}
-	return lives[k]
+	return maxLifetimes[k]
 }
 
 // Subject is what a statement is about. A wait of a whole destination names no member; one of a route apart does.
@@ -88,10 +88,10 @@
 // expiredAt reports whether a statement of an age is not in force any more.
 func (s *Statement) expiredAt(age time.Duration) bool { return age >= min(s.Life, s.Kind.Life()) }
 
-// tie orders two different statements of one version, which only a faulty or malicious origin makes: the one that restrains
+// compareContents orders two different statements of one version, which only a faulty or malicious origin makes: the one that restrains
 // less wins, at every relay alike.
-func (s *Statement) tie(o *Statement) int {
-	less := func(a, b bool) int {
+func (s *Statement) compareContents(o *Statement) int {
+	falseFirst := func(a, b bool) int {
 		if a == b {
 			return 0
 		} else if a {
@@ -99,7 +99,7 @@
 		}
 		return -1
 	}
-	return cmp.Or(less(s.Over, o.Over), cmp.Compare(o.Length, s.Length), cmp.Compare(o.Life, s.Life), cmp.Compare(s.List, o.List))
+	return cmp.Or(falseFirst(s.Over, o.Over), cmp.Compare(o.Length, s.Length), cmp.Compare(o.Life, s.Life), cmp.Compare(s.List, o.List))
 }
 
 // hash identifies a statement, the same at every relay. Its age does not count.
--- a/internal/verdicts/store.go
+++ b/internal/verdicts/store.go
@@ -39,18 +39,18 @@
 // isExpired reports whether the statement is not in force any more.
 func (e *entry) isExpired(now time.Duration) bool { return e.expiredAt(now - e.madeAt) }
 
-// left is how long the statement stays in force.
-func (e *entry) left(now time.Duration) time.Duration {
+// remaining is how long the statement stays in force.
+func (e *entry) remaining(now time.Duration) time.Duration {
 	return min(e.Life, e.Kind.Life()) - (now - e.madeAt)
 }
 
 // NewStore returns an empty store.
 func NewStore() *Store { return &Store{origins: map[string]map[Subject]*entry{}} }
 
-// valid reports whether a statement is well-formed. Others are not merged, so that no peer can plant what a later build
+// isValid reports whether a statement is well-formed. Others are not merged, so that no peer can plant what a later build
 // would trip over.
-func (s *Statement) valid() bool {
-	knownKind := s.Kind.Known()
+func (s *Statement) isValid() bool {
+	knownKind := s.Kind.IsKnown()
 	namesFit := s.Origin != "" && len(s.Origin) <= MaxNameLength && len(s.Member) <= MaxNameLength
 	timesFit := s.Age >= 0 && s.Length >= 0 && s.Life > 0
 	hasMember := s.Kind == Wait || s.Member != ""
@@ -59,7 +59,7 @@
 
 // Merge adds a statement, and reports whether it is news. An expired one is not.
 func (st *Store) Merge(now time.Duration, s Statement) bool {
-	if !s.valid() || s.expiredAt(s.Age) {
+	if !s.isValid() || s.expiredAt(s.Age) {
 		return false
 	}
 	ofOrigin := st.origins[s.Origin]
@@ -87,7 +87,7 @@
 		return order > 0
 	}
 	madeAt := min(old.madeAt, e.madeAt)
-	if e.tie(&old.Statement) <= 0 {
+	if e.compareContents(&old.Statement) <= 0 {
 		old.madeAt = madeAt
 		return false
 	}
@@ -99,7 +99,7 @@
 func evictFirstToExpire(now time.Duration, ofOrigin map[Subject]*entry) {
 	var first *entry
 	for _, e := range ofOrigin {
-		if first == nil || cmp.Or(cmp.Compare(e.left(now), first.left(now)), e.Subject.compare(first.Subject)) < 0 {
+		if first == nil || cmp.Or(cmp.Compare(e.remaining(now), first.remaining(now)), e.Subject.compare(first.Subject)) < 0 {
 			first = e
 		}
 	}
--- a/internal/verdicts/summary.go
+++ b/internal/verdicts/summary.go
@@ -8,18 +8,18 @@
 	"time"
 )
 
-// buckets is the number of buckets that origins are hashed into for a summary. With few live statements most buckets are
+// bucketCount is the number of buckets that origins are hashed into for a summary. With few live statements most buckets are
 // 0, which takes a byte each on the wire; with many, a difference costs the statements of one bucket.
-const buckets = 32
+const bucketCount = 32
 
 // Summary describes a store to others for an anti-entropy exchange: a hash over the live statements of each bucket of
 // origins. Two stores with the same live statements have the same summary, but for what expires in between.
-type Summary [buckets]uint32
+type Summary [bucketCount]uint32
 
-func bucket(origin string) int {
+func bucketOf(origin string) int {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(origin))
-	return int(h.Sum32() % buckets)
+	return int(h.Sum32() % bucketCount)
 }
 
 // Summary returns the summary of the store.
@@ -27,7 +27,7 @@
 	for origin, ofOrigin := range st.origins {
 		for _, e := range ofOrigin {
 			if !e.isExpired(now) {
-				summary[bucket(origin)] ^= uint32(e.hash ^ e.hash>>32)
+				summary[bucketOf(origin)] ^= uint32(e.hash ^ e.hash>>32)
 			}
 		}
 	}
@@ -38,7 +38,7 @@
 func (st *Store) Missing(now time.Duration, theirs Summary) (list []Statement) {
 	ours := st.Summary(now)
 	for _, origin := range slices.Sorted(maps.Keys(st.origins)) {
-		if at := bucket(origin); ours[at] != theirs[at] {
+		if i := bucketOf(origin); ours[i] != theirs[i] {
 			list = append(list, st.From(now, origin)...)
 		}
 	}
--- a/internal/verdicts/verdicts_test.go
+++ b/internal/verdicts/verdicts_test.go
@@ -15,8 +15,8 @@
 
 const ms = time.Millisecond
 
-// statements draws a few statements on few subjects by few origins, equal versions with other contents among them.
-func statements(t *rapid.T) []Statement {
+// drawStatements draws a few statements on few subjects by few origins, equal versions with other contents among them.
+func drawStatements(t *rapid.T) []Statement {
 	return rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Statement {
 		kind := Kind(rapid.IntRange(1, int(kinds)-1).Draw(t, "kind"))
 		return Statement{Origin: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "origin"),
@@ -27,23 +27,23 @@
 	}), 0, 12).Draw(t, "statements")
 }
 
-func merged(lists ...[]Statement) []Statement {
-	b := NewStore()
+func mergeAll(lists ...[]Statement) []Statement {
+	store := NewStore()
 	for _, list := range lists {
 		for _, s := range list {
-			b.Merge(10*time.Second, s)
+			store.Merge(10*time.Second, s)
 		}
 	}
-	return b.All(10 * time.Second)
+	return store.All(10 * time.Second)
 }
 
 // Whatever the order, the grouping and the number of times that statements come, a store ends the same.
-func TestMergeIsALeastUpperBound(t *testing.T) {
+func TestMergeConverges(t *testing.T) {
 	proptest.Check(t, func(t *rapid.T) {
-		x, y, z := statements(t), statements(t), statements(t)
-		want := merged(x, y, z)
-		for name, got := range map[string][]Statement{"commutes": merged(z, y, x), "is idempotent": merged(x, y, z, y, x, x),
-			"associates": merged(merged(x, y), z), "associates the other way": merged(x, merged(y, z))} {
+		x, y, z := drawStatements(t), drawStatements(t), drawStatements(t)
+		want := mergeAll(x, y, z)
+		for name, got := range map[string][]Statement{"commutes": mergeAll(z, y, x), "is idempotent": mergeAll(x, y, z, y, x, x),
+			"associates": mergeAll(mergeAll(x, y), z), "associates the other way": mergeAll(x, mergeAll(y, z))} {
 			if !reflect.DeepEqual(got, want) {
 				t.Fatalf("does not hold that it %s:\n%v\n%v", name, got, want)
 			}
@@ -52,234 +52,238 @@
 }
 
 // A statement acts and travels only for its life, however often it comes again with the age that it has.
-func TestLapse(t *testing.T) {
-	b := NewStore()
+func TestExpiry(t *testing.T) {
+	store := NewStore()
 	s := Statement{Origin: "a", Version: Version{1, 1}, Subject: Subject{Health, 1, "m"}, Life: time.Hour}
-	if !b.Merge(0, s) {
+	if !store.Merge(0, s) {
 		t.Fatal("not merged")
 	}
-	if s.Age = 14 * time.Second; b.Merge(14*time.Second, s) {
+	if s.Age = 14 * time.Second; store.Merge(14*time.Second, s) {
 		t.Error("the same one again is no news")
 	}
-	if b.Sweep(14*time.Second) != nil || len(b.About(14*time.Second, s.Subject)) != 1 {
+	if store.Sweep(14*time.Second) != nil || len(store.About(14*time.Second, s.Subject)) != 1 {
 		t.Error("lapsed before its time")
 	}
-	if lost := b.Sweep(15 * time.Second); len(lost) != 1 || b.Len() != 0 {
+	if lost := store.Sweep(15 * time.Second); len(lost) != 1 || store.Len() != 0 {
 		t.Errorf("a life of an hour is cut to 15 s: lost %v", lost)
 	}
-	if s.Age = 15 * time.Second; b.Merge(16*time.Second, s) {
+	if s.Age = 15 * time.Second; store.Merge(16*time.Second, s) {
 		t.Error("what has lapsed came back")
 	}
-	for _, bad := range []Statement{{}, {Origin: "a", Subject: Subject{Kind: 9}, Life: 1}, {Origin: "a", Subject: Subject{Kind: Ban}, Life: 1},
+	for _, invalid := range []Statement{{}, {Origin: "a", Subject: Subject{Kind: 9}, Life: 1}, {Origin: "a", Subject: Subject{Kind: Ban}, Life: 1},
 		{Origin: "a", Subject: Subject{Wait, -1, ""}, Life: 1}, {Origin: "a", Subject: Subject{Kind: Wait}, Life: 1, Age: -1}} {
-		if b.Merge(0, bad) {
-			t.Errorf("merged %v", bad)
+		if store.Merge(0, invalid) {
+			t.Errorf("merged %v", invalid)
 		}
 	}
 	for i := range 2 * MaxPerOrigin {
-		b.Merge(0, Statement{Origin: "a", Version: Version{1, uint64(i + 1)}, Subject: Subject{Kind: Wait, Destination: i}, Life: time.Duration(i+1) * ms})
+		store.Merge(0, Statement{Origin: "a", Version: Version{1, uint64(i + 1)}, Subject: Subject{Kind: Wait, Destination: i}, Life: time.Duration(i+1) * ms})
 	}
-	if b.Len() != MaxPerOrigin {
-		t.Errorf("%d statements of one origin", b.Len())
+	if store.Len() != MaxPerOrigin {
+		t.Errorf("%d statements of one origin", store.Len())
 	}
 }
 
-// bench is one relay's judge with others that talk to it.
-type bench struct {
+// judgeFixture is one relay's judge with others that talk to it.
+type judgeFixture struct {
 	*Judge
 	now time.Duration
 	seq uint64
 }
 
-func newBench(agree int) *bench {
-	return &bench{Judge: NewJudge("me", agree, NewStore()), now: time.Hour}
+func newJudgeFixture(quorum int) *judgeFixture {
+	return &judgeFixture{Judge: NewJudge("me", quorum, NewStore()), now: time.Hour}
 }
 
-func (b *bench) hear(s Statement) []Restraint {
-	b.seq++
-	s.Version = Version{1, b.seq}
+func (f *judgeFixture) receive(s Statement) []Restraint {
+	f.seq++
+	s.Version = Version{1, f.seq}
 	if s.Life == 0 {
 		s.Life = s.Kind.Life()
 	}
-	if !b.store.Merge(b.now, s) {
+	if !f.store.Merge(f.now, s) {
 		return nil
 	}
-	return b.Receive(b.now, s)
+	return f.Receive(f.now, s)
 }
 
-func (b *bench) out(origin string, lasted, age time.Duration) []Restraint {
-	return b.hear(Statement{Origin: origin, Subject: Subject{Health, 1, "m"}, Length: lasted, Age: age})
+func (f *judgeFixture) announceOutage(origin string, lasted, age time.Duration) []Restraint {
+	return f.receive(Statement{Origin: origin, Subject: Subject{Health, 1, "m"}, Length: lasted, Age: age})
 }
 
-func (b *bench) back(origin string) []Restraint {
-	return b.hear(Statement{Origin: origin, Subject: Subject{Health, 1, "m"}, Over: true})
+func (f *judgeFixture) announceRecovery(origin string) []Restraint {
+	return f.receive(Statement{Origin: origin, Subject: Subject{Health, 1, "m"}, Over: true})
 }
 
-func (b *bench) wait(origin string, length time.Duration) []Restraint {
-	return b.hear(Statement{Origin: origin, Subject: Subject{Kind: Wait, Destination: 1}, Length: length})
+func (f *judgeFixture) announceWait(origin string, length time.Duration) []Restraint {
+	return f.receive(Statement{Origin: origin, Subject: Subject{Kind: Wait, Destination: 1}, Length: length})
 }
 
-func orders(list []Restraint) (names []string) {
+func ordersOf(list []Restraint) (names []string) {
 	for _, r := range list {
 		names = append(names, r.Order.String())
 	}
 	return names
 }
 
-func expect(t *testing.T, what string, got []Restraint, want ...string) {
+func expectOrders(t *testing.T, what string, got []Restraint, want ...string) {
 	t.Helper()
-	if !slices.Equal(orders(got), want) {
+	if !slices.Equal(ordersOf(got), want) {
 		t.Errorf("%s: %v, not %v", what, got, want)
 	}
 }
 
-func TestOutagesNeedAgreement(t *testing.T) {
-	b := newBench(2)
-	expect(t, "one word", b.out("a", time.Second, 0))
-	expect(t, "the same origin again", b.out("a", time.Second, 0))
-	expect(t, "a second word", b.out("b", time.Second, 0), "out")
-	expect(t, "its next failed try puts ours off", b.out("a", time.Second, 0), "out")
-	expect(t, "but not twice in a row", b.out("a", time.Second, 0))
-	expect(t, "nor by an old one", b.out("b", time.Second, 2*time.Second))
-	b.now += ms
-	expect(t, "one answer ends it", b.back("a"), "back")
-	expect(t, "words older than that answer do not count", b.hear(Statement{Origin: "c", Subject: Subject{Health, 1, "m"}, Age: 5 * ms}))
+func TestOutagesNeedQuorum(t *testing.T) {
+	f := newJudgeFixture(2)
+	expectOrders(t, "one word", f.announceOutage("a", time.Second, 0))
+	expectOrders(t, "the same origin again", f.announceOutage("a", time.Second, 0))
+	expectOrders(t, "a second word", f.announceOutage("b", time.Second, 0), "out")
+	expectOrders(t, "its next failed try puts ours off", f.announceOutage("a", time.Second, 0), "out")
+	expectOrders(t, "but not twice in a row", f.announceOutage("a", time.Second, 0))
+	expectOrders(t, "nor by an old one", f.announceOutage("b", time.Second, 2*time.Second))
+	f.now += ms
+	expectOrders(t, "one answer ends it", f.announceRecovery("a"), "back")
+	expectOrders(t, "words older than that answer do not count", f.receive(Statement{Origin: "c", Subject: Subject{Health, 1, "m"}, Age: 5 * ms}))
 
-	b = newBench(2)
-	expect(t, "one word", b.out("a", time.Second, 0))
-	expect(t, "and our own module", b.SetOwnHealth(b.now, 1, "m", true, b.now), "out")
-	expect(t, "a call of ours that went well", b.Observe(b.now, Observation{Succeeded, 1, "m", false, b.now + 1, 0}), "free")
+	f = newJudgeFixture(2)
+	expectOrders(t, "one word", f.announceOutage("a", time.Second, 0))
+	expectOrders(t, "and our own module", f.SetOwnHealth(f.now, 1, "m", true, f.now), "out")
+	expectOrders(t, "a call of ours that went well", f.Observe(f.now, Observation{Succeeded, 1, "m", false, f.now + 1, 0}), "free")
 
-	b = newBench(2)
-	b.out("a", time.Second, 0)
-	b.out("b", time.Second, 0)
-	b.now += Health.Life()
-	expect(t, "the life of both is over", b.Expired(b.now, b.store.Sweep(b.now)), "free")
+	f = newJudgeFixture(2)
+	f.announceOutage("a", time.Second, 0)
+	f.announceOutage("b", time.Second, 0)
+	f.now += Health.Life()
+	expectOrders(t, "the life of both is over", f.Expired(f.now, f.store.Sweep(f.now)), "free")
 }
 
 // One origin, whatever it says and whenever, holds a destination no longer than its account, and no member out.
-func TestOneLiarIsBounded(t *testing.T) {
+func TestSingleOriginIsBounded(t *testing.T) {
 	proptest.Check(t, func(t *rapid.T) {
-		b := newBench(2)
+		f := newJudgeFixture(2)
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
 		var held, until time.Duration
-		start := b.now
-		note := func(list []Restraint) {
+		start := f.now
+		recordHolds := func(list []Restraint) {
 			for _, r := range list {
 				if r.Order != Hold {
 					t.Fatalf("a single word came to %v", r)
 				}
-				held += max(r.At-max(until, b.now), 0)
+				held += max(r.At-max(until, f.now), 0)
 				until = r.At
 			}
 		}
 		for range 200 {
-			b.now += time.Duration(rng.IntN(300)) * ms
+			f.now += time.Duration(rng.IntN(300)) * ms
 			switch rng.IntN(3) {
 			case 0:
-				note(b.wait("liar", time.Duration(rng.IntN(60_000))*ms))
+				recordHolds(f.announceWait("liar", time.Duration(rng.IntN(60_000))*ms))
 			case 1:
-				note(b.out("liar", time.Duration(rng.IntN(60))*time.Second, 0))
+				recordHolds(f.announceOutage("liar", time.Duration(rng.IntN(60))*time.Second, 0))
 			case 2:
-				note(b.back("liar"))
+				recordHolds(f.announceRecovery("liar"))
 			}
 		}
-		if most := maxBudget + time.Duration(singleRefill*float64(b.now-start)); held > most {
-			t.Fatalf("held for %v in %v, more than %v", held, b.now-start, most)
+		if maxHeld := maxBudget + time.Duration(singleRefillRatio*float64(f.now-start)); held > maxHeld {
+			t.Fatalf("held for %v in %v, more than %v", held, f.now-start, maxHeld)
 		}
 	})
 }
 
 func TestWaits(t *testing.T) {
-	b := newBench(2)
-	expect(t, "one word", b.wait("a", 800*ms), "hold")
-	expect(t, "a shorter one", b.wait("b", 500*ms))
-	got := b.wait("c", 16*time.Second)
-	if len(got) != 1 || got[0].At != b.now+800*ms+maxBudget {
+	f := newJudgeFixture(2)
+	expectOrders(t, "one word", f.announceWait("a", 800*ms), "hold")
+	expectOrders(t, "a shorter one", f.announceWait("b", 500*ms))
+	got := f.announceWait("c", 16*time.Second)
+	if len(got) != 1 || got[0].At != f.now+800*ms+maxBudget {
 		t.Errorf("a long one by a single word: %v", got)
 	}
-	if got = b.wait("d", 15*time.Second); len(got) != 1 || got[0].At != b.now+15*time.Second {
+	if got = f.announceWait("d", 15*time.Second); len(got) != 1 || got[0].At != f.now+15*time.Second {
 		t.Errorf("two words for at least 15 s: %v", got)
 	}
-	if got = b.Observe(b.now, Observation{Succeeded, 1, "m", false, b.now - ms, 0}); len(got) != 0 {
+	if got = f.Observe(f.now, Observation{Succeeded, 1, "m", false, f.now - ms, 0}); len(got) != 0 {
 		t.Errorf("a call that was begun before the waits were told ended them: %v", got)
 	}
-	b.now += 10 * ms
-	got = b.Observe(b.now, Observation{Succeeded, 1, "m", false, b.now - ms, 0})
-	if len(got) != 1 || got[0].Order != Hold || got[0].At != b.now {
+	f.now += 10 * ms
+	got = f.Observe(f.now, Observation{Succeeded, 1, "m", false, f.now - ms, 0})
+	if len(got) != 1 || got[0].Order != Hold || got[0].At != f.now {
 		t.Errorf("a call of ours that went well inside them: %v", got)
 	}
-	expect(t, "the account is empty after that", b.wait("a", 800*ms))
+	expectOrders(t, "the account is empty after that", f.announceWait("a", 800*ms))
 
-	b = newBench(2)
-	b.Observe(b.now, Observation{Refused, 1, "m", false, b.now, 3 * time.Second})
-	expect(t, "our own wait is longer", b.wait("a", 2*time.Second))
-	expect(t, "route apart, another group", b.hear(Statement{Origin: "a", Subject: Subject{Wait, 1, "route"}, Length: time.Second}), "hold")
+	f = newJudgeFixture(2)
+	f.Observe(f.now, Observation{Refused, 1, "m", false, f.now, 3 * time.Second})
+	expectOrders(t, "our own wait is longer", f.announceWait("a", 2*time.Second))
+	expectOrders(t, "route apart, another group", f.receive(Statement{Origin: "a", Subject: Subject{Wait, 1, "route"}, Length: time.Second}), "hold")
 }
 
 // A single word may choose among members, and shut nobody out; the own list decides where it is as new.
 func TestBarred(t *testing.T) {
 	for _, tt := range []struct {
-		name string
-		say  func(b *bench)
-		want []string
+		name     string
+		announce func(b *judgeFixture)
+		want     []string
 	}{
-		{"nothing said", func(*bench) {}, nil},
-		{"one drain of one", func(b *bench) { b.drain("a", "x", 9) }, []string{"x"}},
-		{"one origin drains all", func(b *bench) { b.drain("a", "x", 9); b.drain("a", "y", 9); b.drain("a", "z", 9) }, []string{"y"}},
-		{"two origins drain all", func(b *bench) {
+		{"nothing said", func(*judgeFixture) {}, nil},
+		{"one drain of one", func(b *judgeFixture) { b.announceDrain("a", "x", 9) }, []string{"x"}},
+		{"one origin drains all", func(b *judgeFixture) {
+			b.announceDrain("a", "x", 9)
+			b.announceDrain("a", "y", 9)
+			b.announceDrain("a", "z", 9)
+		}, []string{"y"}},
+		{"two origins drain all", func(b *judgeFixture) {
 			for _, o := range []string{"a", "b"} {
-				b.drain(o, "x", 9)
-				b.drain(o, "y", 9)
+				b.announceDrain(o, "x", 9)
+				b.announceDrain(o, "y", 9)
 			}
 		}, []string{"x", "y"}},
-		{"our list is as new", func(b *bench) { b.drain("a", "x", 5) }, nil},
-		{"what would remain fails", func(b *bench) {
-			b.drain("a", "x", 9)
+		{"our list is as new", func(b *judgeFixture) { b.announceDrain("a", "x", 5) }, nil},
+		{"what would remain fails", func(b *judgeFixture) {
+			b.announceDrain("a", "x", 9)
 			b.Observe(b.now, Observation{Failed, 1, "y", false, b.now, 0})
 		}, nil},
-		{"a ban", func(b *bench) { b.ban("a", "x", false) }, []string{"x"}},
-		{"a ban that is lifted", func(b *bench) { b.ban("a", "x", false); b.ban("a", "x", true) }, nil},
-		{"a ban not said again", func(b *bench) { b.ban("a", "x", false); b.now += Ban.Life() }, nil},
-		{"a member that we do not list", func(b *bench) { b.drain("a", "w", 9); b.drain("b", "w", 9) }, nil},
+		{"a ban", func(b *judgeFixture) { b.announceBan("a", "x", false) }, []string{"x"}},
+		{"a ban that is lifted", func(b *judgeFixture) { b.announceBan("a", "x", false); b.announceBan("a", "x", true) }, nil},
+		{"a ban not said again", func(b *judgeFixture) { b.announceBan("a", "x", false); b.now += Ban.Life() }, nil},
+		{"a member that we do not list", func(b *judgeFixture) { b.announceDrain("a", "w", 9); b.announceDrain("b", "w", 9) }, nil},
 	} {
-		b := newBench(2)
-		b.SetPool(5, []Member{{"x", 1}, {"y", 1}, {"z", 2}})
-		tt.say(b)
-		if got := b.Barred(b.now); !slices.Equal(got, tt.want) {
+		f := newJudgeFixture(2)
+		f.SetPool(5, []Member{{"x", 1}, {"y", 1}, {"z", 2}})
+		tt.announce(f)
+		if got := f.Barred(f.now); !slices.Equal(got, tt.want) {
 			t.Errorf("%s: %v barred, not %v", tt.name, got, tt.want)
 		}
 	}
 }
 
-func (b *bench) drain(origin, member string, list int64) {
-	b.hear(Statement{Origin: origin, Subject: Subject{Drain, 1, member}, List: list})
+func (f *judgeFixture) announceDrain(origin, member string, list int64) {
+	f.receive(Statement{Origin: origin, Subject: Subject{Drain, 1, member}, List: list})
 }
 
-func (b *bench) ban(origin, member string, over bool) {
-	b.hear(Statement{Origin: origin, Subject: Subject{Ban, 1, member}, Over: over})
+func (f *judgeFixture) announceBan(origin, member string, over bool) {
+	f.receive(Statement{Origin: origin, Subject: Subject{Ban, 1, member}, Over: over})
 }
 
 // What everybody knows is not said again, and a relay that was forgotten speaks above what it said before.
 func TestAnnouncer(t *testing.T) {
-	b, announcer := NewStore(), NewAnnouncer("me", 3)
+	store, announcer := NewStore(), NewAnnouncer("me", 3)
 	refused := Observation{Refused, 1, "m", false, 0, time.Second}
-	s, ok := announcer.Wait(0, b, refused)
+	s, ok := announcer.Wait(0, store, refused)
 	if !ok || s.Incarnation != 3 || s.Seq != 1 {
 		t.Fatalf("%v %v", s, ok)
 	}
-	b.Merge(0, s)
-	if _, ok := announcer.Wait(10*ms, b, refused); ok {
+	store.Merge(0, s)
+	if _, ok := announcer.Wait(10*ms, store, refused); ok {
 		t.Error("the same wait told twice")
 	}
-	if _, ok := announcer.Wait(200*ms, b, refused); !ok {
+	if _, ok := announcer.Wait(200*ms, store, refused); !ok {
 		t.Error("a wait that ends later not told")
 	}
-	if _, ok := announcer.Recovery(0, b, 1, "m"); ok {
+	if _, ok := announcer.Recovery(0, store, 1, "m"); ok {
 		t.Error("back from no outage")
 	}
 	announcer.Outage(1, "m", 0)
-	if _, ok := announcer.Recovery(0, b, 1, "m"); !ok {
+	if _, ok := announcer.Recovery(0, store, 1, "m"); !ok {
 		t.Error("an outage of ours not taken back")
 	}
 	announcer.Ban(1, "m", true)
@@ -295,12 +299,12 @@
 }
 
 // What is kept of peers' names is bounded.
-func TestBounded(t *testing.T) {
-	b := newBench(2)
+func TestJudgeStateIsBounded(t *testing.T) {
+	f := newJudgeFixture(2)
 	for i := range 3 * maxTracked {
-		b.Observe(b.now+time.Duration(i), Observation{Failed, i, fmt.Sprint(i), false, 0, 0})
+		f.Observe(f.now+time.Duration(i), Observation{Failed, i, fmt.Sprint(i), false, 0, 0})
 	}
-	if n := len(b.members); n > maxTracked+1 {
+	if n := len(f.members); n > maxTracked+1 {
 		t.Errorf("%d members kept", n)
 	}
 }
--- a/internal/verdicts/waits.go
+++ b/internal/verdicts/waits.go
@@ -9,22 +9,22 @@
 const (
 	// maxBudget is how long one origin's statements alone may hold a destination at once.
 	maxBudget = time.Second
-	// singleRefill is the share of the time that passes by which an origin's budget refills.
-	singleRefill = 0.05
-	// confirmedRefill is that share while other origins too have been turned away there.
-	confirmedRefill = 0.5
+	// singleRefillRatio is the share of the time that passes by which an origin's budget refills.
+	singleRefillRatio = 0.05
+	// confirmedRefillRatio is that share while other origins too have been turned away there.
+	confirmedRefillRatio = 0.5
 	// confirmationTime is how long a refusal of another origin counts for that.
 	confirmationTime = 10 * time.Second
 )
 
 // holdState is what a judge keeps of the subject of a wait.
 type holdState struct {
-	until     time.Duration            // as last returned
-	succeeded time.Duration            // when the newest of our calls that succeeded was begun
-	ownUntil  time.Duration            // end of a wait that this relay was asked for itself
-	refusedAt map[string]time.Duration // when an origin, this relay included, was last turned away
-	budgets   map[string]*budget
-	lastUse   time.Duration
+	heldUntil        time.Duration            // as last returned
+	lastSuccessStart time.Duration            // when the newest of our calls that succeeded was begun
+	ownWaitEnd       time.Duration            // end of a wait that this relay was asked for itself
+	lastRefusals     map[string]time.Duration // when an origin, this relay included, was last turned away
+	budgets          map[string]*budget
+	lastUse          time.Duration
 }
 
 // budget is how long an origin's statements alone may hold a destination.
@@ -33,17 +33,17 @@
 	updatedAt time.Duration
 }
 
-func (j *Judge) hold(now time.Duration, group Subject) *holdState {
-	h := j.holds[group]
+func (j *Judge) holdFor(now time.Duration, subject Subject) *holdState {
+	h := j.holds[subject]
 	if h == nil {
 		h = &holdState{
-			until:     never,
-			succeeded: never,
-			ownUntil:  never,
-			refusedAt: map[string]time.Duration{},
-			budgets:   map[string]*budget{},
+			heldUntil:        never,
+			lastSuccessStart: never,
+			ownWaitEnd:       never,
+			lastRefusals:     map[string]time.Duration{},
+			budgets:          map[string]*budget{},
 		}
-		j.holds[group] = h
+		j.holds[subject] = h
 	}
 	h.lastUse = now
 	return h
@@ -51,17 +51,17 @@
 
 // endContradictedHold ends a hold where one of our calls succeeded that was begun after the waits were announced.
 func (j *Judge) endContradictedHold(now time.Duration, o Observation) []Restraint {
-	group := o.group()
-	h := j.holds[group]
+	subject := o.waitSubject()
+	h := j.holds[subject]
 	if h == nil {
 		return nil
 	}
-	h.succeeded = max(h.succeeded, o.Begun)
-	if h.until <= now {
+	h.lastSuccessStart = max(h.lastSuccessStart, o.Begun)
+	if h.heldUntil <= now {
 		return nil
 	}
-	for _, s := range j.store.About(now, group) {
-		if s.Origin != j.self && now-s.Age >= h.succeeded {
+	for _, s := range j.store.About(now, subject) {
+		if s.Origin != j.self && now-s.Age >= h.lastSuccessStart {
 			return nil // this one is newer than the call
 		}
 	}
@@ -70,38 +70,38 @@
 		b.left = 0
 		b.updatedAt = now
 	}
-	h.until = now
-	return []Restraint{holdUntil(group, now)}
+	h.heldUntil = now
+	return []Restraint{holdUntil(subject, now)}
 }
 
-func holdUntil(group Subject, until time.Duration) Restraint {
-	return Restraint{Order: Hold, Destination: group.Destination, Member: group.Member, At: until}
+func holdUntil(subject Subject, until time.Duration) Restraint {
+	return Restraint{Order: Hold, Destination: subject.Destination, Member: subject.Member, At: until}
 }
 
 // judgeWait decides how long a group is to be held. A new statement may draw on its origin's budget.
-func (j *Judge) judgeWait(now time.Duration, group Subject, news *Statement) []Restraint {
-	h := j.hold(now, group)
-	until := max(h.until, j.agreedEnd(now, group, h))
-	if news != nil && !news.Over && now-news.Age >= h.succeeded {
-		until = j.extendByBudget(now, h, news, until)
+func (j *Judge) judgeWait(now time.Duration, subject Subject, received *Statement) []Restraint {
+	h := j.holdFor(now, subject)
+	until := max(h.heldUntil, j.quorumWaitEnd(now, subject, h))
+	if received != nil && !received.Over && now-received.Age >= h.lastSuccessStart {
+		until = j.extendByBudget(now, h, received, until)
 	}
-	if until <= max(h.until, now) || until <= h.ownUntil {
+	if until <= max(h.heldUntil, now) || until <= h.ownWaitEnd {
 		return nil // nothing new, or this relay's own wait holds as long
 	}
-	h.until = until
+	h.heldUntil = until
 	j.counters.Heeded++
-	return []Restraint{holdUntil(group, until)}
+	return []Restraint{holdUntil(subject, until)}
 }
 
-// agreedEnd is the time until which a quorum of origins, this relay included, announces waits; never for none.
-func (j *Judge) agreedEnd(now time.Duration, group Subject, h *holdState) time.Duration {
-	ends := []time.Duration{h.ownUntil}
-	for _, s := range j.store.About(now, group) {
+// quorumWaitEnd is the time until which a quorum of origins, this relay included, announces waits; never for none.
+func (j *Judge) quorumWaitEnd(now time.Duration, subject Subject, h *holdState) time.Duration {
+	ends := []time.Duration{h.ownWaitEnd}
+	for _, s := range j.store.About(now, subject) {
 		madeAt := now - s.Age
-		if s.Origin == j.self || madeAt < h.succeeded {
+		if s.Origin == j.self || madeAt < h.lastSuccessStart {
 			continue // our own, or contradicted by a call of ours
 		}
-		h.refusedAt[s.Origin] = max(h.refusedAt[s.Origin], madeAt)
+		h.lastRefusals[s.Origin] = max(h.lastRefusals[s.Origin], madeAt)
 		if !s.Over {
 			ends = append(ends, madeAt+s.Length)
 		}
@@ -115,13 +115,13 @@
 }
 
 // extendByBudget extends a hold towards the end of a single origin's wait, as far as its budget goes.
-func (j *Judge) extendByBudget(now time.Duration, h *holdState, news *Statement, until time.Duration) time.Duration {
-	end := now - news.Age + news.Length
-	from := max(until, now, h.ownUntil)
+func (j *Judge) extendByBudget(now time.Duration, h *holdState, received *Statement, until time.Duration) time.Duration {
+	end := now - received.Age + received.Length
+	from := max(until, now, h.ownWaitEnd)
 	if end <= from {
 		return until
 	}
-	until = from + h.draw(now, news.Origin, end-from)
+	until = from + h.draw(now, received.Origin, end-from)
 	if until < end {
 		j.counters.Overdrawn++
 	}
@@ -135,11 +135,11 @@
 		b = &budget{left: maxBudget, updatedAt: now}
 		h.budgets[origin] = b
 	}
-	refill := singleRefill
+	refillRatio := singleRefillRatio
 	if h.isConfirmed(now, origin) {
-		refill = confirmedRefill
+		refillRatio = confirmedRefillRatio
 	}
-	b.left = min(b.left+time.Duration(refill*float64(now-b.updatedAt)), maxBudget)
+	b.left = min(b.left+time.Duration(refillRatio*float64(now-b.updatedAt)), maxBudget)
 	b.updatedAt = now
 	drawn := min(b.left, wanted)
 	b.left -= drawn
@@ -148,7 +148,7 @@
 
 // isConfirmed reports whether another origin has been turned away lately.
 func (h *holdState) isConfirmed(now time.Duration, origin string) bool {
-	for other, at := range h.refusedAt {
+	for other, at := range h.lastRefusals {
 		if other != origin && now-at < confirmationTime {
 			return true
 		}
