--- a/internal/allowance/divide.go
+++ b/internal/allowance/divide.go
@@ -16,13 +16,13 @@
 // divide divides a rate by the relays' demands: the highest priority level first, max-min fair within a level, and a small
 // share for the levels below. What is left goes to all relays with demand. The result is added to targets.
 func divide(rate float64, names []string, demandOf func(string) *Demand, targets map[string]float64) {
-	levelDemands, totalDemand := sumDemands(names, demandOf)
-	if totalDemand <= 0 || rate <= 0 {
+	levelDemands, total := sumDemands(names, demandOf)
+	if total <= 0 || rate <= 0 {
 		return
 	}
 	left := rate
 	for level := range Levels {
-		lowerDemand := totalDemand
+		lowerDemand := total
 		for higher := range level + 1 {
 			lowerDemand -= levelDemands[higher]
 		}
@@ -41,13 +41,13 @@
 	}
 	for _, name := range names {
 		if demand := demandOf(name); demand != nil {
-			targets[name] += spare * demand.total() / totalDemand
+			targets[name] += spare * demand.total() / total
 		}
 	}
 }
 
 // sumDemands sums the demands of all relays, by priority level and in total.
-func sumDemands(names []string, demandOf func(string) *Demand) (levelDemands [Levels]float64, totalDemand float64) {
+func sumDemands(names []string, demandOf func(string) *Demand) (levelDemands [Levels]float64, total float64) {
 	for _, name := range names {
 		demand := demandOf(name)
 		if demand == nil {
@@ -55,10 +55,10 @@
 		}
 		for level, rate := range demand.Rates {
 			levelDemands[level] += max(rate, 0)
-			totalDemand += max(rate, 0)
+			total += max(rate, 0)
 		}
 	}
-	return levelDemands, totalDemand
+	return levelDemands, total
 }
 
 // divideMaxMin divides a rate max-min fairly: no relay gets more than it wants, and the least that any unsatisfied relay
--- a/internal/allowance/mutants_test.go
+++ b/internal/allowance/mutants_test.go
@@ -74,9 +74,9 @@
 	case "what others have is not asked":
 		for name, r := range m.relays {
 			if name != to {
-				outstanding := slices.Clone(r.outstanding)
+				saved := slices.Clone(r.outstanding)
 				r.outstanding = nil
-				defer func() { r.outstanding = outstanding }()
+				defer func() { r.outstanding = saved }()
 			}
 		}
 	}
--- a/internal/spread/exchange.go
+++ b/internal/spread/exchange.go
@@ -17,7 +17,7 @@
 		return nil
 	}
 	partner := s.otherMembers[s.rng.IntN(len(s.otherMembers))]
-	s.askedAt[partner] = now
+	s.askTimes[partner] = now
 	s.counters.ExchangesStarted++
 	s.send(now, partner, Packet{Ask: true, Summary: s.store.Summary(now), Members: s.membersHash})
 	return s.outgoing
@@ -25,11 +25,11 @@
 
 // recordAnswer notes that a member has answered a comparison.
 func (s *Spread) recordAnswer(from string) {
-	askedAt, ok := s.askedAt[from]
+	askedAt, ok := s.askTimes[from]
 	if !ok {
 		return
 	}
-	delete(s.askedAt, from)
+	delete(s.askTimes, from)
 	s.lastAnsweredAsk = max(s.lastAnsweredAsk, askedAt)
 	s.counters.Answered++
 }
--- a/internal/spread/spread.go
+++ b/internal/spread/spread.go
@@ -89,7 +89,7 @@
 	counters        Counters
 	packetsSent     uint64                   // sent
 	nextExchange    time.Duration            // when the next comparison is due
-	askedAt         map[string]time.Duration // when a member was asked for a comparison
+	askTimes        map[string]time.Duration // when a member was asked for a comparison
 	lastAnsweredAsk time.Duration            // when the newest comparison that was answered had been asked for
 	lastCall        time.Duration            // when Tick or Receive was last called
 	lastSuspension  time.Duration            // how long the last suspension was
@@ -110,7 +110,7 @@
 		rng:             rand.New(rand.NewPCG(cfg.Seed, hashName(0, cfg.Self))),
 		peers:           map[string]*peer{},
 		incarnation:     incarnation,
-		askedAt:         map[string]time.Duration{},
+		askTimes:        map[string]time.Duration{},
 		lastAnsweredAsk: now,
 		tokenBytes:      burstSeconds * cfg.Bytes,
 		refilledAt:      now,
@@ -155,7 +155,7 @@
 	for m := range s.peers {
 		if !isLive[m] {
 			delete(s.peers, m)
-			delete(s.askedAt, m)
+			delete(s.askTimes, m)
 		}
 	}
 }
--- a/internal/verdicts/announcer.go
+++ b/internal/verdicts/announcer.go
@@ -56,13 +56,13 @@
 	if o.Outcome != Refused || o.Wait < minWaitExtension {
 		return Statement{}, false
 	}
-	subject := o.waitSubject()
-	for _, known := range store.About(now, subject) {
+	waitSubject := o.waitSubject()
+	for _, known := range store.About(now, waitSubject) {
 		if !known.Over && known.Length-known.Age+minWaitExtension > o.Wait {
 			return Statement{}, false
 		}
 	}
-	return a.stamp(Statement{Subject: subject, Length: o.Wait, Life: min(o.Wait, Wait.Life())}), true
+	return a.stamp(Statement{Subject: waitSubject, Length: o.Wait, Life: min(o.Wait, Wait.Life())}), true
 }
 
 // Outage announces an outage that has lasted so long, or another try there that failed.
--- a/internal/verdicts/exclusion.go
+++ b/internal/verdicts/exclusion.go
@@ -57,7 +57,7 @@
 // isUsable reports whether a member is neither out nor failing.
 func (j *Judge) isUsable(m Member) bool {
 	s := j.members[Subject{Kind: Health, Destination: m.Destination, Member: m.Name}]
-	return s == nil || s.lastFailureStart <= s.lastSuccessStart && !s.reportedOut
+	return s == nil || s.lastFailureStart <= s.lastSuccessStart && !s.out
 }
 
 func (j *Judge) poolByName() []Member {
--- a/internal/verdicts/health.go
+++ b/internal/verdicts/health.go
@@ -13,12 +13,12 @@
 	lastSuccessStart time.Duration // when the newest of our calls that succeeded was begun
 	lastFailureStart time.Duration // when the newest of our calls that failed was begun
 	ownOutageStart   time.Duration // since when this relay itself holds it out; never where it does not
-	reportedOut      bool          // returned as out
+	out              bool          // returned as out
 	lastDelayOrigin  string        // the origin whose statement last put our next try off
 	lastUse          time.Duration
 }
 
-func (j *Judge) memberFor(now time.Duration, destination int, name string) *memberState {
+func (j *Judge) member(now time.Duration, destination int, name string) *memberState {
 	s := Subject{Kind: Health, Destination: destination, Member: name}
 	m := j.members[s]
 	if m == nil {
@@ -31,7 +31,7 @@
 
 // judgeHealth decides whether a member counts as out. A new statement may put off the next try at one that does already.
 func (j *Judge) judgeHealth(now time.Duration, destination int, name string, received *Statement) []Restraint {
-	m := j.memberFor(now, destination, name)
+	m := j.member(now, destination, name)
 	list := j.store.About(now, Subject{Kind: Health, Destination: destination, Member: name})
 	recovered := j.latestRecovery(now, list)
 	starts := j.outageStarts(now, list, recovered)
@@ -49,15 +49,15 @@
 	}
 	r := Restraint{Destination: destination, Member: name}
 	switch {
-	case out && (!m.reportedOut || delaysTrial(received, m)):
-		m.reportedOut = true
+	case out && (!m.out || delaysTrial(received, m)):
+		m.out = true
 		r.Order = Out
 		r.At = starts[j.quorum-1]
 		if received != nil {
 			m.lastDelayOrigin = received.Origin
 		}
-	case !out && m.reportedOut:
-		m.reportedOut = false
+	case !out && m.out:
+		m.out = false
 		m.lastDelayOrigin = ""
 		r.Order, r.At = Free, now
 		if recovered > never {
--- a/internal/verdicts/judge.go
+++ b/internal/verdicts/judge.go
@@ -85,7 +85,7 @@
 // Observe takes in the end of one of this relay's own calls.
 func (j *Judge) Observe(now time.Duration, o Observation) []Restraint {
 	j.evictOldest()
-	m := j.memberFor(now, o.Destination, o.Member)
+	m := j.member(now, o.Destination, o.Member)
 	switch o.Outcome {
 	case Succeeded:
 		m.lastSuccessStart = max(m.lastSuccessStart, o.Begun)
@@ -94,7 +94,7 @@
 	case Failed:
 		m.lastFailureStart = max(m.lastFailureStart, o.Begun)
 	case Refused:
-		h := j.holdFor(now, o.waitSubject())
+		h := j.hold(now, o.waitSubject())
 		h.lastRefusals[j.self] = now
 		h.ownWaitEnd = max(h.ownWaitEnd, now+o.Wait)
 		return j.judgeWait(now, o.waitSubject(), nil)
@@ -104,7 +104,7 @@
 
 // SetOwnHealth takes in whether this relay itself holds a member out, because its own calls have failed since.
 func (j *Judge) SetOwnHealth(now time.Duration, destination int, member string, out bool, since time.Duration) []Restraint {
-	m := j.memberFor(now, destination, member)
+	m := j.member(now, destination, member)
 	m.ownOutageStart = never
 	if out {
 		m.ownOutageStart = since
--- a/internal/verdicts/verdicts_test.go
+++ b/internal/verdicts/verdicts_test.go
@@ -221,31 +221,31 @@
 func TestBarred(t *testing.T) {
 	for _, tt := range []struct {
 		name     string
-		announce func(b *judgeFixture)
+		announce func(f *judgeFixture)
 		want     []string
 	}{
 		{"nothing said", func(*judgeFixture) {}, nil},
-		{"one drain of one", func(b *judgeFixture) { b.announceDrain("a", "x", 9) }, []string{"x"}},
-		{"one origin drains all", func(b *judgeFixture) {
-			b.announceDrain("a", "x", 9)
-			b.announceDrain("a", "y", 9)
-			b.announceDrain("a", "z", 9)
+		{"one drain of one", func(f *judgeFixture) { f.announceDrain("a", "x", 9) }, []string{"x"}},
+		{"one origin drains all", func(f *judgeFixture) {
+			f.announceDrain("a", "x", 9)
+			f.announceDrain("a", "y", 9)
+			f.announceDrain("a", "z", 9)
 		}, []string{"y"}},
-		{"two origins drain all", func(b *judgeFixture) {
+		{"two origins drain all", func(f *judgeFixture) {
 			for _, o := range []string{"a", "b"} {
-				b.announceDrain(o, "x", 9)
-				b.announceDrain(o, "y", 9)
+				f.announceDrain(o, "x", 9)
+				f.announceDrain(o, "y", 9)
 			}
 		}, []string{"x", "y"}},
-		{"our list is as new", func(b *judgeFixture) { b.announceDrain("a", "x", 5) }, nil},
-		{"what would remain fails", func(b *judgeFixture) {
-			b.announceDrain("a", "x", 9)
-			b.Observe(b.now, Observation{Failed, 1, "y", false, b.now, 0})
+		{"our list is as new", func(f *judgeFixture) { f.announceDrain("a", "x", 5) }, nil},
+		{"what would remain fails", func(f *judgeFixture) {
+			f.announceDrain("a", "x", 9)
+			f.Observe(f.now, Observation{Failed, 1, "y", false, f.now, 0})
 		}, nil},
-		{"a ban", func(b *judgeFixture) { b.announceBan("a", "x", false) }, []string{"x"}},
-		{"a ban that is lifted", func(b *judgeFixture) { b.announceBan("a", "x", false); b.announceBan("a", "x", true) }, nil},
-		{"a ban not said again", func(b *judgeFixture) { b.announceBan("a", "x", false); b.now += Ban.Life() }, nil},
-		{"a member that we do not list", func(b *judgeFixture) { b.announceDrain("a", "w", 9); b.announceDrain("b", "w", 9) }, nil},
+		{"a ban", func(f *judgeFixture) { f.announceBan("a", "x", false) }, []string{"x"}},
+		{"a ban that is lifted", func(f *judgeFixture) { f.announceBan("a", "x", false); f.announceBan("a", "x", true) }, nil},
+		{"a ban not said again", func(f *judgeFixture) { f.announceBan("a", "x", false); f.now += Ban.Life() }, nil},
+		{"a member that we do not list", func(f *judgeFixture) { f.announceDrain("a", "w", 9); f.announceDrain("b", "w", 9) }, nil},
 	} {
 		f := newJudgeFixture(2)
 		f.SetPool(5, []Member{{"x", 1}, {"y", 1}, {"z", 2}})
--- a/internal/verdicts/waits.go
+++ b/internal/verdicts/waits.go
@@ -19,7 +19,7 @@
 
 // holdState is what a judge keeps of the subject of a wait.
 type holdState struct {
-	heldUntil        time.Duration            // as last returned
+	until            time.Duration            // as last returned
 	lastSuccessStart time.Duration            // when the newest of our calls that succeeded was begun
 	ownWaitEnd       time.Duration            // end of a wait that this relay was asked for itself
 	lastRefusals     map[string]time.Duration // when an origin, this relay included, was last turned away
@@ -33,11 +33,11 @@
 	updatedAt time.Duration
 }
 
-func (j *Judge) holdFor(now time.Duration, subject Subject) *holdState {
+func (j *Judge) hold(now time.Duration, subject Subject) *holdState {
 	h := j.holds[subject]
 	if h == nil {
 		h = &holdState{
-			heldUntil:        never,
+			until:            never,
 			lastSuccessStart: never,
 			ownWaitEnd:       never,
 			lastRefusals:     map[string]time.Duration{},
@@ -51,16 +51,16 @@
 
 // endContradictedHold ends a hold where one of our calls succeeded that was begun after the waits were announced.
 func (j *Judge) endContradictedHold(now time.Duration, o Observation) []Restraint {
-	subject := o.waitSubject()
-	h := j.holds[subject]
+	waitSubject := o.waitSubject()
+	h := j.holds[waitSubject]
 	if h == nil {
 		return nil
 	}
 	h.lastSuccessStart = max(h.lastSuccessStart, o.Begun)
-	if h.heldUntil <= now {
+	if h.until <= now {
 		return nil
 	}
-	for _, s := range j.store.About(now, subject) {
+	for _, s := range j.store.About(now, waitSubject) {
 		if s.Origin != j.self && now-s.Age >= h.lastSuccessStart {
 			return nil // this one is newer than the call
 		}
@@ -70,8 +70,8 @@
 		b.left = 0
 		b.updatedAt = now
 	}
-	h.heldUntil = now
-	return []Restraint{holdUntil(subject, now)}
+	h.until = now
+	return []Restraint{holdUntil(waitSubject, now)}
 }
 
 func holdUntil(subject Subject, until time.Duration) Restraint {
@@ -80,15 +80,15 @@
 
 // judgeWait decides how long a group is to be held. A new statement may draw on its origin's budget.
 func (j *Judge) judgeWait(now time.Duration, subject Subject, received *Statement) []Restraint {
-	h := j.holdFor(now, subject)
-	until := max(h.heldUntil, j.quorumWaitEnd(now, subject, h))
+	h := j.hold(now, subject)
+	until := max(h.until, j.quorumWaitEnd(now, subject, h))
 	if received != nil && !received.Over && now-received.Age >= h.lastSuccessStart {
 		until = j.extendByBudget(now, h, received, until)
 	}
-	if until <= max(h.heldUntil, now) || until <= h.ownWaitEnd {
+	if until <= max(h.until, now) || until <= h.ownWaitEnd {
 		return nil // nothing new, or this relay's own wait holds as long
 	}
-	h.heldUntil = until
+	h.until = until
 	j.counters.Heeded++
 	return []Restraint{holdUntil(subject, until)}
 }
