--- a/internal/allowance/simulation_test.go
+++ b/internal/allowance/simulation_test.go
@@ -20,26 +20,27 @@
 	return s
 }
 
-// Whatever the loads, nearly all of a limit is used, and no more than it is dealt out.
+// Nearly all of a limit is used under even and uneven loads, with and without packet loss, and the rates in force never exceed the
+// limit.
 func TestLimitIsFullyUsed(t *testing.T) {
 	for _, relays := range []int{3, 8, 60} {
 		for seed := range uint64(3) {
-			for name, load := range map[string]limits.LoadFunc{"even": limits.ConstantLoad(1, 260/float64(relays)), "one hot": limits.ConstantLoad(1, 130, 130/float64(relays-1)),
-				"few": limits.ConstantLoad(1, 200, 60, 0)} {
+			for name, load := range map[string]limits.LoadFunc{"even": limits.ConstantLoad(1, 260/float64(relays)), "one busy relay": limits.ConstantLoad(1, 130, 130/float64(relays-1)),
+				"three relays only": limits.ConstantLoad(1, 200, 60, 0)} {
 				s := newSimulation(t, relays, seed)
 				s.Load = load
 				s.PacketLoss = 0.02 * float64(seed%2)
 				s.WarmUp()
 				s.PeakRate = 0
 				if utilization := s.Utilization(10*time.Second, s.Limit); utilization < 0.95-2*s.PacketLoss || s.PeakRate > s.Limit*1.011 {
-					t.Errorf("%d relays, %s, seed %d: %.3f used, at most %.3f dealt out", relays, name, seed, utilization, s.PeakRate/s.Limit)
+					t.Errorf("%d relays, load %s, seed %d: utilization %.3f, peak %.3f of the limit granted", relays, name, seed, utilization, s.PeakRate/s.Limit)
 				}
 			}
 		}
 	}
 }
 
-// A load that moves takes its part along within a second, and one below the limit is served whole.
+// When the load moves from one relay to another, the granted rate follows within a second. A load below the limit is served in full.
 func TestMovingLoad(t *testing.T) {
 	s := newSimulation(t, 8, 1)
 	hot := 0
@@ -54,12 +55,13 @@
 		hot = (hot + 3) % 8
 		s.Run(time.Second)
 		if utilization := s.Utilization(time.Second, 164); utilization < 0.9 {
-			t.Errorf("a second after the load has moved to %d %.3f of it is served", hot, utilization)
+			t.Errorf("one second after the load moved to relay %d: %.3f of the load is served", hot, utilization)
 		}
 	}
 }
 
-// When there is more than the limit the higher worth goes first wherever it arrives, and the lower does not starve.
+// Under overload, messages of higher worth are served first at whichever relay they arrive, and messages of lower worth do not
+// starve.
 func TestHigherWorthGoesFirst(t *testing.T) {
 	s := newSimulation(t, 8, 1)
 	s.Load = func(i int) [allowance.Levels]float64 {
@@ -79,11 +81,11 @@
 		}
 	}
 	if utilization < 0.9 || high < 0.93*180*5 || low < 0.02*s.Limit*5 {
-		t.Errorf("%.3f used; %.0f of 900 of what is worth most, %.0f of the rest", utilization, high, low)
+		t.Errorf("utilization %.3f; calls served: %.0f of 900 of the highest worth, %.0f of lower worth", utilization, high, low)
 	}
 }
 
-// A limit that changes is what all keep to within a second.
+// All relays follow a changed limit within a second.
 func TestChangingLimit(t *testing.T) {
 	s := newSimulation(t, 8, 1)
 	s.Load = limits.ConstantLoad(1, 40)
@@ -92,16 +94,17 @@
 	s.Run(time.Second + allowance.DefaultConfig(8, 2).LeaseDuration)
 	s.PeakRate = 0
 	if utilization := s.Utilization(3*time.Second, 50); utilization < 0.9 || s.PeakRate > 50*1.011 {
-		t.Errorf("after its fall %.3f is used, %.1f of 50 dealt out", utilization, s.PeakRate)
+		t.Errorf("after the limit fell: utilization %.3f, peak %.1f of 50 granted", utilization, s.PeakRate)
 	}
 	s.Limit = 200
 	s.Run(time.Second)
 	if utilization := s.Utilization(2*time.Second, 200); utilization < 0.9 {
-		t.Errorf("a second after its rise %.3f is used", utilization)
+		t.Errorf("one second after the limit rose: utilization %.3f", utilization)
 	}
 }
 
-// Whoever is cut off from whom, and whoever stops, no more than the limit is in force, and each side uses what is its own.
+// Under any network partition or stop of a relay, the rates in force never exceed the limit, and each side of the partition uses its
+// own part of the limit.
 func TestPartitions(t *testing.T) {
 	const relays = 8
 	var names []string
@@ -121,15 +124,15 @@
 		name           string
 		partitioned    func(a, b int) bool
 		stoppedRelay   int
-		minUtilization float64 // of the limit, once all know of it
+		minUtilization float64 // share of the limit, once the membership reflects the partition
 	}{
-		{"the owner alone", isolate(owner), -1, 0.9},
-		{"the owner with one", isolate(owner, relayAfter(1)), -1, 0.9},
-		{"the owner with most", isolate(relayAfter(1), relayAfter(2), relayAfter(3)), -1, 0.9},
-		{"halves", isolate(owner, relayAfter(1), relayAfter(2), relayAfter(3)), -1, 0.9},
+		{"owner isolated", isolate(owner), -1, 0.9},
+		{"owner with one relay", isolate(owner, relayAfter(1)), -1, 0.9},
+		{"owner in the majority", isolate(relayAfter(1), relayAfter(2), relayAfter(3)), -1, 0.9},
+		{"equal halves", isolate(owner, relayAfter(1), relayAfter(2), relayAfter(3)), -1, 0.9},
 		{"one direction", func(a, b int) bool { return a == owner && b == relayAfter(1) }, -1, 0.8},
-		{"the owner stopped", isolate(), owner, 0.75},
-		{"all alone", func(a, b int) bool { return a != b }, -1, 0.9},
+		{"owner stopped", isolate(), owner, 0.75},
+		{"every relay isolated", func(a, b int) bool { return a != b }, -1, 0.9},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			for seed := range uint64(5) {
@@ -154,14 +157,14 @@
 				s.UpdateMembers()
 				s.Run(5 * time.Second)
 				if healedUtilization := s.Utilization(3*time.Second, s.Limit); utilization < c.minUtilization || healedUtilization < 0.9 || max(partitionedPeak, s.PeakRate) > s.Limit*1.011 {
-					t.Errorf("seed %d: %.3f used, after the reunion %.3f; %.3f of the limit in force at most", seed, utilization, healedUtilization, max(partitionedPeak, s.PeakRate)/s.Limit)
+					t.Errorf("seed %d: utilization %.3f, after the partition heals %.3f; peak %.3f of the limit in force", seed, utilization, healedUtilization, max(partitionedPeak, s.PeakRate)/s.Limit)
 				}
 			}
 		})
 	}
 }
 
-// One relay's word neither raises a limit nor takes more than its part.
+// A relay that reports a false limit and false demand neither raises the limit nor gets more than its share.
 func TestFalseReadingsAndDemand(t *testing.T) {
 	s := newSimulation(t, 8, 1)
 	s.Load = limits.ConstantLoad(1, 40)
@@ -177,18 +180,18 @@
 		return s.Used[1] / span.Seconds()
 	}
 	runWithFalseReports(2 * time.Second)
-	if falseRate := runWithFalseReports(3 * time.Second); falseRate > 1.2*s.Limit/8 || s.PeakRate > s.Limit*1.011 {
-		t.Errorf("the liar has %.1f a second of %.0f that 8 divide, %.1f in force", falseRate, s.Limit, s.PeakRate)
+	if obtainedRate := runWithFalseReports(3 * time.Second); obtainedRate > 1.2*s.Limit/8 || s.PeakRate > s.Limit*1.011 {
+		t.Errorf("the false relay gets %.1f calls a second of a limit of %.0f for 8 relays; peak rate in force %.1f", obtainedRate, s.Limit, s.PeakRate)
 	}
 }
 
-// An owner that lies raises no limit that a relay has read: neither by a part of more than there is, nor by the limit it tells. What
-// it tells of other shards' destinations counts for nothing, and its word that is lower ends by itself.
+// An owner that sends false grants cannot raise a limit that a relay has read, neither by the granted rate nor by the announced limit.
+// Shares for destinations of other shards are ignored, and a false lower limit expires.
 func TestFalseGrants(t *testing.T) {
 	cfg := allowance.DefaultConfig(4, 2)
-	self, liar := "a", "b"
+	self, falseOwner := "a", "b"
 	destination := 0
-	for allowance.OwnerOf(destination, []string{self, liar}) != liar {
+	for allowance.OwnerOf(destination, []string{self, falseOwner}) != falseOwner {
 		destination++
 	}
 	otherShardDestination := destination + 1
@@ -200,7 +203,7 @@
 		t.Fatal(err)
 	}
 	now := time.Second
-	allocator.SetMembers(now, []string{self, liar})
+	allocator.SetMembers(now, []string{self, falseOwner})
 	allocations := map[int]allowance.Allocation{}
 	runOwner := func(span time.Duration, rate, limit float64) {
 		for end := now + span; now < end; now += tick {
@@ -211,7 +214,7 @@
 			}
 			for _, p := range allocator.TakeMessages() {
 				if c := p.Claim; c != nil && limit > 0 {
-					allocator.ReceiveGrant(now, liar, allowance.Grant{Shard: c.Shard, Sequence: uint64(now), LastClaim: c.Sequence, LeaseDuration: time.Hour,
+					allocator.ReceiveGrant(now, falseOwner, allowance.Grant{Shard: c.Shard, Sequence: uint64(now), LastClaim: c.Sequence, LeaseDuration: time.Hour,
 						Shares: []allowance.Share{{Destination: destination, Rate: rate, Limit: limit}, {Destination: otherShardDestination, Rate: rate, Limit: limit}}})
 				}
 			}
@@ -219,15 +222,15 @@
 	}
 	runOwner(2*time.Second, 1e6, 1e9)
 	if a := allocations[destination]; a.Rate > 100 || a.Rate < 90 || a.Duration > cfg.LeaseDuration {
-		t.Errorf("%+v where 100 a second was read and a million granted", a)
+		t.Errorf("allocation %+v with a read limit of 100 calls a second and a grant of a million", a)
 	}
 	if _, ok := allocations[otherShardDestination]; ok || allocator.Counters().Foreign == 0 || allocator.Counters().Capped == 0 {
-		t.Errorf("%+v of a destination that is none of the shard's; %+v", allocations[otherShardDestination], allocator.Counters())
+		t.Errorf("allocation %+v of a destination of another shard; counters %+v", allocations[otherShardDestination], allocator.Counters())
 	}
 	runOwner(time.Second, 0, 1)
 	allocator.SetMembers(now, []string{self})
 	runOwner(3*cfg.LoanDuration, 0, 0)
 	if a := allocations[destination]; a.Rate != 25 {
-		t.Errorf("%+v alone again, of a limit of 100 that four share", a)
+		t.Errorf("allocation %+v of an isolated relay; four relays share a limit of 100", a)
 	}
 }
--- a/internal/spread/announce.go
+++ b/internal/spread/announce.go
@@ -8,7 +8,7 @@
 	"slatemux/internal/verdicts"
 )
 
-// Announce sends statements of this relay's own, which the store has, to all members: directly in a small fleet, and in two
+// Announce sends this relay's own statements, which are already in the store, to all members: directly in a small fleet, in two
 // hops in a larger one.
 func (s *Spread) Announce(now time.Duration, statements []verdicts.Statement) []Send {
 	s.outgoing = nil
@@ -26,7 +26,7 @@
 	return s.outgoing
 }
 
-// announceByGroups sends statements to one random member of each group, which forwards them to the others of its group.
+// announceByGroups sends statements to one random member of each group. That member forwards them to the rest of the group.
 func (s *Spread) announceByGroups(now time.Duration, statements []verdicts.Statement) {
 	salt := s.rng.Uint64()
 	groups := int(math.Ceil(math.Sqrt(float64(len(s.otherMembers)))))
@@ -49,6 +49,7 @@
 	return groupLists
 }
 
+// groupOf returns the group of a member.
 func groupOf(salt uint64, member string, groups int) int {
 	return int(hashName(salt, member) % uint64(groups))
 }
--- a/internal/spread/bound.go
+++ b/internal/spread/bound.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Bound is the time within which all relays know a statement, but for a chance of one in 1,000: delay is the one-way delay
-// with what a relay takes to look at a packet, loss the chance of each packet by itself to be lost, and exchange the mean
-// time between comparisons. docs/fleet-verdicts.md derives it.
+// Bound returns the time within which all relays know a statement, except with a probability of one in 1,000. The delay is the
+// one-way network delay plus the time that a relay takes to process a packet. The loss is the independent loss probability of
+// each packet, and exchange is the mean time between two anti-entropy exchanges. docs/fleet-verdicts.md derives the formula.
 func Bound(members int, delay time.Duration, loss float64, exchange time.Duration) time.Duration {
 	hops := 2 * delay
 	if members <= maxDirectMembers+1 {
--- a/internal/spread/exchange.go
+++ b/internal/spread/exchange.go
@@ -4,7 +4,7 @@
 	"time"
 )
 
-// Tick begins a comparison with a random member where one is due.
+// Tick starts an anti-entropy exchange with a random member if one is due.
 func (s *Spread) Tick(now time.Duration) []Send {
 	s.outgoing = nil
 	s.recordCall(now)
@@ -23,7 +23,7 @@
 	return s.outgoing
 }
 
-// recordAnswer notes that a member has answered a comparison.
+// recordAnswer records that a member has answered an exchange.
 func (s *Spread) recordAnswer(from string) {
 	askedAt, ok := s.askTimes[from]
 	if !ok {
@@ -34,8 +34,8 @@
 	s.counters.Answered++
 }
 
-// answerSummary answers a summary with what its sender may lack. The answer to an Ask carries our summary, so that both sides end
-// with the union.
+// answerSummary sends the statements that the sender of a summary may lack. The answer to an Ask also carries this relay's summary,
+// so that both stores end with the union of the statements.
 func (s *Spread) answerSummary(now time.Duration, p *Packet) {
 	if p.Members != 0 && p.Members != s.membersHash {
 		s.counters.Differed++
--- a/internal/spread/packet.go
+++ b/internal/spread/packet.go
@@ -8,32 +8,32 @@
 	"slatemux/internal/verdicts"
 )
 
-// Packet is what one relay sends another.
+// Packet is a message from one relay to another.
 type Packet struct {
 	From        string
-	Incarnation uint64        // of the sender
-	Uptime      time.Duration // of the sender's process, when this was sent
-	Count       uint64        // of its packets, from 1
-	// Salt, Group and Groups select to whom the receiver forwards the news: the members whose names, hashed with Salt,
-	// fall into Group.
+	Incarnation uint64        // incarnation of the sender
+	Uptime      time.Duration // uptime of the sender's process when the packet was sent
+	Count       uint64        // number of the packet among those of the sender's process, from 1
+	// Salt, Group and Groups select the members that the receiver forwards News to: those whose names, hashed with Salt, fall
+	// into Group.
 	Salt          uint64
 	Group, Groups int
 	News          []verdicts.Statement
-	// Ask and Answer compare stores by their summaries. An Ask expects an Answer, which expects nothing.
+	// Ask and Answer are the two packets of an anti-entropy exchange, in which two relays compare the summaries of their stores.
 	Ask, Answer bool
 	Summary     verdicts.Summary
-	// Members is, with Ask and Answer, a hash of the members that are live as the sender knows; 0 for none.
+	// Members is a hash of the members that the sender counts as live, in Ask and Answer packets; 0 in others.
 	Members uint64
-	// Known answers a packet of an old incarnation with the newest one that is known of its sender.
+	// Known answers a packet of an old incarnation: it is the newest incarnation that is known of the receiver of this packet.
 	Known uint64
-	// Claim and Grant belong to the division of limits. Spread only carries them.
+	// Claim and Grant belong to the division of limits. Spread only transports them.
 	Claim *allowance.Claim
 	Grant *allowance.Grant
-	// Configuration belongs to the replication of configuration. Spread only carries it.
+	// Configuration belongs to the replication of configuration. Spread only transports it.
 	Configuration *configsync.Message
 }
 
-// Send is a packet to send.
+// Send is a packet to send, with its receiver.
 type Send struct {
 	To     string
 	Packet Packet
--- a/internal/spread/peer.go
+++ b/internal/spread/peer.go
@@ -4,18 +4,18 @@
 	"time"
 )
 
-// peer is what is kept of a member.
+// peer is the record of another member.
 type peer struct {
 	incarnation   uint64
-	clockOffset   time.Duration // least difference seen between our clock and its uptime
-	clockOffsetAt time.Duration // when that was noted
-	firstPacketAt time.Duration // when its first packet came
-	highestCount  uint64        // the highest count of its packets
-	receivedBits  uint64        // a bit for each packet of the window below it that came
+	clockOffset   time.Duration // smallest difference seen between this relay's clock and the peer's uptime
+	clockOffsetAt time.Duration // when the difference was recorded
+	firstPacketAt time.Duration // when the first packet of the incarnation arrived
+	highestCount  uint64        // highest packet count received
+	receivedBits  uint64        // one bit per packet received in the replay window, from highestCount downward
 }
 
-// accept reports whether a packet is fresh: it has not been seen, and was not sent by an earlier process of its sender. It
-// also returns how much later it came than the quickest packet of its sender.
+// accept reports whether a packet is fresh. A packet is not fresh if it was received before or was sent by an earlier process of its
+// sender. The lateness is the packet's extra delay compared with the fastest packet of its sender.
 func (s *Spread) accept(now time.Duration, p *Packet) (lateness time.Duration, fresh bool) {
 	q := s.peers[p.From]
 	if q == nil || p.Incarnation > q.incarnation {
@@ -30,17 +30,19 @@
 	}
 	lateness = q.recordClock(now, p.Uptime)
 	if now-s.resumedAt < resumePeriod && q.firstPacketAt >= s.resumedAt {
-		// There is no prompt packet to compare with: this one may have waited here while this relay was suspended.
+		// There is no earlier packet to compare with: this packet may have waited while this relay was suspended.
 		lateness += s.lastSuspension
 	}
 	return lateness, true
 }
 
+// newPeer returns a record with a first reading of the peer's clock.
 func newPeer(now time.Duration, incarnation uint64, uptime time.Duration) *peer {
 	return &peer{incarnation: incarnation, clockOffset: now - uptime, clockOffsetAt: now}
 }
 
-// markReceived reports whether a packet with this count is new. Packets below the window count as seen.
+// markReceived reports whether the packet with a count is new, and marks it as received. Packets below the window count as
+// received.
 func (q *peer) markReceived(count uint64) bool {
 	if count > q.highestCount {
 		shift := count - q.highestCount
@@ -56,7 +58,7 @@
 	return true
 }
 
-// recordClock notes a reading of a peer's clock, and returns how late it came.
+// recordClock records a reading of the peer's clock, and returns how late the reading arrived.
 func (q *peer) recordClock(now, uptime time.Duration) time.Duration {
 	q.clockOffset += time.Duration(maxClockDriftRatio * float64(now-q.clockOffsetAt))
 	q.clockOffsetAt = now
@@ -64,7 +66,7 @@
 	return now - uptime - q.clockOffset
 }
 
-// RecordClock notes a member's clock as its answer to a probe gives it.
+// RecordClock records a member's clock as reported in the member's answer to a probe.
 func (s *Spread) RecordClock(now time.Duration, from string, incarnation uint64, uptime time.Duration) {
 	q := s.peers[from]
 	if q != nil && q.incarnation == incarnation {
--- a/internal/spread/receive.go
+++ b/internal/spread/receive.go
@@ -6,8 +6,8 @@
 	"slatemux/internal/verdicts"
 )
 
-// Receive takes in a packet. It merges statements into the store and returns the new ones as news, and packets to send.
-// Statements of this relay's own that another process made under its name, or that it has forgotten, are returned as own.
+// Receive processes a packet. It merges the statements into the store, and returns the new ones and the packets to send. The
+// result ownStatements holds statements under this relay's own name: another process used the name, or this relay lost its state.
 func (s *Spread) Receive(now time.Duration, p Packet) (newStatements, ownStatements []verdicts.Statement, outgoing []Send) {
 	s.outgoing = nil
 	s.recordCall(now)
@@ -39,23 +39,23 @@
 	return newStatements, ownStatements, s.outgoing
 }
 
-// answerOldIncarnation sends the newest known incarnation to the sender of a packet with an older one: if it is alive, its
-// count of starts was lost.
+// answerOldIncarnation sends the newest known incarnation to the sender of a packet with an older one. If the sender is alive,
+// its count of starts was lost.
 func (s *Spread) answerOldIncarnation(now time.Duration, p *Packet) {
 	if known := s.peers[p.From].incarnation; p.Incarnation < known {
 		s.send(now, p.From, Packet{Known: known})
 	}
 }
 
-// merge merges the statements of a packet that came late by so much. It returns the new ones, and own with those of this
-// relay appended.
+// merge merges the statements of a packet into the store, and adds the lateness of the packet to their ages. It returns the new
+// statements, and ownStatements with the packet's statements under this relay's own name appended.
 func (s *Spread) merge(now time.Duration, p *Packet, lateness time.Duration, ownStatements []verdicts.Statement) (newStatements, allOwnStatements []verdicts.Statement) {
 	for _, statement := range p.News {
 		statement.Age += lateness
 		switch {
 		case statement.Origin == s.cfg.Self:
 			ownStatements = append(ownStatements, statement)
-		case !s.IsMember(statement.Origin): // statements end with their origin's membership
+		case !s.IsMember(statement.Origin): // statements of an origin are dropped when the origin leaves the fleet
 			s.counters.UnknownOrigins++
 		case s.store.Merge(now, statement):
 			newStatements = append(newStatements, statement)
@@ -65,7 +65,7 @@
 	return newStatements, ownStatements
 }
 
-// forward sends new statements to the other members of the group that the packet names.
+// forward sends new statements to the other members of the packet's group.
 func (s *Spread) forward(now time.Duration, p *Packet, statements []verdicts.Statement) {
 	if p.Groups <= 1 || len(statements) == 0 {
 		return
--- a/internal/spread/send.go
+++ b/internal/spread/send.go
@@ -8,7 +8,7 @@
 	"slatemux/internal/verdicts"
 )
 
-// SendLimitMessage sends a claim or a grant.
+// SendLimitMessage sends a claim or a grant of the division of limits.
 func (s *Spread) SendLimitMessage(now time.Duration, to string, claim *allowance.Claim, grant *allowance.Grant) []Send {
 	s.outgoing = nil
 	if to != s.cfg.Self && s.IsMember(to) {
@@ -17,7 +17,7 @@
 	return s.outgoing
 }
 
-// SendConfiguration sends a message of the replication of configuration.
+// SendConfiguration sends a message of the configuration replication.
 func (s *Spread) SendConfiguration(now time.Duration, to string, message *configsync.Message) []Send {
 	s.outgoing = nil
 	if to != s.cfg.Self && s.IsMember(to) {
@@ -26,7 +26,8 @@
 	return s.outgoing
 }
 
-// send splits a packet into such as may be sent, as far as bandwidth allows. Only the first of them compares stores.
+// send splits a packet into packets of the permitted size, and sends as many as the bandwidth allows. Only the first carries the
+// fields of the anti-entropy exchange.
 func (s *Spread) send(now time.Duration, to string, p Packet) {
 	s.refill(now)
 	p.From = s.cfg.Self
@@ -52,13 +53,13 @@
 	}
 }
 
-// refill adds bandwidth for the time that has passed.
+// refill adds bandwidth for the elapsed time.
 func (s *Spread) refill(now time.Duration) {
 	s.tokenBytes = min(s.tokenBytes+s.cfg.Bytes*(now-s.refilledAt).Seconds(), burstSeconds*s.cfg.Bytes)
 	s.refilledAt = now
 }
 
-// fitStatements returns the first of some statements, as many as fit into a packet, and at least one.
+// fitStatements returns the first statements, as many as fit into a packet but at least one.
 func (s *Spread) fitStatements(p Packet, statements []verdicts.Statement) []verdicts.Statement {
 	p.News = statements
 	for s.cfg.Size(&p) > s.cfg.Packet && len(p.News) > 1 {
@@ -67,8 +68,8 @@
 	return p.News
 }
 
-// charge counts a packet, and reports whether it may be sent. Claims and grants take no bandwidth from statements: there
-// are as many of them as there is demand. Nor does configuration, which has a budget of its own.
+// charge counts a packet and deducts its size from the bandwidth, and reports whether the packet may be sent. Claims and grants are
+// exempt from the bandwidth limit: their number follows the demand. Configuration is exempt because it has its own budget.
 func (s *Spread) charge(p *Packet) bool {
 	size := s.cfg.Size(p)
 	isUnbudgeted := p.Claim != nil || p.Grant != nil || p.Configuration != nil
--- a/internal/spread/spread.go
+++ b/internal/spread/spread.go
@@ -1,7 +1,7 @@
-// Package spread decides how statements travel among the relays of a fleet: to whom a statement goes at once, who forwards
-// it, with whom stores are compared (anti-entropy), how late a packet is, and what is not sent where bandwidth is short. It
-// makes no calls, reads no clock and starts no goroutine; the program and the laboratory's emulator run the same code.
-// docs/fleet-verdicts.md states its bound.
+// Package spread disseminates packets among the relays of a fleet. It decides which relays get a statement first, which relays
+// forward the statement, which stores are compared by anti-entropy exchanges, how late a packet is, and what is not sent when
+// bandwidth is short. The package makes no calls, reads no clock and starts no goroutine, so the relay and the emulator run the
+// same code. docs/fleet-verdicts.md states the bound on the dissemination time.
 package spread
 
 import (
@@ -15,91 +15,91 @@
 	"slatemux/internal/verdicts"
 )
 
-// Config configures how a relay spreads statements.
+// Config configures the dissemination at one relay.
 type Config struct {
-	Self     string
-	Exchange time.Duration // mean time between two comparisons of stores with a random member
-	Bytes    float64       // a second that may be sent, as Size counts them
-	Size     func(*Packet) int
-	Packet   int // bytes of one packet at most
+	Self     string            // name of this relay
+	Exchange time.Duration     // mean time between two anti-entropy exchanges with a random member
+	Bytes    float64           // bandwidth in bytes a second, as counted by Size
+	Size     func(*Packet) int // encoded size of a packet in bytes
+	Packet   int               // maximum size of a packet in bytes
 	Seed     uint64
 }
 
 func (c *Config) check() error {
 	switch {
 	case c.Self == "":
-		return errors.New("spread: Self is empty")
+		return errors.New("spread: configuration has no name for this relay (Self)")
 	case c.Exchange < time.Millisecond:
-		return errors.New("spread: Exchange is under a millisecond")
+		return errors.New("spread: exchange interval (Exchange) is below 1 ms")
 	case !(c.Bytes > 0) || c.Size == nil || c.Packet < 256:
-		return errors.New("spread: Bytes, Size or Packet make no sense")
+		return errors.New("spread: Bytes is not positive, Size is missing or Packet is below 256 bytes")
 	}
 	return nil
 }
 
 const (
-	// maxDirectMembers is how many other members get announcements in one hop.
+	// maxDirectMembers is the maximum number of other members that get announcements directly, in one hop.
 	maxDirectMembers = 8
-	// burstSeconds is how many seconds of bandwidth may be used at once.
+	// burstSeconds is the burst size of the bandwidth limit, in seconds of bandwidth.
 	burstSeconds = 2.0
-	// exchangeJitterRatio spreads exchanges by this share to both sides.
+	// exchangeJitterRatio is the share by which the time between exchanges varies in both directions.
 	exchangeJitterRatio = 0.25
-	// maxClockDriftRatio is how much one clock may run apart from another.
+	// maxClockDriftRatio is the maximum relative drift between two clocks.
 	maxClockDriftRatio = 200e-6
-	// tickInterval is how often Tick wants to be called.
+	// tickInterval is the maximum time between two calls of Tick that Due asks for.
 	tickInterval = 200 * time.Millisecond
-	// suspensionThreshold is how long after the last call a relay counts as having been suspended, or starved.
+	// suspensionThreshold is the time between two calls from which a relay counts as having been suspended or CPU-starved.
 	suspensionThreshold = 600 * time.Millisecond
-	// resumePeriod is how long after a suspension a packet may have waited for its end.
+	// resumePeriod is how long after a suspension a received packet may have waited for the end of the suspension.
 	resumePeriod = time.Second
-	// lateThreshold is the delay from which a packet is counted as late.
+	// lateThreshold is the lateness above which a packet is counted as late.
 	lateThreshold = time.Second
-	// replayWindowPackets is how many of a sender's newest packets are told from replayed ones.
+	// replayWindowPackets is the number of a sender's newest packets in which replays are detected.
 	replayWindowPackets = 64
-	// boundMissOdds is how much more likely than not the bound holds: a statement is missed once in so many times.
+	// boundMissOdds is the inverse of the probability that a statement misses Bound.
 	boundMissOdds = 1000
 )
 
-// Counters count packets and statements since the start.
+// Counters count packets and statements since the start of the process.
 type Counters struct {
-	Sent             int64 `json:"sent"` // packets
+	Sent             int64 `json:"sent"` // packets sent
 	SentBytes        int64 `json:"sent_bytes"`
-	Received         int64 `json:"received"`  // packets taken in
-	News             int64 `json:"news"`      // statements in them that were new
-	Strangers        int64 `json:"strangers"` // packets dropped: from no member
-	Replayed         int64 `json:"replayed"`  // packets dropped: seen before, or of an earlier incarnation
-	UnknownOrigins   int64 `json:"gone"`      // statements dropped, for their origin is no member
-	Short            int64 `json:"short"`     // packets not sent for want of bytes
-	ExchangesStarted int64 `json:"asked"`     // comparisons begun
-	Answered         int64 `json:"answered"`  // of them, those that were answered
-	Late             int64 `json:"late"`      // packets that came more than a second late
-	SentUnbudgeted   int64 `json:"posted"`    // claims, grants and messages of configuration sent
-	Differed         int64 `json:"differed"`  // comparisons with one who knows of other members
+	Received         int64 `json:"received"`  // packets accepted
+	News             int64 `json:"news"`      // statements received that were new
+	Strangers        int64 `json:"strangers"` // packets dropped: sender is not a member
+	Replayed         int64 `json:"replayed"`  // packets dropped: received before, or from an earlier incarnation
+	UnknownOrigins   int64 `json:"gone"`      // statements dropped: origin is not a member
+	Short            int64 `json:"short"`     // packets not sent: too large, or bandwidth exhausted
+	ExchangesStarted int64 `json:"asked"`     // exchanges started
+	Answered         int64 `json:"answered"`  // exchanges started that were answered
+	Late             int64 `json:"late"`      // packets more than a second late
+	SentUnbudgeted   int64 `json:"posted"`    // packets sent with a claim, a grant or configuration, exempt from the bandwidth limit
+	Differed         int64 `json:"differed"`  // exchanges with a relay that has a different list of live members
 }
 
-// Spread decides for one relay. It is not safe for concurrent use.
+// Spread disseminates statements for one relay. It is not safe for concurrent use.
 type Spread struct {
 	cfg             Config
 	store           *verdicts.Store
 	rng             *rand.Rand
-	otherMembers    []string // live members but this one, sorted
-	membersHash     uint64   // a sum of hashes of their names and this one's
+	otherMembers    []string // live members except this relay, sorted
+	membersHash     uint64   // sum of the hashes of all live members' names, this relay's included
 	peers           map[string]*peer
 	incarnation     uint64
 	counters        Counters
-	packetsSent     uint64                   // sent
-	nextExchange    time.Duration            // when the next comparison is due
-	askTimes        map[string]time.Duration // when a member was asked for a comparison
-	lastAnsweredAsk time.Duration            // when the newest comparison that was answered had been asked for
+	packetsSent     uint64                   // packets sent, as a running number
+	nextExchange    time.Duration            // when the next exchange is due
+	askTimes        map[string]time.Duration // when each member was asked for an exchange, until it answers
+	lastAnsweredAsk time.Duration            // when the newest answered exchange was started
 	lastCall        time.Duration            // when Tick or Receive was last called
-	lastSuspension  time.Duration            // how long the last suspension was
-	resumedAt       time.Duration            // when it ended
-	tokenBytes      float64                  // bytes that may be sent
-	refilledAt      time.Duration            // when tokens were last added
+	lastSuspension  time.Duration            // length of the last suspension
+	resumedAt       time.Duration            // when the last suspension ended
+	tokenBytes      float64                  // bytes that may be sent now
+	refilledAt      time.Duration            // when tokenBytes was last increased
 	outgoing        []Send
 }
 
-// New returns a Spread over a store that its caller owns.
+// New returns a Spread over a store that the caller owns.
 func New(cfg Config, now time.Duration, store *verdicts.Store, incarnation uint64) (*Spread, error) {
 	if err := cfg.check(); err != nil {
 		return nil, err
@@ -121,24 +121,26 @@
 	return s, nil
 }
 
+// hashName returns a salted hash of a member's name.
 func hashName(salt uint64, name string) uint64 {
 	h := xxhash.NewWithSeed(salt)
-	_, _ = h.WriteString(name) // it never fails
+	_, _ = h.WriteString(name) // never returns an error
 	return h.Sum64()
 }
 
-// drawExchangeDelay draws the time to the next comparison.
+// drawExchangeDelay draws the random time to the next exchange.
 func (s *Spread) drawExchangeDelay() time.Duration {
 	return time.Duration(float64(s.cfg.Exchange) * (1 + exchangeJitterRatio*(2*s.rng.Float64()-1)))
 }
 
-// Counters returns the counters.
+// Counters returns the counters of the relay.
 func (s *Spread) Counters() Counters { return s.counters }
 
-// SetIncarnation changes the incarnation under which packets are sent.
+// SetIncarnation sets the incarnation that outgoing packets carry.
 func (s *Spread) SetIncarnation(incarnation uint64) { s.incarnation = incarnation }
 
-// SetMembers sets the live members, this relay included or not. What is kept of others is dropped.
+// SetMembers sets the live members. The list may or may not include this relay. Records of members that are no longer live are
+// dropped.
 func (s *Spread) SetMembers(live []string) {
 	s.otherMembers = s.otherMembers[:0]
 	s.membersHash = hashName(0, s.cfg.Self)
@@ -160,7 +162,7 @@
 	}
 }
 
-// IsMember reports whether a name is that of a live member, this relay included.
+// IsMember reports whether a name is the name of a live member or of this relay.
 func (s *Spread) IsMember(name string) bool {
 	if name == s.cfg.Self {
 		return true
@@ -169,24 +171,25 @@
 	return ok
 }
 
-// LiveMembers returns the names of the live members but this relay.
+// LiveMembers returns the names of the live members except this relay.
 func (s *Spread) LiveMembers() []string { return slices.Clone(s.otherMembers) }
 
-// Staleness is the age of the newest comparison that was answered: what the fleet announced before, this relay knows, as
-// far as its partner did. It grows while all links are cut; a relay that is alone in its fleet has nothing to hear.
+// Staleness returns the age of the newest answered exchange. This relay knows the statements that were announced before that
+// exchange, as far as the other relay knew them. Staleness grows while all links are down. It stays low at a relay that is alone
+// in its fleet.
 func (s *Spread) Staleness(now time.Duration) time.Duration { return now - s.lastAnsweredAsk }
 
-// Due is when Tick has something to do.
+// Due returns when Tick has to be called next.
 func (s *Spread) Due() time.Duration { return min(s.nextExchange, s.lastCall+tickInterval) }
 
-// ExchangeSoon brings the next comparison forward: members have come, and may know what this relay does not. The time is
-// random, for where all relays start at one moment, each sees all others come.
+// ExchangeSoon moves the next exchange forward. Call it when members have joined, as they may know statements that this relay
+// lacks. The time is random: when all relays start at the same moment, each of them sees all others join.
 func (s *Spread) ExchangeSoon(now time.Duration) {
 	delay := time.Duration(s.rng.Float64() * exchangeJitterRatio * float64(s.cfg.Exchange))
 	s.nextExchange = min(s.nextExchange, now+delay)
 }
 
-// recordCall notes that this relay runs, and whether it has been suspended.
+// recordCall records a call of Tick or Receive, and detects a suspension of this relay since the last call.
 func (s *Spread) recordCall(now time.Duration) {
 	if gap := now - s.lastCall; gap > suspensionThreshold {
 		s.lastSuspension = gap
--- a/internal/spread/spread_test.go
+++ b/internal/spread/spread_test.go
@@ -7,12 +7,13 @@
 	"slatemux/internal/verdicts"
 )
 
-// Two that know of other members tell each other so when they compare, whichever of them asks; two that know the same do not.
+// Two relays with different lists of live members both count the mismatch in an exchange. Relays with the same list do not, even if
+// the order of the list differs.
 func TestMembershipMismatchIsCounted(t *testing.T) {
 	for name, c := range map[string]struct {
 		a, b   []string
 		differ bool
-	}{"the same": {[]string{"a", "b", "c"}, []string{"c", "b", "a"}, false}, "one too few": {[]string{"a", "b", "c"}, []string{"a", "b"}, true}} {
+	}{"same members": {[]string{"a", "b", "c"}, []string{"c", "b", "a"}, false}, "one member missing": {[]string{"a", "b", "c"}, []string{"a", "b"}, true}} {
 		t.Run(name, func(t *testing.T) {
 			newSpread := func(self string, members []string) *Spread {
 				s, err := New(Config{Self: self, Exchange: time.Second, Bytes: 1e6, Size: func(*Packet) int { return 100 }, Packet: 1000}, 0, verdicts.NewStore(), 1)
@@ -29,11 +30,11 @@
 			}
 			_, _, answer := b.Receive(time.Hour, ask[0].Packet)
 			if len(answer) != 1 {
-				t.Fatalf("answered with %v", answer)
+				t.Fatalf("answer to the exchange: %v", answer)
 			}
 			a.Receive(time.Hour, answer[0].Packet)
 			if (a.Counters().Differed > 0) != c.differ || (b.Counters().Differed > 0) != c.differ {
-				t.Errorf("%d, %d times told to differ", a.Counters().Differed, b.Counters().Differed)
+				t.Errorf("membership mismatches counted: %d by a, %d by b", a.Counters().Differed, b.Counters().Differed)
 			}
 		})
 	}
--- a/internal/verdicts/announcer.go
+++ b/internal/verdicts/announcer.go
@@ -5,19 +5,20 @@
 	"time"
 )
 
-// minWaitExtension is how much longer than the known waits a wait has to be to be announced: a partner that is at its limit
-// turns away calls of many relays at one moment, and a wait that is over before it is known holds nobody.
+// minWaitExtension is how much longer than all known waits a wait has to last to be announced. A partner at its limit refuses calls
+// of many relays at the same moment, and a wait that ends before other relays receive it restrains nobody.
 const minWaitExtension = 50 * time.Millisecond
 
-// Announcer makes this relay's own statements. What the fleet knows already is not announced again.
+// Announcer creates this relay's own statements. It does not repeat a wait that the fleet already knows, nor announce a recovery
+// from an outage that nobody has announced.
 type Announcer struct {
 	origin           string
-	version          Version          // of the newest statement
-	announcedOutages map[Subject]bool // members that it has announced to be out
+	version          Version          // version of the newest statement
+	announcedOutages map[Subject]bool // members that this relay has announced as out
 	activeBans       map[Subject]bool // members that operators have taken down
 }
 
-// NewAnnouncer returns an announcer for a relay's incarnation.
+// NewAnnouncer returns an announcer for an incarnation of a relay.
 func NewAnnouncer(origin string, incarnation uint64) *Announcer {
 	return &Announcer{
 		origin:           origin,
@@ -30,8 +31,9 @@
 // Incarnation returns the current incarnation.
 func (a *Announcer) Incarnation() uint64 { return a.version.Incarnation }
 
-// Supersede moves to an incarnation above that of a statement that others have of this relay, where this process has not
-// made it: another process used the name, or the count of its starts was lost. It reports whether that was so.
+// Supersede moves to an incarnation above that of a version that other relays have received under this relay's name, if this
+// process has not issued that version. This happens when another process used the name, or when the count of starts was lost.
+// Supersede reports whether the incarnation changed.
 func (a *Announcer) Supersede(v Version) bool {
 	if v.Compare(a.version) <= 0 {
 		return false
@@ -40,7 +42,7 @@
 	return true
 }
 
-// stamp gives a statement its origin, version and life.
+// stamp sets the origin, the version and the lifetime of a statement.
 func (a *Announcer) stamp(s Statement) Statement {
 	a.version.Seq++
 	s.Origin = a.origin
@@ -51,7 +53,7 @@
 	return s
 }
 
-// Wait announces a wait that a destination asked this relay for, unless known waits last as long.
+// Wait announces a retry-after wait of a destination, unless a known wait lasts about as long.
 func (a *Announcer) Wait(now time.Duration, store *Store, o Observation) (Statement, bool) {
 	if o.Outcome != Refused || o.Wait < minWaitExtension {
 		return Statement{}, false
@@ -65,15 +67,14 @@
 	return a.stamp(Statement{Subject: waitSubject, Length: o.Wait, Life: min(o.Wait, Wait.Life())}), true
 }
 
-// Outage announces an outage that has lasted so long, or another try there that failed.
+// Outage announces an outage that has lasted for a duration, or another failed trial call during the outage.
 func (a *Announcer) Outage(destination int, member string, lasted time.Duration) Statement {
 	s := Subject{Kind: Health, Destination: destination, Member: member}
 	a.announcedOutages[s] = true
 	return a.stamp(Statement{Subject: s, Length: max(lasted, 0)})
 }
 
-// Recovery announces that a member answered after an outage. Where nobody has announced the outage there is nothing to
-// take back.
+// Recovery announces that a member answered after an outage. If nobody has announced the outage, no statement is needed.
 func (a *Announcer) Recovery(now time.Duration, store *Store, destination int, member string) (Statement, bool) {
 	s := Subject{Kind: Health, Destination: destination, Member: member}
 	isOutage := func(known Statement) bool { return !known.Over }
@@ -84,13 +85,14 @@
 	return a.stamp(Statement{Subject: s, Over: true}), true
 }
 
-// Drain announces that discovery, at a version of its list, drains a member, or with over lists it again.
+// Drain announces that discovery drains a member as of a version of its list. With over, it announces that discovery lists the
+// member again.
 func (a *Announcer) Drain(destination int, member string, list int64, over bool) Statement {
 	s := Subject{Kind: Drain, Destination: destination, Member: member}
 	return a.stamp(Statement{Subject: s, List: list, Over: over})
 }
 
-// Ban announces that operators took a member down, or brought it up. RenewBans repeats bans that stand.
+// Ban announces that operators took a member down or brought it up. RenewBans repeats the active bans.
 func (a *Announcer) Ban(destination int, member string, down bool) Statement {
 	s := Subject{Kind: Ban, Destination: destination, Member: member}
 	if down {
@@ -101,8 +103,8 @@
 	return a.stamp(Statement{Subject: s, Over: !down})
 }
 
-// RenewBans announces all bans that stand, and forgets members that are not listed any more. Call it a few times within
-// the life of a ban.
+// RenewBans announces all active bans again, and forgets members that are no longer listed. Call it a few times within the
+// lifetime of a ban.
 func (a *Announcer) RenewBans(listed func(member string) bool) (list []Statement) {
 	for s := range a.announcedOutages {
 		if !listed(s.Member) {
--- a/internal/verdicts/exclusion.go
+++ b/internal/verdicts/exclusion.go
@@ -7,16 +7,16 @@
 	"time"
 )
 
-// Barred returns the members that get no new calls because of the fleet's drains and bans, sorted. One origin's statement
-// bars a member only while another of its destination remains that this relay has not seen fail: a single statement may
-// choose among members, and shut nobody out.
+// Barred returns the sorted names of the members that get no new calls because of the fleet's drains and bans. Statements of a
+// quorum, or of this relay itself, exclude a member unconditionally. Statements of fewer origins exclude a member only while
+// another usable member of the destination remains, so a single origin cannot make a destination unreachable.
 func (j *Judge) Barred(now time.Duration) []string {
 	origins := j.excludingOrigins(now)
 	if len(origins) == 0 {
 		return nil
 	}
 	barred := map[string]bool{}
-	remaining := map[int]int{} // usable members that nobody bars, by destination
+	remaining := map[int]int{} // number of usable members that nobody excludes, by destination
 	for _, m := range j.pool {
 		if len(origins[m.Name]) >= j.quorum || origins[m.Name][j.self] {
 			barred[m.Name] = true
@@ -31,14 +31,14 @@
 		if remaining[m.Destination] > 0 {
 			barred[m.Name] = true
 		} else {
-			remaining[m.Destination]++ // this one is what remains
+			remaining[m.Destination]++ // this member stays available
 		}
 	}
 	return slices.Sorted(maps.Keys(barred))
 }
 
-// excludingOrigins returns the origins that drain or ban a member, by member. Drains that are no newer than the own list do
-// not count: the list decides.
+// excludingOrigins returns the origins that drain or ban each member. A drain counts only if its list version is newer than the
+// version of this relay's own list.
 func (j *Judge) excludingOrigins(now time.Duration) map[string]map[string]bool {
 	origins := map[string]map[string]bool{}
 	for _, s := range j.store.All(now) {
@@ -54,12 +54,13 @@
 	return origins
 }
 
-// isUsable reports whether a member is neither out nor failing.
+// isUsable reports whether a member is not out and this relay's newest call to the member did not fail.
 func (j *Judge) isUsable(m Member) bool {
 	s := j.members[Subject{Kind: Health, Destination: m.Destination, Member: m.Name}]
 	return s == nil || s.lastFailureStart <= s.lastSuccessStart && !s.out
 }
 
+// poolByName returns the pool sorted by name.
 func (j *Judge) poolByName() []Member {
 	byName := func(a, b Member) int { return cmp.Compare(a.Name, b.Name) }
 	return slices.SortedFunc(slices.Values(j.pool), byName)
--- a/internal/verdicts/health.go
+++ b/internal/verdicts/health.go
@@ -5,19 +5,20 @@
 	"time"
 )
 
-// maxTrialAge is the age from which a failed try of another relay does not put off our next one any more.
+// maxTrialAge is the age from which another relay's failed trial call no longer delays this relay's next trial call.
 const maxTrialAge = time.Second
 
-// memberState is what a judge keeps of a member's health.
+// memberState is a judge's record of a pool member's health.
 type memberState struct {
-	lastSuccessStart time.Duration // when the newest of our calls that succeeded was begun
-	lastFailureStart time.Duration // when the newest of our calls that failed was begun
-	ownOutageStart   time.Duration // since when this relay itself holds it out; never where it does not
-	out              bool          // returned as out
-	lastDelayOrigin  string        // the origin whose statement last put our next try off
+	lastSuccessStart time.Duration // start of the newest of this relay's own calls that succeeded
+	lastFailureStart time.Duration // start of the newest of this relay's own calls that failed
+	ownOutageStart   time.Duration // start of the outage that this relay has detected itself; never if it has detected none
+	out              bool          // the last restraint returned for the member was Out
+	lastDelayOrigin  string        // origin whose statement last delayed this relay's next trial call
 	lastUse          time.Duration
 }
 
+// member returns the record of a member, and adds one if there is none.
 func (j *Judge) member(now time.Duration, destination int, name string) *memberState {
 	s := Subject{Kind: Health, Destination: destination, Member: name}
 	m := j.members[s]
@@ -29,7 +30,8 @@
 	return m
 }
 
-// judgeHealth decides whether a member counts as out. A new statement may put off the next try at one that does already.
+// judgeHealth decides whether a member counts as out. If the member already counts as out, a newly received statement may delay this
+// relay's next trial call.
 func (j *Judge) judgeHealth(now time.Duration, destination int, name string, received *Statement) []Restraint {
 	m := j.member(now, destination, name)
 	list := j.store.About(now, Subject{Kind: Health, Destination: destination, Member: name})
@@ -70,13 +72,14 @@
 	return []Restraint{r}
 }
 
-// delaysTrial reports whether a new statement puts off our next try: it tells of a fresh failure, and is not of the origin that
-// did so last, for one origin could put the next try off for ever.
+// delaysTrial reports whether a received statement delays this relay's next trial call. The statement has to report a recent failure and
+// to come from another origin than the statement that caused the last delay. Otherwise a single origin could delay the trial call
+// forever.
 func delaysTrial(received *Statement, m *memberState) bool {
 	return received != nil && !received.Over && received.Age < maxTrialAge && received.Origin != m.lastDelayOrigin
 }
 
-// latestRecovery is when others last announced that a member answered again; never for not.
+// latestRecovery returns when another relay last announced the member's recovery, or never.
 func (j *Judge) latestRecovery(now time.Duration, list []Statement) time.Duration {
 	newest := never
 	for _, s := range list {
@@ -87,7 +90,7 @@
 	return newest
 }
 
-// outageStarts lists the beginnings of the outages that others have announced after a recovery.
+// outageStarts returns the start times of the outages that other relays have announced since a recovery.
 func (j *Judge) outageStarts(now time.Duration, list []Statement, recovered time.Duration) (starts []time.Duration) {
 	for _, s := range list {
 		madeAt := now - s.Age
--- a/internal/verdicts/judge.go
+++ b/internal/verdicts/judge.go
@@ -7,34 +7,35 @@
 	"time"
 )
 
-// maxTracked bounds the destinations, and the members, of which a judge keeps something.
+// maxTracked bounds the records of waits and the records of members that a judge keeps.
 const maxTracked = 8192
 
 // never is a time before all others.
 const never = time.Duration(-1 << 62)
 
-// Member is an entry of this relay's own list that may get new calls.
+// Member is a pool member that may get new calls according to this relay's own list.
 type Member struct {
 	Name        string
 	Destination int
 }
 
-// Order is what a restraint asks of this relay.
+// Order is the action that a restraint asks of this relay.
 type Order int
 
 // The orders.
 const (
-	Hold Order = iota // send nothing to the destination, or to the route, before At; an At that is over ends a hold
-	Out               // the member has been out since At; the next try is put off
-	Back              // an outage that the fleet announced is over; the member has been coming back since At
-	Free              // nothing is known any more: the relay decides alone again
+	Hold Order = iota // send nothing to the destination, or to the separate route, before At; an At in the past ends the hold
+	Out               // the member has been out since At; the next trial call is delayed
+	Back              // the outage that the fleet announced is over; the member's slow start began at At
+	Free              // the fleet's statements no longer restrain the member; the relay decides on its own again
 )
 
 var orderNames = [...]string{Hold: "hold", Out: "out", Back: "back", Free: "free"}
 
+// String returns the name of the order.
 func (o Order) String() string { return orderNames[o] }
 
-// Restraint is what follows from the fleet's statements for this relay.
+// Restraint is a decision that a judge derives from the fleet's statements.
 type Restraint struct {
 	Order       Order
 	Destination int
@@ -42,18 +43,18 @@
 	At          time.Duration
 }
 
-// Counters count a judge's decisions since it was created.
+// Counters count the decisions of a judge since its creation.
 type Counters struct {
-	Heeded    int64 `json:"heeded"`    // restraints that were returned
+	Heeded    int64 `json:"heeded"`    // restraints returned
 	Overruled int64 `json:"overruled"` // statements that this relay's own calls contradicted
-	Overdrawn int64 `json:"overdrawn"` // waits of a single origin that its budget did not cover
-	Unagreed  int64 `json:"unagreed"`  // outages that fewer origins than the quorum announced
+	Overdrawn int64 `json:"overdrawn"` // waits of a single origin that exceeded its budget
+	Unagreed  int64 `json:"unagreed"`  // outages announced by fewer origins than the quorum
 }
 
-// Judge decides what the statements in a store mean for one relay. What the relay has observed itself overrules them.
+// Judge decides what the statements in a store mean for one relay. The relay's own observations overrule the statements.
 type Judge struct {
 	self        string
-	quorum      int // origins that have to agree where one statement is not enough
+	quorum      int // number of origins that have to agree when a single statement is not enough
 	store       *Store
 	holds       map[Subject]*holdState
 	members     map[Subject]*memberState
@@ -62,7 +63,7 @@
 	counters    Counters
 }
 
-// NewJudge returns a judge over a store, which it only reads.
+// NewJudge returns a judge that reads a store. The judge does not change the store.
 func NewJudge(self string, quorum int, store *Store) *Judge {
 	return &Judge{
 		self:    self,
@@ -73,16 +74,16 @@
 	}
 }
 
-// Counters returns the counters.
+// Counters returns the counters of the judge.
 func (j *Judge) Counters() Counters { return j.counters }
 
-// SetPool sets the relay's own list: the members that may get new calls, and the version of the list.
+// SetPool sets the relay's own list of members that may get new calls, and the version of the list.
 func (j *Judge) SetPool(version int64, members []Member) {
 	j.poolVersion = version
 	j.pool = members
 }
 
-// Observe takes in the end of one of this relay's own calls.
+// Observe records the result of one of this relay's own calls.
 func (j *Judge) Observe(now time.Duration, o Observation) []Restraint {
 	j.evictOldest()
 	m := j.member(now, o.Destination, o.Member)
@@ -102,7 +103,7 @@
 	return nil
 }
 
-// SetOwnHealth takes in whether this relay itself holds a member out, because its own calls have failed since.
+// SetOwnHealth records whether this relay counts a member as out because its own calls to the member have failed since a given time.
 func (j *Judge) SetOwnHealth(now time.Duration, destination int, member string, out bool, since time.Duration) []Restraint {
 	m := j.member(now, destination, member)
 	m.ownOutageStart = never
@@ -112,7 +113,7 @@
 	return j.judgeHealth(now, destination, member, nil)
 }
 
-// Receive takes in a statement that is new in the store.
+// Receive judges a statement that is new in the store.
 func (j *Judge) Receive(now time.Duration, s Statement) []Restraint {
 	if s.Origin == j.self {
 		return nil
@@ -127,7 +128,7 @@
 	return nil // Barred reads drains and bans from the store
 }
 
-// Expired takes in subjects that have lost a statement, by its age or with its origin.
+// Expired judges subjects again that have lost a statement, because the statement expired or its origin left the fleet.
 func (j *Judge) Expired(now time.Duration, subjects []Subject) (restraints []Restraint) {
 	for _, s := range subjects {
 		if s.Kind == Health && j.members[s] != nil {
@@ -137,7 +138,7 @@
 	return restraints
 }
 
-// Forget drops what is kept of an origin that is no member any more.
+// Forget drops the records of an origin that is no longer a member of the fleet.
 func (j *Judge) Forget(origin string) {
 	for _, h := range j.holds {
 		delete(h.budgets, origin)
@@ -145,7 +146,7 @@
 	}
 }
 
-// evictOldest keeps the maps within maxTracked.
+// evictOldest bounds the maps by maxTracked.
 func (j *Judge) evictOldest() {
 	if len(j.holds) > maxTracked {
 		evictOlderHalf(j.holds, func(h *holdState) time.Duration { return h.lastUse })
--- a/internal/verdicts/observation.go
+++ b/internal/verdicts/observation.go
@@ -2,27 +2,27 @@
 
 import "time"
 
-// Outcome is how one of this relay's own calls ended.
+// Outcome is the result of one of this relay's own calls.
 type Outcome int
 
-// The outcomes that matter.
+// The outcomes that a Judge or an Announcer uses.
 const (
-	Succeeded Outcome = iota // the member answered well
+	Succeeded Outcome = iota // the member answered without an error
 	Failed                   // no connection, no answer, or an error
-	Refused                  // turned away, with a wait or without
+	Refused                  // the destination refused the call, with a retry-after wait or without
 )
 
-// Observation is the end of one of this relay's own calls.
+// Observation describes one of this relay's own calls that has ended.
 type Observation struct {
 	Outcome     Outcome
 	Destination int
 	Member      string
-	Route       bool          // the member is a route of its own, and waits bind it alone
-	Begun       time.Duration // when the call was begun
-	Wait        time.Duration // that the member asked for; with Refused
+	Route       bool          // the member is a separate route: waits apply to it alone
+	Begun       time.Duration // start of the call
+	Wait        time.Duration // retry-after wait that the member asked for; only with Refused
 }
 
-// waitSubject is the subject that a wait binds.
+// waitSubject returns the subject that a wait applies to.
 func (o Observation) waitSubject() Subject {
 	if o.Route {
 		return Subject{Kind: Wait, Destination: o.Destination, Member: o.Member}
--- a/internal/verdicts/statement.go
+++ b/internal/verdicts/statement.go
@@ -1,9 +1,10 @@
-// Package verdicts decides what relays of one fleet learn from each other about outside destinations: what a statement
-// means, how statements merge and expire, how many origins must agree, and what a single origin may do.
+// Package verdicts implements the health verdicts that the relays of a fleet exchange about outside destinations. It defines
+// what a statement means, how statements merge and expire, how many origins have to agree, and how much a single origin can
+// influence.
 //
-// An Announcer makes this relay's statements, a Store keeps those of all relays, and a Judge decides what they mean for
-// this relay. The package makes no calls, reads no clock and starts no goroutine: times are those that its caller hands
-// in, all from one monotonic origin, and packets carry ages in place of times. docs/fleet-verdicts.md is its design.
+// An Announcer creates this relay's statements, a Store keeps the statements of all relays, and a Judge decides what they mean
+// for this relay. The package makes no calls, reads no clock and starts no goroutine. The caller passes in all times, measured
+// from one monotonic origin. Packets carry ages instead of times. docs/fleet-verdicts.md describes the design.
 package verdicts
 
 import (
@@ -13,20 +14,21 @@
 	"time"
 )
 
-// Kind is what a statement is about.
+// Kind is the kind of a statement.
 type Kind byte
 
-// The kinds, by priority: where bandwidth is short, the lower ones are sent first.
+// The kinds by priority. When bandwidth is short, statements of lower kinds are sent first.
 const (
-	Wait   Kind = iota + 1 // a call was turned away and told to wait
-	Health                 // a member is out; Over: it answered again, and was cold from then on
-	Drain                  // discovery drains or removes a member; Over: it is listed again
-	Ban                    // operators took a member down; Over: they brought it up
+	Wait   Kind = iota + 1 // a destination refused a call and asked for a wait (retry-after)
+	Health                 // a member is out; Over: the member answers again, and its slow start began at that time
+	Drain                  // discovery drains or removes a member; Over: discovery lists the member again
+	Ban                    // operators took a member down; Over: operators brought the member up
 	kinds
 )
 
 var kindNames = [kinds]string{Wait: "wait", Health: "health", Drain: "drain", Ban: "ban"}
 
+// String returns the name of the kind.
 func (k Kind) String() string {
 	if !k.IsKnown() {
 		return "unknown"
@@ -34,11 +36,11 @@
 	return kindNames[k]
 }
 
-// IsKnown says whether this build knows the kind. A statement of another is neither merged nor forwarded.
+// IsKnown reports whether this build knows the kind. Statements of unknown kinds are neither merged nor forwarded.
 func (k Kind) IsKnown() bool { return k > 0 && k < kinds }
 
-// maxLifetimes bounds how long a statement of each kind is in force, whatever life its origin gives it: after that, a relay that
-// hears nothing more decides alone again.
+// maxLifetimes bounds how long a statement of each kind stays in force, whatever lifetime its origin sets. After that time, a relay
+// that receives no further statements decides on its own again.
 var maxLifetimes = [kinds]time.Duration{
 	Wait:   60 * time.Second,
 	Health: 15 * time.Second,
@@ -46,7 +48,7 @@
 	Ban:    30 * time.Second,
 }
 
-// Life is the longest life of a statement of the kind. A wait lives for its length.
+// Life returns the maximum lifetime of a statement of the kind. A Wait statement lives for the length of the wait.
 func (k Kind) Life() time.Duration {
 	if !k.IsKnown() {
 		return 0
@@ -54,42 +56,44 @@
 	return maxLifetimes[k]
 }
 
-// Subject is what a statement is about. A wait of a whole destination names no member; one of a route apart does.
+// Subject identifies what a statement is about. A wait for a whole destination names no member. A wait for a separate route names
+// the member.
 type Subject struct {
 	Kind        Kind
 	Destination int
 	Member      string
 }
 
+// compare orders subjects by kind, destination and member.
 func (s Subject) compare(o Subject) int {
 	return cmp.Or(cmp.Compare(s.Kind, o.Kind), cmp.Compare(s.Destination, o.Destination), cmp.Compare(s.Member, o.Member))
 }
 
-// Version orders the statements of one origin: its incarnation counts its starts, the sequence its statements.
+// Version orders the statements of one origin. Incarnation counts the starts of the origin, Seq its statements.
 type Version struct{ Incarnation, Seq uint64 }
 
-// Compare orders versions, the older first.
+// Compare orders versions from old to new.
 func (v Version) Compare(o Version) int {
 	return cmp.Or(cmp.Compare(v.Incarnation, o.Incarnation), cmp.Compare(v.Seq, o.Seq))
 }
 
-// Statement is one origin's current announcement on one subject.
+// Statement is an origin's current announcement about a subject.
 type Statement struct {
 	Origin string
 	Version
 	Subject
-	Over   bool          // the origin withdraws it
-	Length time.Duration // Wait: how long, from when it was asked for; Health: how long the outage had lasted then
-	List   int64         // Drain: the version of discovery's list
-	Age    time.Duration // since it was made; each hop adds how long it kept it
-	Life   time.Duration // it is not in force once it is older; at most Kind.Life
+	Over   bool          // the origin withdraws the statement
+	Length time.Duration // Wait: length of the wait, from when the statement was made; Health: length of the outage when the statement was made
+	List   int64         // Drain: version of discovery's list
+	Age    time.Duration // time since the statement was made; each hop adds the time that it kept the statement
+	Life   time.Duration // age at which the statement expires; at most Kind.Life
 }
 
-// expiredAt reports whether a statement of an age is not in force any more.
+// expiredAt reports whether the statement is expired at an age.
 func (s *Statement) expiredAt(age time.Duration) bool { return age >= min(s.Life, s.Kind.Life()) }
 
-// compareContents orders two different statements of one version, which only a faulty or malicious origin makes: the one that restrains
-// less wins, at every relay alike.
+// compareContents orders two statements of the same version with different contents. Only a faulty or malicious origin makes such
+// statements. The one that restrains less wins, so all relays choose the same one.
 func (s *Statement) compareContents(o *Statement) int {
 	falseFirst := func(a, b bool) int {
 		if a == b {
@@ -102,7 +106,7 @@
 	return cmp.Or(falseFirst(s.Over, o.Over), cmp.Compare(o.Length, s.Length), cmp.Compare(o.Life, s.Life), cmp.Compare(s.List, o.List))
 }
 
-// hash identifies a statement, the same at every relay. Its age does not count.
+// hash identifies the statement without its age. The hash is the same at every relay.
 func (s *Statement) hash() uint64 {
 	h := fnv.New64a()
 	b := make([]byte, 0, 64)
--- a/internal/verdicts/store.go
+++ b/internal/verdicts/store.go
@@ -8,16 +8,16 @@
 )
 
 const (
-	// MaxPerOrigin is how many statements of one origin a store keeps, so that no peer takes unbounded memory.
+	// MaxPerOrigin is the maximum number of statements that a store keeps per origin. It bounds the memory that a peer can use.
 	MaxPerOrigin = 2048
 	// MaxNameLength bounds the names of origins and members, in bytes.
 	MaxNameLength = 128
 )
 
-// Store keeps the live statements of all origins. It maps (origin, subject) to the newest statement. Where a statement
-// arrives by several ways the greatest age is kept, so that one that came by a slower way does not become younger. Both
-// are maxima of total orders, so Merge is commutative, associative and idempotent, as long as no origin has more than
-// MaxPerOrigin statements.
+// Store keeps the live statements of all origins. It maps each pair of origin and subject to the newest statement. When a
+// statement arrives over several paths, the store keeps the greatest age, so a copy that took a slower path does not make the
+// statement younger. Both rules take the maximum of a total order, so Merge is commutative, associative and idempotent as long
+// as no origin has more than MaxPerOrigin statements.
 type Store struct {
 	origins map[string]map[Subject]*entry
 }
@@ -25,7 +25,7 @@
 // entry is a stored statement.
 type entry struct {
 	Statement
-	madeAt time.Duration // when its age was 0, by the owner's clock
+	madeAt time.Duration // time at which the statement's age was 0, by this relay's clock
 	hash   uint64
 }
 
@@ -36,10 +36,10 @@
 	return s
 }
 
-// isExpired reports whether the statement is not in force any more.
+// isExpired reports whether the statement has expired.
 func (e *entry) isExpired(now time.Duration) bool { return e.expiredAt(now - e.madeAt) }
 
-// remaining is how long the statement stays in force.
+// remaining returns how long the statement stays in force.
 func (e *entry) remaining(now time.Duration) time.Duration {
 	return min(e.Life, e.Kind.Life()) - (now - e.madeAt)
 }
@@ -47,8 +47,8 @@
 // NewStore returns an empty store.
 func NewStore() *Store { return &Store{origins: map[string]map[Subject]*entry{}} }
 
-// isValid reports whether a statement is well-formed. Others are not merged, so that no peer can plant what a later build
-// would trip over.
+// isValid reports whether a statement is well-formed. Malformed statements are not merged, so a peer cannot spread data that a
+// later build fails on.
 func (s *Statement) isValid() bool {
 	knownKind := s.Kind.IsKnown()
 	namesFit := s.Origin != "" && len(s.Origin) <= MaxNameLength && len(s.Member) <= MaxNameLength
@@ -57,7 +57,7 @@
 	return knownKind && namesFit && timesFit && hasMember && s.Destination >= 0
 }
 
-// Merge adds a statement, and reports whether it is news. An expired one is not.
+// Merge adds a statement and reports whether the statement is new. Expired statements are not added.
 func (st *Store) Merge(now time.Duration, s Statement) bool {
 	if !s.isValid() || s.expiredAt(s.Age) {
 		return false
@@ -79,8 +79,8 @@
 	return true
 }
 
-// replaces reports whether an entry replaces an older one of its origin and subject. Of the same version, both end with the
-// greater age.
+// replaces reports whether an entry replaces an older one of the same origin and subject. If the versions are equal, the entry that
+// stays takes the greater of the two ages.
 func (e *entry) replaces(old *entry) bool {
 	order := e.Version.Compare(old.Version)
 	if order != 0 {
@@ -95,7 +95,7 @@
 	return true
 }
 
-// evictFirstToExpire drops the statement of an origin that expires first.
+// evictFirstToExpire drops the statement that expires first among the statements of an origin.
 func evictFirstToExpire(now time.Duration, ofOrigin map[Subject]*entry) {
 	var first *entry
 	for _, e := range ofOrigin {
@@ -106,7 +106,7 @@
 	delete(ofOrigin, first.Subject)
 }
 
-// Sweep drops expired statements, and returns the subjects that lost one.
+// Sweep drops expired statements and returns their subjects.
 func (st *Store) Sweep(now time.Duration) (lost []Subject) {
 	for origin, ofOrigin := range st.origins {
 		for subject, e := range ofOrigin {
@@ -123,7 +123,7 @@
 	return slices.Compact(lost)
 }
 
-// Forget drops all statements of an origin that is no member any more, and returns their subjects.
+// Forget drops all statements of an origin that is no longer a member, and returns their subjects.
 func (st *Store) Forget(origin string) []Subject {
 	lost := slices.SortedFunc(maps.Keys(st.origins[origin]), Subject.compare)
 	delete(st.origins, origin)
@@ -139,7 +139,7 @@
 	return n
 }
 
-// About returns the live statements on a subject with their current ages, by origin.
+// About returns the live statements about a subject with their current ages, sorted by origin.
 func (st *Store) About(now time.Duration, subject Subject) (list []Statement) {
 	for _, ofOrigin := range st.origins {
 		if e := ofOrigin[subject]; e != nil && !e.isExpired(now) {
@@ -150,7 +150,7 @@
 	return list
 }
 
-// From returns one origin's live statements, by subject.
+// From returns the live statements of an origin, sorted by subject.
 func (st *Store) From(now time.Duration, origin string) (list []Statement) {
 	for _, e := range st.origins[origin] {
 		if !e.isExpired(now) {
@@ -161,7 +161,7 @@
 	return list
 }
 
-// All returns all live statements, by origin and subject.
+// All returns all live statements, sorted by origin and subject.
 func (st *Store) All(now time.Duration) (list []Statement) {
 	for _, origin := range slices.Sorted(maps.Keys(st.origins)) {
 		list = append(list, st.From(now, origin)...)
--- a/internal/verdicts/summary.go
+++ b/internal/verdicts/summary.go
@@ -8,14 +8,15 @@
 	"time"
 )
 
-// bucketCount is the number of buckets that origins are hashed into for a summary. With few live statements most buckets are
-// 0, which takes a byte each on the wire; with many, a difference costs the statements of one bucket.
+// bucketCount is the number of buckets that origins are hashed into for a summary. With few live statements, most buckets are 0,
+// and each of these takes one byte on the wire. With many, a difference costs only the statements of one bucket.
 const bucketCount = 32
 
-// Summary describes a store to others for an anti-entropy exchange: a hash over the live statements of each bucket of
-// origins. Two stores with the same live statements have the same summary, but for what expires in between.
+// Summary describes a store in an anti-entropy exchange: for each bucket of origins, a hash over the live statements. Two
+// stores with the same live statements have the same summary, unless a statement expires between the two computations.
 type Summary [bucketCount]uint32
 
+// bucketOf returns the bucket of an origin.
 func bucketOf(origin string) int {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(origin))
@@ -34,7 +35,7 @@
 	return summary
 }
 
-// Missing returns the statements that another store, by its summary, may lack: those of the highest kind last.
+// Missing returns the statements that another store may lack according to its summary, sorted by kind, the lowest first.
 func (st *Store) Missing(now time.Duration, theirs Summary) (list []Statement) {
 	ours := st.Summary(now)
 	for _, origin := range slices.Sorted(maps.Keys(st.origins)) {
--- a/internal/verdicts/waits.go
+++ b/internal/verdicts/waits.go
@@ -7,32 +7,33 @@
 )
 
 const (
-	// maxBudget is how long one origin's statements alone may hold a destination at once.
+	// maxBudget is the maximum time for which the statements of a single origin may hold a destination at once.
 	maxBudget = time.Second
-	// singleRefillRatio is the share of the time that passes by which an origin's budget refills.
+	// singleRefillRatio is the share of elapsed time that refills the budget of an origin.
 	singleRefillRatio = 0.05
-	// confirmedRefillRatio is that share while other origins too have been turned away there.
+	// confirmedRefillRatio is the share of elapsed time that refills the budget while other origins report refusals too.
 	confirmedRefillRatio = 0.5
-	// confirmationTime is how long a refusal of another origin counts for that.
+	// confirmationTime is how long a refusal of one origin confirms the statements of another.
 	confirmationTime = 10 * time.Second
 )
 
-// holdState is what a judge keeps of the subject of a wait.
+// holdState is a judge's record of the subject of a wait.
 type holdState struct {
-	until            time.Duration            // as last returned
-	lastSuccessStart time.Duration            // when the newest of our calls that succeeded was begun
-	ownWaitEnd       time.Duration            // end of a wait that this relay was asked for itself
-	lastRefusals     map[string]time.Duration // when an origin, this relay included, was last turned away
+	until            time.Duration            // end of the hold, as last returned
+	lastSuccessStart time.Duration            // start of the newest of this relay's own calls that succeeded
+	ownWaitEnd       time.Duration            // end of the wait that the destination asked this relay for
+	lastRefusals     map[string]time.Duration // when each origin, this relay included, was last refused
 	budgets          map[string]*budget
 	lastUse          time.Duration
 }
 
-// budget is how long an origin's statements alone may hold a destination.
+// budget is the time for which the statements of an origin alone may still hold a destination.
 type budget struct {
 	left      time.Duration
 	updatedAt time.Duration
 }
 
+// hold returns the record of a subject, and adds one if there is none.
 func (j *Judge) hold(now time.Duration, subject Subject) *holdState {
 	h := j.holds[subject]
 	if h == nil {
@@ -49,7 +50,7 @@
 	return h
 }
 
-// endContradictedHold ends a hold where one of our calls succeeded that was begun after the waits were announced.
+// endContradictedHold ends a hold if one of this relay's own calls succeeded that started after the announcement of all known waits.
 func (j *Judge) endContradictedHold(now time.Duration, o Observation) []Restraint {
 	waitSubject := o.waitSubject()
 	h := j.holds[waitSubject]
@@ -62,7 +63,7 @@
 	}
 	for _, s := range j.store.About(now, waitSubject) {
 		if s.Origin != j.self && now-s.Age >= h.lastSuccessStart {
-			return nil // this one is newer than the call
+			return nil // this wait was announced after the start of the call
 		}
 	}
 	j.counters.Overruled++
@@ -74,11 +75,12 @@
 	return []Restraint{holdUntil(waitSubject, now)}
 }
 
+// holdUntil returns the restraint that holds a subject until a time.
 func holdUntil(subject Subject, until time.Duration) Restraint {
 	return Restraint{Order: Hold, Destination: subject.Destination, Member: subject.Member, At: until}
 }
 
-// judgeWait decides how long a group is to be held. A new statement may draw on its origin's budget.
+// judgeWait decides how long to hold a subject. A newly received statement may draw on the budget of its origin.
 func (j *Judge) judgeWait(now time.Duration, subject Subject, received *Statement) []Restraint {
 	h := j.hold(now, subject)
 	until := max(h.until, j.quorumWaitEnd(now, subject, h))
@@ -86,20 +88,21 @@
 		until = j.extendByBudget(now, h, received, until)
 	}
 	if until <= max(h.until, now) || until <= h.ownWaitEnd {
-		return nil // nothing new, or this relay's own wait holds as long
+		return nil // the hold does not become longer, or this relay's own wait lasts as long
 	}
 	h.until = until
 	j.counters.Heeded++
 	return []Restraint{holdUntil(subject, until)}
 }
 
-// quorumWaitEnd is the time until which a quorum of origins, this relay included, announces waits; never for none.
+// quorumWaitEnd returns the time until which a quorum of origins, this relay included, announces waits. It returns never if fewer
+// origins than the quorum announce one.
 func (j *Judge) quorumWaitEnd(now time.Duration, subject Subject, h *holdState) time.Duration {
 	ends := []time.Duration{h.ownWaitEnd}
 	for _, s := range j.store.About(now, subject) {
 		madeAt := now - s.Age
 		if s.Origin == j.self || madeAt < h.lastSuccessStart {
-			continue // our own, or contradicted by a call of ours
+			continue // this relay's own statement, or contradicted by a call of this relay
 		}
 		h.lastRefusals[s.Origin] = max(h.lastRefusals[s.Origin], madeAt)
 		if !s.Over {
@@ -114,7 +117,7 @@
 	return ends[j.quorum-1]
 }
 
-// extendByBudget extends a hold towards the end of a single origin's wait, as far as its budget goes.
+// extendByBudget extends a hold towards the end of a single origin's wait, as far as the budget of the origin covers it.
 func (j *Judge) extendByBudget(now time.Duration, h *holdState, received *Statement, until time.Duration) time.Duration {
 	end := now - received.Age + received.Length
 	from := max(until, now, h.ownWaitEnd)
@@ -128,7 +131,7 @@
 	return until
 }
 
-// draw takes a duration from an origin's budget, as far as there is.
+// draw takes a duration from the budget of an origin and returns how much of it the budget covered.
 func (h *holdState) draw(now time.Duration, origin string, wanted time.Duration) time.Duration {
 	b := h.budgets[origin]
 	if b == nil {
@@ -146,7 +149,7 @@
 	return drawn
 }
 
-// isConfirmed reports whether another origin has been turned away lately.
+// isConfirmed reports whether another origin was refused within confirmationTime.
 func (h *holdState) isConfirmed(now time.Duration, origin string) bool {
 	for other, at := range h.lastRefusals {
 		if other != origin && now-at < confirmationTime {
