--- a/internal/allowance/allocations.go
+++ b/internal/allowance/allocations.go
@@ -8,15 +8,15 @@
 )
 
 const (
-	// renewalMargin is how long before a lease ends the caller gets the rate that follows it.
+	// renewalMargin is how long before the end of a lease the caller gets the next rate.
 	renewalMargin = 100 * time.Millisecond
-	// ownShareDuration is how long this relay's own share is allocated for.
+	// ownShareDuration is the duration of an allocation of the relay's own share.
 	ownShareDuration = 2 * time.Second
-	// allocationToleranceRatio is the share by which an allocation may change without being returned anew.
+	// allocationToleranceRatio is the relative change of a rate up to which the allocation is not returned again.
 	allocationToleranceRatio = 0.02
 )
 
-// allocations returns the allocations that have changed or are about to expire.
+// allocations returns the allocations that have changed or expire soon.
 func (a *Allocator) allocations(now time.Duration) (list []Allocation) {
 	a.addAnnouncedDestinations(now)
 	for _, n := range slices.Sorted(maps.Keys(a.destinations)) {
@@ -47,9 +47,9 @@
 	}
 }
 
-// limit is a destination's limit as this relay knows it: its own reading, or what the owner has announced if that is less.
-// Another relay's word alone raises no limit that this relay has read; without a reading, the relay would otherwise send
-// without any limit.
+// limit returns the limit that this relay assumes for a destination: the smaller of its own reading and the limit that the owner
+// announces. An announcement alone does not raise a limit that this relay has read. Without an own reading the announced limit
+// applies, because the relay would otherwise send without any limit.
 func (a *Allocator) limit(now time.Duration, n int, d *localDestination) float64 {
 	s := a.shards[Shard(n)]
 	if s == nil {
@@ -62,13 +62,13 @@
 	return d.limit
 }
 
-// allocate is the rate of a destination from now on.
+// allocate returns the allocation of a destination from now on.
 func (a *Allocator) allocate(now time.Duration, n int, d *localDestination, limit float64) Allocation {
 	holder := a.shard(Shard(n)).holder
 	rate, until, own := holder.Rate(now, n, limit)
 	leased := rate > 0 && !own
 	if leased && until-now < renewalMargin && holder.lentUntil > until {
-		// The lease is about to end, and the share is still lent: nothing may be sent until the loan ends.
+		// The lease is about to end while the share is still lent. The relay may not send until the loan ends.
 		rate, until = 0, holder.lentUntil
 	}
 	if d.limit > 0 && rate > d.limit {
@@ -82,7 +82,8 @@
 	return allocation
 }
 
-// isCurrent reports whether the last allocation stands: it is about as much, and lasts for a while.
+// isCurrent reports whether the last allocation need not be replaced: its rate is similar, and it lasts for at least half of the next
+// allocation's duration.
 func (d *localDestination) isCurrent(now time.Duration, next Allocation) bool {
 	left := d.allocatedAt + d.allocated.Duration - now
 	similar := math.Abs(next.Rate-d.allocated.Rate) <= allocationToleranceRatio*d.allocated.Rate
--- a/internal/allowance/allocator.go
+++ b/internal/allowance/allocator.go
@@ -10,57 +10,57 @@
 )
 
 const (
-	// isolationTimeout is how long a relay that hears of no other member any more keeps to its own share.
+	// isolationTimeout is how long a relay without other live members keeps to its own share of each limit.
 	isolationTimeout = 60 * time.Second
-	// maxDestinations bounds the destinations that an allocator keeps.
+	// maxDestinations is the maximum number of destinations that an allocator keeps.
 	maxDestinations = 16384
-	// incarnationShiftBits puts the incarnation above the sequence numbers of one process.
+	// incarnationShiftBits is the position of the incarnation in a sequence number, above the numbers of one process.
 	incarnationShiftBits = 32
-	// allocatorStream separates the random sequence of allocators from others of the same seed.
+	// allocatorStream separates the random numbers of allocators from others with the same seed.
 	allocatorStream = 0xa110
 )
 
-// Allocator is one relay's part in dividing the limits: a Holder for each shard that it uses, and an Owner for each shard
-// that it owns. It is not safe for concurrent use.
+// Allocator divides the limits for one relay. It has a Holder for each shard that the relay uses, and an Owner for each shard that
+// the relay owns. It is not safe for concurrent use.
 type Allocator struct {
 	cfg             Config
 	self            string
 	firstSequence   uint64
-	priorLoansEnd   time.Duration // loans that an earlier process made are over then
-	priorLeasesEnd  time.Duration // leases that an earlier process granted are over then
+	priorLoansEnd   time.Duration // end of the loans that an earlier process may have made
+	priorLeasesEnd  time.Duration // end of the leases that an earlier process may have granted
 	rng             *rand.Rand
-	members         []string      // live members, this relay included
-	lastConnectedAt time.Duration // when another member was last alive
-	sequence        uint64        // of the newest claim
+	members         []string      // live members, including this relay
+	lastConnectedAt time.Duration // when another member was last live
+	sequence        uint64        // sequence number of the newest claim
 	shards          map[int]*shardState
 	destinations    map[int]*localDestination
 	counters        Counters
 	outbox          []Message
 }
 
-// shardState is what an allocator keeps of a shard.
+// shardState is an allocator's record of a shard.
 type shardState struct {
 	holder      *Holder
-	owner       *Owner // nil where this relay has never been the owner
+	owner       *Owner // nil if this relay has never been the owner
 	lastClaimAt time.Duration
 	nextClaimAt time.Duration
-	// lastAnswer is when the current owner last answered, or was first asked.
+	// lastAnswerAt is when the current owner last answered, or when the first claim was sent to that owner.
 	lastAnswerAt time.Duration
-	avoided      map[string]avoidance // owners that did not answer
+	avoided      map[string]avoidance // owners that did not answer, by name
 	lastPollAt   time.Duration
-	// acknowledge is set when a grant has lowered a rate: the owner can grant it to others once it knows that this relay
-	// has seen the grant.
+	// mustAcknowledge is set when a grant has lowered a rate. The owner can grant the difference to other relays once it knows that
+	// this relay has received the grant.
 	mustAcknowledge bool
 }
 
-// avoidance is how long an owner that did not answer is not asked.
+// avoidance records how long an unresponsive owner is not selected.
 type avoidance struct {
 	until    time.Duration
 	duration time.Duration
 }
 
-// NewAllocator returns an allocator. Set restarted where an earlier process of this relay may have lent its shares or
-// granted leases: they have to end before the new process uses or grants anything of them.
+// NewAllocator returns an allocator. Set restarted if an earlier process of this relay may have lent its shares or granted leases.
+// These loans and leases have to end before the new process uses the shares or grants leases.
 func NewAllocator(cfg Config, self string, incarnation, seed uint64, now time.Duration, restarted bool) (*Allocator, error) {
 	if err := cfg.Validate(); err != nil {
 		return nil, err
@@ -83,16 +83,16 @@
 	return a, nil
 }
 
-// Counters returns the counters.
+// Counters returns the counters of the allocator.
 func (a *Allocator) Counters() Counters { return a.counters }
 
-// SetMembers sets the live members, this relay included or not.
+// SetMembers sets the live members. The list may or may not include this relay.
 func (a *Allocator) SetMembers(now time.Duration, live []string) {
 	if len(a.members) > 1 {
 		a.lastConnectedAt = now
 	}
 	for _, s := range a.shards {
-		// A member that has come, or come back, may be asked again.
+		// A member that has joined or left is no longer avoided.
 		maps.DeleteFunc(s.avoided, func(member string, _ avoidance) bool {
 			return slices.Contains(live, member) != slices.Contains(a.members, member)
 		})
@@ -103,8 +103,8 @@
 	}
 }
 
-// Tick sends the claims and grants that are due, and returns the allocations that have changed or are about to expire.
-// Call it often, and after all input. TakeMessages returns what it sends.
+// Tick creates the claims and grants that are due, and returns the allocations that have changed or expire soon. Call it often, and
+// after each input. TakeMessages returns the created messages.
 func (a *Allocator) Tick(now time.Duration) []Allocation {
 	connected := len(a.members) > 1
 	if connected {
@@ -113,21 +113,21 @@
 	if now-a.lastConnectedAt >= isolationTimeout {
 		return nil
 	}
-	if connected { // a relay that is cut off has its own share
+	if connected { // an isolated relay uses its own share
 		a.sendDueClaims(now)
 		a.pollMembers(now)
 	}
 	return a.allocations(now)
 }
 
-// TakeMessages returns the messages to send, each once.
+// TakeMessages returns the messages to send. Each message is returned once.
 func (a *Allocator) TakeMessages() []Message {
 	messages := a.outbox
 	a.outbox = nil
 	return messages
 }
 
-// RestoreLimit sets a limit that an earlier process had learned. It is not reported to others as a reading.
+// RestoreLimit sets a limit that an earlier process has learned. The limit is not reported to other relays as a reading.
 func (a *Allocator) RestoreLimit(now time.Duration, destination int, limit float64) {
 	d := a.destination(now, destination)
 	if d.limit == 0 && isLimit(limit) {
@@ -135,29 +135,29 @@
 	}
 }
 
-// ObserveLimit records a limit that an answer of the destination gave.
+// ObserveLimit records a limit that this relay has read from an answer of the destination.
 func (a *Allocator) ObserveLimit(now time.Duration, destination int, limit float64) {
 	if !isLimit(limit) {
 		return
 	}
 	d := a.destination(now, destination)
 	if d.limit > 0 && math.Abs(limit-d.limit) > limitStepRatio*d.limit {
-		d.claimNow = true // other relays should know at once
+		d.claimNow = true // report a changed limit to the owner at once
 	}
 	d.limit = limit
 	d.limitReadAt = now
 }
 
-// isLimit reports whether a number is a positive, finite rate.
+// isLimit reports whether a number is a positive and finite rate.
 func isLimit(limit float64) bool { return limit > 0 && !math.IsInf(limit, 0) }
 
-// ReportDemand records the calls that have arrived for a destination since the last report, and those that wait, by
-// priority level.
-func (a *Allocator) ReportDemand(now time.Duration, destination int, arrived, waiting [Levels]int) {
+// ReportDemand records the calls that have arrived for a destination since the last report, and the queued calls, for each priority
+// level.
+func (a *Allocator) ReportDemand(now time.Duration, destination int, arrived, queued [Levels]int) {
 	d := a.destination(now, destination)
-	changed := waiting != d.waiting
-	d.addDemand(now, arrived, waiting)
-	if !changed || slices.Max(waiting[:]) == 0 {
+	changed := queued != d.queued
+	d.addDemand(now, arrived, queued)
+	if !changed || slices.Max(queued[:]) == 0 {
 		return
 	}
 	rate, _, _ := a.shard(Shard(destination)).holder.Rate(now, destination, d.limit)
@@ -166,6 +166,7 @@
 	}
 }
 
+// shard returns the record of a shard, and adds one if there is none.
 func (a *Allocator) shard(n int) *shardState {
 	s := a.shards[n]
 	if s == nil {
@@ -179,6 +180,7 @@
 	return s
 }
 
+// destination returns the record of a destination, and adds one if there is none.
 func (a *Allocator) destination(now time.Duration, n int) *localDestination {
 	d := a.destinations[n]
 	if d == nil {
--- a/internal/allowance/claims.go
+++ b/internal/allowance/claims.go
@@ -8,29 +8,30 @@
 )
 
 const (
-	// minClaimInterval is the least time between two claims for a shard, and between two polls of its relays.
+	// minClaimInterval is the minimum time between two claims for a shard, and between two polls of the shard's relays.
 	minClaimInterval = 50 * time.Millisecond
-	// minHeartbeatFactor and heartbeatJitterRange spread the heartbeats: each comes after 0.8 to 1.2 intervals.
+	// minHeartbeatFactor and heartbeatFactorRange define the jitter of heartbeats: the next follows after 0.8 to 1.2 intervals.
 	minHeartbeatFactor   = 0.8
 	heartbeatFactorRange = 0.4
-	// minDemandRate is the least demand that is worth a claim, in calls a second.
+	// minDemandRate is the demand above which a destination is claimed, in calls a second.
 	minDemandRate = 0.01
-	// maxAvoidance bounds how long an owner that did not answer is not asked: at first a loan, then twice as long each time.
+	// maxAvoidance bounds how long an unresponsive owner is avoided. The time starts at the length of a loan and doubles with each
+	// failure.
 	maxAvoidance = 30 * time.Second
-	// maxClaimed is how many destinations a claim may list, so that it fits into a packet.
+	// maxClaimed is the maximum number of destinations in a claim, so that the claim fits into a packet.
 	maxClaimed = 24
-	// maxGranted is how many destinations a grant may list, so that it fits into a packet.
+	// maxGranted is the maximum number of destinations in a grant, so that the grant fits into a packet.
 	maxGranted = 40
 )
 
-// ownerOf picks a shard's owner among the members that are alive and answer.
+// ownerOf selects the owner of a shard among the live members that are not avoided.
 func (a *Allocator) ownerOf(now time.Duration, shard int, s *shardState) string {
 	return selectOwner(shard, a.members, func(member string) bool {
 		return member == a.self || now >= s.avoided[member].until
 	})
 }
 
-// sendDueClaims sends claims for the shards of which something is wanted.
+// sendDueClaims sends claims for the shards with demand, and for those with a grant to acknowledge.
 func (a *Allocator) sendDueClaims(now time.Duration) {
 	due := map[int]bool{}
 	for n, s := range a.shards {
@@ -54,7 +55,7 @@
 // mayClaim reports whether a claim may be sent before the next heartbeat.
 func (s *shardState) mayClaim(now time.Duration) bool { return now-s.lastClaimAt >= minClaimInterval }
 
-// sendClaim sends a claim to the owner of a shard.
+// sendClaim sends a claim to the owner of a shard. It selects another owner if the current one is unresponsive.
 func (a *Allocator) sendClaim(now time.Duration, shard int) {
 	s := a.shard(shard)
 	owner := a.ownerOf(now, shard, s)
@@ -63,7 +64,7 @@
 		owner = a.ownerOf(now, shard, s)
 	}
 	if owner != s.holder.Owner() || s.lastClaimAt < now-a.cfg.LoanDuration {
-		s.lastAnswerAt = now // the owner was not asked before
+		s.lastAnswerAt = now // the time without an answer starts at the first claim to this owner
 	}
 	jitter := minHeartbeatFactor + heartbeatFactorRange*a.rng.Float64()
 	s.lastClaimAt = now
@@ -80,20 +81,20 @@
 	a.outbox = append(a.outbox, Message{To: owner, Claim: &claim})
 }
 
-// isUnresponsive reports whether an owner that was asked has not answered for a lease.
+// isUnresponsive reports whether an owner has not answered claims for the length of a lease.
 func (a *Allocator) isUnresponsive(now time.Duration, s *shardState, owner string) bool {
 	wasAsked := owner == s.holder.Owner() && owner != a.self
 	return wasAsked && now-s.lastAnswerAt > a.cfg.LeaseDuration
 }
 
-// avoid keeps an owner from being asked for a time, which doubles from one failure to the next.
+// avoid excludes an owner from selection for a time that doubles with each failure.
 func (a *Allocator) avoid(now time.Duration, s *shardState, owner string) {
 	duration := min(max(2*s.avoided[owner].duration, a.cfg.LoanDuration), maxAvoidance)
 	s.avoided[owner] = avoidance{until: now + duration, duration: duration}
 	a.counters.Avoided++
 }
 
-// claimContents collects the demand and the fresh readings of a shard's destinations, the greatest demand first.
+// claimContents returns the demands for the destinations of a shard, the greatest first, and the valid readings of their limits.
 func (a *Allocator) claimContents(now time.Duration, shard int) (demands []Demand, readings []Reading) {
 	for _, n := range slices.Sorted(maps.Keys(a.destinations)) {
 		if Shard(n) != shard {
@@ -114,8 +115,8 @@
 	return demands, readings
 }
 
-// pollMembers sends grants for the shards of this relay that nobody has asked for: to relays that can have more, and to
-// relays that have been silent.
+// pollMembers sends grants without a preceding claim for the shards that this relay owns: to relays that can get a higher rate, and
+// to silent relays.
 func (a *Allocator) pollMembers(now time.Duration) {
 	for _, n := range slices.Sorted(maps.Keys(a.shards)) {
 		s := a.shards[n]
@@ -129,6 +130,7 @@
 	}
 }
 
+// pollShard sends the grants of one shard.
 func (a *Allocator) pollShard(now time.Duration, shard int, s *shardState) {
 	for _, member := range s.owner.UnderservedRelays(now) {
 		a.sendGrant(now, shard, s, member, false)
@@ -136,13 +138,13 @@
 	silence := (a.cfg.LoanDuration - a.cfg.LeaseDuration) * 2 / 3
 	for _, member := range s.owner.SilentRelays(now, a.members, silence) {
 		a.sendGrant(now, shard, s, member, true)
-		if member == a.self { // like any other relay, it lends with a claim that acknowledges the grant
+		if member == a.self { // like any other relay, this one lends by a claim that acknowledges the grant
 			a.sendClaim(now, shard)
 		}
 	}
 }
 
-// sendGrant sends a grant to a relay.
+// sendGrant sends a grant of a shard to a relay.
 func (a *Allocator) sendGrant(now time.Duration, shard int, s *shardState, to string, claimRequested bool) {
 	grant := s.owner.Grant(now, shard, to)
 	grant.ClaimRequested = claimRequested
@@ -154,7 +156,7 @@
 	a.outbox = append(a.outbox, Message{To: to, Grant: &grant})
 }
 
-// ReceiveClaim accepts a claim of a relay, and answers it.
+// ReceiveClaim processes a relay's claim, and answers a new one with a grant.
 func (a *Allocator) ReceiveClaim(now time.Duration, from string, claim Claim) {
 	if !isShard(claim.Shard) || !slices.Contains(a.members, from) {
 		a.counters.Strays++
@@ -170,9 +172,10 @@
 	}
 }
 
+// isShard reports whether a number is that of a shard.
 func isShard(n int) bool { return n >= 0 && n < Shards }
 
-// removeForeign removes the destinations that do not belong to a claim's shard.
+// removeForeign removes the destinations of other shards from a claim.
 func (a *Allocator) removeForeign(claim *Claim) {
 	before := len(claim.Demands) + len(claim.Readings)
 	claim.Demands = slices.DeleteFunc(claim.Demands, func(d Demand) bool { return Shard(d.Destination) != claim.Shard })
@@ -180,7 +183,7 @@
 	a.counters.Foreign += int64(before - len(claim.Demands) - len(claim.Readings))
 }
 
-// ReceiveGrant accepts a grant of an owner.
+// ReceiveGrant processes an owner's grant.
 func (a *Allocator) ReceiveGrant(now time.Duration, from string, grant Grant) {
 	if !isShard(grant.Shard) {
 		a.counters.Strays++
@@ -203,7 +206,7 @@
 	}
 }
 
-// removeForeignShares removes the destinations that do not belong to a grant's shard, and those that are too many.
+// removeForeignShares removes the destinations of other shards from a grant, and those above maxGranted.
 func (a *Allocator) removeForeignShares(grant *Grant) {
 	before := len(grant.Shares)
 	grant.Shares = slices.DeleteFunc(grant.Shares, func(s Share) bool { return Shard(s.Destination) != grant.Shard })
@@ -211,12 +214,12 @@
 	a.counters.Foreign += int64(before - len(grant.Shares))
 }
 
-// isPoll reports whether the shard's owner asks for a claim that may be sent now.
+// isPoll reports whether a grant is from the owner of its shard, requests a claim, and the claim may be sent now.
 func (a *Allocator) isPoll(now time.Duration, s *shardState, from string, grant *Grant) bool {
 	return grant.ClaimRequested && from == a.ownerOf(now, grant.Shard, s) && from != a.self && s.mayClaim(now)
 }
 
-// answerPoll accepts a grant that asks for a claim, and sends the claim.
+// answerPoll processes a grant that requests a claim, and sends the claim.
 func (a *Allocator) answerPoll(now time.Duration, s *shardState, from string, grant Grant) {
 	s.holder.owner = from
 	if !s.holder.ReceiveGrant(now, from, grant) {
--- a/internal/allowance/config.go
+++ b/internal/allowance/config.go
@@ -1,10 +1,10 @@
-// Package allowance decides how the relays of a fleet divide the rate limits of outside destinations. Each relay's equal
-// share of a limit is either used by the relay itself, or lent for a time to the owner of the destination's shard, which
-// grants leases from the shares that it was lent.
+// Package allowance divides the rate limits of outside destinations among the relays of a fleet. Each relay has an equal share
+// of every limit. It either uses the share itself, or lends the share for a time to the owner of the destination's shard. The
+// owner grants leases from the shares that are lent to it.
 //
-// An Allocator is one relay's part in this: for each shard a Holder, which lends shares and uses leases, and an Owner for
-// the shards that the relay owns. The package makes no calls, reads no clock and starts no goroutine: times are those that
-// its caller hands in. docs/fleet-limits.md states the bound, and internal/lab/explore searches its interleavings.
+// An Allocator does this for one relay. It has a Holder for each shard, which lends shares and uses leases, and an Owner for
+// each shard that the relay owns. The package makes no calls, reads no clock and starts no goroutine: the caller passes in all
+// times. docs/fleet-limits.md states the bound, and internal/lab/explore searches the interleavings of the protocol.
 package allowance
 
 import (
@@ -12,48 +12,48 @@
 	"time"
 )
 
-// Levels is the number of priority levels of messages; level 0 is the highest.
+// Levels is the number of priority levels of messages. Level 0 is the highest.
 const Levels = 4
 
 // never is a time before all others.
 const never = time.Duration(-1 << 62)
 
-// The durations of DefaultConfig.
+// The values of DefaultConfig and the limits of Config.Validate.
 const (
-	// baseHeartbeatInterval and heartbeatPerRelay give the heartbeat interval: the larger the fleet, the more rarely a relay sends
-	// a claim, so that the load of an owner grows by less.
+	// baseHeartbeatInterval and heartbeatIntervalPerRelay determine the heartbeat interval. Relays of a larger fleet send claims
+	// less often, so the load of an owner grows more slowly than the fleet.
 	baseHeartbeatInterval     = 250 * time.Millisecond
 	heartbeatIntervalPerRelay = 3 * time.Millisecond
-	// leaseHeartbeats is the length of a lease in heartbeats: a lease outlives one lost message.
+	// leaseHeartbeats is the length of a lease in heartbeat intervals. It lets a lease outlast one lost message.
 	leaseHeartbeats = 3
-	// loanHeartbeats is the length of a loan in heartbeats, with a quarter more: a loan outlives a lease and one more lost
-	// message. Longer ones would cost more where an owner dies.
+	// loanHeartbeats is the length of a loan in heartbeat intervals; DefaultConfig adds a quarter of an interval. It lets a loan
+	// outlast a lease and one more lost message. Longer loans keep the shares unavailable for longer when an owner dies.
 	loanHeartbeats = 6
-	// defaultClockDriftRatio is generous for crystal clocks, which drift by some 1e-5.
+	// defaultClockDriftRatio is far above the drift of crystal clocks, which is about 1e-5.
 	defaultClockDriftRatio = 1e-3
 	// maxClockDriftRatio bounds Config.MaxClockDrift.
 	maxClockDriftRatio = 0.1
-	// minLoanMarginHeartbeats is by how many heartbeats a loan has to outlast a lease.
+	// minLoanMarginHeartbeats is the number of heartbeat intervals by which a loan has to outlast a lease.
 	minLoanMarginHeartbeats = 3
 )
 
-// Config holds what all relays of a fleet have to agree on.
+// Config is the configuration that all relays of a fleet have to share.
 type Config struct {
-	// Relays is the number of relays that divide the limits, whether they are alive or not.
+	// Relays is the number of relays that divide the limits, alive or not.
 	Relays int
-	// LeaseDuration is how long a rate is granted for.
+	// LeaseDuration is the length of a lease, for which an owner grants a rate.
 	LeaseDuration time.Duration
-	// LoanDuration is how long a share is lent: at least LeaseDuration and three heartbeats.
+	// LoanDuration is the length of a loan of a share: at least LeaseDuration and three heartbeat intervals.
 	LoanDuration time.Duration
-	// HeartbeatInterval is how often a claim is repeated.
+	// HeartbeatInterval is the time between two claims for a shard.
 	HeartbeatInterval time.Duration
-	// Quorum is how many relays have to read a limit before the owner believes it.
+	// Quorum is the number of relays that have to read a limit before the owner trusts it.
 	Quorum int
-	// MaxClockDrift is how much one relay's clock may run apart from another's, as a share of the time that passes.
+	// MaxClockDrift is the maximum drift between two relays' clocks, as a share of elapsed time.
 	MaxClockDrift float64
 }
 
-// DefaultConfig returns the configuration of a fleet of so many relays.
+// DefaultConfig returns the default configuration for a number of relays and a quorum.
 func DefaultConfig(relays, quorum int) Config {
 	heartbeat := baseHeartbeatInterval + time.Duration(relays)*heartbeatIntervalPerRelay
 	return Config{
@@ -66,32 +66,32 @@
 	}
 }
 
-// Validate returns an error for a configuration under which the bound would not hold.
+// Validate returns an error if the bound does not hold under the configuration.
 func (c *Config) Validate() error {
 	switch {
 	case c.Relays < 1:
-		return errors.New("allowance: fewer than one relay")
+		return errors.New("allowance: number of relays (Relays) is below 1")
 	case c.Quorum < 1:
-		return errors.New("allowance: a quorum of fewer than one relay")
+		return errors.New("allowance: quorum (Quorum) is below 1")
 	case c.LeaseDuration <= 0:
-		return errors.New("allowance: a lease without a duration")
+		return errors.New("allowance: LeaseDuration is not positive")
 	case c.HeartbeatInterval <= 0:
-		return errors.New("allowance: no heartbeat interval")
+		return errors.New("allowance: HeartbeatInterval is not positive")
 	case c.LoanDuration < c.LeaseDuration+minLoanMarginHeartbeats*c.HeartbeatInterval:
-		return errors.New("allowance: a loan has to outlast a lease and three heartbeats")
+		return errors.New("allowance: LoanDuration is shorter than LeaseDuration and three heartbeat intervals")
 	case !(c.MaxClockDrift >= 0 && c.MaxClockDrift < maxClockDriftRatio):
-		return errors.New("allowance: a clock drift outside of 0 to 0.1")
+		return errors.New("allowance: MaxClockDrift is not between 0 and 0.1")
 	}
 	return nil
 }
 
-// shortenForDrift is the least that a clock may show when another has counted a duration.
+// shortenForDrift returns the least time that one clock can show while another clock shows a duration.
 func (c *Config) shortenForDrift(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (1 - c.MaxClockDrift))
 }
 
-// Bound is how many calls all relays together send to a destination in a window at most, whatever fails;
-// docs/fleet-limits.md derives it. Calls that a stopped process was about to send come on top.
+// Bound returns the maximum number of calls that all relays together send to a destination within a window, under any failures.
+// docs/fleet-limits.md derives the formula. Calls that a suspended process was about to send are not included.
 func Bound(limit float64, relays int, window time.Duration) float64 {
 	const clockDriftRatio = 1e-3
 	burstCalls := limit / 10
--- a/internal/allowance/demand.go
+++ b/internal/allowance/demand.go
@@ -6,31 +6,31 @@
 )
 
 const (
-	// backlogDrainTime is the time in which waiting calls are to be sent.
+	// backlogDrainTime is the time within which queued calls should be sent.
 	backlogDrainTime = time.Second
 	// minAveragingTime and maxAveraging bound the time over which arrivals are averaged.
 	minAveragingTime = 500 * time.Millisecond
 	maxAveragingTime = 4 * time.Second
-	// averagedArrivalCount is the number of arrivals that are averaged over, within these bounds.
+	// averagedArrivalCount is the number of arrivals that an average covers, within the bounds of the averaging time.
 	averagedArrivalCount = 4.0
-	// minArrivalRate keeps the averaging time finite where nothing arrives.
+	// minArrivalRate keeps the averaging time finite when no calls arrive, in calls a second.
 	minArrivalRate = 1e-9
-	// minUpdateSeconds is the least time between two updates of the averages, in seconds.
+	// minUpdateSeconds is the minimum time between two updates of the averages, in seconds.
 	minUpdateSeconds = 0.05
 )
 
-// localDestination is what an allocator keeps of a destination.
+// localDestination is an allocator's record of a destination.
 type localDestination struct {
-	rates       [Levels]float64 // arrivals a second, averaged
+	rates       [Levels]float64 // average arrivals a second by priority level
 	arrived     [Levels]float64 // arrivals since updatedAt
-	waiting     [Levels]int
+	queued      [Levels]int     // calls queued at the last report
 	updatedAt   time.Duration
-	limit       float64 // as this relay has read it; 0 for not
+	limit       float64 // limit that this relay has read, in calls a second; 0 for none
 	limitReadAt time.Duration
-	allocated   Allocation // as last returned to the caller
+	allocated   Allocation // allocation last returned to the caller
 	allocatedAt time.Duration
 	lastUse     time.Duration
-	claimNow    bool // a claim is due before the next heartbeat
+	claimNow    bool // a claim has to be sent before the next heartbeat
 }
 
 func newLocalDestination(now time.Duration) *localDestination {
@@ -41,16 +41,16 @@
 	}
 }
 
-// addDemand adds arrivals, and replaces the waiting calls.
-func (d *localDestination) addDemand(now time.Duration, arrived, waiting [Levels]int) {
+// addDemand adds arrivals and replaces the numbers of queued calls.
+func (d *localDestination) addDemand(now time.Duration, arrived, queued [Levels]int) {
 	for i := range Levels {
 		d.arrived[i] += float64(arrived[i])
 	}
-	d.waiting = waiting
+	d.queued = queued
 	d.updateRates(now)
 }
 
-// updateRates averages the arrivals exponentially, over a shorter time the more there are.
+// updateRates updates the exponential averages of the arrivals. The averaging time is shorter when more calls arrive.
 func (d *localDestination) updateRates(now time.Duration) {
 	elapsed := (now - d.updatedAt).Seconds()
 	if elapsed < minUpdateSeconds {
@@ -70,11 +70,11 @@
 	}
 }
 
-// demand is the rate that serves arrivals, and waiting calls within backlogTime.
+// demand returns the rate that serves the arrivals, and the queued calls within backlogDrainTime.
 func (d *localDestination) demand(destination int) Demand {
 	demand := Demand{Destination: destination}
 	for i := range Levels {
-		demand.Rates[i] = d.rates[i] + float64(d.waiting[i])/backlogDrainTime.Seconds()
+		demand.Rates[i] = d.rates[i] + float64(d.queued[i])/backlogDrainTime.Seconds()
 	}
 	return demand
 }
--- a/internal/allowance/divide.go
+++ b/internal/allowance/divide.go
@@ -6,15 +6,16 @@
 )
 
 const (
-	// reserveShare is the share of a rate that is not divided among relays whose demand is served, so that the next one to
-	// ask finds something.
+	// reserveShare is the share of a rate that is held back once all demand is served, so that the next relay with demand
+	// gets a rate at once.
 	reserveShare = 0.05
-	// lowerLevelShare is the share of a rate that is kept for lower priority levels while they have demand.
+	// lowerLevelShare is the share of a rate that is reserved for lower priority levels that have demand.
 	lowerLevelShare = 0.05
 )
 
-// divide divides a rate by the relays' demands: the highest priority level first, max-min fair within a level, and a small
-// share for the levels below. What is left goes to all relays with demand. The result is added to targets.
+// divide divides a rate among relays by their demands. Higher priority levels are served first, with max-min fairness within a
+// level and a small share reserved for the levels below. The rate that remains, less a reserve, goes to all relays in proportion
+// to their demand. The result is added to targets.
 func divide(rate float64, names []string, demandOf func(string) *Demand, targets map[string]float64) {
 	levelDemands, total := sumDemands(names, demandOf)
 	if total <= 0 || rate <= 0 {
@@ -46,7 +47,7 @@
 	}
 }
 
-// sumDemands sums the demands of all relays, by priority level and in total.
+// sumDemands returns the sums of all relays' demands for each priority level and in total.
 func sumDemands(names []string, demandOf func(string) *Demand) (levelDemands [Levels]float64, total float64) {
 	for _, name := range names {
 		demand := demandOf(name)
@@ -61,8 +62,8 @@
 	return levelDemands, total
 }
 
-// divideMaxMin divides a rate max-min fairly: no relay gets more than it wants, and the least that any unsatisfied relay
-// gets is as high as possible. The result is added to targets; their sum is returned.
+// divideMaxMin divides a rate with max-min fairness: no relay gets more than its demand, and the smallest rate of any unsatisfied
+// relay is as high as possible. The result is added to targets. The sum of the added rates is returned.
 func divideMaxMin(rate float64, names []string, demandOf func(string) float64, targets map[string]float64) (divided float64) {
 	type row struct {
 		name   string
--- a/internal/allowance/grants.go
+++ b/internal/allowance/grants.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// Grant makes a grant for a relay: its targets, as far as other relays do not have the rates yet. A relay that has not
-// sent a claim gets an empty grant.
+// Grant creates a grant for a relay. It contains the relay's target rates, as far as other relays do not still use these rates. A
+// relay that has not sent a claim gets an empty grant.
 func (o *Owner) Grant(now time.Duration, shard int, to string) Grant {
 	o.updateTargets(now)
 	o.sequence++
 	o.sentAt[o.sequence] = now
 	r := o.relay(to)
 	if r.lastClaimSequence == 0 && r.grantsSinceHeard == 0 {
-		r.lastHeardAt = now // its silence counts from here
+		r.lastHeardAt = now // the relay counts as silent from its first grant on
 	}
 	r.lastGrantAt = now
 	r.grantsSinceHeard++
@@ -33,7 +33,7 @@
 	return grant
 }
 
-// shares calculates a relay's leases, as many as fit into a grant.
+// shares calculates the leases of a relay, as many as fit into a grant.
 func (o *Owner) shares(now time.Duration, to string) (shares []Share) {
 	lenders := o.countLenders(now, 0)
 	for _, n := range o.grantOrder(now, to) {
@@ -49,8 +49,8 @@
 	return shares
 }
 
-// grantOrder lists the destinations: those that a relay uses first, and each time beginning with another one, for not all
-// may fit into a grant.
+// grantOrder returns the destinations in the order of granting. Destinations that the relay uses come first. The starting point
+// rotates with each grant, because not all destinations may fit into one grant.
 func (o *Owner) grantOrder(now time.Duration, to string) []int {
 	order := slices.Sorted(maps.Keys(o.destinations))
 	first := int(o.sequence % uint64(max(len(order), 1)))
@@ -62,7 +62,7 @@
 	return order
 }
 
-// newSentGrant remembers the rates of a grant until its leases end.
+// newSentGrant returns a record of the rates of a grant until the leases end.
 func newSentGrant(now time.Duration, grant *Grant) sentGrant {
 	sent := sentGrant{
 		sequence: grant.Sequence,
@@ -77,7 +77,7 @@
 	return sent
 }
 
-// countLenders counts the relays whose loans last as long as a lease that is granted within a duration.
+// countLenders counts the relays whose loans outlast any lease that is granted from now until the end of a duration.
 func (o *Owner) countLenders(now, within time.Duration) int {
 	count := 0
 	for _, r := range o.relays {
@@ -88,7 +88,7 @@
 	return count
 }
 
-// freeRate is the part of the lent rate of a destination that no relay may be using.
+// freeRate returns the part of a destination's lent rate that no relay can still be using.
 func (o *Owner) freeRate(now time.Duration, n int, d *ownedDestination, lenders int) float64 {
 	free := d.limit * float64(lenders) / float64(o.cfg.Relays)
 	for _, name := range o.names {
@@ -97,7 +97,8 @@
 	return free
 }
 
-// grantableRate is a relay's target, or about as much as it has, as far as the rate is free or its own already.
+// grantableRate returns the rate to grant to a relay: the relay's target, or its current rate if the target is only slightly lower.
+// The rate is limited to the free rate plus the outstanding rate of the relay.
 func (o *Owner) grantableRate(now time.Duration, n int, d *ownedDestination, to string, free float64) float64 {
 	if now < o.grantsStartAt {
 		return 0
@@ -110,7 +111,7 @@
 	return max(min(rate, free+r.outstandingRate(now, n)), 0)
 }
 
-// outstandingRate is the highest rate that a relay may use by any grant that it may still have.
+// outstandingRate returns the highest rate among the grants that a relay may still be using.
 func (r *relayState) outstandingRate(now time.Duration, destination int) (highest float64) {
 	for _, g := range r.outstanding {
 		if now < g.until {
@@ -120,7 +121,7 @@
 	return highest
 }
 
-// newestRate is the rate of the newest grant, while that is in force.
+// newestRate returns the rate of the relay's newest grant, or 0 if that grant has expired.
 func (r *relayState) newestRate(now time.Duration, destination int) float64 {
 	last := len(r.outstanding) - 1
 	if last < 0 || now >= r.outstanding[last].until {
@@ -129,7 +130,7 @@
 	return r.outstanding[last].rates[destination]
 }
 
-// usage is 1 for a destination that a relay wants to send to, or may send to, and 0 for another.
+// usage returns 1 if the relay has demand for a destination or may still use a rate of it, and 0 otherwise.
 func (r *relayState) usage(now time.Duration, destination int) int {
 	if r.demands[destination] != nil || r.outstandingRate(now, destination) > 0 {
 		return 1
--- a/internal/allowance/holder.go
+++ b/internal/allowance/holder.go
@@ -3,35 +3,35 @@
 import "time"
 
 const (
-	// maxRecentClaims is how many of the newest claims a holder can match with grants.
+	// maxRecentClaims is the number of newest claims that a holder can match with grants.
 	maxRecentClaims = 8
-	// grantRetentionLoans is how long a holder remembers the newest grant of an owner, in loans: no grant is under way for
-	// longer.
+	// grantRetentionLoans is how long a holder remembers the newest grant of an owner, in loan durations. No grant is in transit
+	// for longer.
 	grantRetentionLoans = 10
-	// limitLifetimeLoans is how long a limit that an owner announced counts, in loans: after that the owner has changed, or
-	// died, and may have known less.
+	// limitLifetimeLoans is how long an announced limit stays valid, in loan durations. After that time the owner has changed or
+	// died, and its knowledge may have been incomplete.
 	limitLifetimeLoans = 2
-	// maxMissedHeartbeats is how many heartbeats an owner may leave unanswered before its loans are not extended.
+	// maxMissedHeartbeats is the number of heartbeats that an owner may leave unanswered before its loans are no longer extended.
 	maxMissedHeartbeats = 2
 )
 
-// Holder is a relay's side of one shard: the shares that it has lent, and the leases that it was granted.
+// Holder is a relay's side of one shard: the shares that the relay has lent, and the leases that it was granted.
 type Holder struct {
 	cfg *Config
-	// lentTo has the relay's shares until lentUntil, by the relay's clock. It is "" for shares that an earlier process may
-	// have lent, to an owner that is not known any more.
+	// lentTo is the owner that has the relay's shares until lentUntil, by the relay's clock. It is "" for shares that an earlier
+	// process may have lent to an unknown owner.
 	lentTo          string
 	lentUntil       time.Duration
 	owner           string               // the owner that the newest claim went to
-	ownerHeardAt    time.Duration        // when that owner was last heard
+	ownerHeardAt    time.Duration        // when that owner last answered
 	grantsSeen      map[string]seenGrant // the newest grant of each owner
 	recentClaims    [maxRecentClaims]sentClaim
-	nextClaimIndex  int // the place of the next claim in claims
+	nextClaimIndex  int // index of the next claim in recentClaims
 	leases          map[int]lease
 	announcedLimits map[int]announcedLimit
 }
 
-// announcedLimit is a destination's limit as an owner announced it.
+// announcedLimit is a destination's limit as announced by an owner.
 type announcedLimit struct {
 	limit float64
 	at    time.Duration
@@ -55,7 +55,7 @@
 	until time.Duration
 }
 
-// NewHolder returns a holder. Shares that an earlier process may have lent are back at lentUntil.
+// NewHolder returns a holder. Loans that an earlier process may have made end at lentUntil.
 func NewHolder(cfg *Config, lentUntil time.Duration) *Holder {
 	return &Holder{
 		cfg:             cfg,
@@ -66,7 +66,7 @@
 	}
 }
 
-// Claim makes a claim to an owner. The relay's shares are lent with it unless another owner still has them.
+// Claim creates a claim to an owner. The claim lends the relay's shares unless another owner still has them.
 func (h *Holder) Claim(now time.Duration, shard int, owner string, sequence uint64, demands []Demand, readings []Reading) Claim {
 	if owner != h.owner {
 		h.owner = owner
@@ -89,8 +89,8 @@
 	return claim
 }
 
-// mayLend reports whether the shares are back, or the same owner has them and answers. The loan of an owner that does not
-// answer is not extended, so that its shares are soon available when it turns out to be dead.
+// mayLend reports whether the last loan has ended, or was made to the same owner and that owner answers. Loans to an unresponsive
+// owner are not extended, so the shares are soon available again if the owner is dead.
 func (h *Holder) mayLend(now time.Duration, owner string) bool {
 	if now >= h.lentUntil {
 		return true
@@ -98,8 +98,8 @@
 	return h.lentTo == owner && now-h.ownerHeardAt <= maxMissedHeartbeats*h.cfg.HeartbeatInterval
 }
 
-// ReceiveGrant accepts a grant, and reports whether it counts. It does not where it is older than one that was seen: an
-// owner that knows of the newer one does not reserve rates for the older one any more.
+// ReceiveGrant processes a grant, and reports whether the grant is accepted. A grant that is older than one already received is
+// rejected, because an owner that knows of the newer grant no longer reserves rates for the older one.
 func (h *Holder) ReceiveGrant(now time.Duration, from string, grant Grant) bool {
 	if from != h.owner || grant.Sequence <= h.grantsSeen[from].sequence {
 		return false
@@ -121,8 +121,8 @@
 	return true
 }
 
-// leaseEnd is when the leases of a grant end. They run from when the claim was sent that the grant answers: the owner
-// counts from a later moment. A grant that answers none of the remembered claims ends at 0.
+// leaseEnd returns the end of the leases of a grant. Leases are counted from the time at which the holder sent the claim that the
+// grant answers, and the owner counts them from a later time. If the grant answers none of recentClaims, the end is 0.
 func (h *Holder) leaseEnd(grant *Grant) (until time.Duration) {
 	for _, c := range h.recentClaims {
 		if c.sequence == grant.LastClaim && grant.LastClaim > 0 {
@@ -132,7 +132,7 @@
 	return until
 }
 
-// dropExpired forgets old grants and announced limits.
+// dropExpired drops old grants and expired announced limits.
 func (h *Holder) dropExpired(now time.Duration) {
 	for owner, g := range h.grantsSeen {
 		if now-g.at > grantRetentionLoans*h.cfg.LoanDuration {
@@ -146,8 +146,8 @@
 	}
 }
 
-// Rate is what this relay may send to a destination with a limit, and until when that is certain. Own reports that it is
-// the relay's own share, which is not lent.
+// Rate returns the rate at which this relay may send to a destination with a limit, and until when the rate is valid. The result own
+// reports whether the rate is the relay's own share, which is not lent. An own share has no end time.
 func (h *Holder) Rate(now time.Duration, destination int, limit float64) (rate float64, until time.Duration, own bool) {
 	if l := h.leases[destination]; now < l.until {
 		return l.rate, l.until, false
@@ -158,16 +158,16 @@
 	return limit / float64(h.cfg.Relays), 0, true
 }
 
-// Limit is a destination's limit as an owner has lately announced it.
+// Limit returns the limit of a destination as announced by an owner, if the announcement is still valid.
 func (h *Holder) Limit(now time.Duration, destination int) (limit float64, ok bool) {
 	l, ok := h.announcedLimits[destination]
 	return l.limit, ok && now-l.at < limitLifetimeLoans*h.cfg.LoanDuration
 }
 
-// Owner is the owner that the newest claim went to; "" for none.
+// Owner returns the owner that the newest claim went to, or "" for none.
 func (h *Holder) Owner() string { return h.owner }
 
-// hasLoweredLease reports whether a lease that still ran is now clearly lower.
+// hasLoweredLease reports whether the rate of a lease has dropped by more than rateToleranceRatio before the lease ended.
 func (h *Holder) hasLoweredLease(now time.Duration, before map[int]lease) bool {
 	for destination, l := range before {
 		if now < l.until && h.leases[destination].rate < (1-rateToleranceRatio)*l.rate {
--- a/internal/allowance/messages.go
+++ b/internal/allowance/messages.go
@@ -2,12 +2,13 @@
 
 import "time"
 
-// Demand is the rate that a relay could send to a destination, in calls a second, by priority level.
+// Demand is the rate that a relay could send to a destination, in calls a second, for each priority level.
 type Demand struct {
 	Destination int
 	Rates       [Levels]float64
 }
 
+// total returns the sum over all priority levels.
 func (d Demand) total() (sum float64) {
 	for _, r := range d.Rates {
 		sum += r
@@ -15,34 +16,34 @@
 	return sum
 }
 
-// Reading is a limit that a relay has read in an answer of the destination.
+// Reading is a limit that a relay has read from an answer of the destination.
 type Reading struct {
 	Destination int
-	Limit       float64 // calls a second
-	Age         time.Duration
+	Limit       float64       // calls a second
+	Age         time.Duration // time since the relay read the limit
 }
 
-// Claim is a relay's message to the owner of a shard. Claims are repeated as heartbeats.
+// Claim is a message from a relay to the owner of a shard. Relays repeat claims as heartbeats.
 type Claim struct {
 	Shard int
-	// Sequence grows with each claim of the relay, to whichever owner.
+	// Sequence increases with each claim of the relay, whatever owner the claim goes to.
 	Sequence uint64
-	// LastGrant is the sequence of the newest grant of this owner that the relay has seen; 0 for none.
+	// LastGrant is the sequence number of the newest grant that the relay has received from this owner; 0 for none.
 	LastGrant uint64
-	// LoanDuration is how long the relay's shares of the shard's limits are lent; 0 if they are not.
+	// LoanDuration is how long the relay lends its shares of the shard's limits to the owner; 0 if it does not lend them.
 	LoanDuration time.Duration
 	Demands      []Demand
 	Readings     []Reading
 }
 
-// Grant is an owner's message to a relay.
+// Grant is a message from the owner of a shard to a relay.
 type Grant struct {
 	Shard int
-	// ClaimRequested asks a relay for a claim that has not been heard for a while.
+	// ClaimRequested asks the relay for a claim, because the owner has not received one for some time.
 	ClaimRequested bool
-	// Sequence grows with each grant of the owner, from one of its processes to the next.
+	// Sequence increases with each grant of the owner, also across restarts.
 	Sequence uint64
-	// LastClaim is the sequence of the newest claim of the relay that the owner has seen; 0 for none.
+	// LastClaim is the sequence number of the newest claim that the owner has received from the relay; 0 for none.
 	LastClaim     uint64
 	LeaseDuration time.Duration
 	Shares        []Share
@@ -52,7 +53,7 @@
 type Share struct {
 	Destination int
 	Rate        float64 // calls a second that the relay may send
-	Limit       float64 // calls a second that the destination takes
+	Limit       float64 // limit of the destination, in calls a second
 }
 
 // Message is a claim or a grant to another relay.
@@ -62,7 +63,7 @@
 	Grant *Grant
 }
 
-// Allocation is the rate at which this relay may send to a destination, and for how long from now on.
+// Allocation is the rate at which this relay may send to a destination, valid from now for a duration.
 type Allocation struct {
 	Destination int
 	Rate        float64 // calls a second
--- a/internal/allowance/owner.go
+++ b/internal/allowance/owner.go
@@ -7,55 +7,55 @@
 )
 
 const (
-	// rateToleranceRatio is by which share a relay's rate must differ from its target for a change: demand is noisy, and what one
-	// relay gives up another can have only after a round trip.
+	// rateToleranceRatio is the relative difference from its target up to which a relay's rate is not changed. Demand is noisy, and a
+	// rate that one relay gives up is available to another only after a round trip.
 	rateToleranceRatio = 0.1
-	// maxOwnedDestinations bounds the destinations that an owner keeps of a shard.
+	// maxOwnedDestinations is the maximum number of destinations that an owner keeps for a shard.
 	maxOwnedDestinations = maxDestinations / Shards
-	// relayRetentionLoans is how long an owner remembers a grant that it sent, a silent relay, and demand, in loans.
+	// relayRetentionLoans is how long an owner keeps a sent grant, a silent relay and demand, in loan durations.
 	relayRetentionLoans = 2
-	// destinationRetentionLoans is how long an owner remembers a destination that nobody wants, in loans.
+	// destinationRetentionLoans is how long an owner keeps a destination without demand, in loan durations.
 	destinationRetentionLoans = 4
-	// maxBackoffShift bounds how often the pause between two polls of a silent relay doubles.
+	// maxBackoffShift is the maximum number of times that the pause between two polls of a silent relay doubles.
 	maxBackoffShift = 4
-	// pollsBeforeBackoff is how many grants a relay may leave unanswered before that pause grows.
+	// pollsBeforeBackoff is the number of unanswered grants after which the pause between polls starts to double.
 	pollsBeforeBackoff = 2
 )
 
-// Owner is the owner's side of one shard: relays lend it their shares, and it grants leases from them.
+// Owner is the owner's side of one shard. Relays lend their shares to the owner, and the owner grants leases from these shares.
 type Owner struct {
 	cfg      *Config
-	sequence uint64                   // of the newest grant
-	sentAt   map[uint64]time.Duration // when grants were sent, by sequence
+	sequence uint64                   // sequence number of the newest grant
+	sentAt   map[uint64]time.Duration // when grants were sent, by sequence number
 	relays   map[string]*relayState
-	// names are those of relays, in order, so that sums and choices come out the same each time.
+	// names holds the sorted keys of relays. Iterating in this order makes sums and choices deterministic.
 	names            []string
 	destinations     map[int]*ownedDestination
-	targetsUpdatedAt time.Duration // when the targets were calculated
-	grantsStartAt    time.Duration // leases of an earlier process are over then
+	targetsUpdatedAt time.Duration // when the targets were last calculated
+	grantsStartAt    time.Duration // end of the leases of an earlier process; nothing is granted before
 }
 
-// relayState is what an owner keeps of a relay.
+// relayState is an owner's record of a relay.
 type relayState struct {
-	lastClaimSequence uint64        // sequence of its newest claim
-	lastHeardAt       time.Duration // when that claim came
-	loanUntil         time.Duration // its shares are lent until then, by the owner's clock
+	lastClaimSequence uint64        // sequence number of the relay's newest claim
+	lastHeardAt       time.Duration // when the newest claim arrived
+	loanUntil         time.Duration // end of the loan of the relay's shares, by the owner's clock
 	demands           map[int]*Demand
-	outstanding       []sentGrant // grants that it may still use, by sequence
+	outstanding       []sentGrant // grants that the relay may still use, by sequence number
 	lastGrantAt       time.Duration
-	// grantsSinceHeard counts the grants since its newest claim, the answer included.
+	// grantsSinceHeard counts the grants since the relay's newest claim, including the answer to that claim.
 	grantsSinceHeard int
 }
 
-// sentGrant is a grant that a relay may still use, as far as the owner knows.
+// sentGrant is a grant that a relay may still be using, as far as the owner knows.
 type sentGrant struct {
 	sequence uint64
 	until    time.Duration
 	rates    map[int]float64
 }
 
-// NewOwner returns an owner. Its grants are numbered from after firstSequence, above those of an earlier process. It
-// grants nothing until grantsFrom, when the leases of the earlier process are over.
+// NewOwner returns an owner. Sequence numbers of grants start after firstSequence, above those of an earlier process. The owner
+// grants nothing until grantsFrom, when the leases of the earlier process have ended.
 func NewOwner(cfg *Config, firstSequence uint64, grantsStartAt time.Duration) *Owner {
 	return &Owner{
 		cfg:              cfg,
@@ -68,7 +68,7 @@
 	}
 }
 
-// relay returns what is kept of a relay, and adds it if it is new.
+// relay returns the record of a relay, and adds one if there is none.
 func (o *Owner) relay(name string) *relayState {
 	r := o.relays[name]
 	if r == nil {
@@ -80,7 +80,7 @@
 	return r
 }
 
-// ReceiveClaim accepts a claim, and reports whether it is new.
+// ReceiveClaim processes a claim, and reports whether the claim is new.
 func (o *Owner) ReceiveClaim(now time.Duration, from string, claim Claim) bool {
 	r := o.relay(from)
 	if claim.Sequence <= r.lastClaimSequence {
@@ -90,16 +90,16 @@
 	r.lastHeardAt = now
 	r.grantsSinceHeard = 0
 	o.extendLoan(r, &claim)
-	// The relay does not use what was granted before the grant that it acknowledges.
+	// The relay no longer uses the grants before the one that the claim acknowledges.
 	r.outstanding = slices.DeleteFunc(r.outstanding, func(g sentGrant) bool { return g.sequence < claim.LastGrant })
 	o.recordDemands(now, r, claim.Demands)
 	o.recordReadings(now, from, claim.Readings)
 	return true
 }
 
-// extendLoan counts a loan from when the grant was sent that the claim acknowledges. The loan is over at the lender so
-// long after it sent the claim; it did so after it had seen the grant, and so after the grant was sent. That is the
-// earliest possible time, so the owner's end of the loan comes no later than the lender's.
+// extendLoan extends a loan. The owner counts the loan from the time at which it sent the grant that the claim acknowledges. The
+// lender counts the loan from the time at which it sent the claim, which is after the lender received the grant. The owner
+// therefore never considers a loan valid after the lender does.
 func (o *Owner) extendLoan(r *relayState, claim *Claim) {
 	sentAt, ok := o.sentAt[claim.LastGrant]
 	if !ok || claim.LoanDuration <= 0 {
@@ -121,7 +121,7 @@
 	}
 }
 
-// recordReadings adds the limits that a relay has read.
+// recordReadings stores the limits that a relay has read.
 func (o *Owner) recordReadings(now time.Duration, from string, readings []Reading) {
 	for _, r := range readings[:min(len(readings), maxClaimed)] {
 		d := o.destination(r.Destination)
@@ -131,7 +131,7 @@
 	}
 }
 
-// destination returns what is kept of a destination, and adds it if it is new; nil where there are too many.
+// destination returns the record of a destination, and adds one if there is none. It returns nil if there are too many records.
 func (o *Owner) destination(n int) *ownedDestination {
 	d := o.destinations[n]
 	if d == nil {
@@ -144,7 +144,7 @@
 	return d
 }
 
-// HasDemand reports whether any relay has lately wanted to send to a destination of the shard.
+// HasDemand reports whether any relay has recently reported demand for a destination of the shard.
 func (o *Owner) HasDemand(now time.Duration) bool {
 	for _, d := range o.destinations {
 		if now-d.lastDemandAt < relayRetentionLoans*o.cfg.LoanDuration {
@@ -154,7 +154,7 @@
 	return false
 }
 
-// UnderservedRelays lists the relays that should have a higher rate, and can since others have given some up.
+// UnderservedRelays returns the relays whose targets are above their rates, and for which enough free rate is available.
 func (o *Owner) UnderservedRelays(now time.Duration) (list []string) {
 	o.updateTargets(now)
 	lenders := o.countLenders(now, 0)
@@ -177,14 +177,14 @@
 	return list
 }
 
-// mayPush reports whether a grant without a new claim is worth sending: a lease that answers an old claim is soon over.
+// mayPush reports whether to send a grant without a new claim. A lease that answers an old claim would end too soon to be useful.
 func (o *Owner) mayPush(now time.Duration, name string) bool {
 	r := o.relays[name]
 	return now-r.lastHeardAt < o.cfg.LeaseDuration/2 && now-r.lastGrantAt >= minClaimInterval
 }
 
-// SilentRelays lists the members that have not been heard for a duration and are to be asked: the shares of idle relays are not
-// lent otherwise. A relay that does not answer is asked again soon, then less and less often.
+// SilentRelays returns the members to poll because no claim has arrived from them for a duration. Without polls, idle relays would
+// not lend their shares. A relay that does not answer is polled again soon, and then with exponential backoff.
 func (o *Owner) SilentRelays(now time.Duration, members []string, duration time.Duration) (list []string) {
 	for _, member := range members {
 		r := o.relays[member]
@@ -195,7 +195,7 @@
 	return list
 }
 
-// mayPoll reports whether the pause since the last grant is over.
+// mayPoll reports whether the backoff since the last grant to the relay has passed.
 func (r *relayState) mayPoll(now, pause time.Duration) bool {
 	shift := min(max(r.grantsSinceHeard-pollsBeforeBackoff, 0), maxBackoffShift)
 	return r.grantsSinceHeard == 0 || now-r.lastGrantAt >= pause<<shift
--- a/internal/allowance/shard.go
+++ b/internal/allowance/shard.go
@@ -15,12 +15,12 @@
 	return int(xxhash.Sum64(key) % Shards)
 }
 
-// OwnerOf returns the owner of a destination's shard when all of these relays are alive.
+// OwnerOf returns the owner of a destination's shard if all the given relays are alive.
 func OwnerOf(destination int, relays []string) string {
 	return selectOwner(Shard(destination), relays, func(string) bool { return true })
 }
 
-// selectOwner picks a shard's owner by rendezvous hashing: the eligible relay with the highest score.
+// selectOwner selects the owner of a shard by rendezvous hashing: the eligible relay with the highest score.
 func selectOwner(shard int, relays []string, eligible func(string) bool) (owner string) {
 	var highest uint64
 	for _, relay := range relays {
@@ -32,8 +32,9 @@
 	return owner
 }
 
+// rendezvousScore returns the score of a relay for a shard.
 func rendezvousScore(shard int, relay string) uint64 {
 	h := xxhash.NewWithSeed(uint64(shard))
-	_, _ = h.WriteString(relay) // it never fails
+	_, _ = h.WriteString(relay) // never returns an error
 	return h.Sum64()
 }
--- a/internal/allowance/snapshot.go
+++ b/internal/allowance/snapshot.go
@@ -8,11 +8,11 @@
 	"time"
 )
 
-// Clone and AppendState serve state space search (internal/lab/explore): a deep copy, and an encoding of all that decides
-// what comes next. Times are encoded relative to now, and sequence numbers by a function of the caller, so that states
-// that differ only by when they occur are encoded alike.
+// Clone and AppendState support state space search (internal/lab/explore). Clone makes a deep copy, and AppendState encodes all
+// state that determines the further behavior. Times are encoded relative to the current time, and sequence numbers by a function
+// of the caller, so states that differ only in when they occur have the same encoding.
 
-// SequenceKind tells sequence numbers of claims from those of grants.
+// SequenceKind distinguishes sequence numbers of claims from those of grants.
 type SequenceKind byte
 
 // The kinds of sequence numbers.
@@ -21,22 +21,23 @@
 	GrantSequence SequenceKind = 'g'
 )
 
-// AppendSequence appends the encoding of a sequence number of a relay's claims or grants. The relay "" is the one whose
+// AppendSequence appends the encoding of a sequence number of a relay's claims or grants. The empty name stands for the relay whose
 // state is encoded.
 type AppendSequence func(b []byte, kind SequenceKind, relay string, sequence uint64) []byte
 
 const (
-	// separator stands between the parts of an encoded state.
+	// separator separates the parts of an encoded state.
 	separator = '|'
-	// neverByte encodes a time that never was.
+	// neverByte encodes a time that is never or older than neverAge.
 	neverByte = 0xff
-	// neverAge is the age from which on a time counts as never.
+	// neverAge is the age from which a time counts as never.
 	neverAge = time.Hour
-	// rateResolution rounds rates: sums differ in their last bits by the order of their terms.
+	// rateResolution is the number of encoding steps per call a second. Rates are rounded because the last bits of a sum depend on
+	// the order of its terms.
 	rateResolution = 1e6
 )
 
-// Clone returns a deep copy.
+// Clone returns a deep copy of the holder.
 func (h *Holder) Clone() *Holder {
 	c := *h
 	c.grantsSeen = maps.Clone(h.grantsSeen)
@@ -45,7 +46,7 @@
 	return &c
 }
 
-// Clone returns a deep copy.
+// Clone returns a deep copy of the owner.
 func (o *Owner) Clone() *Owner {
 	c := *o
 	c.sentAt = maps.Clone(o.sentAt)
@@ -61,13 +62,15 @@
 	return &c
 }
 
+// clone returns a deep copy of the record.
 func (r *relayState) clone() *relayState {
 	c := *r
 	c.demands = maps.Clone(r.demands)
-	c.outstanding = slices.Clone(r.outstanding) // the rates of a grant never change
+	c.outstanding = slices.Clone(r.outstanding) // the rates of a sent grant never change
 	return &c
 }
 
+// clone returns a deep copy of the record.
 func (d *ownedDestination) clone() *ownedDestination {
 	c := *d
 	c.readings = maps.Clone(d.readings)
@@ -75,6 +78,7 @@
 	return &c
 }
 
+// appendTime appends a time relative to now.
 func appendTime(b []byte, now, t time.Duration) []byte {
 	if t <= now-neverAge {
 		return append(b, neverByte)
@@ -82,8 +86,10 @@
 	return binary.AppendVarint(b, int64(t-now))
 }
 
+// appendInt appends an integer.
 func appendInt(b []byte, n int) []byte { return binary.AppendVarint(b, int64(n)) }
 
+// appendRate appends a rounded rate.
 func appendRate(b []byte, rate float64) []byte {
 	return binary.AppendVarint(b, int64(math.Round(rate*rateResolution)))
 }
@@ -94,7 +100,7 @@
 	b = append(b, 0)
 	b = append(b, h.owner...)
 	b = append(b, 0)
-	// Times that are over are encoded alike.
+	// All times in the past have the same encoding.
 	b = appendTime(b, now, max(h.lentUntil, now))
 	b = appendTime(b, now, max(h.ownerHeardAt, now-maxMissedHeartbeats*h.cfg.HeartbeatInterval-1))
 	for _, owner := range slices.Sorted(maps.Keys(h.grantsSeen)) {
@@ -103,7 +109,7 @@
 	}
 	for i := range h.recentClaims {
 		c := h.recentClaims[(h.nextClaimIndex+i)%len(h.recentClaims)]
-		if c.sequence > 0 && now-c.at < h.cfg.LeaseDuration { // no lease comes of an older claim
+		if c.sequence > 0 && now-c.at < h.cfg.LeaseDuration { // a grant that answers an older claim gives no lease
 			b = appendSequence(b, ClaimSequence, "", c.sequence)
 			b = appendTime(b, now, c.at)
 		}
@@ -146,6 +152,7 @@
 	return b
 }
 
+// appendState appends the limit and the targets.
 func (d *ownedDestination) appendState(b []byte) []byte {
 	b = appendRate(b, d.limit)
 	for _, name := range slices.Sorted(maps.Keys(d.targets)) {
@@ -155,7 +162,7 @@
 	return b
 }
 
-// appendState appends the grants that a relay may still use, and its demands.
+// appendState appends the grants that the relay may still use, and its demands.
 func (r *relayState) appendState(b []byte, now time.Duration, appendSequence AppendSequence) []byte {
 	for _, g := range r.outstanding {
 		if g.until <= now {
--- a/internal/allowance/status.go
+++ b/internal/allowance/status.go
@@ -6,26 +6,26 @@
 	"time"
 )
 
-// unknownAgeMillis is State.AgeMS of a limit that this relay has not read.
+// unknownAgeMillis is the value of State.AgeMS for a limit that this relay has not read.
 const unknownAgeMillis = -1
 
 // State is the state of a destination's limit, for operators.
 type State struct {
 	Destination int     `json:"destination"`
-	Limit       float64 `json:"limit"` // calls a second of the whole fleet
-	Rate        float64 `json:"rate"`  // calls a second of this relay
-	Own         bool    `json:"own"`   // Rate is the relay's own share, which is not lent
-	Wants       float64 `json:"wants"` // calls a second that this relay could send
+	Limit       float64 `json:"limit"` // limit of the whole fleet, in calls a second
+	Rate        float64 `json:"rate"`  // rate that this relay may use, in calls a second
+	Own         bool    `json:"own"`   // Rate is the relay's own share, which it has not lent
+	Wants       float64 `json:"wants"` // demand of this relay, in calls a second
 	Owner       string  `json:"owner"`
-	LeftMS      float64 `json:"left_ms"`           // of the lease or the loan
-	AgeMS       float64 `json:"age_ms"`            // of this relay's newest reading; negative for none
-	Lenders     int     `json:"lenders,omitempty"` // at the owner: relays whose shares are lent to it
-	Dealt       float64 `json:"dealt,omitempty"`   // at the owner: calls a second that relays may use
-	Spare       float64 `json:"spare,omitempty"`   // at the owner: lent and not granted
-	Bound       float64 `json:"bound"`             // calls that all relays together may send in a second at most
+	LeftMS      float64 `json:"left_ms"`           // time until the lease or the loan ends
+	AgeMS       float64 `json:"age_ms"`            // age of this relay's newest reading; negative for none
+	Lenders     int     `json:"lenders,omitempty"` // at the owner: number of relays that lend it their shares
+	Dealt       float64 `json:"dealt,omitempty"`   // at the owner: granted rate that relays may use, in calls a second
+	Spare       float64 `json:"spare,omitempty"`   // at the owner: lent rate that is not granted, in calls a second
+	Bound       float64 `json:"bound"`             // maximum number of calls that all relays together may send in a second
 }
 
-// States returns the states of all limits, by destination.
+// States returns the states of all known limits, sorted by destination.
 func (a *Allocator) States(now time.Duration) (list []State) {
 	for _, n := range slices.Sorted(maps.Keys(a.destinations)) {
 		d := a.destinations[n]
@@ -36,6 +36,7 @@
 	return list
 }
 
+// state returns the state of one destination's limit.
 func (a *Allocator) state(now time.Duration, n int, d *localDestination, limit float64) State {
 	s := a.shard(Shard(n))
 	rate, until, own := s.holder.Rate(now, n, limit)
@@ -61,7 +62,7 @@
 	return state
 }
 
-// addOwnerState adds what the owner knows.
+// addOwnerState adds the fields that only the owner of the shard knows.
 func (s *State) addOwnerState(now time.Duration, o *Owner) {
 	for _, r := range o.relays {
 		if r.loanUntil > now {
--- a/internal/allowance/targets.go
+++ b/internal/allowance/targets.go
@@ -8,23 +8,24 @@
 )
 
 const (
-	// targetShare is the share of a limit that is divided: readings of it are noisy, and what exceeds it is refused.
+	// targetShare is the share of a limit that is divided. Readings of the limit are noisy, and the destination refuses calls above
+	// its limit.
 	targetShare = 0.98
-	// targetLifetime is how long calculated targets are used.
+	// targetLifetime is how long calculated targets stay valid.
 	targetLifetime = 20 * time.Millisecond
-	// readingLifetime is how long a reading of a limit counts.
+	// readingLifetime is how long a reading of a limit stays valid.
 	readingLifetime = 5 * time.Second
-	// limitSmoothingWeight is the weight of a new median of the readings.
+	// limitSmoothingWeight is the weight of a new median of readings in the smoothed limit.
 	limitSmoothingWeight = 0.2
-	// limitStepRatio is the share by which a limit must change to count at once, without smoothing.
+	// limitStepRatio is the relative change of a limit above which the change takes effect at once, without smoothing.
 	limitStepRatio = 0.25
 )
 
-// ownedDestination is what an owner keeps of a destination.
+// ownedDestination is an owner's record of a destination.
 type ownedDestination struct {
-	readings     map[string]limitReading // the newest of each relay
-	limit        float64                 // smoothed; 0 for unknown
-	targets      map[string]float64      // rates that relays should have
+	readings     map[string]limitReading // newest reading of each relay
+	limit        float64                 // smoothed limit in calls a second; 0 for unknown
+	targets      map[string]float64      // rates that relays should get, in calls a second
 	lastDemandAt time.Duration
 }
 
@@ -42,14 +43,14 @@
 	}
 }
 
-// addReading keeps a reading if it is the newest of its relay.
+// addReading stores a reading if it is the newest of its relay.
 func (d *ownedDestination) addReading(from string, r limitReading) {
 	if old, ok := d.readings[from]; !ok || r.at > old.at {
 		d.readings[from] = r
 	}
 }
 
-// updateTargets calculates how much each relay should have of each destination.
+// updateTargets calculates the rate that each relay should get for each destination.
 func (o *Owner) updateTargets(now time.Duration) {
 	if now-o.targetsUpdatedAt < targetLifetime {
 		return
@@ -70,7 +71,7 @@
 	}
 }
 
-// forgetOldGrants forgets when grants were sent that no claim acknowledges any more.
+// forgetOldGrants drops the send times of grants that are too old for a claim to acknowledge.
 func (o *Owner) forgetOldGrants(now time.Duration) {
 	for sequence, at := range o.sentAt {
 		if at < now-relayRetentionLoans*o.cfg.LoanDuration {
@@ -79,7 +80,7 @@
 	}
 }
 
-// forgetSilentRelays drops expired grants, demands that were not renewed, and relays that have nothing more.
+// forgetSilentRelays drops expired grants, demands that were not renewed, and silent relays without loans and grants.
 func (o *Owner) forgetSilentRelays(now time.Duration) {
 	oldest := now - relayRetentionLoans*o.cfg.LoanDuration
 	o.names = slices.DeleteFunc(o.names, func(name string) bool {
@@ -89,15 +90,15 @@
 			delete(o.relays, name)
 			return true
 		}
-		if now-r.lastHeardAt > o.cfg.LeaseDuration { // it cannot renew a lease that it does not ask for
+		if now-r.lastHeardAt > o.cfg.LeaseDuration { // without a claim the relay's lease is not renewed
 			clear(r.demands)
 		}
 		return false
 	})
 }
 
-// updateLimit moves the limit to the median of the newest readings. Without readings the last limit stands: there were no
-// calls, which says nothing of the limit.
+// updateLimit moves the limit to the median of the newest readings. Without readings the limit stays as it is: no calls were made,
+// which says nothing about the limit.
 func (d *ownedDestination) updateLimit(now time.Duration, quorum int) {
 	median, ok := d.medianReading(now, quorum)
 	if !ok {
@@ -110,8 +111,8 @@
 	}
 }
 
-// medianReading is the lower median of the newest readings of 2*quorum-1 relays, so that fewer than a quorum cannot raise
-// it. It drops expired readings.
+// medianReading returns the lower median of the newest readings of 2*quorum-1 relays, so fewer relays than a quorum cannot raise
+// the limit. It drops expired readings.
 func (d *ownedDestination) medianReading(now time.Duration, quorum int) (median float64, ok bool) {
 	type row struct {
 		from string
