--- a/internal/allowance/demand.go
+++ b/internal/allowance/demand.go
@@ -8,7 +8,7 @@
 const (
 	// backlogDrainTime is the time within which queued calls should be sent.
 	backlogDrainTime = time.Second
-	// minAveragingTime and maxAveraging bound the time over which arrivals are averaged.
+	// minAveragingTime and maxAveragingTime bound the time over which arrivals are averaged.
 	minAveragingTime = 500 * time.Millisecond
 	maxAveragingTime = 4 * time.Second
 	// averagedArrivalCount is the number of arrivals that an average covers, within the bounds of the averaging time.
--- a/internal/allowance/explore_test.go
+++ b/internal/allowance/explore_test.go
@@ -71,11 +71,11 @@
 				}
 				return mutantHolder{holder{Holder: allowance.NewHolder(cfg, lentUntil), Mutation: mutation}}
 			}
-			c.NewOwner = func(cfg *allowance.Config, firstSequence uint64, grantsFrom time.Duration) explore.Owner {
+			c.NewOwner = func(cfg *allowance.Config, firstSequence uint64, grantsStartAt time.Duration) explore.Owner {
 				if mutation == "restarts without waiting for earlier leases" {
-					grantsFrom = 0
+					grantsStartAt = 0
 				}
-				return mutantOwner{owner{Owner: allowance.NewOwner(cfg, firstSequence, grantsFrom), Mutation: mutation}}
+				return mutantOwner{owner{Owner: allowance.NewOwner(cfg, firstSequence, grantsStartAt), Mutation: mutation}}
 			}
 			mutated := func(s explore.Config) explore.Config {
 				s = withShortDurations(s)
--- a/internal/allowance/owner.go
+++ b/internal/allowance/owner.go
@@ -55,7 +55,7 @@
 }
 
 // NewOwner returns an owner. Sequence numbers of grants start after firstSequence, above those of an earlier process. The owner
-// grants nothing until grantsFrom, when the leases of the earlier process have ended.
+// grants nothing until grantsStartAt, when the leases of the earlier process have ended.
 func NewOwner(cfg *Config, firstSequence uint64, grantsStartAt time.Duration) *Owner {
 	return &Owner{
 		cfg:              cfg,
--- a/internal/allowance/simulation_test.go
+++ b/internal/allowance/simulation_test.go
@@ -26,7 +26,7 @@
 	for _, relays := range []int{3, 8, 60} {
 		for seed := range uint64(3) {
 			for name, load := range map[string]limits.LoadFunc{"even": limits.ConstantLoad(1, 260/float64(relays)), "one busy relay": limits.ConstantLoad(1, 130, 130/float64(relays-1)),
-				"three relays only": limits.ConstantLoad(1, 200, 60, 0)} {
+				"two busy relays only": limits.ConstantLoad(1, 200, 60, 0)} {
 				s := newSimulation(t, relays, seed)
 				s.Load = load
 				s.PacketLoss = 0.02 * float64(seed%2)
@@ -181,7 +181,7 @@
 	}
 	runWithFalseReports(2 * time.Second)
 	if obtainedRate := runWithFalseReports(3 * time.Second); obtainedRate > 1.2*s.Limit/8 || s.PeakRate > s.Limit*1.011 {
-		t.Errorf("the false relay gets %.1f calls a second of a limit of %.0f for 8 relays; peak rate in force %.1f", obtainedRate, s.Limit, s.PeakRate)
+		t.Errorf("the relay with false reports gets %.1f calls a second of a limit of %.0f for 8 relays; peak rate in force %.1f", obtainedRate, s.Limit, s.PeakRate)
 	}
 }
 
--- a/internal/spread/packet.go
+++ b/internal/spread/packet.go
@@ -24,7 +24,7 @@
 	Summary     verdicts.Summary
 	// Members is a hash of the members that the sender counts as live, in Ask and Answer packets; 0 in others.
 	Members uint64
-	// Known answers a packet of an old incarnation: it is the newest incarnation that is known of the receiver of this packet.
+	// Known answers a packet of an old incarnation. It is the newest incarnation of the receiver that the sender knows; 0 for none.
 	Known uint64
 	// Claim and Grant belong to the division of limits. Spread only transports them.
 	Claim *allowance.Claim
