--- a/internal/allowance/demand.go
+++ b/internal/allowance/demand.go
@@ -33,6 +33,7 @@
 	claimNow    bool // a claim has to be sent before the next heartbeat
 }
 
+// newLocalDestination returns a record without a limit or an allocation.
 func newLocalDestination(now time.Duration) *localDestination {
 	return &localDestination{
 		updatedAt:   now,
--- a/internal/allowance/targets.go
+++ b/internal/allowance/targets.go
@@ -35,6 +35,7 @@
 	at    time.Duration
 }
 
+// newOwnedDestination returns a record without readings.
 func newOwnedDestination() *ownedDestination {
 	return &ownedDestination{
 		readings:     map[string]limitReading{},
--- a/internal/spread/packet.go
+++ b/internal/spread/packet.go
@@ -19,7 +19,8 @@
 	Salt          uint64
 	Group, Groups int
 	News          []verdicts.Statement
-	// Ask and Answer are the two packets of an anti-entropy exchange, in which two relays compare the summaries of their stores.
+	// Ask and Answer mark the packets of an anti-entropy exchange, in which two relays compare the summaries of their stores. The
+	// receiver of an Ask replies with an Answer. An Answer requires no reply.
 	Ask, Answer bool
 	Summary     verdicts.Summary
 	// Members is a hash of the members that the sender counts as live, in Ask and Answer packets; 0 in others.
--- a/internal/spread/send.go
+++ b/internal/spread/send.go
@@ -59,7 +59,8 @@
 	s.refilledAt = now
 }
 
-// fitStatements returns the first statements, as many as fit into a packet but at least one.
+// fitStatements returns a prefix of the statements that fits into a packet. It halves the prefix until the packet is small enough, and
+// keeps at least one statement.
 func (s *Spread) fitStatements(p Packet, statements []verdicts.Statement) []verdicts.Statement {
 	p.News = statements
 	for s.cfg.Size(&p) > s.cfg.Packet && len(p.News) > 1 {
--- a/internal/spread/spread.go
+++ b/internal/spread/spread.go
@@ -25,6 +25,7 @@
 	Seed     uint64
 }
 
+// check returns an error for an unusable configuration.
 func (c *Config) check() error {
 	switch {
 	case c.Self == "":
--- a/internal/verdicts/health.go
+++ b/internal/verdicts/health.go
@@ -72,9 +72,8 @@
 	return []Restraint{r}
 }
 
-// delaysTrial reports whether a received statement delays this relay's next trial call. The statement has to report a recent failure and
-// to come from another origin than the statement that caused the last delay. Otherwise a single origin could delay the trial call
-// forever.
+// delaysTrial reports whether a received statement delays this relay's next trial call. The statement has to report a recent failure.
+// Its origin has to differ from the origin that caused the last delay. Otherwise a single origin could delay the trial call forever.
 func delaysTrial(received *Statement, m *memberState) bool {
 	return received != nil && !received.Over && received.Age < maxTrialAge && received.Origin != m.lastDelayOrigin
 }
--- a/internal/verdicts/statement.go
+++ b/internal/verdicts/statement.go
@@ -83,7 +83,7 @@
 	Version
 	Subject
 	Over   bool          // the origin withdraws the statement
-	Length time.Duration // Wait: length of the wait, from when the statement was made; Health: length of the outage when the statement was made
+	Length time.Duration // Wait: length of the wait, from when the statement was made; Health: length of the outage up to then
 	List   int64         // Drain: version of discovery's list
 	Age    time.Duration // time since the statement was made; each hop adds the time that it kept the statement
 	Life   time.Duration // age at which the statement expires; at most Kind.Life
--- a/internal/verdicts/verdicts_test.go
+++ b/internal/verdicts/verdicts_test.go
@@ -93,6 +93,7 @@
 	seq uint64
 }
 
+// newJudgeFixture returns a judge with an empty store.
 func newJudgeFixture(quorum int) *judgeFixture {
 	return &judgeFixture{Judge: NewJudge("me", quorum, NewStore()), now: time.Hour}
 }
@@ -110,14 +111,17 @@
 	return f.Receive(f.now, s)
 }
 
+// announceOutage receives a statement that the member has been out.
 func (f *judgeFixture) announceOutage(origin string, lasted, age time.Duration) []Restraint {
 	return f.receive(Statement{Origin: origin, Subject: Subject{Health, 1, "m"}, Length: lasted, Age: age})
 }
 
+// announceRecovery receives a statement that the member answers again.
 func (f *judgeFixture) announceRecovery(origin string) []Restraint {
 	return f.receive(Statement{Origin: origin, Subject: Subject{Health, 1, "m"}, Over: true})
 }
 
+// announceWait receives a wait for the whole destination.
 func (f *judgeFixture) announceWait(origin string, length time.Duration) []Restraint {
 	return f.receive(Statement{Origin: origin, Subject: Subject{Kind: Wait, Destination: 1}, Length: length})
 }
@@ -266,10 +270,12 @@
 	}
 }
 
+// announceDrain receives a drain of a member as of a list version.
 func (f *judgeFixture) announceDrain(origin, member string, list int64) {
 	f.receive(Statement{Origin: origin, Subject: Subject{Drain, 1, member}, List: list})
 }
 
+// announceBan receives a ban of a member, or the end of one.
 func (f *judgeFixture) announceBan(origin, member string, over bool) {
 	f.receive(Statement{Origin: origin, Subject: Subject{Ban, 1, member}, Over: over})
 }
