--- a/internal/allowance/demand.go
+++ b/internal/allowance/demand.go
@@ -6,33 +6,34 @@
 )
 
 const (
-	// backlogTime is the time in which waiting calls are to be sent.
-	backlogTime = time.Second
-	// minAveraging and maxAveraging bound the time over which arrivals are averaged.
-	minAveraging = 500 * time.Millisecond
-	maxAveraging = 4 * time.Second
-	// averagedArrivals is the number of arrivals that are averaged over, within these bounds.
-	averagedArrivals = 4.0
-	// minRate keeps the averaging time finite where nothing arrives.
-	minRate = 1e-9
-	// updateInterval is the least time between two updates of the averages, in seconds.
-	updateInterval = 0.05
+	// backlogDrainTime is the time within which queued calls should be sent.
+	backlogDrainTime = time.Second
+	// minAveragingTime and maxAveragingTime bound the time over which arrivals are averaged.
+	minAveragingTime = 500 * time.Millisecond
+	maxAveragingTime = 4 * time.Second
+	// averagedArrivalCount is the number of arrivals that an average covers, within the bounds of the averaging time.
+	averagedArrivalCount = 4.0
+	// minArrivalRate keeps the averaging time finite when no calls arrive, in calls a second.
+	minArrivalRate = 1e-9
+	// minUpdateSeconds is the minimum time between two updates of the averages, in seconds.
+	minUpdateSeconds = 0.05
 )
 
-// localDestination is what an allocator keeps of a destination.
+// localDestination is an allocator's record of a destination.
 type localDestination struct {
-	rates       [Levels]float64 // arrivals a second, averaged
+	rates       [Levels]float64 // average arrivals a second by priority level
 	arrived     [Levels]float64 // arrivals since updatedAt
-	waiting     [Levels]int
+	queued      [Levels]int     // calls queued at the last report
 	updatedAt   time.Duration
-	limit       float64 // as this relay has read it; 0 for not
+	limit       float64 // limit that this relay has read, in calls a second; 0 for none
 	limitReadAt time.Duration
-	allocated   Allocation // as last returned to the caller
+	allocated   Allocation // allocation last returned to the caller
 	allocatedAt time.Duration
 	lastUse     time.Duration
-	claimNow    bool // a claim is due before the next heartbeat
+	claimNow    bool // a claim has to be sent before the next heartbeat
 }
 
+// newLocalDestination returns a record without a limit or an allocation.
 func newLocalDestination(now time.Duration) *localDestination {
 	return &localDestination{
 		updatedAt:   now,
@@ -41,19 +42,19 @@
 	}
 }
 
-// addDemand adds arrivals, and replaces the waiting calls.
-func (d *localDestination) addDemand(now time.Duration, arrived, waiting [Levels]int) {
+// addDemand adds arrivals and replaces the numbers of queued calls.
+func (d *localDestination) addDemand(now time.Duration, arrived, queued [Levels]int) {
 	for i := range Levels {
 		d.arrived[i] += float64(arrived[i])
 	}
-	d.waiting = waiting
+	d.queued = queued
 	d.updateRates(now)
 }
 
-// updateRates averages the arrivals exponentially, over a shorter time the more there are.
+// updateRates updates the exponential averages of the arrivals. The averaging time is shorter when more calls arrive.
 func (d *localDestination) updateRates(now time.Duration) {
 	elapsed := (now - d.updatedAt).Seconds()
-	if elapsed < updateInterval {
+	if elapsed < minUpdateSeconds {
 		return
 	}
 	d.updatedAt = now
@@ -61,20 +62,20 @@
 	for _, r := range d.rates {
 		total += r
 	}
-	averaging := averagedArrivals / max(total, minRate)
-	averaging = min(max(averaging, minAveraging.Seconds()), maxAveraging.Seconds())
-	keep := math.Exp(-elapsed / averaging)
+	averaging := averagedArrivalCount / max(total, minArrivalRate)
+	averaging = min(max(averaging, minAveragingTime.Seconds()), maxAveragingTime.Seconds())
+	decay := math.Exp(-elapsed / averaging)
 	for i := range Levels {
-		d.rates[i] = d.rates[i]*keep + (1-keep)*d.arrived[i]/elapsed
+		d.rates[i] = d.rates[i]*decay + (1-decay)*d.arrived[i]/elapsed
 		d.arrived[i] = 0
 	}
 }
 
-// demand is the rate that serves arrivals, and waiting calls within backlogTime.
+// demand returns the rate that serves the arrivals, and the queued calls within backlogDrainTime.
 func (d *localDestination) demand(destination int) Demand {
 	demand := Demand{Destination: destination}
 	for i := range Levels {
-		demand.Rates[i] = d.rates[i] + float64(d.waiting[i])/backlogTime.Seconds()
+		demand.Rates[i] = d.rates[i] + float64(d.queued[i])/backlogDrainTime.Seconds()
 	}
 	return demand
 }
--- a/internal/dispatch/sender_test.go
+++ b/internal/dispatch/sender_test.go
@@ -13,7 +13,7 @@
 
 const ms = time.Millisecond
 
-// The module is reviewed in an hour: it stays short and narrow.
+// sender.go must stay short and narrow, so that it can be reviewed in an hour.
 func TestModuleSize(t *testing.T) {
 	text, err := os.ReadFile("sender.go")
 	if err != nil {
@@ -78,7 +78,7 @@
 		Latency: 100 * ms}
 }
 
-// run steps the sender through its wakes until the time, and returns what it did on the way.
+// run steps the sender every 5 ms from one time to another, and returns all actions.
 func run(s *Sender, from, to time.Duration) []Action {
 	var all []Action
 	for now := from; now <= to; now += 5 * ms {
@@ -97,22 +97,22 @@
 	return ids
 }
 
-// ends tells how each message ended: refused or failed.
+// ends returns how each message ended: refused or failed.
 func ends(acts []Action) map[string]string {
-	how := map[string]string{}
+	results := map[string]string{}
 	for _, a := range acts {
 		switch a := a.(type) {
 		case Refuse:
-			how[a.ID] += "refused"
+			results[a.ID] += "refused"
 		case Fail:
-			how[a.ID] += "failed"
+			results[a.ID] += "failed"
 		}
 	}
-	return how
+	return results
 }
 
-func TestSettingsThatMakeNoSense(t *testing.T) {
-	for field, spoil := range map[string]func(*Settings){
+func TestInvalidSettings(t *testing.T) {
+	for field, invalidate := range map[string]func(*Settings){
 		"Classes":     func(s *Settings) { s.Classes = nil },
 		"MaxCalls":    func(s *Settings) { s.MaxCalls = 0 },
 		"MaxOpen":     func(s *Settings) { s.MaxOpen = -1 },
@@ -121,14 +121,14 @@
 		"Safety":      func(s *Settings) { s.Safety.Cold = -1 },
 	} {
 		set := testSettings()
-		spoil(&set)
+		invalidate(&set)
 		if _, err := New(set, 1); err == nil || !strings.Contains(err.Error(), field) {
 			t.Errorf("%s: error %v does not name the field", field, err)
 		}
 	}
 }
 
-// Held messages leave earliest deadline first.
+// Queued messages leave in order of their deadlines.
 func TestDeadlineOrder(t *testing.T) {
 	s := newSender(t, testSettings(), ep("e", 1))
 	s.Step(0, []Event{req("first", "safe", 1)})
@@ -136,24 +136,24 @@
 	s.Step(110*ms, []Event{req("u", "unsafe", 1), req("k", "keyed", 1), req("s", "safe", 1)})
 	got := sends(run(s, 115*ms, 4*time.Second))
 	if len(got) < 2 || got[0] != "first" || got[1] != "s" {
-		t.Errorf("left as %v", got)
+		t.Errorf("sent in the order %v", got)
 	}
 }
 
-// A call that the estimate cannot pay for is blocked until the limit has refilled.
-func TestEstimateBlocks(t *testing.T) {
+// A call that exceeds the estimate waits until the limit has refilled.
+func TestEmptyEstimateBlocksSends(t *testing.T) {
 	s := newSender(t, testSettings(), ep("e", 1))
 	s.Step(0, []Event{req("a", "safe", 1)})
 	s.Step(100*ms, []Event{Outcome{ID: "a", Endpoint: "e", Settled: true, Report: &Report{Left: 0, Limit: 4}}})
 	if got := sends(s.Step(110*ms, []Event{req("b", "safe", 1)})); got != nil {
-		t.Errorf("sent %v on an empty allowance", got)
+		t.Errorf("sent %v with an empty allowance", got)
 	}
 	if got := sends(run(s, 115*ms, time.Second)); len(got) != 1 {
 		t.Errorf("sent %v after the limit has refilled", got)
 	}
 }
 
-// A spend that no report answers must fade: a small limit would be blocked for good.
+// A spend that no report covers must expire. Otherwise a small limit would block calls for good.
 func TestSpendWithoutReportFades(t *testing.T) {
 	s := newSender(t, testSettings(), ep("e", 1))
 	s.Step(0, []Event{req("a", "safe", 1)})
@@ -161,12 +161,12 @@
 	s.Step(200*ms, []Event{req("b", "keyed", 1)})
 	s.Step(1600*ms, []Event{Outcome{ID: "b", Endpoint: "e", Status: TimedOut}})
 	if got := sends(run(s, 1605*ms, 5*time.Second)); len(got) == 0 {
-		t.Error("nothing went again after a call without a report")
+		t.Error("nothing was sent after a call without a report")
 	}
 }
 
-// Reports that make no sense do no harm.
-func TestNonsenseReports(t *testing.T) {
+// Reports with invalid values have no effect.
+func TestInvalidReports(t *testing.T) {
 	for _, r := range []Report{{math.NaN(), 5}, {-1, 5}, {9, 5}, {0.5, math.NaN()}, {0.5, -3},
 		{0.5, math.Inf(1)}, {math.Inf(1), 5}, {}} {
 		s := newSender(t, testSettings(), ep("e", 1))
@@ -178,45 +178,45 @@
 		if got := run(s, 315*ms, 3*time.Second); len(sends(got)) > 3 {
 			t.Errorf("report %v: %v", r, got)
 		}
-		if len(s.endpoints["e"].flights) == 0 {
-			t.Errorf("report %v: nothing goes any more", r)
+		if len(s.endpoints["e"].calls) == 0 {
+			t.Errorf("report %v: no call is out", r)
 		}
 	}
 }
 
 // A message past its aim yields to one that can still make it.
-func TestOverdueYields(t *testing.T) {
+func TestMissedAimYields(t *testing.T) {
 	s := newSender(t, testSettings(), ep("e", 1))
 	s.Step(0, []Event{req("a", "safe", 1)})
 	s.Step(10*ms, []Event{Outcome{ID: "a", Endpoint: "e", Status: Full, Wait: 2 * time.Second}})
 	s.Step(1900*ms, []Event{req("b", "unsafe", 1)})
 	if got := sends(run(s, 1905*ms, 2100*ms)); len(got) == 0 || got[0] != "b" {
-		t.Errorf("left as %v", got)
+		t.Errorf("sent in the order %v", got)
 	}
 }
 
-// Every message ends once and in time: with nothing listed, an unknown destination, or everything gone.
+// Every message ends once and in time: without listed endpoints, with an unknown destination, or after all endpoints are gone.
 func TestAnswerAtDeadline(t *testing.T) {
 	s := newSender(t, testSettings(), ep("e", 1))
 	s.Step(0, []Event{Members{Endpoints: []Endpoint{{ID: "e", Kind: "shared", Destination: 1, State: Gone}}},
 		req("gone", "safe", 1), req("unknown", "unsafe", 77)})
-	how := ends(run(s, 5*ms, 15*time.Second))
-	if how["gone"] != "refused" || how["unknown"] != "refused" {
-		t.Errorf("ended as %v", how)
+	results := ends(run(s, 5*ms, 15*time.Second))
+	if results["gone"] != "refused" || results["unknown"] != "refused" {
+		t.Errorf("ended as %v", results)
 	}
 }
 
-// With an attempt out the answer waits for it, and the time-out at the deadline is answered at once.
+// While an attempt is out there is no final answer. The timeout at the deadline is answered at once.
 func TestTimeOutAtDeadline(t *testing.T) {
 	set := testSettings()
 	s := newSender(t, set, ep("e", 1))
 	s.Step(0, []Event{req("u", "unsafe", 1)})
 	if acts := run(s, 5*ms, 14*time.Second-5*ms); len(ends(acts)) != 0 {
-		t.Fatalf("answered while an attempt was out: %v", acts)
+		t.Fatalf("final answer while an attempt was out: %v", acts)
 	}
-	how := ends(s.Step(14*time.Second, []Event{Outcome{ID: "u", Endpoint: "e", Status: TimedOut}}))
-	if how["u"] != "failed" {
-		t.Errorf("ended as %v", how)
+	results := ends(s.Step(14*time.Second, []Event{Outcome{ID: "u", Endpoint: "e", Status: TimedOut}}))
+	if results["u"] != "failed" {
+		t.Errorf("ended as %v", results)
 	}
 }
 
@@ -226,7 +226,7 @@
 		class string
 		st    Status
 		again bool
-		end   string // once no more is sent
+		end   string // when the message is not sent again
 	}{
 		{"safe", Errored, true, ""}, {"safe", Full, true, ""}, {"keyed", TimedOut, true, ""},
 		{"unsafe", Full, true, ""}, {"unsafe", ConnectFailed, true, ""}, {"unsafe", Moot, true, ""},
@@ -242,7 +242,7 @@
 	}
 }
 
-// The keyed window counts from the first sending that may have run.
+// The time in which a keyed message may be repeated starts with the first sending that may have run.
 func TestKeyedWindow(t *testing.T) {
 	s := newSender(t, testSettings(), ep("e", 1))
 	s.Step(0, []Event{req("m", "keyed", 1)})
@@ -253,7 +253,7 @@
 	}
 }
 
-// A keyed message with the scope of a zone goes again only where the first attempt went.
+// A keyed message with zone scope is repeated only in the zone of its first attempt.
 func TestKeyedZone(t *testing.T) {
 	s := newSender(t, testSettings(), ep("e", 1), Endpoint{ID: "f", Zone: "b", Kind: "shared", Destination: 1})
 	s.Step(0, []Event{req("m", "zoned", 1)})
@@ -261,11 +261,11 @@
 		Members{Endpoints: []Endpoint{{ID: "e", Zone: "a", Kind: "shared", Destination: 1, State: Draining}}}})
 	acts = append(acts, run(s, 105*ms, 12*time.Second)...)
 	if len(sends(acts)) != 0 || ends(acts)["m"] != "failed" {
-		t.Errorf("left the zone: %v", acts)
+		t.Errorf("not kept to its zone: %v", acts)
 	}
 }
 
-// Nothing goes to an endpoint that drains or is gone, told by a change, a whole list or a removal.
+// No call goes to an endpoint that drains or is gone, whether a change, a full list or a removal says so.
 func TestDrain(t *testing.T) {
 	for name, ev := range map[string]Members{
 		"cordoned": {Endpoints: []Endpoint{{ID: "e", Kind: "shared", Destination: 1, State: Draining}}},
@@ -279,8 +279,8 @@
 	}
 }
 
-// A told wait binds every message and every endpoint that shares the limit; a longer one stands.
-func TestWaits(t *testing.T) {
+// A retry-after wait holds for every message and for every endpoint that shares the limit. A longer wait stands.
+func TestRetryAfterBindsAllEndpoints(t *testing.T) {
 	s := newSender(t, testSettings(), ep("e", 1), ep("f", 1))
 	s.Step(0, []Event{req("a", "safe", 1), req("b", "safe", 1)})
 	s.Step(50*ms, []Event{Outcome{ID: "a", Endpoint: "e", Status: Full, Wait: 900 * ms},
@@ -294,8 +294,8 @@
 	}
 }
 
-// Where routes are apart, a wait binds the one route.
-func TestWaitOfARoute(t *testing.T) {
+// With separate routes, a wait holds for its route only.
+func TestWaitOfSeparateRoute(t *testing.T) {
 	s := newSender(t, testSettings(), Endpoint{ID: "e", Zone: "a", Kind: "apart", Destination: 1},
 		Endpoint{ID: "f", Zone: "b", Kind: "apart", Destination: 1})
 	s.Step(0, []Event{req("a", "safe", 1)})
@@ -310,7 +310,7 @@
 	}
 }
 
-// Messages of a key go one at a time, in order, with a rest after an attempt that may still run.
+// Messages of one key go one at a time, in order, with a pause after an attempt that may still run.
 func TestOrderByKey(t *testing.T) {
 	s := newSender(t, testSettings(), ep("e", 1))
 	a, b := req("a", "ordered", 1), req("b", "ordered", 1)
@@ -320,18 +320,18 @@
 	}
 	s.Step(100*ms, []Event{Hangup{ID: "a"}})
 	if got := sends(run(s, 105*ms, time.Second)); got != nil {
-		t.Errorf("sent %v while the head has an attempt out", got)
+		t.Errorf("sent %v while the first message of the key has an attempt out", got)
 	}
 	s.Step(1100*ms, []Event{Outcome{ID: "a", Endpoint: "e", Status: TimedOut, Settled: true}})
 	if got := sends(run(s, 1105*ms, 1395*ms)); got != nil {
-		t.Errorf("sent %v during the rest", got)
+		t.Errorf("sent %v during the pause", got)
 	}
 	if got := sends(run(s, 1400*ms, 6*time.Second)); len(got) == 0 || got[0] != "b" {
-		t.Errorf("sent %v after the rest", got)
+		t.Errorf("sent %v after the pause", got)
 	}
 }
 
-// An outage gets few calls, and after it the ramp keeps under our part of the cold budget.
+// An outage gets few calls. In the ramp after it, the calls stay under this sender's part of the cold budget.
 func TestColdBudget(t *testing.T) {
 	for _, st := range []Status{Errored, Full, ConnectFailed, TimedOut} {
 		s := newSender(t, testSettings(), ep("e", 1))
@@ -341,7 +341,7 @@
 			n  int
 		}
 		var out []call
-		tries := map[string]int{}
+		attempts := map[string]int{}
 		n, back := 0, 20*time.Second
 		for now := time.Duration(0); now < 30*time.Second; now += 50 * ms {
 			var evs []Event
@@ -357,8 +357,8 @@
 			evs = append(evs, req(fmt.Sprint(n), "safe", 1))
 			for _, a := range s.Step(now, evs) {
 				if a, ok := a.(Send); ok {
-					out = append(out, call{a.ID, tries[a.ID]})
-					tries[a.ID]++
+					out = append(out, call{a.ID, attempts[a.ID]})
+					attempts[a.ID]++
 					if now > back-3*time.Second {
 						times = append(times, now)
 					}
@@ -366,7 +366,7 @@
 			}
 		}
 		f := testSettings().Safety
-		seen := s.endpoints["e"].ledger.capacity()
+		seen := s.endpoints["e"].limiter.capacity()
 		for i := range times {
 			in := 0
 			for _, x := range times[i:] {
@@ -380,13 +380,13 @@
 			}
 		}
 		if len(times) == 0 {
-			t.Errorf("%v: never came back", st)
+			t.Errorf("%v: no calls after the outage", st)
 		}
 	}
 }
 
-// A destination that takes calls and answers none must not hold the slots, whatever its limit allows.
-func TestSilenceIsBounded(t *testing.T) {
+// A destination that accepts calls and never answers must not hold the slots, whatever its limit allows.
+func TestSilentDestinationHoldsFewSlots(t *testing.T) {
 	s := newSender(t, testSettings(), ep("e", 1), ep("f", 2))
 	s.Step(0, []Event{req("first", "safe", 1)})
 	s.Step(100*ms, []Event{Outcome{ID: "first", Endpoint: "e", Settled: true, Latency: 100 * ms,
@@ -399,16 +399,16 @@
 				s.Step(now+50*ms, []Event{answer(a.ID, 0, "f", OK)})
 			}
 		}
-		if d := s.dests[1]; d.out > 3 {
-			t.Fatalf("%d calls out at the silent destination", d.out)
+		if d := s.destinations[1]; d.callsOut > 3 {
+			t.Fatalf("%d calls out at the silent destination", d.callsOut)
 		}
 		if !strings.Contains(fmt.Sprint(sends(acts)), fmt.Sprint("g", i)) {
-			t.Fatalf("the other destination got nothing at %v", now)
+			t.Fatalf("the other destination got no call at %v", now)
 		}
 	}
 }
 
-// No more attempts than the settings allow: the message is answered instead.
+// A message with MaxAttempts attempts is answered instead of sent again.
 func TestAttemptsRunOut(t *testing.T) {
 	set := testSettings()
 	set.MaxAttempts = 2
@@ -424,7 +424,7 @@
 	}
 }
 
-// An outcome told again, of an attempt that is over, does not end the one that is out.
+// A repeated outcome of an earlier attempt does not end the present attempt.
 func TestStaleOutcome(t *testing.T) {
 	s := newSender(t, testSettings(), ep("e", 1))
 	s.Step(0, []Event{req("m", "safe", 1)})
@@ -433,25 +433,25 @@
 		t.Fatalf("sent %v", got)
 	}
 	s.Step(1005*ms, []Event{answer("m", 0, "e", Errored)})
-	if s.out != 1 {
-		t.Errorf("%d calls out", s.out)
+	if s.callsOut != 1 {
+		t.Errorf("%d calls out", s.callsOut)
 	}
 }
 
-// What was spent after the reporting attempt was sent may not be in its report.
+// A report may not include calls sent after the attempt that brought it.
 func TestLaterSpendsCount(t *testing.T) {
-	l := &ledger{kind: &kind{span: 1}, peers: 1}
+	l := &limiter{kind: &kind{burstSeconds: 1}, peers: 1}
 	for _, at := range []time.Duration{100 * ms, 200 * ms, 300 * ms} {
 		l.spend(at)
 	}
-	l.finalize(&Report{Left: 0.5, Limit: 10}, 100*ms, 400*ms)
+	l.applyReport(&Report{Left: 0.5, Limit: 10}, 100*ms, 400*ms)
 	if got := l.estimate(400 * ms); got > 3.01 {
 		t.Errorf("5 reported as left, 2 spent since: estimate %.2f", got)
 	}
 }
 
-// Calls whose answers are lost everywhere give up their slots when messages wait.
-func TestReclaim(t *testing.T) {
+// When answers are lost everywhere, calls give up their slots to waiting messages.
+func TestReclaimSlot(t *testing.T) {
 	set := testSettings()
 	set.MaxCalls = 2
 	s := newSender(t, set, ep("e", 1), ep("f", 2), ep("g", 3))
@@ -464,11 +464,11 @@
 		}
 	}
 	if cancelled == 0 {
-		t.Error("lost calls keep all slots")
+		t.Error("calls without answers keep all slots")
 	}
 }
 
-// Near the hold cap the least worth is refused, at once and with a time to come back.
+// Near the hold cap, messages of the least worth are refused at once, with a time to come back.
 func TestShed(t *testing.T) {
 	s := newSender(t, testSettings(), ep("e", 1))
 	s.Step(0, []Event{Members{Whole: true}})
@@ -477,53 +477,53 @@
 		class := []string{"safe", "unsafe"}[i%2]
 		acts = append(acts, s.Step(time.Duration(i)*5*ms, []Event{req(fmt.Sprint(class, i), class, 1)})...)
 	}
-	how := ends(acts)
-	if len(how) == 0 {
+	results := ends(acts)
+	if len(results) == 0 {
 		t.Fatal("nothing refused")
 	}
-	for id, end := range how {
+	for id, end := range results {
 		if !strings.HasPrefix(id, "safe") || end != "refused" {
 			t.Errorf("%s %s", id, end)
 		}
 	}
 }
 
-// Events for what is not held, and outcomes told twice, are passed over.
+// Events for unknown messages and repeated outcomes are ignored.
 func TestStrayEvents(t *testing.T) {
 	s := newSender(t, testSettings(), ep("e", 1))
 	s.Step(0, []Event{answer("x", 0, "e", OK), Hangup{ID: "x"}, Woken{}, ProbeResult{Endpoint: "x"}, MembersLost{}})
 	s.Step(5*ms, []Event{req("a", "safe", 1)})
 	s.Step(9*ms, []Event{answer("a", 0, "e", OK), answer("a", 0, "e", OK)})
-	if s.out != 0 || s.dests[1].out != 0 {
-		t.Errorf("%d calls out after one send and two outcomes", s.out)
+	if s.callsOut != 0 || s.destinations[1].callsOut != 0 {
+		t.Errorf("%d calls out after one send and two outcomes", s.callsOut)
 	}
 }
 
-// TestRules drives senders with random legal events and checks what the rules promise; the same seed must
+// TestRandomEventsKeepRules sends random legal events to senders and checks every action against the rules. The same seed must
 // give the same actions.
-func TestRules(t *testing.T) {
+func TestRandomEventsKeepRules(t *testing.T) {
 	for seed := range uint64(40) {
-		first, second := drive(t, seed), drive(t, seed)
+		first, second := runRandomEvents(t, seed), runRandomEvents(t, seed)
 		if !reflect.DeepEqual(first, second) {
-			t.Fatalf("seed %d: a replay acts otherwise", seed)
+			t.Fatalf("seed %d: the second run differs", seed)
 		}
 	}
 }
 
-type held struct {
-	class     Class
-	key       int64
-	deadline  time.Duration
-	tries     int
-	out       bool
-	ended     bool
-	mayHave   bool
-	firstSent time.Duration
-	dest      int
-	at        int
+type modelMessage struct {
+	class      Class
+	key        int64
+	deadline   time.Duration
+	attempts   int
+	inFlight   bool
+	ended      bool
+	mayHaveRun bool
+	firstSent  time.Duration
+	dest       int
+	number     int
 }
 
-func drive(t *testing.T, seed uint64) []string {
+func runRandomEvents(t *testing.T, seed uint64) []string {
 	r := rand.New(rand.NewPCG(seed, 7))
 	set := testSettings()
 	set.Cancel = seed%3 != 0
@@ -536,13 +536,13 @@
 	s := newSender(t, set, eps...)
 	state := map[string]State{}
 	waits := map[string]time.Duration{}
-	messages := map[string]*held{}
+	messages := map[string]*modelMessage{}
 	rest := map[int64]time.Duration{}
-	type pending struct {
+	type pendingOutcome struct {
 		at time.Duration
 		o  Outcome
 	}
-	var out []pending
+	var out []pendingOutcome
 	var log []string
 	n := 0
 	for now := time.Duration(0); now < 40*time.Second; now += 5 * ms {
@@ -552,7 +552,7 @@
 			c := set.Classes[r.IntN(len(set.Classes))]
 			q := req(fmt.Sprint("m", n), c.Name, r.IntN(3))
 			q.Key, q.HasKey = int64(r.IntN(3)), true
-			messages[q.ID] = &held{class: c, key: q.Key, deadline: now + q.TimeLeft, dest: q.Destination, at: n}
+			messages[q.ID] = &modelMessage{class: c, key: q.Key, deadline: now + q.TimeLeft, dest: q.Destination, number: n}
 			evs = append(evs, q)
 		}
 		if r.IntN(400) == 0 {
@@ -571,13 +571,13 @@
 			if now >= m.deadline {
 				p.o.Status = TimedOut
 			}
-			m.out = false
+			m.inFlight = false
 			switch p.o.Status {
 			case OK:
 				p.o.Settled, m.ended = true, true
 			case Errored, TimedOut, Reset, Cancelled:
-				if !m.mayHave {
-					m.mayHave, m.firstSent = true, p.at-p.o.Latency
+				if !m.mayHaveRun {
+					m.mayHaveRun, m.firstSent = true, p.at-p.o.Latency
 				}
 				if p.o.Status != Errored && m.class.OrderedByKey {
 					rest[m.key] = now + set.Safety.OrderPause
@@ -610,32 +610,32 @@
 				switch {
 				case m.ended:
 					bad = "has ended"
-				case m.out:
+				case m.inFlight:
 					bad = "has an attempt out"
-				case m.tries >= set.MaxAttempts:
+				case m.attempts >= set.MaxAttempts:
 					bad = "has had its attempts"
-				case m.mayHave && m.class.Effect == Unsafe:
+				case m.mayHaveRun && m.class.Effect == Unsafe:
 					bad = "may have run and is unsafe"
-				case m.mayHave && m.class.Effect == Keyed && now >= m.firstSent+m.class.Memory:
+				case m.mayHaveRun && m.class.Effect == Keyed && now >= m.firstSent+m.class.Memory:
 					bad = "is past its keyed window"
 				case state[a.Endpoint] != Listed:
 					bad = "goes to an endpoint that drains"
 				case now < waits[a.Endpoint]:
 					bad = "breaks a wait"
-				case m.class.OrderedByKey && m.tries == 0 && now < rest[m.key]:
-					bad = "breaks the rest of its key"
+				case m.class.OrderedByKey && m.attempts == 0 && now < rest[m.key]:
+					bad = "breaks the pause of its key"
 				}
 				if m.class.OrderedByKey {
 					for _, o := range messages {
-						if o.class.OrderedByKey && o.key == m.key && o.at < m.at && (!o.ended || o.out) {
-							bad = "overtakes one of its key"
+						if o.class.OrderedByKey && o.key == m.key && o.number < m.number && (!o.ended || o.inFlight) {
+							bad = "overtakes an earlier message of its key"
 						}
 					}
 				}
 				if bad != "" {
 					t.Fatalf("seed %d, %v: %s %s", seed, now, a.ID, bad)
 				}
-				m.out = true
+				m.inFlight = true
 				took := time.Duration(20+r.IntN(600)) * ms
 				if a.TimeOut > 0 {
 					took = min(took, a.TimeOut)
@@ -644,9 +644,9 @@
 				if r.IntN(20) == 0 {
 					took = time.Hour
 				}
-				out = append(out, pending{now + took, Outcome{ID: a.ID, Attempt: m.tries, Endpoint: a.Endpoint,
+				out = append(out, pendingOutcome{now + took, Outcome{ID: a.ID, Attempt: m.attempts, Endpoint: a.Endpoint,
 					Status: st, Latency: took}})
-				m.tries++
+				m.attempts++
 			case Cancel:
 				if !set.Cancel {
 					t.Fatalf("seed %d: a cancel that is not permitted", seed)
@@ -663,12 +663,12 @@
 					id = f.ID
 				} else {
 					id = a.(Refuse).ID
-					if m := messages[id]; m.mayHave && (m.class.Effect == Unsafe || m.class.ZoneScope) {
+					if m := messages[id]; m.mayHaveRun && (m.class.Effect == Unsafe || m.class.ZoneScope) {
 						t.Fatalf("seed %d: %s refused though it may have run", seed, id)
 					}
 				}
 				m := messages[id]
-				if m.ended || m.out || now > m.deadline {
+				if m.ended || m.inFlight || now > m.deadline {
 					t.Fatalf("seed %d, %v: %s answered twice, with an attempt out, or late", seed, now, id)
 				}
 				m.ended = true
@@ -686,31 +686,31 @@
 	return log
 }
 
-// What an allowance holds is learned from refusals: a full report of a plain rate is not a second's worth.
+// The size of an allowance is learned from refusals: a full allowance may hold less than one second of the limit.
 func TestAllowanceIsLearned(t *testing.T) {
-	l := &ledger{kind: &kind{span: budgetWindow}, peers: 1}
-	l.finalize(&Report{Left: 1, Limit: 20}, 0, 0)
+	l := &limiter{kind: &kind{burstSeconds: defaultBurstSeconds}, peers: 1}
+	l.applyReport(&Report{Left: 1, Limit: 20}, 0, 0)
 	before := l.estimate(0)
-	l.refuse(0, 0, true, 0.5)
-	l.finalize(&Report{Left: 1, Limit: 20}, 0, 0)
+	l.applyRefusal(0, 0, true, 0.5)
+	l.applyReport(&Report{Left: 1, Limit: 20}, 0, 0)
 	if after := l.estimate(0); !(after < before) {
 		t.Errorf("a full allowance is taken as %.1f calls before a refusal and %.1f after", before, after)
 	}
 }
 
-// A report belongs to all senders: what reads half empty, or holds less than a call for each, is shared.
-func TestPartOfAReport(t *testing.T) {
+// A report is for all senders. An allowance that is half empty, or holds less than a call for each sender, is shared.
+func TestReportIsShared(t *testing.T) {
 	for _, c := range []struct{ left, limit, most float64 }{{0.5, 12, 3.1}, {1, 3, 2.5}} {
-		l := &ledger{kind: &kind{span: 1}, peers: 4}
-		l.finalize(&Report{Left: c.left, Limit: c.limit}, 0, 0)
+		l := &limiter{kind: &kind{burstSeconds: 1}, peers: 4}
+		l.applyReport(&Report{Left: c.left, Limit: c.limit}, 0, 0)
 		if got := l.estimate(0); got > c.most {
 			t.Errorf("%.1f left of %.0f: one of four senders takes %.1f", c.left, c.limit, got)
 		}
 	}
 }
 
-// A refusal over the limit between successes is no outage, or every busy limit would start a cold ramp.
-func TestRefusalsOverTheLimitAreNoOutage(t *testing.T) {
+// Refusals over the limit between successes are no outage. Otherwise every busy limit would start a ramp.
+func TestRateLimitRefusalsAreNoOutage(t *testing.T) {
 	s := newSender(t, testSettings(), ep("e", 1))
 	for i := range 12 {
 		id, now := fmt.Sprint(i), time.Duration(i)*400*ms
@@ -724,27 +724,27 @@
 		s.Step(now+20*ms, []Event{answer(id, 0, "e", st), Hangup{ID: id}})
 	}
 	if s.endpoints["e"].outage {
-		t.Error("taken out by refusals over the limit")
+		t.Error("refusals over the limit caused an outage")
 	}
 }
 
-// Where answers are lost on all calls alike, two lost in a row are no outage of an endpoint.
-func TestLossEverywhereIsNoOutage(t *testing.T) {
+// If answers are lost on calls to all endpoints alike, two lost answers in a row are no outage of one endpoint.
+func TestGlobalLossIsNoOutage(t *testing.T) {
 	s := newSender(t, testSettings(), ep("e", 1))
 	e := s.endpoints["e"]
-	s.every = 0.4
-	s.failed(e, &flight{sent: s.now}, Outcome{Status: TimedOut})
-	s.failed(e, &flight{sent: s.now}, Outcome{Status: TimedOut})
+	s.missedShare = 0.4
+	s.recordFailure(e, &call{sentAt: s.now}, Outcome{Status: TimedOut})
+	s.recordFailure(e, &call{sentAt: s.now}, Outcome{Status: TimedOut})
 	if e.outage {
-		t.Error("taken out by two lost answers where 4 in 10 are lost everywhere")
+		t.Error("two lost answers caused an outage where 4 in 10 are lost everywhere")
 	}
-	s.failed(e, &flight{sent: s.now}, Outcome{Status: Errored})
+	s.recordFailure(e, &call{sentAt: s.now}, Outcome{Status: Errored})
 	if !e.outage {
-		t.Error("errors that the endpoint answers count at once")
+		t.Error("an error answer caused no outage")
 	}
 }
 
-// Where changes come only on request the sender subscribes at once, and again some time after a failure.
+// If list changes come only on request, the sender subscribes at once, and again some time after a failure.
 func TestWatch(t *testing.T) {
 	set := testSettings()
 	set.OnRequest = true
@@ -764,41 +764,41 @@
 		t.Errorf("subscribed %d times", n)
 	}
 	if n := watches(s.Step(time.Second, []Event{MembersLost{}})); n != 0 {
-		t.Error("asked again at once")
+		t.Error("subscribed again at once")
 	}
 	if n := watches(run(s, time.Second, 5*time.Second)); n != 1 {
-		t.Errorf("asked again %d times", n)
+		t.Errorf("subscribed again %d times", n)
 	}
 }
 
-// many is the settings of one of many senders.
-func many() Settings {
+// manySenders returns the settings of one of many senders.
+func manySenders() Settings {
 	set := testSettings()
 	set.Peers = 400
 	return set
 }
 
-// Of many senders few ask a destination at the same time: a report that shows room pays for a call.
-func TestRareCallsPass(t *testing.T) {
+// Of many senders few call a destination at the same time, so a report that shows room allows a call.
+func TestRareCallsAreAllowed(t *testing.T) {
 	for _, c := range []struct {
 		left float64
 		want bool
 	}{{1, true}, {0.5, true}, {0.1, false}} {
-		l := &ledger{kind: &kind{span: 1}, peers: 400, bold: 400}
-		l.finalize(&Report{Left: c.left, Limit: 4}, 0, 0)
+		l := &limiter{kind: &kind{burstSeconds: 1}, peers: 400, evenShares: 400}
+		l.applyReport(&Report{Left: c.left, Limit: 4}, 0, 0)
 		if got := l.estimate(100 * ms); got >= 1 != c.want {
 			t.Errorf("%.1f of 4 left: estimate %.2f for one of 400 senders", c.left, got)
 		}
 	}
 }
 
-// Each refusal puts the next call off further, down to what is used of an even share.
+// Each refusal delays the next call further, down to the used part of an even share.
 func TestRefusalsBackOff(t *testing.T) {
-	l := &ledger{kind: &kind{span: 1}, peers: 400, bold: 400, limit: 4}
+	l := &limiter{kind: &kind{burstSeconds: 1}, peers: 400, evenShares: 400, limit: 4}
 	last := l.share()
 	for range 12 {
-		l.refuse(0, 0, false, 0.5)
-		if l.share() >= last || l.share() < (1-unused)/l.peers {
+		l.applyRefusal(0, 0, false, 0.5)
+		if l.share() >= last || l.share() < (1-unusedShare)/l.peers {
 			t.Fatalf("share %v after %v", l.share(), last)
 		}
 		last = l.share()
@@ -808,8 +808,8 @@
 	}
 }
 
-// Where many senders call rarely, one failure is an outage to them; where few call often, it takes two.
-func TestOneFailureOfMany(t *testing.T) {
+// With many senders that call rarely, one failure is an outage. With few senders that call often, it takes two.
+func TestSingleFailureWithManySenders(t *testing.T) {
 	for peers, want := range map[int]bool{400: true, 2: false} {
 		set := testSettings()
 		set.Peers = peers
@@ -817,95 +817,95 @@
 		s.Step(10*time.Second, []Event{req("a", "safe", 1)})
 		s.Step(10100*ms, []Event{answer("a", 0, "e", Errored)})
 		if got := s.endpoints["e"].outage; got != want {
-			t.Errorf("%d senders: out after one failure: %v", peers, got)
+			t.Errorf("%d senders: outage after one failure: %v", peers, got)
 		}
 	}
 }
 
-// The gap between tries does not grow with the number of senders where few of them can have met the outage.
-func TestColdGapOfMany(t *testing.T) {
-	s := newSender(t, many(), ep("e", 1))
+// The gap between trial calls does not grow with the number of senders if few of them can have seen the outage.
+func TestColdGapWithManySenders(t *testing.T) {
+	s := newSender(t, manySenders(), ep("e", 1))
 	s.Step(10*time.Second, []Event{req("a", "safe", 1)})
 	s.Step(10100*ms, []Event{answer("a", 0, "e", Errored)})
 	e := s.endpoints["e"]
-	e.ledger.limit = 4
-	early, late := s.coldGap(e, e.outFrom), s.coldGap(e, e.outFrom+10*time.Second)
-	if early < s.set.Safety.TipAfter || late < 2*early || late > 5*s.set.Safety.Cold {
+	e.limiter.limit = 4
+	early, late := s.coldGap(e, e.outageSince), s.coldGap(e, e.outageSince+10*time.Second)
+	if early < s.cfg.Safety.TipAfter || late < 2*early || late > 5*s.cfg.Safety.Cold {
 		t.Errorf("gap %v at first, %v after ten seconds", early, late)
 	}
-	e.ledger.limit = 400 // every sender meets it: the budget is shared by all
-	f := s.set.Safety
+	e.limiter.limit = 400 // every sender sees the outage and all share the budget
+	f := s.cfg.Safety
 	least := time.Duration(400 / (f.FallMultiple * f.StartCapacity * 400) * float64(time.Second))
-	if got := s.coldGap(e, e.outFrom+10*time.Second); got < least {
-		t.Errorf("gap %v where all senders saw the outage, %v would use up the budget", got, least)
+	if got := s.coldGap(e, e.outageSince+10*time.Second); got < least {
+		t.Errorf("gap %v where all senders saw the outage, want at least %v", got, least)
 	}
 }
 
-// A shut destination is shut with all its endpoints, and senders that were told when it opens don't come
-// back at one moment.
-func TestShutDestination(t *testing.T) {
-	tries := map[time.Duration]bool{}
+// A destination that asks for a long wait is out with all its endpoints. Senders that know the end of the wait must not return
+// at one moment.
+func TestLongWaitTakesOutDestination(t *testing.T) {
+	trials := map[time.Duration]bool{}
 	for seed := range int64(5) {
-		s, err := New(many(), seed)
+		s, err := New(manySenders(), seed)
 		if err != nil {
 			t.Fatal(err)
 		}
 		s.Step(0, []Event{Members{Whole: true, Endpoints: []Endpoint{ep("e", 1), ep("f", 1)}}, req("a", "safe", 1)})
 		s.Step(50*ms, []Event{Outcome{ID: "a", Endpoint: "e", Status: Full, Wait: 5 * time.Second}})
 		for _, e := range s.endpoints {
-			if !e.outage || e.ledger.nextTry < 5050*ms {
-				t.Errorf("seed %d: %s out: %v, next try %v", seed, e.id, e.outage, e.ledger.nextTry)
+			if !e.outage || e.limiter.nextTrial < 5050*ms {
+				t.Errorf("seed %d: %s out: %v, next try %v", seed, e.id, e.outage, e.limiter.nextTrial)
 			}
-			tries[e.ledger.nextTry] = true
+			trials[e.limiter.nextTrial] = true
 		}
 	}
-	if len(tries) < 5 { // the endpoints of one sender share the next try
-		t.Errorf("%d different times for 5 senders", len(tries))
+	if len(trials) < 5 { // the endpoints of one sender share the next trial
+		t.Errorf("%d different trial times for 5 senders", len(trials))
 	}
 }
 
-// An answer without a report, or with one that cannot be read, tells nothing of the spends before it: an older
-// attempt's report that comes late must still be less those made after it.
+// An answer without a readable report says nothing about the spends before it. A late report of an older attempt must still be
+// reduced by the spends after that attempt.
 func TestLateReportKeepsLaterSpends(t *testing.T) {
-	l := &ledger{kind: &kind{span: 1}, peers: 1}
+	l := &limiter{kind: &kind{burstSeconds: 1}, peers: 1}
 	for _, at := range []time.Duration{100 * ms, 200 * ms, 300 * ms} {
 		l.spend(at)
 	}
-	l.finalize(nil, 300*ms, 390*ms)
-	l.finalize(&Report{Left: 0.5, Limit: 10}, 100*ms, 400*ms)
+	l.applyReport(nil, 300*ms, 390*ms)
+	l.applyReport(&Report{Left: 0.5, Limit: 10}, 100*ms, 400*ms)
 	if got := l.estimate(400 * ms); got > 3.01 {
 		t.Errorf("5 reported as left, 2 spent since: estimate %.2f", got)
 	}
-	l.spend(400*ms + 2*spendsKept)
+	l.spend(400*ms + 2*spendRetention)
 	if len(l.spends) != 1 {
 		t.Errorf("%d spends kept", len(l.spends))
 	}
 }
 
-// A new endpoint of a destination that is out is tried like the others: it is cold and not the place for all
-// that waits.
-func TestNewEndpointInAnOutage(t *testing.T) {
-	s := newSender(t, many(), ep("e", 1))
+// A new endpoint of a destination in an outage gets trial calls like the others. It is cold, and all waiting messages would
+// be too many for it.
+func TestNewEndpointDuringOutage(t *testing.T) {
+	s := newSender(t, manySenders(), ep("e", 1))
 	s.Step(10*time.Second, []Event{req("a", "safe", 1)})
 	s.Step(10100*ms, []Event{answer("a", 0, "e", ConnectFailed)})
 	acts := s.Step(11*time.Second, []Event{Members{Endpoints: []Endpoint{ep("f", 1)}}})
 	if got := sends(acts); got != nil || !s.endpoints["f"].outage {
-		t.Errorf("sent %v to a new endpoint, out: %v", got, s.endpoints["f"].outage)
+		t.Errorf("sent %v to a new endpoint; outage: %v", got, s.endpoints["f"].outage)
 	}
 }
 
-// Unsafe messages that one clump brought don't come back to a destination that is out at one moment.
-func TestUnsafeTriesAreSpread(t *testing.T) {
+// Unsafe messages that arrive at many senders in one burst must not go to an endpoint in an outage at one moment.
+func TestUnsafeTrialsAreSpread(t *testing.T) {
 	at := map[time.Duration]bool{}
 	for seed := range int64(6) {
-		s, err := New(many(), seed)
+		s, err := New(manySenders(), seed)
 		if err != nil {
 			t.Fatal(err)
 		}
 		s.Step(0, []Event{Members{Whole: true, Endpoints: []Endpoint{ep("e", 1)}}})
 		s.Step(10*time.Second, []Event{req("a", "unsafe", 1)})
 		s.Step(10050*ms, []Event{answer("a", 0, "e", ConnectFailed)})
-		s.endpoints["e"].ledger.nextTry = 0
+		s.endpoints["e"].limiter.nextTrial = 0
 		for now := 10055 * ms; now < 24*time.Second; now += 5 * ms {
 			if sends(s.Step(now, nil)) != nil {
 				at[now] = true
@@ -914,14 +914,14 @@
 		}
 	}
 	if len(at) < 5 {
-		t.Errorf("6 senders tried at %d moments", len(at))
+		t.Errorf("6 senders sent trial calls at %d different times", len(at))
 	}
 }
 
-// Senders meet an outage one after the other, each with a message that it holds. Two thirds of a destination's load
-// from those that saw the outage is what breaks the rule: they must stay under that, whatever it can take, also where
-// it has several endpoints and each sender knows one of them to be out.
-func TestShareOfThoseThatSawTheOutage(t *testing.T) {
+// Senders see an outage one after another, each with a message to deliver. If two thirds of a destination's calls come from
+// senders that saw the outage, they are at fault. They must stay below that at any capacity, also when the destination has
+// several endpoints and each sender knows one of them to be out.
+func TestOutageAwareSendersStayUnderTwoThirds(t *testing.T) {
 	all := []Endpoint{ep("e", 1), ep("f", 1), ep("g", 1)}
 	for _, c := range []struct {
 		eps     []Endpoint
@@ -935,7 +935,7 @@
 		{all[:2], Outcome{Status: Full, Latency: 50 * ms}},
 		{all[:2], Outcome{Status: Full, Latency: 50 * ms, Report: &Report{Limit: 6}}},
 	} {
-		set := many()
+		set := manySenders()
 		set.Classes[0].Deadline = 28 * time.Second
 		type sender struct {
 			*Sender
@@ -944,7 +944,7 @@
 			n    int
 		}
 		var senders []*sender
-		first, saw := 0, 0
+		unaware, aware := 0, 0
 		for now := time.Duration(0); now <= 24*time.Second; now += 50 * ms {
 			if now%(200*ms) == 0 {
 				s, _ := New(set, int64(now))
@@ -960,26 +960,26 @@
 						o.ID, o.Attempt, o.Endpoint = "a", s.n, a.Endpoint
 						s.evs[back] = append(s.evs[back], o)
 						if s.n++; now >= 14*time.Second && s.n == 1 {
-							first++
+							unaware++
 						} else if now >= 14*time.Second {
-							saw++
+							aware++
 						}
 					}
 				}
 			}
 		}
-		if 2*saw > 3*first { // two standard deviations under two thirds
-			t.Errorf("%d endpoints, %+v: %d calls of senders that saw the outage, %d of others", len(c.eps), c.outcome, saw, first)
+		if 2*aware > 3*unaware { // two standard deviations below two thirds
+			t.Errorf("%d endpoints, %+v: %d calls of senders that saw the outage, %d of others", len(c.eps), c.outcome, aware, unaware)
 		}
-		if saw == 0 && c.outcome.Status != Full { // calls after refusals have a budget of their own
-			t.Errorf("%d endpoints, %+v: no tries at all", len(c.eps), c.outcome)
+		if aware == 0 && c.outcome.Status != Full { // calls after refusals have a budget of their own
+			t.Errorf("%d endpoints, %+v: no trial calls", len(c.eps), c.outcome)
 		}
 	}
 }
 
-// What coldGap argues, over many sizes: with first calls at the capacity or at half of it, the senders that saw an outage of
-// any age send less than twice what the others do, or less than pushes the destination over.
-func TestColdGapKeepsTheRule(t *testing.T) {
+// The argument of coldGap, checked for many sizes: with first calls at the capacity or a part of it, senders that saw an outage
+// of any age send less than twice as much as the others, or less than pushes the destination over.
+func TestColdGapBound(t *testing.T) {
 	for _, peers := range []int{2, 40, 400} {
 		set := testSettings()
 		set.Peers = peers
@@ -987,23 +987,23 @@
 		e := s.endpoints["e"]
 		e.outage = true
 		for capacity := 2.0; capacity < 5000; capacity *= 1.5 {
-			e.ledger.limit = capacity
-			for _, c := range []struct{ demand, clump float64 }{{capacity, 0}, {capacity / 2, 0},
+			e.limiter.limit = capacity
+			for _, c := range []struct{ demand, burst float64 }{{capacity, 0}, {capacity / 2, 0},
 				{capacity / 2, 2.5 * capacity}, {capacity / 4, 0}, {capacity / 4, 2.5 * capacity}} {
 				for age := 2.0; age < 60; age *= 1.5 {
 					gap := func(a float64) float64 {
-						return s.coldGap(e, e.outFrom+time.Duration(a*float64(time.Second))).Seconds()
+						return s.coldGap(e, e.outageSince+time.Duration(a*float64(time.Second))).Seconds()
 					}
-					mine, left, step := c.demand/float64(peers), math.Exp(-c.clump/float64(peers)), age/200
-					saw := float64(peers) * (1 - left) / gap(age)
+					perSender, unawareShare, step := c.demand/float64(peers), math.Exp(-c.burst/float64(peers)), age/200
+					aware := float64(peers) * (1 - unawareShare) / gap(age)
 					for a := step / 2; a < age; a += step {
-						saw += step * c.demand * left * math.Exp(-mine*(age-a)) / gap(a)
+						aware += step * c.demand * unawareShare * math.Exp(-perSender*(age-a)) / gap(a)
 					}
-					others := c.demand * left * math.Exp(-mine*age)
+					unaware := c.demand * unawareShare * math.Exp(-perSender*age)
 					budget := set.Safety.FallMultiple * set.Safety.StartCapacity * capacity
-					if saw > max(2*others, budget-others) {
+					if aware > max(2*unaware, budget-unaware) {
 						t.Errorf("%d senders, capacity %.1f, %+v, age %.0f s: %.2f calls a second from those that "+
-							"saw it, %.2f from others, budget %.2f", peers, capacity, c, age, saw, others, budget)
+							"saw it, %.2f from others, budget %.2f", peers, capacity, c, age, aware, unaware, budget)
 					}
 				}
 			}
@@ -1011,44 +1011,45 @@
 	}
 }
 
-// A connection refused at once may be one too many at that endpoint; one that gets no answer takes the destination's other endpoints out, too, unless they answered since.
-func TestOthersOfADestinationThatFails(t *testing.T) {
+// A connection that is refused at once may only be one too many at that endpoint. A connection attempt without an answer is an
+// outage of all endpoints of the destination, except those that answered since.
+func TestSiblingsOfFailedEndpoint(t *testing.T) {
 	fail := func(s *Sender, id, endpoint string, after time.Duration) {
-		s.failed(s.endpoints[endpoint], &flight{sent: s.now}, Outcome{ID: id, Status: ConnectFailed, Latency: after})
+		s.recordFailure(s.endpoints[endpoint], &call{sentAt: s.now}, Outcome{ID: id, Status: ConnectFailed, Latency: after})
 	}
-	s := newSender(t, many(), ep("e", 1), ep("f", 1), ep("g", 2), ep("h", 2))
+	s := newSender(t, manySenders(), ep("e", 1), ep("f", 1), ep("g", 2), ep("h", 2))
 	s.Step(10*time.Second, nil)
 	fail(s, "a", "e", 20*ms)
 	if s.endpoints["f"].outage {
-		t.Error("taken out by a connection refused at once elsewhere")
+		t.Error("a connection refused at once by one endpoint took out another")
 	}
-	s = newSender(t, many(), ep("e", 1), ep("f", 1), ep("g", 1))
+	s = newSender(t, manySenders(), ep("e", 1), ep("f", 1), ep("g", 1))
 	s.Step(10*time.Second, nil)
-	s.endpoints["g"].lastGood = s.now
+	s.endpoints["g"].lastAnswered = s.now
 	fail(s, "a", "e", 500*ms)
 	if !s.endpoints["f"].outage || s.endpoints["g"].outage {
-		t.Errorf("out: f %v, g, which has answered, %v", s.endpoints["f"].outage, s.endpoints["g"].outage)
+		t.Errorf("outage: f %v; g, which has answered, %v", s.endpoints["f"].outage, s.endpoints["g"].outage)
 	}
 }
 
-// A ramp ends with the cold time, also where no call has gone meanwhile.
+// A ramp ends with the cold time, even without any call.
 func TestRampEnds(t *testing.T) {
-	s := newSender(t, many(), ep("e", 1))
+	s := newSender(t, manySenders(), ep("e", 1))
 	e := s.endpoints["e"]
 	s.Step(10*time.Second, nil)
-	e.ledger.limit, e.ledger.left, e.ledger.at = 40, 10, s.now
-	e.ramp, e.outFrom, e.rampFrom, e.lastSend = true, 0, s.now, s.now
+	e.limiter.limit, e.limiter.available, e.limiter.availableAt = 40, 10, s.now
+	e.ramping, e.outageSince, e.rampSince, e.lastSent = true, 0, s.now, s.now
 	if got := sends(s.Step(11*time.Second, []Event{req("a", "safe", 1)})); got != nil {
-		t.Errorf("sent %v in the ramp at once", got)
+		t.Errorf("sent %v at the start of the ramp", got)
 	}
-	if got := sends(run(s, 11*time.Second, 10*time.Second+s.set.Safety.Cold)); len(got) == 0 {
-		t.Error("held though the cold time is over")
+	if got := sends(run(s, 11*time.Second, 10*time.Second+s.cfg.Safety.Cold)); len(got) == 0 {
+		t.Error("held after the cold time")
 	}
 }
 
-// What cannot go before its time is up is refused at once, with the time to come back, and not held back to
-// near its deadline: past a told wait, and behind more calls than the reported limit lets through.
-func TestHopelessIsRefusedAtOnce(t *testing.T) {
+// A message that cannot go before its deadline is refused at once with a time to come back, not held until near its deadline.
+// The reason is a longer wait, or more messages ahead than the reported limit lets through.
+func TestUndeliverableIsRefusedAtOnce(t *testing.T) {
 	s := newSender(t, testSettings(), ep("e", 1))
 	s.Step(0, []Event{req("a", "safe", 1)})
 	for _, a := range s.Step(100*ms, []Event{Outcome{ID: "a", Endpoint: "e", Status: Full, Wait: 30 * time.Second}}) {
@@ -1057,47 +1058,48 @@
 		}
 	}
 	if len(s.messages) != 0 {
-		t.Error("held into a wait that is longer than its time")
+		t.Error("held for a wait that ends after its deadline")
 	}
 	s = newSender(t, testSettings(), ep("e", 1))
 	s.Step(0, []Event{req("first", "safe", 1)})
 	s.Step(100*ms, []Event{Outcome{ID: "first", Endpoint: "e", Status: OK, Settled: true, Latency: 100 * ms,
-		Report: &Report{Left: 0, Limit: 2}}}) // our part: one call a second
+		Report: &Report{Left: 0, Limit: 2}}}) // this sender's part: one call a second
 	var batch []Event
 	for i := range 20 {
 		batch = append(batch, req(fmt.Sprint("m", i), "safe", 1))
 	}
 	refused := len(ends(s.Step(110*ms, batch)))
 	if refused < 8 || refused > 11 {
-		t.Errorf("%d of 20 refused at once where ten seconds let ten through", refused)
+		t.Errorf("%d of 20 refused at once, want about 10: ten can go in ten seconds", refused)
 	}
 }
 
-// Messages past their aim yield to those that can make it: they count those as ahead, and each other.
-func TestLateCountAllThatGoFirst(t *testing.T) {
+// Messages past their aim yield to those that can make it. In the estimate of their turn they count these as ahead, and the
+// earlier ones of their own kind.
+func TestLateMessagesCountAllAhead(t *testing.T) {
 	s := newSender(t, testSettings(), ep("e", 1))
 	s.Step(0, []Event{req("first", "safe", 1)})
 	s.Step(100*ms, []Event{Outcome{ID: "first", Endpoint: "e", Status: OK, Settled: true, Latency: 100 * ms,
-		Report: &Report{Left: 0, Limit: 2}}}) // our part: one call a second
+		Report: &Report{Left: 0, Limit: 2}}}) // this sender's part: one call a second
 	var batch []Event
 	for i := range 12 {
 		late := req(fmt.Sprint("late", i), "safe", 1)
 		late.TimeLeft = 8 * time.Second
 		batch = append(batch, late, req(fmt.Sprint("new", i), "keyed", 1))
 	}
-	how := ends(s.Step(110*ms, batch))
-	if len(how) != 12 {
-		t.Errorf("%d refused, want the 12 late ones: 12 others go first, and 8 s let 8 through", len(how))
+	results := ends(s.Step(110*ms, batch))
+	if len(results) != 12 {
+		t.Errorf("%d refused, want the 12 late ones: 12 others go first, and 8 s let 8 through", len(results))
 	}
-	for id := range how {
+	for id := range results {
 		if !strings.HasPrefix(id, "late") {
 			t.Errorf("%s refused", id)
 		}
 	}
 }
 
-// A message that another process has tried goes on from there.
-func TestRequestWithAttemptsBehindIt(t *testing.T) {
+// A message that another process has tried continues with the number of its attempts.
+func TestRequestWithEarlierAttempts(t *testing.T) {
 	s := newSender(t, testSettings(), ep("e", 1))
 	tried := func(id string, attempts int, first time.Duration) Request {
 		r := req(id, "keyed", 1)
@@ -1109,8 +1111,8 @@
 	if got := sends(acts); len(got) != 1 || got[0] != "in" {
 		t.Errorf("sent %v", got)
 	}
-	if how := ends(acts); how["out"] != "failed" || how["spent"] != "refused" {
-		t.Errorf("%v", how)
+	if results := ends(acts); results["out"] != "failed" || results["spent"] != "refused" {
+		t.Errorf("%v", results)
 	}
 	s.Step(2*time.Second, []Event{answer("in", 0, "e", OK)}) // not the newest attempt
 	if len(s.messages) != 1 {
@@ -1122,10 +1124,10 @@
 	}
 }
 
-// What is kept of an endpoint ends with it, and of a destination with its last endpoint, message and told wait:
-// a day on which all of them are replaced leaves nothing behind, and the health of one that is gone says
-// nothing of the next at its destination. While a call is out, its endpoint is still needed.
-func TestNothingStaysOfWhatIsGone(t *testing.T) {
+// State of an endpoint ends with the endpoint, and state of a destination with its last endpoint, message and wait. A day on
+// which all are replaced leaves nothing behind, and the health of a gone endpoint does not affect the next one at its
+// destination. While a call is out, its endpoint is kept.
+func TestGoneEndpointsAreForgotten(t *testing.T) {
 	set := testSettings()
 	s := newSender(t, set)
 	now := time.Duration(0)
@@ -1133,7 +1135,7 @@
 		id, name := fmt.Sprint("e", i), fmt.Sprint("m", i)
 		s.Step(now, []Event{Members{Endpoints: []Endpoint{ep(id, i%3)}}})
 		if s.endpoints[id].outage {
-			t.Fatalf("%s is out before its first call", id)
+			t.Fatalf("%s is in an outage before its first call", id)
 		}
 		r := req(name, "ordered", i%3)
 		r.Key, r.HasKey = int64(i), true
@@ -1146,7 +1148,7 @@
 		if s.endpoints[id] == nil {
 			t.Fatal("an endpoint with a call out was forgotten")
 		}
-		for attempt, st := range []Status{Errored, OK} { // the second, stray one changes nothing
+		for attempt, st := range []Status{Errored, OK} { // the second outcome is a stray one and changes nothing
 			s.Step(now, []Event{answer(name, attempt, id, st)})
 		}
 		now += 2 * set.Classes[4].Deadline
@@ -1154,60 +1156,59 @@
 	}
 	s.Step(now, []Event{Request{ID: "odd", Class: "unheard of", Destination: 99, TimeLeft: time.Second}})
 	run(s, now, now+2*time.Second)
-	if len(s.endpoints)+len(s.dests)+len(s.messages)+len(s.queue)+len(s.flying) > 0 || len(s.lanes) > 8 ||
+	if len(s.endpoints)+len(s.destinations)+len(s.messages)+len(s.queue)+len(s.inFlight) > 0 || len(s.keyQueues) > 8 ||
 		len(s.classes) != len(set.Classes) {
-		t.Errorf("kept: %d endpoints, %d destinations, %d messages, %d lanes, %d classes", len(s.endpoints),
-			len(s.dests), len(s.messages), len(s.lanes), len(s.classes))
+		t.Errorf("kept: %d endpoints, %d destinations, %d messages, %d key queues, %d classes", len(s.endpoints),
+			len(s.destinations), len(s.messages), len(s.keyQueues), len(s.classes))
 	}
 }
 
-// One call that breaks is no outage while others are out at the endpoint, also where its sibling is out; nor are
-// calls that are missed although one sent later was answered. Else a destination that works loses its last
-// endpoint by chance.
+// One broken call is no outage while other calls are out at the endpoint, even if its sibling is out. Missed calls are no
+// outage if a later call was answered. Otherwise a working destination would lose its last endpoint by chance.
 func TestChanceFailuresAreNoOutage(t *testing.T) {
 	set := testSettings()
 	set.MaxCalls = 40
 	s := newSender(t, set, ep("e", 1), ep("f", 1))
-	s.takeOut(s.endpoints["f"])
+	s.markOutage(s.endpoints["f"])
 	s.endpoints["e"].window = 20
 	s.Step(0, []Event{req("a", "safe", 1), req("b", "safe", 1), req("c", "safe", 1)})
-	if got := len(s.endpoints["e"].flights); got != 3 {
+	if got := len(s.endpoints["e"].calls); got != 3 {
 		t.Fatalf("%d calls out", got)
 	}
 	s.Step(50*ms, []Event{answer("a", 0, "e", Reset)})
 	if s.endpoints["e"].outage {
-		t.Error("out after one of three calls broke")
+		t.Error("outage after one of three calls broke")
 	}
 	s.Step(60*ms, []Event{req("d", "safe", 1)})
 	s.Step(200*ms, []Event{answer("d", 0, "e", OK)})
 	s.Step(400*ms, []Event{answer("b", 0, "e", TimedOut)})
 	s.Step(410*ms, []Event{answer("c", 0, "e", TimedOut)})
-	if e := s.endpoints["e"]; e.outage || e.fails > 0 {
-		t.Errorf("out: %v, %d failures counted although a later call was answered", e.outage, e.fails)
+	if e := s.endpoints["e"]; e.outage || e.failures > 0 {
+		t.Errorf("outage: %v, %d failures counted although a later call was answered", e.outage, e.failures)
 	}
 }
 
-// Reports are refreshed now and then, and answers in between bring the same one again. Our share of the room that it
-// tells of is granted once, and not with each answer: many senders would draw the limit many times over.
-func TestReportThatComesAgain(t *testing.T) {
-	l := &ledger{kind: &kind{span: 1}, peers: 80, bold: 80}
+// Reports are refreshed now and then, and answers in between carry the same report again. This sender's share of the reported
+// room is granted once, not with each answer. Otherwise many senders would use the limit many times over.
+func TestRepeatedReport(t *testing.T) {
+	l := &limiter{kind: &kind{burstSeconds: 1}, peers: 80, evenShares: 80}
 	half := &Report{Left: 0.5, Limit: 200}
-	l.finalize(half, 0, 0)
-	granted := l.left
+	l.applyReport(half, 0, 0)
+	granted := l.available
 	l.spend(10 * ms)
 	l.spend(20 * ms)
-	l.finalize(half, 20*ms, 100*ms)
-	if l.left > granted-1.9 {
-		t.Errorf("%.2f calls were left of %.2f, with the same report as before: %.2f", granted-2, granted, l.left)
+	l.applyReport(half, 20*ms, 100*ms)
+	if l.available > granted-1.9 {
+		t.Errorf("%.2f calls were left of %.2f, with the same report as before: %.2f", granted-2, granted, l.available)
 	}
-	l.finalize(&Report{Left: 0.6, Limit: 200}, 30*ms, 150*ms)
-	if l.left < granted {
-		t.Errorf("a new report grants %.2f", l.left)
+	l.applyReport(&Report{Left: 0.6, Limit: 200}, 30*ms, 150*ms)
+	if l.available < granted {
+		t.Errorf("a new report grants %.2f", l.available)
 	}
 }
 
-// An endpoint that operators had out comes back cold: it was restarted while out, and is ramped up. One that
-// discovery alone lists again, without that word, is not.
+// An endpoint that returns from maintenance by operators is cold, since it was restarted, and ramps up. An endpoint that only
+// discovery lists again, without Cold, does not.
 func TestColdAfterMaintenance(t *testing.T) {
 	for _, cold := range []bool{true, false} {
 		s := newSender(t, testSettings(), ep("e", 1))
@@ -1217,8 +1218,8 @@
 		back := ep("e", 1)
 		back.Cold = cold
 		s.Step(20*time.Second, []Event{Members{Endpoints: []Endpoint{back}}})
-		if e := s.endpoints["e"]; e.ramp != cold || cold && e.rampFrom != 20*time.Second {
-			t.Errorf("cold %v: ramp %v from %v", cold, e.ramp, e.rampFrom)
+		if e := s.endpoints["e"]; e.ramping != cold || cold && e.rampSince != 20*time.Second {
+			t.Errorf("cold %v: ramping %v since %v", cold, e.ramping, e.rampSince)
 		}
 		if s.Avoided() != 0 {
 			t.Errorf("cold %v: %d avoided", cold, s.Avoided())
@@ -1230,8 +1231,8 @@
 	}
 }
 
-// Shares, gaps and waits stay what they are with any number of senders: none is nought, endless or negative, and one that has
-// something to send for a destination in good health sends it within a time that the number explains.
+// With any number of senders, shares, gaps and waits are finite and not negative, and no share is zero. A sender with messages
+// for a healthy destination sends at least one within 20 s.
 func TestAnyNumberOfSenders(t *testing.T) {
 	for _, peers := range []int{-1, 0, 1, 2, 350, 1024, 5000, math.MaxInt} {
 		for _, limit := range []float64{0.5, 20, 1e6} {
@@ -1249,7 +1250,7 @@
 					switch a := a.(type) {
 					case Send:
 						if sent++; a.TimeOut < 0 {
-							t.Fatalf("%d senders: a time-out of %v", peers, a.TimeOut)
+							t.Fatalf("%d senders: a timeout of %v", peers, a.TimeOut)
 						}
 						o := Outcome{ID: a.ID, Endpoint: a.Endpoint, Latency: 20 * ms, Status: Full, Wait: 50 * ms, Report: &Report{Left: 0.5, Limit: limit}}
 						if n%5 == 0 {
@@ -1261,28 +1262,28 @@
 						evs = append(evs, o)
 					case Refuse:
 						if a.RetryAfter < 0 || a.RetryAfter > set.MaxRetryAfter {
-							t.Fatalf("%d senders: come again in %v", peers, a.RetryAfter)
+							t.Fatalf("%d senders: RetryAfter is %v", peers, a.RetryAfter)
 						}
 					case Wake:
 						if a.At < now {
-							t.Fatalf("%d senders: a wake at %v, %v ago", peers, a.At, now-a.At)
+							t.Fatalf("%d senders: a wake at %v, %v in the past", peers, a.At, now-a.At)
 						}
 					}
 				}
 				s.Step(now+20*ms, evs)
 				x := s.endpoints["e"]
-				for what, v := range map[string]float64{"share": x.ledger.share(), "capacity": x.ledger.capacity(), "rarely": x.ledger.rarely(),
-					"often": x.ledger.often(), "estimate": x.ledger.estimate(now), "gap": s.coldGap(x, now).Seconds(), "left": x.ledger.left} {
+				for what, v := range map[string]float64{"share": x.limiter.share(), "capacity": x.limiter.capacity(), "sparseness": x.limiter.sparseness(),
+					"excess": x.limiter.excess(), "estimate": x.limiter.estimate(now), "gap": s.coldGap(x, now).Seconds(), "left": x.limiter.available} {
 					overspent := (what == "estimate" || what == "left") && v < 0
 					if math.IsNaN(v) || math.IsInf(v, 0) || v < 0 && !overspent {
 						t.Fatalf("%d senders, limit %v, step %d: %s is %v", peers, limit, n, what, v)
 					}
 				}
-				if v := x.ledger.share(); v == 0 || v > 1 {
+				if v := x.limiter.share(); v == 0 || v > 1 {
 					t.Fatalf("%d senders: a share of %v", peers, v)
 				}
-				if x.ledger.nextTry < 0 || x.ledger.heldUntil < 0 {
-					t.Fatalf("%d senders: a try at %v, held until %v", peers, x.ledger.nextTry, x.ledger.heldUntil)
+				if x.limiter.nextTrial < 0 || x.limiter.fleetWait < 0 {
+					t.Fatalf("%d senders: next trial at %v, reported wait until %v", peers, x.limiter.nextTrial, x.limiter.fleetWait)
 				}
 			}
 			if sent == 0 {
@@ -1292,8 +1293,8 @@
 	}
 }
 
-// Where a call carries several messages, those that go to an endpoint in one step cost one spend and one slot, up to that many; a
-// limit in calls lets that many more messages through, and nothing is handed back that could go along. The call's end counts once.
+// A call may carry several messages. Messages that go to an endpoint in one step, up to the bundle size, cost one spend and one
+// slot, so a limit in calls lets that many more messages through. No message that fits is refused. A call's end counts once.
 func TestBundles(t *testing.T) {
 	set := testSettings()
 	set.Kinds = append(set.Kinds, Kind{Name: "bundled", OwnLimits: true, Bundle: 3})
@@ -1310,20 +1311,20 @@
 		evs = append(evs, req(fmt.Sprint("m", i), "safe", 1))
 	}
 	acts := s.Step(200*ms, evs)
-	if got := sends(acts); len(got) != 3 || s.out != 1 || len(ends(acts)) != 0 {
-		t.Fatalf("%v are sent by %d calls; %v", got, s.out, ends(acts))
+	if got := sends(acts); len(got) != 3 || s.callsOut != 1 || len(ends(acts)) != 0 {
+		t.Fatalf("sent %v in %d calls; ended %v", got, s.callsOut, ends(acts))
 	}
-	if left := s.endpoints["e"].ledger.left; left < 0 || left >= 1 {
+	if left := s.endpoints["e"].limiter.available; left < 0 || left >= 1 {
 		t.Errorf("a call costs %v", 1-left)
 	}
 	refused := func(i int) Event { return Outcome{ID: fmt.Sprint("m", i), Endpoint: "e", Status: Full, Wait: 300 * ms} }
 	s.Step(300*ms, []Event{refused(0), refused(1)})
-	if e := s.endpoints["e"]; e.refusals != 1 || s.out != 1 || len(e.flights) != 1 {
-		t.Errorf("%d refusals by one call; %d calls out", e.refusals, s.out)
+	if e := s.endpoints["e"]; e.refusals != 1 || s.callsOut != 1 || len(e.calls) != 1 {
+		t.Errorf("%d refusals by one call; %d calls out", e.refusals, s.callsOut)
 	}
 	s.Step(310*ms, []Event{refused(2)})
-	if s.out != 0 || len(s.endpoints["e"].flights) != 0 {
-		t.Errorf("%d calls out behind the last of one", s.out)
+	if s.callsOut != 0 || len(s.endpoints["e"].calls) != 0 {
+		t.Errorf("%d calls out after the last outcome", s.callsOut)
 	}
 	all := map[string]bool{}
 	for now := 320 * ms; now < 9*time.Second; now += 5 * ms {
@@ -1340,16 +1341,16 @@
 		}
 		s.Step(now, evs)
 		if n := len(ends(acts)); n > 0 {
-			t.Fatalf("handed back: %v", ends(acts))
+			t.Fatalf("ended without delivery: %v", ends(acts))
 		}
 	}
 	if len(all) != 8 {
-		t.Errorf("%d of 8 messages go in 9 s at one call a second", len(all))
+		t.Errorf("%d of 8 messages sent in 9 s at one call a second", len(all))
 	}
-	// What goes to an endpoint that is out goes alone.
-	s.takeOut(s.endpoints["e"])
+	// To an endpoint in an outage a message goes alone.
+	s.markOutage(s.endpoints["e"])
 	acts = s.Step(60*time.Second, []Event{req("x", "safe", 1), req("y", "safe", 1)})
 	if got := sends(acts); len(got) != 1 {
-		t.Errorf("tried with %v", got)
+		t.Errorf("trial call with %v", got)
 	}
 }
--- a/internal/spread/exchange.go
+++ b/internal/spread/exchange.go
@@ -4,39 +4,39 @@
 	"time"
 )
 
-// Tick begins a comparison with a random member where one is due.
+// Tick starts an anti-entropy exchange with a random member if one is due.
 func (s *Spread) Tick(now time.Duration) []Send {
-	s.out = nil
+	s.outgoing = nil
 	s.recordCall(now)
 	if now < s.nextExchange {
 		return nil
 	}
-	s.nextExchange = now + s.exchangePause()
-	if len(s.others) == 0 {
-		s.lastAnswered = now
+	s.nextExchange = now + s.drawExchangeDelay()
+	if len(s.otherMembers) == 0 {
+		s.lastAnsweredAsk = now
 		return nil
 	}
-	partner := s.others[s.rng.IntN(len(s.others))]
-	s.asked[partner] = now
-	s.counters.Asked++
+	partner := s.otherMembers[s.rng.IntN(len(s.otherMembers))]
+	s.askTimes[partner] = now
+	s.counters.ExchangesStarted++
 	s.send(now, partner, Packet{Ask: true, Summary: s.store.Summary(now), Members: s.membersHash})
-	return s.out
+	return s.outgoing
 }
 
-// recordAnswer notes that a member has answered a comparison.
+// recordAnswer records that a member has answered an exchange.
 func (s *Spread) recordAnswer(from string) {
-	askedAt, ok := s.asked[from]
+	askedAt, ok := s.askTimes[from]
 	if !ok {
 		return
 	}
-	delete(s.asked, from)
-	s.lastAnswered = max(s.lastAnswered, askedAt)
+	delete(s.askTimes, from)
+	s.lastAnsweredAsk = max(s.lastAnsweredAsk, askedAt)
 	s.counters.Answered++
 }
 
-// compare answers a summary with what its sender may lack. The answer to an Ask carries our summary, so that both sides end
-// with the union.
-func (s *Spread) compare(now time.Duration, p *Packet) {
+// answerSummary sends the statements that the sender of a summary may lack. The answer to an Ask also carries this relay's summary,
+// so that both stores end with the union of the statements.
+func (s *Spread) answerSummary(now time.Duration, p *Packet) {
 	if p.Members != 0 && p.Members != s.membersHash {
 		s.counters.Differed++
 	}
--- a/internal/spread/spread_test.go
+++ b/internal/spread/spread_test.go
@@ -7,14 +7,15 @@
 	"slatemux/internal/verdicts"
 )
 
-// Two that know of other members tell each other so when they compare, whichever of them asks; two that know the same do not.
-func TestMembersThatDiffer(t *testing.T) {
+// Two relays with different lists of live members both count the mismatch in an exchange. Relays with the same list do not, even if
+// the order of the list differs.
+func TestMembershipMismatchIsCounted(t *testing.T) {
 	for name, c := range map[string]struct {
 		a, b   []string
 		differ bool
-	}{"the same": {[]string{"a", "b", "c"}, []string{"c", "b", "a"}, false}, "one too few": {[]string{"a", "b", "c"}, []string{"a", "b"}, true}} {
+	}{"same members": {[]string{"a", "b", "c"}, []string{"c", "b", "a"}, false}, "one member missing": {[]string{"a", "b", "c"}, []string{"a", "b"}, true}} {
 		t.Run(name, func(t *testing.T) {
-			of := func(self string, members []string) *Spread {
+			newSpread := func(self string, members []string) *Spread {
 				s, err := New(Config{Self: self, Exchange: time.Second, Bytes: 1e6, Size: func(*Packet) int { return 100 }, Packet: 1000}, 0, verdicts.NewStore(), 1)
 				if err != nil {
 					t.Fatal(err)
@@ -22,18 +23,18 @@
 				s.SetMembers(members)
 				return s
 			}
-			a, b := of("a", c.a), of("b", c.b)
+			a, b := newSpread("a", c.a), newSpread("b", c.b)
 			var ask []Send
 			for now := 2 * time.Second; len(ask) == 0 || ask[0].To != "b"; now += 2 * time.Second {
 				ask = a.Tick(now)
 			}
 			_, _, answer := b.Receive(time.Hour, ask[0].Packet)
 			if len(answer) != 1 {
-				t.Fatalf("answered with %v", answer)
+				t.Fatalf("answer to the exchange: %v", answer)
 			}
 			a.Receive(time.Hour, answer[0].Packet)
 			if (a.Counters().Differed > 0) != c.differ || (b.Counters().Differed > 0) != c.differ {
-				t.Errorf("%d, %d times told to differ", a.Counters().Differed, b.Counters().Differed)
+				t.Errorf("membership mismatches counted: %d by a, %d by b", a.Counters().Differed, b.Counters().Differed)
 			}
 		})
 	}
--- a/internal/verdicts/waits.go
+++ b/internal/verdicts/waits.go
@@ -7,62 +7,63 @@
 )
 
 const (
-	// maxBudget is how long one origin's statements alone may hold a destination at once.
+	// maxBudget is the maximum time for which the statements of a single origin may hold a destination at once.
 	maxBudget = time.Second
-	// singleRefill is the share of the time that passes by which an origin's budget refills.
-	singleRefill = 0.05
-	// confirmedRefill is that share while other origins too have been turned away there.
-	confirmedRefill = 0.5
-	// confirmationTime is how long a refusal of another origin counts for that.
+	// singleRefillRatio is the share of elapsed time that refills the budget of an origin.
+	singleRefillRatio = 0.05
+	// confirmedRefillRatio is the share of elapsed time that refills the budget while other origins report refusals too.
+	confirmedRefillRatio = 0.5
+	// confirmationTime is how long a refusal of one origin confirms the statements of another.
 	confirmationTime = 10 * time.Second
 )
 
-// holdState is what a judge keeps of the subject of a wait.
+// holdState is a judge's record of the subject of a wait.
 type holdState struct {
-	until     time.Duration            // as last returned
-	succeeded time.Duration            // when the newest of our calls that succeeded was begun
-	ownUntil  time.Duration            // end of a wait that this relay was asked for itself
-	refusedAt map[string]time.Duration // when an origin, this relay included, was last turned away
-	budgets   map[string]*budget
-	lastUse   time.Duration
+	until            time.Duration            // end of the hold, as last returned
+	lastSuccessStart time.Duration            // start of the newest of this relay's own calls that succeeded
+	ownWaitEnd       time.Duration            // end of the wait that the destination asked this relay for
+	lastRefusals     map[string]time.Duration // when each origin, this relay included, was last refused
+	budgets          map[string]*budget
+	lastUse          time.Duration
 }
 
-// budget is how long an origin's statements alone may hold a destination.
+// budget is the time for which the statements of an origin alone may still hold a destination.
 type budget struct {
 	left      time.Duration
 	updatedAt time.Duration
 }
 
-func (j *Judge) hold(now time.Duration, group Subject) *holdState {
-	h := j.holds[group]
+// hold returns the record of a subject, and adds one if there is none.
+func (j *Judge) hold(now time.Duration, subject Subject) *holdState {
+	h := j.holds[subject]
 	if h == nil {
 		h = &holdState{
-			until:     never,
-			succeeded: never,
-			ownUntil:  never,
-			refusedAt: map[string]time.Duration{},
-			budgets:   map[string]*budget{},
+			until:            never,
+			lastSuccessStart: never,
+			ownWaitEnd:       never,
+			lastRefusals:     map[string]time.Duration{},
+			budgets:          map[string]*budget{},
 		}
-		j.holds[group] = h
+		j.holds[subject] = h
 	}
 	h.lastUse = now
 	return h
 }
 
-// endContradictedHold ends a hold where one of our calls succeeded that was begun after the waits were announced.
+// endContradictedHold ends a hold if one of this relay's own calls succeeded that started after the announcement of all known waits.
 func (j *Judge) endContradictedHold(now time.Duration, o Observation) []Restraint {
-	group := o.group()
-	h := j.holds[group]
+	waitSubject := o.waitSubject()
+	h := j.holds[waitSubject]
 	if h == nil {
 		return nil
 	}
-	h.succeeded = max(h.succeeded, o.Begun)
+	h.lastSuccessStart = max(h.lastSuccessStart, o.Begun)
 	if h.until <= now {
 		return nil
 	}
-	for _, s := range j.store.About(now, group) {
-		if s.Origin != j.self && now-s.Age >= h.succeeded {
-			return nil // this one is newer than the call
+	for _, s := range j.store.About(now, waitSubject) {
+		if s.Origin != j.self && now-s.Age >= h.lastSuccessStart {
+			return nil // this wait was announced after the start of the call
 		}
 	}
 	j.counters.Overruled++
@@ -71,37 +72,39 @@
 		b.updatedAt = now
 	}
 	h.until = now
-	return []Restraint{holdUntil(group, now)}
+	return []Restraint{holdUntil(waitSubject, now)}
 }
 
-func holdUntil(group Subject, until time.Duration) Restraint {
-	return Restraint{Order: Hold, Destination: group.Destination, Member: group.Member, At: until}
+// holdUntil returns the restraint that holds a subject until a time.
+func holdUntil(subject Subject, until time.Duration) Restraint {
+	return Restraint{Order: Hold, Destination: subject.Destination, Member: subject.Member, At: until}
 }
 
-// judgeWait decides how long a group is to be held. A new statement may draw on its origin's budget.
-func (j *Judge) judgeWait(now time.Duration, group Subject, news *Statement) []Restraint {
-	h := j.hold(now, group)
-	until := max(h.until, j.agreedEnd(now, group, h))
-	if news != nil && !news.Over && now-news.Age >= h.succeeded {
-		until = j.extendByBudget(now, h, news, until)
+// judgeWait decides how long to hold a subject. A newly received statement may draw on the budget of its origin.
+func (j *Judge) judgeWait(now time.Duration, subject Subject, received *Statement) []Restraint {
+	h := j.hold(now, subject)
+	until := max(h.until, j.quorumWaitEnd(now, subject, h))
+	if received != nil && !received.Over && now-received.Age >= h.lastSuccessStart {
+		until = j.extendByBudget(now, h, received, until)
 	}
-	if until <= max(h.until, now) || until <= h.ownUntil {
-		return nil // nothing new, or this relay's own wait holds as long
+	if until <= max(h.until, now) || until <= h.ownWaitEnd {
+		return nil // the hold does not become longer, or this relay's own wait lasts as long
 	}
 	h.until = until
 	j.counters.Heeded++
-	return []Restraint{holdUntil(group, until)}
+	return []Restraint{holdUntil(subject, until)}
 }
 
-// agreedEnd is the time until which a quorum of origins, this relay included, announces waits; never for none.
-func (j *Judge) agreedEnd(now time.Duration, group Subject, h *holdState) time.Duration {
-	ends := []time.Duration{h.ownUntil}
-	for _, s := range j.store.About(now, group) {
+// quorumWaitEnd returns the time until which a quorum of origins, this relay included, announces waits. It returns never if fewer
+// origins than the quorum announce one.
+func (j *Judge) quorumWaitEnd(now time.Duration, subject Subject, h *holdState) time.Duration {
+	ends := []time.Duration{h.ownWaitEnd}
+	for _, s := range j.store.About(now, subject) {
 		madeAt := now - s.Age
-		if s.Origin == j.self || madeAt < h.succeeded {
-			continue // our own, or contradicted by a call of ours
+		if s.Origin == j.self || madeAt < h.lastSuccessStart {
+			continue // this relay's own statement, or contradicted by a call of this relay
 		}
-		h.refusedAt[s.Origin] = max(h.refusedAt[s.Origin], madeAt)
+		h.lastRefusals[s.Origin] = max(h.lastRefusals[s.Origin], madeAt)
 		if !s.Over {
 			ends = append(ends, madeAt+s.Length)
 		}
@@ -114,41 +117,41 @@
 	return ends[j.quorum-1]
 }
 
-// extendByBudget extends a hold towards the end of a single origin's wait, as far as its budget goes.
-func (j *Judge) extendByBudget(now time.Duration, h *holdState, news *Statement, until time.Duration) time.Duration {
-	end := now - news.Age + news.Length
-	from := max(until, now, h.ownUntil)
+// extendByBudget extends a hold towards the end of a single origin's wait, as far as the budget of the origin covers it.
+func (j *Judge) extendByBudget(now time.Duration, h *holdState, received *Statement, until time.Duration) time.Duration {
+	end := now - received.Age + received.Length
+	from := max(until, now, h.ownWaitEnd)
 	if end <= from {
 		return until
 	}
-	until = from + h.draw(now, news.Origin, end-from)
+	until = from + h.draw(now, received.Origin, end-from)
 	if until < end {
 		j.counters.Overdrawn++
 	}
 	return until
 }
 
-// draw takes a duration from an origin's budget, as far as there is.
+// draw takes a duration from the budget of an origin and returns how much of it the budget covered.
 func (h *holdState) draw(now time.Duration, origin string, wanted time.Duration) time.Duration {
 	b := h.budgets[origin]
 	if b == nil {
 		b = &budget{left: maxBudget, updatedAt: now}
 		h.budgets[origin] = b
 	}
-	refill := singleRefill
+	refillRatio := singleRefillRatio
 	if h.isConfirmed(now, origin) {
-		refill = confirmedRefill
+		refillRatio = confirmedRefillRatio
 	}
-	b.left = min(b.left+time.Duration(refill*float64(now-b.updatedAt)), maxBudget)
+	b.left = min(b.left+time.Duration(refillRatio*float64(now-b.updatedAt)), maxBudget)
 	b.updatedAt = now
 	drawn := min(b.left, wanted)
 	b.left -= drawn
 	return drawn
 }
 
-// isConfirmed reports whether another origin has been turned away lately.
+// isConfirmed reports whether another origin was refused within confirmationTime.
 func (h *holdState) isConfirmed(now time.Duration, origin string) bool {
-	for other, at := range h.refusedAt {
+	for other, at := range h.lastRefusals {
 		if other != origin && now-at < confirmationTime {
 			return true
 		}
