--- a/internal/flow/batch.go
+++ b/internal/flow/batch.go
@@ -13,8 +13,8 @@
 // A call may carry several transactions, where the pool member's kind takes that. It has one fate on its way, and its answer says
 // how each of them ended.
 
-// answerBatch bounds the answer: a line of some tens of bytes for each transaction.
-const answerBatch = 64 << 10
+// maxBatchAnswerBytes bounds the answer: a line of some tens of bytes for each transaction.
+const maxBatchAnswerBytes = 64 << 10
 
 // appendBatch encodes the call of a flow and those that travel with it.
 func appendBatch(dst []byte, f *traffic.Flow, now time.Time) []byte {
@@ -34,16 +34,16 @@
 		[]http1.Field{{Name: "X-Time-Left-Ms", Value: strconv.FormatInt(left, 10)}}, body)
 }
 
-var batchEnds = map[string]traffic.FlowStatus{"delivered": traffic.Delivered, "failed": traffic.Errored, "refused": traffic.TurnedAway,
+var batchStatuses = map[string]traffic.FlowStatus{"delivered": traffic.Delivered, "failed": traffic.Errored, "refused": traffic.TurnedAway,
 	"over": traffic.Over, "spent": traffic.Spent}
 
-// decodeBatch reads how each transaction ended. Those whose end a line does not give, or that are named twice with two ends, may
+// decodeBatchAnswer reads how each transaction ended. Those whose end a line does not give, or that are named twice with two ends, may
 // have run; a line about another is passed over.
-func decodeBatch(body []byte) map[string]traffic.FlowStatus {
+func decodeBatchAnswer(body []byte) map[string]traffic.FlowStatus {
 	ends := map[string]traffic.FlowStatus{}
 	for line := range bytes.Lines(body) {
 		id, word, _ := bytes.Cut(bytes.TrimRight(line, "\r\n"), []byte(" "))
-		end, ok := batchEnds[string(word)]
+		end, ok := batchStatuses[string(word)]
 		if was, twice := ends[string(id)]; !ok || twice && was != end {
 			end = traffic.Broken
 		}
@@ -52,8 +52,8 @@
 	return ends
 }
 
-// ends are the ends of all that a flow carried, those first that say most of the pool member: what it turned away, then what failed.
-func (r *running) ends(end traffic.FlowEnd, of map[string]traffic.FlowStatus) []traffic.FlowEnd {
+// allEnds are the ends of all that a flow carried, those first that say most of the pool member: what it turned away, then what failed.
+func (r *activeFlow) allEnds(end traffic.FlowEnd, of map[string]traffic.FlowStatus) []traffic.FlowEnd {
 	if len(r.With) == 0 {
 		return []traffic.FlowEnd{end}
 	}
--- a/internal/flow/batch_test.go
+++ b/internal/flow/batch_test.go
@@ -15,7 +15,7 @@
 )
 
 // readBatch reads a call that carries several up to the end of its body, and returns that.
-func (r *rig) readBatch(nc net.Conn) string {
+func (r *harness) readBatch(nc net.Conn) string {
 	r.t.Helper()
 	var text []byte
 	buf := make([]byte, 1)
@@ -41,9 +41,9 @@
 	}
 }
 
-// several is a flow that three transactions share.
-func (r *rig) several() {
-	r.start("a", func(f *traffic.Flow) {
+// startBatch is a flow that three transactions share.
+func (r *harness) startBatch() {
+	r.startFlow("a", func(f *traffic.Flow) {
 		f.Join(traffic.Flow{ID: "b", Attempt: 2, Member: "m", Body: []byte("\r\nx"), Deadline: f.Deadline.Add(-time.Second)})
 		f.Join(traffic.Flow{ID: "c", Member: "m", Key: "kc", Deadline: f.Deadline.Add(time.Second)})
 	})
@@ -51,7 +51,7 @@
 
 // What a call that carries several is answered, and how each of them ends: message by message where the answer tells them apart,
 // all alike where it does not. What it does not tell may have run; nothing is delivered by an answer that is not whole.
-func TestSeveralInOneCall(t *testing.T) {
+func TestBatchAnswers(t *testing.T) {
 	head := func(body string, more string) string {
 		return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n%s\r\n%s", len(body), more, body)
 	}
@@ -75,8 +75,8 @@
 		"not readable, none has run": {"HTTP/1.1 400 Bad\r\nContent-Length: 0\r\n\r\n", [3]traffic.FlowStatus{unsent, unsent, unsent}, 0},
 	} {
 		t.Run(what, func(t *testing.T) {
-			r := newRig(t)
-			r.several()
+			r := newHarness(t)
+			r.startBatch()
 			nc := <-r.conns
 			if got := r.readBatch(nc); got != "a k 4\r\nbody\r\nb - 3\r\n\r\nx\r\nc kc 0\r\n\r\n" {
 				t.Errorf("body %q", got)
@@ -102,31 +102,31 @@
 				t.Errorf("first of all is told %+v", first)
 			}
 			if c.wait > 0 { // it binds the next call
-				r.start("d")
+				r.startFlow("d")
 				if e := <-r.ends; e.Status != unsent {
 					t.Errorf("into the wait: %+v", e)
 				}
 			}
-			r.g.mu.Lock()
-			defer r.g.mu.Unlock()
-			if r.g.calls != 0 || len(r.g.flows) != 0 {
-				t.Errorf("kept: %d calls, %v", r.g.calls, r.g.flows)
+			r.manager.mu.Lock()
+			defer r.manager.mu.Unlock()
+			if r.manager.callCount != 0 || len(r.manager.flows) != 0 {
+				t.Errorf("kept: %d calls, %v", r.manager.callCount, r.manager.flows)
 			}
 		})
 	}
 }
 
 // A call that carries several counts as one of those that may be out, and each of them calls it off.
-func TestSeveralAreOneCall(t *testing.T) {
-	r := newRig(t)
-	r.several()
+func TestBatchCountsAsOneCall(t *testing.T) {
+	r := newHarness(t)
+	r.startBatch()
 	nc := <-r.conns
 	r.readBatch(nc)
-	r.start("d")
-	r.read(<-r.conns) // the second of two
-	r.start("e")
-	r.want("e", traffic.NoSlot)
-	r.g.Cancel("b", 2)
+	r.startFlow("d")
+	r.readCall(<-r.conns) // the second of two
+	r.startFlow("e")
+	r.expectEnd("e", traffic.NoSlot)
+	r.manager.Cancel("b", 2)
 	for range 3 {
 		if e := <-r.ends; e.Status != traffic.CalledOff || e.ID == "d" {
 			t.Errorf("%+v", e)
@@ -135,10 +135,10 @@
 }
 
 // Whatever an answer holds, nothing is delivered that it does not say so of in a line of its own.
-func TestGarbageDeliversNothing(t *testing.T) {
+func TestBatchGarbageDeliversNothing(t *testing.T) {
 	proptest.Check(t, func(t *rapid.T) {
 		text := proptest.Garbage(t, []byte("aa delivered\r\nbb refused\r\ncc failed\r\n"))
-		for id, end := range decodeBatch(text) {
+		for id, end := range decodeBatchAnswer(text) {
 			if end == traffic.Delivered && !strings.Contains("\n"+string(text)+"\n", "\n"+id+" delivered") {
 				t.Fatalf("%q is delivered by %q", id, text)
 			}
--- a/internal/flow/bench_test.go
+++ b/internal/flow/bench_test.go
@@ -42,7 +42,7 @@
 		}
 	}()
 	ends := make(chan traffic.FlowEnd, 1)
-	g := must(New(Config{ConnectWithin: time.Minute, MostFlows: 2, Conns: keeping(2)}, func(e traffic.FlowEnd) { ends <- e }))
+	g := mustNew(New(Config{ConnectWithin: time.Minute, MostFlows: 2, Conns: connsConfig(2)}, func(e traffic.FlowEnd) { ends <- e }))
 	g.Pool(traffic.PoolNews{Members: []traffic.Member{{Host: "m", Dial: ln.Addr().String()}}})
 	body := make([]byte, 200)
 	b.ReportAllocs()
--- a/internal/flow/conn.go
+++ b/internal/flow/conn.go
@@ -19,249 +19,249 @@
 // by the peer is seen while it idles.
 type conn struct {
 	nc        net.Conn
-	raw       net.Conn // below TLS; nil for plain
-	g         *Manager
+	underTLS  net.Conn // below TLS; nil for plain
+	manager   *Manager
 	id        conns.ID
 	host      string    // the member's
 	idleSince time.Time // under the Manager's lock, as the next two; zero before the first call
-	lent      bool      // to a flow
-	warm      bool      // that flow is not the first on it
+	inUse     bool      // to a flow
+	reused    bool      // that flow is not the first on it
 
-	mu      sync.Mutex
-	dead    bool            // over, or not to be used again
-	resp    *http1.Response // of the call that is out; nil between calls
-	several bool            // that call carries several transactions
-	tail    conns.End       // how the newest call ended
-	heard   bool            // something came for it
-	noisy   bool            // something came without a call
-	stuck   bool            // the peer acknowledges nothing
-	wrote   time.Time       // when the call that is out was written; zero between calls
+	mu          sync.Mutex
+	unusable    bool            // over, or not to be used again
+	response    *http1.Response // of the call that is out; nil between calls
+	batch       bool            // that call carries several transactions
+	callEnd     conns.End       // how the newest call ended
+	received    bool            // something came for it
+	unsolicited bool            // something came without a call
+	stuck       bool            // the peer acknowledges nothing
+	writtenAt   time.Time       // when the call that is out was written; zero between calls
 
-	plain syscall.RawConn // nil for TLS
+	syscallConn syscall.RawConn // nil for TLS
 
-	timed bool          // a read deadline is set; of the reader alone
-	over  chan struct{} // closed by the reader at its end
+	readDeadlineSet bool          // a read deadline is set; of the reader alone
+	readerDone      chan struct{} // closed by the reader at its end
 
-	got    chan struct{} // closed when the call has its answer or none will come
-	result answer        // to be read once got is closed
+	answered chan struct{} // closed when the call has its answer or none will come
+	result   answer        // to be read once got is closed
 }
 
-// begin makes the connection ready for a call; false if it is over.
-func (c *conn) begin() bool {
+// beginCall makes the connection ready for a call; false if it is over.
+func (c *conn) beginCall() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.dead {
+	if c.unusable {
 		return false
 	}
-	c.resp, c.got, c.result, c.heard, c.tail, c.several, c.wrote = &http1.Response{}, make(chan struct{}), answer{}, false, conns.Dead, false, time.Time{}
+	c.response, c.answered, c.result, c.received, c.callEnd, c.batch, c.writtenAt = &http1.Response{}, make(chan struct{}), answer{}, false, conns.Dead, false, time.Time{}
 	return true
 }
 
-// carriesSeveral has the answer say how each of them ended.
-func (c *conn) carriesSeveral() {
+// setBatch has the answer say how each of them ended.
+func (c *conn) setBatch() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.several = true; c.resp != nil {
-		c.resp.Keep = answerBatch
+	if c.batch = true; c.response != nil {
+		c.response.MaxBodyBytes = maxBatchAnswerBytes
 	}
 }
 
-// writing notes that the call is about to be written; false if it must not be, for the connection is over, or something has come
+// beginWrite notes that the call is about to be written; false if it must not be, for the connection is over, or something has come
 // that cannot be the call's answer. What comes from now on is taken for that, unless its peer's clock would tell otherwise.
-func (c *conn) writing(at time.Time) bool {
+func (c *conn) beginWrite(at time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.dead && c.plain != nil { // what has come and waits for the reader
+	if !c.unusable && c.syscallConn != nil { // what has come and waits for the reader
 		var n int
 		var err error
-		cerr := c.plain.Control(func(fd uintptr) { n, err = readNow(int(fd), make([]byte, 1)) })
+		cerr := c.syscallConn.Control(func(fd uintptr) { n, err = readAvailable(int(fd), make([]byte, 1)) })
 		if cerr != nil || n > 0 || !errors.Is(err, unix.EAGAIN) {
-			c.uncalled(max(n, 0))
+			c.noteUnsolicited(max(n, 0))
 		}
 	}
-	if !c.dead {
-		c.wrote = at
+	if !c.unusable {
+		c.writtenAt = at
 	}
-	return !c.dead
+	return !c.unusable
 }
 
-// uncalled notes that something came without a call, or the connection's end: it is not used again. It needs the lock.
-func (c *conn) uncalled(bytes int) {
+// noteUnsolicited notes that something came without a call, or the connection's end: it is not used again. It needs the lock.
+func (c *conn) noteUnsolicited(bytes int) {
 	if bytes > 0 {
 		slog.Warn("pool member wrote without a call", "addr", c.nc.RemoteAddr(), "bytes", bytes)
 	}
-	c.noisy = c.noisy || bytes > 0
-	c.dead = true
+	c.unsolicited = c.unsolicited || bytes > 0
+	c.unusable = true
 }
 
-// readNow reads what has come; EAGAIN where nothing has.
-func readNow(fd int, b []byte) (n int, err error) {
+// readAvailable reads what has come; EAGAIN where nothing has.
+func readAvailable(fd int, b []byte) (n int, err error) {
 	for n, err = unix.Read(fd, b); err == unix.EINTR; {
 		n, err = unix.Read(fd, b)
 	}
 	return n, err
 }
 
-// silentSince says that a call is out since before then, on a connection that had been used before, and nothing has come.
-func (c *conn) silentSince(then time.Time) bool {
+// unansweredSince says that a call is out since before then, on a connection that had been used before, and nothing has come.
+func (c *conn) unansweredSince(then time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.warm && c.resp != nil && !c.heard && !c.wrote.IsZero() && c.wrote.Before(then)
+	return c.reused && c.response != nil && !c.received && !c.writtenAt.IsZero() && c.writtenAt.Before(then)
 }
 
-// lookStuck notes whether what was written is not even acknowledged: the peer, or the way to it, is gone, which a peer that
+// checkStuck notes whether what was written is not even acknowledged: the peer, or the way to it, is gone, which a peer that
 // is only slow is not. It is asked of the kernel, and sends nothing.
-func (c *conn) lookStuck() bool {
+func (c *conn) checkStuck() bool {
 	nc := c.nc
-	if c.raw != nil {
-		nc = c.raw
+	if c.underTLS != nil {
+		nc = c.underTLS
 	}
 	stuck := unacknowledged(nc)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.stuck = stuck && c.resp != nil && !c.heard
+	c.stuck = stuck && c.response != nil && !c.received
 	return c.stuck
 }
 
-// ending is how the call on the connection ended; kept says that nobody has given it up.
-func (c *conn) ending(kept bool) conns.End {
+// endCall is how the call on the connection ended; kept says that nobody has given it up.
+func (c *conn) endCall(kept bool) conns.End {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.wrote, c.resp = time.Time{}, nil
-	switch end := c.tail; {
+	c.writtenAt, c.response = time.Time{}, nil
+	switch end := c.callEnd; {
 	case c.stuck:
 		return conns.Dead
 	case !kept:
 		return conns.Cut
-	case end == conns.Answered && c.noisy:
+	case end == conns.Answered && c.unsolicited:
 		return conns.Broken
-	case end == conns.Answered && c.dead: // closed right behind the answer
+	case end == conns.Answered && c.unusable: // closed right behind the answer
 		return conns.Last
 	default:
 		return end
 	}
 }
 
-// rest ends a call that has its answer or was never written, and says whether the connection can be kept.
-func (c *conn) rest() bool {
+// cancelCall ends a call that has its answer or was never written, and says whether the connection can be kept.
+func (c *conn) cancelCall() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.resp = nil
-	return !c.dead
+	c.response = nil
+	return !c.unusable
 }
 
-func (c *conn) isDead() bool {
+func (c *conn) isUnusable() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.dead
+	return c.unusable
 }
 
-// kill closes the connection; its reader ends the call that is out. It does not block: TLS says goodbye first, for which
+// close closes the connection; its reader ends the call that is out. It does not block: TLS says goodbye first, for which
 // a server that reads nothing gets farewell.
-func (c *conn) kill() {
-	if c.raw == nil {
+func (c *conn) close() {
+	if c.underTLS == nil {
 		c.nc.Close()
 		return
 	}
 	go c.nc.Close()
-	time.AfterFunc(farewell, func() { c.raw.Close() })
+	time.AfterFunc(tlsCloseTimeout, func() { c.underTLS.Close() })
 }
 
-// farewell is how long a closing connection may take to send its close_notify.
-const farewell = 50 * time.Millisecond
+// tlsCloseTimeout is how long a closing connection may take to send its close_notify.
+const tlsCloseTimeout = 50 * time.Millisecond
 
-// read feeds what comes to the call that is out, until the connection ends.
-func (c *conn) read() {
+// readLoop feeds what comes to the call that is out, until the connection ends.
+func (c *conn) readLoop() {
 	buf := make([]byte, 4096)
 	for over := false; !over; {
-		if c.plain == nil {
+		if c.syscallConn == nil {
 			n, err := c.nc.Read(buf)
 			c.mu.Lock()
-			over = c.take(buf[:n], err)
+			over = c.handleRead(buf[:n], err)
 			c.mu.Unlock()
 			continue
 		}
 		// Under the lock, so that writing knows of all that was read, and what it does not find has come later.
-		err := c.plain.Read(func(fd uintptr) bool {
+		err := c.syscallConn.Read(func(fd uintptr) bool {
 			c.mu.Lock()
 			defer c.mu.Unlock()
-			n, err := readNow(int(fd), buf)
+			n, err := readAvailable(int(fd), buf)
 			if errors.Is(err, unix.EAGAIN) {
 				return false
 			} else if n == 0 && err == nil {
 				err = io.EOF
 			}
-			over = c.take(buf[:max(n, 0)], err)
+			over = c.handleRead(buf[:max(n, 0)], err)
 			return true
 		})
 		if err != nil {
 			c.mu.Lock()
-			over = c.take(nil, err)
+			over = c.handleRead(nil, err)
 			c.mu.Unlock()
 		}
 	}
 	c.nc.Close()
-	close(c.over)
-	c.g.ended(c)
+	close(c.readerDone)
+	c.manager.readerEnded(c)
 }
 
-// take handles one read and says whether the connection is over. It needs the lock.
-func (c *conn) take(b []byte, err error) bool {
-	if c.resp == nil || c.wrote.IsZero() { // between calls, or begun and not written
+// handleRead handles one read and says whether the connection is over. It needs the lock.
+func (c *conn) handleRead(b []byte, err error) bool {
+	if c.response == nil || c.writtenAt.IsZero() { // between calls, or begun and not written
 		if err != nil || len(b) > 0 {
-			c.uncalled(len(b))
+			c.noteUnsolicited(len(b))
 		}
-		return c.dead
+		return c.unusable
 	}
-	c.heard = c.heard || len(b) > 0
-	n, ferr := c.resp.Feed(b)
+	c.received = c.received || len(b) > 0
+	n, ferr := c.response.Feed(b)
 	if err != nil {
-		_ = c.resp.End() // what was cut off shows in Done
+		_ = c.response.End() // what was cut off shows in Done
 	}
 	if ferr != nil {
 		slog.Warn("answer not understood", "addr", c.nc.RemoteAddr(), "err", ferr)
 	}
-	c.limit()
+	c.updateReadDeadline()
 	over := err != nil || ferr != nil || n < len(b)
-	c.dead = over || c.resp.Done() && !c.resp.Reusable()
-	if c.resp.Done() || c.dead {
+	c.unusable = over || c.response.Done() && !c.response.Reusable()
+	if c.response.Done() || c.unusable {
 		switch {
-		case c.resp.Done() && !over && !c.dead:
-			c.tail = conns.Answered
-		case c.resp.Done() && !c.resp.Reusable():
-			c.tail = conns.Last
-		case c.heard:
-			c.tail = conns.Broken
+		case c.response.Done() && !over && !c.unusable:
+			c.callEnd = conns.Answered
+		case c.response.Done() && !c.response.Reusable():
+			c.callEnd = conns.Last
+		case c.received:
+			c.callEnd = conns.Broken
 		}
-		c.result = decode(c.resp, c.several)
-		c.resp = nil
-		close(c.got)
+		c.result = decodeAnswer(c.response, c.batch)
+		c.response = nil
+		close(c.answered)
 	}
-	return c.dead
+	return c.unusable
 }
 
-// limit bounds the time from an answer's first byte to its last: one that never ends must not hold its call,
+// updateReadDeadline bounds the time from an answer's first byte to its last: one that never ends must not hold its call,
 // and with it a slot at the pool member, until the deadline. Between an interim answer and the next it is off.
-func (c *conn) limit() {
-	if under := c.resp.Underway(); under != c.timed {
+func (c *conn) updateReadDeadline() {
+	if under := c.response.Underway(); under != c.readDeadlineSet {
 		var by time.Time
 		if under {
-			by = time.Now().Add(answerMost)
+			by = time.Now().Add(answerTimeout)
 		}
 		_ = c.nc.SetReadDeadline(by) // where it fails the connection is over, which the next Read tells
-		c.timed = under
+		c.readDeadlineSet = under
 	}
 }
 
-// settled waits until a connection that just carried an answer has idled for a moment, and says whether it is
+// waitSettled waits until a connection that just carried an answer has idled for a moment, and says whether it is
 // still open: what a pool member sends behind an answer must not be taken for the answer to the next call.
-func (c *conn) settled(at time.Time) bool {
+func (c *conn) waitSettled(at time.Time) bool {
 	timer := time.NewTimer(time.Until(at))
 	defer timer.Stop()
 	select {
 	case <-timer.C:
 		return true
-	case <-c.over:
+	case <-c.readerDone:
 		return false
 	}
 }
--- /dev/null
+++ b/internal/flow/connections_test.go
@@ -0,0 +1,188 @@
+package flow
+
+import (
+	"io"
+	"net"
+	"testing"
+	"time"
+
+	"slatemux/internal/conns"
+	"slatemux/internal/lab/scripted"
+	"slatemux/internal/traffic"
+)
+
+func (r *harness) memberState(t *testing.T) conns.State {
+	t.Helper()
+	list := r.manager.Connections()
+	if len(list) != 1 {
+		t.Fatalf("%+v", list)
+	}
+	return list[0]
+}
+
+// waitUntil waits for what other goroutines bring about.
+func waitUntil(t *testing.T, what string, ok func() bool) {
+	t.Helper()
+	for end := time.Now().Add(20 * time.Second); !ok(); time.Sleep(time.Millisecond) {
+		if time.Now().After(end) {
+			t.Fatal(what)
+		}
+	}
+}
+
+func (r *harness) deliver(id string, nc net.Conn) {
+	r.t.Helper()
+	r.readCall(nc)
+	if _, err := io.WriteString(nc, okAnswer); err != nil {
+		r.t.Fatal(err)
+	}
+	r.expectEnd(id, traffic.Delivered)
+}
+
+// Where no more connections may be opened a flow waits for one: what is worth most gets the first that comes to rest, and
+// what has waited too long ends unsent, which is not the member's failure.
+func TestWaitForConnection(t *testing.T) {
+	r := newHarness(t)
+	r.manager.Limit(10, 1)
+	r.manager.cfg.HeldMost = 20 * time.Second
+	r.startFlow("a")
+	nc := <-r.conns
+	r.startFlow("low", func(f *traffic.Flow) { f.Worth = 1 })
+	r.startFlow("high", func(f *traffic.Flow) { f.Worth = 2 })
+	waitUntil(t, "two flows wait", func() bool {
+		r.manager.mu.Lock()
+		defer r.manager.mu.Unlock()
+		return len(r.manager.waiters["m"]) == 2
+	})
+	r.deliver("a", nc)
+	r.deliver("high", nc)
+	r.deliver("low", nc)
+	if n := r.manager.Counters(); n.Opened != 1 || n.Waited != 2 {
+		t.Errorf("%+v", n)
+	}
+	r.manager.cfg.HeldMost = 30 * time.Millisecond
+	r.startFlow("b")
+	r.readCall(nc)
+	r.startFlow("c")
+	r.expectEnd("c", traffic.Unsent)
+	r.startFlow("d", func(f *traffic.Flow) { f.Deadline = time.Now().Add(time.Millisecond) })
+	r.expectEnd("d", traffic.Unsent)
+	if len(r.manager.waiters) != 0 {
+		t.Errorf("%v still wait", r.manager.waiters)
+	}
+	r.manager.Limit(10, 2) // more may be opened: the next one does not wait
+	r.startFlow("e")
+	r.readCall(<-r.conns)
+}
+
+// newPreconnectHarness is a rig whose Manager opens connections ahead.
+func newPreconnectHarness(t *testing.T) *harness {
+	r := newHarness(t)
+	cfg := connsConfig(10)
+	cfg.Ahead = true
+	r.manager = mustNew(New(Config{ConnectWithin: time.Minute, MostFlows: 10, Conns: cfg}, func(e traffic.FlowEnd) { r.ends <- e }))
+	r.setHealth(traffic.Active)
+	return r
+}
+
+// Calls that are known to come find their connections open; what nobody needs any more is called off.
+func TestPreconnect(t *testing.T) {
+	r := newPreconnectHarness(t)
+	r.manager.Expect(0, 3)
+	r.manager.sweep()
+	conns := []net.Conn{<-r.conns} // one alone, until it is known that the member takes any
+	waitUntil(t, "one rests", func() bool { return r.memberState(t).Idle == 1 })
+	if n := r.manager.Counters(); n.Opened != 1 {
+		t.Errorf("%d opened at once to a member that is new", n.Opened)
+	}
+	r.manager.sweep()
+	conns = append(conns, <-r.conns, <-r.conns)
+	waitUntil(t, "three rest", func() bool { return r.memberState(t).Idle == 3 })
+	for _, id := range []string{"a", "b", "c"} {
+		r.startFlow(id)
+	}
+	for _, nc := range conns {
+		r.readCall(nc)
+		_, _ = io.WriteString(nc, okAnswer)
+	}
+	for range conns {
+		if end := <-r.ends; end.Status != traffic.Delivered {
+			t.Errorf("%+v", end)
+		}
+	}
+	if n := r.manager.Counters(); n.Opened != 3 || n.Ahead != 3 || n.Reused != 3 {
+		t.Errorf("%+v", n)
+	}
+}
+
+// The member leaves while a connection to it is being opened ahead: it is closed as soon as it is looked at.
+func TestMemberLeavesWhilePreconnecting(t *testing.T) {
+	r := newPreconnectHarness(t)
+	r.manager.Expect(0, 1)
+	r.manager.sweep()
+	r.setHealth(traffic.Leaving)
+	waitUntil(t, "the opening ends", func() bool {
+		r.manager.sweep()
+		r.manager.mu.Lock()
+		defer r.manager.mu.Unlock()
+		return r.manager.conns.Len() == 0 && len(r.manager.connsByID) == 0 && len(r.manager.preconnecting) == 0
+	})
+}
+
+// A middlebox has dropped the flow: what is written is not acknowledged, and the connection is given up long before the
+// deadline. It counts as a dead one, and the next call goes on a new one.
+func TestUnacknowledgedConnectionGivenUp(t *testing.T) {
+	srv, err := scripted.Start(scripted.Script{End: scripted.Vanish, Idle: 30 * time.Millisecond})
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer srv.Stop()
+	ends := make(chan traffic.FlowEnd, 1)
+	g := mustNew(New(Config{ConnectWithin: time.Minute, MostFlows: 10, Conns: connsConfig(10), StuckAfter: 30 * time.Millisecond},
+		func(e traffic.FlowEnd) { ends <- e }))
+	g.Pool(traffic.PoolNews{Members: []traffic.Member{{Host: "m", Dial: srv.Addr()}}})
+	start := func(id string) {
+		g.Start(traffic.Flow{ID: id, Member: "m", Body: make([]byte, 256<<10), Begun: time.Now(), Deadline: time.Now().Add(time.Minute)})
+	}
+	start("a")
+	if e := <-ends; e.Status != traffic.Delivered {
+		t.Fatalf("%+v", e)
+	}
+	time.Sleep(200 * time.Millisecond) // longer than the server lets it idle
+	start("b")
+	for e, over := (traffic.FlowEnd{}), false; !over; {
+		g.sweep()
+		select {
+		case e = <-ends:
+			over = true
+			if e.Status != traffic.Broken && e.Status != traffic.NotConnected || e.Took > 20*time.Second {
+				t.Errorf("%+v", e)
+			}
+		case <-time.After(5 * time.Millisecond):
+		}
+	}
+	if n := g.Counters(); n.Stale != 1 {
+		t.Errorf("%+v", n)
+	}
+	start("c")
+	if e := <-ends; e.Status != traffic.Delivered {
+		t.Errorf("%+v", e)
+	}
+}
+
+// A server that is slow has acknowledged what it got: it is not given up.
+func TestSlowIsNotStuck(t *testing.T) {
+	r := newHarness(t)
+	r.manager.cfg.StuckAfter = time.Nanosecond
+	r.startFlow("a")
+	nc := <-r.conns
+	r.deliver("a", nc)
+	r.startFlow("b")
+	r.readCall(nc)
+	time.Sleep(20 * time.Millisecond)
+	r.manager.sweep()
+	if _, err := io.WriteString(nc, okAnswer); err != nil {
+		t.Fatal(err)
+	}
+	r.expectEnd("b", traffic.Delivered)
+}
--- a/internal/flow/dial.go
+++ b/internal/flow/dial.go
@@ -19,21 +19,21 @@
 	LookupNetIP(ctx context.Context, network, host string) ([]netip.Addr, error)
 }
 
-// forgetAfter is how long an address is remembered that nobody uses.
-const forgetAfter = time.Hour
+// unusedAddressTTL is how long an address is remembered that nobody uses.
+const unusedAddressTTL = time.Hour
 
 // dialer opens connections. An endpoint may have several addresses: a list parted by commas, or a name, if there is a
 // Resolver. They are then raced as conns.Race says.
 type dialer struct {
-	names  Resolver // nil: names are left to package net, and lists are looked at alone
-	origin time.Time
+	resolver Resolver // nil: names are left to package net, and lists are looked at alone
+	origin   time.Time
 
-	mu  sync.Mutex
-	mem *conns.Addresses
+	mu    sync.Mutex
+	known *conns.Addresses
 }
 
 func newDialer(names Resolver) *dialer {
-	return &dialer{names: names, origin: time.Now(), mem: conns.NewAddresses()}
+	return &dialer{resolver: names, origin: time.Now(), known: conns.NewAddresses()}
 }
 
 func (d *dialer) now() time.Duration { return time.Since(d.origin) }
@@ -41,20 +41,20 @@
 // dial opens a connection until ctx ends or by the deadline.
 func (d *dialer) dial(ctx context.Context, addr string, by time.Time) (net.Conn, error) {
 	one := net.Dialer{Deadline: by, KeepAlive: -1}
-	if _, err := netip.ParseAddrPort(addr); err == nil || d.names == nil && !strings.Contains(addr, ",") {
+	if _, err := netip.ParseAddrPort(addr); err == nil || d.resolver == nil && !strings.Contains(addr, ",") {
 		return one.DialContext(ctx, "tcp", addr)
 	}
 	ctx, cancel := context.WithDeadline(ctx, by)
 	defer cancel()
-	list, err := d.addresses(ctx, addr)
+	list, err := d.resolve(ctx, addr)
 	if err != nil {
 		return nil, fmt.Errorf("addresses of %s: %w", addr, err)
 	}
 	return d.race(ctx, list, func(to netip.AddrPort) (net.Conn, error) { return one.DialContext(ctx, "tcp", to.String()) })
 }
 
-// addresses are those of all parts; a name that is not found does not spoil the others.
-func (d *dialer) addresses(ctx context.Context, text string) (list []netip.AddrPort, err error) {
+// resolve are those of all parts; a name that is not found does not spoil the others.
+func (d *dialer) resolve(ctx context.Context, text string) (list []netip.AddrPort, err error) {
 	for part := range strings.SplitSeq(text, ",") {
 		part = strings.TrimSpace(part)
 		if one, perr := netip.ParseAddrPort(part); perr == nil {
@@ -67,11 +67,11 @@
 			err = errors.Join(err, perr)
 			continue
 		}
-		if d.names == nil {
+		if d.resolver == nil {
 			err = errors.Join(err, fmt.Errorf("%s is a name, and names are not looked up", host))
 			continue
 		}
-		found, lerr := d.names.LookupNetIP(ctx, "ip", host)
+		found, lerr := d.resolver.LookupNetIP(ctx, "ip", host)
 		if lerr != nil {
 			err = errors.Join(err, lerr)
 		}
@@ -94,8 +94,8 @@
 	}
 	results := make(chan result, len(list)) // room for all: those that come too late block nobody
 	d.mu.Lock()
-	d.mem.Forget(d.now(), forgetAfter)
-	r := d.mem.Race(d.now(), list)
+	d.known.Forget(d.now(), unusedAddressTTL)
+	r := d.known.Race(d.now(), list)
 	d.mu.Unlock()
 	var failed error
 	under := 0
--- a/internal/flow/dial_test.go
+++ b/internal/flow/dial_test.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-type names map[string][]netip.Addr
+type fakeResolver map[string][]netip.Addr
 
-func (n names) LookupNetIP(_ context.Context, _, host string) ([]netip.Addr, error) {
+func (n fakeResolver) LookupNetIP(_ context.Context, _, host string) ([]netip.Addr, error) {
 	if list, ok := n[host]; ok {
 		return list, nil
 	}
@@ -20,7 +20,7 @@
 
 // An endpoint with several addresses is reached where one of them answers: a dead one costs no more than the delay to the
 // next, and is not tried first again.
-func TestSeveralAddresses(t *testing.T) {
+func TestMultipleAddresses(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -32,7 +32,7 @@
 	}
 	dead.Close()
 	_, port, _ := net.SplitHostPort(ln.Addr().String())
-	d := newDialer(names{"pay.example.org": {netip.MustParseAddr("127.0.0.1")}})
+	d := newDialer(fakeResolver{"pay.example.org": {netip.MustParseAddr("127.0.0.1")}})
 	for _, addr := range []string{dead.Addr().String() + "," + ln.Addr().String(), "pay.example.org:" + port,
 		"none.example.org:1, pay.example.org:" + port, ln.Addr().String()} {
 		nc, err := d.dial(t.Context(), addr, time.Now().Add(time.Minute))
@@ -54,7 +54,7 @@
 }
 
 // What hangs holds the race up for its delay alone; what answers later is closed, and the end of ctx ends all.
-func TestRaceOfConnections(t *testing.T) {
+func TestConnectionRace(t *testing.T) {
 	d := newDialer(nil)
 	list := []netip.AddrPort{netip.MustParseAddrPort("[2001:db8::1]:1"), netip.MustParseAddrPort("192.0.2.1:1")}
 	hangs, closed := make(chan struct{}), make(chan error, 1)
--- a/internal/flow/flow.go
+++ b/internal/flow/flow.go
@@ -68,36 +68,36 @@
 	Fresh(nc net.Conn) bool
 }
 
-// sweepEvery is how often connections are looked at; writeSlack is kept free before Flow.WriteBy, for
+// sweepInterval is how often connections are looked at; writeSlack is kept free before Flow.WriteBy, for
 // what the last byte still takes to arrive. An answer must be whole answerMost after its first byte.
 const (
-	answerMost = 400 * time.Millisecond
-	sweepEvery = 250 * time.Millisecond
-	writeSlack = 100 * time.Millisecond
-	heldMost   = 250 * time.Millisecond
-	// spoiltMost is how many connections a call finds closed or written to by their peer before it counts as not connected: one may
+	answerTimeout   = 400 * time.Millisecond
+	sweepInterval   = 250 * time.Millisecond
+	writeMargin     = 100 * time.Millisecond
+	defaultConnWait = 250 * time.Millisecond
+	// maxReplacedConns is how many connections a call finds closed or written to by their peer before it counts as not connected: one may
 	// talk first on each.
-	spoiltMost = 3
+	maxReplacedConns = 3
 )
 
 // Manager owns all connections to pool members. Which of them are opened, used and closed is the word of conns.Pool.
 type Manager struct {
-	cfg    Config
-	done   func(traffic.FlowEnd)
-	origin time.Time // of the time that the pool of connections is told
-
-	mu          sync.Mutex
-	members     map[string]*member
-	waits       map[traffic.Group]time.Time // nothing is written before
-	outstanding map[traffic.Group]*outstanding
-	flows       map[flowID]*running
-	calls       int // of them; one may carry several
-	opener      *opener
-	dialer      *dialer
-	conns       *conns.Pool
-	byID        map[conns.ID]*conn              // those that are open
-	ahead       map[conns.ID]context.CancelFunc // being opened without a call
-	held        map[string][]*waiter            // by member: flows for which none may be opened, in the order of their coming
+	cfg       Config
+	reportEnd func(traffic.FlowEnd)
+	origin    time.Time // of the time that the pool of connections is told
+
+	mu            sync.Mutex
+	members       map[string]*member
+	retryAfter    map[traffic.Group]time.Time // nothing is written before
+	outstanding   map[traffic.Group]*outstanding
+	flows         map[flowID]*activeFlow
+	callCount     int // of them; one may carry several
+	handshakes    *handshakeQueue
+	dialer        *dialer
+	conns         *conns.Pool
+	connsByID     map[conns.ID]*conn              // those that are open
+	preconnecting map[conns.ID]context.CancelFunc // being opened without a call
+	waiters       map[string][]*waiter            // by member: flows for which none may be opened, in the order of their coming
 }
 
 type flowID struct {
@@ -107,29 +107,29 @@
 
 type member struct {
 	traffic.Member
-	open bool // it may get something new
+	available bool // it may get something new
 }
 
-// running is a flow that has not ended.
-type running struct {
+// activeFlow is a flow that has not ended.
+type activeFlow struct {
 	traffic.Flow
-	m      *member
-	cancel context.CancelFunc
-	queued time.Duration // from the flow's beginning until its goroutine ran, and in wait for a connection
+	target    *member
+	cancel    context.CancelFunc
+	localWait time.Duration // from the flow's beginning until its goroutine ran, and in wait for a connection
 }
 
 // New returns a Manager that hands the end of each flow to done, which must not block.
 func New(cfg Config, done func(traffic.FlowEnd)) (*Manager, error) {
 	if cfg.HeldMost <= 0 {
-		cfg.HeldMost = heldMost
+		cfg.HeldMost = defaultConnWait
 	}
 	pool, err := conns.New(cfg.Conns)
 	if err != nil {
 		return nil, err
 	}
-	return &Manager{cfg: cfg, done: done, origin: time.Now(), members: map[string]*member{}, waits: map[traffic.Group]time.Time{}, outstanding: map[traffic.Group]*outstanding{},
-		flows: map[flowID]*running{}, opener: newOpener(cfg.Gate, cfg.Busy), dialer: newDialer(cfg.Names), conns: pool, byID: map[conns.ID]*conn{},
-		ahead: map[conns.ID]context.CancelFunc{}, held: map[string][]*waiter{}}, nil
+	return &Manager{cfg: cfg, reportEnd: done, origin: time.Now(), members: map[string]*member{}, retryAfter: map[traffic.Group]time.Time{}, outstanding: map[traffic.Group]*outstanding{},
+		flows: map[flowID]*activeFlow{}, handshakes: newHandshakeQueue(cfg.Gate, cfg.Busy), dialer: newDialer(cfg.Names), conns: pool, connsByID: map[conns.ID]*conn{},
+		preconnecting: map[conns.ID]context.CancelFunc{}, waiters: map[string][]*waiter{}}, nil
 }
 
 // Pool takes in news of the pool. Flows to a member that is leaving end unsent if no byte is out yet.
@@ -138,7 +138,7 @@
 	defer g.mu.Unlock()
 	if news.Whole {
 		for _, m := range g.members {
-			m.open = false
+			m.available = false
 		}
 	}
 	for _, row := range news.Members {
@@ -147,40 +147,40 @@
 			m = &member{}
 			g.members[row.Host] = m
 		}
-		m.Member, m.open = row, row.Health == traffic.Active
+		m.Member, m.available = row, row.Health == traffic.Active
 	}
 	for host, m := range g.members {
-		g.kill(g.conns.Endpoint(host, m.Dial, m.Destination, m.open))
-		if !m.open {
+		g.closeEvicted(g.conns.Endpoint(host, m.Dial, m.Destination, m.available))
+		if !m.available {
 			delete(g.members, host) // flows that are out keep their own reference
 		}
 	}
-	g.admit()
+	g.serveWaiters()
 }
 
 // Start begins a flow. It does not block.
 func (g *Manager) Start(f traffic.Flow) {
 	ctx, cancel := context.WithDeadline(context.Background(), f.Deadline)
-	r := &running{Flow: f, cancel: cancel}
+	r := &activeFlow{Flow: f, cancel: cancel}
 	g.mu.Lock()
-	r.m = g.members[f.Member]
-	full := g.calls >= g.cfg.MostFlows
+	r.target = g.members[f.Member]
+	full := g.callCount >= g.cfg.MostFlows
 	var l lease
-	if !full && r.m != nil {
-		g.calls++
+	if !full && r.target != nil {
+		g.callCount++
 		for _, x := range f.All() {
 			g.flows[flowID{x.ID, x.Attempt}] = r
 		}
-		l = g.ask(f.Member, g.conns.Call)
+		l = g.requestConn(f.Member, g.conns.Call)
 	}
 	g.mu.Unlock()
 	switch {
-	case r.m == nil:
+	case r.target == nil:
 		cancel()
-		g.tell(r, r.end(traffic.Unsent), nil)
+		g.reportEnds(r, r.flowEnd(traffic.Unsent), nil)
 	case full:
 		cancel()
-		g.tell(r, r.end(traffic.NoSlot), nil)
+		g.reportEnds(r, r.flowEnd(traffic.NoSlot), nil)
 	default:
 		go g.run(ctx, r, l)
 	}
@@ -192,7 +192,7 @@
 	defer g.mu.Unlock()
 	g.cfg.MostFlows = flows
 	g.conns.Limit(most)
-	g.admit()
+	g.serveWaiters()
 }
 
 // Cancel gives a flow up by closing its connection.
@@ -208,7 +208,7 @@
 func (g *Manager) FreeIdle(on bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.kill(g.conns.Frugal(g.now(), on))
+	g.closeEvicted(g.conns.Frugal(g.now(), on))
 }
 
 // Expect tells how many calls are known to come to the members of a destination soon.
@@ -217,7 +217,7 @@
 	defer g.mu.Unlock()
 	var to []string
 	for host, m := range g.members {
-		if m.open && m.Destination == destination {
+		if m.available && m.Destination == destination {
 			to = append(to, host)
 		}
 	}
@@ -247,90 +247,90 @@
 	return g.conns.States()
 }
 
-// end ends a flow. What the program itself let it wait, before its goroutine ran and before its answer was looked
+// flowEnd ends a flow. What the program itself let it wait, before its goroutine ran and before its answer was looked
 // at, is not the pool member's doing and not counted: a relay short of processor would take its members to be slow,
 // send them less, and hold the more.
-func (r *running) end(status traffic.FlowStatus) traffic.FlowEnd {
+func (r *activeFlow) flowEnd(status traffic.FlowStatus) traffic.FlowEnd {
 	return traffic.FlowEnd{ID: r.ID, Attempt: r.Attempt, Member: r.Member, Status: status,
-		Took: max(time.Since(r.Begun)-r.queued, 0)}
+		Took: max(time.Since(r.Begun)-r.localWait, 0)}
 }
 
 // run carries one flow from its connection to its end.
-func (g *Manager) run(ctx context.Context, r *running, l lease) {
-	r.queued = time.Since(r.Begun)
+func (g *Manager) run(ctx context.Context, r *activeFlow, l lease) {
+	r.localWait = time.Since(r.Begun)
 	end, each := g.attempt(ctx, r, l)
 	if g.cfg.OwnDelay != nil {
 		end.Took = max(end.Took-g.cfg.OwnDelay(), 0)
 	}
 	r.cancel()
 	g.mu.Lock()
-	g.calls--
-	g.noteEnded(r)
+	g.callCount--
+	g.removeOutstanding(r)
 	for _, x := range r.All() {
 		delete(g.flows, flowID{x.ID, x.Attempt})
 	}
 	if (end.Status == traffic.TurnedAway || each != nil) && end.Wait > 0 {
 		// At once, not by way of the relay: a call still being connected must not be written into the wait.
-		if until := time.Now().Add(end.Wait); until.After(g.waits[r.Group]) {
-			g.waits[r.Group] = until
+		if until := time.Now().Add(end.Wait); until.After(g.retryAfter[r.Group]) {
+			g.retryAfter[r.Group] = until
 			if g.cfg.Shared != nil {
 				g.cfg.Shared.Tell(r.Group, until)
 			}
 		}
 	}
 	g.mu.Unlock()
-	g.tell(r, end, each)
+	g.reportEnds(r, end, each)
 }
 
-// tell hands on the ends of a flow and of those that travelled with it.
-func (g *Manager) tell(r *running, end traffic.FlowEnd, each map[string]traffic.FlowStatus) {
-	for i, one := range r.ends(end, each) {
+// reportEnds hands on the ends of a flow and of those that travelled with it.
+func (g *Manager) reportEnds(r *activeFlow, end traffic.FlowEnd, each map[string]traffic.FlowStatus) {
+	for i, one := range r.allEnds(end, each) {
 		if g.cfg.Fleet != nil && i == 0 {
 			g.cfg.Fleet.Ended(r.Flow, one)
 		}
-		g.done(one)
+		g.reportEnd(one)
 	}
 }
 
 // attempt makes the call and says how it ended; where it carried several, how each of them did, if the answer tells.
-func (g *Manager) attempt(ctx context.Context, r *running, l lease) (traffic.FlowEnd, map[string]traffic.FlowStatus) {
-	if end, told := g.toldElsewhere(r); told {
-		g.giveBack(l)
+func (g *Manager) attempt(ctx context.Context, r *activeFlow, l lease) (traffic.FlowEnd, map[string]traffic.FlowStatus) {
+	if end, told := g.sharedWait(r); told {
+		g.releaseLease(l)
 		return end, nil
 	}
-	if g.barred(r.Group, time.Now()) {
-		g.giveBack(l)
-		return r.end(traffic.Unsent), nil
+	if g.heldByFleet(r.Group, time.Now()) {
+		g.releaseLease(l)
+		return r.flowEnd(traffic.Unsent), nil
 	}
 	var c *conn
 	var from time.Time
 	for written, tries := false, 0; !written; tries++ {
-		if tries > spoiltMost {
-			return r.end(traffic.NotConnected), nil
+		if tries > maxReplacedConns {
+			return r.flowEnd(traffic.NotConnected), nil
 		}
 		var err error
-		if c, err = g.get(ctx, r, l); err == errHeld {
-			return r.end(traffic.Unsent), nil // by this program itself: the member has nothing to do with it
+		if c, err = g.acquire(ctx, r, l); err == errConnWait {
+			return r.flowEnd(traffic.Unsent), nil // by this program itself: the member has nothing to do with it
 		} else if err != nil {
 			slog.Debug("no connection", "member", r.Member, "id", r.ID, "err", err)
-			return r.end(traffic.NotConnected), nil
+			return r.flowEnd(traffic.NotConnected), nil
 		}
-		if end, told := g.toldElsewhere(r); told {
-			g.unused(c)
+		if end, told := g.sharedWait(r); told {
+			g.returnUnused(c)
 			return end, nil
 		}
-		if c.plain != nil {
-			g.awaitUnread(ctx, r)
+		if c.syscallConn != nil {
+			g.awaitUnreadAnswers(ctx, r)
 		}
 		if !g.mayWrite(ctx, r) {
-			g.unused(c)
-			return r.end(traffic.Unsent), nil
+			g.returnUnused(c)
+			return r.flowEnd(traffic.Unsent), nil
 		}
 		from = time.Now()
-		if written = c.writing(from); !written && tries < spoiltMost {
-			l = g.instead(r, c)
+		if written = c.beginWrite(from); !written && tries < maxReplacedConns {
+			l = g.replaceConn(r, c)
 		} else if !written {
-			g.unused(c)
+			g.returnUnused(c)
 		}
 	}
 	var call []byte
@@ -338,76 +338,76 @@
 		call = appendCall(nil, &r.Flow, from)
 	} else {
 		call = appendBatch(nil, &r.Flow, from)
-		c.carriesSeveral()
+		c.setBatch()
 	}
-	if c.plain != nil { // over TLS nobody but its reader can read it
-		g.noteWritten(r, c)
+	if c.syscallConn != nil { // over TLS nobody but its reader can read it
+		g.addOutstanding(r, c)
 	}
-	_ = c.nc.SetWriteDeadline(r.lastByteBy())
+	_ = c.nc.SetWriteDeadline(r.writeDeadline())
 	stop := context.AfterFunc(ctx, func() { // also ends a write that hangs
-		c.lookStuck()
-		c.kill()
+		c.checkStuck()
+		c.close()
 	})
 	if n, err := c.nc.Write(call); n < len(call) {
-		g.over(c, c.ending(stop()), time.Since(from))
+		g.finishCall(c, c.endCall(stop()), time.Since(from))
 		slog.Debug("call not written", "member", r.Member, "id", r.ID, "err", err)
-		return r.end(traffic.NotConnected), nil
+		return r.flowEnd(traffic.NotConnected), nil
 	}
-	<-c.got            // the reader always closes it: kill ends the reader
+	<-c.answered       // the reader always closes it: kill ends the reader
 	result := c.result // before the connection is given back: its next call begins by clearing it
-	g.over(c, c.ending(stop()), time.Since(from))
-	end := r.end(traffic.Broken)
+	g.finishCall(c, c.endCall(stop()), time.Since(from))
+	end := r.flowEnd(traffic.Broken)
 	if result.status != 0 {
-		end = result.end(end)
+		end = result.applyTo(end)
 	} else if ctx.Err() == context.DeadlineExceeded {
 		end.Status = traffic.OutOfTime
 	} else if ctx.Err() != nil {
 		end.Status = traffic.CalledOff
 	}
-	return end, result.each
+	return end, result.statuses
 }
 
-// lastByteBy is when the call is given up whose last byte is not written: repeats are dropped by when that comes. A zero time sets no
+// writeDeadline is when the call is given up whose last byte is not written: repeats are dropped by when that comes. A zero time sets no
 // bound.
-func (r *running) lastByteBy() time.Time {
+func (r *activeFlow) writeDeadline() time.Time {
 	if r.WriteBy.IsZero() {
 		return time.Time{}
 	}
-	return r.WriteBy.Add(-writeSlack / 2)
+	return r.WriteBy.Add(-writeMargin / 2)
 }
 
-// toldElsewhere ends a flow whose group the other process of a hand-over was told to wait for as turned away
+// sharedWait ends a flow whose group the other process of a hand-over was told to wait for as turned away
 // with that wait, which the module then keeps as if it had been told here.
-func (g *Manager) toldElsewhere(r *running) (traffic.FlowEnd, bool) {
+func (g *Manager) sharedWait(r *activeFlow) (traffic.FlowEnd, bool) {
 	if g.cfg.Shared == nil {
 		return traffic.FlowEnd{}, false
 	}
 	now := time.Now()
 	until := g.cfg.Shared.Until(r.Group, now)
 	g.mu.Lock()
-	own := !until.After(g.waits[r.Group])
+	own := !until.After(g.retryAfter[r.Group])
 	g.mu.Unlock()
 	if until.IsZero() || own {
 		return traffic.FlowEnd{}, false // none, or this process's own, which the module knows
 	}
-	end := r.end(traffic.TurnedAway)
+	end := r.flowEnd(traffic.TurnedAway)
 	end.Wait = until.Sub(now)
 	return end, true
 }
 
-// barred says whether other relays hold a group back.
-func (g *Manager) barred(group traffic.Group, now time.Time) bool {
+// heldByFleet says whether other relays hold a group back.
+func (g *Manager) heldByFleet(group traffic.Group, now time.Time) bool {
 	return g.cfg.Fleet != nil && g.cfg.Fleet.Held(group, now)
 }
 
 // mayWrite says whether the first byte may still go out. What held when the flow was queued may not hold
 // once its connection is up: the member may be leaving, a wait told, or the memory of repeats too near its end.
-func (g *Manager) mayWrite(ctx context.Context, r *running) bool {
+func (g *Manager) mayWrite(ctx context.Context, r *activeFlow) bool {
 	now := time.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return ctx.Err() == nil && r.m.open && !now.Before(g.waits[r.Group]) && !g.barred(r.Group, now) &&
-		(r.WriteBy.IsZero() || now.Before(r.WriteBy.Add(-writeSlack)))
+	return ctx.Err() == nil && r.target.available && !now.Before(g.retryAfter[r.Group]) && !g.heldByFleet(r.Group, now) &&
+		(r.WriteBy.IsZero() || now.Before(r.WriteBy.Add(-writeMargin)))
 }
 
 // Close ends every flow and connection at once. A successor takes up what was out once this process lets go of
@@ -418,12 +418,12 @@
 	for _, r := range g.flows {
 		r.cancel()
 	}
-	for _, cancel := range g.ahead {
+	for _, cancel := range g.preconnecting {
 		cancel()
 	}
-	for _, c := range g.byID {
-		if c.raw != nil {
-			c.raw.Close() // no farewell: the end is now
+	for _, c := range g.connsByID {
+		if c.underTLS != nil {
+			c.underTLS.Close() // no farewell: the end is now
 		} else {
 			c.nc.Close()
 		}
--- a/internal/flow/http1/exchange.go
+++ b/internal/flow/http1/exchange.go
@@ -11,7 +11,7 @@
 // Exchange writes a request and reads its answer, of which it keeps up to keep bytes. The answer must have begun by the
 // first deadline, and be whole by the second. With an error comes what there is of the answer.
 func Exchange(nc net.Conn, request []byte, keep int, begun, whole time.Time) (*Response, error) {
-	r, buf := &Response{Keep: keep}, make([]byte, 16<<10)
+	r, buf := &Response{MaxBodyBytes: keep}, make([]byte, 16<<10)
 	if err := nc.SetDeadline(begun); err != nil {
 		return r, fmt.Errorf("http1: %w", err)
 	}
--- a/internal/flow/http1/http1.go
+++ b/internal/flow/http1/http1.go
@@ -14,8 +14,8 @@
 const (
 	// MaxHead bounds the status line and the headers of an answer, interim answers included.
 	MaxHead = 16 << 10
-	// MaxDiscard bounds a body that nobody reads; a longer one costs the connection.
-	MaxDiscard = 256 << 10
+	// MaxDiscardBytes bounds a body that nobody reads; a longer one costs the connection.
+	MaxDiscardBytes = 256 << 10
 )
 
 // Field is one header.
@@ -60,18 +60,18 @@
 
 // Response parses one answer. The zero value discards the body; Keep lets it hold so many bytes.
 type Response struct {
-	Keep   int
-	Status int // 0 until the status line is complete
-	Body   []byte
-
-	state  state
-	head   int
-	line   []byte
-	fields []Field
-	left   int64
-	taken  int64
-	close  bool
-	err    error
+	MaxBodyBytes int
+	Status       int // 0 until the status line is complete
+	Body         []byte
+
+	state      state
+	headBytes  int
+	line       []byte
+	fields     []Field
+	remaining  int64
+	bodyBytes  int64
+	closeAfter bool
+	err        error
 }
 
 // Feed takes in bytes and says how many belong to this answer. After an error the answer is unusable.
@@ -81,15 +81,15 @@
 		switch r.state {
 		case fixedBody, chunkData, untilClose:
 			part := b[n:]
-			if r.state != untilClose && int64(len(part)) > r.left {
-				part = part[:r.left]
+			if r.state != untilClose && int64(len(part)) > r.remaining {
+				part = part[:r.remaining]
 			}
 			n += len(part)
-			r.left -= int64(len(part))
-			r.take(part)
-			if r.left == 0 && r.state == fixedBody {
+			r.remaining -= int64(len(part))
+			r.takeBody(part)
+			if r.remaining == 0 && r.state == fixedBody {
 				r.state = done
-			} else if r.left == 0 && r.state == chunkData {
+			} else if r.remaining == 0 && r.state == chunkData {
 				r.state = chunkEnd
 			}
 		default:
@@ -99,7 +99,7 @@
 				part = part[:end+1]
 			}
 			n += len(part)
-			if r.head += len(part); r.head > MaxHead {
+			if r.headBytes += len(part); r.headBytes > MaxHead {
 				r.err = errors.New("http1: head too long")
 				break
 			}
@@ -107,7 +107,7 @@
 			if end >= 0 {
 				line := strings.TrimSuffix(string(r.line[:len(r.line)-1]), "\r")
 				r.line = r.line[:0]
-				r.err = r.takeLine(line)
+				r.err = r.handleLine(line)
 			}
 		}
 	}
@@ -137,7 +137,7 @@
 func (r *Response) Done() bool { return r.state == done }
 
 // Reusable says that the connection may carry another call after this complete answer.
-func (r *Response) Reusable() bool { return r.state == done && !r.close }
+func (r *Response) Reusable() bool { return r.state == done && !r.closeAfter }
 
 // Header returns the first header of that name, whatever its case.
 func (r *Response) Header(name string) string {
@@ -149,17 +149,17 @@
 	return ""
 }
 
-func (r *Response) take(part []byte) {
-	r.taken += int64(len(part))
-	if r.Keep > 0 {
+func (r *Response) takeBody(part []byte) {
+	r.bodyBytes += int64(len(part))
+	if r.MaxBodyBytes > 0 {
 		r.Body = append(r.Body, part...)
 	}
-	if most := int64(max(r.Keep, MaxDiscard)); r.taken > most || r.Keep > 0 && r.taken > int64(r.Keep) {
+	if most := int64(max(r.MaxBodyBytes, MaxDiscardBytes)); r.bodyBytes > most || r.MaxBodyBytes > 0 && r.bodyBytes > int64(r.MaxBodyBytes) {
 		r.err = errors.New("http1: body too long")
 	}
 }
 
-func (r *Response) takeLine(line string) error {
+func (r *Response) handleLine(line string) error {
 	switch r.state {
 	case statusLine:
 		proto, rest, _ := strings.Cut(line, " ")
@@ -171,9 +171,9 @@
 		if status >= 200 {
 			r.Status = status
 		}
-		r.close = proto == "HTTP/1.0"
+		r.closeAfter = proto == "HTTP/1.0"
 		r.state = headerLine
-		r.left = int64(status) // an interim answer is told from a final one at the end of its headers
+		r.remaining = int64(status) // an interim answer is told from a final one at the end of its headers
 	case headerLine:
 		if line != "" {
 			name, value, ok := strings.Cut(line, ":")
@@ -183,7 +183,7 @@
 			r.fields = append(r.fields, Field{name, strings.TrimSpace(value)})
 			return nil
 		}
-		if r.left < 200 {
+		if r.remaining < 200 {
 			r.fields, r.state = nil, statusLine
 			return nil
 		}
@@ -194,10 +194,10 @@
 		if err != nil {
 			return fmt.Errorf("http1: not a chunk size: %.40q", line)
 		}
-		if r.left, r.state = int64(n), chunkData; n == 0 {
+		if r.remaining, r.state = int64(n), chunkData; n == 0 {
 			r.state = trailer
 		}
-		r.head = 0 // the bound is on one head, not on all chunk lines
+		r.headBytes = 0 // the bound is on one head, not on all chunk lines
 	case chunkEnd:
 		if line != "" {
 			return errors.New("http1: chunk runs over")
@@ -213,9 +213,9 @@
 
 func (r *Response) startBody() error {
 	if connection := strings.ToLower(r.Header("Connection")); strings.Contains(connection, "close") {
-		r.close = true
+		r.closeAfter = true
 	} else if strings.Contains(connection, "keep-alive") {
-		r.close = false
+		r.closeAfter = false
 	}
 	length := r.Header("Content-Length")
 	switch {
@@ -228,11 +228,11 @@
 		if err != nil {
 			return fmt.Errorf("http1: not a length: %.40q", length)
 		}
-		if r.left, r.state = int64(n), fixedBody; n == 0 {
+		if r.remaining, r.state = int64(n), fixedBody; n == 0 {
 			r.state = done
 		}
 	default:
-		r.state, r.close = untilClose, true
+		r.state, r.closeAfter = untilClose, true
 	}
 	return nil
 }
--- a/internal/flow/http1/http1_test.go
+++ b/internal/flow/http1/http1_test.go
@@ -10,8 +10,8 @@
 	"slatemux/internal/proptest"
 )
 
-// answers are whole answers with what each says.
-var answers = []struct {
+// responses are whole answers with what each says.
+var responses = []struct {
 	text   string
 	status int
 	body   string
@@ -25,10 +25,10 @@
 	{"HTTP/1.0 500 Oh\nContent-Length: 3\n\nbad", 500, "bad", false},
 }
 
-func TestAnswersInPieces(t *testing.T) {
+func TestResponseInPieces(t *testing.T) {
 	proptest.Check(t, func(t *rapid.T) {
-		a := rapid.SampledFrom(answers).Draw(t, "answer")
-		r := Response{Keep: 100}
+		a := rapid.SampledFrom(responses).Draw(t, "answer")
+		r := Response{MaxBodyBytes: 100}
 		for _, piece := range proptest.Pieces(t, []byte(a.text)) {
 			if n, err := r.Feed(piece); err != nil || n != len(piece) {
 				t.Fatalf("Feed(%q) = %d, %v", piece, n, err)
@@ -40,10 +40,10 @@
 	})
 }
 
-func TestGarbageEndsInAnErrorOrAnAnswer(t *testing.T) {
+func TestGarbageEndsInErrorOrResponse(t *testing.T) {
 	proptest.Check(t, func(t *rapid.T) {
-		r := Response{Keep: 100}
-		text := proptest.Garbage(t, []byte(rapid.SampledFrom(answers).Draw(t, "answer").text))
+		r := Response{MaxBodyBytes: 100}
+		text := proptest.Garbage(t, []byte(rapid.SampledFrom(responses).Draw(t, "answer").text))
 		for _, piece := range proptest.Pieces(t, text) {
 			n, err := r.Feed(piece)
 			if n > len(piece) || err == nil && n < len(piece) && !r.Done() {
@@ -70,9 +70,9 @@
 }
 
 // Two answers in one read: the first takes its own bytes alone.
-func TestFeedStopsAtTheEnd(t *testing.T) {
+func TestFeedStopsAtEnd(t *testing.T) {
 	var r Response
-	text := []byte(answers[0].text)
+	text := []byte(responses[0].text)
 	if n, err := r.Feed(append(bytes.Clone(text), text...)); n != len(text) || err != nil {
 		t.Fatalf("Feed = %d, %v; want %d", n, err, len(text))
 	}
--- a/internal/flow/tls_test.go
+++ b/internal/flow/tls_test.go
@@ -20,12 +20,12 @@
 	"slatemux/internal/traffic"
 )
 
-// secured is a Manager whose one member speaks TLS, and answers calls after a while.
-type secured struct {
-	g          *Manager
-	m          *secure.Manager
+// tlsHarness is a Manager whose one member speaks TLS, and answers calls after a while.
+type tlsHarness struct {
+	manager    *Manager
+	secure     *secure.Manager
 	ends       chan traffic.FlowEnd
-	ln         net.Listener
+	listener   net.Listener
 	root       *ca.Pair
 	rootFile   string
 	handshakes atomic.Int64
@@ -33,9 +33,9 @@
 	conns      chan net.Conn
 }
 
-func newSecured(t *testing.T, cfg Config, answer time.Duration) *secured {
+func newTLSHarness(t *testing.T, cfg Config, answer time.Duration) *tlsHarness {
 	t.Helper()
-	s := &secured{ends: make(chan traffic.FlowEnd, 2000), conns: make(chan net.Conn, 2000), rootFile: filepath.Join(t.TempDir(), "root.pem")}
+	s := &tlsHarness{ends: make(chan traffic.FlowEnd, 2000), conns: make(chan net.Conn, 2000), rootFile: filepath.Join(t.TempDir(), "root.pem")}
 	var err error
 	if s.root, err = ca.Root("root", ca.P256); err != nil {
 		t.Fatal(err)
@@ -47,14 +47,14 @@
 	if err := ca.Write(s.rootFile, s.root.PEM(), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	if s.ln, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
+	if s.listener, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { s.ln.Close() })
+	t.Cleanup(func() { s.listener.Close() })
 	server := &tls.Config{Certificates: []tls.Certificate{leaf.TLS()}}
 	go func() {
 		for {
-			nc, err := s.ln.Accept()
+			nc, err := s.listener.Accept()
 			if err != nil {
 				return
 			}
@@ -75,28 +75,28 @@
 					_, _ = io.Copy(io.Discard, req.Body)
 					s.calls.Add(1)
 					time.Sleep(answer)
-					if _, err := io.WriteString(c, ok); err != nil {
+					if _, err := io.WriteString(c, okAnswer); err != nil {
 						return
 					}
 				}
 			}()
 		}
 	}()
-	s.m, err = secure.New(tlspolicy.Table{{Name: "bank", RootFiles: []string{s.rootFile}, MinVersion: tls.VersionTLS13, Sessions: 4}})
+	s.secure, err = secure.New(tlspolicy.Table{{Name: "bank", RootFiles: []string{s.rootFile}, MinVersion: tls.VersionTLS13, Sessions: 4}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	cfg.ConnectWithin, cfg.Secure = 30*time.Second, s.m
-	s.g = must(New(cfg, func(e traffic.FlowEnd) { s.ends <- e }))
-	s.g.Pool(traffic.PoolNews{Members: []traffic.Member{{Host: "m", Dial: s.ln.Addr().String(), Destination: 7}}})
+	cfg.ConnectWithin, cfg.Secure = 30*time.Second, s.secure
+	s.manager = mustNew(New(cfg, func(e traffic.FlowEnd) { s.ends <- e }))
+	s.manager.Pool(traffic.PoolNews{Members: []traffic.Member{{Host: "m", Dial: s.listener.Addr().String(), Destination: 7}}})
 	return s
 }
 
-func (s *secured) start(id string, worth float64) {
-	s.g.Start(traffic.Flow{ID: id, Member: "m", Worth: worth, Body: []byte("body"), Begun: time.Now(), Deadline: time.Now().Add(time.Minute)})
+func (s *tlsHarness) startFlow(id string, worth float64) {
+	s.manager.Start(traffic.Flow{ID: id, Member: "m", Worth: worth, Body: []byte("body"), Begun: time.Now(), Deadline: time.Now().Add(time.Minute)})
 }
 
-func (s *secured) want(t *testing.T, status traffic.FlowStatus) traffic.FlowEnd {
+func (s *tlsHarness) expectEnd(t *testing.T, status traffic.FlowStatus) traffic.FlowEnd {
 	t.Helper()
 	end := <-s.ends
 	if end.Status != status {
@@ -105,14 +105,14 @@
 	return end
 }
 
-var gate = tlspolicy.GateConfig{Share: 1, Least: 1000, PerEndpoint: 2, Cost: time.Millisecond, Burst: time.Second}
+var gateConfig = tlspolicy.GateConfig{Share: 1, Least: 1000, PerEndpoint: 2, Cost: time.Millisecond, Burst: time.Second}
 
 // Calls go over TLS on warm connections; changed roots end these once idle, and the next call makes a new one.
 func TestCallsOverTLS(t *testing.T) {
-	s := newSecured(t, Config{MostFlows: 10, Conns: keeping(10), Gate: gate}, 0)
+	s := newTLSHarness(t, Config{MostFlows: 10, Conns: connsConfig(10), Gate: gateConfig}, 0)
 	for i := range 3 {
-		s.start(fmt.Sprint(i), 1)
-		s.want(t, traffic.Delivered)
+		s.startFlow(fmt.Sprint(i), 1)
+		s.expectEnd(t, traffic.Delivered)
 	}
 	if n := s.handshakes.Load(); n != 1 {
 		t.Errorf("%d handshakes for three calls one after another", n)
@@ -124,26 +124,26 @@
 	if err := ca.Write(s.rootFile, append(s.root.PEM(), other.PEM()...), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	s.m.Reload()
-	s.start("after", 1)
-	s.want(t, traffic.Delivered)
+	s.secure.Reload()
+	s.startFlow("after", 1)
+	s.expectEnd(t, traffic.Delivered)
 	if n := s.handshakes.Load(); n != 2 {
 		t.Errorf("%d handshakes after the roots have changed", n)
 	}
 	if err := ca.Write(s.rootFile, other.PEM(), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	s.m.Reload()
-	s.start("refused", 1)
-	s.want(t, traffic.NotConnected) // and never "may have run"
+	s.secure.Reload()
+	s.startFlow("refused", 1)
+	s.expectEnd(t, traffic.NotConnected) // and never "may have run"
 	if n := s.calls.Load(); n != 4 {
 		t.Errorf("%d calls", n)
 	}
 }
 
 // A thousand changes of certificates under load: every call ends well.
-func TestChangesUnderLoad(t *testing.T) {
-	s := newSecured(t, Config{MostFlows: 100, Conns: keeping(100), Gate: tlspolicy.GateConfig{Share: 1, Least: 1e5, PerEndpoint: 100, Cost: time.Millisecond,
+func TestCertificateChangesUnderLoad(t *testing.T) {
+	s := newTLSHarness(t, Config{MostFlows: 100, Conns: connsConfig(100), Gate: tlspolicy.GateConfig{Share: 1, Least: 1e5, PerEndpoint: 100, Cost: time.Millisecond,
 		Burst: time.Second}}, 0)
 	other, err := ca.Root("other", ca.P256)
 	if err != nil {
@@ -162,18 +162,18 @@
 			if err := ca.Write(s.rootFile, texts[i%2], 0o644); err != nil {
 				t.Error(err)
 			}
-			s.m.Reload()
+			s.secure.Reload()
 		}
 	}()
 	const calls = 1000
 	for i := range calls {
-		s.start(fmt.Sprint(i), 1)
+		s.startFlow(fmt.Sprint(i), 1)
 		if i >= 20 {
-			s.want(t, traffic.Delivered)
+			s.expectEnd(t, traffic.Delivered)
 		}
 	}
 	for range 20 {
-		s.want(t, traffic.Delivered)
+		s.expectEnd(t, traffic.Delivered)
 	}
 	close(stop)
 	<-stopped
@@ -184,17 +184,17 @@
 
 // All connections are lost at once with much to send: a few handshakes carry the queue, and all is delivered, what is
 // worth most first.
-func TestStorm(t *testing.T) {
-	s := newSecured(t, Config{MostFlows: 600, Conns: keeping(600), Gate: gate}, 0)
+func TestHandshakeBurst(t *testing.T) {
+	s := newTLSHarness(t, Config{MostFlows: 600, Conns: connsConfig(600), Gate: gateConfig}, 0)
 	for i := range 500 {
-		s.start(fmt.Sprint("low", i), 1)
+		s.startFlow(fmt.Sprint("low", i), 1)
 	}
 	for i := range 20 {
-		s.start(fmt.Sprint("high", i), 3)
+		s.startFlow(fmt.Sprint("high", i), 3)
 	}
 	late := 0
 	for i := range 520 {
-		if end := s.want(t, traffic.Delivered); end.ID[0] == 'h' && i > 200 {
+		if end := s.expectEnd(t, traffic.Delivered); end.ID[0] == 'h' && i > 200 {
 			late++
 		}
 	}
@@ -204,54 +204,54 @@
 	if n := s.handshakes.Load(); n > 100 {
 		t.Errorf("%d handshakes for 520 calls", n)
 	}
-	if c, waiting := s.g.Handshakes(); waiting != 0 || c.Carried == 0 || c.Begun != s.handshakes.Load() {
+	if c, waiting := s.manager.Handshakes(); waiting != 0 || c.Carried == 0 || c.Begun != s.handshakes.Load() {
 		t.Errorf("%+v, %d wait", c, waiting)
 	}
 }
 
 // A flow whose handshake is not admitted in time was never sent, and is not the member's failure; one given up while it
 // waits ends as such.
-func TestHeldBack(t *testing.T) {
-	s := newSecured(t, Config{MostFlows: 10, Conns: keeping(10), Gate: tlspolicy.GateConfig{Share: 1e-9, Least: 1e-9, PerEndpoint: 1, Cost: time.Second, Burst: time.Second}}, 0)
-	s.start("first", 1) // takes what there is at the start
-	s.want(t, traffic.Delivered)
+func TestHandshakeNotAdmitted(t *testing.T) {
+	s := newTLSHarness(t, Config{MostFlows: 10, Conns: connsConfig(10), Gate: tlspolicy.GateConfig{Share: 1e-9, Least: 1e-9, PerEndpoint: 1, Cost: time.Second, Burst: time.Second}}, 0)
+	s.startFlow("first", 1) // takes what there is at the start
+	s.expectEnd(t, traffic.Delivered)
 	(<-s.conns).Close()
-	s.g.FreeIdle(true)
-	s.g.FreeIdle(false)
-	s.g.Start(traffic.Flow{ID: "held", Member: "m", Begun: time.Now(), Deadline: time.Now().Add(50 * time.Millisecond)})
-	s.want(t, traffic.Unsent)
-	s.start("off", 1)
-	for _, n := s.g.Handshakes(); n == 0; _, n = s.g.Handshakes() {
+	s.manager.FreeIdle(true)
+	s.manager.FreeIdle(false)
+	s.manager.Start(traffic.Flow{ID: "held", Member: "m", Begun: time.Now(), Deadline: time.Now().Add(50 * time.Millisecond)})
+	s.expectEnd(t, traffic.Unsent)
+	s.startFlow("off", 1)
+	for _, n := s.manager.Handshakes(); n == 0; _, n = s.manager.Handshakes() {
 		time.Sleep(time.Millisecond)
 	}
-	s.g.Cancel("off", 0)
-	s.want(t, traffic.Unsent)
-	if _, n := s.g.Handshakes(); n != 0 {
+	s.manager.Cancel("off", 0)
+	s.expectEnd(t, traffic.Unsent)
+	if _, n := s.manager.Handshakes(); n != 0 {
 		t.Errorf("%d still wait", n)
 	}
 }
 
-// failing is a Secure whose handshakes fail.
-type failing struct{}
+// failingSecure is a Secure whose handshakes fail.
+type failingSecure struct{}
 
-func (failing) Wants(*traffic.Member) bool { return true }
-func (failing) Fresh(net.Conn) bool        { return true }
-func (failing) Client(_ context.Context, nc net.Conn, _ *traffic.Member) (net.Conn, time.Duration, error) {
+func (failingSecure) Wants(*traffic.Member) bool { return true }
+func (failingSecure) Fresh(net.Conn) bool        { return true }
+func (failingSecure) Client(_ context.Context, nc net.Conn, _ *traffic.Member) (net.Conn, time.Duration, error) {
 	nc.Close()
 	return nil, 0, errors.New("no")
 }
 
 // A handshake that fails is no connection, and what it held is given back.
 func TestFailedHandshake(t *testing.T) {
-	r := newRig(t)
-	r.g.cfg.Secure, r.g.opener = failing{}, newOpener(gate, nil)
+	r := newHarness(t)
+	r.manager.cfg.Secure, r.manager.handshakes = failingSecure{}, newHandshakeQueue(gateConfig, nil)
 	for i := range 5 {
-		r.start(fmt.Sprint(i))
-		r.want(fmt.Sprint(i), traffic.NotConnected)
+		r.startFlow(fmt.Sprint(i))
+		r.expectEnd(fmt.Sprint(i), traffic.NotConnected)
 	}
-	r.g.mu.Lock()
-	defer r.g.mu.Unlock()
-	if n := r.g.conns.Len(); n != 0 || len(r.g.flows) != 0 || len(r.g.byID) != 0 {
-		t.Errorf("%d connections, %d flows are left", n, len(r.g.flows))
+	r.manager.mu.Lock()
+	defer r.manager.mu.Unlock()
+	if n := r.manager.conns.Len(); n != 0 || len(r.manager.flows) != 0 || len(r.manager.connsByID) != 0 {
+		t.Errorf("%d connections, %d flows are left", n, len(r.manager.flows))
 	}
 }
--- a/internal/flow/unread.go
+++ b/internal/flow/unread_answers.go
@@ -12,53 +12,53 @@
 )
 
 const (
-	// unreadCheckEvery is how old the last look at a group's answers may be when a call is written. A wait binds from 100 ms after its
+	// unreadCheckInterval is how old the last look at a group's answers may be when a call is written. A wait binds from 100 ms after its
 	// answer was written.
-	unreadCheckEvery = 20 * time.Millisecond
-	// unreadPoll is the pause between two looks while an answer is on its way through this program.
-	unreadPoll = 200 * time.Microsecond
-	// maxPulls bounds how much of an answer that goes on and on is read in one look.
-	maxPulls = 16
+	unreadCheckInterval = 20 * time.Millisecond
+	// unreadPollInterval is the pause between two looks while an answer is on its way through this program.
+	unreadPollInterval = 200 * time.Microsecond
+	// maxPendingReads bounds how much of an answer that goes on and on is read in one look.
+	maxPendingReads = 16
 	// maxUnreadDelay bounds how long a call is held back for that.
 	maxUnreadDelay = 100 * time.Millisecond
 )
 
 // outstanding are the calls of a group whose ends this program has not recorded.
 type outstanding struct {
-	calls   map[*running]writtenCall
+	calls   map[*activeFlow]writtenCall
 	checked time.Time // when no answer to any of them was unread
 }
 
 // writtenCall is a call on its connection; got is closed when its answer was read.
 type writtenCall struct {
-	c   *conn
-	got <-chan struct{}
+	c        *conn
+	answered <-chan struct{}
 }
 
 // isAnswered reports whether the call has its answer, which its flow is about to record.
 func (w writtenCall) isAnswered() bool {
 	select {
-	case <-w.got:
+	case <-w.answered:
 		return true
 	default:
 		return false
 	}
 }
 
-// noteWritten records a call that is about to be written.
-func (g *Manager) noteWritten(r *running, c *conn) {
+// addOutstanding records a call that is about to be written.
+func (g *Manager) addOutstanding(r *activeFlow, c *conn) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	o := g.outstanding[r.Group]
 	if o == nil {
-		o = &outstanding{calls: map[*running]writtenCall{}}
+		o = &outstanding{calls: map[*activeFlow]writtenCall{}}
 		g.outstanding[r.Group] = o
 	}
-	o.calls[r] = writtenCall{c, c.got}
+	o.calls[r] = writtenCall{c, c.answered}
 }
 
-// noteEnded forgets a call whose end is recorded. It needs the lock.
-func (g *Manager) noteEnded(r *running) {
+// removeOutstanding forgets a call whose end is recorded. It needs the lock.
+func (g *Manager) removeOutstanding(r *activeFlow) {
 	o := g.outstanding[r.Group]
 	if o == nil {
 		return
@@ -69,25 +69,25 @@
 	}
 }
 
-// awaitUnread waits until the answers that have come to other calls of the flow's group are read and recorded. It guards against a
+// awaitUnreadAnswers waits until the answers that have come to other calls of the flow's group are read and recorded. It guards against a
 // process that was stopped, or had no processor, for longer than a wait may be unknown: when it runs again, goroutines that have a
 // call to write may run before those that have the answer with the wait to read. Calls over TLS are left out.
-func (g *Manager) awaitUnread(ctx context.Context, r *running) {
+func (g *Manager) awaitUnreadAnswers(ctx context.Context, r *activeFlow) {
 	for by := time.Now().Add(maxUnreadDelay); ctx.Err() == nil; {
 		now := time.Now()
-		if now.After(by) || !g.hasUnread(r.Group, now) {
+		if now.After(by) || !g.hasUnreadAnswer(r.Group, now) {
 			return
 		}
-		time.Sleep(unreadPoll)
+		time.Sleep(unreadPollInterval)
 	}
 }
 
-// hasUnread reports whether a call of the group has an answer that is not recorded yet, and reads what has come.
-func (g *Manager) hasUnread(group traffic.Group, now time.Time) bool {
+// hasUnreadAnswer reports whether a call of the group has an answer that is not recorded yet, and reads what has come.
+func (g *Manager) hasUnreadAnswer(group traffic.Group, now time.Time) bool {
 	unread := false
 	for _, call := range g.callsToCheck(group, now) {
-		for range maxPulls {
-			if call.isAnswered() || !call.c.pull() {
+		for range maxPendingReads {
+			if call.isAnswered() || !call.c.readPending() {
 				break
 			}
 		}
@@ -109,7 +109,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	o := g.outstanding[group]
-	if o == nil || now.Sub(o.checked) < unreadCheckEvery {
+	if o == nil || now.Sub(o.checked) < unreadCheckInterval {
 		return nil
 	}
 	for _, call := range o.calls {
@@ -118,17 +118,17 @@
 	return calls
 }
 
-// pull reads what has come and waits for the reader, and reports whether anything has. Over TLS it leaves all to the reader.
-func (c *conn) pull() bool {
+// readPending reads what has come and waits for the reader, and reports whether anything has. Over TLS it leaves all to the reader.
+func (c *conn) readPending() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.dead || c.plain == nil {
+	if c.unusable || c.syscallConn == nil {
 		return false
 	}
 	came := false
 	buf := make([]byte, 4096)
-	_ = c.plain.Control(func(fd uintptr) { // an error is the connection's end, which its reader sees
-		n, err := readNow(int(fd), buf)
+	_ = c.syscallConn.Control(func(fd uintptr) { // an error is the connection's end, which its reader sees
+		n, err := readAvailable(int(fd), buf)
 		if errors.Is(err, unix.EAGAIN) {
 			return
 		}
@@ -136,7 +136,7 @@
 			err = io.EOF
 		}
 		came = true
-		c.take(buf[:max(n, 0)], err)
+		c.handleRead(buf[:max(n, 0)], err)
 	})
 	return came
 }
--- a/internal/flow/unread_test.go
+++ b/internal/flow/unread_answers_test.go
@@ -12,12 +12,12 @@
 
 const waitAnswer = "HTTP/1.1 429 Wait\r\nX-Retry-In-Ms: 900\r\nContent-Length: 0\r\n\r\n"
 
-// arrived waits until bytes that nobody has read lie at a connection.
-func arrived(t *testing.T, c *conn) {
+// awaitArrival waits until bytes that nobody has read lie at a connection.
+func awaitArrival(t *testing.T, c *conn) {
 	t.Helper()
 	for by := time.Now().Add(10 * time.Second); time.Now().Before(by); time.Sleep(time.Millisecond) {
 		n := 0
-		if err := c.plain.Control(func(fd uintptr) { n, _ = unix.IoctlGetInt(int(fd), unix.TIOCINQ) }); err != nil {
+		if err := c.syscallConn.Control(func(fd uintptr) { n, _ = unix.IoctlGetInt(int(fd), unix.TIOCINQ) }); err != nil {
 			t.Fatal(err)
 		}
 		if n >= len(waitAnswer) {
@@ -29,24 +29,24 @@
 
 // A process that had no processor for a while wakes with a wait unread and another call ready to be written: the wait is read first.
 // The lock of the first call's connection stands for the reader that has not run yet.
-func TestUnreadWaitHoldsCalls(t *testing.T) {
-	r := newRig(t)
-	r.start("a")
+func TestUnreadRetryAfterHoldsCalls(t *testing.T) {
+	r := newHarness(t)
+	r.startFlow("a")
 	first := <-r.conns
-	r.read(first)
-	c := r.open()[0]
+	r.readCall(first)
+	c := r.openConns()[0]
 	c.mu.Lock()
 	if _, err := io.WriteString(first, waitAnswer); err != nil {
 		t.Fatal(err)
 	}
-	arrived(t, c)
-	r.start("b")
+	awaitArrival(t, c)
+	r.startFlow("b")
 	second := <-r.conns
 	written := make(chan bool, 1)
 	go func() {
 		n, _ := second.Read(make([]byte, 1))
 		if written <- n > 0; n > 0 {
-			_, _ = io.WriteString(second, ok)
+			_, _ = io.WriteString(second, okAnswer)
 		}
 	}()
 	time.Sleep(50 * time.Millisecond) // long enough for the call to be written, if nothing holds it
@@ -70,38 +70,38 @@
 
 // Answers that were looked at of late are not looked at again for each call, and nothing is kept of calls that have ended.
 func TestOutstandingCallsEnd(t *testing.T) {
-	r := newRig(t)
-	r.start("a")
+	r := newHarness(t)
+	r.startFlow("a")
 	nc := <-r.conns
-	r.read(nc)
+	r.readCall(nc)
 	group := traffic.Group{}
 	now := time.Now()
-	if n := len(r.g.callsToCheck(group, now)); n != 1 {
+	if n := len(r.manager.callsToCheck(group, now)); n != 1 {
 		t.Errorf("%d calls to check", n)
 	}
-	if r.g.hasUnread(group, now) {
+	if r.manager.hasUnreadAnswer(group, now) {
 		t.Error("an answer before it came")
 	}
-	if n := len(r.g.callsToCheck(group, now.Add(unreadCheckEvery/2))); n != 0 {
+	if n := len(r.manager.callsToCheck(group, now.Add(unreadCheckInterval/2))); n != 0 {
 		t.Errorf("%d calls to check right after a check", n)
 	}
-	if _, err := io.WriteString(nc, ok); err != nil {
+	if _, err := io.WriteString(nc, okAnswer); err != nil {
 		t.Fatal(err)
 	}
-	r.want("a", traffic.Delivered)
-	r.g.mu.Lock()
-	defer r.g.mu.Unlock()
-	if n := len(r.g.outstanding); n != 0 {
+	r.expectEnd("a", traffic.Delivered)
+	r.manager.mu.Lock()
+	defer r.manager.mu.Unlock()
+	if n := len(r.manager.outstanding); n != 0 {
 		t.Errorf("%d groups are kept", n)
 	}
 }
 
 // An answer that goes on and on holds no other call back.
-func TestAnswerUnderwayHoldsNobody(t *testing.T) {
-	r := newRig(t)
-	r.start("a")
+func TestPartialAnswerDelaysNoCall(t *testing.T) {
+	r := newHarness(t)
+	r.startFlow("a")
 	first := <-r.conns
-	r.read(first)
+	r.readCall(first)
 	if _, err := io.WriteString(first, "HTTP/1.1 500 Err"); err != nil {
 		t.Fatal(err)
 	}
@@ -119,7 +119,7 @@
 		}
 	}()
 	begun := time.Now()
-	r.g.awaitUnread(t.Context(), &running{})
+	r.manager.awaitUnreadAnswers(t.Context(), &activeFlow{})
 	if took := time.Since(begun); took > maxUnreadDelay/2 {
 		t.Errorf("a call waited for %v", took)
 	}
