--- a/internal/flow/batch.go
+++ b/internal/flow/batch.go
@@ -29,9 +29,9 @@
 		body = append(body, "\r\n"...)
 		body = append(append(body, x.Body...), "\r\n"...)
 	}
-	left := max(f.Deadline.Sub(now).Milliseconds(), 1)
+	timeLeftMillis := max(f.Deadline.Sub(now).Milliseconds(), 1)
 	return http1.AppendRequest(dst, "POST", "/hook/batch", f.Member,
-		[]http1.Field{{Name: "X-Time-Left-Ms", Value: strconv.FormatInt(left, 10)}}, body)
+		[]http1.Field{{Name: "X-Time-Left-Ms", Value: strconv.FormatInt(timeLeftMillis, 10)}}, body)
 }
 
 var batchStatuses = map[string]traffic.FlowStatus{"delivered": traffic.Delivered, "failed": traffic.Errored, "refused": traffic.TurnedAway,
@@ -40,34 +40,34 @@
 // decodeBatchAnswer reads how each transaction ended. Those whose end a line does not give, or that are named twice with two ends, may
 // have run; a line about another is passed over.
 func decodeBatchAnswer(body []byte) map[string]traffic.FlowStatus {
-	ends := map[string]traffic.FlowStatus{}
+	statuses := map[string]traffic.FlowStatus{}
 	for line := range bytes.Lines(body) {
 		id, word, _ := bytes.Cut(bytes.TrimRight(line, "\r\n"), []byte(" "))
-		end, ok := batchStatuses[string(word)]
-		if was, twice := ends[string(id)]; !ok || twice && was != end {
-			end = traffic.Broken
+		status, ok := batchStatuses[string(word)]
+		if earlier, repeated := statuses[string(id)]; !ok || repeated && earlier != status {
+			status = traffic.Broken
 		}
-		ends[string(id)] = end
+		statuses[string(id)] = status
 	}
-	return ends
+	return statuses
 }
 
 // allEnds are the ends of all that a flow carried, those first that say most of the pool member: what it turned away, then what failed.
-func (r *activeFlow) allEnds(end traffic.FlowEnd, of map[string]traffic.FlowStatus) []traffic.FlowEnd {
+func (r *activeFlow) allEnds(end traffic.FlowEnd, statuses map[string]traffic.FlowStatus) []traffic.FlowEnd {
 	if len(r.With) == 0 {
 		return []traffic.FlowEnd{end}
 	}
 	var list []traffic.FlowEnd
 	for _, x := range r.All() {
-		one := end
-		one.ID, one.Attempt = x.ID, x.Attempt
-		if of != nil {
-			status, told := of[x.ID]
-			if one.Status = status; !told {
-				one.Status = traffic.Broken
+		memberEnd := end
+		memberEnd.ID, memberEnd.Attempt = x.ID, x.Attempt
+		if statuses != nil {
+			status, known := statuses[x.ID]
+			if memberEnd.Status = status; !known {
+				memberEnd.Status = traffic.Broken
 			}
 		}
-		list = append(list, one)
+		list = append(list, memberEnd)
 	}
 	rank := map[traffic.FlowStatus]int{traffic.TurnedAway: -2, traffic.Errored: -1}
 	slices.SortStableFunc(list, func(a, b traffic.FlowEnd) int { return rank[a.Status] - rank[b.Status] })
--- a/internal/flow/call.go
+++ b/internal/flow/call.go
@@ -16,8 +16,8 @@
 	if f.Key != "" {
 		fields = append(fields, http1.Field{Name: "Idempotency-Key", Value: f.Key})
 	}
-	left := max(f.Deadline.Sub(now).Milliseconds(), 1)
-	fields = append(fields, http1.Field{Name: "X-Time-Left-Ms", Value: strconv.FormatInt(left, 10)})
+	timeLeftMillis := max(f.Deadline.Sub(now).Milliseconds(), 1)
+	fields = append(fields, http1.Field{Name: "X-Time-Left-Ms", Value: strconv.FormatInt(timeLeftMillis, 10)})
 	return http1.AppendRequest(dst, "POST", "/hook", f.Member, fields, f.Body)
 }
 
@@ -61,15 +61,15 @@
 	seen := map[string]bool{}
 	for _, pair := range strings.Split(text, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(pair), "=")
-		to := map[string]*float64{"x0": &rep.Left, "x1": &rep.Limit}[name]
-		if to == nil {
+		field := map[string]*float64{"x0": &rep.Left, "x1": &rep.Limit}[name]
+		if field == nil {
 			continue
 		}
 		x, err := strconv.ParseFloat(value, 64)
 		if err != nil || !(x >= 0 && x <= maxReportValue) || seen[name] {
 			return nil
 		}
-		*to, seen[name] = x, true
+		*field, seen[name] = x, true
 	}
 	if len(seen) < 2 {
 		return nil
--- a/internal/flow/conn.go
+++ b/internal/flow/conn.go
@@ -68,19 +68,19 @@
 
 // beginWrite notes that the call is about to be written; false if it must not be, for the connection is over, or something has come
 // that cannot be the call's answer. What comes from now on is taken for that, unless its peer's clock would tell otherwise.
-func (c *conn) beginWrite(at time.Time) bool {
+func (c *conn) beginWrite(now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.unusable && c.syscallConn != nil { // what has come and waits for the reader
 		var n int
 		var err error
-		cerr := c.syscallConn.Control(func(fd uintptr) { n, err = readAvailable(int(fd), make([]byte, 1)) })
-		if cerr != nil || n > 0 || !errors.Is(err, unix.EAGAIN) {
+		controlErr := c.syscallConn.Control(func(fd uintptr) { n, err = readAvailable(int(fd), make([]byte, 1)) })
+		if controlErr != nil || n > 0 || !errors.Is(err, unix.EAGAIN) {
 			c.noteUnsolicited(max(n, 0))
 		}
 	}
 	if !c.unusable {
-		c.writtenAt = at
+		c.writtenAt = now
 	}
 	return !c.unusable
 }
@@ -95,9 +95,9 @@
 }
 
 // readAvailable reads what has come; EAGAIN where nothing has.
-func readAvailable(fd int, b []byte) (n int, err error) {
-	for n, err = unix.Read(fd, b); err == unix.EINTR; {
-		n, err = unix.Read(fd, b)
+func readAvailable(fd int, buf []byte) (n int, err error) {
+	for n, err = unix.Read(fd, buf); err == unix.EINTR; {
+		n, err = unix.Read(fd, buf)
 	}
 	return n, err
 }
@@ -124,14 +124,14 @@
 }
 
 // endCall is how the call on the connection ended; kept says that nobody has given it up.
-func (c *conn) endCall(kept bool) conns.End {
+func (c *conn) endCall(notCanceled bool) conns.End {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.writtenAt, c.response = time.Time{}, nil
 	switch end := c.callEnd; {
 	case c.stuck:
 		return conns.Dead
-	case !kept:
+	case !notCanceled:
 		return conns.Cut
 	case end == conns.Answered && c.unsolicited:
 		return conns.Broken
@@ -206,23 +206,23 @@
 }
 
 // handleRead handles one read and says whether the connection is over. It needs the lock.
-func (c *conn) handleRead(b []byte, err error) bool {
+func (c *conn) handleRead(data []byte, err error) bool {
 	if c.response == nil || c.writtenAt.IsZero() { // between calls, or begun and not written
-		if err != nil || len(b) > 0 {
-			c.noteUnsolicited(len(b))
+		if err != nil || len(data) > 0 {
+			c.noteUnsolicited(len(data))
 		}
 		return c.unusable
 	}
-	c.received = c.received || len(b) > 0
-	n, ferr := c.response.Feed(b)
+	c.received = c.received || len(data) > 0
+	n, feedErr := c.response.Feed(data)
 	if err != nil {
 		_ = c.response.End() // what was cut off shows in Done
 	}
-	if ferr != nil {
-		slog.Warn("answer not understood", "addr", c.nc.RemoteAddr(), "err", ferr)
+	if feedErr != nil {
+		slog.Warn("answer not understood", "addr", c.nc.RemoteAddr(), "err", feedErr)
 	}
 	c.updateReadDeadline()
-	over := err != nil || ferr != nil || n < len(b)
+	over := err != nil || feedErr != nil || n < len(data)
 	c.unusable = over || c.response.Done() && !c.response.Reusable()
 	if c.response.Done() || c.unusable {
 		switch {
@@ -243,20 +243,20 @@
 // updateReadDeadline bounds the time from an answer's first byte to its last: one that never ends must not hold its call,
 // and with it a slot at the pool member, until the deadline. Between an interim answer and the next it is off.
 func (c *conn) updateReadDeadline() {
-	if under := c.response.Underway(); under != c.readDeadlineSet {
-		var by time.Time
-		if under {
-			by = time.Now().Add(answerTimeout)
+	if underway := c.response.Underway(); underway != c.readDeadlineSet {
+		var deadline time.Time
+		if underway {
+			deadline = time.Now().Add(answerTimeout)
 		}
-		_ = c.nc.SetReadDeadline(by) // where it fails the connection is over, which the next Read tells
-		c.readDeadlineSet = under
+		_ = c.nc.SetReadDeadline(deadline) // where it fails the connection is over, which the next Read tells
+		c.readDeadlineSet = underway
 	}
 }
 
 // waitSettled waits until a connection that just carried an answer has idled for a moment, and says whether it is
 // still open: what a pool member sends behind an answer must not be taken for the answer to the next call.
-func (c *conn) waitSettled(at time.Time) bool {
-	timer := time.NewTimer(time.Until(at))
+func (c *conn) waitSettled(settledAt time.Time) bool {
+	timer := time.NewTimer(time.Until(settledAt))
 	defer timer.Stop()
 	select {
 	case <-timer.C:
--- a/internal/flow/connections.go
+++ b/internal/flow/connections.go
@@ -49,19 +49,19 @@
 func (g *Manager) sweep() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	at, now := time.Now(), g.now()
+	wallNow, poolNow := time.Now(), g.now()
 	for id, c := range g.connsByID {
 		if !c.inUse && !g.mayReuse(c) {
-			if g.conns.Drop(now, id, conns.Trust) {
+			if g.conns.Drop(poolNow, id, conns.Trust) {
 				g.closeEvicted([]conns.Give{{ID: id}})
 			}
-		} else if c.inUse && g.cfg.StuckAfter > 0 && c.unansweredSince(at.Add(-g.cfg.StuckAfter)) && c.checkStuck() {
+		} else if c.inUse && g.cfg.StuckAfter > 0 && c.unansweredSince(wallNow.Add(-g.cfg.StuckAfter)) && c.checkStuck() {
 			c.close()
 		}
 	}
-	give, ahead := g.conns.Tick(now)
-	g.closeEvicted(give)
-	for _, id := range ahead {
+	evicted, toOpen := g.conns.Tick(poolNow)
+	g.closeEvicted(evicted)
+	for _, id := range toOpen {
 		g.preconnect(id)
 	}
 	for _, id := range g.conns.Unneeded() {
@@ -70,7 +70,7 @@
 		}
 	}
 	for group, until := range g.retryAfter {
-		if until.Before(at) {
+		if until.Before(wallNow) {
 			delete(g.retryAfter, group)
 		}
 	}
@@ -78,21 +78,21 @@
 }
 
 // closeEvicted closes what the pool gives up. It needs the lock, as all below that do not say otherwise.
-func (g *Manager) closeEvicted(give []conns.Give) {
-	for _, it := range give {
-		if c := g.connsByID[it.ID]; c != nil {
-			delete(g.connsByID, it.ID)
+func (g *Manager) closeEvicted(evicted []conns.Give) {
+	for _, eviction := range evicted {
+		if c := g.connsByID[eviction.ID]; c != nil {
+			delete(g.connsByID, eviction.ID)
 			c.close()
 		}
 	}
 }
 
 // requestConn asks for a connection: by conns.Pool.Call, or Again.
-func (g *Manager) requestConn(host string, how func(time.Duration, string) (conns.Verdict, conns.ID, []conns.Give)) lease {
+func (g *Manager) requestConn(host string, decide func(time.Duration, string) (conns.Verdict, conns.ID, []conns.Give)) lease {
 	for {
-		v, id, give := how(g.now(), host)
-		g.closeEvicted(give)
-		switch v {
+		verdict, id, evicted := decide(g.now(), host)
+		g.closeEvicted(evicted)
+		switch verdict {
 		case conns.Open:
 			return lease{id: id}
 		case conns.Wait:
@@ -106,7 +106,7 @@
 		g.conns.Unused(g.now(), id)
 		g.conns.Drop(g.now(), id, conns.Trust)
 		g.closeEvicted([]conns.Give{{ID: id}})
-		how = g.conns.Again
+		decide = g.conns.Again
 	}
 }
 
@@ -138,7 +138,7 @@
 }
 
 func (g *Manager) removeWaiter(host string, w *waiter) {
-	if list := slices.DeleteFunc(g.waiters[host], func(o *waiter) bool { return o == w }); len(list) > 0 {
+	if list := slices.DeleteFunc(g.waiters[host], func(other *waiter) bool { return other == w }); len(list) > 0 {
 		g.waiters[host] = list
 	} else {
 		delete(g.waiters, host)
@@ -146,8 +146,8 @@
 }
 
 // becameIdle offers a connection that has come to rest to flows that wait for one.
-func (g *Manager) becameIdle(c *conn, since time.Time) {
-	c.inUse, c.idleSince = false, since
+func (g *Manager) becameIdle(c *conn, idleSince time.Time) {
+	c.inUse, c.idleSince = false, idleSince
 	if c.isUnusable() { // since it was looked at last, when its reader saw it lent
 		g.conns.Closed(g.now(), c.id)
 		delete(g.connsByID, c.id)
@@ -159,12 +159,12 @@
 		g.closeEvicted([]conns.Give{{ID: c.id}})
 		return
 	}
-	secured := c.underTLS != nil && g.handshakes.hasWaiters(c.host)
-	if !secured && len(g.waiters[c.host]) == 0 || !g.conns.Claim(g.now(), c.id) {
+	tlsWaiters := c.underTLS != nil && g.handshakes.hasWaiters(c.host)
+	if !tlsWaiters && len(g.waiters[c.host]) == 0 || !g.conns.Claim(g.now(), c.id) {
 		return
 	}
 	c.inUse, c.reused = true, true
-	if secured && g.handshakes.offerIdle(c.host, c) {
+	if tlsWaiters && g.handshakes.offerIdle(c.host, c) {
 		return
 	}
 	if len(g.waiters[c.host]) > 0 {
@@ -207,12 +207,12 @@
 
 // awaitConn waits until a connection to the flow's member comes to rest or may be opened.
 func (g *Manager) awaitConn(ctx context.Context, r *activeFlow) (lease, error) {
-	from := time.Now()
+	waitStart := time.Now()
 	w := &waiter{worth: r.Worth, granted: make(chan lease, 1)}
 	g.mu.Lock()
 	g.waiters[r.Member] = append(g.waiters[r.Member], w)
 	g.mu.Unlock()
-	defer func() { r.localWait += time.Since(from) }() // not the member's doing
+	defer func() { r.localWait += time.Since(waitStart) }() // not the member's doing
 	timer := time.NewTimer(g.cfg.HeldMost)
 	defer timer.Stop()
 	select {
@@ -244,16 +244,16 @@
 		}
 		return g.addConn(id, &to, nc, nil, true), nil
 	}
-	from := time.Now()
-	got := g.handshakes.wait(ctx, to.Host, r.Worth, r.Deadline)
-	r.localWait += time.Since(from)
-	if got.c != nil || !got.admitted {
+	waitStart := time.Now()
+	granted := g.handshakes.wait(ctx, to.Host, r.Worth, r.Deadline)
+	r.localWait += time.Since(waitStart)
+	if granted.c != nil || !granted.admitted {
 		g.mu.Lock()
 		g.conns.Cancel(g.now(), id)
 		g.serveWaiters()
 		g.mu.Unlock()
-		if got.c != nil {
-			return got.c, nil
+		if granted.c != nil {
+			return granted.c, nil
 		}
 		return nil, errConnWait
 	}
@@ -261,21 +261,21 @@
 }
 
 // connectTLS opens a connection over TLS, for which the opener has given leave.
-func (g *Manager) connectTLS(ctx context.Context, id conns.ID, to *member, call bool) (*conn, error) {
+func (g *Manager) connectTLS(ctx context.Context, id conns.ID, to *member, forCall bool) (*conn, error) {
 	var took time.Duration
 	defer func() { g.handshakes.handshakeDone(to.Host, took) }()
-	by := time.Now().Add(g.cfg.ConnectWithin)
-	raw, err := g.dialer.dial(ctx, to.Dial, by)
+	deadline := time.Now().Add(g.cfg.ConnectWithin)
+	raw, err := g.dialer.dial(ctx, to.Dial, deadline)
 	if err != nil {
 		return nil, g.openingFailed(ctx, id, err)
 	}
-	shaking, cancel := context.WithDeadline(ctx, by)
+	handshakeCtx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
 	var nc net.Conn
-	if nc, took, err = g.cfg.Secure.Client(shaking, raw, &to.Member); err != nil {
+	if nc, took, err = g.cfg.Secure.Client(handshakeCtx, raw, &to.Member); err != nil {
 		return nil, g.openingFailed(ctx, id, err)
 	}
-	return g.addConn(id, to, nc, raw, call), nil
+	return g.addConn(id, to, nc, raw, forCall), nil
 }
 
 // openingFailed tells the pool that an opening came to nothing.
@@ -292,7 +292,7 @@
 }
 
 // addConn has a new connection read from. raw is what lies below TLS; call says that a call waits for it.
-func (g *Manager) addConn(id conns.ID, to *member, nc, raw net.Conn, call bool) *conn {
+func (g *Manager) addConn(id conns.ID, to *member, nc, raw net.Conn, forCall bool) *conn {
 	c := &conn{nc: nc, underTLS: raw, manager: g, id: id, host: to.Host, readerDone: make(chan struct{})}
 	if sc, ok := nc.(syscall.Conn); ok && raw == nil {
 		if plain, err := sc.SyscallConn(); err == nil {
@@ -301,8 +301,8 @@
 	}
 	g.mu.Lock()
 	g.connsByID[id] = c
-	g.conns.Opened(g.now(), id, call)
-	if c.inUse = call; !call {
+	g.conns.Opened(g.now(), id, forCall)
+	if c.inUse = forCall; !forCall {
 		g.becameIdle(c, time.Time{}) // nothing came before, so there is nothing to settle
 	}
 	g.mu.Unlock()
@@ -319,8 +319,8 @@
 		return
 	}
 	to := *m
-	by := time.Now().Add(g.cfg.ConnectWithin)
-	ctx, cancel := context.WithDeadline(context.Background(), by)
+	deadline := time.Now().Add(g.cfg.ConnectWithin)
+	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	g.preconnecting[id] = cancel
 	go func() {
 		defer func() {
@@ -330,22 +330,22 @@
 			g.mu.Unlock()
 		}()
 		if g.cfg.Secure == nil || !g.cfg.Secure.Wants(&to.Member) {
-			if nc, err := g.dialer.dial(ctx, to.Dial, by); err != nil {
+			if nc, err := g.dialer.dial(ctx, to.Dial, deadline); err != nil {
 				_ = g.openingFailed(ctx, id, err) // the next call that needs one will meet it
 			} else {
 				g.addConn(id, &to, nc, nil, false)
 			}
 			return
 		}
-		switch got := g.handshakes.wait(ctx, host, 0, by); {
-		case got.admitted:
+		switch granted := g.handshakes.wait(ctx, host, 0, deadline); {
+		case granted.admitted:
 			_, _ = g.connectTLS(ctx, id, &to, false)
 		default:
 			g.mu.Lock()
 			g.conns.Cancel(g.now(), id)
 			g.mu.Unlock()
-			if got.c != nil { // nobody else waits for it
-				g.returnUnused(got.c)
+			if granted.c != nil { // nobody else waits for it
+				g.returnUnused(granted.c)
 			}
 		}
 	}()
@@ -357,22 +357,22 @@
 func (g *Manager) finishCall(c *conn, end conns.End, took time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if rests, why := g.conns.Done(g.now(), c.id, end, took); rests {
+	if idle, reason := g.conns.Done(g.now(), c.id, end, took); idle {
 		g.becameIdle(c, time.Now())
 	} else {
-		g.closeEvicted([]conns.Give{{ID: c.id, Why: why}})
+		g.closeEvicted([]conns.Give{{ID: c.id, Why: reason}})
 		g.serveWaiters()
 	}
 }
 
 // returnUnused gives back a connection that carried nothing after all.
 func (g *Manager) returnUnused(c *conn) {
-	open := c.cancelCall()
+	usable := c.cancelCall()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if !open {
+	if !usable {
 		g.conns.Gone(g.now(), c.id)
-	} else if rests, _ := g.conns.Unused(g.now(), c.id); rests {
+	} else if idle, _ := g.conns.Unused(g.now(), c.id); idle {
 		g.becameIdle(c, c.idleSince)
 		return
 	}
--- a/internal/flow/connections_test.go
+++ b/internal/flow/connections_test.go
@@ -23,8 +23,8 @@
 // waitUntil waits for what other goroutines bring about.
 func waitUntil(t *testing.T, what string, ok func() bool) {
 	t.Helper()
-	for end := time.Now().Add(20 * time.Second); !ok(); time.Sleep(time.Millisecond) {
-		if time.Now().After(end) {
+	for deadline := time.Now().Add(20 * time.Second); !ok(); time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
 			t.Fatal(what)
 		}
 	}
@@ -150,11 +150,11 @@
 	}
 	time.Sleep(200 * time.Millisecond) // longer than the server lets it idle
 	start("b")
-	for e, over := (traffic.FlowEnd{}), false; !over; {
+	for e, ended := (traffic.FlowEnd{}), false; !ended; {
 		g.sweep()
 		select {
 		case e = <-ends:
-			over = true
+			ended = true
 			if e.Status != traffic.Broken && e.Status != traffic.NotConnected || e.Took > 20*time.Second {
 				t.Errorf("%+v", e)
 			}
--- a/internal/flow/dial.go
+++ b/internal/flow/dial.go
@@ -39,117 +39,117 @@
 func (d *dialer) now() time.Duration { return time.Since(d.origin) }
 
 // dial opens a connection until ctx ends or by the deadline.
-func (d *dialer) dial(ctx context.Context, addr string, by time.Time) (net.Conn, error) {
-	one := net.Dialer{Deadline: by, KeepAlive: -1}
+func (d *dialer) dial(ctx context.Context, addr string, deadline time.Time) (net.Conn, error) {
+	netDialer := net.Dialer{Deadline: deadline, KeepAlive: -1}
 	if _, err := netip.ParseAddrPort(addr); err == nil || d.resolver == nil && !strings.Contains(addr, ",") {
-		return one.DialContext(ctx, "tcp", addr)
+		return netDialer.DialContext(ctx, "tcp", addr)
 	}
-	ctx, cancel := context.WithDeadline(ctx, by)
+	ctx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
-	list, err := d.resolve(ctx, addr)
+	addrs, err := d.resolve(ctx, addr)
 	if err != nil {
 		return nil, fmt.Errorf("addresses of %s: %w", addr, err)
 	}
-	return d.race(ctx, list, func(to netip.AddrPort) (net.Conn, error) { return one.DialContext(ctx, "tcp", to.String()) })
+	return d.race(ctx, addrs, func(to netip.AddrPort) (net.Conn, error) { return netDialer.DialContext(ctx, "tcp", to.String()) })
 }
 
 // resolve are those of all parts; a name that is not found does not spoil the others.
-func (d *dialer) resolve(ctx context.Context, text string) (list []netip.AddrPort, err error) {
-	for part := range strings.SplitSeq(text, ",") {
+func (d *dialer) resolve(ctx context.Context, endpoint string) (addrs []netip.AddrPort, err error) {
+	for part := range strings.SplitSeq(endpoint, ",") {
 		part = strings.TrimSpace(part)
-		if one, perr := netip.ParseAddrPort(part); perr == nil {
-			list = append(list, one)
+		if addr, parseErr := netip.ParseAddrPort(part); parseErr == nil {
+			addrs = append(addrs, addr)
 			continue
 		}
-		host, port, perr := net.SplitHostPort(part)
-		n, nerr := strconv.ParseUint(port, 10, 16)
-		if perr = errors.Join(perr, nerr); perr != nil {
-			err = errors.Join(err, perr)
+		host, port, splitErr := net.SplitHostPort(part)
+		portNumber, portErr := strconv.ParseUint(port, 10, 16)
+		if splitErr = errors.Join(splitErr, portErr); splitErr != nil {
+			err = errors.Join(err, splitErr)
 			continue
 		}
 		if d.resolver == nil {
 			err = errors.Join(err, fmt.Errorf("%s is a name, and names are not looked up", host))
 			continue
 		}
-		found, lerr := d.resolver.LookupNetIP(ctx, "ip", host)
-		if lerr != nil {
-			err = errors.Join(err, lerr)
+		found, lookupErr := d.resolver.LookupNetIP(ctx, "ip", host)
+		if lookupErr != nil {
+			err = errors.Join(err, lookupErr)
 		}
 		for _, ip := range found {
-			list = append(list, netip.AddrPortFrom(ip.Unmap(), uint16(n)))
+			addrs = append(addrs, netip.AddrPortFrom(ip.Unmap(), uint16(portNumber)))
 		}
 	}
-	if len(list) > 0 {
-		return list, nil
+	if len(addrs) > 0 {
+		return addrs, nil
 	}
 	return nil, errors.Join(err, errors.New("there is none"))
 }
 
 // race opens a connection to the first address that answers; those that come later are closed.
-func (d *dialer) race(ctx context.Context, list []netip.AddrPort, open func(netip.AddrPort) (net.Conn, error)) (net.Conn, error) {
+func (d *dialer) race(ctx context.Context, addrs []netip.AddrPort, open func(netip.AddrPort) (net.Conn, error)) (net.Conn, error) {
 	type result struct {
-		to  netip.AddrPort
-		nc  net.Conn
-		err error
+		addr netip.AddrPort
+		nc   net.Conn
+		err  error
 	}
-	results := make(chan result, len(list)) // room for all: those that come too late block nobody
+	results := make(chan result, len(addrs)) // room for all: those that come too late block nobody
 	d.mu.Lock()
 	d.known.Forget(d.now(), unusedAddressTTL)
-	r := d.known.Race(d.now(), list)
+	attempts := d.known.Race(d.now(), addrs)
 	d.mu.Unlock()
-	var failed error
-	under := 0
+	var errs error
+	openAttempts := 0
 	for {
 		d.mu.Lock()
-		to, try, again, over := r.Next(d.now())
+		addr, start, retryIn, exhausted := attempts.Next(d.now())
 		d.mu.Unlock()
-		if try {
-			under++
+		if start {
+			openAttempts++
 			go func() {
-				nc, err := open(to)
-				results <- result{to, nc, err}
+				nc, err := open(addr)
+				results <- result{addr, nc, err}
 			}()
 			continue
 		}
-		if over {
-			return nil, failed
+		if exhausted {
+			return nil, errs
 		}
 		var tick <-chan time.Time
-		if again > 0 {
-			tick = time.After(again)
+		if retryIn > 0 {
+			tick = time.After(retryIn)
 		}
 		select {
 		case <-tick:
 		case <-ctx.Done():
 			go func() { // what still comes is closed
-				for ; under > 0; under-- {
+				for ; openAttempts > 0; openAttempts-- {
 					if res := <-results; res.nc != nil {
 						res.nc.Close()
 					}
 				}
 			}()
-			return nil, errors.Join(failed, ctx.Err())
-		case res := <-results:
-			under--
+			return nil, errors.Join(errs, ctx.Err())
+		case outcome := <-results:
+			openAttempts--
 			d.mu.Lock()
-			if res.err == nil {
-				r.Won(d.now(), res.to)
+			if outcome.err == nil {
+				attempts.Won(d.now(), outcome.addr)
 			} else {
-				r.Failed(d.now(), res.to)
+				attempts.Failed(d.now(), outcome.addr)
 			}
 			d.mu.Unlock()
-			if res.err != nil {
-				failed = errors.Join(failed, res.err)
+			if outcome.err != nil {
+				errs = errors.Join(errs, outcome.err)
 				continue
 			}
 			go func() {
-				for ; under > 0; under-- {
+				for ; openAttempts > 0; openAttempts-- {
 					if late := <-results; late.nc != nil {
 						late.nc.Close()
 					}
 				}
 			}()
-			return res.nc, nil
+			return outcome.nc, nil
 		}
 	}
 }
--- a/internal/flow/flow.go
+++ b/internal/flow/flow.go
@@ -119,7 +119,7 @@
 }
 
 // New returns a Manager that hands the end of each flow to done, which must not block.
-func New(cfg Config, done func(traffic.FlowEnd)) (*Manager, error) {
+func New(cfg Config, reportEnd func(traffic.FlowEnd)) (*Manager, error) {
 	if cfg.HeldMost <= 0 {
 		cfg.HeldMost = defaultConnWait
 	}
@@ -127,7 +127,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &Manager{cfg: cfg, reportEnd: done, origin: time.Now(), members: map[string]*member{}, retryAfter: map[traffic.Group]time.Time{}, outstanding: map[traffic.Group]*outstanding{},
+	return &Manager{cfg: cfg, reportEnd: reportEnd, origin: time.Now(), members: map[string]*member{}, retryAfter: map[traffic.Group]time.Time{}, outstanding: map[traffic.Group]*outstanding{},
 		flows: map[flowID]*activeFlow{}, handshakes: newHandshakeQueue(cfg.Gate, cfg.Busy), dialer: newDialer(cfg.Names), conns: pool, connsByID: map[conns.ID]*conn{},
 		preconnecting: map[conns.ID]context.CancelFunc{}, waiters: map[string][]*waiter{}}, nil
 }
@@ -187,11 +187,11 @@
 }
 
 // Limit changes how many flows may be out and how many connections there may be; what there is stays.
-func (g *Manager) Limit(flows, most int) {
+func (g *Manager) Limit(maxFlows, maxConns int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.cfg.MostFlows = flows
-	g.conns.Limit(most)
+	g.cfg.MostFlows = maxFlows
+	g.conns.Limit(maxConns)
 	g.serveWaiters()
 }
 
@@ -215,14 +215,14 @@
 func (g *Manager) Expect(destination, calls int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	var to []string
+	var hosts []string
 	for host, m := range g.members {
 		if m.available && m.Destination == destination {
-			to = append(to, host)
+			hosts = append(hosts, host)
 		}
 	}
-	for _, host := range to {
-		g.conns.Hint(host, false, (calls+len(to)-1)/len(to))
+	for _, host := range hosts {
+		g.conns.Hint(host, false, (calls+len(hosts)-1)/len(hosts))
 	}
 }
 
@@ -258,7 +258,7 @@
 // run carries one flow from its connection to its end.
 func (g *Manager) run(ctx context.Context, r *activeFlow, l lease) {
 	r.localWait = time.Since(r.Begun)
-	end, each := g.attempt(ctx, r, l)
+	end, statuses := g.attempt(ctx, r, l)
 	if g.cfg.OwnDelay != nil {
 		end.Took = max(end.Took-g.cfg.OwnDelay(), 0)
 	}
@@ -269,7 +269,7 @@
 	for _, x := range r.All() {
 		delete(g.flows, flowID{x.ID, x.Attempt})
 	}
-	if (end.Status == traffic.TurnedAway || each != nil) && end.Wait > 0 {
+	if (end.Status == traffic.TurnedAway || statuses != nil) && end.Wait > 0 {
 		// At once, not by way of the relay: a call still being connected must not be written into the wait.
 		if until := time.Now().Add(end.Wait); until.After(g.retryAfter[r.Group]) {
 			g.retryAfter[r.Group] = until
@@ -279,22 +279,22 @@
 		}
 	}
 	g.mu.Unlock()
-	g.reportEnds(r, end, each)
+	g.reportEnds(r, end, statuses)
 }
 
 // reportEnds hands on the ends of a flow and of those that travelled with it.
-func (g *Manager) reportEnds(r *activeFlow, end traffic.FlowEnd, each map[string]traffic.FlowStatus) {
-	for i, one := range r.allEnds(end, each) {
+func (g *Manager) reportEnds(r *activeFlow, end traffic.FlowEnd, statuses map[string]traffic.FlowStatus) {
+	for i, memberEnd := range r.allEnds(end, statuses) {
 		if g.cfg.Fleet != nil && i == 0 {
-			g.cfg.Fleet.Ended(r.Flow, one)
+			g.cfg.Fleet.Ended(r.Flow, memberEnd)
 		}
-		g.reportEnd(one)
+		g.reportEnd(memberEnd)
 	}
 }
 
 // attempt makes the call and says how it ended; where it carried several, how each of them did, if the answer tells.
 func (g *Manager) attempt(ctx context.Context, r *activeFlow, l lease) (traffic.FlowEnd, map[string]traffic.FlowStatus) {
-	if end, told := g.sharedWait(r); told {
+	if end, waits := g.sharedWait(r); waits {
 		g.releaseLease(l)
 		return end, nil
 	}
@@ -303,7 +303,7 @@
 		return r.flowEnd(traffic.Unsent), nil
 	}
 	var c *conn
-	var from time.Time
+	var writeStart time.Time
 	for written, tries := false, 0; !written; tries++ {
 		if tries > maxReplacedConns {
 			return r.flowEnd(traffic.NotConnected), nil
@@ -326,8 +326,8 @@
 			g.returnUnused(c)
 			return r.flowEnd(traffic.Unsent), nil
 		}
-		from = time.Now()
-		if written = c.beginWrite(from); !written && tries < maxReplacedConns {
+		writeStart = time.Now()
+		if written = c.beginWrite(writeStart); !written && tries < maxReplacedConns {
 			l = g.replaceConn(r, c)
 		} else if !written {
 			g.returnUnused(c)
@@ -335,9 +335,9 @@
 	}
 	var call []byte
 	if len(r.With) == 0 {
-		call = appendCall(nil, &r.Flow, from)
+		call = appendCall(nil, &r.Flow, writeStart)
 	} else {
-		call = appendBatch(nil, &r.Flow, from)
+		call = appendBatch(nil, &r.Flow, writeStart)
 		c.setBatch()
 	}
 	if c.syscallConn != nil { // over TLS nobody but its reader can read it
@@ -349,13 +349,13 @@
 		c.close()
 	})
 	if n, err := c.nc.Write(call); n < len(call) {
-		g.finishCall(c, c.endCall(stop()), time.Since(from))
+		g.finishCall(c, c.endCall(stop()), time.Since(writeStart))
 		slog.Debug("call not written", "member", r.Member, "id", r.ID, "err", err)
 		return r.flowEnd(traffic.NotConnected), nil
 	}
 	<-c.answered       // the reader always closes it: kill ends the reader
 	result := c.result // before the connection is given back: its next call begins by clearing it
-	g.finishCall(c, c.endCall(stop()), time.Since(from))
+	g.finishCall(c, c.endCall(stop()), time.Since(writeStart))
 	end := r.flowEnd(traffic.Broken)
 	if result.status != 0 {
 		end = result.applyTo(end)
@@ -385,9 +385,9 @@
 	now := time.Now()
 	until := g.cfg.Shared.Until(r.Group, now)
 	g.mu.Lock()
-	own := !until.After(g.retryAfter[r.Group])
+	ownWait := !until.After(g.retryAfter[r.Group])
 	g.mu.Unlock()
-	if until.IsZero() || own {
+	if until.IsZero() || ownWait {
 		return traffic.FlowEnd{}, false // none, or this process's own, which the module knows
 	}
 	end := r.flowEnd(traffic.TurnedAway)
--- a/internal/flow/flow_test.go
+++ b/internal/flow/flow_test.go
@@ -298,18 +298,18 @@
 // the next is written all the same.
 func TestHoldElsewhereKeepsConnections(t *testing.T) {
 	r := newHarness(t)
-	e := &holdElsewhere{held: true}
-	r.manager.cfg.Shared, r.manager.cfg.Fleet = e, e
+	others := &holdElsewhere{held: true}
+	r.manager.cfg.Shared, r.manager.cfg.Fleet = others, others
 	for range 3 { // the member may have two connections
 		r.startFlow("held")
 		r.expectEnd("held", traffic.Unsent)
 	}
-	e.held, e.until = false, time.Now().Add(time.Minute)
+	others.held, others.until = false, time.Now().Add(time.Minute)
 	for i := range 3 {
 		r.startFlow("told", func(f *traffic.Flow) { f.Group.Destination = 1 + i })
 		r.expectEnd("told", traffic.TurnedAway)
 	}
-	e.until = time.Time{}
+	others.until = time.Time{}
 	r.startFlow("a")
 	nc := <-r.conns
 	r.readCall(nc)
@@ -317,8 +317,8 @@
 		t.Fatal(err)
 	}
 	r.expectEnd("a", traffic.Delivered)
-	if len(e.ended) != 7 {
-		t.Errorf("the fleet heard of %d ends, not 7", len(e.ended))
+	if len(others.ended) != 7 {
+		t.Errorf("the fleet heard of %d ends, not 7", len(others.ended))
 	}
 }
 
--- a/internal/flow/handshake_queue.go
+++ b/internal/flow/handshake_queue.go
@@ -34,23 +34,23 @@
 // wait waits for a grant until the deadline or the end of ctx. Leave is to be given back with done, a connection is the
 // caller's.
 func (o *handshakeQueue) wait(ctx context.Context, host string, worth float64, deadline time.Time) grant {
-	got := make(chan grant, 1)
+	granted := make(chan grant, 1)
 	o.mu.Lock()
 	o.lastID++
 	id := o.lastID
-	o.waiters[id] = got
+	o.waiters[id] = granted
 	o.gate.Add(tlspolicy.Ask{ID: id, Endpoint: host, Worth: worth, Deadline: deadline.Sub(o.origin)})
 	o.dispatch()
 	o.mu.Unlock()
 	select {
-	case g := <-got:
+	case g := <-granted:
 		return g
 	case <-ctx.Done():
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	select {
-	case g := <-got: // it came in the same moment
+	case g := <-granted: // it came in the same moment
 		return g
 	default:
 		o.gate.Drop(id)
@@ -64,17 +64,17 @@
 	if o.programLoad != nil {
 		o.gate.Load(o.programLoad())
 	}
-	begin, expired, again := o.gate.Next(time.Since(o.origin))
-	for _, id := range begin {
+	admitted, expired, retryIn := o.gate.Next(time.Since(o.origin))
+	for _, id := range admitted {
 		o.resolve(id, grant{admitted: true})
 	}
 	for _, id := range expired {
 		o.resolve(id, grant{})
 	}
-	if again > 0 && o.timer == nil {
-		o.timer = time.AfterFunc(again, o.onTimer)
-	} else if again > 0 {
-		o.timer.Reset(again)
+	if retryIn > 0 && o.timer == nil {
+		o.timer = time.AfterFunc(retryIn, o.onTimer)
+	} else if retryIn > 0 {
+		o.timer.Reset(retryIn)
 	}
 }
 
--- a/internal/flow/http1/exchange.go
+++ b/internal/flow/http1/exchange.go
@@ -10,9 +10,9 @@
 
 // Exchange writes a request and reads its answer, of which it keeps up to keep bytes. The answer must have begun by the
 // first deadline, and be whole by the second. With an error comes what there is of the answer.
-func Exchange(nc net.Conn, request []byte, keep int, begun, whole time.Time) (*Response, error) {
-	r, buf := &Response{MaxBodyBytes: keep}, make([]byte, 16<<10)
-	if err := nc.SetDeadline(begun); err != nil {
+func Exchange(nc net.Conn, request []byte, maxBodyBytes int, firstByteBy, completeBy time.Time) (*Response, error) {
+	r, buf := &Response{MaxBodyBytes: maxBodyBytes}, make([]byte, 16<<10)
+	if err := nc.SetDeadline(firstByteBy); err != nil {
 		return r, fmt.Errorf("http1: %w", err)
 	}
 	if _, err := nc.Write(request); err != nil {
@@ -20,14 +20,14 @@
 	}
 	for !r.Done() {
 		n, err := nc.Read(buf)
-		if n > 0 && begun != whole {
-			begun = whole
-			if err := nc.SetDeadline(whole); err != nil {
+		if n > 0 && firstByteBy != completeBy {
+			firstByteBy = completeBy
+			if err := nc.SetDeadline(completeBy); err != nil {
 				return r, fmt.Errorf("http1: %w", err)
 			}
 		}
-		if _, ferr := r.Feed(buf[:n]); ferr != nil {
-			return r, ferr
+		if _, feedErr := r.Feed(buf[:n]); feedErr != nil {
+			return r, feedErr
 		}
 		if err != nil && !r.Done() {
 			if errors.Is(err, io.EOF) && r.End() == nil {
--- a/internal/flow/http1/http1.go
+++ b/internal/flow/http1/http1.go
@@ -154,7 +154,7 @@
 	if r.MaxBodyBytes > 0 {
 		r.Body = append(r.Body, part...)
 	}
-	if most := int64(max(r.MaxBodyBytes, MaxDiscardBytes)); r.bodyBytes > most || r.MaxBodyBytes > 0 && r.bodyBytes > int64(r.MaxBodyBytes) {
+	if limit := int64(max(r.MaxBodyBytes, MaxDiscardBytes)); r.bodyBytes > limit || r.MaxBodyBytes > 0 && r.bodyBytes > int64(r.MaxBodyBytes) {
 		r.err = errors.New("http1: body too long")
 	}
 }
--- a/internal/flow/tls_test.go
+++ b/internal/flow/tls_test.go
@@ -192,14 +192,14 @@
 	for i := range 20 {
 		s.startFlow(fmt.Sprint("high", i), 3)
 	}
-	late := 0
+	lateCount := 0
 	for i := range 520 {
 		if end := s.expectEnd(t, traffic.Delivered); end.ID[0] == 'h' && i > 200 {
-			late++
+			lateCount++
 		}
 	}
-	if late > 5 {
-		t.Errorf("%d of 20 that are worth more came after 200 others", late)
+	if lateCount > 5 {
+		t.Errorf("%d of 20 that are worth more came after 200 others", lateCount)
 	}
 	if n := s.handshakes.Load(); n > 100 {
 		t.Errorf("%d handshakes for 520 calls", n)
--- a/internal/flow/unacked_linux.go
+++ b/internal/flow/unacked_linux.go
@@ -10,16 +10,16 @@
 // unacknowledged says that the kernel still holds bytes that the peer's has not acknowledged, and has tried again in vain (tcp(7),
 // TCP_INFO); a window that stays shut counts too. Without the vain tries a delayed acknowledgement, of 40 ms and more, would be taken for none.
 func unacknowledged(nc net.Conn) bool {
-	sc, ok := nc.(syscall.Conn)
+	syscallConn, ok := nc.(syscall.Conn)
 	if !ok {
 		return false
 	}
-	raw, err := sc.SyscallConn()
+	rawConn, err := syscallConn.SyscallConn()
 	if err != nil {
 		return false
 	}
 	var info *unix.TCPInfo
-	if err := raw.Control(func(fd uintptr) {
+	if err := rawConn.Control(func(fd uintptr) {
 		info, _ = unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO)
 	}); err != nil || info == nil {
 		return false
--- a/internal/flow/unread_answers.go
+++ b/internal/flow/unread_answers.go
@@ -73,9 +73,9 @@
 // process that was stopped, or had no processor, for longer than a wait may be unknown: when it runs again, goroutines that have a
 // call to write may run before those that have the answer with the wait to read. Calls over TLS are left out.
 func (g *Manager) awaitUnreadAnswers(ctx context.Context, r *activeFlow) {
-	for by := time.Now().Add(maxUnreadDelay); ctx.Err() == nil; {
+	for deadline := time.Now().Add(maxUnreadDelay); ctx.Err() == nil; {
 		now := time.Now()
-		if now.After(by) || !g.hasUnreadAnswer(r.Group, now) {
+		if now.After(deadline) || !g.hasUnreadAnswer(r.Group, now) {
 			return
 		}
 		time.Sleep(unreadPollInterval)
@@ -125,7 +125,7 @@
 	if c.unusable || c.syscallConn == nil {
 		return false
 	}
-	came := false
+	arrived := false
 	buf := make([]byte, 4096)
 	_ = c.syscallConn.Control(func(fd uintptr) { // an error is the connection's end, which its reader sees
 		n, err := readAvailable(int(fd), buf)
@@ -135,8 +135,8 @@
 		if n == 0 && err == nil {
 			err = io.EOF
 		}
-		came = true
+		arrived = true
 		c.handleRead(buf[:max(n, 0)], err)
 	})
-	return came
+	return arrived
 }
--- a/internal/flow/unread_answers_test.go
+++ b/internal/flow/unread_answers_test.go
@@ -15,7 +15,7 @@
 // awaitArrival waits until bytes that nobody has read lie at a connection.
 func awaitArrival(t *testing.T, c *conn) {
 	t.Helper()
-	for by := time.Now().Add(10 * time.Second); time.Now().Before(by); time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(10 * time.Second); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
 		n := 0
 		if err := c.syscallConn.Control(func(fd uintptr) { n, _ = unix.IoctlGetInt(int(fd), unix.TIOCINQ) }); err != nil {
 			t.Fatal(err)
