--- a/internal/flow/batch.go
+++ b/internal/flow/batch.go
@@ -10,13 +10,13 @@
 	"slatemux/internal/traffic"
 )
 
-// A call may carry several transactions, where the pool member's kind takes that. It has one fate on its way, and its answer says
-// how each of them ended.
+// A call may carry several transactions (a batch) if the kind of the pool member supports this. The batch is written or lost as a whole,
+// and its answer states how each transaction ended.
 
-// maxBatchAnswerBytes bounds the answer: a line of some tens of bytes for each transaction.
+// maxBatchAnswerBytes bounds the body of the answer, which has a line of some tens of bytes for each transaction.
 const maxBatchAnswerBytes = 64 << 10
 
-// appendBatch encodes the call of a flow and those that travel with it.
+// appendBatch encodes the call of a flow and of the flows that share the call.
 func appendBatch(dst []byte, f *traffic.Flow, now time.Time) []byte {
 	var body []byte
 	for _, x := range f.All() {
@@ -37,8 +37,8 @@
 var batchStatuses = map[string]traffic.FlowStatus{"delivered": traffic.Delivered, "failed": traffic.Errored, "refused": traffic.TurnedAway,
 	"over": traffic.Over, "spent": traffic.Spent}
 
-// decodeBatchAnswer reads how each transaction ended. Those whose end a line does not give, or that are named twice with two ends, may
-// have run; a line about another is passed over.
+// decodeBatchAnswer reads how each transaction ended. A transaction may have run, and is Broken, if its line has no known status or if two
+// lines differ about it. The caller treats a transaction without a line the same way, and ignores ids that were not in the call.
 func decodeBatchAnswer(body []byte) map[string]traffic.FlowStatus {
 	statuses := map[string]traffic.FlowStatus{}
 	for line := range bytes.Lines(body) {
@@ -52,22 +52,23 @@
 	return statuses
 }
 
-// allEnds are the ends of all that a flow carried, those first that say most of the pool member: what it turned away, then what failed.
+// allEnds returns the ends of all flows of the call. Those that say most about the pool member come first: refused flows, then failed
+// ones.
 func (r *activeFlow) allEnds(end traffic.FlowEnd, statuses map[string]traffic.FlowStatus) []traffic.FlowEnd {
 	if len(r.With) == 0 {
 		return []traffic.FlowEnd{end}
 	}
 	var list []traffic.FlowEnd
 	for _, x := range r.All() {
-		memberEnd := end
-		memberEnd.ID, memberEnd.Attempt = x.ID, x.Attempt
+		eachEnd := end
+		eachEnd.ID, eachEnd.Attempt = x.ID, x.Attempt
 		if statuses != nil {
 			status, known := statuses[x.ID]
-			if memberEnd.Status = status; !known {
-				memberEnd.Status = traffic.Broken
+			if eachEnd.Status = status; !known {
+				eachEnd.Status = traffic.Broken
 			}
 		}
-		list = append(list, memberEnd)
+		list = append(list, eachEnd)
 	}
 	rank := map[traffic.FlowStatus]int{traffic.TurnedAway: -2, traffic.Errored: -1}
 	slices.SortStableFunc(list, func(a, b traffic.FlowEnd) int { return rank[a.Status] - rank[b.Status] })
--- a/internal/flow/call.go
+++ b/internal/flow/call.go
@@ -10,7 +10,7 @@
 	"slatemux/internal/traffic"
 )
 
-// appendCall encodes the call of a flow; now is when it is written.
+// appendCall encodes the call of a flow. now is the time of writing.
 func appendCall(dst []byte, f *traffic.Flow, now time.Time) []byte {
 	fields := []http1.Field{{Name: "X-Correlation-Id", Value: f.ID}}
 	if f.Key != "" {
@@ -21,20 +21,20 @@
 	return http1.AppendRequest(dst, "POST", "/hook", f.Member, fields, f.Body)
 }
 
-// answer is what a pool member said, decoded once. Status 0 means that it said nothing that counts.
+// answer is the decoded answer of a pool member. Status 0 means that there is no valid answer.
 type answer struct {
 	status     int
 	noSlot     bool
 	retryAfter time.Duration
 	report     *traffic.Report
 
-	batch    bool                          // the call carried several
-	statuses map[string]traffic.FlowStatus // how each of them ended, where the answer tells them apart
+	batch    bool                          // the call was a batch
+	statuses map[string]traffic.FlowStatus // end of each transaction of a batch, if the answer states it
 }
 
-// decodeAnswer reads an answer, whole or spoilt. A 200 counts from its first line on: the message is delivered
-// then, whatever becomes of the rest. Of any other answer that is not whole, nothing is to be believed: the call
-// may have run, also where a 503 seems to deny it. Where a call carried several, a 200 counts when it is whole, too.
+// decodeAnswer decodes a complete, truncated or corrupt answer. A 200 counts from its status line on: the message is then delivered,
+// whatever happens to the rest. Any other incomplete answer is ignored: the call may have run, even if a 503 seems to say otherwise. A 200
+// to a batch also counts only if it is complete.
 func decodeAnswer(r *http1.Response, several bool) answer {
 	if !r.Done() && (r.Status != 200 || several) {
 		return answer{}
@@ -52,10 +52,10 @@
 	return a
 }
 
-// maxReportValue is the highest limit that is believed, in calls a second.
+// maxReportValue is the highest plausible value of a load report, whose limit is in calls per second.
 const maxReportValue = 1e6
 
-// parseReport reads "x0=0.4,x1=25"; nil where either is missing, told twice, or no figure that could be.
+// parseReport parses a load report such as "x0=0.4,x1=25". It returns nil if either value is missing, repeated or implausible.
 func parseReport(text string) *traffic.Report {
 	var rep traffic.Report
 	seen := map[string]bool{}
@@ -77,14 +77,14 @@
 	return &rep
 }
 
-// applyTo maps an answer to the end of its flow, by the protocol's table.
+// applyTo sets the end of the flow from the answer, as the protocol defines it.
 func (a answer) applyTo(end traffic.FlowEnd) traffic.FlowEnd {
 	end.Report = a.report
 	switch {
 	case a.status == 200:
 		end.Status = traffic.Delivered
 		if a.batch {
-			end.Wait = a.retryAfter // it binds as any
+			end.Wait = a.retryAfter // this retry-after binds like any other
 		}
 	case a.status == 429:
 		end.Status, end.Wait = traffic.TurnedAway, a.retryAfter
@@ -97,7 +97,7 @@
 	case a.status == 410:
 		end.Status = traffic.Over
 	case a.batch && (a.status == 400 || a.status == 413):
-		end.Status = traffic.Unsent // none of them has run
+		end.Status = traffic.Unsent // no transaction of the batch has run
 	default:
 		end.Status = traffic.Errored
 	}
--- a/internal/flow/conn.go
+++ b/internal/flow/conn.go
@@ -15,38 +15,38 @@
 	"slatemux/internal/flow/http1"
 )
 
-// conn is one connection to a pool member with the goroutine that always reads from it, so that a close
-// by the peer is seen while it idles.
+// conn is one connection to a pool member. Its reader goroutine reads at all times, so that a close by the peer is noticed while the
+// connection is idle.
 type conn struct {
 	nc        net.Conn
-	underTLS  net.Conn // below TLS; nil for plain
+	underTLS  net.Conn // the TCP connection below TLS; nil for a plain connection
 	manager   *Manager
 	id        conns.ID
-	host      string    // the member's
-	idleSince time.Time // under the Manager's lock, as the next two; zero before the first call
-	inUse     bool      // to a flow
-	reused    bool      // that flow is not the first on it
+	host      string    // host of the member
+	idleSince time.Time // guarded by Manager.mu, like the next two fields; zero before the first call
+	inUse     bool      // taken by a flow
+	reused    bool      // the current call is not the first on this connection
 
 	mu          sync.Mutex
-	unusable    bool            // over, or not to be used again
-	response    *http1.Response // of the call that is out; nil between calls
-	batch       bool            // that call carries several transactions
-	callEnd     conns.End       // how the newest call ended
-	received    bool            // something came for it
-	unsolicited bool            // something came without a call
-	stuck       bool            // the peer acknowledges nothing
-	writtenAt   time.Time       // when the call that is out was written; zero between calls
+	unusable    bool            // ended, or not to be used for another call
+	response    *http1.Response // of the current call; nil between calls
+	batch       bool            // the current call carries several transactions
+	callEnd     conns.End       // how the latest call ended
+	received    bool            // bytes arrived for the current call
+	unsolicited bool            // bytes arrived while no call was waiting for them
+	stuck       bool            // the peer does not acknowledge written bytes
+	writtenAt   time.Time       // when writing of the current call began; zero between calls
 
-	syscallConn syscall.RawConn // nil for TLS
+	syscallConn syscall.RawConn // nil for a TLS connection
 
-	readDeadlineSet bool          // a read deadline is set; of the reader alone
-	readerDone      chan struct{} // closed by the reader at its end
+	readDeadlineSet bool          // whether a read deadline is set; used by the reader only
+	readerDone      chan struct{} // closed when the reader ends
 
-	answered chan struct{} // closed when the call has its answer or none will come
-	result   answer        // to be read once got is closed
+	answered chan struct{} // closed when the call has its answer or can no longer get one
+	result   answer        // valid once answered is closed
 }
 
-// beginCall makes the connection ready for a call; false if it is over.
+// beginCall prepares the connection for a call. It returns false if the connection cannot be used.
 func (c *conn) beginCall() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -57,7 +57,7 @@
 	return true
 }
 
-// setBatch has the answer say how each of them ended.
+// setBatch marks the current call as a batch, so that the body of its answer, with the status of each transaction, is kept.
 func (c *conn) setBatch() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -66,12 +66,13 @@
 	}
 }
 
-// beginWrite notes that the call is about to be written; false if it must not be, for the connection is over, or something has come
-// that cannot be the call's answer. What comes from now on is taken for that, unless its peer's clock would tell otherwise.
+// beginWrite records that the call is about to be written. It returns false if the call must not be written: the connection has ended, or
+// bytes arrived that cannot be the answer to the call. Bytes that arrive later are treated as the answer. The peer may have sent them
+// before it received the call, but only its clock could show this.
 func (c *conn) beginWrite(now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.unusable && c.syscallConn != nil { // what has come and waits for the reader
+	if !c.unusable && c.syscallConn != nil { // data that arrived and is not read yet
 		var n int
 		var err error
 		controlErr := c.syscallConn.Control(func(fd uintptr) { n, err = readAvailable(int(fd), make([]byte, 1)) })
@@ -85,7 +86,8 @@
 	return !c.unusable
 }
 
-// noteUnsolicited notes that something came without a call, or the connection's end: it is not used again. It needs the lock.
+// noteUnsolicited marks the connection as unusable because bytes arrived without a call, or because the connection ended. The caller holds
+// c.mu.
 func (c *conn) noteUnsolicited(bytes int) {
 	if bytes > 0 {
 		slog.Warn("pool member wrote without a call", "addr", c.nc.RemoteAddr(), "bytes", bytes)
@@ -94,7 +96,7 @@
 	c.unusable = true
 }
 
-// readAvailable reads what has come; EAGAIN where nothing has.
+// readAvailable reads the data that has arrived. It returns EAGAIN if there is none.
 func readAvailable(fd int, buf []byte) (n int, err error) {
 	for n, err = unix.Read(fd, buf); err == unix.EINTR; {
 		n, err = unix.Read(fd, buf)
@@ -102,15 +104,15 @@
 	return n, err
 }
 
-// unansweredSince says that a call is out since before then, on a connection that had been used before, and nothing has come.
+// unansweredSince reports whether a call on a reused connection was written before then and no byte of its answer has arrived.
 func (c *conn) unansweredSince(then time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.reused && c.response != nil && !c.received && !c.writtenAt.IsZero() && c.writtenAt.Before(then)
 }
 
-// checkStuck notes whether what was written is not even acknowledged: the peer, or the way to it, is gone, which a peer that
-// is only slow is not. It is asked of the kernel, and sends nothing.
+// checkStuck records and reports whether the peer leaves written bytes unacknowledged. Then the peer or the network path is gone; a peer
+// that is only slow still acknowledges. The kernel is queried and nothing is sent.
 func (c *conn) checkStuck() bool {
 	nc := c.nc
 	if c.underTLS != nil {
@@ -123,7 +125,7 @@
 	return c.stuck
 }
 
-// endCall is how the call on the connection ended; kept says that nobody has given it up.
+// endCall ends the current call and returns how it ended. notCanceled says that the flow did not abort the call.
 func (c *conn) endCall(notCanceled bool) conns.End {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -135,14 +137,14 @@
 		return conns.Cut
 	case end == conns.Answered && c.unsolicited:
 		return conns.Broken
-	case end == conns.Answered && c.unusable: // closed right behind the answer
+	case end == conns.Answered && c.unusable: // the peer closed the connection directly after the answer
 		return conns.Last
 	default:
 		return end
 	}
 }
 
-// cancelCall ends a call that has its answer or was never written, and says whether the connection can be kept.
+// cancelCall clears a call that has its answer or was not written, and reports whether the connection is still usable.
 func (c *conn) cancelCall() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -156,8 +158,8 @@
 	return c.unusable
 }
 
-// close closes the connection; its reader ends the call that is out. It does not block: TLS says goodbye first, for which
-// a server that reads nothing gets farewell.
+// close closes the connection, and its reader ends the current call. It does not block: TLS sends a close_notify first, and if the server
+// does not read, the TCP connection is closed after tlsCloseTimeout.
 func (c *conn) close() {
 	if c.underTLS == nil {
 		c.nc.Close()
@@ -167,10 +169,10 @@
 	time.AfterFunc(tlsCloseTimeout, func() { c.underTLS.Close() })
 }
 
-// tlsCloseTimeout is how long a closing connection may take to send its close_notify.
+// tlsCloseTimeout bounds how long a closing connection may take to send its close_notify.
 const tlsCloseTimeout = 50 * time.Millisecond
 
-// readLoop feeds what comes to the call that is out, until the connection ends.
+// readLoop passes received data to the current call until the connection ends.
 func (c *conn) readLoop() {
 	buf := make([]byte, 4096)
 	for over := false; !over; {
@@ -181,7 +183,8 @@
 			c.mu.Unlock()
 			continue
 		}
-		// Under the lock, so that writing knows of all that was read, and what it does not find has come later.
+		// The read happens under c.mu. beginWrite therefore sees all data that was read before, and data that beginWrite does not find
+		// arrived later.
 		err := c.syscallConn.Read(func(fd uintptr) bool {
 			c.mu.Lock()
 			defer c.mu.Unlock()
@@ -205,9 +208,9 @@
 	c.manager.readerEnded(c)
 }
 
-// handleRead handles one read and says whether the connection is over. It needs the lock.
+// handleRead processes the result of one read and reports whether the connection is unusable. The caller holds c.mu.
 func (c *conn) handleRead(data []byte, err error) bool {
-	if c.response == nil || c.writtenAt.IsZero() { // between calls, or begun and not written
+	if c.response == nil || c.writtenAt.IsZero() { // no current call, or the call is not written yet
 		if err != nil || len(data) > 0 {
 			c.noteUnsolicited(len(data))
 		}
@@ -216,7 +219,7 @@
 	c.received = c.received || len(data) > 0
 	n, feedErr := c.response.Feed(data)
 	if err != nil {
-		_ = c.response.End() // what was cut off shows in Done
+		_ = c.response.End() // Done tells whether the answer is truncated
 	}
 	if feedErr != nil {
 		slog.Warn("answer not understood", "addr", c.nc.RemoteAddr(), "err", feedErr)
@@ -240,21 +243,21 @@
 	return c.unusable
 }
 
-// updateReadDeadline bounds the time from an answer's first byte to its last: one that never ends must not hold its call,
-// and with it a slot at the pool member, until the deadline. Between an interim answer and the next it is off.
+// updateReadDeadline bounds the time from the first byte of an answer to its last byte. An answer that never ends must not occupy its
+// call, and a slot at the pool member, until the deadline of the flow. The bound is off between an interim answer and the next one.
 func (c *conn) updateReadDeadline() {
 	if underway := c.response.Underway(); underway != c.readDeadlineSet {
 		var deadline time.Time
 		if underway {
 			deadline = time.Now().Add(answerTimeout)
 		}
-		_ = c.nc.SetReadDeadline(deadline) // where it fails the connection is over, which the next Read tells
+		_ = c.nc.SetReadDeadline(deadline) // if this fails, the connection has ended and the next Read returns the error
 		c.readDeadlineSet = underway
 	}
 }
 
-// waitSettled waits until a connection that just carried an answer has idled for a moment, and says whether it is
-// still open: what a pool member sends behind an answer must not be taken for the answer to the next call.
+// waitSettled waits until settledAt and reports whether the connection is still open. The pause after an answer lets bytes that the pool
+// member sends behind it arrive, so that they are not taken for the answer to the next call.
 func (c *conn) waitSettled(settledAt time.Time) bool {
 	timer := time.NewTimer(time.Until(settledAt))
 	defer timer.Stop()
--- a/internal/flow/connections.go
+++ b/internal/flow/connections.go
@@ -13,26 +13,26 @@
 	"slatemux/internal/tlspolicy"
 )
 
-// This file does what conns.Pool decides.
+// This file carries out the decisions of conns.Pool.
 
-// lease is how a call gets its connection: on c, on one that is to be opened as id, or, without either, after a wait.
+// lease says how a call gets its connection: on c, on a new connection to be opened under id, or, if both are unset, after a wait.
 type lease struct {
 	c  *conn
 	id conns.ID
 }
 
-// waiter is a flow for which no connection may be opened.
+// waiter is a flow that waits because no connection to its member may be opened.
 type waiter struct {
 	worth   float64
 	granted chan lease
 }
 
-// errConnWait says that no connection could be had in time, by this program's own decision.
-var errConnWait = errors.New("no connection to be had in time")
+// errConnWait reports that this program provided no connection in time. The member is not at fault.
+var errConnWait = errors.New("no connection available in time")
 
 func (g *Manager) now() time.Duration { return time.Since(g.origin) }
 
-// Sweep has the pool of connections look at them, until ctx ends.
+// Sweep checks all connections periodically until ctx ends.
 func (g *Manager) Sweep(ctx context.Context) {
 	tick := time.NewTicker(sweepInterval)
 	defer tick.Stop()
@@ -77,7 +77,8 @@
 	g.serveWaiters()
 }
 
-// closeEvicted closes what the pool gives up. It needs the lock, as all below that do not say otherwise.
+// closeEvicted closes the connections that the pool evicts. The caller of this and the following methods holds g.mu, unless their comments
+// say otherwise.
 func (g *Manager) closeEvicted(evicted []conns.Give) {
 	for _, eviction := range evicted {
 		if c := g.connsByID[eviction.ID]; c != nil {
@@ -87,7 +88,7 @@
 	}
 }
 
-// requestConn asks for a connection: by conns.Pool.Call, or Again.
+// requestConn requests a connection through decide, which is conns.Pool.Call or Again.
 func (g *Manager) requestConn(host string, decide func(time.Duration, string) (conns.Verdict, conns.ID, []conns.Give)) lease {
 	for {
 		verdict, id, evicted := decide(g.now(), host)
@@ -110,7 +111,7 @@
 	}
 }
 
-// serveWaiters hands connections, or leave to open one, to flows that wait.
+// serveWaiters gives waiting flows a connection, or permission to open one.
 func (g *Manager) serveWaiters() {
 	for host := range g.waiters {
 		for len(g.waiters[host]) > 0 {
@@ -123,7 +124,7 @@
 	}
 }
 
-// popWaiter takes the flow that is worth most off those that wait at a member; among equals the one that came first.
+// popWaiter removes and returns the waiter of a member with the highest worth; among equals, the first to arrive.
 func (g *Manager) popWaiter(host string) *waiter {
 	list := g.waiters[host]
 	best := 0
@@ -145,10 +146,10 @@
 	}
 }
 
-// becameIdle offers a connection that has come to rest to flows that wait for one.
+// becameIdle offers a connection that became idle to flows that wait for one.
 func (g *Manager) becameIdle(c *conn, idleSince time.Time) {
 	c.inUse, c.idleSince = false, idleSince
-	if c.isUnusable() { // since it was looked at last, when its reader saw it lent
+	if c.isUnusable() { // the reader ended while the connection was in use, so readerEnded left it to this method
 		g.conns.Closed(g.now(), c.id)
 		delete(g.connsByID, c.id)
 		g.serveWaiters()
@@ -175,7 +176,7 @@
 	g.conns.Unused(g.now(), c.id)
 }
 
-// acquire gets a flow its connection, ready for the call. It takes the lock itself, as all below.
+// acquire returns a connection that is ready for the call of the flow. This and the following methods take g.mu themselves.
 func (g *Manager) acquire(ctx context.Context, r *activeFlow, l lease) (c *conn, err error) {
 	for {
 		switch {
@@ -196,7 +197,7 @@
 	}
 }
 
-// replaceConn gives up a connection that its peer has closed or written to before a call went out, and asks for another.
+// replaceConn drops a connection that the peer closed or wrote to before the call was written, and requests another.
 func (g *Manager) replaceConn(r *activeFlow, c *conn) lease {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -205,14 +206,14 @@
 	return g.requestConn(r.Member, g.conns.Again)
 }
 
-// awaitConn waits until a connection to the flow's member comes to rest or may be opened.
+// awaitConn waits until a connection to the member of the flow becomes idle or may be opened.
 func (g *Manager) awaitConn(ctx context.Context, r *activeFlow) (lease, error) {
 	waitStart := time.Now()
 	w := &waiter{worth: r.Worth, granted: make(chan lease, 1)}
 	g.mu.Lock()
 	g.waiters[r.Member] = append(g.waiters[r.Member], w)
 	g.mu.Unlock()
-	defer func() { r.localWait += time.Since(waitStart) }() // not the member's doing
+	defer func() { r.localWait += time.Since(waitStart) }() // the member did not cause this delay
 	timer := time.NewTimer(g.cfg.HeldMost)
 	defer timer.Stop()
 	select {
@@ -224,7 +225,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	select {
-	case l := <-w.granted: // it came in the same moment
+	case l := <-w.granted: // granted at the same moment
 		return l, nil
 	default:
 		g.removeWaiter(r.Member, w)
@@ -232,7 +233,8 @@
 	}
 }
 
-// connect opens a connection for a flow, or for TLS waits for leave to, and may get one that another flow has done with.
+// connect opens a connection for a flow. For TLS it first waits for permission to start a handshake, and may instead get a connection that
+// another flow has released.
 func (g *Manager) connect(ctx context.Context, r *activeFlow, id conns.ID) (*conn, error) {
 	g.mu.Lock()
 	to := *r.target
@@ -260,7 +262,7 @@
 	return g.connectTLS(ctx, id, &to, true)
 }
 
-// connectTLS opens a connection over TLS, for which the opener has given leave.
+// connectTLS opens a TLS connection. The handshake queue must have admitted the handshake.
 func (g *Manager) connectTLS(ctx context.Context, id conns.ID, to *member, forCall bool) (*conn, error) {
 	var took time.Duration
 	defer func() { g.handshakes.handshakeDone(to.Host, took) }()
@@ -278,7 +280,7 @@
 	return g.addConn(id, to, nc, raw, forCall), nil
 }
 
-// openingFailed tells the pool that an opening came to nothing.
+// openingFailed reports a failed or canceled opening to conns.Pool.
 func (g *Manager) openingFailed(ctx context.Context, id conns.ID, err error) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -288,10 +290,11 @@
 		g.conns.Failed(g.now(), id, errors.Is(err, syscall.ECONNREFUSED) || errors.Is(err, syscall.ECONNRESET))
 	}
 	g.serveWaiters()
-	return fmt.Errorf("connection %d: %w", id, err)
+	return fmt.Errorf("open connection %d: %w", id, err)
 }
 
-// addConn has a new connection read from. raw is what lies below TLS; call says that a call waits for it.
+// addConn registers a new connection and starts its reader. raw is the connection below TLS, or nil; forCall says that a call waits for
+// the connection.
 func (g *Manager) addConn(id conns.ID, to *member, nc, raw net.Conn, forCall bool) *conn {
 	c := &conn{nc: nc, underTLS: raw, manager: g, id: id, host: to.Host, readerDone: make(chan struct{})}
 	if sc, ok := nc.(syscall.Conn); ok && raw == nil {
@@ -303,14 +306,14 @@
 	g.connsByID[id] = c
 	g.conns.Opened(g.now(), id, forCall)
 	if c.inUse = forCall; !forCall {
-		g.becameIdle(c, time.Time{}) // nothing came before, so there is nothing to settle
+		g.becameIdle(c, time.Time{}) // no earlier answer, so no settling is needed
 	}
 	g.mu.Unlock()
 	go c.readLoop()
 	return c
 }
 
-// preconnect opens a connection that no call waits for yet. It needs the lock, and does not block.
+// preconnect starts opening a connection that no call waits for yet. The caller holds g.mu. It does not block.
 func (g *Manager) preconnect(id conns.ID) {
 	host, _ := g.conns.EndpointOf(id)
 	m := g.members[host]
@@ -331,7 +334,7 @@
 		}()
 		if g.cfg.Secure == nil || !g.cfg.Secure.Wants(&to.Member) {
 			if nc, err := g.dialer.dial(ctx, to.Dial, deadline); err != nil {
-				_ = g.openingFailed(ctx, id, err) // the next call that needs one will meet it
+				_ = g.openingFailed(ctx, id, err) // the next call that opens a connection reports the failure
 			} else {
 				g.addConn(id, &to, nc, nil, false)
 			}
@@ -344,7 +347,7 @@
 			g.mu.Lock()
 			g.conns.Cancel(g.now(), id)
 			g.mu.Unlock()
-			if granted.c != nil { // nobody else waits for it
+			if granted.c != nil { // no other flow waits for this connection
 				g.returnUnused(granted.c)
 			}
 		}
@@ -353,7 +356,7 @@
 
 func (g *Manager) mayReuse(c *conn) bool { return c.underTLS == nil || g.cfg.Secure.Fresh(c.nc) }
 
-// finishCall ends a call on a connection.
+// finishCall ends a call on a connection, which becomes idle or is closed.
 func (g *Manager) finishCall(c *conn, end conns.End, took time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -365,7 +368,7 @@
 	}
 }
 
-// returnUnused gives back a connection that carried nothing after all.
+// returnUnused returns a connection that carried no call after all.
 func (g *Manager) returnUnused(c *conn) {
 	usable := c.cancelCall()
 	g.mu.Lock()
@@ -380,7 +383,7 @@
 	g.serveWaiters()
 }
 
-// releaseLease gives back what a flow was to get its connection by, and does not need any more.
+// releaseLease returns a lease that the flow does not need.
 func (g *Manager) releaseLease(l lease) {
 	if l.c != nil {
 		g.returnUnused(l.c)
@@ -392,7 +395,7 @@
 	}
 }
 
-// readerEnded takes in that the reader of a connection is over. What is lent the flow gives back.
+// readerEnded removes a connection whose reader has ended. A connection in use is removed later, when its flow returns the connection.
 func (g *Manager) readerEnded(c *conn) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -404,5 +407,5 @@
 	g.serveWaiters()
 }
 
-// Handshakes returns what the gate of handshakes counted, and how many flows wait there.
+// Handshakes returns the counters of the handshake gate and the number of flows that wait for a handshake.
 func (g *Manager) Handshakes() (tlspolicy.GateCounters, int) { return g.handshakes.counters() }
--- a/internal/flow/dial.go
+++ b/internal/flow/dial.go
@@ -14,18 +14,18 @@
 	"slatemux/internal/conns"
 )
 
-// Resolver looks names up; net.Resolver is one.
+// Resolver resolves host names. net.Resolver implements it.
 type Resolver interface {
 	LookupNetIP(ctx context.Context, network, host string) ([]netip.Addr, error)
 }
 
-// unusedAddressTTL is how long an address is remembered that nobody uses.
+// unusedAddressTTL is how long an unused address is remembered.
 const unusedAddressTTL = time.Hour
 
-// dialer opens connections. An endpoint may have several addresses: a list parted by commas, or a name, if there is a
-// Resolver. They are then raced as conns.Race says.
+// dialer opens connections. An endpoint may have several addresses: a comma-separated list, or a host name if there is a Resolver. They
+// are then tried as conns.Race says (Happy Eyeballs).
 type dialer struct {
-	resolver Resolver // nil: names are left to package net, and lists are looked at alone
+	resolver Resolver // nil: package net resolves single names, and names in lists are not resolved
 	origin   time.Time
 
 	mu    sync.Mutex
@@ -38,7 +38,7 @@
 
 func (d *dialer) now() time.Duration { return time.Since(d.origin) }
 
-// dial opens a connection until ctx ends or by the deadline.
+// dial opens a connection. It gives up when ctx ends or at the deadline.
 func (d *dialer) dial(ctx context.Context, addr string, deadline time.Time) (net.Conn, error) {
 	netDialer := net.Dialer{Deadline: deadline, KeepAlive: -1}
 	if _, err := netip.ParseAddrPort(addr); err == nil || d.resolver == nil && !strings.Contains(addr, ",") {
@@ -48,12 +48,12 @@
 	defer cancel()
 	addrs, err := d.resolve(ctx, addr)
 	if err != nil {
-		return nil, fmt.Errorf("addresses of %s: %w", addr, err)
+		return nil, fmt.Errorf("resolve addresses of %s: %w", addr, err)
 	}
 	return d.race(ctx, addrs, func(to netip.AddrPort) (net.Conn, error) { return netDialer.DialContext(ctx, "tcp", to.String()) })
 }
 
-// resolve are those of all parts; a name that is not found does not spoil the others.
+// resolve returns the addresses of all parts of the endpoint. A name that cannot be resolved does not invalidate the other parts.
 func (d *dialer) resolve(ctx context.Context, endpoint string) (addrs []netip.AddrPort, err error) {
 	for part := range strings.SplitSeq(endpoint, ",") {
 		part = strings.TrimSpace(part)
@@ -68,7 +68,7 @@
 			continue
 		}
 		if d.resolver == nil {
-			err = errors.Join(err, fmt.Errorf("%s is a name, and names are not looked up", host))
+			err = errors.Join(err, fmt.Errorf("host name %s: host names are not resolved", host))
 			continue
 		}
 		found, lookupErr := d.resolver.LookupNetIP(ctx, "ip", host)
@@ -82,17 +82,17 @@
 	if len(addrs) > 0 {
 		return addrs, nil
 	}
-	return nil, errors.Join(err, errors.New("there is none"))
+	return nil, errors.Join(err, errors.New("endpoint has no usable address"))
 }
 
-// race opens a connection to the first address that answers; those that come later are closed.
+// race opens a connection to the first address that answers. Connections that complete later are closed.
 func (d *dialer) race(ctx context.Context, addrs []netip.AddrPort, open func(netip.AddrPort) (net.Conn, error)) (net.Conn, error) {
 	type result struct {
 		addr netip.AddrPort
 		nc   net.Conn
 		err  error
 	}
-	results := make(chan result, len(addrs)) // room for all: those that come too late block nobody
+	results := make(chan result, len(addrs)) // room for all results, so that late attempts do not block
 	d.mu.Lock()
 	d.known.Forget(d.now(), unusedAddressTTL)
 	attempts := d.known.Race(d.now(), addrs)
@@ -121,7 +121,7 @@
 		select {
 		case <-tick:
 		case <-ctx.Done():
-			go func() { // what still comes is closed
+			go func() { // closes connections that complete later
 				for ; openAttempts > 0; openAttempts-- {
 					if res := <-results; res.nc != nil {
 						res.nc.Close()
--- a/internal/flow/flow.go
+++ b/internal/flow/flow.go
@@ -1,5 +1,5 @@
-// Package flow carries server-side flows: it keeps the connections to each pool member, writes a call,
-// reads its answer, and reports exactly one end for every flow that it was given. It resends nothing.
+// Package flow runs server-side flows: it manages the connections to each pool member, writes a call, reads its answer and
+// reports exactly one end for every flow that is started. It never retries a call.
 package flow
 
 import (
@@ -14,90 +14,98 @@
 	"slatemux/internal/traffic"
 )
 
-// Config says what the flows must keep to.
+// Config holds the limits of flows and connections, and the collaborators of a Manager.
 type Config struct {
-	ConnectWithin time.Duration // a connection not made by then is given up
-	MostFlows     int           // flows out at once
-	Settle        time.Duration // a connection carries nothing for so long after an answer
-	Conns         conns.Config  // how many connections are held, and which are used
+	ConnectWithin time.Duration // timeout for opening a connection
+	MostFlows     int           // maximum number of calls in flight
+	Settle        time.Duration // minimum time between an answer and the next call on the same connection
+	Conns         conns.Config  // how many connections are kept, and which are used
 
-	// HeldMost bounds how long a flow waits for a connection where none may be opened; 0 for 250 ms. It then ends unsent, and
-	// the decision module may send it elsewhere.
+	// HeldMost bounds how long a flow waits for a connection while no new one may be opened; 0 means 250 ms. A flow that waits longer
+	// ends unsent, and the decision module may send the message to another member.
 	HeldMost time.Duration
-	// StuckAfter has a warm connection given up whose bytes the peer has not acknowledged for so long; 0 for never.
+	// StuckAfter is how long the peer of a reused connection may leave written bytes unacknowledged before the connection is closed;
+	// 0 disables the check.
 	StuckAfter time.Duration
 
-	// Names looks up the names of members that have some, and their addresses are raced; nil leaves names to package net.
+	// Names resolves the host names of members, whose addresses are then tried as conns.Race says. With nil, package net resolves
+	// names.
 	Names Resolver
 
-	// Secure makes connections over TLS, to those members that want it; nil for none.
+	// Secure makes the TLS connections to members that require TLS; nil if no member does.
 	Secure Secure
-	Gate   tlspolicy.GateConfig
-	Busy   func() float64 // the program's own load, 0 to 1, which slows handshakes; nil for none
+	// Gate configures the admission of TLS handshakes.
+	Gate tlspolicy.GateConfig
+	// Busy returns the load of this program, 0 to 1. A high load slows down handshakes. Nil means that the load is unknown.
+	Busy func() float64
 
-	// OwnDelay is how long what has come waits at present until this program looks at it; nil for not known.
+	// OwnDelay returns how long received data currently waits until this program handles it; nil if that is unknown.
 	OwnDelay func() time.Duration
-	// Shared holds the waits of all processes of this relay: those of a hand-over's other process bind too. Nil
-	// for none.
+	// Shared holds the retry-after waits of all processes of this relay. The waits of the other process of a handover bind this
+	// process too. Nil means that no waits are shared.
 	Shared Waits
-	// Fleet is told of each flow's end, and asked before a call is written; nil for a relay alone.
+	// Fleet learns the end of each flow and is consulted before a call is written; nil for a relay without a fleet.
 	Fleet Fleet
 }
 
-// Waits are told waits shared with the other process of a hand-over.
+// Waits holds the retry-after waits that the two processes of a handover share.
 type Waits interface {
+	// Tell records that no call of the group may be written before until.
 	Tell(group traffic.Group, until time.Time)
+	// Until returns the end of the current wait of the group, or the zero time if the group has none.
 	Until(group traffic.Group, now time.Time) time.Time
 }
 
-// Fleet is what relays tell each other. Nothing of it blocks.
+// Fleet exchanges outage information with the other relays. None of its methods blocks.
 type Fleet interface {
-	// Ended hears how a flow ended.
+	// Ended receives the end of a flow.
 	Ended(traffic.Flow, traffic.FlowEnd)
-	// Held says whether other relays' word holds a group just now.
+	// Held reports whether announcements of other relays currently hold back calls of the group.
 	Held(group traffic.Group, now time.Time) bool
 }
 
-// Secure knows which members' connections go over TLS, and makes them.
+// Secure decides which members require TLS, and makes the TLS connections.
 type Secure interface {
+	// Wants reports whether connections to the member use TLS.
 	Wants(member *traffic.Member) bool
-	// Client makes the handshake on a new connection until ctx ends, and closes it where that fails. It tells the
-	// processor time of it, or 0.
+	// Client performs the TLS handshake on a new connection until ctx ends, and closes the connection if the handshake fails. It
+	// returns the processor time of the handshake, or 0 if that is unknown.
 	Client(ctx context.Context, nc net.Conn, member *traffic.Member) (net.Conn, time.Duration, error)
-	// Fresh says whether an idle connection may carry another call.
+	// Fresh reports whether an idle connection may carry another call.
 	Fresh(nc net.Conn) bool
 }
 
-// sweepInterval is how often connections are looked at; writeSlack is kept free before Flow.WriteBy, for
-// what the last byte still takes to arrive. An answer must be whole answerMost after its first byte.
 const (
-	answerTimeout   = 400 * time.Millisecond
-	sweepInterval   = 250 * time.Millisecond
+	// answerTimeout bounds the time from the first byte of an answer to its last byte.
+	answerTimeout = 400 * time.Millisecond
+	// sweepInterval is the interval between two checks of all connections.
+	sweepInterval = 250 * time.Millisecond
+	// writeMargin is the time reserved before Flow.WriteBy for the last byte to reach the member.
 	writeMargin     = 100 * time.Millisecond
 	defaultConnWait = 250 * time.Millisecond
-	// maxReplacedConns is how many connections a call finds closed or written to by their peer before it counts as not connected: one may
-	// talk first on each.
+	// maxReplacedConns is how many connections a call may find closed, or with unsolicited bytes of the peer, before the flow ends as
+	// not connected. Without this bound a member that writes first on every connection is dialed forever.
 	maxReplacedConns = 3
 )
 
-// Manager owns all connections to pool members. Which of them are opened, used and closed is the word of conns.Pool.
+// Manager owns all connections to pool members. A conns.Pool decides which connections are opened, used and closed.
 type Manager struct {
 	cfg       Config
 	reportEnd func(traffic.FlowEnd)
-	origin    time.Time // of the time that the pool of connections is told
+	origin    time.Time // zero point of the times that are passed to conns
 
 	mu            sync.Mutex
 	members       map[string]*member
-	retryAfter    map[traffic.Group]time.Time // nothing is written before
+	retryAfter    map[traffic.Group]time.Time // no call of the group is written before this time
 	outstanding   map[traffic.Group]*outstanding
 	flows         map[flowID]*activeFlow
-	callCount     int // of them; one may carry several
+	callCount     int // calls in flight; one call may carry several flows
 	handshakes    *handshakeQueue
 	dialer        *dialer
 	conns         *conns.Pool
-	connsByID     map[conns.ID]*conn              // those that are open
-	preconnecting map[conns.ID]context.CancelFunc // being opened without a call
-	waiters       map[string][]*waiter            // by member: flows for which none may be opened, in the order of their coming
+	connsByID     map[conns.ID]*conn              // open connections
+	preconnecting map[conns.ID]context.CancelFunc // connections that are being opened ahead of any call
+	waiters       map[string][]*waiter            // flows that wait for a connection, by member, in order of arrival
 }
 
 type flowID struct {
@@ -107,7 +115,7 @@
 
 type member struct {
 	traffic.Member
-	available bool // it may get something new
+	available bool // accepts new calls
 }
 
 // activeFlow is a flow that has not ended.
@@ -115,10 +123,10 @@
 	traffic.Flow
 	target    *member
 	cancel    context.CancelFunc
-	localWait time.Duration // from the flow's beginning until its goroutine ran, and in wait for a connection
+	localWait time.Duration // time until the goroutine of the flow ran, plus the wait for a connection
 }
 
-// New returns a Manager that hands the end of each flow to done, which must not block.
+// New returns a Manager that passes the end of each flow to reportEnd, which must not block.
 func New(cfg Config, reportEnd func(traffic.FlowEnd)) (*Manager, error) {
 	if cfg.HeldMost <= 0 {
 		cfg.HeldMost = defaultConnWait
@@ -132,7 +140,7 @@
 		preconnecting: map[conns.ID]context.CancelFunc{}, waiters: map[string][]*waiter{}}, nil
 }
 
-// Pool takes in news of the pool. Flows to a member that is leaving end unsent if no byte is out yet.
+// Pool applies an update of the pool. A flow to a leaving member ends unsent unless its first byte is already written.
 func (g *Manager) Pool(news traffic.PoolNews) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -152,7 +160,7 @@
 	for host, m := range g.members {
 		g.closeEvicted(g.conns.Endpoint(host, m.Dial, m.Destination, m.available))
 		if !m.available {
-			delete(g.members, host) // flows that are out keep their own reference
+			delete(g.members, host) // active flows keep their own reference
 		}
 	}
 	g.serveWaiters()
@@ -186,7 +194,7 @@
 	}
 }
 
-// Limit changes how many flows may be out and how many connections there may be; what there is stays.
+// Limit sets the maximum numbers of calls in flight and of connections. Existing calls and connections stay.
 func (g *Manager) Limit(maxFlows, maxConns int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -195,7 +203,7 @@
 	g.serveWaiters()
 }
 
-// Cancel gives a flow up by closing its connection.
+// Cancel aborts a flow by closing its connection.
 func (g *Manager) Cancel(id string, attempt int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -204,14 +212,14 @@
 	}
 }
 
-// FreeIdle gives up all idle connections, and keeps none warm while it is on.
+// FreeIdle closes all idle connections, and keeps no connection idle while on is true.
 func (g *Manager) FreeIdle(on bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.closeEvicted(g.conns.Frugal(g.now(), on))
 }
 
-// Expect tells how many calls are known to come to the members of a destination soon.
+// Expect announces how many calls to the members of a destination will follow soon.
 func (g *Manager) Expect(destination, calls int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -226,36 +234,35 @@
 	}
 }
 
-// Counters returns what was counted of connections.
+// Counters returns the connection counters.
 func (g *Manager) Counters() conns.Counters {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.conns.Counters()
 }
 
-// Ends returns how long connections had idled at their ends, by cause.
+// Ends returns how long connections had been idle when they ended, by cause.
 func (g *Manager) Ends() conns.Ends {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.conns.Ends()
 }
 
-// Connections returns what is known of each member's connections.
+// Connections returns the state of the connections to each member.
 func (g *Manager) Connections() []conns.State {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.conns.States()
 }
 
-// flowEnd ends a flow. What the program itself let it wait, before its goroutine ran and before its answer was looked
-// at, is not the pool member's doing and not counted: a relay short of processor would take its members to be slow,
-// send them less, and hold the more.
+// flowEnd returns the end of the flow. Took leaves out the time that the flow waited inside this program, because the pool member did
+// not cause it: a CPU-starved relay would otherwise consider its members slow, send them fewer calls and queue more messages.
 func (r *activeFlow) flowEnd(status traffic.FlowStatus) traffic.FlowEnd {
 	return traffic.FlowEnd{ID: r.ID, Attempt: r.Attempt, Member: r.Member, Status: status,
 		Took: max(time.Since(r.Begun)-r.localWait, 0)}
 }
 
-// run carries one flow from its connection to its end.
+// run executes one flow and reports its end.
 func (g *Manager) run(ctx context.Context, r *activeFlow, l lease) {
 	r.localWait = time.Since(r.Begun)
 	end, statuses := g.attempt(ctx, r, l)
@@ -270,7 +277,7 @@
 		delete(g.flows, flowID{x.ID, x.Attempt})
 	}
 	if (end.Status == traffic.TurnedAway || statuses != nil) && end.Wait > 0 {
-		// At once, not by way of the relay: a call still being connected must not be written into the wait.
+		// The wait takes effect here, before the relay learns of it: a call that is still connecting must not be written during the wait.
 		if until := time.Now().Add(end.Wait); until.After(g.retryAfter[r.Group]) {
 			g.retryAfter[r.Group] = until
 			if g.cfg.Shared != nil {
@@ -282,17 +289,17 @@
 	g.reportEnds(r, end, statuses)
 }
 
-// reportEnds hands on the ends of a flow and of those that travelled with it.
+// reportEnds reports the end of a flow and of the flows that shared its call.
 func (g *Manager) reportEnds(r *activeFlow, end traffic.FlowEnd, statuses map[string]traffic.FlowStatus) {
-	for i, memberEnd := range r.allEnds(end, statuses) {
+	for i, eachEnd := range r.allEnds(end, statuses) {
 		if g.cfg.Fleet != nil && i == 0 {
-			g.cfg.Fleet.Ended(r.Flow, memberEnd)
+			g.cfg.Fleet.Ended(r.Flow, eachEnd)
 		}
-		g.reportEnd(memberEnd)
+		g.reportEnd(eachEnd)
 	}
 }
 
-// attempt makes the call and says how it ended; where it carried several, how each of them did, if the answer tells.
+// attempt makes the call and returns its end. For a batch it also returns the status of each flow by id, if the answer states them.
 func (g *Manager) attempt(ctx context.Context, r *activeFlow, l lease) (traffic.FlowEnd, map[string]traffic.FlowStatus) {
 	if end, waits := g.sharedWait(r); waits {
 		g.releaseLease(l)
@@ -310,7 +317,7 @@
 		}
 		var err error
 		if c, err = g.acquire(ctx, r, l); err == errConnWait {
-			return r.flowEnd(traffic.Unsent), nil // by this program itself: the member has nothing to do with it
+			return r.flowEnd(traffic.Unsent), nil // this program delayed the flow, so the member is not blamed
 		} else if err != nil {
 			slog.Debug("no connection", "member", r.Member, "id", r.ID, "err", err)
 			return r.flowEnd(traffic.NotConnected), nil
@@ -340,11 +347,11 @@
 		call = appendBatch(nil, &r.Flow, writeStart)
 		c.setBatch()
 	}
-	if c.syscallConn != nil { // over TLS nobody but its reader can read it
+	if c.syscallConn != nil { // on TLS connections only the reader goroutine can read
 		g.addOutstanding(r, c)
 	}
 	_ = c.nc.SetWriteDeadline(r.writeDeadline())
-	stop := context.AfterFunc(ctx, func() { // also ends a write that hangs
+	stop := context.AfterFunc(ctx, func() { // also ends a blocked write
 		c.checkStuck()
 		c.close()
 	})
@@ -353,8 +360,8 @@
 		slog.Debug("call not written", "member", r.Member, "id", r.ID, "err", err)
 		return r.flowEnd(traffic.NotConnected), nil
 	}
-	<-c.answered       // the reader always closes it: kill ends the reader
-	result := c.result // before the connection is given back: its next call begins by clearing it
+	<-c.answered       // always closed in the end: close ends the reader, which closes the channel
+	result := c.result // read before finishCall returns the connection, because its next call clears the result
 	g.finishCall(c, c.endCall(stop()), time.Since(writeStart))
 	end := r.flowEnd(traffic.Broken)
 	if result.status != 0 {
@@ -367,8 +374,8 @@
 	return end, result.statuses
 }
 
-// writeDeadline is when the call is given up whose last byte is not written: repeats are dropped by when that comes. A zero time sets no
-// bound.
+// writeDeadline returns when the last byte of the call must be written. A retry that reaches the member after Flow.WriteBy may run
+// twice, because the member no longer recognizes the duplicate. The zero time means no bound.
 func (r *activeFlow) writeDeadline() time.Time {
 	if r.WriteBy.IsZero() {
 		return time.Time{}
@@ -376,8 +383,8 @@
 	return r.WriteBy.Add(-writeMargin / 2)
 }
 
-// sharedWait ends a flow whose group the other process of a hand-over was told to wait for as turned away
-// with that wait, which the module then keeps as if it had been told here.
+// sharedWait returns the end of a flow whose group must wait because of a retry-after that the other process of a handover received.
+// The flow ends as turned away with that wait, so that the decision module respects the wait as if this process had received it.
 func (g *Manager) sharedWait(r *activeFlow) (traffic.FlowEnd, bool) {
 	if g.cfg.Shared == nil {
 		return traffic.FlowEnd{}, false
@@ -388,20 +395,20 @@
 	ownWait := !until.After(g.retryAfter[r.Group])
 	g.mu.Unlock()
 	if until.IsZero() || ownWait {
-		return traffic.FlowEnd{}, false // none, or this process's own, which the module knows
+		return traffic.FlowEnd{}, false // no wait, or a wait of this process, which the decision module knows already
 	}
 	end := r.flowEnd(traffic.TurnedAway)
 	end.Wait = until.Sub(now)
 	return end, true
 }
 
-// heldByFleet says whether other relays hold a group back.
+// heldByFleet reports whether other relays hold back calls of the group.
 func (g *Manager) heldByFleet(group traffic.Group, now time.Time) bool {
 	return g.cfg.Fleet != nil && g.cfg.Fleet.Held(group, now)
 }
 
-// mayWrite says whether the first byte may still go out. What held when the flow was queued may not hold
-// once its connection is up: the member may be leaving, a wait told, or the memory of repeats too near its end.
+// mayWrite reports whether the first byte may still be written. Conditions can change while a connection is opened: the member may be
+// leaving, a retry-after may have arrived, or Flow.WriteBy may be too close.
 func (g *Manager) mayWrite(ctx context.Context, r *activeFlow) bool {
 	now := time.Now()
 	g.mu.Lock()
@@ -410,8 +417,8 @@
 		(r.WriteBy.IsZero() || now.Before(r.WriteBy.Add(-writeMargin)))
 }
 
-// Close ends every flow and connection at once. A successor takes up what was out once this process lets go of
-// its journal: by then no call of ours may be open on the wire, or the successor's would be a second copy.
+// Close ends all flows and connections immediately. Once this process releases its journal, a successor process retries the flows that
+// were active. No call of this process may then be open on the wire, or the retry of the successor would be a duplicate.
 func (g *Manager) Close() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -423,7 +430,7 @@
 	}
 	for _, c := range g.connsByID {
 		if c.underTLS != nil {
-			c.underTLS.Close() // no farewell: the end is now
+			c.underTLS.Close() // without a close_notify, which would take time
 		} else {
 			c.nc.Close()
 		}
--- a/internal/flow/handshake_queue.go
+++ b/internal/flow/handshake_queue.go
@@ -8,10 +8,10 @@
 	"slatemux/internal/tlspolicy"
 )
 
-// handshakeQueue has flows wait for new connections over TLS as tlspolicy.Gate decides. A flow that waits gets leave for a handshake,
-// or a connection of its member that has fallen idle meanwhile.
+// handshakeQueue makes flows wait for new TLS connections as tlspolicy.Gate decides. A waiting flow gets permission to start a handshake,
+// or a connection to its member that became idle in the meantime.
 type handshakeQueue struct {
-	programLoad func() float64 // the program's own load; nil for none
+	programLoad func() float64 // load of this program; nil if unknown
 
 	mu      sync.Mutex
 	gate    *tlspolicy.Gate
@@ -21,7 +21,7 @@
 	timer   *time.Timer
 }
 
-// grant ends a wait. Without a connection and leave, time was up.
+// grant ends a wait: the handshake is admitted, or c is an idle connection. If neither is set, the deadline has passed.
 type grant struct {
 	admitted bool
 	c        *conn
@@ -31,8 +31,8 @@
 	return &handshakeQueue{programLoad: busy, gate: tlspolicy.NewGate(cfg), origin: time.Now(), waiters: map[uint64]chan grant{}}
 }
 
-// wait waits for a grant until the deadline or the end of ctx. Leave is to be given back with done, a connection is the
-// caller's.
+// wait waits for a grant until the deadline or the end of ctx. An admitted handshake must be ended with handshakeDone. A granted
+// connection belongs to the caller.
 func (o *handshakeQueue) wait(ctx context.Context, host string, worth float64, deadline time.Time) grant {
 	granted := make(chan grant, 1)
 	o.mu.Lock()
@@ -50,7 +50,7 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	select {
-	case g := <-granted: // it came in the same moment
+	case g := <-granted: // granted at the same moment
 		return g
 	default:
 		o.gate.Drop(id)
@@ -59,7 +59,7 @@
 	}
 }
 
-// dispatch hands out what may begin now. It needs the lock.
+// dispatch admits the handshakes that may start now and ends expired waits. The caller holds o.mu.
 func (o *handshakeQueue) dispatch() {
 	if o.programLoad != nil {
 		o.gate.Load(o.programLoad())
@@ -89,7 +89,7 @@
 	delete(o.waiters, id)
 }
 
-// handshakeDone gives leave back.
+// handshakeDone reports that an admitted handshake has ended, and the processor time that it took.
 func (o *handshakeQueue) handshakeDone(host string, took time.Duration) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -97,7 +97,7 @@
 	o.dispatch()
 }
 
-// offerIdle hands an idle connection to a flow that waits for one to its member; false if none does.
+// offerIdle gives an idle connection to a flow that waits for one to the member. It returns false if no flow waits.
 func (o *handshakeQueue) offerIdle(host string, c *conn) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -108,14 +108,14 @@
 	return ok
 }
 
-// counters are those of the gate, and how many flows wait.
+// counters returns the counters of the gate and the number of waiting flows.
 func (o *handshakeQueue) counters() (tlspolicy.GateCounters, int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.gate.Counters(), o.gate.Waiting()
 }
 
-// hasWaiters says whether a flow waits for a connection to a member.
+// hasWaiters reports whether a flow waits for a connection to the member.
 func (o *handshakeQueue) hasWaiters(host string) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/flow/http1/exchange.go
+++ b/internal/flow/http1/exchange.go
@@ -8,22 +8,22 @@
 	"time"
 )
 
-// Exchange writes a request and reads its answer, of which it keeps up to keep bytes. The answer must have begun by the
-// first deadline, and be whole by the second. With an error comes what there is of the answer.
+// Exchange writes a request and reads its response, keeping up to maxBodyBytes of the body. The first byte of the response must arrive by
+// firstByteBy, and the complete response by completeBy. On an error Exchange also returns the part of the response that was read.
 func Exchange(nc net.Conn, request []byte, maxBodyBytes int, firstByteBy, completeBy time.Time) (*Response, error) {
 	r, buf := &Response{MaxBodyBytes: maxBodyBytes}, make([]byte, 16<<10)
 	if err := nc.SetDeadline(firstByteBy); err != nil {
-		return r, fmt.Errorf("http1: %w", err)
+		return r, fmt.Errorf("http1: set deadline: %w", err)
 	}
 	if _, err := nc.Write(request); err != nil {
-		return r, fmt.Errorf("http1: write: %w", err)
+		return r, fmt.Errorf("http1: write request: %w", err)
 	}
 	for !r.Done() {
 		n, err := nc.Read(buf)
 		if n > 0 && firstByteBy != completeBy {
 			firstByteBy = completeBy
 			if err := nc.SetDeadline(completeBy); err != nil {
-				return r, fmt.Errorf("http1: %w", err)
+				return r, fmt.Errorf("http1: set deadline: %w", err)
 			}
 		}
 		if _, feedErr := r.Feed(buf[:n]); feedErr != nil {
@@ -33,7 +33,7 @@
 			if errors.Is(err, io.EOF) && r.End() == nil {
 				break
 			}
-			return r, fmt.Errorf("http1: read: %w", err)
+			return r, fmt.Errorf("http1: read response: %w", err)
 		}
 	}
 	return r, nil
--- a/internal/flow/http1/http1.go
+++ b/internal/flow/http1/http1.go
@@ -1,5 +1,5 @@
-// Package http1 is the relay's HTTP/1.1 codec: a request encoder and a response parser that is fed bytes
-// and knows no socket. Exchange, in a file of its own, is the thin driver for calls made one at a time.
+// Package http1 is the HTTP/1.1 codec of the relay: a request encoder, and a response parser that is fed bytes and does not use a socket.
+// Exchange, in a file of its own, performs single calls on a connection.
 package http1
 
 import (
@@ -12,16 +12,16 @@
 )
 
 const (
-	// MaxHead bounds the status line and the headers of an answer, interim answers included.
+	// MaxHead bounds the bytes of the status line and the headers of a response, including interim responses.
 	MaxHead = 16 << 10
-	// MaxDiscardBytes bounds a body that nobody reads; a longer one costs the connection.
+	// MaxDiscardBytes bounds a body that is discarded. A longer body is an error, so the connection is not reused.
 	MaxDiscardBytes = 256 << 10
 )
 
-// Field is one header.
+// Field is one header field.
 type Field struct{ Name, Value string }
 
-// AppendRequest encodes a request.
+// AppendRequest appends an encoded request to dst.
 func AppendRequest(dst []byte, method, target, host string, fields []Field, body []byte) []byte {
 	dst = append(dst, method...)
 	dst = append(dst, ' ')
@@ -58,7 +58,8 @@
 	done
 )
 
-// Response parses one answer. The zero value discards the body; Keep lets it hold so many bytes.
+// Response parses one response. The zero value discards the body. MaxBodyBytes, if set, keeps a body of up to that size; a longer body is
+// an error.
 type Response struct {
 	MaxBodyBytes int
 	Status       int // 0 until the status line is complete
@@ -74,7 +75,7 @@
 	err        error
 }
 
-// Feed takes in bytes and says how many belong to this answer. After an error the answer is unusable.
+// Feed parses b and returns how many bytes belong to this response. After an error the response is unusable.
 func (r *Response) Feed(b []byte) (int, error) {
 	n := 0
 	for n < len(b) && r.state != done && r.err == nil {
@@ -100,7 +101,7 @@
 			}
 			n += len(part)
 			if r.headBytes += len(part); r.headBytes > MaxHead {
-				r.err = errors.New("http1: head too long")
+				r.err = errors.New("http1: response head too long")
 				break
 			}
 			r.line = append(r.line, part...)
@@ -114,7 +115,7 @@
 	return n, r.err
 }
 
-// End takes in the end of the connection.
+// End reports to the parser that the connection has ended. It returns an error if the response is incomplete.
 func (r *Response) End() error {
 	if r.state == untilClose && r.err == nil {
 		r.state = done
@@ -125,21 +126,21 @@
 	return r.err
 }
 
-// HeadDone says that status and headers are complete.
+// HeadDone reports whether the status line and the headers are complete.
 func (r *Response) HeadDone() bool { return r.state >= fixedBody }
 
-// Underway says that part of an answer, or of an interim one, has come and the rest has not.
+// Underway reports whether part of a response, or of an interim response, has arrived and the rest has not.
 func (r *Response) Underway() bool {
 	return r.state != done && (r.state != statusLine || len(r.line) > 0)
 }
 
-// Done says that the answer is complete.
+// Done reports whether the response is complete.
 func (r *Response) Done() bool { return r.state == done }
 
-// Reusable says that the connection may carry another call after this complete answer.
+// Reusable reports whether the response is complete and the connection may carry another call.
 func (r *Response) Reusable() bool { return r.state == done && !r.closeAfter }
 
-// Header returns the first header of that name, whatever its case.
+// Header returns the value of the first header with this name, ignoring case.
 func (r *Response) Header(name string) string {
 	for _, f := range r.fields {
 		if strings.EqualFold(f.Name, name) {
@@ -155,7 +156,7 @@
 		r.Body = append(r.Body, part...)
 	}
 	if limit := int64(max(r.MaxBodyBytes, MaxDiscardBytes)); r.bodyBytes > limit || r.MaxBodyBytes > 0 && r.bodyBytes > int64(r.MaxBodyBytes) {
-		r.err = errors.New("http1: body too long")
+		r.err = errors.New("http1: response body too long")
 	}
 }
 
@@ -166,19 +167,19 @@
 		code, _, _ := strings.Cut(rest, " ")
 		status, err := strconv.Atoi(code)
 		if !strings.HasPrefix(proto, "HTTP/1.") || err != nil || len(code) != 3 || status < 100 {
-			return fmt.Errorf("http1: no status line: %.40q", line)
+			return fmt.Errorf("http1: malformed status line: %.40q", line)
 		}
 		if status >= 200 {
 			r.Status = status
 		}
 		r.closeAfter = proto == "HTTP/1.0"
 		r.state = headerLine
-		r.remaining = int64(status) // an interim answer is told from a final one at the end of its headers
+		r.remaining = int64(status) // keeps the status until the end of the headers, where interim and final responses differ
 	case headerLine:
 		if line != "" {
 			name, value, ok := strings.Cut(line, ":")
 			if !ok || name == "" || strings.ContainsAny(name, " \t") {
-				return fmt.Errorf("http1: not a header: %.40q", line)
+				return fmt.Errorf("http1: malformed header: %.40q", line)
 			}
 			r.fields = append(r.fields, Field{name, strings.TrimSpace(value)})
 			return nil
@@ -192,15 +193,15 @@
 		size, _, _ := strings.Cut(line, ";")
 		n, err := strconv.ParseUint(strings.TrimSpace(size), 16, 31)
 		if err != nil {
-			return fmt.Errorf("http1: not a chunk size: %.40q", line)
+			return fmt.Errorf("http1: malformed chunk size: %.40q", line)
 		}
 		if r.remaining, r.state = int64(n), chunkData; n == 0 {
 			r.state = trailer
 		}
-		r.headBytes = 0 // the bound is on one head, not on all chunk lines
+		r.headBytes = 0 // MaxHead bounds one head, not the sum of all chunk size lines
 	case chunkEnd:
 		if line != "" {
-			return errors.New("http1: chunk runs over")
+			return errors.New("http1: chunk data exceeds the chunk size")
 		}
 		r.state = chunkSize
 	case trailer:
@@ -226,7 +227,7 @@
 	case length != "":
 		n, err := strconv.ParseUint(length, 10, 62)
 		if err != nil {
-			return fmt.Errorf("http1: not a length: %.40q", length)
+			return fmt.Errorf("http1: malformed Content-Length: %.40q", length)
 		}
 		if r.remaining, r.state = int64(n), fixedBody; n == 0 {
 			r.state = done
--- a/internal/flow/unacked_linux.go
+++ b/internal/flow/unacked_linux.go
@@ -7,8 +7,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// unacknowledged says that the kernel still holds bytes that the peer's has not acknowledged, and has tried again in vain (tcp(7),
-// TCP_INFO); a window that stays shut counts too. Without the vain tries a delayed acknowledgement, of 40 ms and more, would be taken for none.
+// unacknowledged reports whether the kernel holds bytes that the peer has not acknowledged although they were retransmitted (tcp(7),
+// TCP_INFO), or that wait for a receive window that stays closed. Without the condition on retransmissions, a delayed acknowledgement, of
+// 40 ms and more, would count as missing.
 func unacknowledged(nc net.Conn) bool {
 	syscallConn, ok := nc.(syscall.Conn)
 	if !ok {
--- a/internal/flow/unacked_other.go
+++ b/internal/flow/unacked_other.go
@@ -4,5 +4,5 @@
 
 import "net"
 
-// unacknowledged is not known here.
+// unacknowledged returns false, because this platform does not report unacknowledged bytes.
 func unacknowledged(net.Conn) bool { return false }
--- a/internal/flow/unread_answers.go
+++ b/internal/flow/unread_answers.go
@@ -12,30 +12,30 @@
 )
 
 const (
-	// unreadCheckInterval is how old the last look at a group's answers may be when a call is written. A wait binds from 100 ms after its
-	// answer was written.
+	// unreadCheckInterval is the maximum age of the latest check for unread answers of a group when a call is written. A retry-after binds
+	// from 100 ms after its answer was written.
 	unreadCheckInterval = 20 * time.Millisecond
-	// unreadPollInterval is the pause between two looks while an answer is on its way through this program.
+	// unreadPollInterval is the pause between two checks while an unread answer is being processed.
 	unreadPollInterval = 200 * time.Microsecond
-	// maxPendingReads bounds how much of an answer that goes on and on is read in one look.
+	// maxPendingReads bounds the reads per connection in one check, because an answer may never end.
 	maxPendingReads = 16
-	// maxUnreadDelay bounds how long a call is held back for that.
+	// maxUnreadDelay bounds how long a call is delayed by unread answers.
 	maxUnreadDelay = 100 * time.Millisecond
 )
 
-// outstanding are the calls of a group whose ends this program has not recorded.
+// outstanding holds the calls of a group whose ends are not recorded yet.
 type outstanding struct {
 	calls   map[*activeFlow]writtenCall
-	checked time.Time // when no answer to any of them was unread
+	checked time.Time // when the latest check found no unread answer
 }
 
-// writtenCall is a call on its connection; got is closed when its answer was read.
+// writtenCall is a call on its connection. answered is closed when the answer has been read.
 type writtenCall struct {
 	c        *conn
 	answered <-chan struct{}
 }
 
-// isAnswered reports whether the call has its answer, which its flow is about to record.
+// isAnswered reports whether the answer has been read. Its flow is about to record the end.
 func (w writtenCall) isAnswered() bool {
 	select {
 	case <-w.answered:
@@ -57,7 +57,7 @@
 	o.calls[r] = writtenCall{c, c.answered}
 }
 
-// removeOutstanding forgets a call whose end is recorded. It needs the lock.
+// removeOutstanding removes a call whose end is recorded. The caller holds g.mu.
 func (g *Manager) removeOutstanding(r *activeFlow) {
 	o := g.outstanding[r.Group]
 	if o == nil {
@@ -69,9 +69,9 @@
 	}
 }
 
-// awaitUnreadAnswers waits until the answers that have come to other calls of the flow's group are read and recorded. It guards against a
-// process that was stopped, or had no processor, for longer than a wait may be unknown: when it runs again, goroutines that have a
-// call to write may run before those that have the answer with the wait to read. Calls over TLS are left out.
+// awaitUnreadAnswers waits until the answers that have arrived for other calls of the group are read and recorded. It guards against a
+// process that was stopped, or CPU-starved, for longer than a retry-after may go unnoticed. When such a process runs again, goroutines
+// that are about to write a call may run before those that have yet to read an answer with a retry-after. Calls over TLS are not covered.
 func (g *Manager) awaitUnreadAnswers(ctx context.Context, r *activeFlow) {
 	for deadline := time.Now().Add(maxUnreadDelay); ctx.Err() == nil; {
 		now := time.Now()
@@ -82,7 +82,8 @@
 	}
 }
 
-// hasUnreadAnswer reports whether a call of the group has an answer that is not recorded yet, and reads what has come.
+// hasUnreadAnswer reads the data that has arrived for the calls of the group, and reports whether one of them has an answer that is not
+// recorded yet.
 func (g *Manager) hasUnreadAnswer(group traffic.Group, now time.Time) bool {
 	unread := false
 	for _, call := range g.callsToCheck(group, now) {
@@ -91,7 +92,7 @@
 				break
 			}
 		}
-		unread = call.isAnswered() || unread // a part of an answer holds nobody back
+		unread = call.isAnswered() || unread // a partial answer delays no call
 	}
 	if unread {
 		return true
@@ -104,7 +105,7 @@
 	return false
 }
 
-// callsToCheck returns the outstanding calls of a group; none where they were looked at of late.
+// callsToCheck returns the outstanding calls of a group, or none if they were checked within unreadCheckInterval.
 func (g *Manager) callsToCheck(group traffic.Group, now time.Time) (calls []writtenCall) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -118,7 +119,8 @@
 	return calls
 }
 
-// readPending reads what has come and waits for the reader, and reports whether anything has. Over TLS it leaves all to the reader.
+// readPending reads the data that has arrived and that the reader has not read yet, and reports whether there was any. On TLS connections
+// only the reader reads.
 func (c *conn) readPending() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -127,7 +129,7 @@
 	}
 	arrived := false
 	buf := make([]byte, 4096)
-	_ = c.syscallConn.Control(func(fd uintptr) { // an error is the connection's end, which its reader sees
+	_ = c.syscallConn.Control(func(fd uintptr) { // on an error the connection has ended, which its reader notices
 		n, err := readAvailable(int(fd), buf)
 		if errors.Is(err, unix.EAGAIN) {
 			return
