--- a/internal/flow/batch_test.go
+++ b/internal/flow/batch_test.go
@@ -14,7 +14,7 @@
 	"slatemux/internal/traffic"
 )
 
-// readBatch reads a call that carries several up to the end of its body, and returns that.
+// readBatch reads a batch call up to the end of its body and returns the body.
 func (r *harness) readBatch(nc net.Conn) string {
 	r.t.Helper()
 	var text []byte
@@ -41,7 +41,7 @@
 	}
 }
 
-// startBatch is a flow that three transactions share.
+// startBatch starts a flow that three transactions share.
 func (r *harness) startBatch() {
 	r.startFlow("a", func(f *traffic.Flow) {
 		f.Join(traffic.Flow{ID: "b", Attempt: 2, Member: "m", Body: []byte("\r\nx"), Deadline: f.Deadline.Add(-time.Second)})
@@ -49,27 +49,27 @@
 	})
 }
 
-// What a call that carries several is answered, and how each of them ends: message by message where the answer tells them apart,
-// all alike where it does not. What it does not tell may have run; nothing is delivered by an answer that is not whole.
+// The ends of the flows of a batch, for each kind of answer. An answer may give every transaction its own end, or all the same one. A
+// transaction that the answer does not mention may have run. An incomplete answer delivers nothing.
 func TestBatchAnswers(t *testing.T) {
 	head := func(body string, more string) string {
 		return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n%s\r\n%s", len(body), more, body)
 	}
-	const delivered, errored, away, over, spent, broken, unsent = traffic.Delivered, traffic.Errored, traffic.TurnedAway, traffic.Over,
+	const delivered, errored, turnedAway, over, spent, broken, unsent = traffic.Delivered, traffic.Errored, traffic.TurnedAway, traffic.Over,
 		traffic.Spent, traffic.Broken, traffic.Unsent
 	for what, c := range map[string]struct {
 		answer string
-		ends   [3]traffic.FlowStatus // of a, b and c
+		ends   [3]traffic.FlowStatus // ends of a, b and c
 		wait   time.Duration
 	}{
-		"each":                       {head("c refused\r\nb failed\r\na delivered\r\n", "X-Retry-In-Ms: 70\r\n"), [3]traffic.FlowStatus{delivered, errored, away}, 70 * time.Millisecond},
+		"one status each":            {head("c refused\r\nb failed\r\na delivered\r\n", "X-Retry-In-Ms: 70\r\n"), [3]traffic.FlowStatus{delivered, errored, turnedAway}, 70 * time.Millisecond},
 		"over and spent":             {head("a over\nb spent\nc delivered", ""), [3]traffic.FlowStatus{over, spent, delivered}, 0},
-		"one missing, one unasked":   {head("a delivered\r\nzz delivered\r\nc delivered\r\n", ""), [3]traffic.FlowStatus{delivered, broken, delivered}, 0},
-		"a word that is none":        {head("a delivered\r\nb perhaps\r\nc\r\n", ""), [3]traffic.FlowStatus{delivered, broken, broken}, 0},
-		"two ends of one":            {head("a delivered\r\na refused\r\nb delivered\r\nc delivered\r\n", ""), [3]traffic.FlowStatus{broken, delivered, delivered}, 0},
+		"one missing, one unknown":   {head("a delivered\r\nzz delivered\r\nc delivered\r\n", ""), [3]traffic.FlowStatus{delivered, broken, delivered}, 0},
+		"unrecognized status":        {head("a delivered\r\nb perhaps\r\nc\r\n", ""), [3]traffic.FlowStatus{delivered, broken, broken}, 0},
+		"two ends for one id":        {head("a delivered\r\na refused\r\nb delivered\r\nc delivered\r\n", ""), [3]traffic.FlowStatus{broken, delivered, delivered}, 0},
 		"an empty answer":            {head("", ""), [3]traffic.FlowStatus{broken, broken, broken}, 0},
-		"torn":                       {head("a delivered\r\nb delivered\r\nc delivered\r\n", "")[:70], [3]traffic.FlowStatus{broken, broken, broken}, 0},
-		"all turned away":            {"HTTP/1.1 429 Busy\r\nX-Retry-In-Ms: 50\r\nContent-Length: 0\r\n\r\n", [3]traffic.FlowStatus{away, away, away}, 50 * time.Millisecond},
+		"truncated":                  {head("a delivered\r\nb delivered\r\nc delivered\r\n", "")[:70], [3]traffic.FlowStatus{broken, broken, broken}, 0},
+		"all turned away":            {"HTTP/1.1 429 Busy\r\nX-Retry-In-Ms: 50\r\nContent-Length: 0\r\n\r\n", [3]traffic.FlowStatus{turnedAway, turnedAway, turnedAway}, 50 * time.Millisecond},
 		"all in error":               {"HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n", [3]traffic.FlowStatus{errored, errored, errored}, 0},
 		"too many, none has run":     {"HTTP/1.1 413 Large\r\nContent-Length: 0\r\n\r\n", [3]traffic.FlowStatus{unsent, unsent, unsent}, 0},
 		"not readable, none has run": {"HTTP/1.1 400 Bad\r\nContent-Length: 0\r\n\r\n", [3]traffic.FlowStatus{unsent, unsent, unsent}, 0},
@@ -82,7 +82,7 @@
 				t.Errorf("body %q", got)
 			}
 			_, _ = io.WriteString(nc, c.answer)
-			if what == "torn" {
+			if what == "truncated" {
 				nc.Close()
 			}
 			got := map[string]traffic.FlowEnd{}
@@ -98,32 +98,32 @@
 					t.Errorf("%s ends as %v, want %v", id, e, c.ends[i])
 				}
 			}
-			if c.ends[2] == away && first.Status != away {
-				t.Errorf("first of all is told %+v", first)
+			if c.ends[2] == turnedAway && first.Status != turnedAway {
+				t.Errorf("first reported end: %+v, want turned away", first)
 			}
-			if c.wait > 0 { // it binds the next call
+			if c.wait > 0 { // the retry-after also binds the next call
 				r.startFlow("d")
 				if e := <-r.ends; e.Status != unsent {
-					t.Errorf("into the wait: %+v", e)
+					t.Errorf("call during the retry-after: %+v", e)
 				}
 			}
 			r.manager.mu.Lock()
 			defer r.manager.mu.Unlock()
 			if r.manager.callCount != 0 || len(r.manager.flows) != 0 {
-				t.Errorf("kept: %d calls, %v", r.manager.callCount, r.manager.flows)
+				t.Errorf("state left behind: %d calls, flows %v", r.manager.callCount, r.manager.flows)
 			}
 		})
 	}
 }
 
-// A call that carries several counts as one of those that may be out, and each of them calls it off.
+// A batch counts as one call in flight. Canceling any of its flows cancels the whole batch.
 func TestBatchCountsAsOneCall(t *testing.T) {
 	r := newHarness(t)
 	r.startBatch()
 	nc := <-r.conns
 	r.readBatch(nc)
 	r.startFlow("d")
-	r.readCall(<-r.conns) // the second of two
+	r.readCall(<-r.conns) // the second of two allowed calls
 	r.startFlow("e")
 	r.expectEnd("e", traffic.NoSlot)
 	r.manager.Cancel("b", 2)
@@ -134,13 +134,13 @@
 	}
 }
 
-// Whatever an answer holds, nothing is delivered that it does not say so of in a line of its own.
+// An arbitrary answer body must not deliver a transaction, unless a line of the body says that this transaction is delivered.
 func TestBatchGarbageDeliversNothing(t *testing.T) {
 	proptest.Check(t, func(t *rapid.T) {
 		text := proptest.Garbage(t, []byte("aa delivered\r\nbb refused\r\ncc failed\r\n"))
 		for id, end := range decodeBatchAnswer(text) {
 			if end == traffic.Delivered && !strings.Contains("\n"+string(text)+"\n", "\n"+id+" delivered") {
-				t.Fatalf("%q is delivered by %q", id, text)
+				t.Fatalf("id %q delivered by body %q", id, text)
 			}
 		}
 	})
--- a/internal/flow/bench_test.go
+++ b/internal/flow/bench_test.go
@@ -12,7 +12,7 @@
 	"slatemux/internal/traffic"
 )
 
-// BenchmarkCall is one call after another on a warm plain connection over loopback.
+// BenchmarkCall measures sequential calls on a reused plain connection over loopback.
 func BenchmarkCall(b *testing.B) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/flow/conn_test.go
+++ b/internal/flow/conn_test.go
@@ -14,8 +14,8 @@
 	"slatemux/internal/traffic"
 )
 
-// fleetHook does something between the moment in which a flow has its connection and its first byte: flows ask there whether others
-// hold the member back.
+// fleetHook runs actions between the moment when a flow has its connection and the moment when its first byte is written: at that point
+// the flow asks whether other relays hold the member back. Actions are keyed by the number of the Held call.
 type fleetHook struct {
 	heldCalls int
 	actions   map[int]func()
@@ -29,8 +29,8 @@
 	return false
 }
 
-// deliverFirst delivers a first call, and returns its connection, that rests now. A flow asks twice: before it gets its connection and before
-// its first byte, so that the next asks there the fourth time.
+// deliverFirst delivers a first call and returns its connection, which is idle afterwards. A flow calls Held twice: before it gets its
+// connection and before its first byte. The fourth Held call is therefore the second one of the next flow.
 func (r *harness) deliverFirst() net.Conn {
 	r.t.Helper()
 	r.startFlow("first")
@@ -43,7 +43,7 @@
 	return nc
 }
 
-// openConns are the connections that there are.
+// openConns returns the open connections.
 func (r *harness) openConns() (list []*conn) {
 	r.manager.mu.Lock()
 	defer r.manager.mu.Unlock()
@@ -53,8 +53,8 @@
 	return list
 }
 
-// What a member writes on a resting connection, or that it closes it, in the moment between the taking of the connection and the first
-// byte of a call, is no answer to that call: it goes out on another connection, and it has not run before.
+// A member writes to an idle connection, or closes it, between the moment when a flow takes the connection and the first byte of the call.
+// The bytes must not be taken for the answer, and the call must go out on another connection, since it has not run.
 func TestPeerActsBeforeFirstByte(t *testing.T) {
 	for name, act := range map[string]func(nc net.Conn){
 		"half a line":    func(nc net.Conn) { _, _ = io.WriteString(nc, "HTTP/1.1 2") },
@@ -82,23 +82,23 @@
 	}
 }
 
-// A member that talks first on every connection is not called, and not dialled without end.
+// A member that writes first on every connection gets no call, and the relay stops dialing it after a few connections.
 func TestMemberThatWritesFirst(t *testing.T) {
 	r := newHarness(t)
 	b := &fleetHook{actions: map[int]func(){}}
-	for n := range 20 { // each time that a flow has a connection
+	for n := range 20 { // each time that a flow gets a connection
 		b.actions[2+n] = func() { _, _ = io.WriteString(<-r.conns, "220 hello\r\n") }
 	}
 	r.manager.cfg.Fleet = b
 	r.startFlow("a")
 	r.expectEnd("a", traffic.NotConnected)
 	if b.heldCalls > 2+maxReplacedConns {
-		t.Errorf("it was dialled %d times", b.heldCalls-1)
+		t.Errorf("the member was dialed %d times", b.heldCalls-1)
 	}
 }
 
-// An answer that breaks off behind any of its bytes: a 200 counts from the end of its first line, and any other answer when it is whole;
-// else the call may have run. Behind its last byte the close is that of an idle connection.
+// An answer is truncated after each of its bytes. A 200 counts from the end of its status line, any other answer only when complete;
+// otherwise the call may have run. A close after the last byte is the close of an idle connection.
 func TestTruncatedAnswer(t *testing.T) {
 	for text, whole := range map[string]traffic.FlowStatus{
 		"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok":                             traffic.Delivered,
@@ -123,7 +123,8 @@
 	}
 }
 
-// A repeat whose member does not read ends in time: its last byte must not be written once repeats are dropped no longer.
+// A retry to a member that does not read must end by its WriteBy time. If its last byte arrived later, the member could no longer
+// recognize the duplicate.
 func TestRetryIsWrittenInTime(t *testing.T) {
 	r := newHarness(t)
 	nc := r.deliverFirst()
@@ -136,9 +137,9 @@
 	r.startFlow("b", func(f *traffic.Flow) { f.WriteBy, f.Body = by, body })
 	r.expectEnd("b", traffic.NotConnected)
 	if late := time.Since(by); late > 0 {
-		t.Errorf("the call went on until %v behind its time", late)
+		t.Errorf("the call ended %v after its WriteBy time", late)
 	}
-	r.startFlow("c") // not a repeat: no bound is left behind
+	r.startFlow("c") // not a retry: the write deadline of b must not apply any more
 	next := <-r.conns
 	r.readCall(next)
 	if _, err := io.WriteString(next, okAnswer); err != nil {
@@ -147,7 +148,7 @@
 	r.expectEnd("c", traffic.Delivered)
 }
 
-// Calls are small, and must not wait in the system for those before them to be acknowledged.
+// Calls are small. With Nagle's algorithm they would wait in the kernel until the earlier calls are acknowledged.
 func TestTCPNoDelay(t *testing.T) {
 	r := newHarness(t)
 	r.deliverFirst()
--- a/internal/flow/connections_test.go
+++ b/internal/flow/connections_test.go
@@ -20,12 +20,12 @@
 	return list[0]
 }
 
-// waitUntil waits for what other goroutines bring about.
-func waitUntil(t *testing.T, what string, ok func() bool) {
+// waitUntil waits for a condition that other goroutines bring about.
+func waitUntil(t *testing.T, failure string, condition func() bool) {
 	t.Helper()
-	for deadline := time.Now().Add(20 * time.Second); !ok(); time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(20 * time.Second); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatal(what)
+			t.Fatal(failure)
 		}
 	}
 }
@@ -39,8 +39,8 @@
 	r.expectEnd(id, traffic.Delivered)
 }
 
-// Where no more connections may be opened a flow waits for one: what is worth most gets the first that comes to rest, and
-// what has waited too long ends unsent, which is not the member's failure.
+// While no more connections may be opened, flows wait. The flow with the highest worth gets the first connection that becomes idle. A flow
+// that waits too long ends unsent, which does not count as a failure of the member.
 func TestWaitForConnection(t *testing.T) {
 	r := newHarness(t)
 	r.manager.Limit(10, 1)
@@ -49,7 +49,7 @@
 	nc := <-r.conns
 	r.startFlow("low", func(f *traffic.Flow) { f.Worth = 1 })
 	r.startFlow("high", func(f *traffic.Flow) { f.Worth = 2 })
-	waitUntil(t, "two flows wait", func() bool {
+	waitUntil(t, "want two flows that wait for a connection", func() bool {
 		r.manager.mu.Lock()
 		defer r.manager.mu.Unlock()
 		return len(r.manager.waiters["m"]) == 2
@@ -68,14 +68,14 @@
 	r.startFlow("d", func(f *traffic.Flow) { f.Deadline = time.Now().Add(time.Millisecond) })
 	r.expectEnd("d", traffic.Unsent)
 	if len(r.manager.waiters) != 0 {
-		t.Errorf("%v still wait", r.manager.waiters)
+		t.Errorf("waiters left: %v", r.manager.waiters)
 	}
-	r.manager.Limit(10, 2) // more may be opened: the next one does not wait
+	r.manager.Limit(10, 2) // another connection may be opened, so the next flow does not wait
 	r.startFlow("e")
 	r.readCall(<-r.conns)
 }
 
-// newPreconnectHarness is a rig whose Manager opens connections ahead.
+// newPreconnectHarness returns a harness whose Manager opens connections ahead of calls.
 func newPreconnectHarness(t *testing.T) *harness {
 	r := newHarness(t)
 	cfg := connsConfig(10)
@@ -85,19 +85,19 @@
 	return r
 }
 
-// Calls that are known to come find their connections open; what nobody needs any more is called off.
+// Expected calls find their connections already open. Openings that no call needs any more are canceled.
 func TestPreconnect(t *testing.T) {
 	r := newPreconnectHarness(t)
 	r.manager.Expect(0, 3)
 	r.manager.sweep()
-	conns := []net.Conn{<-r.conns} // one alone, until it is known that the member takes any
-	waitUntil(t, "one rests", func() bool { return r.memberState(t).Idle == 1 })
+	conns := []net.Conn{<-r.conns} // only one connection until the member has accepted it
+	waitUntil(t, "want one idle connection", func() bool { return r.memberState(t).Idle == 1 })
 	if n := r.manager.Counters(); n.Opened != 1 {
-		t.Errorf("%d opened at once to a member that is new", n.Opened)
+		t.Errorf("%d connections opened at once to a new member", n.Opened)
 	}
 	r.manager.sweep()
 	conns = append(conns, <-r.conns, <-r.conns)
-	waitUntil(t, "three rest", func() bool { return r.memberState(t).Idle == 3 })
+	waitUntil(t, "want three idle connections", func() bool { return r.memberState(t).Idle == 3 })
 	for _, id := range []string{"a", "b", "c"} {
 		r.startFlow(id)
 	}
@@ -115,13 +115,13 @@
 	}
 }
 
-// The member leaves while a connection to it is being opened ahead: it is closed as soon as it is looked at.
+// The member leaves while a connection to it is being opened ahead of calls. The connection is closed at the next sweep.
 func TestMemberLeavesWhilePreconnecting(t *testing.T) {
 	r := newPreconnectHarness(t)
 	r.manager.Expect(0, 1)
 	r.manager.sweep()
 	r.setHealth(traffic.Leaving)
-	waitUntil(t, "the opening ends", func() bool {
+	waitUntil(t, "the opening has not ended", func() bool {
 		r.manager.sweep()
 		r.manager.mu.Lock()
 		defer r.manager.mu.Unlock()
@@ -129,8 +129,8 @@
 	})
 }
 
-// A middlebox has dropped the flow: what is written is not acknowledged, and the connection is given up long before the
-// deadline. It counts as a dead one, and the next call goes on a new one.
+// A middlebox drops the state of a connection, so the bytes written are not acknowledged. The connection is closed long before the
+// deadline and counted as stale, and the next call uses a new connection.
 func TestUnacknowledgedConnectionGivenUp(t *testing.T) {
 	srv, err := scripted.Start(scripted.Script{End: scripted.Vanish, Idle: 30 * time.Millisecond})
 	if err != nil {
@@ -148,7 +148,7 @@
 	if e := <-ends; e.Status != traffic.Delivered {
 		t.Fatalf("%+v", e)
 	}
-	time.Sleep(200 * time.Millisecond) // longer than the server lets it idle
+	time.Sleep(200 * time.Millisecond) // longer than the server keeps an idle connection
 	start("b")
 	for e, ended := (traffic.FlowEnd{}), false; !ended; {
 		g.sweep()
@@ -170,7 +170,7 @@
 	}
 }
 
-// A server that is slow has acknowledged what it got: it is not given up.
+// A slow server acknowledges the bytes that it received. Its connection must not be closed as stuck.
 func TestSlowIsNotStuck(t *testing.T) {
 	r := newHarness(t)
 	r.manager.cfg.StuckAfter = time.Nanosecond
--- a/internal/flow/dial_test.go
+++ b/internal/flow/dial_test.go
@@ -18,8 +18,8 @@
 	return nil, errors.New("no such host")
 }
 
-// An endpoint with several addresses is reached where one of them answers: a dead one costs no more than the delay to the
-// next, and is not tried first again.
+// An endpoint with several addresses is reachable if one of them answers. A dead address costs only the delay before the next attempt, and
+// is not tried first again.
 func TestMultipleAddresses(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -49,11 +49,12 @@
 		}
 	}
 	if _, err := newDialer(nil).dial(t.Context(), "pay.example.org:1,also.example.org:1", time.Now().Add(time.Minute)); err == nil {
-		t.Error("a name was looked up without a resolver")
+		t.Error("a name was resolved without a resolver")
 	}
 }
 
-// What hangs holds the race up for its delay alone; what answers later is closed, and the end of ctx ends all.
+// An attempt that hangs delays the next one only by the usual delay. A connection that completes late is closed, and the end of ctx ends
+// all attempts.
 func TestConnectionRace(t *testing.T) {
 	d := newDialer(nil)
 	list := []netip.AddrPort{netip.MustParseAddrPort("[2001:db8::1]:1"), netip.MustParseAddrPort("192.0.2.1:1")}
@@ -74,7 +75,7 @@
 	}
 	close(hangs)
 	if err := <-closed; err == nil {
-		t.Error("the one that came late is open")
+		t.Error("the late connection is still open")
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
--- a/internal/flow/flow_test.go
+++ b/internal/flow/flow_test.go
@@ -15,7 +15,7 @@
 	"slatemux/internal/traffic"
 )
 
-// harness is a Manager with one member, a listener that hands its connections to the test.
+// harness is a Manager with one member, whose listener passes accepted connections to the test.
 type harness struct {
 	t        *testing.T
 	manager  *Manager
@@ -46,10 +46,10 @@
 	return r
 }
 
-// connsConfig holds so many connections, as a relay does.
-func connsConfig(most int) conns.Config {
+// connsConfig returns a configuration with at most this many connections.
+func connsConfig(maxConns int) conns.Config {
 	c := conns.Defaults()
-	c.Most, c.IdleMost = most, time.Minute
+	c.Most, c.IdleMost = maxConns, time.Minute
 	return c
 }
 
@@ -73,7 +73,7 @@
 	r.manager.Start(f)
 }
 
-// readCall reads a call up to its body.
+// readCall reads a call up to the end of its body.
 func (r *harness) readCall(nc net.Conn) string {
 	var text []byte
 	buf := make([]byte, 1)
@@ -97,7 +97,7 @@
 
 const okAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\nX-Backend-Load: x0=0.4,x1=25\r\n\r\n"
 
-// Every row of the protocol's table that an answer or a broken connection makes.
+// The end of a flow for each kind of answer in the protocol, and for a broken connection.
 func TestFlowEndByAnswer(t *testing.T) {
 	for _, c := range []struct {
 		answer string
@@ -105,7 +105,7 @@
 		wait   time.Duration
 	}{
 		{okAnswer, traffic.Delivered, 0},
-		{"HTTP/1.1 200 OK\r\n", traffic.Delivered, 0}, // the first line delivers, whatever becomes of the rest
+		{"HTTP/1.1 200 OK\r\n", traffic.Delivered, 0}, // the status line suffices, whatever happens to the rest
 		{"HTTP/1.1 20", traffic.Broken, 0},
 		{"HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n", traffic.Errored, 0},
 		{"HTTP/1.1 429 Wait\r\nX-Retry-In-Ms: 250\r\nContent-Length: 0\r\n\r\n", traffic.TurnedAway, 250 * time.Millisecond},
@@ -113,7 +113,7 @@
 		{"HTTP/1.1 503 Full\r\nX-No-Slot: 1\r\nContent-Length: 0\r\n\r\n", traffic.NoSlot, 0},
 		{"HTTP/1.1 504 Spent\r\nContent-Length: 0\r\n\r\n", traffic.Spent, 0},
 		{"HTTP/1.1 410 Over\r\nContent-Length: 0\r\n\r\n", traffic.Over, 0},
-		{"HTTP/1.1 503 Full\r\nContent-Length: 9\r\n\r\nshort", traffic.Broken, 0}, // spoilt: it may have run
+		{"HTTP/1.1 503 Full\r\nContent-Length: 9\r\n\r\nshort", traffic.Broken, 0}, // truncated: the call may have run
 		{"HTTP/1.1 429 Wait\r\nX-Retry-In-Ms: 9\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", traffic.Broken, 0},
 		{"", traffic.Broken, 0},
 		{"what is this\r\n", traffic.Broken, 0},
@@ -132,8 +132,8 @@
 	}
 }
 
-// An answer that never ends is cut off soon after its first byte, long before the deadline, and its connection is
-// not used again; an interim answer starts no clock for the one behind it.
+// An answer that never ends is cut off soon after its first byte, long before the deadline, and its connection is not reused. After an
+// interim answer the timeout does not run until the next answer begins.
 func TestEndlessAnswerTimesOut(t *testing.T) {
 	for text, status := range map[string]traffic.FlowStatus{
 		"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nx": traffic.Delivered,
@@ -153,7 +153,7 @@
 			_, _ = nc.Write([]byte("HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n"))
 		}
 		if end := r.expectEnd("a", status); end.Took > 30*time.Second {
-			t.Errorf("%q held its flow for %v", text, end.Took)
+			t.Errorf("answer %q: flow took %v", text, end.Took)
 		}
 		if status != traffic.Errored {
 			r.startFlow("b")
@@ -162,8 +162,8 @@
 	}
 }
 
-// What comes behind an answer, in a packet of its own, is not taken for the answer to the next call: a
-// connection rests a moment before it is used again, and is closed if anything comes.
+// Bytes that follow an answer in a packet of their own must not be taken for the answer to the next call. A connection settles for a
+// moment before its next call, and is closed if any bytes arrive.
 func TestUnsolicitedBytesAfterAnswer(t *testing.T) {
 	r := newHarness(t)
 	r.manager.cfg.Settle = time.Hour
@@ -180,13 +180,13 @@
 	r.expectEnd("b", traffic.Errored)
 }
 
-// An unreadable load report is void as a whole.
+// A malformed load report is ignored as a whole.
 func TestMalformedLoadReport(t *testing.T) {
 	for text, want := range map[string]bool{"x0=0.4,x1=25": true, " x1=25, x0=1,y=z": true, "x0=0.4": false, "": false,
 		"x0=0.4,x0=0.5": false, "x0=0.4,x1=25,x1=1": false, "x0=-1,x1=25": false, "x0=nan,x1=2": false,
 		"x0=0.4,x1=1e300": false, "x0=,x1=2": false, "\xff\x00": false} {
 		if got := parseReport(text); (got != nil) != want {
-			t.Errorf("%q gave %+v", text, got)
+			t.Errorf("report %q parsed as %+v", text, got)
 		}
 	}
 }
@@ -199,7 +199,7 @@
 	for _, part := range []string{"POST /hook HTTP/1.1\r\n", "X-Correlation-Id: a\r\n", "Idempotency-Key: k\r\n",
 		"Content-Length: 4\r\n", "X-Time-Left-Ms: "} {
 		if !strings.Contains(got, part) {
-			t.Errorf("%q lacks %q", got, part)
+			t.Errorf("call %q lacks %q", got, part)
 		}
 	}
 	if _, err := io.WriteString(nc, okAnswer); err != nil {
@@ -210,8 +210,8 @@
 	}
 }
 
-// A warm connection carries the next call; one that the peer has closed is not written to, for that call
-// would end as a reset that may have run.
+// An idle connection carries the next call. A connection that the peer has closed must not be written to: that call would end with a
+// reset, and may have run.
 func TestReuseAndPeerClose(t *testing.T) {
 	r := newHarness(t)
 	r.startFlow("a")
@@ -227,7 +227,7 @@
 		}
 	}
 	nc.Close()
-	for r.idleConns() > 0 { // until the reader has seen the close
+	for r.idleConns() > 0 { // until the reader has noticed the close
 		time.Sleep(time.Millisecond)
 	}
 	r.startFlow("c")
@@ -244,7 +244,7 @@
 	return 0
 }
 
-// A call given up closes its connection: by then it may have run.
+// Canceling a call closes its connection, because the call may already have run.
 func TestCancelClosesConnection(t *testing.T) {
 	r := newHarness(t)
 	r.startFlow("a")
@@ -253,14 +253,14 @@
 	r.manager.Cancel("a", 0)
 	r.expectEnd("a", traffic.CalledOff)
 	if _, err := nc.Read(make([]byte, 1)); err != io.EOF {
-		t.Errorf("the connection is open: %v", err)
+		t.Errorf("the connection is still open: %v", err)
 	}
 	r.startFlow("b", func(f *traffic.Flow) { f.Deadline = time.Now().Add(time.Second) })
 	r.expectEnd("b", traffic.OutOfTime)
 }
 
-// Nothing is written to a member that is leaving, into a told wait, or too late to be a harmless repeat: a
-// flow whose connection comes up only then ends unsent.
+// No call is written to a leaving member, during a retry-after wait, or so late that a duplicate would not be recognized. A flow that gets
+// its connection only then ends unsent.
 func TestFlowEndsUnsent(t *testing.T) {
 	r := newHarness(t)
 	r.startFlow("a", func(f *traffic.Flow) { f.WriteBy = time.Now().Add(writeMargin / 2) })
@@ -274,13 +274,13 @@
 	r.setHealth(traffic.Leaving)
 	r.startFlow("d")
 	r.expectEnd("d", traffic.Unsent)
-	if _, err := io.WriteString(nc, okAnswer); err != nil { // what is out may end
+	if _, err := io.WriteString(nc, okAnswer); err != nil { // a call in flight may complete
 		t.Fatal(err)
 	}
 	r.expectEnd("c", traffic.Delivered)
 }
 
-// holdElsewhere holds groups back, as the other process of a hand-over and other relays do.
+// holdElsewhere holds groups back in place of the other process of a handover and of other relays.
 type holdElsewhere struct {
 	until time.Time
 	held  bool
@@ -294,13 +294,13 @@
 	e.ended = append(e.ended, end.Status)
 }
 
-// What others hold back takes no connection with it: as many flows as the member has connections end unsent or turned away, and
-// the next is written all the same.
+// A flow that others hold back must return its connection. As many such flows as the member may have connections, and more, end unsent or
+// refused; the next call is still written.
 func TestHoldElsewhereKeepsConnections(t *testing.T) {
 	r := newHarness(t)
 	others := &holdElsewhere{held: true}
 	r.manager.cfg.Shared, r.manager.cfg.Fleet = others, others
-	for range 3 { // the member may have two connections
+	for range 3 { // one more than the member may have connections
 		r.startFlow("held")
 		r.expectEnd("held", traffic.Unsent)
 	}
@@ -318,7 +318,7 @@
 	}
 	r.expectEnd("a", traffic.Delivered)
 	if len(others.ended) != 7 {
-		t.Errorf("the fleet heard of %d ends, not 7", len(others.ended))
+		t.Errorf("the fleet received %d ends, want 7", len(others.ended))
 	}
 }
 
@@ -348,7 +348,7 @@
 	})
 }
 
-// A warm connection can end between being taken and being written to: the call goes out on a new one.
+// A reused connection can end between the moment when it is taken and the write. The call then goes out on a new connection.
 func TestReusedConnectionJustEnded(t *testing.T) {
 	r := newHarness(t)
 	near, far := net.Pipe()
@@ -365,8 +365,7 @@
 	r.expectEnd("a", traffic.Delivered)
 }
 
-// What the relay itself lets a flow wait, before its goroutine runs and before an answer is looked at, is not told
-// of the pool member.
+// Delay inside the relay, before the goroutine of a flow runs and before an answer is handled, does not count as time of the pool member.
 func TestOwnDelayNotCounted(t *testing.T) {
 	r := newHarness(t)
 	r.manager.cfg.OwnDelay = func() time.Duration { return 40 * time.Second }
@@ -392,7 +391,7 @@
 	}
 }
 
-// While memory is short no connection is kept warm, and those that are go.
+// While memory is short, idle connections are closed and no connection is kept idle.
 func TestFreeIdle(t *testing.T) {
 	r := newHarness(t)
 	deliver := func(id string, nc net.Conn) {
@@ -407,21 +406,21 @@
 	r.startFlow("a")
 	deliver("a", <-r.conns)
 	if idle() != 1 {
-		t.Fatalf("%d warm", idle())
+		t.Fatalf("%d idle connections, want 1", idle())
 	}
 	r.manager.FreeIdle(true)
 	if idle() != 0 {
-		t.Errorf("%d warm though memory is short", idle())
+		t.Errorf("%d idle connections while memory is short", idle())
 	}
 	r.startFlow("b")
 	deliver("b", <-r.conns)
 	if idle() != 0 {
-		t.Errorf("%d kept warm though memory is short", idle())
+		t.Errorf("%d connections kept idle while memory is short", idle())
 	}
 	r.manager.FreeIdle(false)
 	r.startFlow("c")
 	deliver("c", <-r.conns)
 	if idle() != 1 {
-		t.Errorf("%d warm afterwards", idle())
+		t.Errorf("%d idle connections afterwards, want 1", idle())
 	}
 }
--- a/internal/flow/http1/http1_test.go
+++ b/internal/flow/http1/http1_test.go
@@ -10,7 +10,7 @@
 	"slatemux/internal/proptest"
 )
 
-// responses are whole answers with what each says.
+// responses are complete responses with their expected parse results.
 var responses = []struct {
 	text   string
 	status int
@@ -51,12 +51,12 @@
 			}
 		}
 		if err := r.End(); err == nil && !r.Done() || len(r.Body) > 100+len(text) {
-			t.Fatalf("neither an error nor an answer: %+v", r)
+			t.Fatalf("neither an error nor a complete response: %+v", r)
 		}
 	})
 }
 
-// A member that never ends its head must not fill the memory.
+// A response head without an end must not exhaust memory.
 func TestHeadIsBounded(t *testing.T) {
 	var r Response
 	line := []byte("HTTP/1.1 200 OK\r\n")
@@ -66,10 +66,10 @@
 		}
 		line = []byte("A: " + strings.Repeat("b", 100) + "\r\n")
 	}
-	t.Fatal("a head without end was taken in")
+	t.Fatal("an endless head was accepted")
 }
 
-// Two answers in one read: the first takes its own bytes alone.
+// With two responses in one read, the first must consume only its own bytes.
 func TestFeedStopsAtEnd(t *testing.T) {
 	var r Response
 	text := []byte(responses[0].text)
--- a/internal/flow/tls_test.go
+++ b/internal/flow/tls_test.go
@@ -20,7 +20,7 @@
 	"slatemux/internal/traffic"
 )
 
-// tlsHarness is a Manager whose one member speaks TLS, and answers calls after a while.
+// tlsHarness is a Manager with one member that requires TLS and answers each call after a fixed delay.
 type tlsHarness struct {
 	manager    *Manager
 	secure     *secure.Manager
@@ -107,7 +107,8 @@
 
 var gateConfig = tlspolicy.GateConfig{Share: 1, Least: 1000, PerEndpoint: 2, Cost: time.Millisecond, Burst: time.Second}
 
-// Calls go over TLS on warm connections; changed roots end these once idle, and the next call makes a new one.
+// Calls use TLS and reuse their connection. After a change of the trusted roots, an idle connection is closed and the next call opens a
+// new one.
 func TestCallsOverTLS(t *testing.T) {
 	s := newTLSHarness(t, Config{MostFlows: 10, Conns: connsConfig(10), Gate: gateConfig}, 0)
 	for i := range 3 {
@@ -115,7 +116,7 @@
 		s.expectEnd(t, traffic.Delivered)
 	}
 	if n := s.handshakes.Load(); n != 1 {
-		t.Errorf("%d handshakes for three calls one after another", n)
+		t.Errorf("%d handshakes for three sequential calls", n)
 	}
 	other, err := ca.Root("other", ca.P256)
 	if err != nil {
@@ -141,7 +142,7 @@
 	}
 }
 
-// A thousand changes of certificates under load: every call ends well.
+// Every call is delivered while the trusted roots change a thousand times under load.
 func TestCertificateChangesUnderLoad(t *testing.T) {
 	s := newTLSHarness(t, Config{MostFlows: 100, Conns: connsConfig(100), Gate: tlspolicy.GateConfig{Share: 1, Least: 1e5, PerEndpoint: 100, Cost: time.Millisecond,
 		Burst: time.Second}}, 0)
@@ -182,8 +183,8 @@
 	}
 }
 
-// All connections are lost at once with much to send: a few handshakes carry the queue, and all is delivered, what is
-// worth most first.
+// Many calls must be sent while there are no connections. A few handshakes suffice for the whole queue, and all calls are delivered, those
+// with the highest worth first.
 func TestHandshakeBurst(t *testing.T) {
 	s := newTLSHarness(t, Config{MostFlows: 600, Conns: connsConfig(600), Gate: gateConfig}, 0)
 	for i := range 500 {
@@ -199,21 +200,21 @@
 		}
 	}
 	if lateCount > 5 {
-		t.Errorf("%d of 20 that are worth more came after 200 others", lateCount)
+		t.Errorf("%d of 20 calls with higher worth were delivered after 200 others", lateCount)
 	}
 	if n := s.handshakes.Load(); n > 100 {
 		t.Errorf("%d handshakes for 520 calls", n)
 	}
 	if c, waiting := s.manager.Handshakes(); waiting != 0 || c.Carried == 0 || c.Begun != s.handshakes.Load() {
-		t.Errorf("%+v, %d wait", c, waiting)
+		t.Errorf("%+v, %d flows wait", c, waiting)
 	}
 }
 
-// A flow whose handshake is not admitted in time was never sent, and is not the member's failure; one given up while it
-// waits ends as such.
+// A flow whose handshake is not admitted in time ends unsent, which does not count as a failure of the member. A flow that is canceled
+// while it waits also ends unsent.
 func TestHandshakeNotAdmitted(t *testing.T) {
 	s := newTLSHarness(t, Config{MostFlows: 10, Conns: connsConfig(10), Gate: tlspolicy.GateConfig{Share: 1e-9, Least: 1e-9, PerEndpoint: 1, Cost: time.Second, Burst: time.Second}}, 0)
-	s.startFlow("first", 1) // takes what there is at the start
+	s.startFlow("first", 1) // uses the initial handshake budget
 	s.expectEnd(t, traffic.Delivered)
 	(<-s.conns).Close()
 	s.manager.FreeIdle(true)
@@ -227,7 +228,7 @@
 	s.manager.Cancel("off", 0)
 	s.expectEnd(t, traffic.Unsent)
 	if _, n := s.manager.Handshakes(); n != 0 {
-		t.Errorf("%d still wait", n)
+		t.Errorf("%d flows still wait", n)
 	}
 }
 
@@ -241,7 +242,7 @@
 	return nil, 0, errors.New("no")
 }
 
-// A handshake that fails is no connection, and what it held is given back.
+// A failed handshake ends the flow as not connected, and releases its connection and its flow entry.
 func TestFailedHandshake(t *testing.T) {
 	r := newHarness(t)
 	r.manager.cfg.Secure, r.manager.handshakes = failingSecure{}, newHandshakeQueue(gateConfig, nil)
@@ -252,6 +253,6 @@
 	r.manager.mu.Lock()
 	defer r.manager.mu.Unlock()
 	if n := r.manager.conns.Len(); n != 0 || len(r.manager.flows) != 0 || len(r.manager.connsByID) != 0 {
-		t.Errorf("%d connections, %d flows are left", n, len(r.manager.flows))
+		t.Errorf("left behind: %d connections, %d flows", n, len(r.manager.flows))
 	}
 }
--- a/internal/flow/unread_answers_test.go
+++ b/internal/flow/unread_answers_test.go
@@ -12,7 +12,7 @@
 
 const waitAnswer = "HTTP/1.1 429 Wait\r\nX-Retry-In-Ms: 900\r\nContent-Length: 0\r\n\r\n"
 
-// awaitArrival waits until bytes that nobody has read lie at a connection.
+// awaitArrival waits until unread bytes have arrived on the connection.
 func awaitArrival(t *testing.T, c *conn) {
 	t.Helper()
 	for deadline := time.Now().Add(10 * time.Second); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
@@ -27,8 +27,8 @@
 	t.Fatal("no answer has arrived")
 }
 
-// A process that had no processor for a while wakes with a wait unread and another call ready to be written: the wait is read first.
-// The lock of the first call's connection stands for the reader that has not run yet.
+// A CPU-starved process resumes with an unread retry-after and another call that is ready to be written. The retry-after must be read
+// first. The test holds the lock of the first connection, in place of a reader that has not run yet.
 func TestUnreadRetryAfterHoldsCalls(t *testing.T) {
 	r := newHarness(t)
 	r.startFlow("a")
@@ -49,7 +49,7 @@
 			_, _ = io.WriteString(second, okAnswer)
 		}
 	}()
-	time.Sleep(50 * time.Millisecond) // long enough for the call to be written, if nothing holds it
+	time.Sleep(50 * time.Millisecond) // long enough for the call to be written if nothing holds it back
 	c.mu.Unlock()
 	ends := map[string]traffic.FlowEnd{}
 	for range 2 {
@@ -60,15 +60,15 @@
 		t.Errorf("%+v", end)
 	}
 	if end := ends["b"]; end.Status != traffic.Unsent {
-		t.Errorf("a call was written into a wait that had come: %+v", end)
+		t.Errorf("a call was written although a retry-after had arrived: %+v", end)
 	}
 	second.Close()
 	if <-written {
-		t.Error("its member has read it")
+		t.Error("the member has received the call")
 	}
 }
 
-// Answers that were looked at of late are not looked at again for each call, and nothing is kept of calls that have ended.
+// Answers that were checked a moment ago are not checked again for each call, and no state is kept for calls that have ended.
 func TestOutstandingCallsEnd(t *testing.T) {
 	r := newHarness(t)
 	r.startFlow("a")
@@ -80,7 +80,7 @@
 		t.Errorf("%d calls to check", n)
 	}
 	if r.manager.hasUnreadAnswer(group, now) {
-		t.Error("an answer before it came")
+		t.Error("an unread answer before one was sent")
 	}
 	if n := len(r.manager.callsToCheck(group, now.Add(unreadCheckInterval/2))); n != 0 {
 		t.Errorf("%d calls to check right after a check", n)
@@ -92,11 +92,11 @@
 	r.manager.mu.Lock()
 	defer r.manager.mu.Unlock()
 	if n := len(r.manager.outstanding); n != 0 {
-		t.Errorf("%d groups are kept", n)
+		t.Errorf("%d groups still have outstanding calls", n)
 	}
 }
 
-// An answer that goes on and on holds no other call back.
+// An answer that never ends must not delay other calls.
 func TestPartialAnswerDelaysNoCall(t *testing.T) {
 	r := newHarness(t)
 	r.startFlow("a")
