--- a/internal/flow/conn_test.go
+++ b/internal/flow/conn_test.go
@@ -133,10 +133,10 @@
 		_ = c.nc.(*net.TCPConn).SetWriteBuffer(4 << 10)
 	}
 	body := bytes.Repeat([]byte("x"), 16<<20)
-	by := time.Now().Add(500 * time.Millisecond)
-	r.startFlow("b", func(f *traffic.Flow) { f.WriteBy, f.Body = by, body })
+	writeBy := time.Now().Add(500 * time.Millisecond)
+	r.startFlow("b", func(f *traffic.Flow) { f.WriteBy, f.Body = writeBy, body })
 	r.expectEnd("b", traffic.NotConnected)
-	if late := time.Since(by); late > 0 {
+	if late := time.Since(writeBy); late > 0 {
 		t.Errorf("the call ended %v after its WriteBy time", late)
 	}
 	r.startFlow("c") // not a retry: the write deadline of b must not apply any more
--- a/internal/flow/connections.go
+++ b/internal/flow/connections.go
@@ -77,8 +77,7 @@
 	g.serveWaiters()
 }
 
-// closeEvicted closes the connections that the pool evicts. The caller of this and the following methods holds g.mu, unless their comments
-// say otherwise.
+// closeEvicted closes the connections that the pool evicts. The caller of this method and of those below, up to becameIdle, holds g.mu.
 func (g *Manager) closeEvicted(evicted []conns.Give) {
 	for _, eviction := range evicted {
 		if c := g.connsByID[eviction.ID]; c != nil {
@@ -176,7 +175,8 @@
 	g.conns.Unused(g.now(), c.id)
 }
 
-// acquire returns a connection that is ready for the call of the flow. This and the following methods take g.mu themselves.
+// acquire returns a connection that is ready for the call of the flow. It takes g.mu itself, as the methods below do unless their comments
+// say otherwise.
 func (g *Manager) acquire(ctx context.Context, r *activeFlow, l lease) (c *conn, err error) {
 	for {
 		switch {
@@ -237,17 +237,17 @@
 // another flow has released.
 func (g *Manager) connect(ctx context.Context, r *activeFlow, id conns.ID) (*conn, error) {
 	g.mu.Lock()
-	to := *r.target
+	target := *r.target
 	g.mu.Unlock()
-	if g.cfg.Secure == nil || !g.cfg.Secure.Wants(&to.Member) {
-		nc, err := g.dialer.dial(ctx, to.Dial, r.Begun.Add(g.cfg.ConnectWithin))
+	if g.cfg.Secure == nil || !g.cfg.Secure.Wants(&target.Member) {
+		nc, err := g.dialer.dial(ctx, target.Dial, r.Begun.Add(g.cfg.ConnectWithin))
 		if err != nil {
 			return nil, g.openingFailed(ctx, id, err)
 		}
-		return g.addConn(id, &to, nc, nil, true), nil
+		return g.addConn(id, &target, nc, nil, true), nil
 	}
 	waitStart := time.Now()
-	granted := g.handshakes.wait(ctx, to.Host, r.Worth, r.Deadline)
+	granted := g.handshakes.wait(ctx, target.Host, r.Worth, r.Deadline)
 	r.localWait += time.Since(waitStart)
 	if granted.c != nil || !granted.admitted {
 		g.mu.Lock()
@@ -259,25 +259,25 @@
 		}
 		return nil, errConnWait
 	}
-	return g.connectTLS(ctx, id, &to, true)
+	return g.connectTLS(ctx, id, &target, true)
 }
 
 // connectTLS opens a TLS connection. The handshake queue must have admitted the handshake.
-func (g *Manager) connectTLS(ctx context.Context, id conns.ID, to *member, forCall bool) (*conn, error) {
+func (g *Manager) connectTLS(ctx context.Context, id conns.ID, target *member, forCall bool) (*conn, error) {
 	var took time.Duration
-	defer func() { g.handshakes.handshakeDone(to.Host, took) }()
+	defer func() { g.handshakes.handshakeDone(target.Host, took) }()
 	deadline := time.Now().Add(g.cfg.ConnectWithin)
-	raw, err := g.dialer.dial(ctx, to.Dial, deadline)
+	raw, err := g.dialer.dial(ctx, target.Dial, deadline)
 	if err != nil {
 		return nil, g.openingFailed(ctx, id, err)
 	}
 	handshakeCtx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
 	var nc net.Conn
-	if nc, took, err = g.cfg.Secure.Client(handshakeCtx, raw, &to.Member); err != nil {
+	if nc, took, err = g.cfg.Secure.Client(handshakeCtx, raw, &target.Member); err != nil {
 		return nil, g.openingFailed(ctx, id, err)
 	}
-	return g.addConn(id, to, nc, raw, forCall), nil
+	return g.addConn(id, target, nc, raw, forCall), nil
 }
 
 // openingFailed reports a failed or canceled opening to conns.Pool.
@@ -295,8 +295,8 @@
 
 // addConn registers a new connection and starts its reader. raw is the connection below TLS, or nil; forCall says that a call waits for
 // the connection.
-func (g *Manager) addConn(id conns.ID, to *member, nc, raw net.Conn, forCall bool) *conn {
-	c := &conn{nc: nc, underTLS: raw, manager: g, id: id, host: to.Host, readerDone: make(chan struct{})}
+func (g *Manager) addConn(id conns.ID, target *member, nc, raw net.Conn, forCall bool) *conn {
+	c := &conn{nc: nc, underTLS: raw, manager: g, id: id, host: target.Host, readerDone: make(chan struct{})}
 	if sc, ok := nc.(syscall.Conn); ok && raw == nil {
 		if plain, err := sc.SyscallConn(); err == nil {
 			c.syscallConn = plain
@@ -321,7 +321,7 @@
 		g.conns.Cancel(g.now(), id)
 		return
 	}
-	to := *m
+	target := *m
 	deadline := time.Now().Add(g.cfg.ConnectWithin)
 	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	g.preconnecting[id] = cancel
@@ -332,17 +332,17 @@
 			delete(g.preconnecting, id)
 			g.mu.Unlock()
 		}()
-		if g.cfg.Secure == nil || !g.cfg.Secure.Wants(&to.Member) {
-			if nc, err := g.dialer.dial(ctx, to.Dial, deadline); err != nil {
+		if g.cfg.Secure == nil || !g.cfg.Secure.Wants(&target.Member) {
+			if nc, err := g.dialer.dial(ctx, target.Dial, deadline); err != nil {
 				_ = g.openingFailed(ctx, id, err) // the next call that opens a connection reports the failure
 			} else {
-				g.addConn(id, &to, nc, nil, false)
+				g.addConn(id, &target, nc, nil, false)
 			}
 			return
 		}
 		switch granted := g.handshakes.wait(ctx, host, 0, deadline); {
 		case granted.admitted:
-			_, _ = g.connectTLS(ctx, id, &to, false)
+			_, _ = g.connectTLS(ctx, id, &target, false)
 		default:
 			g.mu.Lock()
 			g.conns.Cancel(g.now(), id)
--- a/internal/flow/dial.go
+++ b/internal/flow/dial.go
@@ -32,8 +32,8 @@
 	known *conns.Addresses
 }
 
-func newDialer(names Resolver) *dialer {
-	return &dialer{resolver: names, origin: time.Now(), known: conns.NewAddresses()}
+func newDialer(resolver Resolver) *dialer {
+	return &dialer{resolver: resolver, origin: time.Now(), known: conns.NewAddresses()}
 }
 
 func (d *dialer) now() time.Duration { return time.Since(d.origin) }
--- a/internal/flow/flow.go
+++ b/internal/flow/flow.go
@@ -322,7 +322,7 @@
 			slog.Debug("no connection", "member", r.Member, "id", r.ID, "err", err)
 			return r.flowEnd(traffic.NotConnected), nil
 		}
-		if end, told := g.sharedWait(r); told {
+		if end, waits := g.sharedWait(r); waits {
 			g.returnUnused(c)
 			return end, nil
 		}
