--- a/internal/flow/batch_test.go
+++ b/internal/flow/batch_test.go
@@ -14,8 +14,8 @@
 	"slatemux/internal/traffic"
 )
 
-// readBatch reads a call that carries several up to the end of its body, and returns that.
-func (r *rig) readBatch(nc net.Conn) string {
+// readBatch reads a batch call up to the end of its body and returns the body.
+func (r *harness) readBatch(nc net.Conn) string {
 	r.t.Helper()
 	var text []byte
 	buf := make([]byte, 1)
@@ -41,48 +41,48 @@
 	}
 }
 
-// several is a flow that three transactions share.
-func (r *rig) several() {
-	r.start("a", func(f *traffic.Flow) {
+// startBatch starts a flow that three transactions share.
+func (r *harness) startBatch() {
+	r.startFlow("a", func(f *traffic.Flow) {
 		f.Join(traffic.Flow{ID: "b", Attempt: 2, Member: "m", Body: []byte("\r\nx"), Deadline: f.Deadline.Add(-time.Second)})
 		f.Join(traffic.Flow{ID: "c", Member: "m", Key: "kc", Deadline: f.Deadline.Add(time.Second)})
 	})
 }
 
-// What a call that carries several is answered, and how each of them ends: message by message where the answer tells them apart,
-// all alike where it does not. What it does not tell may have run; nothing is delivered by an answer that is not whole.
-func TestSeveralInOneCall(t *testing.T) {
+// The ends of the flows of a batch, for each kind of answer. An answer may give every transaction its own end, or all the same one. A
+// transaction that the answer does not mention may have run. An incomplete answer delivers nothing.
+func TestBatchAnswers(t *testing.T) {
 	head := func(body string, more string) string {
 		return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n%s\r\n%s", len(body), more, body)
 	}
-	const delivered, errored, away, over, spent, broken, unsent = traffic.Delivered, traffic.Errored, traffic.TurnedAway, traffic.Over,
+	const delivered, errored, turnedAway, over, spent, broken, unsent = traffic.Delivered, traffic.Errored, traffic.TurnedAway, traffic.Over,
 		traffic.Spent, traffic.Broken, traffic.Unsent
 	for what, c := range map[string]struct {
 		answer string
-		ends   [3]traffic.FlowStatus // of a, b and c
+		ends   [3]traffic.FlowStatus // ends of a, b and c
 		wait   time.Duration
 	}{
-		"each":                       {head("c refused\r\nb failed\r\na delivered\r\n", "X-Retry-In-Ms: 70\r\n"), [3]traffic.FlowStatus{delivered, errored, away}, 70 * time.Millisecond},
+		"one status each":            {head("c refused\r\nb failed\r\na delivered\r\n", "X-Retry-In-Ms: 70\r\n"), [3]traffic.FlowStatus{delivered, errored, turnedAway}, 70 * time.Millisecond},
 		"over and spent":             {head("a over\nb spent\nc delivered", ""), [3]traffic.FlowStatus{over, spent, delivered}, 0},
-		"one missing, one unasked":   {head("a delivered\r\nzz delivered\r\nc delivered\r\n", ""), [3]traffic.FlowStatus{delivered, broken, delivered}, 0},
-		"a word that is none":        {head("a delivered\r\nb perhaps\r\nc\r\n", ""), [3]traffic.FlowStatus{delivered, broken, broken}, 0},
-		"two ends of one":            {head("a delivered\r\na refused\r\nb delivered\r\nc delivered\r\n", ""), [3]traffic.FlowStatus{broken, delivered, delivered}, 0},
+		"one missing, one unknown":   {head("a delivered\r\nzz delivered\r\nc delivered\r\n", ""), [3]traffic.FlowStatus{delivered, broken, delivered}, 0},
+		"unrecognized status":        {head("a delivered\r\nb perhaps\r\nc\r\n", ""), [3]traffic.FlowStatus{delivered, broken, broken}, 0},
+		"two ends for one id":        {head("a delivered\r\na refused\r\nb delivered\r\nc delivered\r\n", ""), [3]traffic.FlowStatus{broken, delivered, delivered}, 0},
 		"an empty answer":            {head("", ""), [3]traffic.FlowStatus{broken, broken, broken}, 0},
-		"torn":                       {head("a delivered\r\nb delivered\r\nc delivered\r\n", "")[:70], [3]traffic.FlowStatus{broken, broken, broken}, 0},
-		"all turned away":            {"HTTP/1.1 429 Busy\r\nX-Retry-In-Ms: 50\r\nContent-Length: 0\r\n\r\n", [3]traffic.FlowStatus{away, away, away}, 50 * time.Millisecond},
+		"truncated":                  {head("a delivered\r\nb delivered\r\nc delivered\r\n", "")[:70], [3]traffic.FlowStatus{broken, broken, broken}, 0},
+		"all turned away":            {"HTTP/1.1 429 Busy\r\nX-Retry-In-Ms: 50\r\nContent-Length: 0\r\n\r\n", [3]traffic.FlowStatus{turnedAway, turnedAway, turnedAway}, 50 * time.Millisecond},
 		"all in error":               {"HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n", [3]traffic.FlowStatus{errored, errored, errored}, 0},
 		"too many, none has run":     {"HTTP/1.1 413 Large\r\nContent-Length: 0\r\n\r\n", [3]traffic.FlowStatus{unsent, unsent, unsent}, 0},
 		"not readable, none has run": {"HTTP/1.1 400 Bad\r\nContent-Length: 0\r\n\r\n", [3]traffic.FlowStatus{unsent, unsent, unsent}, 0},
 	} {
 		t.Run(what, func(t *testing.T) {
-			r := newRig(t)
-			r.several()
+			r := newHarness(t)
+			r.startBatch()
 			nc := <-r.conns
 			if got := r.readBatch(nc); got != "a k 4\r\nbody\r\nb - 3\r\n\r\nx\r\nc kc 0\r\n\r\n" {
 				t.Errorf("body %q", got)
 			}
 			_, _ = io.WriteString(nc, c.answer)
-			if what == "torn" {
+			if what == "truncated" {
 				nc.Close()
 			}
 			got := map[string]traffic.FlowEnd{}
@@ -98,35 +98,35 @@
 					t.Errorf("%s ends as %v, want %v", id, e, c.ends[i])
 				}
 			}
-			if c.ends[2] == away && first.Status != away {
-				t.Errorf("first of all is told %+v", first)
+			if c.ends[2] == turnedAway && first.Status != turnedAway {
+				t.Errorf("first reported end: %+v, want turned away", first)
 			}
-			if c.wait > 0 { // it binds the next call
-				r.start("d")
+			if c.wait > 0 { // the retry-after also binds the next call
+				r.startFlow("d")
 				if e := <-r.ends; e.Status != unsent {
-					t.Errorf("into the wait: %+v", e)
+					t.Errorf("call during the retry-after: %+v", e)
 				}
 			}
-			r.g.mu.Lock()
-			defer r.g.mu.Unlock()
-			if r.g.calls != 0 || len(r.g.flows) != 0 {
-				t.Errorf("kept: %d calls, %v", r.g.calls, r.g.flows)
+			r.manager.mu.Lock()
+			defer r.manager.mu.Unlock()
+			if r.manager.callCount != 0 || len(r.manager.flows) != 0 {
+				t.Errorf("state left behind: %d calls, flows %v", r.manager.callCount, r.manager.flows)
 			}
 		})
 	}
 }
 
-// A call that carries several counts as one of those that may be out, and each of them calls it off.
-func TestSeveralAreOneCall(t *testing.T) {
-	r := newRig(t)
-	r.several()
+// A batch counts as one call in flight. Canceling any of its flows cancels the whole batch.
+func TestBatchCountsAsOneCall(t *testing.T) {
+	r := newHarness(t)
+	r.startBatch()
 	nc := <-r.conns
 	r.readBatch(nc)
-	r.start("d")
-	r.read(<-r.conns) // the second of two
-	r.start("e")
-	r.want("e", traffic.NoSlot)
-	r.g.Cancel("b", 2)
+	r.startFlow("d")
+	r.readCall(<-r.conns) // the second of two allowed calls
+	r.startFlow("e")
+	r.expectEnd("e", traffic.NoSlot)
+	r.manager.Cancel("b", 2)
 	for range 3 {
 		if e := <-r.ends; e.Status != traffic.CalledOff || e.ID == "d" {
 			t.Errorf("%+v", e)
@@ -134,13 +134,13 @@
 	}
 }
 
-// Whatever an answer holds, nothing is delivered that it does not say so of in a line of its own.
-func TestGarbageDeliversNothing(t *testing.T) {
+// An arbitrary answer body must not deliver a transaction, unless a line of the body says that this transaction is delivered.
+func TestBatchGarbageDeliversNothing(t *testing.T) {
 	proptest.Check(t, func(t *rapid.T) {
 		text := proptest.Garbage(t, []byte("aa delivered\r\nbb refused\r\ncc failed\r\n"))
-		for id, end := range decodeBatch(text) {
+		for id, end := range decodeBatchAnswer(text) {
 			if end == traffic.Delivered && !strings.Contains("\n"+string(text)+"\n", "\n"+id+" delivered") {
-				t.Fatalf("%q is delivered by %q", id, text)
+				t.Fatalf("id %q delivered by body %q", id, text)
 			}
 		}
 	})
