--- a/internal/discoveryaddr/discoveryaddr.go
+++ b/internal/discoveryaddr/discoveryaddr.go
@@ -9,16 +9,16 @@
 
 // Place is an address that may move.
 type Place struct {
-	mu    sync.Mutex
-	addr  string
-	here  context.Context
-	leave context.CancelFunc
+	mu         sync.Mutex
+	addr       string
+	current    context.Context
+	endCurrent context.CancelFunc
 }
 
 // New returns a Place at addr.
 func New(addr string) *Place {
 	p := &Place{addr: addr}
-	p.here, p.leave = context.WithCancel(context.Background())
+	p.current, p.endCurrent = context.WithCancel(context.Background())
 	return p
 }
 
@@ -27,7 +27,7 @@
 func (p *Place) Now() (string, context.Context) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.addr, p.here
+	return p.addr, p.current
 }
 
 // Move changes the address and says whether it is another one.
@@ -37,8 +37,8 @@
 	if p.addr == addr {
 		return false
 	}
-	p.leave()
+	p.endCurrent()
 	p.addr = addr
-	p.here, p.leave = context.WithCancel(context.Background())
+	p.current, p.endCurrent = context.WithCancel(context.Background())
 	return true
 }
--- a/internal/keyorder/keyorder.go
+++ b/internal/keyorder/keyorder.go
@@ -16,11 +16,11 @@
 	"slatemux/internal/mmapfile"
 )
 
-// slots is how many open messages the table has room for, and near how many of one key, and of those whose hashes lie beside it. One
+// slotCount is how many open messages the table has room for, and near how many of one key, and of those whose hashes lie beside it. One
 // that finds no room keeps the order of its own process alone. The file is sparse.
-const slots, near = 8192, 128
+const slotCount, maxProbes = 8192, 128
 
-const headBytes, slotBytes = 64, 40
+const headerBytes, slotBytes = 64, 40
 
 // slot is an open message. A ticket of 0 is a free slot; one whose time is over is as good as free.
 type slot struct{ ticket, key, id, owner, until atomic.Uint64 }
@@ -33,7 +33,7 @@
 
 // Open maps the table of a folder, made where there is none, for a process of this name.
 func Open(dir, owner string) (*Table, error) {
-	file, err := mmapfile.Open(filepath.Join(dir, "slatemux-turns"), headBytes+slots*slotBytes)
+	file, err := mmapfile.Open(filepath.Join(dir, "slatemux-turns"), headerBytes+slotCount*slotBytes)
 	if err != nil {
 		return nil, fmt.Errorf("turns: %w", err)
 	}
@@ -56,27 +56,27 @@
 	return max(h.Sum64(), 1)
 }
 
-// each calls f with the slots in which a message of a key may stand, until it says that it is done. next gives a new ticket.
-func (t *Table) each(key uint64, f func(s *slot, next func() uint64) (done bool)) {
+// probe calls f with the slots in which a message of a key may stand, until it says that it is done. next gives a new ticket.
+func (t *Table) probe(key uint64, f func(s *slot, next func() uint64) (done bool)) {
 	t.file.Use(func(mem []byte) {
 		next := func() uint64 { return (*atomic.Uint64)(unsafe.Pointer(&mem[0])).Add(1) }
-		for n := range uint64(near) {
-			if f((*slot)(unsafe.Pointer(&mem[headBytes+(key+n)%slots*slotBytes])), next) {
+		for n := range uint64(maxProbes) {
+			if f((*slot)(unsafe.Pointer(&mem[headerBytes+(key+n)%slotCount*slotBytes])), next) {
 				return
 			}
 		}
 	})
 }
 
-// Take gives an open message of a key its ticket, or takes over the one that it has, and returns it: 0 where there is no room. It
+// TakeTicket gives an open message of a key its ticket, or takes over the one that it has, and returns it: 0 where there is no room. It
 // holds until the message's time is over.
-func (t *Table) Take(key, id string, now, until time.Time) (ticket uint64) {
+func (t *Table) TakeTicket(key, id string, now, until time.Time) (ticket uint64) {
 	if t == nil {
 		return 0
 	}
-	k, m, found := hash(key), hash(id), false
-	t.each(k, func(s *slot, next func() uint64) bool {
-		found = s.ticket.Load() != 0 && s.key.Load() == k && s.id.Load() == m
+	keyHash, idHash, found := hash(key), hash(id), false
+	t.probe(keyHash, func(s *slot, next func() uint64) bool {
+		found = s.ticket.Load() != 0 && s.key.Load() == keyHash && s.id.Load() == idHash
 		if found {
 			ticket = s.ticket.Load()
 			s.owner.Store(t.owner)
@@ -87,19 +87,19 @@
 	if found {
 		return ticket
 	}
-	t.each(k, func(s *slot, next func() uint64) bool {
-		was := s.ticket.Load()
-		if was != 0 && s.until.Load() > uint64(now.UnixNano()) {
+	t.probe(keyHash, func(s *slot, next func() uint64) bool {
+		previous := s.ticket.Load()
+		if previous != 0 && s.until.Load() > uint64(now.UnixNano()) {
 			return false
 		}
-		fresh := next()
+		newTicket := next()
 		s.until.Store(0) // as long as it is not whole it holds nobody back
-		if !s.ticket.CompareAndSwap(was, fresh) {
+		if !s.ticket.CompareAndSwap(previous, newTicket) {
 			return false
 		}
-		ticket = fresh
-		s.key.Store(k)
-		s.id.Store(m)
+		ticket = newTicket
+		s.key.Store(keyHash)
+		s.id.Store(idHash)
 		s.owner.Store(t.owner)
 		s.until.Store(uint64(until.UnixNano()))
 		return true
@@ -107,35 +107,35 @@
 	return ticket
 }
 
-// Waits says whether another process holds an earlier message of the key that is still open.
-func (t *Table) Waits(key, id string, now time.Time) bool {
+// MustWait says whether another process holds an earlier message of the key that is still open.
+func (t *Table) MustWait(key, id string, now time.Time) bool {
 	if t == nil {
 		return false
 	}
-	k, m, own, others := hash(key), hash(id), uint64(0), uint64(1<<64-1)
-	t.each(k, func(s *slot, next func() uint64) bool {
+	keyHash, idHash, ownTicket, earliestOther := hash(key), hash(id), uint64(0), uint64(1<<64-1)
+	t.probe(keyHash, func(s *slot, next func() uint64) bool {
 		ticket := s.ticket.Load()
-		if ticket == 0 || s.key.Load() != k || s.until.Load() <= uint64(now.UnixNano()) {
+		if ticket == 0 || s.key.Load() != keyHash || s.until.Load() <= uint64(now.UnixNano()) {
 			return false
 		}
-		if s.id.Load() == m {
-			own = ticket
+		if s.id.Load() == idHash {
+			ownTicket = ticket
 		} else if s.owner.Load() != t.owner {
-			others = min(others, ticket)
+			earliestOther = min(earliestOther, ticket)
 		}
 		return false
 	})
-	return own != 0 && others < own
+	return ownTicket != 0 && earliestOther < ownTicket
 }
 
-// Done says that a message is over.
-func (t *Table) Done(key, id string) {
+// Release says that a message is over.
+func (t *Table) Release(key, id string) {
 	if t == nil {
 		return
 	}
-	k, m := hash(key), hash(id)
-	t.each(k, func(s *slot, next func() uint64) bool {
-		found := s.ticket.Load() != 0 && s.key.Load() == k && s.id.Load() == m
+	keyHash, idHash := hash(key), hash(id)
+	t.probe(keyHash, func(s *slot, next func() uint64) bool {
+		found := s.ticket.Load() != 0 && s.key.Load() == keyHash && s.id.Load() == idHash
 		if found {
 			s.id.Store(0)
 			s.until.Store(0)
--- a/internal/keyorder/keyorder_test.go
+++ b/internal/keyorder/keyorder_test.go
@@ -9,7 +9,7 @@
 
 // Two processes take messages of a key on in turn: each waits for the other's earlier ones and for none of its own, until they are
 // over, their time is, or their process has ended and this one has taken them up.
-func TestTurns(t *testing.T) {
+func TestKeyOrderBetweenProcesses(t *testing.T) {
 	dir, now := t.TempDir(), time.Now()
 	later := now.Add(time.Minute)
 	open := func(owner string) *Table {
@@ -23,47 +23,47 @@
 	a, b := open("1"), open("2")
 	want := func(table *Table, key, id string, waits bool) {
 		t.Helper()
-		if got := table.Waits(key, id, now); got != waits {
+		if got := table.MustWait(key, id, now); got != waits {
 			t.Errorf("%s of %s waits: %v", id, key, got)
 		}
 	}
-	a.Take("k", "m1", now, later)
-	a.Take("k", "m2", now, later)
-	b.Take("k", "m3", now, later)
-	a.Take("k", "m4", now, later)
-	b.Take("other", "n1", now, later)
+	a.TakeTicket("k", "m1", now, later)
+	a.TakeTicket("k", "m2", now, later)
+	b.TakeTicket("k", "m3", now, later)
+	a.TakeTicket("k", "m4", now, later)
+	b.TakeTicket("other", "n1", now, later)
 	want(a, "k", "m1", false)
 	want(a, "k", "m2", false)
 	want(b, "k", "m3", true)
 	want(a, "k", "m4", true)
 	want(b, "other", "n1", false)
-	a.Done("k", "m1")
+	a.Release("k", "m1")
 	want(b, "k", "m3", true)
-	b.Take("k", "m2", now, later) // its process has ended
+	b.TakeTicket("k", "m2", now, later) // its process has ended
 	want(b, "k", "m3", false)
-	b.Done("k", "m2")
-	b.Done("k", "m3")
+	b.Release("k", "m2")
+	b.Release("k", "m3")
 	want(a, "k", "m4", false)
 	// Time that is over holds nobody back, and its slot is used again.
-	a.Take("short", "s1", now, now.Add(time.Millisecond))
-	b.Take("short", "s2", now, later)
+	a.TakeTicket("short", "s1", now, now.Add(time.Millisecond))
+	b.TakeTicket("short", "s2", now, later)
 	now = now.Add(time.Second)
 	want(b, "short", "s2", false)
 	// More than there is room for keep the order of their process.
-	for i := range 2 * near {
-		a.Take("full", fmt.Sprint(i), now, later)
+	for i := range 2 * maxProbes {
+		a.TakeTicket("full", fmt.Sprint(i), now, later)
 	}
-	b.Take("full", "last", now, later)
+	b.TakeTicket("full", "last", now, later)
 	want(b, "full", "last", false)
-	if err := errors.Join(a.Close(), a.Close()); err != nil || a.Waits("k", "m4", now) {
+	if err := errors.Join(a.Close(), a.Close()); err != nil || a.MustWait("k", "m4", now) {
 		t.Error("a closed table")
 	}
-	a.Take("k", "m9", now, later)
-	a.Done("k", "m9")
+	a.TakeTicket("k", "m9", now, later)
+	a.Release("k", "m9")
 	var none *Table
-	none.Take("k", "x", now, later)
-	none.Done("k", "x")
-	if none.Waits("k", "x", now) || none.Close() != nil {
+	none.TakeTicket("k", "x", now, later)
+	none.Release("k", "x")
+	if none.MustWait("k", "x", now) || none.Close() != nil {
 		t.Error("a nil table")
 	}
 }
--- a/internal/maintenance/maintenance.go
+++ b/internal/maintenance/maintenance.go
@@ -25,10 +25,10 @@
 
 // Bans are the endpoints that operators have taken down.
 type Bans struct {
-	dir  string
-	mu   sync.Mutex
-	set  map[string]bool
-	seen fileStamp
+	dir       string
+	mu        sync.Mutex
+	set       map[string]bool
+	lastStamp fileStamp
 }
 
 type fileStamp struct {
@@ -40,7 +40,7 @@
 // endpoint that was banned is let go silently. A file of another form is one log line, and no ban.
 func Open(dir string) *Bans {
 	b := &Bans{dir: dir, set: map[string]bool{}}
-	b.set, b.seen = b.read()
+	b.set, b.lastStamp = b.read()
 	return b
 }
 
@@ -120,12 +120,12 @@
 	if err == nil {
 		stamp = fileStamp{info.Size(), info.ModTime()}
 	}
-	if stamp == b.seen {
+	if stamp == b.lastStamp {
 		return nil, false
 	}
 	set, stamp := b.read()
-	b.seen = stamp
-	if len(set) == len(b.set) && !slices.ContainsFunc(keys(set), func(id string) bool { return !b.set[id] }) {
+	b.lastStamp = stamp
+	if len(set) == len(b.set) && !slices.ContainsFunc(sortedIDs(set), func(id string) bool { return !b.set[id] }) {
 		return nil, false
 	}
 	b.set = set
@@ -135,7 +135,7 @@
 func (b *Bans) write(set map[string]bool) error {
 	var buf bytes.Buffer
 	buf.WriteString(header + "\n")
-	for _, id := range keys(set) {
+	for _, id := range sortedIDs(set) {
 		buf.WriteString(id + "\n")
 	}
 	tmp := b.path() + ".new"
@@ -146,7 +146,7 @@
 		return fmt.Errorf("bans: %w", err)
 	}
 	if info, err := os.Stat(b.path()); err == nil {
-		b.seen = fileStamp{info.Size(), info.ModTime()}
+		b.lastStamp = fileStamp{info.Size(), info.ModTime()}
 	}
 	return nil
 }
@@ -164,7 +164,7 @@
 	return func() { f.Close() }, nil
 }
 
-func keys(set map[string]bool) []string {
+func sortedIDs(set map[string]bool) []string {
 	ids := make([]string, 0, len(set))
 	for id := range set {
 		ids = append(ids, id)
--- a/internal/maintenance/maintenance_test.go
+++ b/internal/maintenance/maintenance_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-func TestBanTwiceUpOnce(t *testing.T) {
+func TestUnbanAfterTwoBans(t *testing.T) {
 	dir := t.TempDir()
 	b := Open(dir)
 	for range 2 {
@@ -29,7 +29,7 @@
 }
 
 // During a hand-over both processes change the file; neither loses the other's change, and each sees it.
-func TestTwoProcesses(t *testing.T) {
+func TestConcurrentProcesses(t *testing.T) {
 	dir := t.TempDir()
 	old, next := Open(dir), Open(dir)
 	old.Set("s-1", true)
@@ -51,7 +51,7 @@
 }
 
 // A torn file keeps what it names before the damage; a file of another form bans nothing; neither stops the start.
-func TestTornAndForeign(t *testing.T) {
+func TestTruncatedAndUnrecognized(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, fileName)
 	os.WriteFile(path, []byte(header+"\ns-1\ns-2\ns-"), 0o600)
--- a/internal/relay/bench_test.go
+++ b/internal/relay/bench_test.go
@@ -12,13 +12,13 @@
 	"slatemux/internal/traffic"
 )
 
-// sink takes flows and notices and does nothing with them.
-type sink struct{ flows []traffic.Flow }
+// discard takes flows and notices and does nothing with them.
+type discard struct{ flows []traffic.Flow }
 
-func (s *sink) Start(f traffic.Flow)  { s.flows = append(s.flows, f) }
-func (s *sink) Cancel(string, int)    {}
-func (s *sink) Pool(traffic.PoolNews) {}
-func (s *sink) Send(traffic.Notice)   {}
+func (s *discard) Start(f traffic.Flow)  { s.flows = append(s.flows, f) }
+func (s *discard) Cancel(string, int)    {}
+func (s *discard) Pool(traffic.PoolNews) {}
+func (s *discard) Send(traffic.Notice)   {}
 
 // What the relay itself does for a transaction, from hand-in to the end of its flow, in steps of a batch: module, journal,
 // answers. The network on both sides is not in it.
@@ -31,7 +31,7 @@
 				b.Fatal(err)
 			}
 			defer store.Close()
-			w := &sink{}
+			w := &discard{}
 			r, err := New(Config{Settings: dispatch.Settings{
 				Classes: []dispatch.Class{{Name: "slot", Aim: time.Second, Deadline: 5 * time.Second, Worth: 3}},
 				Kinds:   []dispatch.Kind{{Name: "partner"}}, Peers: 1, Resolution: 5 * time.Millisecond, MaxCalls: 1000, MaxOpen: 1000,
@@ -46,7 +46,7 @@
 				members = append(members, traffic.Member{Host: fmt.Sprint("m", i), Class: "partner", Destination: i})
 			}
 			r.Start(traffic.PoolNews{Whole: true, Members: members}, nil, nil, nil)
-			now, n := r.origin, 0
+			now, n := r.epoch, 0
 			body := make([]byte, 200)
 			b.ReportAllocs()
 			for b.Loop() {
@@ -56,13 +56,13 @@
 					r.Put(traffic.Transaction{ID: fmt.Sprintf("%016x", n), Class: "slot", Destination: n % 60, Deadline: now.Add(5 * time.Second),
 						Body: body}, now)
 				}
-				r.step(now, taken(r))
+				r.step(now, takeBatch(r))
 				now = now.Add(5 * time.Millisecond)
 				for _, f := range w.flows {
 					r.FlowEnded(traffic.FlowEnd{ID: f.ID, Attempt: f.Attempt, Member: f.Member, Status: traffic.Delivered, Took: 5 * time.Millisecond})
 				}
 				w.flows = w.flows[:0]
-				r.step(now, taken(r))
+				r.step(now, takeBatch(r))
 			}
 			b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(n), "ns/transaction")
 		})
--- a/internal/relay/fleet.go
+++ b/internal/relay/fleet.go
@@ -30,54 +30,54 @@
 // Allow takes in this relay's parts of limits, from the next step on.
 func (r *Relay) Allow(list []traffic.Allowance) { r.post(list) }
 
-// lapseFor is how long nothing goes to a destination whose part of a limit has ended without word of what comes next, before
+// expiryPause is how long nothing goes to a destination whose part of a limit has ended without word of what comes next, before
 // the module decides alone: the process may have been stopped meanwhile, and its part be another's by now.
-const lapseFor = time.Second
+const expiryPause = time.Second
 
-// part is a part of a limit, as the module was told.
-type part struct {
-	until  time.Time
-	lapsed bool
+// allowance is a part of a limit, as the module was told.
+type allowance struct {
+	until   time.Time
+	expired bool
 }
 
-// lapses tells the module of parts that have ended, before it decides anything after that.
-func (r *Relay) lapses(now time.Time) (events []dispatch.Event) {
-	if len(r.parts) == 0 || now.Before(r.lapse) {
+// expireAllowances tells the module of parts that have ended, before it decides anything after that.
+func (r *Relay) expireAllowances(now time.Time) (events []dispatch.Event) {
+	if len(r.allowances) == 0 || now.Before(r.nextExpiry) {
 		return nil
 	}
-	r.lapse = now.Add(time.Hour)
-	for n, p := range r.parts {
+	r.nextExpiry = now.Add(time.Hour)
+	for n, p := range r.allowances {
 		switch {
 		case now.Before(p.until):
-		case p.lapsed:
-			delete(r.parts, n)
+		case p.expired:
+			delete(r.allowances, n)
 			continue
 		default:
-			p = part{now.Add(lapseFor), true}
-			r.parts[n] = p
-			events = append(events, dispatch.Told{Kind: dispatch.ToldShare, Destination: n, For: lapseFor})
+			p = allowance{now.Add(expiryPause), true}
+			r.allowances[n] = p
+			events = append(events, dispatch.Told{Kind: dispatch.ToldShare, Destination: n, For: expiryPause})
 		}
-		if p.until.Before(r.lapse) {
-			r.lapse = p.until
+		if p.until.Before(r.nextExpiry) {
+			r.nextExpiry = p.until
 		}
 	}
 	return events
 }
 
-// demandEvery is how often the fleet is told what there is to send; what newly waits is told at once.
-const demandEvery = 100 * time.Millisecond
+// demandInterval is how often the fleet is told what there is to send; what newly waits is told at once.
+const demandInterval = 100 * time.Millisecond
 
 // demands keeps what there is to send, by destination, for the fleet. It is nil for a relay alone.
 type demands struct {
-	levels  map[string]int // of classes, by worth
-	of      map[int]*traffic.Demand
-	changed map[int]bool
-	waits   map[int]bool // where something waited when that was told
-	told    time.Time
+	priorities      map[string]int // of classes, by worth
+	byDestination   map[int]*traffic.Demand
+	changed         map[int]bool
+	reportedWaiting map[int]bool // where something waited when that was told
+	reported        time.Time
 }
 
 func newDemands(classes []dispatch.Class) *demands {
-	d := &demands{levels: map[string]int{}, of: map[int]*traffic.Demand{}, changed: map[int]bool{}, waits: map[int]bool{}}
+	d := &demands{priorities: map[string]int{}, byDestination: map[int]*traffic.Demand{}, changed: map[int]bool{}, reportedWaiting: map[int]bool{}}
 	var worths []float64
 	for _, c := range classes {
 		worths = append(worths, c.Worth)
@@ -85,25 +85,25 @@
 	slices.Sort(worths)
 	worths = slices.Compact(worths)
 	for _, c := range classes {
-		at, _ := slices.BinarySearch(worths, c.Worth)
-		d.levels[c.Name] = min(len(worths)-1-at, traffic.Levels-1)
+		rank, _ := slices.BinarySearch(worths, c.Worth)
+		d.priorities[c.Name] = min(len(worths)-1-rank, traffic.Levels-1)
 	}
 	return d
 }
 
-// note counts arrivals, and how many more wait.
-func (d *demands) note(t *traffic.Transaction, arrived, waiting int) {
+// record counts arrivals, and how many more wait.
+func (d *demands) record(t *traffic.Transaction, arrived, waiting int) {
 	if d == nil {
 		return
 	}
-	x := d.of[t.Destination]
-	if x == nil {
-		x = &traffic.Demand{Destination: t.Destination}
-		d.of[t.Destination] = x
+	demand := d.byDestination[t.Destination]
+	if demand == nil {
+		demand = &traffic.Demand{Destination: t.Destination}
+		d.byDestination[t.Destination] = demand
 	}
-	l := d.levels[t.Class]
-	x.Arrived[l] += arrived
-	x.Waiting[l] += waiting
+	priority := d.priorities[t.Class]
+	demand.Arrived[priority] += arrived
+	demand.Waiting[priority] += waiting
 	d.changed[t.Destination] = true
 }
 
@@ -112,19 +112,19 @@
 	if d == nil || len(d.changed) == 0 {
 		return time.Time{}, false
 	}
-	return d.told.Add(demandEvery), true
+	return d.reported.Add(demandInterval), true
 }
 
-func (r *Relay) demandToFleet(now time.Time) {
+func (r *Relay) reportDemand(now time.Time) {
 	d, none := r.demands, [traffic.Levels]int{}
-	at, ok := d.due()
+	dueAt, ok := d.due()
 	if !ok {
 		return
 	}
-	if now.Before(at) { // what the module has just sent does not wait
+	if now.Before(dueAt) { // what the module has just sent does not wait
 		urgent := false
 		for n := range d.changed {
-			urgent = urgent || d.of[n].Waiting != none && !d.waits[n]
+			urgent = urgent || d.byDestination[n].Waiting != none && !d.reportedWaiting[n]
 		}
 		if !urgent {
 			return
@@ -132,79 +132,79 @@
 	}
 	list := make([]traffic.Demand, 0, len(d.changed))
 	for n := range d.changed {
-		x := d.of[n]
-		list = append(list, *x)
-		x.Arrived = none
-		if d.waits[n] = true; x.Waiting == none {
-			delete(d.of, n)
-			delete(d.waits, n)
+		demand := d.byDestination[n]
+		list = append(list, *demand)
+		demand.Arrived = none
+		if d.reportedWaiting[n] = true; demand.Waiting == none {
+			delete(d.byDestination, n)
+			delete(d.reportedWaiting, n)
 		}
 	}
 	clear(d.changed)
-	d.told = now
+	d.reported = now
 	r.cfg.Fleet.Demand(list)
 }
 
-func (r *Relay) barred(list []traffic.Bar) dispatch.Members {
-	before := r.bars
-	r.bars = map[string]bool{}
+func (r *Relay) applyExclusions(list []traffic.Bar) dispatch.Members {
+	before := r.excluded
+	r.excluded = map[string]bool{}
 	for _, b := range list {
-		r.bars[b.Member] = b.Banned
+		r.excluded[b.Member] = b.Banned
 	}
-	return r.closed(func(id string) bool { return before[id] })
+	return r.updateBlocked(func(id string) bool { return before[id] })
 }
 
-// restrained turns other relays' word into the module's, and keeps which members they hold to be out: who gets through to one
+// applyRestraints turns other relays' word into the module's, and keeps which members they hold to be out: who gets through to one
 // of them says so.
-func (r *Relay) restrained(list []traffic.Restraint, now time.Time) (events []dispatch.Event) {
+func (r *Relay) applyRestraints(list []traffic.Restraint, now time.Time) (events []dispatch.Event) {
 	for _, x := range list {
-		events = append(events, r.told(x, now))
+		events = append(events, r.restraintEvent(x, now))
 		switch x.Kind {
 		case traffic.HeldOut:
-			r.heard[x.Member] = true
+			r.fleetOutages[x.Member] = true
 		case traffic.HeldBack, traffic.Freed:
-			delete(r.heard, x.Member)
+			delete(r.fleetOutages, x.Member)
 		}
 	}
 	return events
 }
 
-func (r *Relay) poolToFleet(seq int64) {
+func (r *Relay) reportPool(seq int64) {
 	if r.cfg.Fleet != nil {
-		for _, of := range []map[string]bool{r.outs, r.heard} { // what is kept of a member ends with it
+		for _, of := range []map[string]bool{r.reportedOutages, r.fleetOutages} { // what is kept of a member ends with it
 			maps.DeleteFunc(of, func(id string, _ bool) bool { _, listed := r.pool.members[id]; return !listed })
 		}
 		r.cfg.Fleet.Pool(seq, maps.Clone(r.pool.members))
 	}
 }
 
-// healthToFleet tells of the members of all destinations that flows ended at in a step: outages that the module has come to by its
+// reportHealth tells of the members of all destinations that flows ended at in a step: outages that the module has come to by its
 // own calls, tries there that failed, and ends of outages.
-func (r *Relay) healthToFleet(batch []any) {
+func (r *Relay) reportHealth(batch []any) {
 	if r.cfg.Fleet == nil {
 		return
 	}
-	tried, well, seen := map[string]bool{}, map[string]bool{}, map[int]bool{}
+	failed, delivered, seen := map[string]bool{}, map[string]bool{}, map[int]bool{}
 	for _, in := range batch {
 		if f, ok := in.(traffic.FlowEnd); ok {
 			if m, ok := r.pool.members[f.Member]; ok {
 				seen[m.Destination] = true
-				well[f.Member] = well[f.Member] || f.Status == traffic.Delivered
-				tried[f.Member] = tried[f.Member] || f.Status != traffic.Delivered && f.Status != traffic.Unsent
+				delivered[f.Member] = delivered[f.Member] || f.Status == traffic.Delivered
+				failed[f.Member] = failed[f.Member] || f.Status != traffic.Delivered && f.Status != traffic.Unsent
 			}
 		}
 	}
 	for destination := range seen {
 		r.sender.Health(destination, func(id string, since time.Duration) {
-			told, out := r.outs[id], since >= 0
-			if out && (!told || tried[id]) {
-				r.cfg.Fleet.Health(id, destination, true, told || r.heard[id], r.origin.Add(since))
-			} else if !out && (told || well[id] && r.heard[id]) {
+			reported, out := r.reportedOutages[id], since >= 0
+			if out && (!reported || failed[id]) {
+				r.cfg.Fleet.Health(id, destination, true, reported || r.fleetOutages[id], r.epoch.Add(since))
+			} else if !out && (reported || delivered[id] && r.fleetOutages[id]) {
 				r.cfg.Fleet.Health(id, destination, false, false, time.Time{})
-				delete(r.heard, id)
+				delete(r.fleetOutages, id)
 			}
-			if r.outs[id] = true; !out {
-				delete(r.outs, id)
+			if r.reportedOutages[id] = true; !out {
+				delete(r.reportedOutages, id)
 			}
 		})
 	}
--- a/internal/relay/order.go
+++ b/internal/relay/order.go
@@ -12,45 +12,45 @@
 // Turns keep the order of keys between the processes of one relay, while one replaces the other. Nothing blocks.
 type Turns interface {
 	// Take gives an open transaction of a key its turn; one that another process had keeps its own. 0 for none to be had.
-	Take(key, id string, now, until time.Time) uint64
+	TakeTicket(key, id string, now, until time.Time) uint64
 	// Waits says whether another process still holds an earlier one.
-	Waits(key, id string, now time.Time) bool
-	Done(key, id string)
+	MustWait(key, id string, now time.Time) bool
+	Release(key, id string)
 }
 
-// turnEvery is how often it is asked, and lastCall how many of the module's least steps before its time is up a transaction that
+// turnInterval is how often it is asked, and lastCall how many of the module's least steps before its time is up a transaction that
 // still waits is given to the module all the same: so late that it sends nothing and ends it.
-const turnEvery, lastCall = 20 * time.Millisecond, 5
+const turnInterval, lastOfferSteps = 20 * time.Millisecond, 5
 
-// noticeWithin is how long another process waits at the most for the answer to a notice that an ended one left: the platform answers
+// noticeTimeout is how long another process waits at the most for the answer to a notice that an ended one left: the platform answers
 // at once.
-const noticeWithin = 5 * time.Second
+const noticeTimeout = 5 * time.Second
 
-// ordered says whether a transaction has to keep its place among those of its key.
-func (r *Relay) ordered(t *traffic.Transaction) bool {
+// keepsOrder says whether a transaction has to keep its place among those of its key.
+func (r *Relay) keepsOrder(t *traffic.Transaction) bool {
 	c := r.classes[t.Class]
 	return c != nil && c.OrderedByKey && t.Order != ""
 }
 
 // offer tells the module of a transaction that was taken on, at once or when its turn has come.
-func (r *Relay) offer(h *held, now time.Time, events []dispatch.Event) []dispatch.Event {
-	if r.cfg.Turns != nil && r.ordered(&h.Transaction) {
-		h.turn = r.cfg.Turns.Take(h.Order, h.ID, now, h.Deadline) - 1 // none to be had is the last of all
-		before := slices.ContainsFunc(r.later, func(o *held) bool { return o.Order == h.Order && o.turn < h.turn })
-		if before || r.cfg.Turns.Waits(h.Order, h.ID, now) {
-			at, _ := slices.BinarySearchFunc(r.later, h.turn, func(o *held, turn uint64) int { return cmp.Compare(o.turn, turn) })
-			r.later = slices.Insert(r.later, at, h) // what an ended process leaves may go before what has come here since
+func (r *Relay) offer(h *openTransaction, now time.Time, events []dispatch.Event) []dispatch.Event {
+	if r.cfg.Turns != nil && r.keepsOrder(&h.Transaction) {
+		h.ticket = r.cfg.Turns.TakeTicket(h.Order, h.ID, now, h.Deadline) - 1 // none to be had is the last of all
+		before := slices.ContainsFunc(r.awaitingTurn, func(o *openTransaction) bool { return o.Order == h.Order && o.ticket < h.ticket })
+		if before || r.cfg.Turns.MustWait(h.Order, h.ID, now) {
+			index, _ := slices.BinarySearchFunc(r.awaitingTurn, h.ticket, func(o *openTransaction, ticket uint64) int { return cmp.Compare(o.ticket, ticket) })
+			r.awaitingTurn = slices.Insert(r.awaitingTurn, index, h) // what an ended process leaves may go before what has come here since
 			return events
 		}
 	}
 	return append(events, r.request(&h.Open, now))
 }
 
-// offerAgain looks at those that wait.
-func (r *Relay) offerAgain(now time.Time, events []dispatch.Event) []dispatch.Event {
+// offerWaiting looks at those that wait.
+func (r *Relay) offerWaiting(now time.Time, events []dispatch.Event) []dispatch.Event {
 	waits := map[string]bool{}
-	r.later = slices.DeleteFunc(r.later, func(h *held) bool {
-		if h.Deadline.Sub(now) > lastCall*r.cfg.Settings.Resolution && (waits[h.Order] || r.cfg.Turns.Waits(h.Order, h.ID, now)) {
+	r.awaitingTurn = slices.DeleteFunc(r.awaitingTurn, func(h *openTransaction) bool {
+		if h.Deadline.Sub(now) > lastOfferSteps*r.cfg.Settings.Resolution && (waits[h.Order] || r.cfg.Turns.MustWait(h.Order, h.ID, now)) {
 			waits[h.Order] = true
 			return false
 		}
@@ -64,17 +64,17 @@
 // platform when the notice has its answer, which the module does not hear of: until then the flow waits here, as it might for a
 // connection. The answer comes at once as a rule; where it does not, the flow ends when its time is up, unsent.
 
-// start begins a flow, or has those of its transactions wait that have to.
-func (r *Relay) start(f traffic.Flow) {
-	if len(r.noticed) == 0 {
+// startFlow begins a flow, or has those of its transactions wait that have to.
+func (r *Relay) startFlow(f traffic.Flow) {
+	if len(r.noticePending) == 0 {
 		r.cfg.Flows.Start(f)
 		return
 	}
 	var free []traffic.Flow
 	for _, x := range f.All() {
 		x.With = nil
-		if h := r.open[x.ID]; h != nil && h.Order != "" && r.awaits(h.Order) {
-			r.parked[h.Order] = append(r.parked[h.Order], x)
+		if h := r.open[x.ID]; h != nil && h.Order != "" && r.hasPendingNotice(h.Order) {
+			r.blockedFlows[h.Order] = append(r.blockedFlows[h.Order], x)
 		} else {
 			free = append(free, x)
 		}
@@ -88,9 +88,9 @@
 	}
 }
 
-// awaits says whether a notice of a key has no answer yet.
-func (r *Relay) awaits(key string) bool {
-	for _, k := range r.noticed {
+// hasPendingNotice says whether a notice of a key has no answer yet.
+func (r *Relay) hasPendingNotice(key string) bool {
+	for _, k := range r.noticePending {
 		if k == key {
 			return true
 		}
@@ -98,51 +98,51 @@
 	return false
 }
 
-// unpark begins what waited for these notices and for no other.
-func (r *Relay) unpark(ids []string) {
+// startUnblocked begins what waited for these notices and for no other.
+func (r *Relay) startUnblocked(ids []string) {
 	for _, id := range ids {
-		key, ok := r.noticed[id]
+		key, ok := r.noticePending[id]
 		if !ok {
 			continue
 		}
-		delete(r.noticed, id)
+		delete(r.noticePending, id)
 		if r.cfg.Turns != nil {
-			r.cfg.Turns.Done(key, id)
+			r.cfg.Turns.Release(key, id)
 		}
-		if r.awaits(key) {
+		if r.hasPendingNotice(key) {
 			continue
 		}
-		list := r.parked[key]
-		delete(r.parked, key)
+		list := r.blockedFlows[key]
+		delete(r.blockedFlows, key)
 		for _, f := range list {
 			r.cfg.Flows.Start(f) // where its time is up by now, it ends at once
 		}
 	}
 }
 
-// overdue ends what has waited for too long.
-func (r *Relay) overdue(now time.Time) {
-	for key, list := range r.parked {
+// endOverdue ends what has waited for too long.
+func (r *Relay) endOverdue(now time.Time) {
+	for key, list := range r.blockedFlows {
 		list = slices.DeleteFunc(list, func(f traffic.Flow) bool {
 			late := !now.Before(f.Deadline)
 			if late {
-				r.unstarted(f)
+				r.endUnsent(f)
 			}
 			return late
 		})
-		if r.parked[key] = list; len(list) == 0 {
-			delete(r.parked, key)
+		if r.blockedFlows[key] = list; len(list) == 0 {
+			delete(r.blockedFlows, key)
 		}
 	}
 }
 
-func (r *Relay) unstarted(f traffic.Flow) {
+func (r *Relay) endUnsent(f traffic.Flow) {
 	r.post(traffic.FlowEnd{ID: f.ID, Attempt: f.Attempt, Member: f.Member, Status: traffic.Unsent})
 }
 
-// cancel gives a flow up.
-func (r *Relay) cancel(id string, attempt int) {
-	for _, list := range r.parked {
+// cancelFlow gives a flow up.
+func (r *Relay) cancelFlow(id string, attempt int) {
+	for _, list := range r.blockedFlows {
 		for i := range list {
 			if f := &list[i]; f.ID == id && f.Attempt == attempt {
 				f.Deadline = time.Time{} // it ends with the next step
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -19,11 +19,11 @@
 )
 
 const (
-	// staleHandIn is the age at which a hand-in that waited for a step is not taken on any more: its client,
+	// maxSubmissionAge is the age at which a hand-in that waited for a step is not taken on any more: its client,
 	// who waits 400 ms for the answer, may be gone before it comes.
-	staleHandIn = 300 * time.Millisecond
-	// fullRetry is what a client is told where the relay itself, not the module, has no room.
-	fullRetry = 500 * time.Millisecond
+	maxSubmissionAge = 300 * time.Millisecond
+	// fullRetryIn is what a client is told where the relay itself, not the module, has no room.
+	fullRetryIn = 500 * time.Millisecond
 )
 
 // Store outlives the process.
@@ -47,8 +47,8 @@
 	Expect(destination, transactions int)
 }
 
-// aheadEvery is how often it is told.
-const aheadEvery = 250 * time.Millisecond
+// expectInterval is how often it is told.
+const expectInterval = 250 * time.Millisecond
 
 // Lessons keeps what was learned of destinations for the next process. Nothing blocks.
 type Lessons interface {
@@ -61,9 +61,9 @@
 	Adopt() ([]traffic.Open, []traffic.Notice, error)
 }
 
-// adoptEvery is how often the relay looks for what a predecessor left: what it left at its exit is taken up
+// recoveryInterval is how often the relay looks for what a predecessor left: what it left at its exit is taken up
 // within a fifth of a second.
-const adoptEvery = 200 * time.Millisecond
+const recoveryInterval = 200 * time.Millisecond
 
 // Notices tells the platform of ends. Each Send leads to the id in a call of Relay.NoticesAnswered.
 type Notices interface{ Send(traffic.Notice) }
@@ -108,7 +108,7 @@
 	Steps, CommitErrors                            int64
 	Open                                           int
 	Bytes                                          int64
-	Ends                                           [traffic.FlowStatusMost]int64
+	Ends                                           [traffic.FlowStatusCount]int64
 }
 
 // LogValue names the counters in a log line; ends of flows that never happened are left out.
@@ -128,77 +128,77 @@
 
 // Relay drives one Sender.
 type Relay struct {
-	cfg     Config
-	sender  *dispatch.Sender
-	origin  time.Time // of the module's time
-	classes map[string]*dispatch.Class
-	apart   map[string]bool
-	bundles map[string]int // by kind of member: how many transactions one call carries
-	pool    roster
-	open    map[string]*held
-	bytes   int64
-	fresh   int64 // bytes that this step has admitted and not journalled yet
-	count   Counters
-	unsaved []traffic.Change // ends that the store has not taken yet
-	wakes   []time.Time
-	squeeze squeeze
-	later   []*held                   // transactions that wait for another process's turn, in the order of their turns
-	noticed map[string]string         // transactions of a class in order whose notice has no answer yet, and their keys
-	parked  map[string][]traffic.Flow // by key: flows that wait for such answers
-	waiting map[int]int               // transactions without a flow, by destination; those that are told of with 0 go at the next telling
-	toldAt  time.Time                 // when Ahead was told
-	out     int                       // flows
-	ended   int64                     // transactions that had been taken on
-	learned map[int]float64           // limits that an earlier process had learned, of destinations that no list has named yet
-	adopted time.Time                 // when the Heir was last asked
-	bans    map[string]bool           // members that operators took down
-	bars    map[string]bool           // members that other relays bar, and whether operators took them down there
-	doubts  map[string]bool           // members of a list that may be used no longer; nil as a rule
-	shut    map[string]bool           // all three
-	outs    map[string]bool           // members that the fleet was told to be out
-	heard   map[string]bool           // members that the fleet holds to be out
-	demands *demands                  // for the fleet; nil for a relay alone
-	parts   map[int]part              // of limits, by destination
-	lapse   time.Time                 // when the first of them ends
-	tally   tally
+	cfg              Config
+	sender           *dispatch.Sender
+	epoch            time.Time // of the module's time
+	classes          map[string]*dispatch.Class
+	separateLimits   map[string]bool
+	maxBundle        map[string]int // by kind of member: how many transactions one call carries
+	pool             poolView
+	open             map[string]*openTransaction
+	bytes            int64
+	uncommittedBytes int64 // bytes that this step has admitted and not journalled yet
+	counters         Counters
+	unsavedChanges   []traffic.Change // ends that the store has not taken yet
+	wakes            []time.Time
+	openLimits       openLimits
+	awaitingTurn     []*openTransaction        // transactions that wait for another process's turn, in the order of their turns
+	noticePending    map[string]string         // transactions of a class in order whose notice has no answer yet, and their keys
+	blockedFlows     map[string][]traffic.Flow // by key: flows that wait for such answers
+	waiting          map[int]int               // transactions without a flow, by destination; those that are told of with 0 go at the next telling
+	lastExpect       time.Time                 // when Ahead was told
+	activeFlows      int                       // flows
+	ended            int64                     // transactions that had been taken on
+	learnedLimits    map[int]float64           // limits that an earlier process had learned, of destinations that no list has named yet
+	lastRecovery     time.Time                 // when the Heir was last asked
+	bans             map[string]bool           // members that operators took down
+	excluded         map[string]bool           // members that other relays bar, and whether operators took them down there
+	unconfirmed      map[string]bool           // members of a list that may be used no longer; nil as a rule
+	blocked          map[string]bool           // all three
+	reportedOutages  map[string]bool           // members that the fleet was told to be out
+	fleetOutages     map[string]bool           // members that the fleet holds to be out
+	demands          *demands                  // for the fleet; nil for a relay alone
+	allowances       map[int]allowance         // of limits, by destination
+	nextExpiry       time.Time                 // when the first of them ends
+	classCounts      classCounts
 	// dispatches counts transactions written whole to members.
-	dispatches int64
-	figuredAt  time.Time
+	dispatches    int64
+	statsCopiedAt time.Time
 
-	stretch atomic.Int64 // least time between two steps, where it is more than the module's
+	minStepInterval atomic.Int64 // least time between two steps, where it is more than the module's
 
-	mu        sync.Mutex
-	inbox     []any
-	stopped   bool
-	published Counters
-	figures   Figures
-	known     map[string]bool // the pool's members, for operators' calls
-	load      Load
-	dueAt     time.Time // when the next step could run; zero while nothing asks for one
-	earliest  time.Time // the module's least time after the last step
-	signal    chan struct{}
+	mu           sync.Mutex
+	inbox        []any
+	stopped      bool
+	published    Counters
+	stats        Figures
+	knownMembers map[string]bool // the pool's members, for operators' calls
+	load         Load
+	stepDueAt    time.Time // when the next step could run; zero while nothing asks for one
+	earliestStep time.Time // the module's least time after the last step
+	signal       chan struct{}
 }
 
-// held is an open transaction.
-type held struct {
+// openTransaction is an open transaction.
+type openTransaction struct {
 	traffic.Open
-	begun   time.Time               // of the flow that is out; zero without one
-	fresh   []chan<- traffic.Answer // waiting for the answer to the hand-in; in its first step alone
-	noticed bool                    // it ends by a notice
-	turn    uint64                  // its place among those of its key, in all processes of this relay
+	flowStarted   time.Time               // of the flow that is out; zero without one
+	submitters    []chan<- traffic.Answer // waiting for the answer to the hand-in; in its first step alone
+	noticePending bool                    // it ends by a notice
+	ticket        uint64                  // its place among those of its key, in all processes of this relay
 }
 
-// handIn, flowEnd, and so on are what the inbox holds.
+// submission, flowEnd, and so on are what the inbox holds.
 type (
-	handIn struct {
-		t        traffic.Transaction
-		received time.Time
-		answer   chan<- traffic.Answer
-	}
-	answered []string
-	doubted  struct{}
-	limit    int64
-	squeeze  struct {
+	submission struct {
+		transaction traffic.Transaction
+		received    time.Time
+		answer      chan<- traffic.Answer
+	}
+	answeredNotices []string
+	poolUnconfirmed struct{}
+	memoryLimit     int64
+	openLimits      struct {
 		messages         int
 		heavy, byteScale float64
 	}
@@ -213,19 +213,19 @@
 	if cfg.Meters == nil {
 		cfg.Meters = noMeters{}
 	}
-	r := &Relay{cfg: cfg, squeeze: squeeze{messages: cfg.Settings.MaxOpen, byteScale: 1}, sender: sender, origin: time.Now(), classes: map[string]*dispatch.Class{},
-		apart: map[string]bool{}, bundles: map[string]int{}, waiting: map[int]int{}, noticed: map[string]string{}, parked: map[string][]traffic.Flow{}, pool: newRoster(), open: map[string]*held{}, tally: newTally(),
+	r := &Relay{cfg: cfg, openLimits: openLimits{messages: cfg.Settings.MaxOpen, byteScale: 1}, sender: sender, epoch: time.Now(), classes: map[string]*dispatch.Class{},
+		separateLimits: map[string]bool{}, maxBundle: map[string]int{}, waiting: map[int]int{}, noticePending: map[string]string{}, blockedFlows: map[string][]traffic.Flow{}, pool: newPoolView(), open: map[string]*openTransaction{}, classCounts: newClassCounts(),
 		signal: make(chan struct{}, 1)}
-	r.bans, r.shut, r.outs, r.heard = maps.Clone(cfg.Banned), maps.Clone(cfg.Banned), map[string]bool{}, map[string]bool{}
+	r.bans, r.blocked, r.reportedOutages, r.fleetOutages = maps.Clone(cfg.Banned), maps.Clone(cfg.Banned), map[string]bool{}, map[string]bool{}
 	if cfg.Fleet != nil {
-		r.demands, r.parts = newDemands(cfg.Settings.Classes), map[int]part{}
+		r.demands, r.allowances = newDemands(cfg.Settings.Classes), map[int]allowance{}
 	}
 	for i := range cfg.Settings.Classes {
 		r.classes[cfg.Settings.Classes[i].Name] = &cfg.Settings.Classes[i]
 	}
 	for _, k := range cfg.Settings.Kinds {
-		r.apart[k.Name] = k.OwnLimits
-		r.bundles[k.Name] = k.Bundle
+		r.separateLimits[k.Name] = k.OwnLimits
+		r.maxBundle[k.Name] = k.Bundle
 	}
 	return r, nil
 }
@@ -234,33 +234,33 @@
 // what it left open. Notices that it left unanswered are owed again.
 func (r *Relay) Start(known traffic.PoolNews, limits map[int]float64, open []traffic.Open, notices []traffic.Notice) {
 	now := time.Now()
-	r.pool.take(known, now)
-	r.knownChanged()
-	r.learned = maps.Clone(limits)
-	r.poolToFleet(known.Seq)
-	events := append([]dispatch.Event{r.members(known)}, r.recalled(known)...)
-	r.decide(now, r.takeUp(open, notices, now, events), nil)
+	r.pool.update(known, now)
+	r.publishKnownMembers()
+	r.learnedLimits = maps.Clone(limits)
+	r.reportPool(known.Seq)
+	events := append([]dispatch.Event{r.members(known)}, r.recalledLimits(known)...)
+	r.decide(now, r.recoverState(open, notices, now, events), nil)
 }
 
-// takeUp takes over open transactions and owed notices of an earlier process.
-func (r *Relay) takeUp(open []traffic.Open, notices []traffic.Notice, now time.Time, events []dispatch.Event) []dispatch.Event {
+// recoverState takes over open transactions and owed notices of an earlier process.
+func (r *Relay) recoverState(open []traffic.Open, notices []traffic.Notice, now time.Time, events []dispatch.Event) []dispatch.Event {
 	for _, o := range open {
 		if r.open[o.ID] != nil { // handed in here again meanwhile: it is owed once
 			continue
 		}
-		h := &held{Open: r.timely(o, now)}
+		h := &openTransaction{Open: r.clampTimes(o, now)}
 		r.open[o.ID] = h
 		r.bytes += int64(o.Size())
 		r.waiting[o.Destination]++
-		r.demands.note(&o.Transaction, 0, 1)
-		r.count.Recovered++
+		r.demands.record(&o.Transaction, 0, 1)
+		r.counters.Recovered++
 		events = r.offer(h, now, events)
 	}
 	for _, n := range notices {
 		if n.Order != "" { // what follows it waits here, too
-			r.noticed[n.ID] = n.Order
+			r.noticePending[n.ID] = n.Order
 			if r.cfg.Turns != nil {
-				r.cfg.Turns.Take(n.Order, n.ID, now, now.Add(noticeWithin))
+				r.cfg.Turns.TakeTicket(n.Order, n.ID, now, now.Add(noticeTimeout))
 			}
 		}
 		r.cfg.Notices.Send(n)
@@ -268,10 +268,10 @@
 	return events
 }
 
-// timely is a transaction of an earlier process by this one's clock, which may have been set back meanwhile. A first call in the future
+// clampTimes is a transaction of an earlier process by this one's clock, which may have been set back meanwhile. A first call in the future
 // is as old as the class remembers, for nobody knows how old: no repeat goes out that may not be dropped. No transaction has more time
 // than its class gives.
-func (r *Relay) timely(o traffic.Open, now time.Time) traffic.Open {
+func (r *Relay) clampTimes(o traffic.Open, now time.Time) traffic.Open {
 	c := r.classes[o.Class]
 	if c == nil {
 		return o
@@ -279,18 +279,18 @@
 	if o.FirstSent.After(now) {
 		o.FirstSent = now.Add(-c.Memory)
 	}
-	if most := now.Add(c.Deadline); o.Deadline.After(most) {
-		o.Deadline = most
+	if latest := now.Add(c.Deadline); o.Deadline.After(latest) {
+		o.Deadline = latest
 	}
 	return o
 }
 
-// adopt asks the Heir, now and then, for what a predecessor left at its end.
-func (r *Relay) adopt(now time.Time, events []dispatch.Event) []dispatch.Event {
-	if r.cfg.Heir == nil || now.Sub(r.adopted) < adoptEvery {
+// recoverPredecessor asks the Heir, now and then, for what a predecessor left at its end.
+func (r *Relay) recoverPredecessor(now time.Time, events []dispatch.Event) []dispatch.Event {
+	if r.cfg.Heir == nil || now.Sub(r.lastRecovery) < recoveryInterval {
 		return events
 	}
-	r.adopted = now
+	r.lastRecovery = now
 	open, notices, err := r.cfg.Heir.Adopt()
 	if err != nil {
 		slog.Error("journal of an ended process not taken over", "err", err)
@@ -298,29 +298,29 @@
 	if len(open)+len(notices) > 0 {
 		slog.Info("taken over from an ended process", "open", len(open), "notices", len(notices))
 	}
-	return r.takeUp(open, notices, now, events)
+	return r.recoverState(open, notices, now, events)
 }
 
 // Put hands a transaction in. The answer comes through the channel, exactly once.
 func (r *Relay) Put(t traffic.Transaction, received time.Time) <-chan traffic.Answer {
 	answer := make(chan traffic.Answer, 1)
-	if !r.post(handIn{t, received, answer}) {
-		answer <- traffic.Answer{Verdict: traffic.Busy, RetryIn: fullRetry}
+	if !r.post(submission{t, received, answer}) {
+		answer <- traffic.Answer{Verdict: traffic.Busy, RetryIn: fullRetryIn}
 	}
 	return answer
 }
 
 // Limit changes how many bytes of open transactions the relay may hold, from the next step on.
-func (r *Relay) Limit(mostBytes int64) { r.post(limit(mostBytes)) }
+func (r *Relay) Limit(maxBytes int64) { r.post(memoryLimit(maxBytes)) }
 
 // Squeeze bounds how many transactions may be open, and the bytes that they take as a share of the limit, from
 // the next step on. What is over the first goes back by the module's rule; with heavy above 0, large ones sooner.
 func (r *Relay) Squeeze(messages int, heavy, byteScale float64) {
-	r.post(squeeze{messages, heavy, byteScale})
+	r.post(openLimits{messages, heavy, byteScale})
 }
 
 // Stretch sets the least time between two steps; the module's own is the least of all.
-func (r *Relay) Stretch(least time.Duration) { r.stretch.Store(int64(least)) }
+func (r *Relay) Stretch(interval time.Duration) { r.minStepInterval.Store(int64(interval)) }
 
 // Load is what the relay holds.
 type Load struct {
@@ -344,10 +344,10 @@
 func (r *Relay) PoolChanged(news traffic.PoolNews) { r.post(news) }
 
 // PoolDoubted takes in that the known list may be used no longer: until news of the pool comes, nothing is sent to its members.
-func (r *Relay) PoolDoubted() { r.post(doubted{}) }
+func (r *Relay) PoolDoubted() { r.post(poolUnconfirmed{}) }
 
 // NoticesAnswered takes in that the platform has these notices.
-func (r *Relay) NoticesAnswered(ids []string) { r.post(answered(ids)) }
+func (r *Relay) NoticesAnswered(ids []string) { r.post(answeredNotices(ids)) }
 
 // Counters returns the counters as of the newest step.
 func (r *Relay) Counters() Counters {
@@ -363,8 +363,8 @@
 		return false
 	}
 	if len(r.inbox) == 0 { // the step that takes this is due now, or as soon as the module may step again
-		if r.dueAt = time.Now(); r.dueAt.Before(r.earliest) {
-			r.dueAt = r.earliest
+		if r.stepDueAt = time.Now(); r.stepDueAt.Before(r.earliestStep) {
+			r.stepDueAt = r.earliestStep
 		}
 	}
 	r.inbox = append(r.inbox, in)
@@ -389,9 +389,9 @@
 		case <-timer.C:
 		}
 		// The module wants its least time between steps; what comes meanwhile shares the next one.
-		time.Sleep(time.Until(last.Add(r.spacing())))
+		time.Sleep(time.Until(last.Add(r.stepInterval())))
 		last = time.Now()
-		batch, due := r.take()
+		batch, due := r.takeInbox()
 		if wake := r.nextWake(last); due.IsZero() || wake.Before(due) {
 			due = wake
 		}
@@ -399,38 +399,38 @@
 			r.cfg.Meters.Stepped(due, last)
 		}
 		if at, ok := r.demands.due(); ok && len(batch) == 0 && !at.After(last) && r.nextWake(last).After(last) {
-			r.demandToFleet(last) // it is late; the module has nothing to decide
+			r.reportDemand(last) // it is late; the module has nothing to decide
 		} else {
 			r.step(last, batch)
 		}
 		r.mu.Lock()
-		r.earliest = last.Add(r.spacing())
+		r.earliestStep = last.Add(r.stepInterval())
 		r.mu.Unlock()
 		next := r.nextWake(last)
-		if r.cfg.Heir != nil && next.After(last.Add(adoptEvery)) {
-			next = last.Add(adoptEvery) // a predecessor's end comes unannounced
+		if r.cfg.Heir != nil && next.After(last.Add(recoveryInterval)) {
+			next = last.Add(recoveryInterval) // a predecessor's end comes unannounced
 		}
 		if at, ok := r.demands.due(); ok && at.Before(next) {
 			next = at
 		}
-		if len(r.later) > 0 && next.After(last.Add(turnEvery)) {
-			next = last.Add(turnEvery) // so does another process's turn
+		if len(r.awaitingTurn) > 0 && next.After(last.Add(turnInterval)) {
+			next = last.Add(turnInterval) // so does another process's turn
 		}
 		timer.Reset(time.Until(next))
 	}
 }
 
-// spacing is the least time between two steps.
-func (r *Relay) spacing() time.Duration {
-	return max(r.cfg.Settings.Resolution, time.Duration(r.stretch.Load()))
+// stepInterval is the least time between two steps.
+func (r *Relay) stepInterval() time.Duration {
+	return max(r.cfg.Settings.Resolution, time.Duration(r.minStepInterval.Load()))
 }
 
-// take empties the inbox and says since when a step has been due for what was in it.
-func (r *Relay) take() (batch []any, due time.Time) {
+// takeInbox empties the inbox and says since when a step has been due for what was in it.
+func (r *Relay) takeInbox() (batch []any, due time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	batch, due = r.inbox, r.dueAt
-	r.inbox, r.dueAt = nil, time.Time{}
+	batch, due = r.inbox, r.stepDueAt
+	r.inbox, r.stepDueAt = nil, time.Time{}
 	return batch, due
 }
 
@@ -440,16 +440,16 @@
 	r.mu.Lock()
 	r.stopped = true
 	r.mu.Unlock()
-	changes := r.unsaved
-	batch, _ := r.take()
+	changes := r.unsavedChanges
+	batch, _ := r.takeInbox()
 	for _, in := range batch {
 		switch in := in.(type) {
-		case handIn:
-			in.answer <- traffic.Answer{Verdict: traffic.Busy, RetryIn: fullRetry}
+		case submission:
+			in.answer <- traffic.Answer{Verdict: traffic.Busy, RetryIn: fullRetryIn}
 		case traffic.FlowEnd:
-			_, changes = r.flowEnd(in, nil, changes)
-		case answered:
-			changes = append(changes, acknowledged(in)...)
+			_, changes = r.handleFlowEnd(in, nil, changes)
+		case answeredNotices:
+			changes = append(changes, answeredChanges(in)...)
 		}
 	}
 	if err := r.cfg.Store.Commit(changes); err != nil {
@@ -457,7 +457,7 @@
 	}
 }
 
-func acknowledged(ids answered) []traffic.Change {
+func answeredChanges(ids answeredNotices) []traffic.Change {
 	changes := make([]traffic.Change, len(ids))
 	for i, id := range ids {
 		changes[i] = traffic.Answered{ID: id}
@@ -473,8 +473,8 @@
 			next = at
 		}
 	}
-	if len(r.parts) > 0 && r.lapse.Before(next) {
-		next = r.lapse
+	if len(r.allowances) > 0 && r.nextExpiry.Before(next) {
+		next = r.nextExpiry
 	}
 	return next
 }
@@ -492,177 +492,177 @@
 		}
 	}
 	r.wakes = due
-	events = r.offerAgain(now, r.adopt(now, events))
+	events = r.offerWaiting(now, r.recoverPredecessor(now, events))
 	for _, in := range batch {
 		switch in := in.(type) {
-		case handIn:
+		case submission:
 			if h := r.admit(in, now); h != nil {
 				events = r.offer(h, now, events)
 			}
 		case traffic.FlowEnd:
-			events, changes = r.flowEnd(in, events, changes)
+			events, changes = r.handleFlowEnd(in, events, changes)
 		case traffic.PoolNews:
-			r.pool.take(in, now)
-			r.pool.told = true
-			if r.doubts != nil {
-				r.doubts = nil
-				events = append(events, r.closed(nobody))
+			r.pool.update(in, now)
+			r.pool.fromDiscovery = true
+			if r.unconfirmed != nil {
+				r.unconfirmed = nil
+				events = append(events, r.updateBlocked(noMember))
 			}
-			r.cfg.Flows.Pool(r.overlay(in, r.shut))
-			r.poolToFleet(in.Seq)
-			events = append(append(events, r.members(in)), r.recalled(in)...)
-			r.knownChanged()
-		case doubted:
-			r.doubts = map[string]bool{}
+			r.cfg.Flows.Pool(r.overlay(in, r.blocked))
+			r.reportPool(in.Seq)
+			events = append(append(events, r.members(in)), r.recalledLimits(in)...)
+			r.publishKnownMembers()
+		case poolUnconfirmed:
+			r.unconfirmed = map[string]bool{}
 			for id := range r.pool.members {
-				r.doubts[id] = true
+				r.unconfirmed[id] = true
 			}
-			events = append(events, r.closed(nobody))
+			events = append(events, r.updateBlocked(noMember))
 		case bans:
-			events = append(events, r.banned(in))
+			events = append(events, r.applyBans(in))
 			defer close(in.done) // once the module has stepped with it
 		case []traffic.Restraint:
-			events = append(events, r.restrained(in, now)...)
+			events = append(events, r.applyRestraints(in, now)...)
 		case []traffic.Allowance:
-			events = append(events, r.allowed(in, now)...)
+			events = append(events, r.allowanceEvents(in, now)...)
 		case []traffic.Bar:
-			events = append(events, r.barred(in))
-		case limit:
+			events = append(events, r.applyExclusions(in))
+		case memoryLimit:
 			r.cfg.MostBytes = int64(in)
-		case squeeze:
-			r.squeeze = in
+		case openLimits:
+			r.openLimits = in
 			events = append(events, dispatch.HoldCap{Messages: in.messages, Heavy: in.heavy})
 		case []dispatch.Event: // what follows from a failed write
 			events = append(events, in...)
-		case answered:
-			r.count.NoticesAnswered += int64(len(in))
-			defer r.unpark(in) // what follows them goes once the journal has it
-			changes = append(changes, acknowledged(in)...)
+		case answeredNotices:
+			r.counters.NoticesAnswered += int64(len(in))
+			defer r.startUnblocked(in) // what follows them goes once the journal has it
+			changes = append(changes, answeredChanges(in)...)
 		}
 	}
-	events = append(r.lapses(now), events...)
-	r.overdue(now)
+	events = append(r.expireAllowances(now), events...)
+	r.endOverdue(now)
 	r.decide(now, events, changes)
-	r.healthToFleet(batch)
-	r.demandToFleet(now)
+	r.reportHealth(batch)
+	r.reportDemand(now)
 }
 
 // admit holds a hand-in that the relay has room for; others it answers.
-func (r *Relay) admit(in handIn, now time.Time) *held {
-	r.count.HandedIn++
+func (r *Relay) admit(in submission, now time.Time) *openTransaction {
+	r.counters.HandedIn++
 	r.cfg.Meters.HandedIn(now.Sub(in.received))
-	size := int64(in.t.Size())
-	switch h := r.open[in.t.ID]; {
-	case h != nil && !same(&h.Transaction, &in.t): // another client's id: that one's message is not touched
-		r.count.Borrowed++
-		r.answeredAs(in.t.Class, traffic.Answer{Verdict: traffic.Failed})
+	size := int64(in.transaction.Size())
+	switch h := r.open[in.transaction.ID]; {
+	case h != nil && !sameMessage(&h.Transaction, &in.transaction): // another client's id: that one's message is not touched
+		r.counters.Borrowed++
+		r.countAnswer(in.transaction.Class, traffic.Answer{Verdict: traffic.Failed})
 		in.answer <- traffic.Answer{Verdict: traffic.Failed}
 		return nil
-	case h != nil && h.fresh != nil:
-		h.fresh = append(h.fresh, in.answer)
+	case h != nil && h.submitters != nil:
+		h.submitters = append(h.submitters, in.answer)
 		return nil
 	case h != nil: // taken on already, and owed once
 		in.answer <- traffic.Answer{Verdict: traffic.Accepted}
 		return nil
-	case !r.pool.knows(in.t.Destination, now):
-		if r.count.Unlisted++; r.pool.told {
-			r.answeredAs(in.t.Class, traffic.Answer{Verdict: traffic.Failed})
+	case !r.pool.hasDestination(in.transaction.Destination, now):
+		if r.counters.Unlisted++; r.pool.fromDiscovery {
+			r.countAnswer(in.transaction.Class, traffic.Answer{Verdict: traffic.Failed})
 			in.answer <- traffic.Answer{Verdict: traffic.Failed}
 			return nil
 		}
-	case now.Sub(in.received) > staleHandIn:
-		r.count.Late++
-	case len(r.open) >= r.squeeze.messages, r.bytes+size > r.mostBytes(), !r.cfg.Store.Room(r.fresh + size):
-		r.count.Full++
+	case now.Sub(in.received) > maxSubmissionAge:
+		r.counters.Late++
+	case len(r.open) >= r.openLimits.messages, r.bytes+size > r.maxBytes(), !r.cfg.Store.Room(r.uncommittedBytes + size):
+		r.counters.Full++
 	default:
-		r.demands.note(&in.t, 1, 0)
-		h = &held{Open: traffic.Open{Transaction: in.t}, fresh: []chan<- traffic.Answer{in.answer}}
-		r.open[in.t.ID] = h
-		r.bytes, r.fresh = r.bytes+size, r.fresh+size
+		r.demands.record(&in.transaction, 1, 0)
+		h = &openTransaction{Open: traffic.Open{Transaction: in.transaction}, submitters: []chan<- traffic.Answer{in.answer}}
+		r.open[in.transaction.ID] = h
+		r.bytes, r.uncommittedBytes = r.bytes+size, r.uncommittedBytes+size
 		r.waiting[h.Destination]++
-		r.demands.note(&h.Transaction, 0, 1)
+		r.demands.record(&h.Transaction, 0, 1)
 		return h
 	}
-	r.answeredAs(in.t.Class, traffic.Answer{Verdict: traffic.Busy})
-	in.answer <- traffic.Answer{Verdict: traffic.Busy, RetryIn: fullRetry}
+	r.countAnswer(in.transaction.Class, traffic.Answer{Verdict: traffic.Busy})
+	in.answer <- traffic.Answer{Verdict: traffic.Busy, RetryIn: fullRetryIn}
 	return nil
 }
 
-func (r *Relay) mostBytes() int64 { return int64(float64(r.cfg.MostBytes) * r.squeeze.byteScale) }
+func (r *Relay) maxBytes() int64 { return int64(float64(r.cfg.MostBytes) * r.openLimits.byteScale) }
 
-// same says that two hand-ins with one id are the same message, sent once more, and not another that borrows
+// sameMessage says that two hand-ins with one id are the same message, sent once more, and not another that borrows
 // the id. The time left may differ.
-func same(a, b *traffic.Transaction) bool {
+func sameMessage(a, b *traffic.Transaction) bool {
 	return a.Class == b.Class && a.Tenant == b.Tenant && a.Key == b.Key && a.Destination == b.Destination &&
 		bytes.Equal(a.Body, b.Body)
 }
 
-func (r *Relay) flowEnd(f traffic.FlowEnd, events []dispatch.Event, changes []traffic.Change) ([]dispatch.Event,
+func (r *Relay) handleFlowEnd(f traffic.FlowEnd, events []dispatch.Event, changes []traffic.Change) ([]dispatch.Event,
 	[]traffic.Change) {
-	r.count.Ends[f.Status]++
-	if written(f.Status) {
+	r.counters.Ends[f.Status]++
+	if writtenWhole(f.Status) {
 		r.dispatches++
 	}
 	h := r.open[f.ID]
-	if h == nil || h.begun.IsZero() || f.Attempt != h.Attempts-1 {
+	if h == nil || h.flowStarted.IsZero() || f.Attempt != h.Attempts-1 {
 		slog.Error("flow end without its flow", "id", f.ID, "attempt", f.Attempt)
 		return events, changes
 	}
 	if f.Status == traffic.Delivered {
-		r.counted(h.Class, r.tally.success)
+		r.countClass(h.Class, r.classCounts.success)
 	}
-	if f.Report != nil && r.cfg.Lessons != nil && !r.apart[r.pool.members[f.Member].Class] {
+	if f.Report != nil && r.cfg.Lessons != nil && !r.separateLimits[r.pool.members[f.Member].Class] {
 		r.cfg.Lessons.Learn(h.Destination, f.Report.Limit, time.Now())
 	}
-	e := endings[f.Status]
-	if e.mayHave && h.FirstSent.IsZero() {
-		h.FirstSent = h.begun
+	e := flowEndings[f.Status]
+	if e.mayHaveRun && h.FirstSent.IsZero() {
+		h.FirstSent = h.flowStarted
 	}
-	h.begun = time.Time{}
+	h.flowStarted = time.Time{}
 	r.waiting[h.Destination]++
-	r.demands.note(&h.Transaction, 0, 1)
-	r.out--
+	r.demands.record(&h.Transaction, 0, 1)
+	r.activeFlows--
 	if e.settled {
 		r.forget(h)
 		changes = append(changes, traffic.Ended{ID: f.ID})
 	} else {
-		changes = append(changes, traffic.FlowEnded{ID: f.ID, Attempt: f.Attempt, MayHaveRun: e.mayHave})
+		changes = append(changes, traffic.FlowEnded{ID: f.ID, Attempt: f.Attempt, MayHaveRun: e.mayHaveRun})
 	}
 	return append(events, outcome(f)), changes
 }
 
-func (r *Relay) forget(h *held) {
+func (r *Relay) forget(h *openTransaction) {
 	delete(r.open, h.ID)
 	r.bytes -= int64(h.Size())
-	if h.begun.IsZero() {
+	if h.flowStarted.IsZero() {
 		r.waiting[h.Destination]--
-		r.demands.note(&h.Transaction, 0, -1)
+		r.demands.record(&h.Transaction, 0, -1)
 	}
-	if h.fresh == nil {
+	if h.submitters == nil {
 		r.ended++
 	}
-	if r.cfg.Turns != nil && !h.noticed && r.ordered(&h.Transaction) {
-		r.cfg.Turns.Done(h.Order, h.ID)
+	if r.cfg.Turns != nil && !h.noticePending && r.keepsOrder(&h.Transaction) {
+		r.cfg.Turns.Release(h.Order, h.ID)
 	}
 }
 
-// deed is what may be done once the journal has the step; a flow is not started where that failed.
-type deed struct {
-	do   func()
+// deferredAction is what may be done once the journal has the step; a flow is not started where that failed.
+type deferredAction struct {
+	run  func()
 	flow *traffic.Flow
 }
 
 // decide lets the module step, journals what comes of it in one write, and only then acts on it.
 func (r *Relay) decide(now time.Time, events []dispatch.Event, changes []traffic.Change) {
-	r.count.Steps++
+	r.counters.Steps++
 	var actions []dispatch.Action
-	r.cfg.Meters.Section(func() { actions = r.sender.Step(now.Sub(r.origin), events) })
-	var after []deed // in the module's order
-	var taken []*held
+	r.cfg.Meters.Section(func() { actions = r.sender.Step(now.Sub(r.epoch), events) })
+	var deferred []deferredAction // in the module's order
+	var accepted []*openTransaction
 	ended := map[string]bool{}
-	for _, h := range r.later { // taken on, though the module has not heard of them
-		if h.fresh != nil {
-			taken = append(taken, h)
+	for _, h := range r.awaitingTurn { // taken on, though the module has not heard of them
+		if h.submitters != nil {
+			accepted = append(accepted, h)
 			changes = append(changes, traffic.Taken{Transaction: h.Transaction})
 		}
 	}
@@ -676,78 +676,78 @@
 	}
 	for _, ev := range events {
 		if req, ok := ev.(dispatch.Request); ok && !ended[req.ID] {
-			if h := r.open[req.ID]; h.fresh != nil {
-				taken = append(taken, h)
+			if h := r.open[req.ID]; h.submitters != nil {
+				accepted = append(accepted, h)
 				changes = append(changes, traffic.Taken{Transaction: h.Transaction})
 			}
 		}
 	}
-	together := map[string]*traffic.Flow{} // the newest call to each member
+	newestCall := map[string]*traffic.Flow{} // the newest call to each member
 	for _, a := range actions {
 		switch a := a.(type) {
 		case dispatch.Send:
 			h := r.open[a.ID]
 			f := r.flow(&h.Open, a, now)
 			h.Attempts++
-			h.begun = now
+			h.flowStarted = now
 			r.waiting[h.Destination]--
-			r.demands.note(&h.Transaction, 0, -1)
-			r.out++
+			r.demands.record(&h.Transaction, 0, -1)
+			r.activeFlows++
 			changes = append(changes, traffic.FlowBegun{ID: f.ID, Attempt: f.Attempt, At: now})
-			if with := together[f.Member]; with != nil && len(with.With)+1 < r.bundles[r.pool.members[f.Member].Class] &&
-				with.Carried()+f.Carried() <= traffic.MostCarried {
-				with.Join(f) // the module counts what goes to a member in one step as one call
+			if call := newestCall[f.Member]; call != nil && len(call.With)+1 < r.maxBundle[r.pool.members[f.Member].Class] &&
+				call.CallBytes()+f.CallBytes() <= traffic.MaxCallBytes {
+				call.Join(f) // the module counts what goes to a member in one step as one call
 			} else {
-				together[f.Member] = &f
-				after = append(after, deed{flow: &f})
+				newestCall[f.Member] = &f
+				deferred = append(deferred, deferredAction{flow: &f})
 			}
 		case dispatch.Cancel:
-			after = append(after, deed{do: func() { r.cancel(a.ID, a.Attempt) }})
+			deferred = append(deferred, deferredAction{run: func() { r.cancelFlow(a.ID, a.Attempt) }})
 		case dispatch.Refuse:
-			changes = r.end(traffic.Notice{ID: a.ID, Outcome: traffic.HandedBack, RetryIn: a.RetryAfter}, changes, &after)
+			changes = r.end(traffic.Notice{ID: a.ID, Outcome: traffic.HandedBack, RetryIn: a.RetryAfter}, changes, &deferred)
 		case dispatch.Fail:
-			changes = r.end(traffic.Notice{ID: a.ID, Outcome: traffic.GivenUp}, changes, &after)
+			changes = r.end(traffic.Notice{ID: a.ID, Outcome: traffic.GivenUp}, changes, &deferred)
 		case dispatch.Wake:
-			r.wakes = append(r.wakes, r.origin.Add(a.At))
+			r.wakes = append(r.wakes, r.epoch.Add(a.At))
 		case dispatch.Log:
 			slog.Info("module", "text", a.Text)
 		case dispatch.Watch: // the pool is watched from the start
 		}
 	}
-	saved := r.commit(changes, taken, after)
-	for _, d := range after {
-		if d.do != nil {
-			d.do()
+	saved := r.commit(changes, accepted, deferred)
+	for _, d := range deferred {
+		if d.run != nil {
+			d.run()
 		} else if saved {
-			r.count.Flows += int64(1 + len(d.flow.With))
-			r.start(*d.flow)
+			r.counters.Flows += int64(1 + len(d.flow.With))
+			r.startFlow(*d.flow)
 		}
 	}
-	r.tellAhead(now)
-	r.fresh = 0
-	r.count.Open, r.count.Bytes = len(r.open), r.bytes
-	var figures *Figures
-	if now.Sub(r.figuredAt) >= figuresEvery {
-		r.figuredAt = now
-		f := r.publishFigures()
-		figures = &f
+	r.announceWaiting(now)
+	r.uncommittedBytes = 0
+	r.counters.Open, r.counters.Bytes = len(r.open), r.bytes
+	var stats *Figures
+	if now.Sub(r.statsCopiedAt) >= statsInterval {
+		r.statsCopiedAt = now
+		f := r.collectStats()
+		stats = &f
 	}
 	r.mu.Lock()
-	if figures != nil {
-		r.figures = *figures
+	if stats != nil {
+		r.stats = *stats
 	}
-	r.published = r.count
-	r.load = Load{Open: len(r.open), Waiting: len(r.open) - r.out, Bytes: float64(r.bytes) / float64(max(r.cfg.MostBytes, 1)),
+	r.published = r.counters
+	r.load = Load{Open: len(r.open), Waiting: len(r.open) - r.activeFlows, Bytes: float64(r.bytes) / float64(max(r.cfg.MostBytes, 1)),
 		Ended: r.ended}
 	r.mu.Unlock()
 }
 
-// tellAhead tells what is held, now and then.
-func (r *Relay) tellAhead(now time.Time) {
-	if now.Sub(r.toldAt) < aheadEvery {
+// announceWaiting tells what is held, now and then.
+func (r *Relay) announceWaiting(now time.Time) {
+	if now.Sub(r.lastExpect) < expectInterval {
 		return
 	}
-	r.toldAt = now
+	r.lastExpect = now
 	for dest, n := range r.waiting {
 		if r.cfg.Ahead != nil {
 			r.cfg.Ahead.Expect(dest, n)
@@ -759,103 +759,103 @@
 }
 
 // end gives a transaction its final answer: to the client that just handed it in, or by a notice.
-func (r *Relay) end(n traffic.Notice, changes []traffic.Change, after *[]deed) []traffic.Change {
+func (r *Relay) end(n traffic.Notice, changes []traffic.Change, deferred *[]deferredAction) []traffic.Change {
 	h := r.open[n.ID]
-	h.noticed = h.fresh == nil
+	h.noticePending = h.submitters == nil
 	r.forget(h)
-	if h.fresh != nil { // not taken on: nothing is owed and nothing journalled
+	if h.submitters != nil { // not taken on: nothing is owed and nothing journalled
 		answer := traffic.Answer{Verdict: traffic.Busy, RetryIn: n.RetryIn}
 		if n.Outcome == traffic.GivenUp {
 			answer = traffic.Answer{Verdict: traffic.Failed}
-			r.count.Failed++
+			r.counters.Failed++
 		} else {
-			r.count.Refused++
+			r.counters.Refused++
 		}
 		h.reply(answer)
-		r.answeredAs(h.Class, answer)
+		r.countAnswer(h.Class, answer)
 		return changes
 	}
 	if n.Outcome == traffic.GivenUp {
-		r.count.GivenUp++
-		r.counted(h.Class, r.tally.errors)
+		r.counters.GivenUp++
+		r.countClass(h.Class, r.classCounts.errors)
 	} else {
-		r.count.HandedBack++
-		r.counted(h.Class, r.tally.overload)
+		r.counters.HandedBack++
+		r.countClass(h.Class, r.classCounts.overload)
 	}
-	if r.ordered(&h.Transaction) {
+	if r.keepsOrder(&h.Transaction) {
 		n.Order = h.Order
-		r.noticed[n.ID] = h.Order
+		r.noticePending[n.ID] = h.Order
 	}
-	*after = append(*after, deed{do: func() { r.cfg.Notices.Send(n) }})
+	*deferred = append(*deferred, deferredAction{run: func() { r.cfg.Notices.Send(n) }})
 	return append(changes, traffic.Ended{ID: n.ID, Notice: &n})
 }
 
-func (h *held) reply(a traffic.Answer) {
-	for _, to := range h.fresh {
+func (h *openTransaction) reply(a traffic.Answer) {
+	for _, to := range h.submitters {
 		to <- a
 	}
-	h.fresh = nil
+	h.submitters = nil
 }
 
 // commit journals a step. Where that fails, nothing new is taken on and no flow starts; ends are kept for
 // the next step's write.
-func (r *Relay) commit(changes []traffic.Change, taken []*held, after []deed) bool {
-	err := r.cfg.Store.Commit(append(r.unsaved, changes...))
+func (r *Relay) commit(changes []traffic.Change, accepted []*openTransaction, deferred []deferredAction) bool {
+	err := r.cfg.Store.Commit(append(r.unsavedChanges, changes...))
 	if err == nil {
-		r.unsaved = nil
-		r.count.TakenOn += int64(len(taken))
-		for _, h := range taken {
+		r.unsavedChanges = nil
+		r.counters.TakenOn += int64(len(accepted))
+		for _, h := range accepted {
 			h.reply(traffic.Answer{Verdict: traffic.Accepted})
 		}
 		return true
 	}
-	r.count.CommitErrors++
+	r.counters.CommitErrors++
 	slog.Error("journal write failed", "err", err)
 	for _, ch := range changes {
 		switch ch.(type) {
 		case traffic.Taken, traffic.FlowBegun:
 		default:
-			r.unsaved = append(r.unsaved, ch)
+			r.unsavedChanges = append(r.unsavedChanges, ch)
 		}
 	}
 	dropped := map[string]bool{}
-	var follow []dispatch.Event
-	for _, h := range taken {
+	var followUp []dispatch.Event
+	for _, h := range accepted {
 		dropped[h.ID] = true
-		r.later = slices.DeleteFunc(r.later, func(o *held) bool { return o == h })
+		r.awaitingTurn = slices.DeleteFunc(r.awaitingTurn, func(o *openTransaction) bool { return o == h })
 		r.forget(h)
-		r.count.Full++
-		r.answeredAs(h.Class, traffic.Answer{Verdict: traffic.Busy})
-		h.reply(traffic.Answer{Verdict: traffic.Busy, RetryIn: fullRetry})
-		follow = append(follow, dispatch.Hangup{ID: h.ID})
+		r.counters.Full++
+		r.countAnswer(h.Class, traffic.Answer{Verdict: traffic.Busy})
+		h.reply(traffic.Answer{Verdict: traffic.Busy, RetryIn: fullRetryIn})
+		followUp = append(followUp, dispatch.Hangup{ID: h.ID})
 	}
-	for _, d := range after {
+	for _, d := range deferred {
 		if d.flow == nil {
 			continue
 		}
 		for _, f := range d.flow.All() {
 			end := traffic.FlowEnd{ID: f.ID, Attempt: f.Attempt, Member: f.Member, Status: traffic.Unsent}
 			if dropped[end.ID] {
-				r.out--
-				follow = append(follow, outcome(end))
+				r.activeFlows--
+				followUp = append(followUp, outcome(end))
 			} else {
 				r.post(end)
 			}
 		}
 	}
-	if len(follow) > 0 {
-		r.post(follow)
+	if len(followUp) > 0 {
+		r.post(followUp)
 	}
 	return false
 }
 
-// knownChanged publishes the pool's members for operators' calls.
-func (r *Relay) knownChanged() {
-	known := make(map[string]bool, len(r.pool.members))
+// publishKnownMembers publishes the pool's members for operators' calls.
+func (r *Relay) publishKnownMembers() {
+	knownMembers := make(map[string]bool, len(r.pool.members))
 	for id := range r.pool.members {
-		known[id] = true
+		knownMembers[id] = true
 	}
 	r.mu.Lock()
-	r.known = known
+	r.knownMembers = knownMembers
 	r.mu.Unlock()
 }
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -11,56 +11,58 @@
 	"slatemux/internal/traffic"
 )
 
-// world stands for store, flows and notices, and notes what is asked of them in order.
-type world struct {
-	did   []string
-	flows []traffic.Flow
-	fail  error
-	full  bool
+// fakeIO stands for store, flows and notices, and notes what is asked of them in order.
+type fakeIO struct {
+	calls     []string
+	flows     []traffic.Flow
+	commitErr error
+	storeFull bool
 }
 
-func (w *world) Commit(changes []traffic.Change) error {
+func (w *fakeIO) Commit(changes []traffic.Change) error {
 	for _, ch := range changes {
 		text := strings.TrimPrefix(fmt.Sprintf("%T", ch), "traffic.")
-		if w.fail != nil {
+		if w.commitErr != nil {
 			text = "not " + text
 		}
-		w.did = append(w.did, text)
+		w.calls = append(w.calls, text)
 	}
-	return w.fail
+	return w.commitErr
 }
-func (w *world) Room(int64) bool         { return !w.full }
-func (w *world) Start(f traffic.Flow)    { w.did, w.flows = append(w.did, "start"), append(w.flows, f) }
-func (w *world) Cancel(id string, a int) { w.did = append(w.did, "cancel") }
-func (w *world) Pool(traffic.PoolNews)   { w.did = append(w.did, "pool") }
-func (w *world) Send(n traffic.Notice)   { w.did = append(w.did, fmt.Sprint("notice ", n.Outcome)) }
-func (w *world) took() (done string)     { done, w.did = strings.Join(w.did, ", "), nil; return }
-func (w *world) last() traffic.Flow      { return w.flows[len(w.flows)-1] }
-func (w *world) String() string          { return w.took() }
+func (w *fakeIO) Room(int64) bool { return !w.storeFull }
+func (w *fakeIO) Start(f traffic.Flow) {
+	w.calls, w.flows = append(w.calls, "start"), append(w.flows, f)
+}
+func (w *fakeIO) Cancel(id string, a int)  { w.calls = append(w.calls, "cancel") }
+func (w *fakeIO) Pool(traffic.PoolNews)    { w.calls = append(w.calls, "pool") }
+func (w *fakeIO) Send(n traffic.Notice)    { w.calls = append(w.calls, fmt.Sprint("notice ", n.Outcome)) }
+func (w *fakeIO) takeCalls() (done string) { done, w.calls = strings.Join(w.calls, ", "), nil; return }
+func (w *fakeIO) lastFlow() traffic.Flow   { return w.flows[len(w.flows)-1] }
+func (w *fakeIO) String() string           { return w.takeCalls() }
 
-var known = traffic.PoolNews{Whole: true, Members: []traffic.Member{{Host: "m1", Class: "partner", Destination: 7},
+var initialPool = traffic.PoolNews{Whole: true, Members: []traffic.Member{{Host: "m1", Class: "partner", Destination: 7},
 	{Host: "m2", Class: "partner", Destination: 7}}}
 
-func start(t *testing.T, open ...traffic.Open) (*Relay, *world, time.Time) {
+func startRelay(t *testing.T, open ...traffic.Open) (*Relay, *fakeIO, time.Time) {
 	t.Helper()
-	w := &world{}
-	r, err := New(Config{Settings: settingsForTest(), MostBytes: 1 << 20, Store: w, Flows: w, Notices: w})
+	w := &fakeIO{}
+	r, err := New(Config{Settings: testSettings(), MostBytes: 1 << 20, Store: w, Flows: w, Notices: w})
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.Start(known, nil, open, nil)
-	return r, w, r.origin.Add(10 * time.Millisecond)
+	r.Start(initialPool, nil, open, nil)
+	return r, w, r.epoch.Add(10 * time.Millisecond)
 }
 
 func transaction(id, class string, deadline time.Time) traffic.Transaction {
 	return traffic.Transaction{ID: id, Class: class, Key: "k", Destination: 7, Deadline: deadline, Body: []byte("b")}
 }
 
-// hand hands a transaction in at a step of its own and returns its answer, if there is one.
-func hand(t *testing.T, r *Relay, now time.Time, tr traffic.Transaction) traffic.Answer {
+// submit hands a transaction in at a step of its own and returns its answer, if there is one.
+func submit(t *testing.T, r *Relay, now time.Time, tr traffic.Transaction) traffic.Answer {
 	t.Helper()
 	answer := r.Put(tr, now)
-	r.step(now, taken(r))
+	r.step(now, takeBatch(r))
 	select {
 	case a := <-answer:
 		return a
@@ -72,39 +74,39 @@
 
 // The journal has a transaction before its client hears of it and a flow before it starts; what ends in the
 // step of its hand-in leaves no trace.
-func TestOrderOfAStep(t *testing.T) {
-	r, w, now := start(t)
-	w.took()
-	if a := hand(t, r, now, transaction("a", "slot", now.Add(5*time.Second))); a.Verdict != traffic.Accepted {
+func TestJournalsBeforeAnswerAndStart(t *testing.T) {
+	r, w, now := startRelay(t)
+	w.takeCalls()
+	if a := submit(t, r, now, transaction("a", "slot", now.Add(5*time.Second))); a.Verdict != traffic.Accepted {
 		t.Fatalf("%+v", a)
 	}
-	if got := w.took(); got != "Taken, FlowBegun, start" {
+	if got := w.takeCalls(); got != "Taken, FlowBegun, start" {
 		t.Errorf("a hand-in: %s", got)
 	}
-	if a := hand(t, r, now, transaction("a", "slot", now.Add(5*time.Second))); a.Verdict != traffic.Accepted || w.took() != "" {
+	if a := submit(t, r, now, transaction("a", "slot", now.Add(5*time.Second))); a.Verdict != traffic.Accepted || w.takeCalls() != "" {
 		t.Errorf("the same once more: %+v", a)
 	}
-	if a := hand(t, r, now, transaction("b", "slot", now.Add(time.Millisecond))); a.Verdict != traffic.Busy || w.took() != "" {
+	if a := submit(t, r, now, transaction("b", "slot", now.Add(time.Millisecond))); a.Verdict != traffic.Busy || w.takeCalls() != "" {
 		t.Errorf("out of time at once: %+v", a)
 	}
 	now = now.Add(time.Second)
-	r.step(now, []any{traffic.FlowEnd{ID: "a", Member: w.last().Member, Status: traffic.Delivered}})
-	if got := w.took(); got != "Ended" || len(r.open) != 0 || r.bytes != 0 {
+	r.step(now, []any{traffic.FlowEnd{ID: "a", Member: w.lastFlow().Member, Status: traffic.Delivered}})
+	if got := w.takeCalls(); got != "Ended" || len(r.open) != 0 || r.bytes != 0 {
 		t.Errorf("a delivery: %s, %d open, %d bytes", got, len(r.open), r.bytes)
 	}
 }
 
 // Each end of a flow that the protocol's table has, and what it means.
-func TestEveryEndOfAFlow(t *testing.T) {
+func TestFlowEndings(t *testing.T) {
 	for status, want := range map[traffic.FlowStatus]string{
 		traffic.Delivered: "Ended", traffic.Over: "Ended", traffic.Errored: "ran", traffic.Broken: "ran",
 		traffic.OutOfTime: "ran", traffic.CalledOff: "ran", traffic.TurnedAway: "never", traffic.NoSlot: "never",
 		traffic.Spent: "never", traffic.Unsent: "never", traffic.NotConnected: "never"} {
-		r, w, now := start(t)
-		hand(t, r, now, transaction("a", "pay", now.Add(28*time.Second)))
-		w.took()
-		r.step(now.Add(time.Millisecond), []any{traffic.FlowEnd{ID: "a", Member: w.last().Member, Status: status}})
-		got := strings.Split(w.took(), ", ")[0]
+		r, w, now := startRelay(t)
+		submit(t, r, now, transaction("a", "pay", now.Add(28*time.Second)))
+		w.takeCalls()
+		r.step(now.Add(time.Millisecond), []any{traffic.FlowEnd{ID: "a", Member: w.lastFlow().Member, Status: status}})
+		got := strings.Split(w.takeCalls(), ", ")[0]
 		if got == "FlowEnded" {
 			if got = "never"; !r.open["a"].FirstSent.IsZero() {
 				got = "ran"
@@ -118,38 +120,38 @@
 
 // Where the journal cannot be written nothing is taken on and nothing sent, and an end is written later.
 func TestJournalFailure(t *testing.T) {
-	r, w, now := start(t)
-	hand(t, r, now, transaction("a", "slot", now.Add(5*time.Second)))
-	w.took()
-	w.fail = errors.New("no room")
-	if a := hand(t, r, now, transaction("b", "slot", now.Add(5*time.Second))); a.Verdict != traffic.Busy {
+	r, w, now := startRelay(t)
+	submit(t, r, now, transaction("a", "slot", now.Add(5*time.Second)))
+	w.takeCalls()
+	w.commitErr = errors.New("no room")
+	if a := submit(t, r, now, transaction("b", "slot", now.Add(5*time.Second))); a.Verdict != traffic.Busy {
 		t.Errorf("%+v", a)
 	}
-	if got := w.took(); strings.Contains(got, "start") || len(r.open) != 1 {
+	if got := w.takeCalls(); strings.Contains(got, "start") || len(r.open) != 1 {
 		t.Errorf("%s, %d open", got, len(r.open))
 	}
-	r.step(now, append(taken(r), traffic.FlowEnd{ID: "a", Member: w.flows[0].Member, Status: traffic.Delivered}))
-	w.took()
-	w.fail = nil
+	r.step(now, append(takeBatch(r), traffic.FlowEnd{ID: "a", Member: w.flows[0].Member, Status: traffic.Delivered}))
+	w.takeCalls()
+	w.commitErr = nil
 	r.step(now.Add(time.Second), nil)
-	if got := w.took(); got != "Ended" {
+	if got := w.takeCalls(); got != "Ended" {
 		t.Errorf("after the failure: %s", got)
 	}
 }
 
-func TestRefusesWhatItHasNoRoomFor(t *testing.T) {
-	r, w, now := start(t)
-	w.full = true
-	if a := hand(t, r, now, transaction("a", "slot", now.Add(5*time.Second))); a.Verdict != traffic.Busy || a.RetryIn == 0 {
+func TestRefusesWithoutRoom(t *testing.T) {
+	r, w, now := startRelay(t)
+	w.storeFull = true
+	if a := submit(t, r, now, transaction("a", "slot", now.Add(5*time.Second))); a.Verdict != traffic.Busy || a.RetryIn == 0 {
 		t.Errorf("journal full: %+v", a)
 	}
-	w.full, r.cfg.MostBytes = false, 10
-	if a := hand(t, r, now, transaction("b", "slot", now.Add(5*time.Second))); a.Verdict != traffic.Busy {
+	w.storeFull, r.cfg.MostBytes = false, 10
+	if a := submit(t, r, now, transaction("b", "slot", now.Add(5*time.Second))); a.Verdict != traffic.Busy {
 		t.Errorf("memory full: %+v", a)
 	}
 	r.cfg.MostBytes = 1 << 20
 	late := r.Put(transaction("c", "slot", now.Add(5*time.Second)), now.Add(-time.Second))
-	r.step(now, taken(r))
+	r.step(now, takeBatch(r))
 	if a := <-late; a.Verdict != traffic.Busy { // its client has gone
 		t.Errorf("a hand-in that waited for a second: %+v", a)
 	}
@@ -162,52 +164,52 @@
 // A destination that the pool does not have is refused: with a word to come again while discovery has not been
 // heard, for good after that. One whose last member just left is still known, for a successor may come.
 func TestUnknownDestination(t *testing.T) {
-	r, _, now := start(t)
+	r, _, now := startRelay(t)
 	odd := transaction("a", "slot", now.Add(5*time.Second))
 	odd.Destination = 99
-	if a := hand(t, r, now, odd); a.Verdict != traffic.Busy {
+	if a := submit(t, r, now, odd); a.Verdict != traffic.Busy {
 		t.Errorf("before discovery was heard: %+v", a)
 	}
 	news := func(after time.Duration, health traffic.Health) {
 		r.PoolChanged(traffic.PoolNews{Members: []traffic.Member{{Host: "m1", Class: "partner", Destination: 7,
 			Health: health}, {Host: "m2", Class: "partner", Destination: 7, Health: health}}})
-		r.step(now.Add(after), taken(r))
+		r.step(now.Add(after), takeBatch(r))
 	}
 	news(0, traffic.Left)
-	if a := hand(t, r, now, odd); a.Verdict != traffic.Failed || len(r.pool.members) > 0 {
+	if a := submit(t, r, now, odd); a.Verdict != traffic.Failed || len(r.pool.members) > 0 {
 		t.Errorf("not in the pool: %+v, kept %v", a, r.pool.members)
 	}
-	if a := hand(t, r, now, transaction("b", "slot", now.Add(5*time.Second))); a.Verdict != traffic.Accepted {
+	if a := submit(t, r, now, transaction("b", "slot", now.Add(5*time.Second))); a.Verdict != traffic.Accepted {
 		t.Errorf("just left: %+v", a)
 	}
-	if a := hand(t, r, now.Add(2*goneFor), transaction("c", "slot", now.Add(3*goneFor))); a.Verdict != traffic.Failed {
+	if a := submit(t, r, now.Add(2*goneRetention), transaction("c", "slot", now.Add(3*goneRetention))); a.Verdict != traffic.Failed {
 		t.Errorf("long left: %+v", a)
 	}
-	news(2*goneFor, traffic.Left)
-	if len(r.pool.gone) > 0 || r.count.Unlisted != 3 {
-		t.Errorf("kept %v, counted %d", r.pool.gone, r.count.Unlisted)
+	news(2*goneRetention, traffic.Left)
+	if len(r.pool.goneSince) > 0 || r.counters.Unlisted != 3 {
+		t.Errorf("kept %v, counted %d", r.pool.goneSince, r.counters.Unlisted)
 	}
 }
 
 // Another message under the id of one that is open is not taken on and changes nothing; the same one sent once
 // more, as after a close that crossed it, is answered as taken on.
-func TestBorrowedID(t *testing.T) {
-	r, w, now := start(t)
+func TestReusedID(t *testing.T) {
+	r, w, now := startRelay(t)
 	tr := transaction("a", "pay", now.Add(28*time.Second))
-	if a := hand(t, r, now, tr); a.Verdict != traffic.Accepted {
+	if a := submit(t, r, now, tr); a.Verdict != traffic.Accepted {
 		t.Fatal(a)
 	}
-	w.took()
+	w.takeCalls()
 	other := tr
 	other.Body = []byte("other")
-	if a := hand(t, r, now, other); a.Verdict != traffic.Failed || string(r.open["a"].Body) != "b" {
+	if a := submit(t, r, now, other); a.Verdict != traffic.Failed || string(r.open["a"].Body) != "b" {
 		t.Errorf("another message with the id: %+v, held %q", a, r.open["a"].Body)
 	}
-	if a := hand(t, r, now, tr); a.Verdict != traffic.Accepted {
+	if a := submit(t, r, now, tr); a.Verdict != traffic.Accepted {
 		t.Errorf("the same once more: %+v", a)
 	}
-	if got := w.took(); strings.Contains(got, "Taken") || strings.Contains(got, "start") || r.count.Borrowed != 1 {
-		t.Errorf("did %s, counted %d", got, r.count.Borrowed)
+	if got := w.takeCalls(); strings.Contains(got, "Taken") || strings.Contains(got, "start") || r.counters.Borrowed != 1 {
+		t.Errorf("did %s, counted %d", got, r.counters.Borrowed)
 	}
 }
 
@@ -222,15 +224,15 @@
 		{Transaction: transaction("spent", "slot", far), Attempts: 3},
 		{Transaction: transaction("late", "slot", now.Add(-time.Second))},
 	}
-	r, w, _ := start(t, open...)
+	r, w, _ := startRelay(t, open...)
 	if len(w.flows) != 1 {
 		t.Fatalf("flows %+v", w.flows)
 	}
-	f := w.last()
+	f := w.lastFlow()
 	if f.ID != "fresh" || f.Attempt != 1 || !f.WriteBy.Equal(open[0].FirstSent.Add(15*time.Second)) {
 		t.Errorf("%+v", f)
 	}
-	got := w.took()
+	got := w.takeCalls()
 	if strings.Count(got, fmt.Sprint("notice ", traffic.GivenUp)) != 1 ||
 		strings.Count(got, fmt.Sprint("notice ", traffic.HandedBack)) != 2 || strings.Contains(got, "Taken") {
 		t.Error(got)
@@ -244,9 +246,9 @@
 // itself, also by the second of two restarts within the second, and then ended truthfully; what was never tried has no window running,
 // and is tried, also where many were found; an unsafe one that may have run is never sent again. A clock that was set back, so that the
 // first try lies in the future, makes no window longer, and no transaction's time either.
-func TestRestartWithAShortWindow(t *testing.T) {
+func TestRestartWithShortRetryWindow(t *testing.T) {
 	now := time.Now()
-	set := settingsForTest()
+	set := testSettings()
 	set.MaxOpen = 40
 	for i := range set.Classes {
 		set.Classes[i].Memory = time.Second
@@ -263,12 +265,12 @@
 	}
 	open[4].Deadline = now.Add(time.Hour) // by the clock before
 	for range 2 {                         // the second start finds what the first one did
-		w := &world{}
+		w := &fakeIO{}
 		r, err := New(Config{Settings: set, MostBytes: 1 << 20, Store: w, Flows: w, Notices: w})
 		if err != nil {
 			t.Fatal(err)
 		}
-		r.Start(known, nil, open, nil)
+		r.Start(initialPool, nil, open, nil)
 		sent := map[string]traffic.Flow{}
 		for _, f := range w.flows {
 			sent[f.ID] = f
@@ -278,7 +280,7 @@
 				t.Errorf("%s: sent %v %+v, open %v", id, ok, f, r.open[id] != nil)
 			}
 		}
-		if got := strings.Count(w.took(), fmt.Sprint("notice ", traffic.GivenUp)); got != 3 {
+		if got := strings.Count(w.takeCalls(), fmt.Sprint("notice ", traffic.GivenUp)); got != 3 {
 			t.Errorf("%d given up, want 3", got)
 		}
 		if f := sent["within"]; f.WriteBy.IsZero() || f.WriteBy.After(open[0].FirstSent.Add(time.Second)) {
@@ -299,29 +301,29 @@
 
 // The answer to a keyed call that came too late must not lead to a call beyond the memory; WriteBy carries
 // that to the flow, which may have to connect first.
-func TestWriteByHoldsForRepeats(t *testing.T) {
-	r, w, now := start(t)
-	hand(t, r, now, transaction("a", "pay", now.Add(28*time.Second)))
-	if !w.last().WriteBy.IsZero() {
-		t.Errorf("a first call has %v", w.last().WriteBy)
+func TestRetryHasWriteBy(t *testing.T) {
+	r, w, now := startRelay(t)
+	submit(t, r, now, transaction("a", "pay", now.Add(28*time.Second)))
+	if !w.lastFlow().WriteBy.IsZero() {
+		t.Errorf("a first call has %v", w.lastFlow().WriteBy)
 	}
-	r.step(now.Add(time.Second), []any{traffic.FlowEnd{ID: "a", Member: w.last().Member, Status: traffic.Broken}})
+	r.step(now.Add(time.Second), []any{traffic.FlowEnd{ID: "a", Member: w.lastFlow().Member, Status: traffic.Broken}})
 	r.step(now.Add(2*time.Second), nil)
-	if len(w.flows) != 2 || !w.last().WriteBy.Equal(now.Add(15*time.Second)) {
+	if len(w.flows) != 2 || !w.lastFlow().WriteBy.Equal(now.Add(15*time.Second)) {
 		t.Errorf("%+v", w.flows)
 	}
 }
 
 // A call that was answered in the last moment before the exit must not be made again after the restart.
-func TestStopJournalsWhatHasEnded(t *testing.T) {
-	r, w, now := start(t)
-	hand(t, r, now, transaction("a", "slot", now.Add(5*time.Second)))
-	w.took()
-	r.FlowEnded(traffic.FlowEnd{ID: "a", Member: w.last().Member, Status: traffic.Delivered})
+func TestStopJournalsEnds(t *testing.T) {
+	r, w, now := startRelay(t)
+	submit(t, r, now, transaction("a", "slot", now.Add(5*time.Second)))
+	w.takeCalls()
+	r.FlowEnded(traffic.FlowEnd{ID: "a", Member: w.lastFlow().Member, Status: traffic.Delivered})
 	r.NoticesAnswered([]string{"z"})
 	answer := r.Put(transaction("b", "slot", now.Add(5*time.Second)), now)
 	r.stop()
-	if got := w.took(); got != "Ended, Answered" {
+	if got := w.takeCalls(); got != "Ended, Answered" {
 		t.Error(got)
 	}
 	if a := <-answer; a.Verdict != traffic.Busy {
@@ -329,27 +331,27 @@
 	}
 }
 
-// taken is what the inbox held.
-func taken(r *Relay) []any {
-	batch, _ := r.take()
+// takeBatch is what the inbox held.
+func takeBatch(r *Relay) []any {
+	batch, _ := r.takeInbox()
 	return batch
 }
 
 // What was learned of a destination is told once a list names it, which the list of the start need not do, and once only.
-func TestLimitsWaitForTheList(t *testing.T) {
-	r, _, _ := start(t)
+func TestRecallsLimitsOncePerDestination(t *testing.T) {
+	r, _, _ := startRelay(t)
 	limits := map[int]float64{3: 25, 7: 50}
-	r.Start(known, limits, nil, nil)
+	r.Start(initialPool, limits, nil, nil)
 	news := traffic.PoolNews{Members: []traffic.Member{{Host: "b", Destination: 3}, {Host: "c", Destination: 3}, {Host: "m1", Destination: 7}}}
-	if got := r.recalled(news); len(got) != 1 || got[0] != (dispatch.Recalled{Destination: 3, Limit: 25}) {
+	if got := r.recalledLimits(news); len(got) != 1 || got[0] != (dispatch.Recalled{Destination: 3, Limit: 25}) {
 		t.Errorf("%v", got)
 	}
-	if got := r.recalled(news); len(got) != 0 || len(limits) != 2 {
+	if got := r.recalledLimits(news); len(got) != 0 || len(limits) != 2 {
 		t.Errorf("told again: %v", got)
 	}
 }
 
-func settingsForTest() dispatch.Settings {
+func testSettings() dispatch.Settings {
 	return dispatch.Settings{
 		Classes: []dispatch.Class{
 			{Name: "pay", Effect: dispatch.Keyed, Memory: 15 * time.Second, Aim: 4 * time.Second, Deadline: 28 * time.Second, Worth: 1},
--- a/internal/relay/figures.go
+++ b/internal/relay/stats.go
@@ -19,58 +19,58 @@
 	Avoided                  int   // listed members that the module holds to be out, beside the banned ones
 }
 
-type tally struct{ success, overload, errors map[string]int64 }
+type classCounts struct{ success, overload, errors map[string]int64 }
 
-func newTally() tally {
-	return tally{map[string]int64{}, map[string]int64{}, map[string]int64{}}
+func newClassCounts() classCounts {
+	return classCounts{map[string]int64{}, map[string]int64{}, map[string]int64{}}
 }
 
-func (r *Relay) counted(class string, into map[string]int64) {
+func (r *Relay) countClass(class string, into map[string]int64) {
 	if r.classes[class] != nil {
 		into[class]++
 	}
 }
 
 // answered counts a verdict given at the front.
-func (r *Relay) answeredAs(class string, a traffic.Answer) {
+func (r *Relay) countAnswer(class string, a traffic.Answer) {
 	switch a.Verdict {
 	case traffic.Busy:
-		r.counted(class, r.tally.overload)
+		r.countClass(class, r.classCounts.overload)
 	case traffic.Failed:
-		r.counted(class, r.tally.errors)
+		r.countClass(class, r.classCounts.errors)
 	}
 }
 
-// written says whether a flow that ended this way had its transaction written whole.
-func written(s traffic.FlowStatus) bool { return s != traffic.NotConnected && s != traffic.Unsent }
+// writtenWhole says whether a flow that ended this way had its transaction written whole.
+func writtenWhole(s traffic.FlowStatus) bool { return s != traffic.NotConnected && s != traffic.Unsent }
 
 // Figures returns them as of the newest step.
 func (r *Relay) Figures() Figures {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.figures
+	return r.stats
 }
 
-func (r *Relay) publishFigures() Figures {
+func (r *Relay) collectStats() Figures {
 	banned := 0
-	for id := range r.shut {
+	for id := range r.blocked {
 		if _, ok := r.pool.members[id]; ok {
 			banned++
 		}
 	}
-	return Figures{Success: maps.Clone(r.tally.success), Overload: maps.Clone(r.tally.overload),
-		Error: maps.Clone(r.tally.errors), Dispatches: r.dispatches, Concurrent: len(r.open),
+	return Figures{Success: maps.Clone(r.classCounts.success), Overload: maps.Clone(r.classCounts.overload),
+		Error: maps.Clone(r.classCounts.errors), Dispatches: r.dispatches, Concurrent: len(r.open),
 		Members: len(r.pool.members), Banned: banned, Avoided: r.sender.Avoided()}
 }
 
-// figuresEvery is how often the figures are copied for operators: they may be half a second old.
-const figuresEvery = 100 * time.Millisecond
+// statsInterval is how often the figures are copied for operators: they may be half a second old.
+const statsInterval = 100 * time.Millisecond
 
 // Known says whether the pool names a member, as of the newest step.
 func (r *Relay) Known(id string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.known[id]
+	return r.knownMembers[id]
 }
 
 // Ban tells the relay which members operators have taken down. The channel closes once the module has been
@@ -88,45 +88,45 @@
 	done chan struct{}
 }
 
-// banned applies a new set of bans: members whose standing changed are told to the module again, those that
+// applyBans applies a new set of bans: members whose standing changed are told to the module again, those that
 // come back as cold, for they were restarted while out.
-func (r *Relay) banned(b bans) dispatch.Members {
+func (r *Relay) applyBans(b bans) dispatch.Members {
 	before := r.bans
 	r.bans = b.set
 	if r.cfg.Fleet != nil {
 		r.cfg.Fleet.Bans(maps.Clone(b.set))
 	}
-	return r.closed(func(id string) bool { return before[id] })
+	return r.updateBlocked(func(id string) bool { return before[id] })
 }
 
-// nobody is the set of no members.
-func nobody(string) bool { return false }
+// noMember is the set of no members.
+func noMember(string) bool { return false }
 
-// closed tells the module of the members whose standing has changed, by operators here, by the word of other relays or by doubt
+// updateBlocked tells the module of the members whose standing has changed, by operators here, by the word of other relays or by doubt
 // in the whole list. Of those that come back, cold says which were restarted.
-func (r *Relay) closed(cold func(id string) bool) dispatch.Members {
-	shut := maps.Clone(r.bans)
-	if shut == nil {
-		shut = map[string]bool{}
+func (r *Relay) updateBlocked(cold func(id string) bool) dispatch.Members {
+	blocked := maps.Clone(r.bans)
+	if blocked == nil {
+		blocked = map[string]bool{}
 	}
-	for id := range r.bars {
-		shut[id] = true
+	for id := range r.excluded {
+		blocked[id] = true
 	}
-	for id := range r.doubts {
-		shut[id] = true
+	for id := range r.unconfirmed {
+		blocked[id] = true
 	}
 	ev, news := dispatch.Members{}, traffic.PoolNews{}
 	for _, id := range slices.Sorted(maps.Keys(r.pool.members)) {
-		if m := r.pool.members[id]; shut[id] != r.shut[id] {
-			row := r.member(m, shut)
-			row.Cold = !shut[id] && cold(id)
+		if m := r.pool.members[id]; blocked[id] != r.blocked[id] {
+			row := r.endpoint(m, blocked)
+			row.Cold = !blocked[id] && cold(id)
 			ev.Endpoints = append(ev.Endpoints, row)
 			news.Members = append(news.Members, m)
 		}
 	}
-	r.shut = shut
-	r.figuredAt = time.Time{}               // operators see their call in the figures at once
-	r.cfg.Flows.Pool(r.overlay(news, shut)) // what waits for a connection there is not written either
+	r.blocked = blocked
+	r.statsCopiedAt = time.Time{}              // operators see their call in the figures at once
+	r.cfg.Flows.Pool(r.overlay(news, blocked)) // what waits for a connection there is not written either
 	return ev
 }
 
--- a/internal/relay/translate.go
+++ b/internal/relay/translate.go
@@ -11,35 +11,35 @@
 // This file alone knows both vocabularies: the network's (pool member, transaction, flow) and the decision
 // module's (endpoint, message, attempt).
 
-var states = map[traffic.Health]dispatch.State{traffic.Active: dispatch.Listed,
+var memberStates = map[traffic.Health]dispatch.State{traffic.Active: dispatch.Listed,
 	traffic.Leaving: dispatch.Draining, traffic.Left: dispatch.Gone}
 
 // members tells the module of the pool. A member that operators took down, or other relays know to leave, drains, whatever discovery says.
 func (r *Relay) members(news traffic.PoolNews) dispatch.Members {
 	ev := dispatch.Members{Whole: news.Whole}
 	for _, m := range news.Members {
-		ev.Endpoints = append(ev.Endpoints, r.member(m, r.shut))
+		ev.Endpoints = append(ev.Endpoints, r.endpoint(m, r.blocked))
 	}
 	return ev
 }
 
-func (r *Relay) member(m traffic.Member, banned map[string]bool) dispatch.Endpoint {
-	e := dispatch.Endpoint{ID: m.Host, Zone: m.Site, Kind: m.Class, Destination: m.Destination, State: states[m.Health], Weight: m.Share}
+func (r *Relay) endpoint(m traffic.Member, banned map[string]bool) dispatch.Endpoint {
+	e := dispatch.Endpoint{ID: m.Host, Zone: m.Site, Kind: m.Class, Destination: m.Destination, State: memberStates[m.Health], Weight: m.Share}
 	if banned[m.Host] && e.State == dispatch.Listed {
 		e.State = dispatch.Draining
 	}
 	return e
 }
 
-// recalled tells, once, what an earlier process had learned of the destinations that a list names, in the list's order.
-func (r *Relay) recalled(news traffic.PoolNews) (events []dispatch.Event) {
-	if len(r.learned) == 0 { // as a rule, and a list may be long
+// recalledLimits tells, once, what an earlier process had learned of the destinations that a list names, in the list's order.
+func (r *Relay) recalledLimits(news traffic.PoolNews) (events []dispatch.Event) {
+	if len(r.learnedLimits) == 0 { // as a rule, and a list may be long
 		return nil
 	}
 	for _, m := range news.Members {
-		if limit, ok := r.learned[m.Destination]; ok {
+		if limit, ok := r.learnedLimits[m.Destination]; ok {
 			events = append(events, dispatch.Recalled{Destination: m.Destination, Limit: limit})
-			delete(r.learned, m.Destination)
+			delete(r.learnedLimits, m.Destination)
 		}
 	}
 	return events
@@ -49,44 +49,44 @@
 	ev := dispatch.Request{ID: o.ID, Destination: o.Destination, Class: o.Class, Tenant: o.Tenant,
 		TimeLeft: o.Deadline.Sub(now), Attempts: o.Attempts, Size: o.Size()}
 	if c := r.classes[o.Class]; c != nil && c.OrderedByKey && o.Order != "" {
-		ev.Key, ev.HasKey = keyOf(o.Order), true
+		ev.Key, ev.HasKey = keyNumber(o.Order), true
 	}
 	if !o.FirstSent.IsZero() {
-		ev.MayHaveRun, ev.FirstSent = true, o.FirstSent.Sub(r.origin)
+		ev.MayHaveRun, ev.FirstSent = true, o.FirstSent.Sub(r.epoch)
 	}
 	return ev
 }
 
-// keyOf is the module's number of a key. Two keys that share one only wait for each other.
-func keyOf(text string) int64 {
+// keyNumber is the module's number of a key. Two keys that share one only wait for each other.
+func keyNumber(text string) int64 {
 	h := fnv.New64a()
 	h.Write([]byte(text))
 	return int64(h.Sum64())
 }
 
-// ending says what the end of a flow means to the module, whether the message is over with it, and whether
+// flowEnding says what the end of a flow means to the module, whether the message is over with it, and whether
 // it may have run.
-type ending struct {
-	status           dispatch.Status
-	settled, mayHave bool
+type flowEnding struct {
+	status              dispatch.Status
+	settled, mayHaveRun bool
 }
 
-var endings = [traffic.FlowStatusMost]ending{
-	traffic.Delivered:    {status: dispatch.OK, settled: true, mayHave: true},
-	traffic.Errored:      {status: dispatch.Errored, mayHave: true},
+var flowEndings = [traffic.FlowStatusCount]flowEnding{
+	traffic.Delivered:    {status: dispatch.OK, settled: true, mayHaveRun: true},
+	traffic.Errored:      {status: dispatch.Errored, mayHaveRun: true},
 	traffic.TurnedAway:   {status: dispatch.Full},
 	traffic.NoSlot:       {status: dispatch.Moot},
 	traffic.Spent:        {status: dispatch.Moot},
 	traffic.Over:         {status: dispatch.Moot, settled: true},
 	traffic.Unsent:       {status: dispatch.Moot},
 	traffic.NotConnected: {status: dispatch.ConnectFailed},
-	traffic.Broken:       {status: dispatch.Reset, mayHave: true},
-	traffic.OutOfTime:    {status: dispatch.TimedOut, mayHave: true},
-	traffic.CalledOff:    {status: dispatch.Cancelled, mayHave: true},
+	traffic.Broken:       {status: dispatch.Reset, mayHaveRun: true},
+	traffic.OutOfTime:    {status: dispatch.TimedOut, mayHaveRun: true},
+	traffic.CalledOff:    {status: dispatch.Cancelled, mayHaveRun: true},
 }
 
 func outcome(f traffic.FlowEnd) dispatch.Outcome {
-	e := endings[f.Status]
+	e := flowEndings[f.Status]
 	ev := dispatch.Outcome{ID: f.ID, Attempt: f.Attempt, Endpoint: f.Member, Status: e.status, Settled: e.settled,
 		Wait: f.Wait, NoSlot: f.Status == traffic.NoSlot, Latency: f.Took}
 	if f.Report != nil {
@@ -114,27 +114,27 @@
 // group names what a told wait holds back: the destination, or the member alone where routes are apart.
 func (r *Relay) group(m traffic.Member) traffic.Group {
 	g := traffic.Group{Destination: m.Destination}
-	if r.apart[m.Class] {
+	if r.separateLimits[m.Class] {
 		g.Member = m.Host
 	}
 	return g
 }
 
-// allowed is what the fleet's parts of limits mean to the module.
-func (r *Relay) allowed(list []traffic.Allowance, now time.Time) (events []dispatch.Event) {
+// allowanceEvents is what the fleet's parts of limits mean to the module.
+func (r *Relay) allowanceEvents(list []traffic.Allowance, now time.Time) (events []dispatch.Event) {
 	for _, a := range list {
 		if left := a.Until.Sub(now); left > 0 {
 			events = append(events, dispatch.Told{Kind: dispatch.ToldShare, Destination: a.Destination, Rate: a.Rate, For: left})
-			if r.parts[a.Destination] = (part{until: a.Until}); a.Until.Before(r.lapse) || len(r.parts) == 1 {
-				r.lapse = a.Until
+			if r.allowances[a.Destination] = (allowance{until: a.Until}); a.Until.Before(r.nextExpiry) || len(r.allowances) == 1 {
+				r.nextExpiry = a.Until
 			}
 		}
 	}
 	return events
 }
 
-// told is what other relays' word means to the module.
-func (r *Relay) told(x traffic.Restraint, now time.Time) dispatch.Told {
+// restraintEvent is what other relays' word means to the module.
+func (r *Relay) restraintEvent(x traffic.Restraint, now time.Time) dispatch.Told {
 	ev := dispatch.Told{Endpoint: x.Member, Age: max(now.Sub(x.At), 0)}
 	switch x.Kind {
 	case traffic.Held:
--- a/internal/retryafter/retryafter.go
+++ b/internal/retryafter/retryafter.go
@@ -16,10 +16,10 @@
 	"slatemux/internal/traffic"
 )
 
-// slots is how many waits the table has room for, and near how many of them, from where its hash says on, a wait may stand in: with
+// slotCount is how many waits the table has room for, and near how many of them, from where its hash says on, a wait may stand in: with
 // thousands of routes apart that all wait, few meet in so many. One that comes when all of its own are taken replaces the one
 // that ends first. The file is sparse: it takes memory by the pages that hold waits.
-const slots, near = 8192, 32
+const slotCount, maxProbes = 8192, 32
 
 const slotBytes = 16 // the group's hash, then the wait's end in Unix nanoseconds
 
@@ -28,7 +28,7 @@
 
 // Open maps the table of a folder, made where there is none.
 func Open(dir string) (*Table, error) {
-	file, err := mmapfile.Open(filepath.Join(dir, "slatemux-waits-2"), slots*slotBytes)
+	file, err := mmapfile.Open(filepath.Join(dir, "slatemux-waits-2"), slotCount*slotBytes)
 	if err != nil {
 		return nil, fmt.Errorf("waits: %w", err)
 	}
@@ -43,43 +43,43 @@
 	return t.file.Close()
 }
 
-func slot(mem []byte, i int) (hash, until *uint64) {
+func slotWords(mem []byte, i int) (hash, until *uint64) {
 	base := unsafe.Pointer(&mem[i*slotBytes])
 	return (*uint64)(base), (*uint64)(unsafe.Add(base, 8))
 }
 
-func key(group traffic.Group) uint64 {
+func groupHash(group traffic.Group) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(group.String()))
 	return max(h.Sum64(), 1) // 0 marks a free slot
 }
 
-// at is the n-th slot in which a wait may stand.
-func at(key uint64, n int) int { return int((key + uint64(n)) % slots) }
+// probeIndex is the n-th slot in which a wait may stand.
+func probeIndex(key uint64, n int) int { return int((key + uint64(n)) % slotCount) }
 
 // Tell records that nothing goes to the group before until.
 func (t *Table) Tell(group traffic.Group, until time.Time) {
 	if t == nil {
 		return
 	}
-	t.file.Use(func(mem []byte) { tell(mem, key(group), uint64(until.UnixNano())) })
+	t.file.Use(func(mem []byte) { record(mem, groupHash(group), uint64(until.UnixNano())) })
 }
 
-func tell(mem []byte, k, end uint64) {
-	victim, least := 0, uint64(1<<64-1)
-	for n := range near {
-		i := at(k, n)
-		h, u := slot(mem, i)
+func record(mem []byte, k, end uint64) {
+	earliest, earliestEnd := 0, uint64(1<<64-1)
+	for n := range maxProbes {
+		i := probeIndex(k, n)
+		h, u := slotWords(mem, i)
 		if atomic.LoadUint64(h) == k {
 			for old := atomic.LoadUint64(u); old < end && !atomic.CompareAndSwapUint64(u, old, end); old = atomic.LoadUint64(u) {
 			}
 			return
 		}
-		if v := atomic.LoadUint64(u); v < least {
-			victim, least = i, v
+		if v := atomic.LoadUint64(u); v < earliestEnd {
+			earliest, earliestEnd = i, v
 		}
 	}
-	h, u := slot(mem, victim)
+	h, u := slotWords(mem, earliest)
 	atomic.StoreUint64(u, 0) // while the hash changes, the slot holds nothing back
 	atomic.StoreUint64(h, k)
 	atomic.StoreUint64(u, end)
@@ -90,10 +90,10 @@
 	if t == nil {
 		return until
 	}
-	k, from := key(group), uint64(now.UnixNano())
+	k, from := groupHash(group), uint64(now.UnixNano())
 	t.file.Use(func(mem []byte) {
-		for n := range near {
-			h, u := slot(mem, at(k, n))
+		for n := range maxProbes {
+			h, u := slotWords(mem, probeIndex(k, n))
 			if atomic.LoadUint64(h) == k {
 				if end := atomic.LoadUint64(u); end > from {
 					until = time.Unix(0, int64(end))
--- a/internal/retryafter/retryafter_test.go
+++ b/internal/retryafter/retryafter_test.go
@@ -9,7 +9,7 @@
 	"slatemux/internal/traffic"
 )
 
-func TestShared(t *testing.T) {
+func TestSharedBetweenProcesses(t *testing.T) {
 	dir := t.TempDir()
 	a, err := Open(dir)
 	if err != nil {
@@ -46,10 +46,10 @@
 		}
 	}
 	// More waits than slots: the one that ends first gives way, the longest stay.
-	for i := range 2 * slots {
+	for i := range 2 * slotCount {
 		a.Tell(traffic.Group{Member: fmt.Sprint(i)}, now.Add(time.Duration(i)*time.Millisecond))
 	}
-	if got := b.Until(traffic.Group{Member: fmt.Sprint(2*slots - 1)}, now); got.IsZero() {
+	if got := b.Until(traffic.Group{Member: fmt.Sprint(2*slotCount - 1)}, now); got.IsZero() {
 		t.Fatal("the newest and longest wait was dropped")
 	}
 	var nilTable *Table
@@ -60,7 +60,7 @@
 }
 
 // Flows that are still ending when the table is closed find nothing, and do not bring the process down.
-func TestClosed(t *testing.T) {
+func TestUseAfterClose(t *testing.T) {
 	a, err := Open(t.TempDir())
 	if err != nil {
 		t.Fatal(err)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -78,12 +78,12 @@
 var weights = map[string]dispatch.Weights{"": dispatch.NoWeights, "none": dispatch.NoWeights,
 	"nominal": dispatch.Nominal, "rough": dispatch.Rough}
 
-// graceUnsaid is the drain window where the settings name none: shorter than any that a deployment has named.
-const graceUnsaid = 500 * time.Millisecond
+// defaultDrainGrace is the drain window where the settings name none: shorter than any that a deployment has named.
+const defaultDrainGrace = 500 * time.Millisecond
 
 // What holds where the settings leave a time out: a connection may take connectUnsaid, members may close idle ones after keepUnsaid, and
 // steps are resolutionUnsaid apart. Nought would have each call fail before it has its connection, or the start refused.
-const connectUnsaid, keepUnsaid, resolutionUnsaid = time.Second, time.Second, 5 * time.Millisecond
+const defaultConnectTimeout, defaultKeepAlive, defaultResolution = time.Second, time.Second, 5 * time.Millisecond
 
 // Parse decodes the settings object.
 func Parse(raw json.RawMessage) (dispatch.Settings, error) {
@@ -103,13 +103,13 @@
 		Weights: w, LateByHalves: c.Family.Late == "halves", OverShareWorth: c.OverShare,
 		Safety: dispatch.Safety{StartCapacity: c.Safety.Start, Cold: Millis(c.Safety.Cold),
 			FallMultiple: c.Safety.Multiple, TipAfter: Millis(c.Safety.Tip),
-			OrderPause: Millis(c.Safety.OrderPause), DrainGrace: graceUnsaid, AskEvery: Millis(c.Safety.AskEvery)},
+			OrderPause: Millis(c.Safety.OrderPause), DrainGrace: defaultDrainGrace, AskEvery: Millis(c.Safety.AskEvery)},
 		Prices: dispatch.Prices{CrossZone: c.Tariffs.CrossZone, Handshake: c.Tariffs.Handshake}}
 	if c.Safety.DrainGrace > 0 {
 		s.Safety.DrainGrace = Millis(c.Safety.DrainGrace)
 	}
-	s.ConnectTimeout, s.KeepAlive = cmp.Or(s.ConnectTimeout, connectUnsaid), cmp.Or(s.KeepAlive, keepUnsaid)
-	s.Resolution = cmp.Or(s.Resolution, resolutionUnsaid)
+	s.ConnectTimeout, s.KeepAlive = cmp.Or(s.ConnectTimeout, defaultConnectTimeout), cmp.Or(s.KeepAlive, defaultKeepAlive)
+	s.Resolution = cmp.Or(s.Resolution, defaultResolution)
 	for _, k := range c.Classes {
 		effect, ok := effects[k.Repeat]
 		if !ok {
@@ -120,10 +120,10 @@
 			LateWorth: k.LateWorth, OrderedByKey: k.Fifo})
 	}
 	for i, k := range c.Kinds {
-		s.Kinds = append(s.Kinds, dispatch.Kind{Name: k, OwnLimits: at(c.Family.OwnLimits, i), Bundle: at(c.Family.Bundle, i)})
+		s.Kinds = append(s.Kinds, dispatch.Kind{Name: k, OwnLimits: elementOrZero(c.Family.OwnLimits, i), Bundle: elementOrZero(c.Family.Bundle, i)})
 	}
 	for i, z := range c.Localities {
-		s.Zones = append(s.Zones, dispatch.Zone{Name: z, Fee: at(c.Family.Carriage, i)})
+		s.Zones = append(s.Zones, dispatch.Zone{Name: z, Fee: elementOrZero(c.Family.Carriage, i)})
 	}
 	for _, o := range c.Orgs {
 		s.Tenants = append(s.Tenants, dispatch.Tenant{Name: o.Name, AllowancePerSecond: o.Allowance,
@@ -132,8 +132,8 @@
 	return s, nil
 }
 
-// at is the i-th value, or nought where the list is shorter.
-func at[T any](list []T, i int) T {
+// elementOrZero is the i-th value, or nought where the list is shorter.
+func elementOrZero[T any](list []T, i int) T {
 	var none T
 	if i < len(list) {
 		return list[i]
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -13,7 +13,7 @@
 	"slatemux/internal/proptest"
 )
 
-func example(t *testing.T) []byte {
+func exampleSettings(t *testing.T) []byte {
 	raw, err := os.ReadFile("../../example/config.json")
 	if err != nil {
 		t.Fatal(err)
@@ -26,7 +26,7 @@
 }
 
 func TestParse(t *testing.T) {
-	set, err := Parse(example(t))
+	set, err := Parse(exampleSettings(t))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -41,8 +41,8 @@
 	}
 }
 
-func TestParseNamesWhatIsWrong(t *testing.T) {
-	text := string(example(t))
+func TestParseNamesInvalidValue(t *testing.T) {
+	text := string(exampleSettings(t))
 	for change, want := range map[[2]string]string{{`"safe"`, `"maybe"`}: "maybe", {`"rough"`, `"live"`}: "live",
 		{`"slo-ms": 4000`, `"slo-ms": "4 s"`}: "slo-ms"} {
 		if _, err := Parse([]byte(strings.Replace(text, change[0], change[1], 1))); err == nil ||
@@ -58,9 +58,9 @@
 }
 
 // Settings that leave times out start all the same, with times that let calls be made.
-func TestTimesUnsaid(t *testing.T) {
+func TestDefaultTimes(t *testing.T) {
 	var all map[string]any
-	if err := json.Unmarshal(example(t), &all); err != nil {
+	if err := json.Unmarshal(exampleSettings(t), &all); err != nil {
 		t.Fatal(err)
 	}
 	limits := all["limits"].(map[string]any)
--- a/internal/traffic/traffic.go
+++ b/internal/traffic/traffic.go
@@ -143,11 +143,11 @@
 // All are the flow and those that travel with it.
 func (f *Flow) All() []Flow { return append([]Flow{*f}, f.With...) }
 
-// MostCarried is the most that the body of a call may hold that carries several.
-const MostCarried = 64 << 10
+// MaxCallBytes is the most that the body of a call may hold that carries several.
+const MaxCallBytes = 64 << 10
 
-// Carried is what the flow takes in it, with those that travel with it.
-func (f *Flow) Carried() (n int) {
+// CallBytes is what the flow takes in it, with those that travel with it.
+func (f *Flow) CallBytes() (n int) {
 	for _, x := range f.All() {
 		n += len(x.ID) + len(x.Key) + len(x.Body) + 16
 	}
@@ -171,21 +171,21 @@
 
 // The ends of a flow.
 const (
-	Delivered      FlowStatus = iota // 200
-	Errored                          // 500 and whatever the protocol does not name
-	TurnedAway                       // 429 and 503
-	NoSlot                           // 503 with X-No-Slot
-	Spent                            // 504: all attempts used
-	Over                             // 410: the transaction is over
-	Unsent                           // dropped by the relay before its first byte
-	NotConnected                     // no connection, or broken before the last byte was written
-	Broken                           // broken after that
-	OutOfTime                        // no answer by the deadline
-	CalledOff                        // cancelled after the last byte was written
-	FlowStatusMost                   // counts the states
+	Delivered       FlowStatus = iota // 200
+	Errored                           // 500 and whatever the protocol does not name
+	TurnedAway                        // 429 and 503
+	NoSlot                            // 503 with X-No-Slot
+	Spent                             // 504: all attempts used
+	Over                              // 410: the transaction is over
+	Unsent                            // dropped by the relay before its first byte
+	NotConnected                      // no connection, or broken before the last byte was written
+	Broken                            // broken after that
+	OutOfTime                         // no answer by the deadline
+	CalledOff                         // cancelled after the last byte was written
+	FlowStatusCount                   // counts the states
 )
 
-var flowStatuses = [FlowStatusMost]string{"delivered", "errored", "turned_away", "no_slot", "spent", "over", "unsent",
+var flowStatuses = [FlowStatusCount]string{"delivered", "errored", "turned_away", "no_slot", "spent", "over", "unsent",
 	"not_connected", "broken", "out_of_time", "called_off"}
 
 func (s FlowStatus) String() string { return flowStatuses[s] }
