--- a/internal/relay/ban_test.go
+++ b/internal/relay/ban_test.go
@@ -7,8 +7,8 @@
 	"slatemux/internal/traffic"
 )
 
-// Banned members get nothing new, whatever the pool says; lifted, the ban leaves a member that is sent to again,
-// and flows are told of it too. The figures count what the relay did, by class.
+// A banned member gets no new transactions, whatever the pool says. After the ban is lifted, the member gets transactions again, and
+// the flows are notified. The figures count the relay's results by class.
 func TestBanAndStats(t *testing.T) {
 	r, w, now := startRelay(t)
 	w.takeCalls()
@@ -16,10 +16,10 @@
 	for i := range 4 {
 		id := string(rune('a' + i))
 		if a := submit(t, r, now, transaction(id, "slot", now.Add(5*time.Second))); a.Verdict != traffic.Accepted {
-			t.Fatalf("%s: %+v", id, a)
+			t.Fatalf("submission %s: answer %+v", id, a)
 		}
 		if m := w.lastFlow().Member; m != "m2" {
-			t.Fatalf("%s went to the banned member %s", id, m)
+			t.Fatalf("transaction %s went to the banned member %s", id, m)
 		}
 		r.step(now, []any{traffic.FlowEnd{ID: id, Member: "m2", Status: traffic.Delivered}})
 		now = now.Add(10 * time.Millisecond)
@@ -27,7 +27,7 @@
 	// Discovery says again that m1 is active: the ban stands.
 	r.step(now, []any{initialPool})
 	if a := submit(t, r, now, transaction("e", "slot", now.Add(5*time.Second))); a.Verdict != traffic.Accepted || w.lastFlow().Member != "m2" {
-		t.Fatalf("after news of the pool: %+v to %s", a, w.lastFlow().Member)
+		t.Fatalf("after a change of the pool: answer %+v, sent to %s", a, w.lastFlow().Member)
 	}
 	r.step(now, []any{traffic.FlowEnd{ID: "e", Member: "m2", Status: traffic.Delivered}})
 	r.statsCopiedAt = time.Time{}
@@ -37,16 +37,16 @@
 		t.Fatalf("figures %+v", f)
 	}
 	if r.Known("m1") != true || r.Known("nobody") {
-		t.Fatal("known members")
+		t.Fatal("Known: want m1 only")
 	}
 
 	w.takeCalls()
-	now = now.Add(20 * time.Second) // the member is out for a while
+	now = now.Add(20 * time.Second) // the ban lasts for a while
 	r.step(now, []any{bans{set: map[string]bool{}, done: make(chan struct{})}})
 	if got := w.takeCalls(); got != "pool" {
-		t.Fatalf("flows were not told of the lifted ban: %q", got)
+		t.Fatalf("after lifting the ban: calls %q, want pool", got)
 	}
-	r.step(now, []any{bans{set: map[string]bool{"m2": true}, done: make(chan struct{})}}) // the other one's turn
+	r.step(now, []any{bans{set: map[string]bool{"m2": true}, done: make(chan struct{})}}) // now the other member is banned
 	sent := map[string]bool{}
 	for i := range 40 {
 		now = now.Add(20 * time.Millisecond)
@@ -59,11 +59,11 @@
 		}
 	}
 	if !sent["m1"] || sent["m2"] {
-		t.Fatalf("after the bans changed over, sent to %v", sent)
+		t.Fatalf("with m2 banned instead of m1: sent to %v", sent)
 	}
 }
 
-// A ban read from the state folder at the start holds from the first step on, before any news of the pool.
+// A ban read from the state folder at the start applies from the first step on, before any change of the pool.
 func TestBanAtStart(t *testing.T) {
 	w := &fakeIO{}
 	r, err := New(Config{Settings: testSettings(), MostBytes: 1 << 20, Store: w, Flows: w, Notices: w,
@@ -77,7 +77,7 @@
 		id := string(rune('a' + i))
 		submit(t, r, now, transaction(id, "slot", now.Add(5*time.Second)))
 		if m := w.lastFlow().Member; m != "m2" {
-			t.Fatalf("%s went to %s, banned since the start", id, m)
+			t.Fatalf("transaction %s went to %s, banned since the start", id, m)
 		}
 		r.step(now, []any{traffic.FlowEnd{ID: id, Member: "m2", Status: traffic.Delivered}})
 	}
--- a/internal/relay/bench_test.go
+++ b/internal/relay/bench_test.go
@@ -12,7 +12,7 @@
 	"slatemux/internal/traffic"
 )
 
-// discard takes flows and notices and does nothing with them.
+// discard collects flows and ignores all other calls.
 type discard struct{ flows []traffic.Flow }
 
 func (s *discard) Start(f traffic.Flow)  { s.flows = append(s.flows, f) }
@@ -20,8 +20,8 @@
 func (s *discard) Pool(traffic.PoolNews) {}
 func (s *discard) Send(traffic.Notice)   {}
 
-// What the relay itself does for a transaction, from hand-in to the end of its flow, in steps of a batch: module, journal,
-// answers. The network on both sides is not in it.
+// BenchmarkTransaction measures the relay's own work for a transaction, from the submission to the end of its flow: module, journal
+// and answers, in steps of a batch. The network on both sides is not included.
 func BenchmarkTransaction(b *testing.B) {
 	slog.SetDefault(slog.New(slog.NewTextHandler(io.Discard, nil)))
 	for _, batch := range []int{1, 10, 100} {
--- a/internal/relay/fleet.go
+++ b/internal/relay/fleet.go
@@ -9,38 +9,39 @@
 	"slatemux/internal/traffic"
 )
 
-// Fleet is told what this relay has found out, for the other relays. Nothing blocks; what is handed over is the callee's.
+// Fleet passes this relay's observations to the other relays. No method blocks. The callee owns the arguments.
 type Fleet interface {
-	// Health says whether the module holds a member out by its own calls, and since when; tried, that another failed there.
+	// Health reports whether the module considers a member down because of its own calls, and since when. The argument tried means
+	// that a call failed during an outage that was already known.
 	Health(member string, destination int, out, tried bool, since time.Time)
-	// Pool is the relay's own list, at a version of it.
+	// Pool reports the relay's own list and its version.
 	Pool(seq int64, members map[string]traffic.Member)
-	// Demand is what there is to send, where that has changed.
+	// Demand reports the destinations whose demand has changed.
 	Demand(list []traffic.Demand)
-	// Bans are the members that operators have taken down here.
+	// Bans reports the members that operators have banned on this relay.
 	Bans(set map[string]bool)
 }
 
-// Restrain takes in what other relays' word comes to, from the next step on.
+// Restrain applies restraints that result from reports of other relays, from the next step on.
 func (r *Relay) Restrain(list []traffic.Restraint) { r.post(list) }
 
-// Bar takes in which members are to get nothing new by the word of other relays, from the next step on.
+// Bar sets the members that get no new transactions because of reports of other relays, from the next step on.
 func (r *Relay) Bar(bars []traffic.Bar) { r.post(bars) }
 
-// Allow takes in this relay's parts of limits, from the next step on.
+// Allow sets this relay's shares of destination limits, from the next step on.
 func (r *Relay) Allow(list []traffic.Allowance) { r.post(list) }
 
-// expiryPause is how long nothing goes to a destination whose part of a limit has ended without word of what comes next, before
-// the module decides alone: the process may have been stopped meanwhile, and its part be another's by now.
+// expiryPause is how long nothing is sent to a destination whose allowance has expired without a new one. After that the module
+// decides alone. The process may have been stopped in the meantime, and another relay may have its share.
 const expiryPause = time.Second
 
-// allowance is a part of a limit, as the module was told.
+// allowance is a share of a destination's limit, as reported to the module.
 type allowance struct {
 	until   time.Time
 	expired bool
 }
 
-// expireAllowances tells the module of parts that have ended, before it decides anything after that.
+// expireAllowances tells the module of expired allowances before it decides anything after their end.
 func (r *Relay) expireAllowances(now time.Time) (events []dispatch.Event) {
 	if len(r.allowances) == 0 || now.Before(r.nextExpiry) {
 		return nil
@@ -64,15 +65,16 @@
 	return events
 }
 
-// demandInterval is how often the fleet is told what there is to send; what newly waits is told at once.
+// demandInterval is the minimum time between two reports of demand. A destination at which transactions start to wait is reported at
+// once.
 const demandInterval = 100 * time.Millisecond
 
-// demands keeps what there is to send, by destination, for the fleet. It is nil for a relay alone.
+// demands holds the demand of each destination for the reports to the fleet. It is nil for a relay without a fleet.
 type demands struct {
-	priorities      map[string]int // of classes, by worth
+	priorities      map[string]int // by class; 0 has the highest worth
 	byDestination   map[int]*traffic.Demand
 	changed         map[int]bool
-	reportedWaiting map[int]bool // where something waited when that was told
+	reportedWaiting map[int]bool // destinations whose last report had waiting transactions
 	reported        time.Time
 }
 
@@ -91,7 +93,7 @@
 	return d
 }
 
-// record counts arrivals, and how many more wait.
+// record adds arrivals, and a change of the number of waiting transactions.
 func (d *demands) record(t *traffic.Transaction, arrived, waiting int) {
 	if d == nil {
 		return
@@ -107,7 +109,7 @@
 	d.changed[t.Destination] = true
 }
 
-// due is when the fleet is to be told, if there is anything to tell.
+// due returns when the fleet must get the next report, if there is anything to report.
 func (d *demands) due() (time.Time, bool) {
 	if d == nil || len(d.changed) == 0 {
 		return time.Time{}, false
@@ -121,7 +123,7 @@
 	if !ok {
 		return
 	}
-	if now.Before(dueAt) { // what the module has just sent does not wait
+	if now.Before(dueAt) { // transactions that the module has just sent do not wait any more and cause no early report
 		urgent := false
 		for n := range d.changed {
 			urgent = urgent || d.byDestination[n].Waiting != none && !d.reportedWaiting[n]
@@ -154,8 +156,8 @@
 	return r.updateBlocked(func(id string) bool { return before[id] })
 }
 
-// applyRestraints turns other relays' word into the module's, and keeps which members they hold to be out: who gets through to one
-// of them says so.
+// applyRestraints turns restraints from the fleet into events of the module. It also keeps which members the fleet considers down,
+// because a relay that gets an answer from such a member reports the recovery.
 func (r *Relay) applyRestraints(list []traffic.Restraint, now time.Time) (events []dispatch.Event) {
 	for _, x := range list {
 		events = append(events, r.restraintEvent(x, now))
@@ -171,15 +173,15 @@
 
 func (r *Relay) reportPool(seq int64) {
 	if r.cfg.Fleet != nil {
-		for _, of := range []map[string]bool{r.reportedOutages, r.fleetOutages} { // what is kept of a member ends with it
+		for _, of := range []map[string]bool{r.reportedOutages, r.fleetOutages} { // forget members that have left the pool
 			maps.DeleteFunc(of, func(id string, _ bool) bool { _, listed := r.pool.members[id]; return !listed })
 		}
 		r.cfg.Fleet.Pool(seq, maps.Clone(r.pool.members))
 	}
 }
 
-// reportHealth tells of the members of all destinations that flows ended at in a step: outages that the module has come to by its
-// own calls, tries there that failed, and ends of outages.
+// reportHealth reports the health of all members of the destinations at which a flow ended in this step: outages that the module has
+// detected by its own calls, failed trial calls, and ends of outages.
 func (r *Relay) reportHealth(batch []any) {
 	if r.cfg.Fleet == nil {
 		return
--- a/internal/relay/open_limits_test.go
+++ b/internal/relay/open_limits_test.go
@@ -9,78 +9,78 @@
 	"slatemux/internal/traffic"
 )
 
-// A squeeze sends held work back at once, by notices, and bounds what comes in; a transaction whose flow is out
-// keeps it, and its one end. What the relay says of itself keeps step.
+// A lower limit returns waiting transactions at once by notices, and limits new submissions. Transactions with a flow keep the flow
+// and end once. The load that the relay reports follows each change.
 func TestLimitsOpenTransactions(t *testing.T) {
 	r, w, now := startRelay(t)
 	for _, id := range []string{"a", "b", "c", "d", "e"} {
 		if a := submit(t, r, now, transaction(id, "slot", now.Add(5*time.Second))); a.Verdict != traffic.Accepted {
-			t.Fatalf("%s: %+v", id, a)
+			t.Fatalf("submission %s: answer %+v", id, a)
 		}
 	}
 	activeFlows := len(w.flows)
 	if l := r.Load(); l.Open != 5 || l.Waiting != 5-activeFlows || l.Ended != 0 || activeFlows == 0 || activeFlows == 5 {
-		t.Fatalf("%+v with %d flows", l, activeFlows)
+		t.Fatalf("load %+v with %d flows", l, activeFlows)
 	}
 	w.takeCalls()
 	now = now.Add(10 * time.Millisecond)
 	r.Squeeze(1, 0, 1)
 	r.step(now, takeBatch(r))
 	if got := strings.Count(w.takeCalls(), "notice 2"); got != 5-activeFlows {
-		t.Errorf("%d handed back, want %d", got, 5-activeFlows)
+		t.Errorf("%d returned, want %d", got, 5-activeFlows)
 	}
 	if l := r.Load(); l.Open != activeFlows || l.Waiting != 0 || l.Ended != int64(5-activeFlows) {
-		t.Errorf("%+v", l)
+		t.Errorf("load %+v", l)
 	}
 	if a := submit(t, r, now, transaction("f", "slot", now.Add(5*time.Second))); a.Verdict != traffic.Busy {
-		t.Errorf("over the cap: %+v", a)
+		t.Errorf("above the limit: answer %+v", a)
 	}
 	w.takeCalls()
 	for _, f := range w.flows[:activeFlows] {
 		r.step(now.Add(time.Millisecond), []any{traffic.FlowEnd{ID: f.ID, Member: f.Member, Status: traffic.Delivered}})
 	}
 	if got := w.takeCalls(); strings.Contains(got, "notice") || len(r.open) != 0 || r.activeFlows != 0 {
-		t.Errorf("the flows that were out: %s, %d open, %d out", got, len(r.open), r.activeFlows)
+		t.Errorf("after the ends of the flows: calls %s, %d open, %d active flows", got, len(r.open), r.activeFlows)
 	}
 	r.Squeeze(1000, 0, 1)
 	r.step(now.Add(2*time.Millisecond), takeBatch(r))
 	if a := submit(t, r, now.Add(3*time.Millisecond), transaction("g", "slot", now.Add(5*time.Second))); a.Verdict != traffic.Accepted {
-		t.Errorf("after it: %+v", a)
+		t.Errorf("after lifting the limit: answer %+v", a)
 	}
 }
 
-// Fewer bytes may be open while memory is short, and only then.
+// The byte limit is lower while memory is short, and only then.
 func TestByteScale(t *testing.T) {
 	r, _, now := startRelay(t)
 	big := transaction("a", "slot", now.Add(5*time.Second))
-	big.Body = make([]byte, 300<<10) // of 1 MB that may be open
+	big.Body = make([]byte, 300<<10) // of the 1 MB limit
 	r.Squeeze(6, 1, 0.25)
 	r.step(now, takeBatch(r))
 	if a := submit(t, r, now, big); a.Verdict != traffic.Busy {
-		t.Errorf("%+v", a)
+		t.Errorf("with a lower byte limit: answer %+v", a)
 	}
 	r.Squeeze(6, 0, 1)
 	r.step(now, takeBatch(r))
 	if a := submit(t, r, now, big); a.Verdict != traffic.Accepted || r.Load().Bytes < 0.25 {
-		t.Errorf("%+v, %+v", a, r.Load())
+		t.Errorf("with the full byte limit: answer %+v, load %+v", a, r.Load())
 	}
 }
 
-// What a failed write dropped is neither open nor out.
+// Transactions dropped by a failed commit are neither open nor counted as active flows.
 func TestLoadAfterFailedCommit(t *testing.T) {
 	r, w, now := startRelay(t)
 	w.commitErr = errors.New("disk")
 	if a := submit(t, r, now, transaction("a", "slot", now.Add(5*time.Second))); a.Verdict != traffic.Busy {
-		t.Fatalf("%+v", a)
+		t.Fatalf("failed commit: answer %+v", a)
 	}
 	w.commitErr = nil
 	r.step(now.Add(10*time.Millisecond), takeBatch(r))
 	if l := r.Load(); l.Open != 0 || l.Waiting != 0 || r.activeFlows != 0 {
-		t.Errorf("%+v, %d out", l, r.activeFlows)
+		t.Errorf("load %+v, %d active flows", l, r.activeFlows)
 	}
 }
 
-// fakeMeters note what they are told.
+// fakeMeters records the calls of Meters.
 type fakeMeters struct {
 	ages     []time.Duration
 	sections int
@@ -90,7 +90,7 @@
 func (m *fakeMeters) HandedIn(age time.Duration) { m.ages = append(m.ages, age) }
 func (m *fakeMeters) Section(f func())           { m.sections++; f() }
 
-// The module runs inside the meters, once a step, and each hand-in's wait is told.
+// The module runs inside Meters.Section once a step, and the age of each submission is recorded.
 func TestMetersRecordSteps(t *testing.T) {
 	r, _, now := startRelay(t)
 	m := &fakeMeters{}
@@ -98,27 +98,27 @@
 	r.Put(transaction("a", "slot", now.Add(5*time.Second)), now.Add(-7*time.Millisecond))
 	r.step(now, takeBatch(r))
 	if m.sections != 1 || len(m.ages) != 1 || m.ages[0] != 7*time.Millisecond {
-		t.Errorf("%+v", m)
+		t.Errorf("recorded %+v", m)
 	}
 }
 
-// The step after one is due when something asks for it, but not before the module may step again.
+// A step is due when there is input for it, but not before the module may step again.
 func TestStepDueTime(t *testing.T) {
 	r, _, _ := startRelay(t)
 	r.earliestStep = time.Now().Add(time.Hour)
 	r.Limit(1 << 20)
 	if _, due := r.takeInbox(); !due.Equal(r.earliestStep) {
-		t.Errorf("due at %v, before it may run", due)
+		t.Errorf("due at %v, before the module may step", due)
 	}
 	r.earliestStep = time.Time{}
 	before := time.Now()
 	r.Limit(1 << 20)
 	r.Limit(1 << 20)
 	if _, due := r.takeInbox(); due.Before(before) || due.After(time.Now()) {
-		t.Errorf("due at %v", due)
+		t.Errorf("with input: due at %v", due)
 	}
 	if _, due := r.takeInbox(); !due.IsZero() {
-		t.Error("due with nothing to take")
+		t.Error("a step is due with an empty inbox")
 	}
 	if r.Stretch(20 * time.Millisecond); r.stepInterval() != 20*time.Millisecond {
 		t.Errorf("steps %v apart", r.stepInterval())
--- a/internal/relay/order.go
+++ b/internal/relay/order.go
@@ -9,44 +9,49 @@
 	"slatemux/internal/traffic"
 )
 
-// Turns keep the order of keys between the processes of one relay, while one replaces the other. Nothing blocks.
+// Turns keeps the order of keys between the processes of one relay during a handover. No method blocks.
 type Turns interface {
-	// Take gives an open transaction of a key its turn; one that another process had keeps its own. 0 for none to be had.
+	// TakeTicket gives an open transaction of a key its ticket. A transaction recovered from another process keeps its ticket. The
+	// result 0 means that there is no free ticket.
 	TakeTicket(key, id string, now, until time.Time) uint64
-	// Waits says whether another process still holds an earlier one.
+	// MustWait reports whether another process still holds an earlier transaction of the key.
 	MustWait(key, id string, now time.Time) bool
+	// Release marks a transaction of a key as over.
 	Release(key, id string)
 }
 
-// turnInterval is how often it is asked, and lastCall how many of the module's least steps before its time is up a transaction that
-// still waits is given to the module all the same: so late that it sends nothing and ends it.
-const turnInterval, lastOfferSteps = 20 * time.Millisecond, 5
+// turnInterval is the time between two checks whether another process still holds an earlier transaction.
+const turnInterval = 20 * time.Millisecond
 
-// noticeTimeout is how long another process waits at the most for the answer to a notice that an ended one left: the platform answers
-// at once.
+// lastOfferSteps is how many steps of the module's resolution before its deadline a waiting transaction is passed to the module in
+// any case. That is too late for a call, so the module ends the transaction without sending it.
+const lastOfferSteps = 5
+
+// noticeTimeout is the maximum time that another process waits for the answer to a notice which an ended process left open. The
+// platform normally answers at once.
 const noticeTimeout = 5 * time.Second
 
-// keepsOrder says whether a transaction has to keep its place among those of its key.
+// keepsOrder reports whether a transaction must stay in order among those of its key.
 func (r *Relay) keepsOrder(t *traffic.Transaction) bool {
 	c := r.classes[t.Class]
 	return c != nil && c.OrderedByKey && t.Order != ""
 }
 
-// offer tells the module of a transaction that was taken on, at once or when its turn has come.
+// offer passes an accepted transaction to the module, at once or when no earlier one of its key is left elsewhere.
 func (r *Relay) offer(h *openTransaction, now time.Time, events []dispatch.Event) []dispatch.Event {
 	if r.cfg.Turns != nil && r.keepsOrder(&h.Transaction) {
-		h.ticket = r.cfg.Turns.TakeTicket(h.Order, h.ID, now, h.Deadline) - 1 // none to be had is the last of all
+		h.ticket = r.cfg.Turns.TakeTicket(h.Order, h.ID, now, h.Deadline) - 1 // without a ticket (0) the subtraction wraps around, and the transaction comes last
 		before := slices.ContainsFunc(r.awaitingTurn, func(o *openTransaction) bool { return o.Order == h.Order && o.ticket < h.ticket })
 		if before || r.cfg.Turns.MustWait(h.Order, h.ID, now) {
 			index, _ := slices.BinarySearchFunc(r.awaitingTurn, h.ticket, func(o *openTransaction, ticket uint64) int { return cmp.Compare(o.ticket, ticket) })
-			r.awaitingTurn = slices.Insert(r.awaitingTurn, index, h) // what an ended process leaves may go before what has come here since
+			r.awaitingTurn = slices.Insert(r.awaitingTurn, index, h) // a recovered transaction may come before newer ones of this process
 			return events
 		}
 	}
 	return append(events, r.request(&h.Open, now))
 }
 
-// offerWaiting looks at those that wait.
+// offerWaiting passes waiting transactions to the module whose turn has come or whose deadline is near.
 func (r *Relay) offerWaiting(now time.Time, events []dispatch.Event) []dispatch.Event {
 	waits := map[string]bool{}
 	r.awaitingTurn = slices.DeleteFunc(r.awaitingTurn, func(h *openTransaction) bool {
@@ -60,11 +65,11 @@
 	return events
 }
 
-// The module lets the next transaction of a key go once the one before it is over. One that ends by a notice is over for the
-// platform when the notice has its answer, which the module does not hear of: until then the flow waits here, as it might for a
-// connection. The answer comes at once as a rule; where it does not, the flow ends when its time is up, unsent.
+// The module sends the next transaction of a key once the one before it is over. A transaction that ends by a notice is over for the
+// platform only when the platform has answered the notice, which the module does not know. Until then the next flow waits here, as a
+// flow may wait for a connection. The answer normally arrives at once. If it does not arrive, the flow ends unsent at its deadline.
 
-// startFlow begins a flow, or has those of its transactions wait that have to.
+// startFlow starts a flow. Transactions of the flow that must wait for the answer to a notice are blocked instead.
 func (r *Relay) startFlow(f traffic.Flow) {
 	if len(r.noticePending) == 0 {
 		r.cfg.Flows.Start(f)
@@ -88,7 +93,7 @@
 	}
 }
 
-// hasPendingNotice says whether a notice of a key has no answer yet.
+// hasPendingNotice reports whether a notice of the key has no answer yet.
 func (r *Relay) hasPendingNotice(key string) bool {
 	for _, k := range r.noticePending {
 		if k == key {
@@ -98,7 +103,7 @@
 	return false
 }
 
-// startUnblocked begins what waited for these notices and for no other.
+// startUnblocked starts the flows that waited for the answers to these notices and wait for no other.
 func (r *Relay) startUnblocked(ids []string) {
 	for _, id := range ids {
 		key, ok := r.noticePending[id]
@@ -115,12 +120,12 @@
 		list := r.blockedFlows[key]
 		delete(r.blockedFlows, key)
 		for _, f := range list {
-			r.cfg.Flows.Start(f) // where its time is up by now, it ends at once
+			r.cfg.Flows.Start(f) // a flow past its deadline ends at once
 		}
 	}
 }
 
-// endOverdue ends what has waited for too long.
+// endOverdue ends blocked flows that have reached their deadline.
 func (r *Relay) endOverdue(now time.Time) {
 	for key, list := range r.blockedFlows {
 		list = slices.DeleteFunc(list, func(f traffic.Flow) bool {
@@ -140,12 +145,12 @@
 	r.post(traffic.FlowEnd{ID: f.ID, Attempt: f.Attempt, Member: f.Member, Status: traffic.Unsent})
 }
 
-// cancelFlow gives a flow up.
+// cancelFlow cancels a flow, blocked or started.
 func (r *Relay) cancelFlow(id string, attempt int) {
 	for _, list := range r.blockedFlows {
 		for i := range list {
 			if f := &list[i]; f.ID == id && f.Attempt == attempt {
-				f.Deadline = time.Time{} // it ends with the next step
+				f.Deadline = time.Time{} // the next step ends the flow
 				return
 			}
 		}
--- a/internal/relay/pool_view.go
+++ b/internal/relay/pool_view.go
@@ -6,16 +6,16 @@
 	"slatemux/internal/traffic"
 )
 
-// goneRetention is how long a destination is still known after its last pool member left: a successor may be on its
-// way, and what clients hand in until then is worth holding.
+// goneRetention is how long a destination is still known after its last pool member left. A replacement member may be about to join,
+// and submissions until then are worth keeping.
 const goneRetention = time.Minute
 
-// poolView is what the relay keeps of the pool: its members, and which destinations there are. What is kept of a
-// member ends with it.
+// poolView is the relay's copy of the pool: its members and the known destinations. All state of a member is removed together with
+// the member.
 type poolView struct {
 	members       map[string]traffic.Member
-	goneSince     map[int]time.Time // by destination: since when it has no member; zero while it has one
-	fromDiscovery bool              // discovery itself has been heard
+	goneSince     map[int]time.Time // by destination: time since it has no member; zero while it has one
+	fromDiscovery bool              // an update from discovery itself has arrived
 }
 
 func newPoolView() poolView {
@@ -47,7 +47,7 @@
 	}
 }
 
-// hasDestination says whether there is such a destination, as far as the pool tells.
+// hasDestination reports whether the pool has, or recently had, a member of the destination.
 func (r *poolView) hasDestination(destination int, now time.Time) bool {
 	since, ok := r.goneSince[destination]
 	return ok && (since.IsZero() || now.Sub(since) <= goneRetention)
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -1,6 +1,6 @@
-// Package relay is the one goroutine that calls the decision module. It gives the module its time, its wakes
-// and its events, journals what changes hands, and then carries out what the module decided. It knows no
-// socket: fronts hand in transactions, and flows, notices and store are interfaces.
+// Package relay runs the decision module in a single goroutine. It passes the module the time, wake-ups and events, writes the
+// resulting changes to the journal, and then carries out what the module decided. The package uses no sockets: front ends submit
+// transactions, and Flows, Notices and Store are interfaces.
 package relay
 
 import (
@@ -19,56 +19,56 @@
 )
 
 const (
-	// maxSubmissionAge is the age at which a hand-in that waited for a step is not taken on any more: its client,
-	// who waits 400 ms for the answer, may be gone before it comes.
+	// maxSubmissionAge is the age at which a submission that waited for a step is refused. The client waits 400 ms for the answer
+	// and may be gone before a later answer arrives.
 	maxSubmissionAge = 300 * time.Millisecond
-	// fullRetryIn is what a client is told where the relay itself, not the module, has no room.
+	// fullRetryIn is the retry time told to a client when the relay itself, not the module, has no room.
 	fullRetryIn = 500 * time.Millisecond
 )
 
-// Store outlives the process.
+// Store is the journal, which outlives the process.
 type Store interface {
-	// Commit writes the changes of one step; after an error none counts as written.
+	// Commit writes the changes of one step. After an error, none of them counts as written.
 	Commit([]traffic.Change) error
-	// Room says whether a transaction of so many bytes can be taken on.
+	// Room reports whether the store has room for a transaction of that many bytes.
 	Room(bytes int64) bool
 }
 
-// Flows carries attempts. Each Start leads to one FlowEnd handed to Relay.FlowEnded. Nothing blocks.
+// Flows carries out delivery attempts. Each Start leads to one FlowEnd passed to Relay.FlowEnded. No method blocks.
 type Flows interface {
 	Start(traffic.Flow)
 	Cancel(id string, attempt int)
 	Pool(traffic.PoolNews)
 }
 
-// Ahead is told how many transactions are held for a destination, so that connections are there when they go. Nothing
-// blocks.
+// Ahead is notified of the number of transactions that wait for a destination, so that connections are open when they are sent.
+// Expect does not block.
 type Ahead interface {
 	Expect(destination, transactions int)
 }
 
-// expectInterval is how often it is told.
+// expectInterval is the time between two notifications of Ahead.
 const expectInterval = 250 * time.Millisecond
 
-// Lessons keeps what was learned of destinations for the next process. Nothing blocks.
+// Lessons records learned limits of destinations for the next process. Learn does not block.
 type Lessons interface {
 	Learn(destination int, limit float64, at time.Time)
 }
 
-// Heir takes over what processes that shared the state folder and have ended left owed: a predecessor
-// that handed over to this process. Nothing blocks long: it reads a small folder.
+// Heir recovers the open transactions and unanswered notices of processes that shared the state folder and have ended, such as a
+// predecessor after a handover. Adopt may block briefly: it reads a small folder.
 type Heir interface {
 	Adopt() ([]traffic.Open, []traffic.Notice, error)
 }
 
-// recoveryInterval is how often the relay looks for what a predecessor left: what it left at its exit is taken up
-// within a fifth of a second.
+// recoveryInterval is the time between two looks for the state of an ended predecessor. That state is recovered within 200 ms of the
+// predecessor's exit.
 const recoveryInterval = 200 * time.Millisecond
 
-// Notices tells the platform of ends. Each Send leads to the id in a call of Relay.NoticesAnswered.
+// Notices tells the platform how undelivered transactions ended. Each Send leads to the id in a call of Relay.NoticesAnswered.
 type Notices interface{ Send(traffic.Notice) }
 
-// Meters measure the stepping. Section runs f and notes what it took.
+// Meters measures the steps. Section runs f and records the time that f took.
 type Meters interface {
 	Stepped(due, began time.Time)
 	HandedIn(age time.Duration)
@@ -81,27 +81,27 @@
 func (noMeters) HandedIn(time.Duration) {}
 func (noMeters) Section(f func())       { f() }
 
-// Config is what a Relay works with.
+// Config configures a Relay.
 type Config struct {
-	Meters    Meters // nil for none
+	Meters    Meters // nil: no measurement
 	Settings  dispatch.Settings
 	Seed      int64
-	MostBytes int64 // of open transactions in memory
+	MostBytes int64 // upper limit for open transactions in memory
 	Store     Store
 	Flows     Flows
 	Notices   Notices
-	Ahead     Ahead           // nil for nobody
-	Lessons   Lessons         // nil for nobody
-	Heir      Heir            // nil for nobody
-	Fleet     Fleet           // nil for a relay alone
-	Turns     Turns           // nil where the order of keys is this process's alone
-	Banned    map[string]bool // members that operators had taken down at the start
+	Ahead     Ahead           // nil: no notifications
+	Lessons   Lessons         // nil: limits are not recorded
+	Heir      Heir            // nil: no recovery from predecessors
+	Fleet     Fleet           // nil for a relay without a fleet
+	Turns     Turns           // nil if no other process shares the order of keys
+	Banned    map[string]bool // members that operators had banned at the start
 }
 
-// Counters count since the start.
+// Counters are totals since the start of the process, except Open and Bytes, which are current values.
 type Counters struct {
-	HandedIn, TakenOn, Refused, Failed, Full, Late int64 // at the front
-	Unlisted, Borrowed                             int64 // at the front too: no such destination; another's id
+	HandedIn, TakenOn, Refused, Failed, Full, Late int64 // submissions
+	Unlisted, Borrowed                             int64 // refused submissions: unknown destination; id of another open message
 	Recovered                                      int64
 	Flows                                          int64
 	HandedBack, GivenUp, NoticesAnswered           int64
@@ -111,7 +111,7 @@
 	Ends                                           [traffic.FlowStatusCount]int64
 }
 
-// LogValue names the counters in a log line; ends of flows that never happened are left out.
+// LogValue returns the counters as log attributes. Flow statuses that did not occur are omitted.
 func (c Counters) LogValue() slog.Value {
 	attrs := []slog.Attr{slog.Int64("handed_in", c.HandedIn), slog.Int64("taken_on", c.TakenOn),
 		slog.Int64("refused", c.Refused), slog.Int64("failed", c.Failed), slog.Int64("full", c.Full),
@@ -126,69 +126,69 @@
 		slog.Int64("commit_errors", c.CommitErrors), slog.Int("open", c.Open), slog.Int64("bytes", c.Bytes))...)
 }
 
-// Relay drives one Sender.
+// Relay drives one dispatch.Sender.
 type Relay struct {
 	cfg              Config
 	sender           *dispatch.Sender
-	epoch            time.Time // of the module's time
+	epoch            time.Time // start of the module's clock
 	classes          map[string]*dispatch.Class
 	separateLimits   map[string]bool
-	maxBundle        map[string]int // by kind of member: how many transactions one call carries
+	maxBundle        map[string]int // by kind of member: maximum number of transactions in one call
 	pool             poolView
 	open             map[string]*openTransaction
 	bytes            int64
-	uncommittedBytes int64 // bytes that this step has admitted and not journalled yet
+	uncommittedBytes int64 // bytes admitted in this step and not yet in the journal
 	counters         Counters
-	unsavedChanges   []traffic.Change // ends that the store has not taken yet
+	unsavedChanges   []traffic.Change // ends that the store has not written yet
 	wakes            []time.Time
 	openLimits       openLimits
-	awaitingTurn     []*openTransaction        // transactions that wait for another process's turn, in the order of their turns
-	noticePending    map[string]string         // transactions of a class in order whose notice has no answer yet, and their keys
-	blockedFlows     map[string][]traffic.Flow // by key: flows that wait for such answers
-	waiting          map[int]int               // transactions without a flow, by destination; those that are told of with 0 go at the next telling
-	lastExpect       time.Time                 // when Ahead was told
-	activeFlows      int                       // flows
-	ended            int64                     // transactions that had been taken on
-	learnedLimits    map[int]float64           // limits that an earlier process had learned, of destinations that no list has named yet
-	lastRecovery     time.Time                 // when the Heir was last asked
-	bans             map[string]bool           // members that operators took down
-	excluded         map[string]bool           // members that other relays bar, and whether operators took them down there
-	unconfirmed      map[string]bool           // members of a list that may be used no longer; nil as a rule
-	blocked          map[string]bool           // all three
-	reportedOutages  map[string]bool           // members that the fleet was told to be out
-	fleetOutages     map[string]bool           // members that the fleet holds to be out
-	demands          *demands                  // for the fleet; nil for a relay alone
-	allowances       map[int]allowance         // of limits, by destination
-	nextExpiry       time.Time                 // when the first of them ends
+	awaitingTurn     []*openTransaction        // transactions that wait for another process to finish earlier ones of their key, by ticket
+	noticePending    map[string]string         // ids of transactions of an ordered class whose notice has no answer yet, and their keys
+	blockedFlows     map[string][]traffic.Flow // by key: flows that wait for the answers to such notices
+	waiting          map[int]int               // transactions without a flow, by destination; an entry of 0 is removed at the next notification
+	lastExpect       time.Time                 // time of the last notification of Ahead
+	activeFlows      int                       // number of flows that have not ended
+	ended            int64                     // number of accepted transactions that are over
+	learnedLimits    map[int]float64           // limits learned by an earlier process, for destinations that no list has named yet
+	lastRecovery     time.Time                 // time of the last call of Heir.Adopt
+	bans             map[string]bool           // members that operators banned on this relay
+	excluded         map[string]bool           // members that other relays exclude, and whether operators banned them there
+	unconfirmed      map[string]bool           // members of a list that is no longer valid; usually nil
+	blocked          map[string]bool           // union of bans, excluded and unconfirmed
+	reportedOutages  map[string]bool           // members that this relay has reported to the fleet as down
+	fleetOutages     map[string]bool           // members that the fleet considers down
+	demands          *demands                  // nil for a relay without a fleet
+	allowances       map[int]allowance         // this relay's shares of limits, by destination
+	nextExpiry       time.Time                 // earliest expiry in allowances
 	classCounts      classCounts
-	// dispatches counts transactions written whole to members.
+	// dispatches counts transactions that were written whole to members.
 	dispatches    int64
 	statsCopiedAt time.Time
 
-	minStepInterval atomic.Int64 // least time between two steps, where it is more than the module's
+	minStepInterval atomic.Int64 // nanoseconds between two steps; has an effect if above the module's resolution
 
 	mu           sync.Mutex
 	inbox        []any
 	stopped      bool
 	published    Counters
 	stats        Figures
-	knownMembers map[string]bool // the pool's members, for operators' calls
+	knownMembers map[string]bool // the pool's members, for the admin endpoint
 	load         Load
 	stepDueAt    time.Time // when the next step could run; zero while nothing asks for one
-	earliestStep time.Time // the module's least time after the last step
+	earliestStep time.Time // the earliest time that the module allows for the next step
 	signal       chan struct{}
 }
 
-// openTransaction is an open transaction.
+// openTransaction is a transaction that has not ended.
 type openTransaction struct {
 	traffic.Open
-	flowStarted   time.Time               // of the flow that is out; zero without one
-	submitters    []chan<- traffic.Answer // waiting for the answer to the hand-in; in its first step alone
-	noticePending bool                    // it ends by a notice
-	ticket        uint64                  // its place among those of its key, in all processes of this relay
+	flowStarted   time.Time               // start of the current flow; zero without one
+	submitters    []chan<- traffic.Answer // clients waiting for the answer to the submission; set only during its first step
+	noticePending bool                    // the transaction ends with a notice, whose answer is pending
+	ticket        uint64                  // position among the transactions of the key, over all processes of this relay
 }
 
-// submission, flowEnd, and so on are what the inbox holds.
+// The inbox holds values of these types, and of some types of packages traffic and dispatch.
 type (
 	submission struct {
 		transaction traffic.Transaction
@@ -204,7 +204,7 @@
 	}
 )
 
-// New makes a Relay.
+// New returns a Relay for the settings in cfg.
 func New(cfg Config) (*Relay, error) {
 	sender, err := dispatch.New(cfg.Settings, cfg.Seed)
 	if err != nil {
@@ -230,8 +230,8 @@
 	return r, nil
 }
 
-// Start takes the first step: the pool as last known, the limits of destinations that an earlier process had learned, and
-// what it left open. Notices that it left unanswered are owed again.
+// Start takes the first step. Its input is the last known pool, the limits that an earlier process learned, and the transactions and
+// unanswered notices which that process left open. The notices are sent again.
 func (r *Relay) Start(known traffic.PoolNews, limits map[int]float64, open []traffic.Open, notices []traffic.Notice) {
 	now := time.Now()
 	r.pool.update(known, now)
@@ -242,10 +242,10 @@
 	r.decide(now, r.recoverState(open, notices, now, events), nil)
 }
 
-// recoverState takes over open transactions and owed notices of an earlier process.
+// recoverState takes over open transactions and unanswered notices of an earlier process.
 func (r *Relay) recoverState(open []traffic.Open, notices []traffic.Notice, now time.Time, events []dispatch.Event) []dispatch.Event {
 	for _, o := range open {
-		if r.open[o.ID] != nil { // handed in here again meanwhile: it is owed once
+		if r.open[o.ID] != nil { // submitted here again in the meantime: the transaction is delivered once
 			continue
 		}
 		h := &openTransaction{Open: r.clampTimes(o, now)}
@@ -257,7 +257,7 @@
 		events = r.offer(h, now, events)
 	}
 	for _, n := range notices {
-		if n.Order != "" { // what follows it waits here, too
+		if n.Order != "" { // later transactions of the key wait for the answer in this process, too
 			r.noticePending[n.ID] = n.Order
 			if r.cfg.Turns != nil {
 				r.cfg.Turns.TakeTicket(n.Order, n.ID, now, now.Add(noticeTimeout))
@@ -268,9 +268,9 @@
 	return events
 }
 
-// clampTimes is a transaction of an earlier process by this one's clock, which may have been set back meanwhile. A first call in the future
-// is as old as the class remembers, for nobody knows how old: no repeat goes out that may not be dropped. No transaction has more time
-// than its class gives.
+// clampTimes corrects the times of a recovered transaction if the clock was set back since. A first call in the future counts as old
+// as the class's memory span, because its age is unknown. A retry that the destination might not recognize as a duplicate is
+// therefore not sent. No transaction gets more time than its class allows.
 func (r *Relay) clampTimes(o traffic.Open, now time.Time) traffic.Open {
 	c := r.classes[o.Class]
 	if c == nil {
@@ -285,7 +285,7 @@
 	return o
 }
 
-// recoverPredecessor asks the Heir, now and then, for what a predecessor left at its end.
+// recoverPredecessor calls Heir.Adopt every recoveryInterval.
 func (r *Relay) recoverPredecessor(now time.Time, events []dispatch.Event) []dispatch.Event {
 	if r.cfg.Heir == nil || now.Sub(r.lastRecovery) < recoveryInterval {
 		return events
@@ -301,7 +301,7 @@
 	return r.recoverState(open, notices, now, events)
 }
 
-// Put hands a transaction in. The answer comes through the channel, exactly once.
+// Put submits a transaction. The channel delivers the answer exactly once.
 func (r *Relay) Put(t traffic.Transaction, received time.Time) <-chan traffic.Answer {
 	answer := make(chan traffic.Answer, 1)
 	if !r.post(submission{t, received, answer}) {
@@ -310,46 +310,46 @@
 	return answer
 }
 
-// Limit changes how many bytes of open transactions the relay may hold, from the next step on.
+// Limit sets how many bytes of open transactions the relay may hold. The new limit applies from the next step on.
 func (r *Relay) Limit(maxBytes int64) { r.post(memoryLimit(maxBytes)) }
 
-// Squeeze bounds how many transactions may be open, and the bytes that they take as a share of the limit, from
-// the next step on. What is over the first goes back by the module's rule; with heavy above 0, large ones sooner.
+// Squeeze limits the number of open transactions, and scales the byte limit by byteScale, from the next step on. The module returns
+// transactions above the first limit by its own rule; with heavy above 0 it returns large ones sooner.
 func (r *Relay) Squeeze(messages int, heavy, byteScale float64) {
 	r.post(openLimits{messages, heavy, byteScale})
 }
 
-// Stretch sets the least time between two steps; the module's own is the least of all.
+// Stretch sets the minimum time between two steps. A value below the module's resolution has no effect.
 func (r *Relay) Stretch(interval time.Duration) { r.minStepInterval.Store(int64(interval)) }
 
-// Load is what the relay holds.
+// Load describes the open transactions.
 type Load struct {
-	Open    int     // transactions
-	Waiting int     // of them, those without a flow
-	Bytes   float64 // share of the bytes that they may take
-	Ended   int64   // transactions that were taken on and are over, since the start
+	Open    int     // number of open transactions
+	Waiting int     // number of open transactions without a flow
+	Bytes   float64 // share of the byte limit in use
+	Ended   int64   // number of accepted transactions that have ended since the start
 }
 
-// Load returns it, as of the newest step.
+// Load returns the load after the latest step.
 func (r *Relay) Load() Load {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.load
 }
 
-// FlowEnded takes in the end of a flow.
+// FlowEnded passes the end of a flow to the next step.
 func (r *Relay) FlowEnded(f traffic.FlowEnd) { r.post(f) }
 
-// PoolChanged takes in news of the pool.
+// PoolChanged passes a change of the pool to the next step.
 func (r *Relay) PoolChanged(news traffic.PoolNews) { r.post(news) }
 
-// PoolDoubted takes in that the known list may be used no longer: until news of the pool comes, nothing is sent to its members.
+// PoolDoubted marks the known list as no longer valid: nothing is sent to its members until the pool changes.
 func (r *Relay) PoolDoubted() { r.post(poolUnconfirmed{}) }
 
-// NoticesAnswered takes in that the platform has these notices.
+// NoticesAnswered reports that the platform has received these notices.
 func (r *Relay) NoticesAnswered(ids []string) { r.post(answeredNotices(ids)) }
 
-// Counters returns the counters as of the newest step.
+// Counters returns the counters after the latest step.
 func (r *Relay) Counters() Counters {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -362,7 +362,7 @@
 	if r.stopped {
 		return false
 	}
-	if len(r.inbox) == 0 { // the step that takes this is due now, or as soon as the module may step again
+	if len(r.inbox) == 0 { // the step for this input is due now, or as soon as the module allows
 		if r.stepDueAt = time.Now(); r.stepDueAt.Before(r.earliestStep) {
 			r.stepDueAt = r.earliestStep
 		}
@@ -375,7 +375,7 @@
 	return true
 }
 
-// Run steps until ctx ends. Hand-ins that no step has seen by then are refused.
+// Run steps until ctx ends. Submissions that no step has processed by then are refused.
 func (r *Relay) Run(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -388,7 +388,7 @@
 		case <-r.signal:
 		case <-timer.C:
 		}
-		// The module wants its least time between steps; what comes meanwhile shares the next one.
+		// The module requires a minimum time between steps. Input that arrives in between shares the next step.
 		time.Sleep(time.Until(last.Add(r.stepInterval())))
 		last = time.Now()
 		batch, due := r.takeInbox()
@@ -399,7 +399,7 @@
 			r.cfg.Meters.Stepped(due, last)
 		}
 		if at, ok := r.demands.due(); ok && len(batch) == 0 && !at.After(last) && r.nextWake(last).After(last) {
-			r.reportDemand(last) // it is late; the module has nothing to decide
+			r.reportDemand(last) // only the demand report is due; the module has nothing to decide
 		} else {
 			r.step(last, batch)
 		}
@@ -408,24 +408,24 @@
 		r.mu.Unlock()
 		next := r.nextWake(last)
 		if r.cfg.Heir != nil && next.After(last.Add(recoveryInterval)) {
-			next = last.Add(recoveryInterval) // a predecessor's end comes unannounced
+			next = last.Add(recoveryInterval) // a predecessor ends without notification
 		}
 		if at, ok := r.demands.due(); ok && at.Before(next) {
 			next = at
 		}
 		if len(r.awaitingTurn) > 0 && next.After(last.Add(turnInterval)) {
-			next = last.Add(turnInterval) // so does another process's turn
+			next = last.Add(turnInterval) // another process finishes a transaction without notification
 		}
 		timer.Reset(time.Until(next))
 	}
 }
 
-// stepInterval is the least time between two steps.
+// stepInterval is the minimum time between two steps.
 func (r *Relay) stepInterval() time.Duration {
 	return max(r.cfg.Settings.Resolution, time.Duration(r.minStepInterval.Load()))
 }
 
-// takeInbox empties the inbox and says since when a step has been due for what was in it.
+// takeInbox empties the inbox and returns since when a step has been due for its content.
 func (r *Relay) takeInbox() (batch []any, due time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -434,8 +434,8 @@
 	return batch, due
 }
 
-// stop ends the stepping. What no step has seen is not decided on any more: hand-ins are refused, but flows
-// and notices that have ended are journalled, or the next process would make those calls again.
+// stop ends the stepping and refuses submissions that no step has processed. Ends of flows and answers to notices go to the journal
+// all the same, or the next process would repeat those calls.
 func (r *Relay) stop() {
 	r.mu.Lock()
 	r.stopped = true
@@ -465,7 +465,7 @@
 	return changes
 }
 
-// nextWake is the earliest wake that the module has asked for.
+// nextWake returns the earliest wake-up that the module or an expiring allowance needs.
 func (r *Relay) nextWake(now time.Time) time.Time {
 	next := now.Add(time.Hour)
 	for _, at := range r.wakes {
@@ -479,7 +479,7 @@
 	return next
 }
 
-// step turns a batch of the inbox into events, and the wakes that are due.
+// step turns the wake-ups that are due and a batch of the inbox into events, and lets the module decide.
 func (r *Relay) step(now time.Time, batch []any) {
 	var events []dispatch.Event
 	var changes []traffic.Change
@@ -520,7 +520,7 @@
 			events = append(events, r.updateBlocked(noMember))
 		case bans:
 			events = append(events, r.applyBans(in))
-			defer close(in.done) // once the module has stepped with it
+			defer close(in.done) // after the module has processed the bans
 		case []traffic.Restraint:
 			events = append(events, r.applyRestraints(in, now)...)
 		case []traffic.Allowance:
@@ -532,11 +532,11 @@
 		case openLimits:
 			r.openLimits = in
 			events = append(events, dispatch.HoldCap{Messages: in.messages, Heavy: in.heavy})
-		case []dispatch.Event: // what follows from a failed write
+		case []dispatch.Event: // events that follow a failed commit
 			events = append(events, in...)
 		case answeredNotices:
 			r.counters.NoticesAnswered += int64(len(in))
-			defer r.startUnblocked(in) // what follows them goes once the journal has it
+			defer r.startUnblocked(in) // later flows of the key start once the journal has the answer
 			changes = append(changes, answeredChanges(in)...)
 		}
 	}
@@ -547,13 +547,13 @@
 	r.reportDemand(now)
 }
 
-// admit holds a hand-in that the relay has room for; others it answers.
+// admit opens a transaction for a submission that the relay has room for. It answers other submissions at once.
 func (r *Relay) admit(in submission, now time.Time) *openTransaction {
 	r.counters.HandedIn++
 	r.cfg.Meters.HandedIn(now.Sub(in.received))
 	size := int64(in.transaction.Size())
 	switch h := r.open[in.transaction.ID]; {
-	case h != nil && !sameMessage(&h.Transaction, &in.transaction): // another client's id: that one's message is not touched
+	case h != nil && !sameMessage(&h.Transaction, &in.transaction): // the id belongs to another client's message, which stays unchanged
 		r.counters.Borrowed++
 		r.countAnswer(in.transaction.Class, traffic.Answer{Verdict: traffic.Failed})
 		in.answer <- traffic.Answer{Verdict: traffic.Failed}
@@ -561,7 +561,7 @@
 	case h != nil && h.submitters != nil:
 		h.submitters = append(h.submitters, in.answer)
 		return nil
-	case h != nil: // taken on already, and owed once
+	case h != nil: // already accepted; delivered once
 		in.answer <- traffic.Answer{Verdict: traffic.Accepted}
 		return nil
 	case !r.pool.hasDestination(in.transaction.Destination, now):
@@ -590,8 +590,8 @@
 
 func (r *Relay) maxBytes() int64 { return int64(float64(r.cfg.MostBytes) * r.openLimits.byteScale) }
 
-// sameMessage says that two hand-ins with one id are the same message, sent once more, and not another that borrows
-// the id. The time left may differ.
+// sameMessage reports whether two submissions with the same id are the same message sent again. Otherwise the second one reuses the
+// id of another message. The remaining time may differ.
 func sameMessage(a, b *traffic.Transaction) bool {
 	return a.Class == b.Class && a.Tenant == b.Tenant && a.Key == b.Key && a.Destination == b.Destination &&
 		bytes.Equal(a.Body, b.Body)
@@ -646,13 +646,13 @@
 	}
 }
 
-// deferredAction is what may be done once the journal has the step; a flow is not started where that failed.
+// deferredAction is executed once the journal has the step. A flow is not started if the commit failed.
 type deferredAction struct {
 	run  func()
 	flow *traffic.Flow
 }
 
-// decide lets the module step, journals what comes of it in one write, and only then acts on it.
+// decide lets the module step, writes the resulting changes to the journal in one commit, and then acts on them.
 func (r *Relay) decide(now time.Time, events []dispatch.Event, changes []traffic.Change) {
 	r.counters.Steps++
 	var actions []dispatch.Action
@@ -660,7 +660,7 @@
 	var deferred []deferredAction // in the module's order
 	var accepted []*openTransaction
 	ended := map[string]bool{}
-	for _, h := range r.awaitingTurn { // taken on, though the module has not heard of them
+	for _, h := range r.awaitingTurn { // accepted, although the module does not know them yet
 		if h.submitters != nil {
 			accepted = append(accepted, h)
 			changes = append(changes, traffic.Taken{Transaction: h.Transaction})
@@ -682,7 +682,7 @@
 			}
 		}
 	}
-	newestCall := map[string]*traffic.Flow{} // the newest call to each member
+	newestCall := map[string]*traffic.Flow{} // by member
 	for _, a := range actions {
 		switch a := a.(type) {
 		case dispatch.Send:
@@ -696,7 +696,7 @@
 			changes = append(changes, traffic.FlowBegun{ID: f.ID, Attempt: f.Attempt, At: now})
 			if call := newestCall[f.Member]; call != nil && len(call.With)+1 < r.maxBundle[r.pool.members[f.Member].Class] &&
 				call.CallBytes()+f.CallBytes() <= traffic.MaxCallBytes {
-				call.Join(f) // the module counts what goes to a member in one step as one call
+				call.Join(f) // the module counts everything sent to a member in one step as one call
 			} else {
 				newestCall[f.Member] = &f
 				deferred = append(deferred, deferredAction{flow: &f})
@@ -711,7 +711,7 @@
 			r.wakes = append(r.wakes, r.epoch.Add(a.At))
 		case dispatch.Log:
 			slog.Info("module", "text", a.Text)
-		case dispatch.Watch: // the pool is watched from the start
+		case dispatch.Watch: // the relay watches the pool from the start
 		}
 	}
 	saved := r.commit(changes, accepted, deferred)
@@ -742,7 +742,7 @@
 	r.mu.Unlock()
 }
 
-// announceWaiting tells what is held, now and then.
+// announceWaiting notifies Ahead of the number of waiting transactions every expectInterval.
 func (r *Relay) announceWaiting(now time.Time) {
 	if now.Sub(r.lastExpect) < expectInterval {
 		return
@@ -758,12 +758,12 @@
 	}
 }
 
-// end gives a transaction its final answer: to the client that just handed it in, or by a notice.
+// end gives a transaction its final answer: directly to the clients that have just submitted it, or by a notice.
 func (r *Relay) end(n traffic.Notice, changes []traffic.Change, deferred *[]deferredAction) []traffic.Change {
 	h := r.open[n.ID]
 	h.noticePending = h.submitters == nil
 	r.forget(h)
-	if h.submitters != nil { // not taken on: nothing is owed and nothing journalled
+	if h.submitters != nil { // not accepted: no notice and no journal record
 		answer := traffic.Answer{Verdict: traffic.Busy, RetryIn: n.RetryIn}
 		if n.Outcome == traffic.GivenUp {
 			answer = traffic.Answer{Verdict: traffic.Failed}
@@ -797,8 +797,8 @@
 	h.submitters = nil
 }
 
-// commit journals a step. Where that fails, nothing new is taken on and no flow starts; ends are kept for
-// the next step's write.
+// commit writes a step to the journal. After an error no transaction is accepted and no flow starts; ends are kept for the commit of
+// the next step.
 func (r *Relay) commit(changes []traffic.Change, accepted []*openTransaction, deferred []deferredAction) bool {
 	err := r.cfg.Store.Commit(append(r.unsavedChanges, changes...))
 	if err == nil {
@@ -849,7 +849,7 @@
 	return false
 }
 
-// publishKnownMembers publishes the pool's members for operators' calls.
+// publishKnownMembers copies the pool's members for the admin endpoint.
 func (r *Relay) publishKnownMembers() {
 	knownMembers := make(map[string]bool, len(r.pool.members))
 	for id := range r.pool.members {
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -11,7 +11,7 @@
 	"slatemux/internal/traffic"
 )
 
-// fakeIO stands for store, flows and notices, and notes what is asked of them in order.
+// fakeIO implements Store, Flows and Notices and records the calls in order.
 type fakeIO struct {
 	calls     []string
 	flows     []traffic.Flow
@@ -58,7 +58,7 @@
 	return traffic.Transaction{ID: id, Class: class, Key: "k", Destination: 7, Deadline: deadline, Body: []byte("b")}
 }
 
-// submit hands a transaction in at a step of its own and returns its answer, if there is one.
+// submit submits a transaction in a step of its own and returns the answer.
 func submit(t *testing.T, r *Relay, now time.Time, tr traffic.Transaction) traffic.Answer {
 	t.Helper()
 	answer := r.Put(tr, now)
@@ -72,31 +72,31 @@
 	}
 }
 
-// The journal has a transaction before its client hears of it and a flow before it starts; what ends in the
-// step of its hand-in leaves no trace.
+// The journal has a transaction before its client gets the answer, and a flow before it starts. A transaction that ends in the step
+// of its submission leaves no journal record.
 func TestJournalsBeforeAnswerAndStart(t *testing.T) {
 	r, w, now := startRelay(t)
 	w.takeCalls()
 	if a := submit(t, r, now, transaction("a", "slot", now.Add(5*time.Second))); a.Verdict != traffic.Accepted {
-		t.Fatalf("%+v", a)
+		t.Fatalf("answer %+v", a)
 	}
 	if got := w.takeCalls(); got != "Taken, FlowBegun, start" {
-		t.Errorf("a hand-in: %s", got)
+		t.Errorf("calls for a submission: %s", got)
 	}
 	if a := submit(t, r, now, transaction("a", "slot", now.Add(5*time.Second))); a.Verdict != traffic.Accepted || w.takeCalls() != "" {
-		t.Errorf("the same once more: %+v", a)
+		t.Errorf("the same message again: answer %+v", a)
 	}
 	if a := submit(t, r, now, transaction("b", "slot", now.Add(time.Millisecond))); a.Verdict != traffic.Busy || w.takeCalls() != "" {
-		t.Errorf("out of time at once: %+v", a)
+		t.Errorf("deadline too close: answer %+v", a)
 	}
 	now = now.Add(time.Second)
 	r.step(now, []any{traffic.FlowEnd{ID: "a", Member: w.lastFlow().Member, Status: traffic.Delivered}})
 	if got := w.takeCalls(); got != "Ended" || len(r.open) != 0 || r.bytes != 0 {
-		t.Errorf("a delivery: %s, %d open, %d bytes", got, len(r.open), r.bytes)
+		t.Errorf("after the delivery: calls %s, %d open, %d bytes", got, len(r.open), r.bytes)
 	}
 }
 
-// Each end of a flow that the protocol's table has, and what it means.
+// Every flow status leads to the journal record that the protocol requires.
 func TestFlowEndings(t *testing.T) {
 	for status, want := range map[traffic.FlowStatus]string{
 		traffic.Delivered: "Ended", traffic.Over: "Ended", traffic.Errored: "ran", traffic.Broken: "ran",
@@ -118,24 +118,24 @@
 	}
 }
 
-// Where the journal cannot be written nothing is taken on and nothing sent, and an end is written later.
+// While the journal cannot be written, nothing is accepted or sent. The end of a flow is written later.
 func TestJournalFailure(t *testing.T) {
 	r, w, now := startRelay(t)
 	submit(t, r, now, transaction("a", "slot", now.Add(5*time.Second)))
 	w.takeCalls()
 	w.commitErr = errors.New("no room")
 	if a := submit(t, r, now, transaction("b", "slot", now.Add(5*time.Second))); a.Verdict != traffic.Busy {
-		t.Errorf("%+v", a)
+		t.Errorf("failed commit: answer %+v", a)
 	}
 	if got := w.takeCalls(); strings.Contains(got, "start") || len(r.open) != 1 {
-		t.Errorf("%s, %d open", got, len(r.open))
+		t.Errorf("failed commit: calls %s, %d open", got, len(r.open))
 	}
 	r.step(now, append(takeBatch(r), traffic.FlowEnd{ID: "a", Member: w.flows[0].Member, Status: traffic.Delivered}))
 	w.takeCalls()
 	w.commitErr = nil
 	r.step(now.Add(time.Second), nil)
 	if got := w.takeCalls(); got != "Ended" {
-		t.Errorf("after the failure: %s", got)
+		t.Errorf("after the failure: calls %s", got)
 	}
 }
 
@@ -143,32 +143,32 @@
 	r, w, now := startRelay(t)
 	w.storeFull = true
 	if a := submit(t, r, now, transaction("a", "slot", now.Add(5*time.Second))); a.Verdict != traffic.Busy || a.RetryIn == 0 {
-		t.Errorf("journal full: %+v", a)
+		t.Errorf("journal full: answer %+v", a)
 	}
 	w.storeFull, r.cfg.MostBytes = false, 10
 	if a := submit(t, r, now, transaction("b", "slot", now.Add(5*time.Second))); a.Verdict != traffic.Busy {
-		t.Errorf("memory full: %+v", a)
+		t.Errorf("memory full: answer %+v", a)
 	}
 	r.cfg.MostBytes = 1 << 20
 	late := r.Put(transaction("c", "slot", now.Add(5*time.Second)), now.Add(-time.Second))
 	r.step(now, takeBatch(r))
-	if a := <-late; a.Verdict != traffic.Busy { // its client has gone
-		t.Errorf("a hand-in that waited for a second: %+v", a)
+	if a := <-late; a.Verdict != traffic.Busy { // its client may have gone
+		t.Errorf("a submission that waited for a second: answer %+v", a)
 	}
 	r.stop()
 	if a := <-r.Put(transaction("d", "slot", now.Add(5*time.Second)), now); a.Verdict != traffic.Busy {
-		t.Errorf("after the end: %+v", a)
+		t.Errorf("after stop: answer %+v", a)
 	}
 }
 
-// A destination that the pool does not have is refused: with a word to come again while discovery has not been
-// heard, for good after that. One whose last member just left is still known, for a successor may come.
+// A submission for a destination outside the pool is refused: with a retry time before the first update from discovery, for good
+// after that. A destination whose last member has just left is still known, because a replacement may join.
 func TestUnknownDestination(t *testing.T) {
 	r, _, now := startRelay(t)
 	odd := transaction("a", "slot", now.Add(5*time.Second))
 	odd.Destination = 99
 	if a := submit(t, r, now, odd); a.Verdict != traffic.Busy {
-		t.Errorf("before discovery was heard: %+v", a)
+		t.Errorf("before the first update from discovery: answer %+v", a)
 	}
 	news := func(after time.Duration, health traffic.Health) {
 		r.PoolChanged(traffic.PoolNews{Members: []traffic.Member{{Host: "m1", Class: "partner", Destination: 7,
@@ -177,22 +177,22 @@
 	}
 	news(0, traffic.Left)
 	if a := submit(t, r, now, odd); a.Verdict != traffic.Failed || len(r.pool.members) > 0 {
-		t.Errorf("not in the pool: %+v, kept %v", a, r.pool.members)
+		t.Errorf("not in the pool: answer %+v, members kept %v", a, r.pool.members)
 	}
 	if a := submit(t, r, now, transaction("b", "slot", now.Add(5*time.Second))); a.Verdict != traffic.Accepted {
-		t.Errorf("just left: %+v", a)
+		t.Errorf("last member just left: answer %+v", a)
 	}
 	if a := submit(t, r, now.Add(2*goneRetention), transaction("c", "slot", now.Add(3*goneRetention))); a.Verdict != traffic.Failed {
-		t.Errorf("long left: %+v", a)
+		t.Errorf("last member left long ago: answer %+v", a)
 	}
 	news(2*goneRetention, traffic.Left)
 	if len(r.pool.goneSince) > 0 || r.counters.Unlisted != 3 {
-		t.Errorf("kept %v, counted %d", r.pool.goneSince, r.counters.Unlisted)
+		t.Errorf("destinations kept %v, unlisted submissions counted %d", r.pool.goneSince, r.counters.Unlisted)
 	}
 }
 
-// Another message under the id of one that is open is not taken on and changes nothing; the same one sent once
-// more, as after a close that crossed it, is answered as taken on.
+// Another message with the id of an open one is refused and changes nothing. The same message sent again, for example after a
+// connection closed before the answer, is answered as accepted.
 func TestReusedID(t *testing.T) {
 	r, w, now := startRelay(t)
 	tr := transaction("a", "pay", now.Add(28*time.Second))
@@ -203,18 +203,18 @@
 	other := tr
 	other.Body = []byte("other")
 	if a := submit(t, r, now, other); a.Verdict != traffic.Failed || string(r.open["a"].Body) != "b" {
-		t.Errorf("another message with the id: %+v, held %q", a, r.open["a"].Body)
+		t.Errorf("another message with the id: answer %+v, open body %q", a, r.open["a"].Body)
 	}
 	if a := submit(t, r, now, tr); a.Verdict != traffic.Accepted {
-		t.Errorf("the same once more: %+v", a)
+		t.Errorf("the same message again: answer %+v", a)
 	}
 	if got := w.takeCalls(); strings.Contains(got, "Taken") || strings.Contains(got, "start") || r.counters.Borrowed != 1 {
-		t.Errorf("did %s, counted %d", got, r.counters.Borrowed)
+		t.Errorf("calls %s, reused ids counted %d", got, r.counters.Borrowed)
 	}
 }
 
-// After a restart a keyed transaction that may have run is repeated within the memory of its destination
-// alone, its attempts count on, and one that may not go again ends with a notice at once.
+// After a restart, a keyed transaction that may have run is retried only within the class's memory span. Its attempts continue to
+// count. A transaction that may not be sent again ends with a notice at once.
 func TestRestart(t *testing.T) {
 	now := time.Now()
 	far := now.Add(20 * time.Second)
@@ -226,11 +226,11 @@
 	}
 	r, w, _ := startRelay(t, open...)
 	if len(w.flows) != 1 {
-		t.Fatalf("flows %+v", w.flows)
+		t.Fatalf("started flows %+v", w.flows)
 	}
 	f := w.lastFlow()
 	if f.ID != "fresh" || f.Attempt != 1 || !f.WriteBy.Equal(open[0].FirstSent.Add(15*time.Second)) {
-		t.Errorf("%+v", f)
+		t.Errorf("retry after the restart: flow %+v", f)
 	}
 	got := w.takeCalls()
 	if strings.Count(got, fmt.Sprint("notice ", traffic.GivenUp)) != 1 ||
@@ -238,14 +238,15 @@
 		t.Error(got)
 	}
 	if c := r.Counters(); c.Recovered != 4 || c.Open != 1 {
-		t.Errorf("%+v", c)
+		t.Errorf("counters %+v", c)
 	}
 }
 
-// A restart where the window for repeats is 1 s: what was tried is sent again within that of its first try, with room for the call
-// itself, also by the second of two restarts within the second, and then ended truthfully; what was never tried has no window running,
-// and is tried, also where many were found; an unsafe one that may have run is never sent again. A clock that was set back, so that the
-// first try lies in the future, makes no window longer, and no transaction's time either.
+// Restart with a retry window of 1 s. A transaction that was sent is retried only within the window after its first call, with time
+// left for the call itself. This also applies to the second of two restarts within the second. After the window it ends as given up.
+// A transaction that was never sent has no window and is sent, even if many were recovered. An unsafe transaction that may have run
+// is never sent again. If the clock was set back, the first call lies in the future; this extends neither the window nor the time of
+// any transaction.
 func TestRestartWithShortRetryWindow(t *testing.T) {
 	now := time.Now()
 	set := testSettings()
@@ -263,8 +264,8 @@
 	for i := range 6 {
 		open = append(open, traffic.Open{Transaction: transaction(fmt.Sprint("untried", i), "pay", far)})
 	}
-	open[4].Deadline = now.Add(time.Hour) // by the clock before
-	for range 2 {                         // the second start finds what the first one did
+	open[4].Deadline = now.Add(time.Hour) // by the clock before it was set back
+	for range 2 {                         // the second start recovers the same state
 		w := &fakeIO{}
 		r, err := New(Config{Settings: set, MostBytes: 1 << 20, Store: w, Flows: w, Notices: w})
 		if err != nil {
@@ -277,44 +278,44 @@
 		}
 		for _, id := range []string{"over", "back", "once"} {
 			if f, ok := sent[id]; ok || r.open[id] != nil {
-				t.Errorf("%s: sent %v %+v, open %v", id, ok, f, r.open[id] != nil)
+				t.Errorf("transaction %s: sent %v, flow %+v, open %v", id, ok, f, r.open[id] != nil)
 			}
 		}
 		if got := strings.Count(w.takeCalls(), fmt.Sprint("notice ", traffic.GivenUp)); got != 3 {
 			t.Errorf("%d given up, want 3", got)
 		}
 		if f := sent["within"]; f.WriteBy.IsZero() || f.WriteBy.After(open[0].FirstSent.Add(time.Second)) {
-			t.Errorf("a repeat within its window: %+v", f)
+			t.Errorf("a retry within its window: flow %+v", f)
 		}
-		for i := range 6 { // those that have to wait for a slot are still owed their try
+		for i := range 6 { // transactions that wait for a slot are not lost
 			id := fmt.Sprint("untried", i)
 			f, ok := sent[id]
 			if !ok && r.open[id] == nil || !f.WriteBy.IsZero() {
-				t.Errorf("%s: sent %v, %+v", id, ok, f)
+				t.Errorf("transaction %s: sent %v, flow %+v", id, ok, f)
 			}
 		}
 		if h := r.open["untried0"]; h == nil || h.Deadline.After(now.Add(29*time.Second)) {
-			t.Errorf("a transaction's time by a clock that was set back: %+v", h)
+			t.Errorf("after the clock was set back: transaction %+v", h)
 		}
 	}
 }
 
-// The answer to a keyed call that came too late must not lead to a call beyond the memory; WriteBy carries
-// that to the flow, which may have to connect first.
+// A retry of a keyed call must not be written after the memory span. WriteBy tells that limit to the flow, which may have to connect
+// first.
 func TestRetryHasWriteBy(t *testing.T) {
 	r, w, now := startRelay(t)
 	submit(t, r, now, transaction("a", "pay", now.Add(28*time.Second)))
 	if !w.lastFlow().WriteBy.IsZero() {
-		t.Errorf("a first call has %v", w.lastFlow().WriteBy)
+		t.Errorf("a first call has WriteBy %v", w.lastFlow().WriteBy)
 	}
 	r.step(now.Add(time.Second), []any{traffic.FlowEnd{ID: "a", Member: w.lastFlow().Member, Status: traffic.Broken}})
 	r.step(now.Add(2*time.Second), nil)
 	if len(w.flows) != 2 || !w.lastFlow().WriteBy.Equal(now.Add(15*time.Second)) {
-		t.Errorf("%+v", w.flows)
+		t.Errorf("retry: flows %+v", w.flows)
 	}
 }
 
-// A call that was answered in the last moment before the exit must not be made again after the restart.
+// A call that was answered just before the exit must not be repeated after the restart.
 func TestStopJournalsEnds(t *testing.T) {
 	r, w, now := startRelay(t)
 	submit(t, r, now, transaction("a", "slot", now.Add(5*time.Second)))
@@ -327,27 +328,27 @@
 		t.Error(got)
 	}
 	if a := <-answer; a.Verdict != traffic.Busy {
-		t.Errorf("a hand-in that no step saw: %+v", a)
+		t.Errorf("a submission that no step processed: answer %+v", a)
 	}
 }
 
-// takeBatch is what the inbox held.
+// takeBatch empties the inbox and returns its content.
 func takeBatch(r *Relay) []any {
 	batch, _ := r.takeInbox()
 	return batch
 }
 
-// What was learned of a destination is told once a list names it, which the list of the start need not do, and once only.
+// A learned limit is reported once, when a list first names its destination. The list at the start need not name it.
 func TestRecallsLimitsOncePerDestination(t *testing.T) {
 	r, _, _ := startRelay(t)
 	limits := map[int]float64{3: 25, 7: 50}
 	r.Start(initialPool, limits, nil, nil)
 	news := traffic.PoolNews{Members: []traffic.Member{{Host: "b", Destination: 3}, {Host: "c", Destination: 3}, {Host: "m1", Destination: 7}}}
 	if got := r.recalledLimits(news); len(got) != 1 || got[0] != (dispatch.Recalled{Destination: 3, Limit: 25}) {
-		t.Errorf("%v", got)
+		t.Errorf("first list: events %v", got)
 	}
 	if got := r.recalledLimits(news); len(got) != 0 || len(limits) != 2 {
-		t.Errorf("told again: %v", got)
+		t.Errorf("second list: events %v", got)
 	}
 }
 
--- a/internal/relay/stats.go
+++ b/internal/relay/stats.go
@@ -9,14 +9,14 @@
 	"slatemux/internal/traffic"
 )
 
-// Figures are what operators are shown, counted since the start of the process, by class where they are of
-// messages. Only the settings' classes are counted: a client's made-up class takes no room.
+// Figures are the statistics for the admin endpoint, counted since the start of the process. Messages are counted by class. Only
+// classes of the settings are counted, so that invented class names of clients take no memory.
 type Figures struct {
 	Success, Overload, Error map[string]int64
 	Dispatches               int64 // transactions written whole to pool members
-	Concurrent               int   // taken on and not ended
-	Members, Banned          int   // in the pool, and of them those taken down by operators or barred by other relays
-	Avoided                  int   // listed members that the module holds to be out, beside the banned ones
+	Concurrent               int   // accepted transactions that have not ended
+	Members, Banned          int   // in the pool; members banned by operators or excluded by other relays
+	Avoided                  int   // listed members that the module avoids because of an outage, besides the banned ones
 }
 
 type classCounts struct{ success, overload, errors map[string]int64 }
@@ -31,7 +31,7 @@
 	}
 }
 
-// answered counts a verdict given at the front.
+// countAnswer counts the answer to a submission.
 func (r *Relay) countAnswer(class string, a traffic.Answer) {
 	switch a.Verdict {
 	case traffic.Busy:
@@ -41,10 +41,10 @@
 	}
 }
 
-// writtenWhole says whether a flow that ended this way had its transaction written whole.
+// writtenWhole reports whether a flow with this status wrote its whole transaction.
 func writtenWhole(s traffic.FlowStatus) bool { return s != traffic.NotConnected && s != traffic.Unsent }
 
-// Figures returns them as of the newest step.
+// Figures returns the statistics after the latest step.
 func (r *Relay) Figures() Figures {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -63,18 +63,18 @@
 		Members: len(r.pool.members), Banned: banned, Avoided: r.sender.Avoided()}
 }
 
-// statsInterval is how often the figures are copied for operators: they may be half a second old.
+// statsInterval is the time between two copies for the admin endpoint, whose figures may be half a second old.
 const statsInterval = 100 * time.Millisecond
 
-// Known says whether the pool names a member, as of the newest step.
+// Known reports whether the pool has the member, after the latest step.
 func (r *Relay) Known(id string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.knownMembers[id]
 }
 
-// Ban tells the relay which members operators have taken down. The channel closes once the module has been
-// told, in a step of its own.
+// Ban replaces the set of members that operators have banned. The channel closes after the step in which the module has processed
+// the new set.
 func (r *Relay) Ban(set map[string]bool) <-chan struct{} {
 	done := make(chan struct{})
 	if !r.post(bans{set, done}) {
@@ -88,8 +88,8 @@
 	done chan struct{}
 }
 
-// applyBans applies a new set of bans: members whose standing changed are told to the module again, those that
-// come back as cold, for they were restarted while out.
+// applyBans applies a new set of bans. Members whose ban was lifted are reported to the module as cold, because they were restarted
+// during the ban.
 func (r *Relay) applyBans(b bans) dispatch.Members {
 	before := r.bans
 	r.bans = b.set
@@ -99,11 +99,12 @@
 	return r.updateBlocked(func(id string) bool { return before[id] })
 }
 
-// noMember is the set of no members.
+// noMember is the empty set of members.
 func noMember(string) bool { return false }
 
-// updateBlocked tells the module of the members whose standing has changed, by operators here, by the word of other relays or by doubt
-// in the whole list. Of those that come back, cold says which were restarted.
+// updateBlocked tells the module which members have been blocked or unblocked since the last call. A member is blocked by operators
+// of this relay, by other relays, or because the whole list is unconfirmed. For an unblocked member, cold reports whether the member
+// was restarted.
 func (r *Relay) updateBlocked(cold func(id string) bool) dispatch.Members {
 	blocked := maps.Clone(r.bans)
 	if blocked == nil {
@@ -125,12 +126,12 @@
 		}
 	}
 	r.blocked = blocked
-	r.statsCopiedAt = time.Time{}              // operators see their call in the figures at once
-	r.cfg.Flows.Pool(r.overlay(news, blocked)) // what waits for a connection there is not written either
+	r.statsCopiedAt = time.Time{}              // operators see the effect of their call in the figures at once
+	r.cfg.Flows.Pool(r.overlay(news, blocked)) // flows that wait for a connection to a blocked member are not written either
 	return ev
 }
 
-// overlay is news of the pool as flows are to see it: members that operators took down are leaving.
+// overlay returns the change of the pool as the flows must see it: banned members are leaving.
 func (r *Relay) overlay(news traffic.PoolNews, banned map[string]bool) traffic.PoolNews {
 	if len(banned) == 0 {
 		return news
--- a/internal/relay/translate.go
+++ b/internal/relay/translate.go
@@ -8,13 +8,14 @@
 	"slatemux/internal/traffic"
 )
 
-// This file alone knows both vocabularies: the network's (pool member, transaction, flow) and the decision
-// module's (endpoint, message, attempt).
+// This file is the only one that uses both vocabularies: that of the network (pool member, transaction, flow) and that of the
+// decision module (endpoint, message, attempt).
 
 var memberStates = map[traffic.Health]dispatch.State{traffic.Active: dispatch.Listed,
 	traffic.Leaving: dispatch.Draining, traffic.Left: dispatch.Gone}
 
-// members tells the module of the pool. A member that operators took down, or other relays know to leave, drains, whatever discovery says.
+// members reports a change of the pool to the module. A member that is banned by operators or excluded by other relays is draining,
+// whatever discovery says.
 func (r *Relay) members(news traffic.PoolNews) dispatch.Members {
 	ev := dispatch.Members{Whole: news.Whole}
 	for _, m := range news.Members {
@@ -31,9 +32,10 @@
 	return e
 }
 
-// recalledLimits tells, once, what an earlier process had learned of the destinations that a list names, in the list's order.
+// recalledLimits returns the limits that an earlier process learned for the destinations of a list, in the list's order. Each limit
+// is returned once.
 func (r *Relay) recalledLimits(news traffic.PoolNews) (events []dispatch.Event) {
-	if len(r.learnedLimits) == 0 { // as a rule, and a list may be long
+	if len(r.learnedLimits) == 0 { // the usual case; a list may be long
 		return nil
 	}
 	for _, m := range news.Members {
@@ -57,15 +59,14 @@
 	return ev
 }
 
-// keyNumber is the module's number of a key. Two keys that share one only wait for each other.
+// keyNumber maps a key to the number that the module uses. Two keys with the same number only wait for each other.
 func keyNumber(text string) int64 {
 	h := fnv.New64a()
 	h.Write([]byte(text))
 	return int64(h.Sum64())
 }
 
-// flowEnding says what the end of a flow means to the module, whether the message is over with it, and whether
-// it may have run.
+// flowEnding describes what a flow status means: the module's status, whether the transaction is over, and whether it may have run.
 type flowEnding struct {
 	status              dispatch.Status
 	settled, mayHaveRun bool
@@ -95,7 +96,7 @@
 	return ev
 }
 
-// flow turns a send into a flow with absolute times.
+// flow turns a Send action into a flow with absolute times.
 func (r *Relay) flow(o *traffic.Open, a dispatch.Send, now time.Time) traffic.Flow {
 	f := traffic.Flow{ID: o.ID, Attempt: o.Attempts, Member: a.Endpoint, Group: r.group(r.pool.members[a.Endpoint]), Key: o.Key,
 		Body: o.Body, Begun: now, Deadline: o.Deadline}
@@ -111,7 +112,7 @@
 	return f
 }
 
-// group names what a told wait holds back: the destination, or the member alone where routes are apart.
+// group returns the group to which a retry-after applies: the destination, or the member alone if its kind has separate limits.
 func (r *Relay) group(m traffic.Member) traffic.Group {
 	g := traffic.Group{Destination: m.Destination}
 	if r.separateLimits[m.Class] {
@@ -120,7 +121,7 @@
 	return g
 }
 
-// allowanceEvents is what the fleet's parts of limits mean to the module.
+// allowanceEvents turns this relay's shares of limits into events of the module.
 func (r *Relay) allowanceEvents(list []traffic.Allowance, now time.Time) (events []dispatch.Event) {
 	for _, a := range list {
 		if left := a.Until.Sub(now); left > 0 {
@@ -133,7 +134,7 @@
 	return events
 }
 
-// restraintEvent is what other relays' word means to the module.
+// restraintEvent turns a restraint from the fleet into an event of the module.
 func (r *Relay) restraintEvent(x traffic.Restraint, now time.Time) dispatch.Told {
 	ev := dispatch.Told{Endpoint: x.Member, Age: max(now.Sub(x.At), 0)}
 	switch x.Kind {
