--- a/internal/discoveryaddr/discoveryaddr.go
+++ b/internal/discoveryaddr/discoveryaddr.go
@@ -1,5 +1,5 @@
-// Package discoveryaddr holds an address that may move while it is in use: discovery's, which the watch and the
-// notices share.
+// Package discoveryaddr holds the address of discovery, which may change while it is in use. The watch of the pool and the notices
+// share it.
 package discoveryaddr
 
 import (
@@ -7,7 +7,7 @@
 	"sync"
 )
 
-// Place is an address that may move.
+// Place is an address that may change.
 type Place struct {
 	mu         sync.Mutex
 	addr       string
@@ -15,22 +15,22 @@
 	endCurrent context.CancelFunc
 }
 
-// New returns a Place at addr.
+// New returns a Place with the initial address addr.
 func New(addr string) *Place {
 	p := &Place{addr: addr}
 	p.current, p.endCurrent = context.WithCancel(context.Background())
 	return p
 }
 
-// Now returns the address and a context that ends when the place moves from it: connections to it and waits
-// for it end with that.
+// Now returns the address and a context. The context ends when the address changes, so that connections to the old address, and
+// waits for it, end too.
 func (p *Place) Now() (string, context.Context) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.addr, p.current
 }
 
-// Move changes the address and says whether it is another one.
+// Move sets the address and reports whether it has changed.
 func (p *Place) Move(addr string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/keyorder/keyorder.go
+++ b/internal/keyorder/keyorder.go
@@ -1,7 +1,7 @@
-// Package keyorder keeps the order of a key between the processes of one relay. During a hand-over two processes take messages on,
-// each the next of a key as it comes, and the order is the relay's: each open message of a key has a ticket in a table that both
-// processes map from $TMPDIR, and a process does not begin with one while another process holds an earlier one. What a process that
-// ends leaves is taken up by its successor with its tickets. A restart empties $TMPDIR, and the journal's order is what remains.
+// Package keyorder keeps the order of keys between the processes of one relay. During a handover two processes accept messages of the
+// same key, and the relay as a whole must keep their order. Each open message of a key has a ticket in a table that both processes map
+// from $TMPDIR. A process does not start a message while another process holds an earlier one of the key. A successor recovers the
+// messages of an ended process together with their tickets. A restart empties $TMPDIR; then only the order in the journal remains.
 package keyorder
 
 import (
@@ -16,13 +16,18 @@
 	"slatemux/internal/mmapfile"
 )
 
-// slotCount is how many open messages the table has room for, and near how many of one key, and of those whose hashes lie beside it. One
-// that finds no room keeps the order of its own process alone. The file is sparse.
-const slotCount, maxProbes = 8192, 128
+const (
+	// slotCount is the maximum number of open messages in the table. The file is sparse.
+	slotCount = 8192
+	// maxProbes is the maximum number of open messages of one key, together with those of keys with neighboring hashes. A message
+	// without a free slot keeps the order of its own process only.
+	maxProbes = 128
 
-const headerBytes, slotBytes = 64, 40
+	headerBytes = 64
+	slotBytes   = 40
+)
 
-// slot is an open message. A ticket of 0 is a free slot; one whose time is over is as good as free.
+// slot is the entry of an open message. A slot with ticket 0 is free, and a slot whose time is over may be reused.
 type slot struct{ ticket, key, id, owner, until atomic.Uint64 }
 
 // Table is the shared table. A nil Table shares nothing.
@@ -31,16 +36,16 @@
 	file  *mmapfile.File
 }
 
-// Open maps the table of a folder, made where there is none, for a process of this name.
+// Open maps the table of a folder for the process named owner, and creates the table if it does not exist.
 func Open(dir, owner string) (*Table, error) {
 	file, err := mmapfile.Open(filepath.Join(dir, "slatemux-turns"), headerBytes+slotCount*slotBytes)
 	if err != nil {
-		return nil, fmt.Errorf("turns: %w", err)
+		return nil, fmt.Errorf("key order table: %w", err)
 	}
 	return &Table{owner: hash(owner), file: file}, nil
 }
 
-// Close unmaps it. From then on it shares nothing.
+// Close unmaps the table. A closed table shares nothing.
 func (t *Table) Close() error {
 	if t == nil {
 		return nil
@@ -56,7 +61,7 @@
 	return max(h.Sum64(), 1)
 }
 
-// probe calls f with the slots in which a message of a key may stand, until it says that it is done. next gives a new ticket.
+// probe calls f with each slot that a message of the key may use, until f returns true. The argument next returns a new ticket.
 func (t *Table) probe(key uint64, f func(s *slot, next func() uint64) (done bool)) {
 	t.file.Use(func(mem []byte) {
 		next := func() uint64 { return (*atomic.Uint64)(unsafe.Pointer(&mem[0])).Add(1) }
@@ -68,8 +73,8 @@
 	})
 }
 
-// TakeTicket gives an open message of a key its ticket, or takes over the one that it has, and returns it: 0 where there is no room. It
-// holds until the message's time is over.
+// TakeTicket gives an open message of a key a ticket, or takes over its existing one, and returns the ticket. The result is 0 if
+// there is no room. The ticket expires at until.
 func (t *Table) TakeTicket(key, id string, now, until time.Time) (ticket uint64) {
 	if t == nil {
 		return 0
@@ -93,7 +98,7 @@
 			return false
 		}
 		newTicket := next()
-		s.until.Store(0) // as long as it is not whole it holds nobody back
+		s.until.Store(0) // a slot that is not yet complete blocks no other message
 		if !s.ticket.CompareAndSwap(previous, newTicket) {
 			return false
 		}
@@ -107,7 +112,7 @@
 	return ticket
 }
 
-// MustWait says whether another process holds an earlier message of the key that is still open.
+// MustWait reports whether another process holds an earlier message of the key that is still open.
 func (t *Table) MustWait(key, id string, now time.Time) bool {
 	if t == nil {
 		return false
@@ -128,7 +133,7 @@
 	return ownTicket != 0 && earliestOther < ownTicket
 }
 
-// Release says that a message is over.
+// Release marks a message as over and frees its slot.
 func (t *Table) Release(key, id string) {
 	if t == nil {
 		return
--- a/internal/keyorder/keyorder_test.go
+++ b/internal/keyorder/keyorder_test.go
@@ -7,8 +7,9 @@
 	"time"
 )
 
-// Two processes take messages of a key on in turn: each waits for the other's earlier ones and for none of its own, until they are
-// over, their time is, or their process has ended and this one has taken them up.
+// Two processes accept messages of one key in turn. Each message waits for earlier ones of the other process, and for none of its
+// own. The wait ends when the earlier message is over, when its time is over, or when its process has ended and this one has
+// recovered the message.
 func TestKeyOrderBetweenProcesses(t *testing.T) {
 	dir, now := t.TempDir(), time.Now()
 	later := now.Add(time.Minute)
@@ -24,7 +25,7 @@
 	want := func(table *Table, key, id string, waits bool) {
 		t.Helper()
 		if got := table.MustWait(key, id, now); got != waits {
-			t.Errorf("%s of %s waits: %v", id, key, got)
+			t.Errorf("message %s of key %s: MustWait %v", id, key, got)
 		}
 	}
 	a.TakeTicket("k", "m1", now, later)
@@ -39,24 +40,24 @@
 	want(b, "other", "n1", false)
 	a.Release("k", "m1")
 	want(b, "k", "m3", true)
-	b.TakeTicket("k", "m2", now, later) // its process has ended
+	b.TakeTicket("k", "m2", now, later) // the first process has ended
 	want(b, "k", "m3", false)
 	b.Release("k", "m2")
 	b.Release("k", "m3")
 	want(a, "k", "m4", false)
-	// Time that is over holds nobody back, and its slot is used again.
+	// A message whose time is over blocks no other, and its slot is reused.
 	a.TakeTicket("short", "s1", now, now.Add(time.Millisecond))
 	b.TakeTicket("short", "s2", now, later)
 	now = now.Add(time.Second)
 	want(b, "short", "s2", false)
-	// More than there is room for keep the order of their process.
+	// Messages without a free slot keep the order of their own process only.
 	for i := range 2 * maxProbes {
 		a.TakeTicket("full", fmt.Sprint(i), now, later)
 	}
 	b.TakeTicket("full", "last", now, later)
 	want(b, "full", "last", false)
 	if err := errors.Join(a.Close(), a.Close()); err != nil || a.MustWait("k", "m4", now) {
-		t.Error("a closed table")
+		t.Error("closing a table twice, or a closed table that still makes messages wait")
 	}
 	a.TakeTicket("k", "m9", now, later)
 	a.Release("k", "m9")
@@ -64,6 +65,6 @@
 	none.TakeTicket("k", "x", now, later)
 	none.Release("k", "x")
 	if none.MustWait("k", "x", now) || none.Close() != nil {
-		t.Error("a nil table")
+		t.Error("a nil table makes messages wait, or Close fails")
 	}
 }
--- a/internal/maintenance/maintenance.go
+++ b/internal/maintenance/maintenance.go
@@ -1,6 +1,6 @@
-// Package maintenance keeps the operators' bans of endpoints in the state folder, so that a ban outlives the process
-// and holds in a successor that runs beside it. The file is replaced whole, under a lock of its own, so that
-// two processes that change it at once lose neither change.
+// Package maintenance keeps the operators' bans of endpoints in the state folder. A ban outlives the process and also applies in a
+// successor that runs at the same time. The file is always replaced as a whole, under a lock file, so that two processes that change
+// it at the same time lose no change.
 package maintenance
 
 import (
@@ -23,7 +23,7 @@
 	header   = "slatemux bans 1"
 )
 
-// Bans are the endpoints that operators have taken down.
+// Bans is the set of endpoints that operators have banned.
 type Bans struct {
 	dir       string
 	mu        sync.Mutex
@@ -36,8 +36,8 @@
 	mod  time.Time
 }
 
-// Open reads the bans of a folder. A file that can't be read whole keeps what it names before the damage: no
-// endpoint that was banned is let go silently. A file of another form is one log line, and no ban.
+// Open reads the bans of a folder. If the file is damaged, the entries before the damage stay in effect, so that no banned endpoint
+// is released silently. A file in an unrecognized format leads to one log line and no ban.
 func Open(dir string) *Bans {
 	b := &Bans{dir: dir, set: map[string]bool{}}
 	b.set, b.lastStamp = b.read()
@@ -46,7 +46,7 @@
 
 func (b *Bans) path() string { return filepath.Join(b.dir, fileName) }
 
-// read parses the file: its header, then one id a line.
+// read parses the file: a header line, then one id per line.
 func (b *Bans) read() (map[string]bool, fileStamp) {
 	set := map[string]bool{}
 	info, err := os.Stat(b.path())
@@ -64,32 +64,32 @@
 	}
 	lines := bufio.NewScanner(bytes.NewReader(raw))
 	if !lines.Scan() || lines.Text() != header {
-		slog.Error("bans file of another form: no endpoint is banned by it", "file", b.path(), "line", 1)
+		slog.Error("bans file of another form: file ignored, it bans no endpoint", "file", b.path(), "line", 1)
 		return set, stamp
 	}
 	for n := 2; lines.Scan(); n++ {
 		id := lines.Text()
 		if id == "" || strings.ContainsAny(id, " \t\x00") {
-			slog.Error("bans file damaged: what comes before is kept", "file", b.path(), "line", n)
+			slog.Error("bans file damaged: entries before this line are kept", "file", b.path(), "line", n)
 			break
 		}
 		set[id] = true
 	}
 	if !bytes.HasSuffix(raw, []byte("\n")) {
-		slog.Warn("bans file torn at its end: its last id is kept", "file", b.path())
+		slog.Warn("bans file torn at its end: the last id, possibly truncated, is kept", "file", b.path())
 	}
 	return set, stamp
 }
 
-// Banned returns the set now.
+// Banned returns a copy of the current set.
 func (b *Bans) Banned() map[string]bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return clone(b.set)
 }
 
-// Set takes an endpoint down or brings it up, and returns the set that follows. It reads the file first: the
-// other process of a hand-over may have changed it.
+// Set bans or unbans an endpoint and returns the resulting set. It reads the file first, because the other process of a handover may
+// have changed it.
 func (b *Bans) Set(id string, down bool) (map[string]bool, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -111,7 +111,7 @@
 	return clone(set), nil
 }
 
-// Changed reads the file again where it has changed since it was last read or written, and says so.
+// Changed reads the file if it has changed since the last read or write. It returns the new set and true if the set differs.
 func (b *Bans) Changed() (map[string]bool, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -140,10 +140,10 @@
 	}
 	tmp := b.path() + ".new"
 	if err := os.WriteFile(tmp, buf.Bytes(), 0o600); err != nil {
-		return fmt.Errorf("bans: %w", err)
+		return fmt.Errorf("bans file: %w", err)
 	}
 	if err := os.Rename(tmp, b.path()); err != nil {
-		return fmt.Errorf("bans: %w", err)
+		return fmt.Errorf("bans file: %w", err)
 	}
 	if info, err := os.Stat(b.path()); err == nil {
 		b.lastStamp = fileStamp{info.Size(), info.ModTime()}
@@ -151,15 +151,15 @@
 	return nil
 }
 
-// lock holds the lock of changes for one read and write.
+// lock acquires the lock file for one read and write, and returns the function that releases it.
 func (b *Bans) lock() (func(), error) {
 	f, err := os.OpenFile(b.path()+".lock", os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
-		return nil, fmt.Errorf("bans: %w", err)
+		return nil, fmt.Errorf("bans file: %w", err)
 	}
 	if err := syscall.Flock(int(f.Fd()), syscall.LOCK_EX); err != nil && !errors.Is(err, syscall.ENOSYS) {
 		f.Close()
-		return nil, fmt.Errorf("bans: lock: %w", err)
+		return nil, fmt.Errorf("bans file: lock: %w", err)
 	}
 	return func() { f.Close() }, nil
 }
--- a/internal/mmapfile/mmapfile.go
+++ b/internal/mmapfile/mmapfile.go
@@ -1,5 +1,5 @@
-// Package mmapfile shares a small file between the processes of one relay by mapping it into their memory. What one writes with atomic
-// operations the others read without a system call. The file is sparse: it takes memory by the pages that are used.
+// Package mmapfile shares a small file between the processes of one relay by mapping it into their memory. Values that one process
+// writes with atomic operations are visible to the others without a system call. The file is sparse: only used pages take memory.
 package mmapfile
 
 import (
@@ -10,30 +10,30 @@
 	"syscall"
 )
 
-// File is a mapped file. Until Close, and never behind it, Use lends its memory.
+// File is a mapped file. Use gives access to its memory until Close.
 type File struct {
-	mu  sync.RWMutex // held for writing to unmap: who is just ending must not read what is gone
+	mu  sync.RWMutex // locked for writing to unmap, so that a concurrent Use does not read unmapped memory
 	mem []byte       // nil once closed
 }
 
-// Open maps a file of so many bytes, made where there is none.
+// Open maps a file with a size in bytes, and creates the file if it does not exist.
 func Open(path string, size int) (*File, error) {
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
-		return nil, fmt.Errorf("mapped: %w", err)
+		return nil, fmt.Errorf("memory-mapped file: %w", err)
 	}
 	defer f.Close()
 	if err := f.Truncate(int64(size)); err != nil {
-		return nil, fmt.Errorf("mapped: %w", err)
+		return nil, fmt.Errorf("memory-mapped file: %w", err)
 	}
 	mem, err := syscall.Mmap(int(f.Fd()), 0, size, syscall.PROT_READ|syscall.PROT_WRITE, syscall.MAP_SHARED)
 	if err != nil {
-		return nil, errors.Join(fmt.Errorf("mapped: %s", path), err)
+		return nil, errors.Join(fmt.Errorf("memory-mapped file: mapping %s failed", path), err)
 	}
 	return &File{mem: mem}, nil
 }
 
-// Use calls f with the memory, unless the file is closed.
+// Use calls f with the mapped memory, unless the file is closed.
 func (m *File) Use(f func(mem []byte)) {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
@@ -42,7 +42,7 @@
 	}
 }
 
-// Close unmaps it. It may be closed again.
+// Close unmaps the file. Further calls have no effect.
 func (m *File) Close() error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/retryafter/retryafter.go
+++ b/internal/retryafter/retryafter.go
@@ -1,7 +1,7 @@
-// Package retryafter shares told waits between the processes of one relay. During a hand-over two processes send
-// to the same partners, and a wait that a partner told one of them binds both: the rule is the relay's.
-// The table is a small file in $TMPDIR mapped into both processes' memory, so that a wait is seen by the
-// other before its next write without a system call. A restart empties $TMPDIR, and a restart ends a wait.
+// Package retryafter shares retry-after times between the processes of one relay. During a handover two processes send to the same
+// partners. A retry-after that a partner sent to one process binds both, because the partner's rule applies to the relay as a whole.
+// The table is a small file in $TMPDIR, mapped into the memory of both processes, so that each sees the other's entries before its
+// next write without a system call. A restart empties $TMPDIR, and a restart also ends a retry-after.
 package retryafter
 
 import (
@@ -16,26 +16,29 @@
 	"slatemux/internal/traffic"
 )
 
-// slotCount is how many waits the table has room for, and near how many of them, from where its hash says on, a wait may stand in: with
-// thousands of routes apart that all wait, few meet in so many. One that comes when all of its own are taken replaces the one
-// that ends first. The file is sparse: it takes memory by the pages that hold waits.
-const slotCount, maxProbes = 8192, 32
+const (
+	// slotCount is the maximum number of waits in the table. The file is sparse: it takes memory only for pages that hold waits.
+	slotCount = 8192
+	// maxProbes is the number of slots, starting at the slot of its hash, that a wait may use. With thousands of waiting members that
+	// have separate limits, few waits share so many slots. If all of them are taken, a new wait replaces the one that ends first.
+	maxProbes = 32
+)
 
-const slotBytes = 16 // the group's hash, then the wait's end in Unix nanoseconds
+const slotBytes = 16 // the group's hash, then the end of the wait in Unix nanoseconds
 
 // Table is the shared table. A nil Table shares nothing.
 type Table struct{ file *mmapfile.File }
 
-// Open maps the table of a folder, made where there is none.
+// Open maps the table of a folder, and creates the table if it does not exist.
 func Open(dir string) (*Table, error) {
 	file, err := mmapfile.Open(filepath.Join(dir, "slatemux-waits-2"), slotCount*slotBytes)
 	if err != nil {
-		return nil, fmt.Errorf("waits: %w", err)
+		return nil, fmt.Errorf("retry-after table: %w", err)
 	}
 	return &Table{file}, nil
 }
 
-// Close unmaps it. From then on it shares nothing.
+// Close unmaps the table. A closed table shares nothing.
 func (t *Table) Close() error {
 	if t == nil {
 		return nil
@@ -54,10 +57,10 @@
 	return max(h.Sum64(), 1) // 0 marks a free slot
 }
 
-// probeIndex is the n-th slot in which a wait may stand.
+// probeIndex returns the index of the n-th slot that a group with this hash may use.
 func probeIndex(key uint64, n int) int { return int((key + uint64(n)) % slotCount) }
 
-// Tell records that nothing goes to the group before until.
+// Tell records that nothing may be sent to the group before until.
 func (t *Table) Tell(group traffic.Group, until time.Time) {
 	if t == nil {
 		return
@@ -80,12 +83,12 @@
 		}
 	}
 	h, u := slotWords(mem, earliest)
-	atomic.StoreUint64(u, 0) // while the hash changes, the slot holds nothing back
+	atomic.StoreUint64(u, 0) // while the hash changes, the slot blocks nothing
 	atomic.StoreUint64(h, k)
 	atomic.StoreUint64(u, end)
 }
 
-// Until says until when the group waits; zero where it does not.
+// Until returns the end of the group's wait, or zero if the group does not wait.
 func (t *Table) Until(group traffic.Group, now time.Time) (until time.Time) {
 	if t == nil {
 		return until
--- a/internal/retryafter/retryafter_test.go
+++ b/internal/retryafter/retryafter_test.go
@@ -16,7 +16,7 @@
 		t.Fatal(err)
 	}
 	defer a.Close()
-	b, err := Open(dir) // the other process of a hand-over
+	b, err := Open(dir) // the other process of a handover
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -24,33 +24,33 @@
 	now := time.Unix(1_790_000_000, 0)
 	a.Tell(traffic.Group{Destination: 3}, now.Add(16*time.Second))
 	if got := b.Until(traffic.Group{Destination: 3}, now); !got.Equal(now.Add(16 * time.Second)) {
-		t.Fatalf("the other sees %v", got)
+		t.Fatalf("the other process sees %v", got)
 	}
 	if got := b.Until(traffic.Group{Destination: 4}, now); !got.IsZero() {
-		t.Fatalf("another destination waits: %v", got)
+		t.Fatalf("a destination without a retry-after waits until %v", got)
 	}
 	b.Tell(traffic.Group{Destination: 3}, now.Add(time.Second)) // a shorter wait does not end a longer one
 	if got := a.Until(traffic.Group{Destination: 3}, now); !got.Equal(now.Add(16 * time.Second)) {
-		t.Fatalf("shortened to %v", got)
+		t.Fatalf("a shorter retry-after changed the end to %v", got)
 	}
 	if got := a.Until(traffic.Group{Destination: 3}, now.Add(17*time.Second)); !got.IsZero() {
-		t.Fatalf("over, yet %v", got)
+		t.Fatalf("the wait is over, but Until returns %v", got)
 	}
-	// Two thousand routes apart wait at one time, and all are held.
+	// Two thousand members with separate limits wait at the same time, and every wait is kept.
 	for i := range 2000 {
 		a.Tell(traffic.Group{Destination: i / 4, Member: fmt.Sprint("s-", i)}, now.Add(time.Minute))
 	}
 	for i := range 2000 {
 		if b.Until(traffic.Group{Destination: i / 4, Member: fmt.Sprint("s-", i)}, now).IsZero() {
-			t.Fatalf("of two thousand waits, number %d is lost", i)
+			t.Fatalf("wait %d of 2000 is lost", i)
 		}
 	}
-	// More waits than slots: the one that ends first gives way, the longest stay.
+	// With more waits than slots, the wait that ends first is replaced, and the longest ones stay.
 	for i := range 2 * slotCount {
 		a.Tell(traffic.Group{Member: fmt.Sprint(i)}, now.Add(time.Duration(i)*time.Millisecond))
 	}
 	if got := b.Until(traffic.Group{Member: fmt.Sprint(2*slotCount - 1)}, now); got.IsZero() {
-		t.Fatal("the newest and longest wait was dropped")
+		t.Fatal("the newest and longest wait was replaced")
 	}
 	var nilTable *Table
 	nilTable.Tell(traffic.Group{}, now)
@@ -59,7 +59,7 @@
 	}
 }
 
-// Flows that are still ending when the table is closed find nothing, and do not bring the process down.
+// Flows that end after the table is closed find no wait and cause no crash.
 func TestUseAfterClose(t *testing.T) {
 	a, err := Open(t.TempDir())
 	if err != nil {
@@ -72,6 +72,6 @@
 	}
 	a.Tell(group, now.Add(time.Hour))
 	if got := a.Until(group, now); !got.IsZero() {
-		t.Errorf("a closed table says %v", got)
+		t.Errorf("a closed table returns %v", got)
 	}
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings turns the settings object, as the bench and the deployment both write it, into the
-// decision module's Settings.
+// Package settings decodes the settings object that the bench and the deployment write, and converts it to the Settings of the
+// decision module.
 package settings
 
 import (
@@ -12,7 +12,7 @@
 	"slatemux/internal/dispatch"
 )
 
-// config is the settings object of a launch.
+// config is the settings object of a launch. All times in it are milliseconds.
 type config struct {
 	Classes []struct {
 		Name      string  `json:"name"`
@@ -78,12 +78,18 @@
 var weights = map[string]dispatch.Weights{"": dispatch.NoWeights, "none": dispatch.NoWeights,
 	"nominal": dispatch.Nominal, "rough": dispatch.Rough}
 
-// defaultDrainGrace is the drain window where the settings name none: shorter than any that a deployment has named.
+// defaultDrainGrace is the drain window if the settings name none. Every deployment so far has named a longer one.
 const defaultDrainGrace = 500 * time.Millisecond
 
-// What holds where the settings leave a time out: a connection may take connectUnsaid, members may close idle ones after keepUnsaid, and
-// steps are resolutionUnsaid apart. Nought would have each call fail before it has its connection, or the start refused.
-const defaultConnectTimeout, defaultKeepAlive, defaultResolution = time.Second, time.Second, 5 * time.Millisecond
+// Defaults of times that the settings leave out. A value of 0 would make each call fail before it has a connection, or would make
+// the start fail.
+const (
+	defaultConnectTimeout = time.Second
+	// defaultKeepAlive is the time after which members may close idle connections.
+	defaultKeepAlive = time.Second
+	// defaultResolution is the time between two steps.
+	defaultResolution = 5 * time.Millisecond
+)
 
 // Parse decodes the settings object.
 func Parse(raw json.RawMessage) (dispatch.Settings, error) {
@@ -132,7 +138,7 @@
 	return s, nil
 }
 
-// elementOrZero is the i-th value, or nought where the list is shorter.
+// elementOrZero returns the i-th element, or zero if the list is shorter.
 func elementOrZero[T any](list []T, i int) T {
 	var none T
 	if i < len(list) {
@@ -141,7 +147,7 @@
 	return none
 }
 
-// Millis turns a time in milliseconds, as settings and wire write it, into a duration.
+// Millis converts milliseconds, as settings and wire format write them, to a duration.
 func Millis(ms float64) time.Duration {
 	return time.Duration(math.Round(ms*1000)) * time.Microsecond
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -32,12 +32,12 @@
 	}
 	if len(set.Classes) != 2 || set.MaxCalls != 16 || set.MaxOpen != 200 || set.Weights != dispatch.Rough ||
 		set.Resolution != 5*time.Millisecond || !set.LateByHalves || set.Safety.Cold != 13*time.Second {
-		t.Errorf("%+v", set)
+		t.Errorf("settings %+v", set)
 	}
 	want := dispatch.Class{Name: "order-payment", Effect: dispatch.Keyed, Memory: 15 * time.Second, Aim: 4 * time.Second,
 		Deadline: 28 * time.Second, Worth: 1, LateWorth: 0.5}
 	if set.Classes[0] != want {
-		t.Errorf("%+v, want %+v", set.Classes[0], want)
+		t.Errorf("class %+v, want %+v", set.Classes[0], want)
 	}
 }
 
@@ -47,17 +47,17 @@
 		{`"slo-ms": 4000`, `"slo-ms": "4 s"`}: "slo-ms"} {
 		if _, err := Parse([]byte(strings.Replace(text, change[0], change[1], 1))); err == nil ||
 			!strings.Contains(err.Error(), want) {
-			t.Errorf("%s: %v", change[1], err)
+			t.Errorf("with %s: error %v", change[1], err)
 		}
 	}
-	proptest.Check(t, func(t *rapid.T) { // whatever is taken, the module takes or refuses
+	proptest.Check(t, func(t *rapid.T) { // the module accepts or refuses whatever Parse accepts, without a panic
 		if set, err := Parse(proptest.Garbage(t, []byte(text))); err == nil {
 			_, _ = dispatch.New(set, 1)
 		}
 	})
 }
 
-// Settings that leave times out start all the same, with times that let calls be made.
+// Settings without these times still start, and the defaults allow calls.
 func TestDefaultTimes(t *testing.T) {
 	var all map[string]any
 	if err := json.Unmarshal(exampleSettings(t), &all); err != nil {
@@ -77,7 +77,7 @@
 		t.Fatal(err)
 	}
 	if set.ConnectTimeout <= 0 || set.KeepAlive <= 0 || set.Resolution <= 0 || set.Safety.DrainGrace <= 0 {
-		t.Errorf("%+v", set)
+		t.Errorf("settings %+v", set)
 	}
 	if _, err := dispatch.New(set, 1); err != nil {
 		t.Error(err)
--- a/internal/traffic/traffic.go
+++ b/internal/traffic/traffic.go
@@ -1,5 +1,5 @@
-// Package traffic holds the small typed values that the parts of the relay hand each other. It has no
-// behaviour: a front decodes a transaction once, the relay decides, a flow encodes it once.
+// Package traffic defines the typed values that the parts of the relay pass to each other. It has no behavior of its own: a front
+// end decodes a transaction once, the relay decides, and a flow encodes it once.
 package traffic
 
 import (
@@ -7,77 +7,77 @@
 	"time"
 )
 
-// MaxBody is the most that a transaction's body may hold.
+// MaxBody is the maximum size of a transaction's body in bytes.
 const MaxBody = 64 << 10
 
-// Transaction is one message that a virtual server was handed.
+// Transaction is one message submitted through a virtual server.
 type Transaction struct {
 	ID          string
 	Class       string
 	Tenant      string
-	Key         string // idempotency key; empty where the class has none
-	Order       string // what it is about, in a class whose transactions of one such key run one after the other
+	Key         string // idempotency key; empty if the class has none
+	Order       string // ordering key, in a class whose transactions of one key run one after the other
 	Destination int
-	Deadline    time.Time // it may be delivered until then
+	Deadline    time.Time // no delivery after this time
 	Body        []byte
 }
 
-// Size is about what a transaction takes in memory and in the journal.
+// Size returns the approximate number of bytes that the transaction takes in memory and in the journal.
 func (t *Transaction) Size() int {
 	return len(t.ID) + len(t.Class) + len(t.Tenant) + len(t.Key) + len(t.Order) + len(t.Body) + 64
 }
 
-// Open is a transaction that is owed its end, with what has been tried.
+// Open is an accepted transaction that has not ended, with the attempts so far.
 type Open struct {
 	Transaction
 	Attempts  int
-	FirstSent time.Time // of the first flow that may have run; zero if none may
+	FirstSent time.Time // start of the first flow that may have run; zero if none may have
 }
 
-// NoticeOutcome says how an undelivered transaction ended.
+// NoticeOutcome tells how an undelivered transaction ended.
 type NoticeOutcome byte
 
-// The outcomes that a notice tells.
+// The outcomes of a Notice.
 const (
 	GivenUp NoticeOutcome = iota + 1
 	HandedBack
 )
 
-// Notice ends an undelivered transaction towards the platform.
+// Notice tells the platform that a transaction ended undelivered.
 type Notice struct {
 	ID      string
 	Outcome NoticeOutcome
-	RetryIn time.Duration // with HandedBack: 0 if nothing is told
-	Order   string        // the transaction's, which is over when the platform has answered; empty where it keeps no order
+	RetryIn time.Duration // with HandedBack; 0 means no retry time
+	Order   string        // the transaction's ordering key, which is free once the platform has answered; empty if the class keeps no order
 }
 
-// Change is one change of what the relay owes: Taken, FlowBegun, FlowEnded, Ended or Answered.
+// Change is a journal record: Taken, FlowBegun, FlowEnded, Ended or Answered.
 type Change interface{ change() }
 
-// Taken says that a transaction was taken on.
+// Taken records that a transaction was accepted.
 type Taken struct{ Transaction Transaction }
 
-// FlowBegun says that a flow is about to write its first byte.
+// FlowBegun records that a flow is about to write its first byte.
 type FlowBegun struct {
 	ID      string
 	Attempt int
 	At      time.Time
 }
 
-// FlowEnded says that a flow is over and whether it may have run.
+// FlowEnded records that a flow has ended, and whether the transaction may have run.
 type FlowEnded struct {
 	ID         string
 	Attempt    int
 	MayHaveRun bool
 }
 
-// Ended says that a transaction is over; with a notice, that one is owed.
+// Ended records that a transaction is over. With a notice, the platform's answer is pending.
 type Ended struct {
 	ID     string
 	Notice *Notice
 }
 
-// Answered says that the platform has the notice.
+// Answered records that the platform has received the notice.
 type Answered struct{ ID string }
 
 func (Taken) change()     {}
@@ -86,7 +86,7 @@
 func (Ended) change()     {}
 func (Answered) change()  {}
 
-// Health is what discovery says of a pool member.
+// Health is the state of a pool member according to discovery.
 type Health int
 
 // The states of a pool member.
@@ -104,20 +104,20 @@
 	Share                   float64
 }
 
-// PoolNews is a change of the pool, or all of it.
+// PoolNews is a change of the pool, or with Whole the full list.
 type PoolNews struct {
 	Seq     int64 // version of discovery's list
 	Whole   bool
 	Members []Member
 }
 
-// Group is what a told wait holds back: a destination, or, with its name, the one member where routes are apart.
+// Group is what a retry-after applies to: a destination or, if Member is set, the one member, whose kind has separate limits.
 type Group struct {
 	Destination int
 	Member      string
 }
 
-// String names the group among all groups.
+// String returns a name that is unique among all groups.
 func (g Group) String() string {
 	if g.Member != "" {
 		return "member " + g.Member
@@ -130,23 +130,23 @@
 	ID       string
 	Attempt  int
 	Member   string
-	Group    Group // what a told wait holds back
+	Group    Group // what a retry-after of the member applies to
 	Key      string
-	Worth    float64 // of the transaction's class; what is worth more gets a new connection first
+	Worth    float64 // worth of the transaction's class; a higher worth gets a new connection first
 	Body     []byte
 	Begun    time.Time
-	Deadline time.Time // the answer is waited for until then
-	WriteBy  time.Time // the last byte must be out before; zero if that does not matter
-	With     []Flow    // others that travel with it in one call; their times are in this one's
+	Deadline time.Time // per-call timeout: the flow waits for the answer until then
+	WriteBy  time.Time // the last byte must be written before; zero means no such limit
+	With     []Flow    // other flows in the same call; this flow's times cover theirs
 }
 
-// All are the flow and those that travel with it.
+// All returns the flow and the other flows in the same call.
 func (f *Flow) All() []Flow { return append([]Flow{*f}, f.With...) }
 
-// MaxCallBytes is the most that the body of a call may hold that carries several.
+// MaxCallBytes is the maximum size of the body of a call that carries several transactions.
 const MaxCallBytes = 64 << 10
 
-// CallBytes is what the flow takes in it, with those that travel with it.
+// CallBytes returns the size of the flow in the body of such a call, including the other flows in the same call.
 func (f *Flow) CallBytes() (n int) {
 	for _, x := range f.All() {
 		n += len(x.ID) + len(x.Key) + len(x.Body) + 16
@@ -154,7 +154,7 @@
 	return n
 }
 
-// Join has another flow to the same member travel with this one.
+// Join adds another flow to the same member to this flow's call.
 func (f *Flow) Join(o Flow) {
 	f.With = append(f.With, o)
 	f.Worth = max(f.Worth, o.Worth)
@@ -166,23 +166,23 @@
 	}
 }
 
-// FlowStatus says how a flow ended.
+// FlowStatus tells how a flow ended.
 type FlowStatus int
 
-// The ends of a flow.
+// The statuses of a flow that has ended.
 const (
 	Delivered       FlowStatus = iota // 200
-	Errored                           // 500 and whatever the protocol does not name
+	Errored                           // 500, and every status that the protocol does not name
 	TurnedAway                        // 429 and 503
 	NoSlot                            // 503 with X-No-Slot
 	Spent                             // 504: all attempts used
-	Over                              // 410: the transaction is over
-	Unsent                            // dropped by the relay before its first byte
+	Over                              // 410: the transaction is already over
+	Unsent                            // dropped by the relay before the first byte
 	NotConnected                      // no connection, or broken before the last byte was written
-	Broken                            // broken after that
+	Broken                            // broken after the last byte was written
 	OutOfTime                         // no answer by the deadline
 	CalledOff                         // cancelled after the last byte was written
-	FlowStatusCount                   // counts the states
+	FlowStatusCount                   // number of statuses
 )
 
 var flowStatuses = [FlowStatusCount]string{"delivered", "errored", "turned_away", "no_slot", "spent", "over", "unsent",
@@ -190,7 +190,7 @@
 
 func (s FlowStatus) String() string { return flowStatuses[s] }
 
-// Report is what a pool member told of its limit.
+// Report is a pool member's statement about its limit.
 type Report struct{ Left, Limit float64 }
 
 // FlowEnd is the end of a flow.
@@ -199,66 +199,66 @@
 	Attempt int
 	Member  string
 	Status  FlowStatus
-	Wait    time.Duration // with TurnedAway: 0 if none is told
+	Wait    time.Duration // with TurnedAway: the retry-after; 0 if the member gave none
 	Report  *Report
 	Took    time.Duration
 }
 
-// Verdict is the answer to a hand-in.
+// Verdict is the result of a submission.
 type Verdict int
 
 // The verdicts.
 const (
-	Accepted Verdict = iota // taken on
-	Busy                    // refused; handing it in again does no harm
+	Accepted Verdict = iota // the relay has taken over the transaction
+	Busy                    // refused; the client may submit it again
 	Failed                  // refused for good
 )
 
-// Answer is what a virtual server tells the client that handed in a transaction.
+// Answer is what a virtual server answers to a submission.
 type Answer struct {
 	Verdict Verdict
-	RetryIn time.Duration // with Busy: 0 if nothing is told
+	RetryIn time.Duration // with Busy; 0 means no retry time
 }
 
-// Restraint is what the word of other relays comes to here. It only restrains: no send goes out for it, and it names
-// no member that the relay's own pool does not have.
+// Restraint is a restriction that results from reports of other relays. A restraint only restricts: it causes no send, and it names
+// only members of this relay's own pool.
 type Restraint struct {
 	Kind   RestraintKind
 	Group  Group // with Held
 	Member string
-	At     time.Time // Held: until then; Out: since then; Back: coming back since then
+	At     time.Time // Held: end of the wait; HeldOut: start of the outage; HeldBack: start of the recovery
 }
 
-// RestraintKind says what is asked.
+// RestraintKind is the kind of a Restraint.
 type RestraintKind int
 
-// The kinds of restraint.
+// The kinds of Restraint.
 const (
-	Held     RestraintKind = iota // nothing to the group until then; a time that is over ends it
-	HeldOut                       // the member is out, by the word of enough others or of a try of another that failed
-	HeldBack                      // the fleet has heard from it again: it comes back, cold
-	Freed                         // what was said has lapsed
+	Held     RestraintKind = iota // nothing is sent to the group before At; an At in the past ends the wait
+	HeldOut                       // the member is down, as reported by enough relays or after another relay's failed trial call
+	HeldBack                      // the member has answered another relay and recovers, cold
+	Freed                         // earlier reports about the member have expired
 )
 
-// Bar is a member that is to get nothing new by the word of other relays.
+// Bar excludes a member from new transactions because of reports of other relays.
 type Bar struct {
 	Member string
-	Banned bool // operators took it down somewhere: it comes back cold
+	Banned bool // banned by operators of some relay: the member comes back cold
 }
 
-// Levels is how many worths of transactions a Demand tells apart; the first is the highest.
+// Levels is the number of worths that a Demand distinguishes. Index 0 is the highest worth.
 const Levels = 4
 
-// Demand is what a relay has for a destination.
+// Demand is what a relay has to send to a destination.
 type Demand struct {
 	Destination int
-	Arrived     [Levels]int // handed in since the last telling, refused ones too
-	Waiting     [Levels]int // held without a flow
+	Arrived     [Levels]int // submitted since the last report, including refused ones
+	Waiting     [Levels]int // waiting without a flow
 }
 
-// Allowance is this relay's part of a destination's limit, as the fleet has dealt it.
+// Allowance is this relay's share of a destination's limit, as assigned by the fleet.
 type Allowance struct {
 	Destination int
-	Rate        float64 // calls a second
+	Rate        float64 // calls per second
 	Until       time.Time
 }
