--- a/internal/relay/fleet.go
+++ b/internal/relay/fleet.go
@@ -117,6 +117,7 @@
 	return d.reported.Add(demandInterval), true
 }
 
+// reportDemand sends the changed demand to the fleet when a report is due, or at once if a destination newly has waiting transactions.
 func (r *Relay) reportDemand(now time.Time) {
 	d, none := r.demands, [traffic.Levels]int{}
 	dueAt, ok := d.due()
@@ -147,6 +148,7 @@
 	r.cfg.Fleet.Demand(list)
 }
 
+// applyExclusions replaces the set of members that other relays exclude.
 func (r *Relay) applyExclusions(list []traffic.Bar) dispatch.Members {
 	before := r.excluded
 	r.excluded = map[string]bool{}
@@ -159,22 +161,23 @@
 // applyRestraints turns restraints from the fleet into events of the module. It also keeps which members the fleet considers down,
 // because a relay that gets an answer from such a member reports the recovery.
 func (r *Relay) applyRestraints(list []traffic.Restraint, now time.Time) (events []dispatch.Event) {
-	for _, x := range list {
-		events = append(events, r.restraintEvent(x, now))
-		switch x.Kind {
+	for _, restraint := range list {
+		events = append(events, r.restraintEvent(restraint, now))
+		switch restraint.Kind {
 		case traffic.HeldOut:
-			r.fleetOutages[x.Member] = true
+			r.fleetOutages[restraint.Member] = true
 		case traffic.HeldBack, traffic.Freed:
-			delete(r.fleetOutages, x.Member)
+			delete(r.fleetOutages, restraint.Member)
 		}
 	}
 	return events
 }
 
+// reportPool sends the relay's own list to the fleet.
 func (r *Relay) reportPool(seq int64) {
 	if r.cfg.Fleet != nil {
-		for _, of := range []map[string]bool{r.reportedOutages, r.fleetOutages} { // forget members that have left the pool
-			maps.DeleteFunc(of, func(id string, _ bool) bool { _, listed := r.pool.members[id]; return !listed })
+		for _, set := range []map[string]bool{r.reportedOutages, r.fleetOutages} { // forget members that have left the pool
+			maps.DeleteFunc(set, func(id string, _ bool) bool { _, listed := r.pool.members[id]; return !listed })
 		}
 		r.cfg.Fleet.Pool(seq, maps.Clone(r.pool.members))
 	}
--- a/internal/relay/fleet_test.go
+++ b/internal/relay/fleet_test.go
@@ -28,8 +28,8 @@
 // of other relays, except that it reports a member's answer. Restraints of other relays stop its sends.
 func TestReportsToFleetAndRestraints(t *testing.T) {
 	r, w, now := startRelay(t)
-	o := &fakeFleet{}
-	r.cfg.Fleet = o
+	fleet := &fakeFleet{}
+	r.cfg.Fleet = fleet
 	w.takeCalls()
 	n, ended := 0, 0 // n counts messages, ended counts flows that have been ended
 	send := func(status traffic.FlowStatus) (member string) {
@@ -46,27 +46,27 @@
 	for range 6 {
 		send(traffic.OutOfTime)
 	}
-	if len(o.health) == 0 || o.health[0] != "out m1" && o.health[0] != "out m2" {
-		t.Fatalf("health reports %v, want an outage first", o.health)
+	if len(fleet.health) == 0 || fleet.health[0] != "out m1" && fleet.health[0] != "out m2" {
+		t.Fatalf("health reports %v, want an outage first", fleet.health)
 	}
-	for end := now.Add(20 * time.Second); now.Before(end) && !slices.ContainsFunc(o.health, func(s string) bool { return s[:4] == "trie" }); {
+	for end := now.Add(20 * time.Second); now.Before(end) && !slices.ContainsFunc(fleet.health, func(s string) bool { return s[:4] == "trie" }); {
 		now = now.Add(100 * time.Millisecond)
 		send(traffic.OutOfTime)
 	}
-	if !slices.ContainsFunc(o.health, func(s string) bool { return s[:4] == "trie" }) {
-		t.Errorf("no failed trial call was reported: %v", o.health)
+	if !slices.ContainsFunc(fleet.health, func(s string) bool { return s[:4] == "trie" }) {
+		t.Errorf("no failed trial call was reported: %v", fleet.health)
 	}
-	for end := now.Add(20 * time.Second); now.Before(end) && !slices.ContainsFunc(o.health, func(s string) bool { return s[:4] == "back" }); {
+	for end := now.Add(20 * time.Second); now.Before(end) && !slices.ContainsFunc(fleet.health, func(s string) bool { return s[:4] == "back" }); {
 		now = now.Add(100 * time.Millisecond)
 		send(traffic.Delivered)
 	}
-	if !slices.ContainsFunc(o.health, func(s string) bool { return s[:4] == "back" }) {
-		t.Errorf("no end of the outage was reported: %v", o.health)
+	if !slices.ContainsFunc(fleet.health, func(s string) bool { return s[:4] == "back" }) {
+		t.Errorf("no end of the outage was reported: %v", fleet.health)
 	}
 
 	r, w, now = startRelay(t)
-	o, ended = &fakeFleet{}, 0
-	r.cfg.Fleet = o
+	fleet, ended = &fakeFleet{}, 0
+	r.cfg.Fleet = fleet
 	dest := r.pool.members["m1"].Destination
 	r.step(now, []any{[]traffic.Restraint{{Kind: traffic.Held, Group: traffic.Group{Destination: dest}, At: now.Add(time.Second)}}})
 	if m := send(traffic.Delivered); m != "" {
@@ -80,19 +80,19 @@
 		}
 	}
 	r.step(now, []any{[]traffic.Restraint{{Kind: traffic.HeldOut, Member: "m2", At: now}}})
-	if len(o.health) != 0 {
-		t.Errorf("reports of other relays were repeated: %v", o.health)
+	if len(fleet.health) != 0 {
+		t.Errorf("reports of other relays were repeated: %v", fleet.health)
 	}
-	for end := now.Add(20 * time.Second); now.Before(end) && len(o.health) == 0; {
+	for end := now.Add(20 * time.Second); now.Before(end) && len(fleet.health) == 0; {
 		now = now.Add(100 * time.Millisecond)
 		send(traffic.Delivered)
 	}
-	if !slices.Equal(o.health, []string{"back m2"}) {
-		t.Errorf("after an answer of a member that other relays consider down: %v", o.health)
+	if !slices.Equal(fleet.health, []string{"back m2"}) {
+		t.Errorf("after an answer of a member that other relays consider down: %v", fleet.health)
 	}
 	r.step(now, []any{bans{set: map[string]bool{"m2": true}, done: make(chan struct{})}, initialPool})
-	if !o.bans["m2"] || o.pools == 0 {
-		t.Errorf("bans %v, %d lists reported", o.bans, o.pools)
+	if !fleet.bans["m2"] || fleet.pools == 0 {
+		t.Errorf("bans %v, %d lists reported", fleet.bans, fleet.pools)
 	}
 	r.step(now, []any{[]traffic.Bar{}}) // both were blocked; the member that is no longer excluded is listed again
 	if r.blocked["m1"] || !r.blocked["m2"] {
@@ -104,10 +104,10 @@
 // intervals. Destinations without demand are reported once more.
 func TestReportsDemand(t *testing.T) {
 	r, w, now := startRelay(t)
-	o := &fakeFleet{}
-	r.cfg.Fleet, r.demands = o, newDemands(r.cfg.Settings.Classes)
+	fleet := &fakeFleet{}
+	r.cfg.Fleet, r.demands = fleet, newDemands(r.cfg.Settings.Classes)
 	w.takeCalls()
-	level := r.demands.priorities["slot"]
+	priority := r.demands.priorities["slot"]
 	arrived := 0
 	for i := range 20 {
 		submit(t, r, now, transaction(string(rune('A'+i)), "slot", now.Add(5*time.Second)))
@@ -120,11 +120,11 @@
 		t.Errorf("no report is due: %v %v", at, ok)
 	}
 	r.reportDemand(now.Add(demandInterval))
-	for _, d := range o.demand {
-		arrived += d.Arrived[level]
+	for _, d := range fleet.demand {
+		arrived += d.Arrived[priority]
 	}
-	if len(o.demand) < 2 || len(o.demand) > 4 || arrived != 20 || o.demand[0].Waiting[level] > 1 {
-		t.Errorf("demand reports %v", o.demand)
+	if len(fleet.demand) < 2 || len(fleet.demand) > 4 || arrived != 20 || fleet.demand[0].Waiting[priority] > 1 {
+		t.Errorf("demand reports %v", fleet.demand)
 	}
 	queued := 0
 	for _, h := range r.open {
@@ -132,20 +132,20 @@
 			queued++
 		}
 	}
-	if last := o.demand[len(o.demand)-1]; last.Waiting[level] != queued {
-		t.Errorf("%d transactions wait, %d were reported", queued, last.Waiting[level])
+	if last := fleet.demand[len(fleet.demand)-1]; last.Waiting[priority] != queued {
+		t.Errorf("%d transactions wait, %d were reported", queued, last.Waiting[priority])
 	}
 	if _, ok := r.demands.due(); ok {
 		t.Error("a report is still due")
 	}
 	r.demands = newDemands(r.cfg.Settings.Classes)
 	r.demands.reported = now
-	o.demand = nil
+	fleet.demand = nil
 	for i, x := range []struct{ after, waiting, reported int }{{10, 0, 0}, {20, 1, 1}, {30, 1, 1}, {40, -1, 1}, {120, -1, 2}, {130, 1, 3}} {
 		tx := transaction("w", "slot", now.Add(5*time.Second))
 		r.demands.record(&tx, 1, x.waiting)
-		if r.reportDemand(now.Add(time.Duration(x.after) * time.Millisecond)); len(o.demand) != x.reported {
-			t.Errorf("step %d: %d reports, want %d: %v", i, len(o.demand), x.reported, o.demand)
+		if r.reportDemand(now.Add(time.Duration(x.after) * time.Millisecond)); len(fleet.demand) != x.reported {
+			t.Errorf("step %d: %d reports, want %d: %v", i, len(fleet.demand), x.reported, fleet.demand)
 		}
 	}
 }
--- a/internal/relay/order.go
+++ b/internal/relay/order.go
@@ -40,7 +40,8 @@
 // offer passes an accepted transaction to the module, at once or when no earlier one of its key is left elsewhere.
 func (r *Relay) offer(h *openTransaction, now time.Time, events []dispatch.Event) []dispatch.Event {
 	if r.cfg.Turns != nil && r.keepsOrder(&h.Transaction) {
-		h.ticket = r.cfg.Turns.TakeTicket(h.Order, h.ID, now, h.Deadline) - 1 // without a ticket (0) the subtraction wraps around, and the transaction comes last
+		// Without a ticket (0) the subtraction wraps around, and the transaction comes last.
+		h.ticket = r.cfg.Turns.TakeTicket(h.Order, h.ID, now, h.Deadline) - 1
 		before := slices.ContainsFunc(r.awaitingTurn, func(o *openTransaction) bool { return o.Order == h.Order && o.ticket < h.ticket })
 		if before || r.cfg.Turns.MustWait(h.Order, h.ID, now) {
 			index, _ := slices.BinarySearchFunc(r.awaitingTurn, h.ticket, func(o *openTransaction, ticket uint64) int { return cmp.Compare(o.ticket, ticket) })
@@ -53,10 +54,10 @@
 
 // offerWaiting passes waiting transactions to the module whose turn has come or whose deadline is near.
 func (r *Relay) offerWaiting(now time.Time, events []dispatch.Event) []dispatch.Event {
-	waits := map[string]bool{}
+	waitingKeys := map[string]bool{}
 	r.awaitingTurn = slices.DeleteFunc(r.awaitingTurn, func(h *openTransaction) bool {
-		if h.Deadline.Sub(now) > lastOfferSteps*r.cfg.Settings.Resolution && (waits[h.Order] || r.cfg.Turns.MustWait(h.Order, h.ID, now)) {
-			waits[h.Order] = true
+		if h.Deadline.Sub(now) > lastOfferSteps*r.cfg.Settings.Resolution && (waitingKeys[h.Order] || r.cfg.Turns.MustWait(h.Order, h.ID, now)) {
+			waitingKeys[h.Order] = true
 			return false
 		}
 		events = append(events, r.request(&h.Open, now))
@@ -76,18 +77,18 @@
 		return
 	}
 	var free []traffic.Flow
-	for _, x := range f.All() {
-		x.With = nil
-		if h := r.open[x.ID]; h != nil && h.Order != "" && r.hasPendingNotice(h.Order) {
-			r.blockedFlows[h.Order] = append(r.blockedFlows[h.Order], x)
+	for _, flow := range f.All() {
+		flow.With = nil
+		if h := r.open[flow.ID]; h != nil && h.Order != "" && r.hasPendingNotice(h.Order) {
+			r.blockedFlows[h.Order] = append(r.blockedFlows[h.Order], flow)
 		} else {
-			free = append(free, x)
+			free = append(free, flow)
 		}
 	}
 	if len(free) > 0 {
 		first := free[0]
-		for _, x := range free[1:] {
-			first.Join(x)
+		for _, flow := range free[1:] {
+			first.Join(flow)
 		}
 		r.cfg.Flows.Start(first)
 	}
--- a/internal/relay/order_test.go
+++ b/internal/relay/order_test.go
@@ -89,10 +89,10 @@
 // While another process holds an earlier transaction of a key, later ones are accepted, journaled and answered, but not sent. Each
 // is sent when no earlier one is left, and ends at its deadline otherwise.
 func TestWaitsForOtherProcess(t *testing.T) {
-	w, x := &fakeIO{}, &fakeTurns{waits: map[string]bool{"a": true, "d": true}}
+	w, turns := &fakeIO{}, &fakeTurns{waits: map[string]bool{"a": true, "d": true}}
 	set := testSettings()
 	set.Classes[0].OrderedByKey = true
-	r, err := New(Config{Settings: set, MostBytes: 1 << 20, Store: w, Flows: w, Notices: w, Turns: x})
+	r, err := New(Config{Settings: set, MostBytes: 1 << 20, Store: w, Flows: w, Notices: w, Turns: turns})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -119,15 +119,15 @@
 	if len(w.flows) != 1 || len(r.awaitingTurn) != 2 {
 		t.Fatalf("started flows %+v, %d transactions wait", w.flows, len(r.awaitingTurn))
 	}
-	x.waits["a"] = false
+	turns.waits["a"] = false
 	step()
 	if len(w.flows) != 2 || w.lastFlow().ID != "a" || len(r.awaitingTurn) != 0 {
 		t.Fatalf("after the earlier transaction ended: started flows %+v, %d transactions wait", w.flows, len(r.awaitingTurn))
 	}
 	r.FlowEnded(traffic.FlowEnd{ID: "a", Member: w.lastFlow().Member, Status: traffic.Delivered, Took: time.Millisecond})
 	step()
-	if w.lastFlow().ID != "b" || len(x.done) != 1 || x.done[0] != "k1 a" {
-		t.Errorf("after the end of a: started flow %+v, released %v", w.lastFlow(), x.done)
+	if w.lastFlow().ID != "b" || len(turns.done) != 1 || turns.done[0] != "k1 a" {
+		t.Errorf("after the end of a: started flow %+v, released %v", w.lastFlow(), turns.done)
 	}
 	for _, f := range w.flows {
 		if f.ID != "a" {
@@ -136,10 +136,10 @@
 	}
 	step()
 	// A recovered transaction goes before newer ones of this process that have waited for it.
-	x.waits["e"] = true
+	turns.waits["e"] = true
 	put("e", "k4", 20*time.Second)
 	before := len(w.flows)
-	x.waits["e"] = false
+	turns.waits["e"] = false
 	left := transaction("left", set.Classes[0].Name, now.Add(20*time.Second))
 	left.Order = "k4"
 	r.decide(now, r.offerWaiting(now, r.recoverState([]traffic.Open{{Transaction: left}}, nil, now, nil)), nil)
@@ -157,8 +157,8 @@
 		t.Errorf("pending notices %v", r.noticePending)
 	}
 	step()
-	if x.done[len(x.done)-1] != "k3 d" {
-		t.Errorf("released %v", x.done)
+	if turns.done[len(turns.done)-1] != "k3 d" {
+		t.Errorf("released %v", turns.done)
 	}
 }
 
@@ -166,10 +166,10 @@
 // later.
 func TestRecoveredNoticeBlocksKey(t *testing.T) {
 	for _, atStart := range []bool{true, false} {
-		w, x := &fakeIO{}, &fakeTurns{}
+		w, turns := &fakeIO{}, &fakeTurns{}
 		set := testSettings()
 		set.Classes[0].OrderedByKey = true
-		r, err := New(Config{Settings: set, MostBytes: 1 << 20, Store: w, Flows: w, Notices: w, Turns: x})
+		r, err := New(Config{Settings: set, MostBytes: 1 << 20, Store: w, Flows: w, Notices: w, Turns: turns})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -188,8 +188,8 @@
 		}
 		r.NoticesAnswered([]string{"a"})
 		r.step(now.Add(10*time.Millisecond), takeBatch(r))
-		if len(w.flows) != 1 || w.lastFlow().ID != "b" || len(x.done) != 1 {
-			t.Errorf("at the start %v, after the answer: started flows %+v, released %v", atStart, w.flows, x.done)
+		if len(w.flows) != 1 || w.lastFlow().ID != "b" || len(turns.done) != 1 {
+			t.Errorf("at the start %v, after the answer: started flows %+v, released %v", atStart, w.flows, turns.done)
 		}
 	}
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -22,7 +22,7 @@
 	// maxSubmissionAge is the age at which a submission that waited for a step is refused. The client waits 400 ms for the answer
 	// and may be gone before a later answer arrives.
 	maxSubmissionAge = 300 * time.Millisecond
-	// fullRetryIn is the retry time told to a client when the relay itself, not the module, has no room.
+	// fullRetryIn is the retry time sent to a client if the relay itself, not the module, has no room.
 	fullRetryIn = 500 * time.Millisecond
 )
 
@@ -356,6 +356,7 @@
 	return r.published
 }
 
+// post adds input for the next step to the inbox. It returns false after stop.
 func (r *Relay) post(in any) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -457,6 +458,7 @@
 	}
 }
 
+// answeredChanges returns a journal record for each answered notice.
 func answeredChanges(ids answeredNotices) []traffic.Change {
 	changes := make([]traffic.Change, len(ids))
 	for i, id := range ids {
@@ -588,6 +590,7 @@
 	return nil
 }
 
+// maxBytes returns the current limit for the bytes of open transactions.
 func (r *Relay) maxBytes() int64 { return int64(float64(r.cfg.MostBytes) * r.openLimits.byteScale) }
 
 // sameMessage reports whether two submissions with the same id are the same message sent again. Otherwise the second one reuses the
@@ -597,6 +600,7 @@
 		bytes.Equal(a.Body, b.Body)
 }
 
+// handleFlowEnd updates the transaction of an ended flow. It adds an event for the module and a journal record.
 func (r *Relay) handleFlowEnd(f traffic.FlowEnd, events []dispatch.Event, changes []traffic.Change) ([]dispatch.Event,
 	[]traffic.Change) {
 	r.counters.Ends[f.Status]++
@@ -631,6 +635,7 @@
 	return append(events, outcome(f)), changes
 }
 
+// forget removes a transaction and everything counted for it.
 func (r *Relay) forget(h *openTransaction) {
 	delete(r.open, h.ID)
 	r.bytes -= int64(h.Size())
@@ -790,6 +795,7 @@
 	return append(changes, traffic.Ended{ID: n.ID, Notice: &n})
 }
 
+// reply answers all clients that wait for the result of the submission.
 func (h *openTransaction) reply(a traffic.Answer) {
 	for _, to := range h.submitters {
 		to <- a
--- a/internal/relay/stats.go
+++ b/internal/relay/stats.go
@@ -119,9 +119,9 @@
 	ev, news := dispatch.Members{}, traffic.PoolNews{}
 	for _, id := range slices.Sorted(maps.Keys(r.pool.members)) {
 		if m := r.pool.members[id]; blocked[id] != r.blocked[id] {
-			row := r.endpoint(m, blocked)
-			row.Cold = !blocked[id] && cold(id)
-			ev.Endpoints = append(ev.Endpoints, row)
+			changed := r.endpoint(m, blocked)
+			changed.Cold = !blocked[id] && cold(id)
+			ev.Endpoints = append(ev.Endpoints, changed)
 			news.Members = append(news.Members, m)
 		}
 	}
@@ -131,17 +131,17 @@
 	return ev
 }
 
-// overlay returns the change of the pool as the flows must see it: banned members are leaving.
-func (r *Relay) overlay(news traffic.PoolNews, banned map[string]bool) traffic.PoolNews {
-	if len(banned) == 0 {
+// overlay returns the change of the pool as the flows must see it: blocked members are leaving.
+func (r *Relay) overlay(news traffic.PoolNews, blocked map[string]bool) traffic.PoolNews {
+	if len(blocked) == 0 {
 		return news
 	}
-	out := news
-	out.Members = slices.Clone(news.Members)
-	for i, m := range out.Members {
-		if banned[m.Host] && m.Health == traffic.Active {
-			out.Members[i].Health = traffic.Leaving
+	adjusted := news
+	adjusted.Members = slices.Clone(news.Members)
+	for i, m := range adjusted.Members {
+		if blocked[m.Host] && m.Health == traffic.Active {
+			adjusted.Members[i].Health = traffic.Leaving
 		}
 	}
-	return out
+	return adjusted
 }
--- a/internal/relay/translate.go
+++ b/internal/relay/translate.go
@@ -24,9 +24,9 @@
 	return ev
 }
 
-func (r *Relay) endpoint(m traffic.Member, banned map[string]bool) dispatch.Endpoint {
+func (r *Relay) endpoint(m traffic.Member, blocked map[string]bool) dispatch.Endpoint {
 	e := dispatch.Endpoint{ID: m.Host, Zone: m.Site, Kind: m.Class, Destination: m.Destination, State: memberStates[m.Health], Weight: m.Share}
-	if banned[m.Host] && e.State == dispatch.Listed {
+	if blocked[m.Host] && e.State == dispatch.Listed {
 		e.State = dispatch.Draining
 	}
 	return e
@@ -135,11 +135,11 @@
 }
 
 // restraintEvent turns a restraint from the fleet into an event of the module.
-func (r *Relay) restraintEvent(x traffic.Restraint, now time.Time) dispatch.Told {
-	ev := dispatch.Told{Endpoint: x.Member, Age: max(now.Sub(x.At), 0)}
-	switch x.Kind {
+func (r *Relay) restraintEvent(restraint traffic.Restraint, now time.Time) dispatch.Told {
+	ev := dispatch.Told{Endpoint: restraint.Member, Age: max(now.Sub(restraint.At), 0)}
+	switch restraint.Kind {
 	case traffic.Held:
-		ev.Kind, ev.Destination, ev.Endpoint, ev.For = dispatch.ToldWait, x.Group.Destination, x.Group.Member, max(x.At.Sub(now), 0)
+		ev.Kind, ev.Destination, ev.Endpoint, ev.For = dispatch.ToldWait, restraint.Group.Destination, restraint.Group.Member, max(restraint.At.Sub(now), 0)
 	case traffic.HeldOut:
 		ev.Kind = dispatch.ToldOut
 	case traffic.HeldBack:
--- a/internal/retryafter/retryafter.go
+++ b/internal/retryafter/retryafter.go
@@ -68,24 +68,24 @@
 	t.file.Use(func(mem []byte) { record(mem, groupHash(group), uint64(until.UnixNano())) })
 }
 
-func record(mem []byte, k, end uint64) {
+func record(mem []byte, hash, end uint64) {
 	earliest, earliestEnd := 0, uint64(1<<64-1)
 	for n := range maxProbes {
-		i := probeIndex(k, n)
-		h, u := slotWords(mem, i)
-		if atomic.LoadUint64(h) == k {
-			for old := atomic.LoadUint64(u); old < end && !atomic.CompareAndSwapUint64(u, old, end); old = atomic.LoadUint64(u) {
+		i := probeIndex(hash, n)
+		hashWord, endWord := slotWords(mem, i)
+		if atomic.LoadUint64(hashWord) == hash {
+			for old := atomic.LoadUint64(endWord); old < end && !atomic.CompareAndSwapUint64(endWord, old, end); old = atomic.LoadUint64(endWord) {
 			}
 			return
 		}
-		if v := atomic.LoadUint64(u); v < earliestEnd {
+		if v := atomic.LoadUint64(endWord); v < earliestEnd {
 			earliest, earliestEnd = i, v
 		}
 	}
-	h, u := slotWords(mem, earliest)
-	atomic.StoreUint64(u, 0) // while the hash changes, the slot blocks nothing
-	atomic.StoreUint64(h, k)
-	atomic.StoreUint64(u, end)
+	hashWord, endWord := slotWords(mem, earliest)
+	atomic.StoreUint64(endWord, 0) // while the hash changes, the slot blocks nothing
+	atomic.StoreUint64(hashWord, hash)
+	atomic.StoreUint64(endWord, end)
 }
 
 // Until returns the end of the group's wait, or zero if the group does not wait.
@@ -93,12 +93,12 @@
 	if t == nil {
 		return until
 	}
-	k, from := groupHash(group), uint64(now.UnixNano())
+	hash, nowNanos := groupHash(group), uint64(now.UnixNano())
 	t.file.Use(func(mem []byte) {
 		for n := range maxProbes {
-			h, u := slotWords(mem, probeIndex(k, n))
-			if atomic.LoadUint64(h) == k {
-				if end := atomic.LoadUint64(u); end > from {
+			hashWord, endWord := slotWords(mem, probeIndex(hash, n))
+			if atomic.LoadUint64(hashWord) == hash {
+				if end := atomic.LoadUint64(endWord); end > nowNanos {
 					until = time.Unix(0, int64(end))
 					return
 				}
