--- a/internal/relay/fleet.go
+++ b/internal/relay/fleet.go
@@ -75,7 +75,7 @@
 	byDestination   map[int]*traffic.Demand
 	changed         map[int]bool
 	reportedWaiting map[int]bool // destinations whose last report had waiting transactions
-	reported        time.Time
+	reported        time.Time    // time of the last report
 }
 
 func newDemands(classes []dispatch.Class) *demands {
--- a/internal/relay/fleet_test.go
+++ b/internal/relay/fleet_test.go
@@ -26,7 +26,7 @@
 
 // A relay reports an outage that its own calls detect, each failed trial call, and the end of the outage. It does not repeat reports
 // of other relays, except that it reports a member's answer. Restraints of other relays stop its sends.
-func TestReportsToFleetAndRestraints(t *testing.T) {
+func TestFleetReportsAndRestraints(t *testing.T) {
 	r, w, now := startRelay(t)
 	fleet := &fakeFleet{}
 	r.cfg.Fleet = fleet
