--- a/internal/relay/fleet_test.go
+++ b/internal/relay/fleet_test.go
@@ -9,33 +9,33 @@
 	"slatemux/internal/traffic"
 )
 
-// others keeps what a relay tells them.
-type others struct {
+// fakeFleet records the reports of a relay.
+type fakeFleet struct {
 	health []string
 	bans   map[string]bool
 	pools  int
 	demand []traffic.Demand
 }
 
-func (o *others) Health(member string, _ int, out, tried bool, _ time.Time) {
+func (o *fakeFleet) Health(member string, _ int, out, tried bool, _ time.Time) {
 	o.health = append(o.health, map[[2]bool]string{{true, false}: "out ", {true, true}: "tried ", {false, false}: "back "}[[2]bool{out, tried}]+member)
 }
-func (o *others) Demand(list []traffic.Demand)          { o.demand = append(o.demand, list...) }
-func (o *others) Pool(int64, map[string]traffic.Member) { o.pools++ }
-func (o *others) Bans(set map[string]bool)              { o.bans = set }
+func (o *fakeFleet) Demand(list []traffic.Demand)          { o.demand = append(o.demand, list...) }
+func (o *fakeFleet) Pool(int64, map[string]traffic.Member) { o.pools++ }
+func (o *fakeFleet) Bans(set map[string]bool)              { o.bans = set }
 
-// A relay tells of an outage that its own calls have met, of each try there that fails, and of its end; it tells nothing that it has
-// from others, but for their member's answer. Others' word restrains it.
-func TestFleetSeam(t *testing.T) {
-	r, w, now := start(t)
-	o := &others{}
-	r.cfg.Fleet = o
-	w.took()
-	n, ended := 0, 0 // messages; flows that were ended
-	try := func(status traffic.FlowStatus) (member string) {
+// A relay reports an outage that its own calls detect, each failed trial call, and the end of the outage. It does not repeat reports
+// of other relays, except that it reports a member's answer. Restraints of other relays stop its sends.
+func TestFleetReportsAndRestraints(t *testing.T) {
+	r, w, now := startRelay(t)
+	fleet := &fakeFleet{}
+	r.cfg.Fleet = fleet
+	w.takeCalls()
+	n, ended := 0, 0 // n counts messages, ended counts flows that have been ended
+	send := func(status traffic.FlowStatus) (member string) {
 		n++
-		hand(t, r, now, transaction(string(rune('a'+n)), "slot", now.Add(5*time.Second)))
-		for ; ended < len(w.flows); ended++ { // those that the end of one lets go included
+		submit(t, r, now, transaction(string(rune('a'+n)), "slot", now.Add(5*time.Second)))
+		for ; ended < len(w.flows); ended++ { // including flows that start when another ends
 			f := w.flows[ended]
 			r.step(now, []any{traffic.FlowEnd{ID: f.ID, Attempt: f.Attempt, Member: f.Member, Status: status, Took: time.Second}})
 			member = f.Member
@@ -44,130 +44,131 @@
 		return member
 	}
 	for range 6 {
-		try(traffic.OutOfTime)
+		send(traffic.OutOfTime)
 	}
-	if len(o.health) == 0 || o.health[0] != "out m1" && o.health[0] != "out m2" {
-		t.Fatalf("told %v", o.health)
+	if len(fleet.health) == 0 || fleet.health[0] != "out m1" && fleet.health[0] != "out m2" {
+		t.Fatalf("health reports %v, want an outage first", fleet.health)
 	}
-	for end := now.Add(20 * time.Second); now.Before(end) && !slices.ContainsFunc(o.health, func(s string) bool { return s[:4] == "trie" }); {
+	for end := now.Add(20 * time.Second); now.Before(end) && !slices.ContainsFunc(fleet.health, func(s string) bool { return s[:4] == "trie" }); {
 		now = now.Add(100 * time.Millisecond)
-		try(traffic.OutOfTime)
+		send(traffic.OutOfTime)
 	}
-	if !slices.ContainsFunc(o.health, func(s string) bool { return s[:4] == "trie" }) {
-		t.Errorf("no failed try was told: %v", o.health)
+	if !slices.ContainsFunc(fleet.health, func(s string) bool { return s[:4] == "trie" }) {
+		t.Errorf("no failed trial call was reported: %v", fleet.health)
 	}
-	for end := now.Add(20 * time.Second); now.Before(end) && !slices.ContainsFunc(o.health, func(s string) bool { return s[:4] == "back" }); {
+	for end := now.Add(20 * time.Second); now.Before(end) && !slices.ContainsFunc(fleet.health, func(s string) bool { return s[:4] == "back" }); {
 		now = now.Add(100 * time.Millisecond)
-		try(traffic.Delivered)
+		send(traffic.Delivered)
 	}
-	if !slices.ContainsFunc(o.health, func(s string) bool { return s[:4] == "back" }) {
-		t.Errorf("no end was told: %v", o.health)
+	if !slices.ContainsFunc(fleet.health, func(s string) bool { return s[:4] == "back" }) {
+		t.Errorf("no end of the outage was reported: %v", fleet.health)
 	}
 
-	r, w, now = start(t)
-	o, ended = &others{}, 0
-	r.cfg.Fleet = o
+	r, w, now = startRelay(t)
+	fleet, ended = &fakeFleet{}, 0
+	r.cfg.Fleet = fleet
 	dest := r.pool.members["m1"].Destination
 	r.step(now, []any{[]traffic.Restraint{{Kind: traffic.Held, Group: traffic.Group{Destination: dest}, At: now.Add(time.Second)}}})
-	if m := try(traffic.Delivered); m != "" {
-		t.Errorf("sent to %s into a wait that others were told", m)
+	if m := send(traffic.Delivered); m != "" {
+		t.Errorf("sent to %s during a retry-after that other relays got", m)
 	}
 	now = now.Add(1100 * time.Millisecond)
 	r.step(now, []any{[]traffic.Bar{{Member: "m1"}}})
 	for range 5 {
-		if m := try(traffic.Delivered); m == "m1" {
-			t.Error("sent to a member that others bar")
+		if m := send(traffic.Delivered); m == "m1" {
+			t.Error("sent to a member that other relays exclude")
 		}
 	}
 	r.step(now, []any{[]traffic.Restraint{{Kind: traffic.HeldOut, Member: "m2", At: now}}})
-	if len(o.health) != 0 {
-		t.Errorf("told on what others said: %v", o.health)
+	if len(fleet.health) != 0 {
+		t.Errorf("reports of other relays were repeated: %v", fleet.health)
 	}
-	for end := now.Add(20 * time.Second); now.Before(end) && len(o.health) == 0; {
+	for end := now.Add(20 * time.Second); now.Before(end) && len(fleet.health) == 0; {
 		now = now.Add(100 * time.Millisecond)
-		try(traffic.Delivered)
+		send(traffic.Delivered)
 	}
-	if !slices.Equal(o.health, []string{"back m2"}) {
-		t.Errorf("after an answer of a member that others held out: %v", o.health)
+	if !slices.Equal(fleet.health, []string{"back m2"}) {
+		t.Errorf("after an answer of a member that other relays consider down: %v", fleet.health)
 	}
-	r.step(now, []any{bans{set: map[string]bool{"m2": true}, done: make(chan struct{})}, known})
-	if !o.bans["m2"] || o.pools == 0 {
-		t.Errorf("bans %v, %d lists told", o.bans, o.pools)
+	r.step(now, []any{bans{set: map[string]bool{"m2": true}, done: make(chan struct{})}, initialPool})
+	if !fleet.bans["m2"] || fleet.pools == 0 {
+		t.Errorf("bans %v, %d lists reported", fleet.bans, fleet.pools)
 	}
-	r.step(now, []any{[]traffic.Bar{}}) // both were shut; what others bar no more is listed again
-	if r.shut["m1"] || !r.shut["m2"] {
-		t.Errorf("shut: %v", r.shut)
+	r.step(now, []any{[]traffic.Bar{}}) // both were blocked; the member that is no longer excluded is listed again
+	if r.blocked["m1"] || !r.blocked["m2"] {
+		t.Errorf("blocked members: %v", r.blocked)
 	}
 }
 
-// What arrives and what waits is told by worth, at once where something newly waits and else now and then; what has gone is told too.
-func TestDemandIsTold(t *testing.T) {
-	r, w, now := start(t)
-	o := &others{}
-	r.cfg.Fleet, r.demands = o, newDemands(r.cfg.Settings.Classes)
-	w.took()
-	level := r.demands.levels["slot"]
+// Arrivals and waiting transactions are reported by worth: at once if a destination newly has waiting transactions, otherwise at
+// intervals. Destinations without demand are reported once more.
+func TestReportsDemand(t *testing.T) {
+	r, w, now := startRelay(t)
+	fleet := &fakeFleet{}
+	r.cfg.Fleet, r.demands = fleet, newDemands(r.cfg.Settings.Classes)
+	w.takeCalls()
+	priority := r.demands.priorities["slot"]
 	arrived := 0
 	for i := range 20 {
-		hand(t, r, now, transaction(string(rune('A'+i)), "slot", now.Add(5*time.Second)))
+		submit(t, r, now, transaction(string(rune('A'+i)), "slot", now.Add(5*time.Second)))
 		now = now.Add(10 * time.Millisecond)
 	}
 	for _, f := range w.flows {
 		r.step(now, []any{traffic.FlowEnd{ID: f.ID, Attempt: f.Attempt, Member: f.Member, Status: traffic.Delivered, Took: time.Millisecond}})
 	}
 	if at, ok := r.demands.due(); !ok || at.Before(now.Add(-time.Second)) {
-		t.Errorf("nothing is due to be told: %v %v", at, ok)
+		t.Errorf("no report is due: %v %v", at, ok)
 	}
-	r.demandToFleet(now.Add(demandEvery))
-	for _, d := range o.demand {
-		arrived += d.Arrived[level]
+	r.reportDemand(now.Add(demandInterval))
+	for _, d := range fleet.demand {
+		arrived += d.Arrived[priority]
 	}
-	if len(o.demand) < 2 || len(o.demand) > 4 || arrived != 20 || o.demand[0].Waiting[level] > 1 {
-		t.Errorf("told %v", o.demand)
+	if len(fleet.demand) < 2 || len(fleet.demand) > 4 || arrived != 20 || fleet.demand[0].Waiting[priority] > 1 {
+		t.Errorf("demand reports %v", fleet.demand)
 	}
-	waits := 0
+	queued := 0
 	for _, h := range r.open {
-		if h.begun.IsZero() {
-			waits++
+		if h.flowStarted.IsZero() {
+			queued++
 		}
 	}
-	if last := o.demand[len(o.demand)-1]; last.Waiting[level] != waits {
-		t.Errorf("%d wait, %d were told", waits, last.Waiting[level])
+	if last := fleet.demand[len(fleet.demand)-1]; last.Waiting[priority] != queued {
+		t.Errorf("%d transactions wait, %d were reported", queued, last.Waiting[priority])
 	}
 	if _, ok := r.demands.due(); ok {
-		t.Error("something is left to tell")
+		t.Error("a report is still due")
 	}
 	r.demands = newDemands(r.cfg.Settings.Classes)
-	r.demands.told = now
-	o.demand = nil
-	for i, x := range []struct{ after, waiting, told int }{{10, 0, 0}, {20, 1, 1}, {30, 1, 1}, {40, -1, 1}, {120, -1, 2}, {130, 1, 3}} {
+	r.demands.reported = now
+	fleet.demand = nil
+	for i, x := range []struct{ after, waiting, reported int }{{10, 0, 0}, {20, 1, 1}, {30, 1, 1}, {40, -1, 1}, {120, -1, 2}, {130, 1, 3}} {
 		tx := transaction("w", "slot", now.Add(5*time.Second))
-		r.demands.note(&tx, 1, x.waiting)
-		if r.demandToFleet(now.Add(time.Duration(x.after) * time.Millisecond)); len(o.demand) != x.told {
-			t.Errorf("step %d: told %d times, not %d: %v", i, len(o.demand), x.told, o.demand)
+		r.demands.record(&tx, 1, x.waiting)
+		if r.reportDemand(now.Add(time.Duration(x.after) * time.Millisecond)); len(fleet.demand) != x.reported {
+			t.Errorf("step %d: %d reports, want %d: %v", i, len(fleet.demand), x.reported, fleet.demand)
 		}
 	}
 }
 
-// A part of a limit that ends without word of the next leaves nothing for a while, for another may have it by now; then the module
-// decides alone. It does so in the first step after that, whatever happened meanwhile.
-func TestPartsThatEnd(t *testing.T) {
-	r, w, now := start(t)
-	r.cfg.Fleet, r.parts = &others{}, map[int]part{}
-	w.took()
+// When an allowance expires without a new one, nothing is sent for a while, because another relay may have the share by then.
+// Afterwards the module decides alone. Each change is applied in the first step after it is due.
+func TestAllowanceExpiry(t *testing.T) {
+	r, w, now := startRelay(t)
+	r.cfg.Fleet, r.allowances = &fakeFleet{}, map[int]allowance{}
+	w.takeCalls()
 	const dest = 1
 	r.step(now, []any{[]traffic.Allowance{{Destination: dest, Rate: 100, Until: now.Add(time.Second)}}})
-	if !r.nextWake(now).Equal(now.Add(time.Second)) || len(r.lapses(now.Add(900*time.Millisecond))) > 0 {
-		t.Errorf("the next wake is at %v", r.nextWake(now).Sub(now))
+	if !r.nextWake(now).Equal(now.Add(time.Second)) || len(r.expireAllowances(now.Add(900*time.Millisecond))) > 0 {
+		t.Errorf("the next wake-up is after %v, or the allowance expired early", r.nextWake(now).Sub(now))
 	}
-	events := r.lapses(now.Add(1100 * time.Millisecond))
-	if len(events) != 1 || events[0] != (dispatch.Told{Kind: dispatch.ToldShare, Destination: dest, For: lapseFor}) {
-		t.Errorf("after its end %v", events)
+	events := r.expireAllowances(now.Add(1100 * time.Millisecond))
+	if len(events) != 1 || events[0] != (dispatch.Told{Kind: dispatch.ToldShare, Destination: dest, For: expiryPause}) {
+		t.Errorf("events after the expiry: %v", events)
 	}
-	if events := r.lapses(now.Add(1200 * time.Millisecond)); len(events) > 0 {
-		t.Errorf("and again %v", events)
+	if events := r.expireAllowances(now.Add(1200 * time.Millisecond)); len(events) > 0 {
+		t.Errorf("events were repeated: %v", events)
 	}
-	if r.lapses(now.Add(1100*time.Millisecond + lapseFor)); len(r.parts) != 0 {
-		t.Errorf("%v is kept", r.parts)
+	if r.expireAllowances(now.Add(1100*time.Millisecond + expiryPause)); len(r.allowances) != 0 {
+		t.Errorf("allowances not removed: %v", r.allowances)
 	}
 }
--- a/internal/relay/order.go
+++ b/internal/relay/order.go
@@ -9,49 +9,55 @@
 	"slatemux/internal/traffic"
 )
 
-// Turns keep the order of keys between the processes of one relay, while one replaces the other. Nothing blocks.
+// Turns keeps the order of keys between the processes of one relay during a handover. No method blocks.
 type Turns interface {
-	// Take gives an open transaction of a key its turn; one that another process had keeps its own. 0 for none to be had.
-	Take(key, id string, now, until time.Time) uint64
-	// Waits says whether another process still holds an earlier one.
-	Waits(key, id string, now time.Time) bool
-	Done(key, id string)
+	// TakeTicket gives an open transaction of a key its ticket. A transaction recovered from another process keeps its ticket. The
+	// result 0 means that there is no free ticket.
+	TakeTicket(key, id string, now, until time.Time) uint64
+	// MustWait reports whether another process still holds an earlier transaction of the key.
+	MustWait(key, id string, now time.Time) bool
+	// Release marks a transaction of a key as over.
+	Release(key, id string)
 }
 
-// turnEvery is how often it is asked, and lastCall how many of the module's least steps before its time is up a transaction that
-// still waits is given to the module all the same: so late that it sends nothing and ends it.
-const turnEvery, lastCall = 20 * time.Millisecond, 5
+// turnInterval is the time between two checks whether another process still holds an earlier transaction.
+const turnInterval = 20 * time.Millisecond
 
-// noticeWithin is how long another process waits at the most for the answer to a notice that an ended one left: the platform answers
-// at once.
-const noticeWithin = 5 * time.Second
+// lastOfferSteps is how many steps of the module's resolution before its deadline a waiting transaction is passed to the module in
+// any case. That is too late for a call, so the module ends the transaction without sending it.
+const lastOfferSteps = 5
 
-// ordered says whether a transaction has to keep its place among those of its key.
-func (r *Relay) ordered(t *traffic.Transaction) bool {
+// noticeTimeout is the maximum time that another process waits for the answer to a notice which an ended process left open. The
+// platform normally answers at once.
+const noticeTimeout = 5 * time.Second
+
+// keepsOrder reports whether a transaction must stay in order among those of its key.
+func (r *Relay) keepsOrder(t *traffic.Transaction) bool {
 	c := r.classes[t.Class]
 	return c != nil && c.OrderedByKey && t.Order != ""
 }
 
-// offer tells the module of a transaction that was taken on, at once or when its turn has come.
-func (r *Relay) offer(h *held, now time.Time, events []dispatch.Event) []dispatch.Event {
-	if r.cfg.Turns != nil && r.ordered(&h.Transaction) {
-		h.turn = r.cfg.Turns.Take(h.Order, h.ID, now, h.Deadline) - 1 // none to be had is the last of all
-		before := slices.ContainsFunc(r.later, func(o *held) bool { return o.Order == h.Order && o.turn < h.turn })
-		if before || r.cfg.Turns.Waits(h.Order, h.ID, now) {
-			at, _ := slices.BinarySearchFunc(r.later, h.turn, func(o *held, turn uint64) int { return cmp.Compare(o.turn, turn) })
-			r.later = slices.Insert(r.later, at, h) // what an ended process leaves may go before what has come here since
+// offer passes an accepted transaction to the module, at once or when no earlier one of its key is left elsewhere.
+func (r *Relay) offer(h *openTransaction, now time.Time, events []dispatch.Event) []dispatch.Event {
+	if r.cfg.Turns != nil && r.keepsOrder(&h.Transaction) {
+		// Without a ticket (0) the subtraction wraps around, and the transaction comes last.
+		h.ticket = r.cfg.Turns.TakeTicket(h.Order, h.ID, now, h.Deadline) - 1
+		before := slices.ContainsFunc(r.awaitingTurn, func(o *openTransaction) bool { return o.Order == h.Order && o.ticket < h.ticket })
+		if before || r.cfg.Turns.MustWait(h.Order, h.ID, now) {
+			index, _ := slices.BinarySearchFunc(r.awaitingTurn, h.ticket, func(o *openTransaction, ticket uint64) int { return cmp.Compare(o.ticket, ticket) })
+			r.awaitingTurn = slices.Insert(r.awaitingTurn, index, h) // a recovered transaction may come before newer ones of this process
 			return events
 		}
 	}
 	return append(events, r.request(&h.Open, now))
 }
 
-// offerAgain looks at those that wait.
-func (r *Relay) offerAgain(now time.Time, events []dispatch.Event) []dispatch.Event {
-	waits := map[string]bool{}
-	r.later = slices.DeleteFunc(r.later, func(h *held) bool {
-		if h.Deadline.Sub(now) > lastCall*r.cfg.Settings.Resolution && (waits[h.Order] || r.cfg.Turns.Waits(h.Order, h.ID, now)) {
-			waits[h.Order] = true
+// offerWaiting passes waiting transactions to the module whose turn has come or whose deadline is near.
+func (r *Relay) offerWaiting(now time.Time, events []dispatch.Event) []dispatch.Event {
+	waitingKeys := map[string]bool{}
+	r.awaitingTurn = slices.DeleteFunc(r.awaitingTurn, func(h *openTransaction) bool {
+		if h.Deadline.Sub(now) > lastOfferSteps*r.cfg.Settings.Resolution && (waitingKeys[h.Order] || r.cfg.Turns.MustWait(h.Order, h.ID, now)) {
+			waitingKeys[h.Order] = true
 			return false
 		}
 		events = append(events, r.request(&h.Open, now))
@@ -60,37 +66,37 @@
 	return events
 }
 
-// The module lets the next transaction of a key go once the one before it is over. One that ends by a notice is over for the
-// platform when the notice has its answer, which the module does not hear of: until then the flow waits here, as it might for a
-// connection. The answer comes at once as a rule; where it does not, the flow ends when its time is up, unsent.
+// The module sends the next transaction of a key once the one before it is over. A transaction that ends by a notice is over for the
+// platform only when the platform has answered the notice, which the module does not know. Until then the next flow waits here, as a
+// flow may wait for a connection. The answer normally arrives at once. If it does not arrive, the flow ends unsent at its deadline.
 
-// start begins a flow, or has those of its transactions wait that have to.
-func (r *Relay) start(f traffic.Flow) {
-	if len(r.noticed) == 0 {
+// startFlow starts a flow. Transactions of the flow that must wait for the answer to a notice are blocked instead.
+func (r *Relay) startFlow(f traffic.Flow) {
+	if len(r.noticePending) == 0 {
 		r.cfg.Flows.Start(f)
 		return
 	}
 	var free []traffic.Flow
-	for _, x := range f.All() {
-		x.With = nil
-		if h := r.open[x.ID]; h != nil && h.Order != "" && r.awaits(h.Order) {
-			r.parked[h.Order] = append(r.parked[h.Order], x)
+	for _, flow := range f.All() {
+		flow.With = nil
+		if h := r.open[flow.ID]; h != nil && h.Order != "" && r.hasPendingNotice(h.Order) {
+			r.blockedFlows[h.Order] = append(r.blockedFlows[h.Order], flow)
 		} else {
-			free = append(free, x)
+			free = append(free, flow)
 		}
 	}
 	if len(free) > 0 {
 		first := free[0]
-		for _, x := range free[1:] {
-			first.Join(x)
+		for _, flow := range free[1:] {
+			first.Join(flow)
 		}
 		r.cfg.Flows.Start(first)
 	}
 }
 
-// awaits says whether a notice of a key has no answer yet.
-func (r *Relay) awaits(key string) bool {
-	for _, k := range r.noticed {
+// hasPendingNotice reports whether a notice of the key has no answer yet.
+func (r *Relay) hasPendingNotice(key string) bool {
+	for _, k := range r.noticePending {
 		if k == key {
 			return true
 		}
@@ -98,54 +104,54 @@
 	return false
 }
 
-// unpark begins what waited for these notices and for no other.
-func (r *Relay) unpark(ids []string) {
+// startUnblocked starts the flows that waited for the answers to these notices and wait for no other.
+func (r *Relay) startUnblocked(ids []string) {
 	for _, id := range ids {
-		key, ok := r.noticed[id]
+		key, ok := r.noticePending[id]
 		if !ok {
 			continue
 		}
-		delete(r.noticed, id)
+		delete(r.noticePending, id)
 		if r.cfg.Turns != nil {
-			r.cfg.Turns.Done(key, id)
+			r.cfg.Turns.Release(key, id)
 		}
-		if r.awaits(key) {
+		if r.hasPendingNotice(key) {
 			continue
 		}
-		list := r.parked[key]
-		delete(r.parked, key)
+		list := r.blockedFlows[key]
+		delete(r.blockedFlows, key)
 		for _, f := range list {
-			r.cfg.Flows.Start(f) // where its time is up by now, it ends at once
+			r.cfg.Flows.Start(f) // a flow past its deadline ends at once
 		}
 	}
 }
 
-// overdue ends what has waited for too long.
-func (r *Relay) overdue(now time.Time) {
-	for key, list := range r.parked {
+// endOverdue ends blocked flows that have reached their deadline.
+func (r *Relay) endOverdue(now time.Time) {
+	for key, list := range r.blockedFlows {
 		list = slices.DeleteFunc(list, func(f traffic.Flow) bool {
 			late := !now.Before(f.Deadline)
 			if late {
-				r.unstarted(f)
+				r.endUnsent(f)
 			}
 			return late
 		})
-		if r.parked[key] = list; len(list) == 0 {
-			delete(r.parked, key)
+		if r.blockedFlows[key] = list; len(list) == 0 {
+			delete(r.blockedFlows, key)
 		}
 	}
 }
 
-func (r *Relay) unstarted(f traffic.Flow) {
+func (r *Relay) endUnsent(f traffic.Flow) {
 	r.post(traffic.FlowEnd{ID: f.ID, Attempt: f.Attempt, Member: f.Member, Status: traffic.Unsent})
 }
 
-// cancel gives a flow up.
-func (r *Relay) cancel(id string, attempt int) {
-	for _, list := range r.parked {
+// cancelFlow cancels a flow, blocked or started.
+func (r *Relay) cancelFlow(id string, attempt int) {
+	for _, list := range r.blockedFlows {
 		for i := range list {
 			if f := &list[i]; f.ID == id && f.Attempt == attempt {
-				f.Deadline = time.Time{} // it ends with the next step
+				f.Deadline = time.Time{} // the next step ends the flow
 				return
 			}
 		}
