--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -1,6 +1,6 @@
-// Package journal keeps what the relay owes in one append-only file that outlives the process. A step's
-// changes are one write; when the file has grown, what is still owed is written to a new one that takes its
-// place. Both together stay under the limit of the folder.
+// Package journal stores open transactions and unanswered notices in an append-only file, so that they survive the end of the
+// process. All changes of one step are written with one write call. When the file has grown, compaction writes the entries that
+// are still pending to a new file, which replaces the old one. Both files together stay under the size limit of the folder.
 package journal
 
 import (
@@ -20,68 +20,74 @@
 )
 
 const (
-	// prefix begins the name of every process's file: "journal.PID", or "journal" alone from before files had
-	// owners. A compaction writes the file's name and newSuffix first.
-	prefix, newSuffix = "journal", ".new"
-	block             = 512
-	// Shares of the folder's limit: what is owed may take livePart; the file is compacted when it would
-	// grow over filePart. Both files lie there side by side then: together they stay under 1.
-	livePart, filePart = 0.4, 0.55
+	// filePrefix is the prefix of all journal files. The file of a process is "journal.PID". A file named "journal" was written
+	// by a version that did not yet have one file for each process.
+	filePrefix = "journal"
+	// compactionSuffix is appended to the file name while a compaction writes the new file.
+	compactionSuffix = ".new"
+	// blockBytes is the unit to which file sizes are rounded up when they count against the limit.
+	blockBytes = 512
+	// liveShare is the share of the folder's limit that pending entries may take. During a compaction the old and the new file
+	// exist side by side, so the sum of liveShare and fileShare must stay under 1.
+	liveShare = 0.4
+	// fileShare is the share of the folder's limit above which the file is compacted.
+	fileShare = 0.55
 )
 
-// Journal is the open file with what it says is owed.
+// Journal is the open journal file of this process together with its pending entries. Only Limit and Stats are safe for
+// concurrent use.
 type Journal struct {
-	dir       string
-	name      string // of this process's file, which it holds locked for its life
-	foreign   int64  // bytes, in whole blocks, of files that living processes hold, as last seen
-	limit     atomic.Int64
-	file      *os.File
-	size      int64
-	live      int64 // bytes that a compacted file would take
-	open      map[string]*entry
-	notices   map[string]*entry
-	seq       int64
-	buf       []byte
-	compacted int64
-	told      [3]atomic.Int64 // what Stats returns, for other goroutines
+	dir             string
+	name            string // of this process's file, which stays locked while the process runs
+	otherFilesBytes int64  // size, in whole blocks, of the files of other running processes when the folder was last read
+	limitBytes      atomic.Int64
+	file            *os.File
+	fileBytes       int64
+	liveBytes       int64 // upper bound of the size of a compacted file
+	open            map[string]*entry
+	notices         map[string]*entry
+	seq             int64
+	buf             []byte
+	compactions     int64
+	stats           [3]atomic.Int64 // copy of the results of Stats, for other goroutines
 }
 
-// entry is something owed: a transaction, or the notice of its end.
+// entry is a pending entry: an open transaction, or the unanswered notice of its end.
 type entry struct {
-	seq    int64
-	open   traffic.Open
-	notice traffic.Notice
-	out    bool      // a flow is out
-	begun  time.Time // of that flow
-	size   int64     // its share of live
+	seq            int64
+	open           traffic.Open
+	notice         traffic.Notice
+	inFlight       bool      // a flow has begun and not ended
+	flowBegun      time.Time // start of the latest flow
+	compactedBytes int64     // upper bound of its size in a compacted file
 }
 
-// Open replays the journal of a folder that may hold limit bytes, and compacts it.
-// Files of processes that still run are left alone; those of processes that have ended are taken over.
+// Open opens the journal in dir, which may hold limit bytes. It replays the files of processes that have ended, writes their
+// pending entries to a new file of this process and removes the old files. It does not touch the files of running processes.
 func Open(dir string, limit int64) (*Journal, error) {
 	return openAs(dir, limit, strconv.Itoa(os.Getpid()))
 }
 
-// openAs opens the folder for the process with that id: ids of processes that run at once differ.
-func openAs(dir string, limit int64, id string) (*Journal, error) {
-	j := &Journal{dir: dir, name: prefix + "." + id, open: map[string]*entry{}, notices: map[string]*entry{}}
-	j.Limit(limit)
-	if j.limit.Load() < 8*block {
-		return nil, fmt.Errorf("journal: %d bytes are too few", limit)
-	}
-	orphans, err := j.adopt()
+// openAs is Open for a given process id. The ids of processes that run at the same time must differ.
+func openAs(dir string, limitBytes int64, id string) (*Journal, error) {
+	j := &Journal{dir: dir, name: filePrefix + "." + id, open: map[string]*entry{}, notices: map[string]*entry{}}
+	j.Limit(limitBytes)
+	if j.limitBytes.Load() < 8*blockBytes {
+		return nil, fmt.Errorf("journal: a limit of %d bytes is too small", limitBytes)
+	}
+	orphans, err := j.replayOrphans()
 	if err != nil {
 		return nil, err
 	}
 	if err := j.compact(); err != nil {
 		return nil, err
 	}
-	j.release(orphans)
+	j.removeRecovered(orphans)
 	return j, nil
 }
 
-// Adopt takes over what processes that shared the folder and have ended since left owed: it is written to this
-// process's file, and returned, in the order it came. What this process owes already is left out.
+// Adopt recovers the pending entries of processes that have ended since the folder was last read. It writes the entries to this
+// process's file and returns them in the order in which they were recorded. Entries that this process already has are not returned.
 func (j *Journal) Adopt() ([]traffic.Open, []traffic.Notice, error) {
 	before := make(map[string]bool, len(j.open)+len(j.notices))
 	for id := range j.open {
@@ -90,25 +96,25 @@
 	for id := range j.notices {
 		before[id] = true
 	}
-	orphans, err := j.adopt()
+	orphans, err := j.replayOrphans()
 	if err != nil || len(orphans) == 0 {
 		return nil, nil, err
 	}
 	if err := j.compact(); err != nil {
-		for _, o := range orphans { // they stay where they were, for a later try
+		for _, o := range orphans { // unlock the files; the next call of Adopt reads them again
 			o.file.Close()
 		}
 		return nil, nil, err
 	}
-	j.release(orphans)
+	j.removeRecovered(orphans)
 	var open []traffic.Open
 	var notices []traffic.Notice
-	for _, e := range inOrder(j.open) {
+	for _, e := range sortedBySeq(j.open) {
 		if !before[e.open.ID] {
 			open = append(open, e.open)
 		}
 	}
-	for _, e := range inOrder(j.notices) {
+	for _, e := range sortedBySeq(j.notices) {
 		if !before[e.notice.ID] {
 			notices = append(notices, e.notice)
 		}
@@ -116,36 +122,36 @@
 	return open, notices, nil
 }
 
-// orphan is another process's file whose lock this process holds.
+// orphan is the file of a process that has ended. This process holds the file's lock.
 type orphan struct {
 	name string
 	file *os.File
 }
 
-// adopt replays the files of the folder that no living process holds, this process's own name among them
-// where an ended process had the same id.
-func (j *Journal) adopt() ([]orphan, error) {
-	names, err := filepath.Glob(filepath.Join(j.dir, prefix+"*"))
+// replayOrphans replays and locks the files in the folder that no running process has locked. If an ended process had the same
+// id as this process, the file with this process's own name is one of them.
+func (j *Journal) replayOrphans() ([]orphan, error) {
+	names, err := filepath.Glob(filepath.Join(j.dir, filePrefix+"*"))
 	if err != nil {
 		return nil, fmt.Errorf("journal: %w", err)
 	}
 	var orphans []orphan
-	j.foreign = 0
+	j.otherFilesBytes = 0
 	for _, path := range names {
 		base := filepath.Base(path)
-		if base == j.name+newSuffix || base == j.name && j.file != nil {
+		if base == j.name+compactionSuffix || base == j.name && j.file != nil {
 			continue
 		}
-		if strings.HasSuffix(base, newSuffix) { // another's compaction, under way or left by its death
+		if strings.HasSuffix(base, compactionSuffix) { // compaction file of another process, still being written or left over after a crash
 			if info, err := os.Stat(path); err == nil {
-				j.foreign += blocks(info.Size())
+				j.otherFilesBytes += roundUpToBlocks(info.Size())
 			}
 			continue
 		}
 		f, ok := lockIfOrphan(path)
-		if !ok { // a living process's
+		if !ok { // locked by a running process
 			if info, err := os.Stat(path); err == nil {
-				j.foreign += blocks(info.Size())
+				j.otherFilesBytes += roundUpToBlocks(info.Size())
 			}
 			continue
 		}
@@ -159,21 +165,21 @@
 		orphans = append(orphans, orphan{base, f})
 	}
 	for _, e := range j.open {
-		if e.out { // it may have run when the process died
-			e.mayHaveRun()
+		if e.inFlight { // the flow was in progress when the process ended: it may have run
+			e.setMayHaveRun()
 		}
 	}
 	return orphans, nil
 }
 
-// replay applies the records of a file.
+// replay applies the records of a file. It stops at the first invalid record.
 func (j *Journal) replay(file string, raw []byte) {
 	rest := raw
-	j.size += int64(len(raw)) // it lies beside the compacted one for a moment
+	j.fileBytes += int64(len(raw)) // the replayed file exists beside the compacted one until it is removed
 	for len(rest) > 0 {
 		ch, n, err := decode(rest)
 		if err != nil {
-			// A process that dies in a write leaves a torn record; all before it is whole.
+			// A process that ends during a write leaves a truncated record; all records before it are complete.
 			slog.Warn("journal tail dropped", "file", file, "bytes", len(rest), "at", len(raw)-len(rest), "err", err)
 			break
 		}
@@ -182,41 +188,42 @@
 	}
 }
 
-// release removes adopted files once this process's own file holds what they owed.
-func (j *Journal) release(orphans []orphan) {
+// removeRecovered removes and unlocks the replayed files once this process's own file holds their pending entries.
+func (j *Journal) removeRecovered(orphans []orphan) {
 	for _, o := range orphans {
 		if o.name != j.name {
 			os.Remove(j.path(o.name))
 		}
-		os.Remove(j.path(o.name + newSuffix))
+		os.Remove(j.path(o.name + compactionSuffix))
 		o.file.Close()
 		slog.Info("journal taken over", "file", o.name)
 	}
 }
 
-// room is what of the folder's limit this process's file may take: a living process's file beside it takes its
-// part, for both count against the one limit during a hand-over.
-func (j *Journal) room() int64 { return j.limit.Load() - j.foreign }
+// ownLimitBytes returns the part of the folder's limit that is left for this process's file. During a handover the files of both
+// processes count against the same limit.
+func (j *Journal) ownLimitBytes() int64 { return j.limitBytes.Load() - j.otherFilesBytes }
 
-// Limit changes how many bytes the folder may hold. Any goroutine may call it.
-func (j *Journal) Limit(bytes int64) { j.limit.Store(bytes - bytes%block) }
+// Limit sets how many bytes the folder may hold. It is safe for concurrent use.
+func (j *Journal) Limit(bytes int64) { j.limitBytes.Store(bytes - bytes%blockBytes) }
 
 func (j *Journal) path(name string) string { return filepath.Join(j.dir, name) }
 
-// Owed returns the open transactions and the unanswered notices, in the order they came.
+// Owed returns the open transactions and the unanswered notices, each in the order in which they were recorded.
 func (j *Journal) Owed() ([]traffic.Open, []traffic.Notice) {
 	var open []traffic.Open
 	var notices []traffic.Notice
-	for _, e := range inOrder(j.open) {
+	for _, e := range sortedBySeq(j.open) {
 		open = append(open, e.open)
 	}
-	for _, e := range inOrder(j.notices) {
+	for _, e := range sortedBySeq(j.notices) {
 		notices = append(notices, e.notice)
 	}
 	return open, notices
 }
 
-func inOrder(m map[string]*entry) []*entry {
+// sortedBySeq returns the entries in the order in which they were recorded.
+func sortedBySeq(m map[string]*entry) []*entry {
 	list := make([]*entry, 0, len(m))
 	for _, e := range m {
 		list = append(list, e)
@@ -225,12 +232,12 @@
 	return list
 }
 
-// Room says whether a transaction of that size can be taken on beside others that need so much.
+// Room reports whether the journal has space for new transactions of the given total size.
 func (j *Journal) Room(bytes int64) bool {
-	return float64(j.live+bytes+block) <= livePart*float64(j.room())
+	return float64(j.liveBytes+bytes+blockBytes) <= liveShare*float64(j.ownLimitBytes())
 }
 
-// Commit writes the changes of one step. After an error none of them counts as written.
+// Commit writes the changes of one step. If it returns an error, none of the changes is recorded.
 func (j *Journal) Commit(changes []traffic.Change) error {
 	if len(changes) == 0 {
 		return nil
@@ -239,68 +246,72 @@
 	for _, ch := range changes {
 		j.buf = appendChange(j.buf, ch)
 	}
-	if float64(j.size+int64(len(j.buf))) > filePart*float64(j.room()) {
+	if float64(j.fileBytes+int64(len(j.buf))) > fileShare*float64(j.ownLimitBytes()) {
 		if err := j.compact(); err != nil {
-			slog.Error("journal not compacted", "err", err) // it may still fit
+			slog.Error("journal not compacted", "err", err) // the changes may still fit without a compaction
 		}
 	}
-	if blocks(j.size+int64(len(j.buf))) > j.room() {
-		return fmt.Errorf("journal: full: %d bytes of %d", j.size, j.room())
+	if roundUpToBlocks(j.fileBytes+int64(len(j.buf))) > j.ownLimitBytes() {
+		return fmt.Errorf("journal: full: file %d bytes, limit %d bytes", j.fileBytes, j.ownLimitBytes())
 	}
 	if n, err := j.file.Write(j.buf); err != nil {
-		if n > 0 { // later records must not stand behind a torn one
-			if terr := j.file.Truncate(j.size); terr != nil {
-				return fmt.Errorf("journal: torn write: %w", terr)
+		if n > 0 { // no record may follow a truncated one: replay would stop there
+			if terr := j.file.Truncate(j.fileBytes); terr != nil {
+				return fmt.Errorf("journal: partial write not undone: %w", terr)
 			}
 		}
 		return fmt.Errorf("journal: %w", err)
 	}
-	j.size += int64(len(j.buf))
+	j.fileBytes += int64(len(j.buf))
 	for _, ch := range changes {
 		j.apply(ch)
 	}
-	j.tell()
+	j.publishStats()
 	return nil
 }
 
-// Stats returns the file's size, what of it is owed, and how often it was compacted. Any goroutine may call it.
-func (j *Journal) Stats() (size, live, compacted int64) {
-	return j.told[0].Load(), j.told[1].Load(), j.told[2].Load()
+// Stats returns the size of the file in bytes, the upper bound of its size after a compaction, and the number of compactions.
+// It is safe for concurrent use.
+func (j *Journal) Stats() (size, live, compactions int64) {
+	return j.stats[0].Load(), j.stats[1].Load(), j.stats[2].Load()
 }
 
-func (j *Journal) tell() {
-	for i, v := range []int64{j.size, j.live, j.compacted} {
-		j.told[i].Store(v)
+// publishStats copies the current values to where Stats reads them.
+func (j *Journal) publishStats() {
+	for i, v := range []int64{j.fileBytes, j.liveBytes, j.compactions} {
+		j.stats[i].Store(v)
 	}
 }
 
-// Close closes the file.
+// Close closes the file and thereby releases its lock.
 func (j *Journal) Close() error { return j.file.Close() }
 
-func blocks(n int64) int64 { return (n + block - 1) / block * block }
+// roundUpToBlocks rounds a size in bytes up to whole blocks.
+func roundUpToBlocks(n int64) int64 { return (n + blockBytes - 1) / blockBytes * blockBytes }
 
-func (e *entry) mayHaveRun() {
+// setMayHaveRun records that the latest flow has ended and may have run at the destination. The first such flow sets FirstSent.
+func (e *entry) setMayHaveRun() {
 	if e.open.FirstSent.IsZero() {
-		e.open.FirstSent = e.begun
+		e.open.FirstSent = e.flowBegun
 	}
-	e.out = false
+	e.inFlight = false
 }
 
-// apply brings what is owed up to date.
+// apply updates the pending entries by one change or summary.
 func (j *Journal) apply(ch any) {
 	switch ch := ch.(type) {
 	case traffic.Taken:
 		j.add(j.open, ch.Transaction.ID, &entry{open: traffic.Open{Transaction: ch.Transaction}})
 	case traffic.FlowBegun:
 		if e := j.open[ch.ID]; e != nil {
-			e.open.Attempts, e.out, e.begun = ch.Attempt+1, true, ch.At
+			e.open.Attempts, e.inFlight, e.flowBegun = ch.Attempt+1, true, ch.At
 		}
 	case traffic.FlowEnded:
 		if e := j.open[ch.ID]; e != nil && ch.Attempt == e.open.Attempts-1 {
 			if ch.MayHaveRun {
-				e.mayHaveRun()
+				e.setMayHaveRun()
 			}
-			e.out = false
+			e.inFlight = false
 		}
 	case traffic.Ended:
 		j.remove(j.open, ch.ID)
@@ -312,29 +323,31 @@
 	case summary:
 		if e := j.open[ch.id]; e != nil {
 			e.open.Attempts, e.open.FirstSent = ch.attempts, ch.firstSent
-			e.out, e.begun = ch.out, ch.begun
+			e.inFlight, e.flowBegun = ch.inFlight, ch.flowBegun
 		}
 	}
 }
 
+// add inserts an entry as the newest one and replaces an entry with the same id.
 func (j *Journal) add(m map[string]*entry, id string, e *entry) {
 	j.remove(m, id)
 	j.seq++
 	e.seq = j.seq
-	// The most that it takes compacted: the summary's times have their full width there.
-	e.size = int64(len(e.appendTo(nil))) + summarySize(id)
-	j.live += e.size
+	// This is an upper bound: maxSummaryBytes assumes numbers of maximum width.
+	e.compactedBytes = int64(len(e.appendTo(nil))) + maxSummaryBytes(id)
+	j.liveBytes += e.compactedBytes
 	m[id] = e
 }
 
+// remove deletes the entry with the given id, if there is one.
 func (j *Journal) remove(m map[string]*entry, id string) {
 	if e := m[id]; e != nil {
-		j.live -= e.size
+		j.liveBytes -= e.compactedBytes
 		delete(m, id)
 	}
 }
 
-// appendTo encodes what a compacted file holds of the entry.
+// appendTo appends the records that stand for the entry in a compacted file.
 func (e *entry) appendTo(b []byte) []byte {
 	if e.notice.ID != "" {
 		n := e.notice
@@ -342,28 +355,28 @@
 	}
 	b = appendChange(b, traffic.Taken{Transaction: e.open.Transaction})
 	if e.open.Attempts > 0 {
-		b = appendChange(b, summary{e.open.ID, e.open.Attempts, e.open.FirstSent, e.out, e.begun})
+		b = appendChange(b, summary{e.open.ID, e.open.Attempts, e.open.FirstSent, e.inFlight, e.flowBegun})
 	}
 	return b
 }
 
-// compact writes what is owed to a new file, which then takes the old one's place.
+// compact writes the pending entries to a new file, which then replaces the old one.
 func (j *Journal) compact() error {
 	var b []byte
 	for _, m := range []map[string]*entry{j.open, j.notices} {
-		for _, e := range inOrder(m) {
+		for _, e := range sortedBySeq(m) {
 			b = e.appendTo(b)
 		}
 	}
-	if blocks(int64(len(b)))+blocks(j.size) > j.room() {
-		return fmt.Errorf("journal: no room to compact: %d and %d bytes of %d", len(b), j.size, j.room())
+	if roundUpToBlocks(int64(len(b)))+roundUpToBlocks(j.fileBytes) > j.ownLimitBytes() {
+		return fmt.Errorf("journal: no space for a compaction: new file %d, old file %d, limit %d bytes", len(b), j.fileBytes, j.ownLimitBytes())
 	}
-	newName := j.name + newSuffix
+	newName := j.name + compactionSuffix
 	f, err := os.OpenFile(j.path(newName), os.O_CREATE|os.O_TRUNC|os.O_WRONLY|os.O_APPEND, 0o600)
 	if err != nil {
 		return fmt.Errorf("journal: %w", err)
 	}
-	// The lock is taken before the file has its name: a successor never finds it named and free while we live.
+	// Lock the file before the rename. Otherwise a successor could find it unlocked under its final name while this process runs.
 	if err = lock(f); err == nil {
 		if _, err = f.Write(b); err == nil {
 			err = os.Rename(j.path(newName), j.path(j.name))
@@ -377,8 +390,8 @@
 	if j.file != nil {
 		j.file.Close()
 	}
-	j.file, j.size = f, int64(len(b))
-	j.compacted++
-	j.tell()
+	j.file, j.fileBytes = f, int64(len(b))
+	j.compactions++
+	j.publishStats()
 	return nil
 }
--- a/internal/journal/record.go
+++ b/internal/journal/record.go
@@ -9,18 +9,20 @@
 	"slatemux/internal/traffic"
 )
 
-// A record is the length of its payload and its checksum, four bytes each, and the payload: a kind and its
-// fields. Numbers are varints, texts have their length before them, times are Unix microseconds.
+// A record consists of the length of the payload, the checksum of the payload (four bytes each, little-endian) and the payload.
+// The payload consists of a kind and the fields of that kind. Numbers are varints, strings are preceded by their length, times
+// are Unix microseconds.
 
-// summary stands in a compacted file for the flows of an open transaction.
+// summary replaces the records of an open transaction's flows in a compacted file.
 type summary struct {
 	id        string
 	attempts  int
 	firstSent time.Time
-	out       bool
-	begun     time.Time
+	inFlight  bool
+	flowBegun time.Time
 }
 
+// kind is the type of a record: the first byte of its payload. The values are part of the file format.
 type kind = byte
 
 const (
@@ -33,14 +35,19 @@
 )
 
 const (
-	header    = 8
-	maxRecord = traffic.MaxBody + 4096
+	headerBytes = 8
+	// maxPayloadBytes is the largest payload that decode accepts.
+	maxPayloadBytes = traffic.MaxBody + 4096
 )
 
-var errRecord = errors.New("journal: bad record")
+var errInvalidRecord = errors.New("journal: record is truncated or corrupt")
 
-func summarySize(id string) int64 { return int64(header + len(id) + 2 + 4*binary.MaxVarintLen64) }
+// maxSummaryBytes returns an upper bound of the size of the summary record of a transaction.
+func maxSummaryBytes(id string) int64 {
+	return int64(headerBytes + len(id) + 2 + 4*binary.MaxVarintLen64)
+}
 
+// unixMicro encodes a time; the zero time becomes 0.
 func unixMicro(t time.Time) int64 {
 	if t.IsZero() {
 		return 0
@@ -48,22 +55,23 @@
 	return t.UnixMicro()
 }
 
+// appendText appends the length of s and s.
 func appendText[T string | []byte](b []byte, s T) []byte {
 	return append(binary.AppendUvarint(b, uint64(len(s))), s...)
 }
 
-func flag(yes bool) int64 {
+func boolToInt(yes bool) int64 {
 	if yes {
 		return 1
 	}
 	return 0
 }
 
-// appendChange encodes one change as a record.
+// appendChange appends the record of one change or summary.
 func appendChange(b []byte, ch any) []byte {
-	at := len(b)
-	b = append(b, make([]byte, header)...)
-	head := func(k kind, id string, numbers ...int64) {
+	start := len(b)
+	b = append(b, make([]byte, headerBytes)...)
+	appendHead := func(k kind, id string, numbers ...int64) {
 		b = appendText(append(b, k), id)
 		for _, n := range numbers {
 			b = binary.AppendVarint(b, n)
@@ -72,63 +80,64 @@
 	switch ch := ch.(type) {
 	case traffic.Taken:
 		t := &ch.Transaction
-		head(kindTaken, t.ID, int64(t.Destination), unixMicro(t.Deadline))
+		appendHead(kindTaken, t.ID, int64(t.Destination), unixMicro(t.Deadline))
 		b = appendText(appendText(appendText(b, t.Class), t.Tenant), t.Key)
 		b = appendText(b, t.Body)
-		if t.Order != "" { // else the record is as it always was
+		if t.Order != "" { // without an order the record is the same as before the field existed
 			b = appendText(b, t.Order)
 		}
 	case traffic.FlowBegun:
-		head(kindFlowBegun, ch.ID, int64(ch.Attempt), unixMicro(ch.At))
+		appendHead(kindFlowBegun, ch.ID, int64(ch.Attempt), unixMicro(ch.At))
 	case traffic.FlowEnded:
-		head(kindFlowEnded, ch.ID, int64(ch.Attempt), flag(ch.MayHaveRun))
+		appendHead(kindFlowEnded, ch.ID, int64(ch.Attempt), boolToInt(ch.MayHaveRun))
 	case traffic.Ended:
 		n := traffic.Notice{}
 		if ch.Notice != nil {
 			n = *ch.Notice
 		}
-		head(kindEnded, ch.ID, int64(n.Outcome), n.RetryIn.Microseconds())
-		if n.Order != "" { // else the record is as it always was
+		appendHead(kindEnded, ch.ID, int64(n.Outcome), n.RetryIn.Microseconds())
+		if n.Order != "" { // without an order the record is the same as before the field existed
 			b = appendText(b, n.Order)
 		}
 	case traffic.Answered:
-		head(kindAnswered, ch.ID)
+		appendHead(kindAnswered, ch.ID)
 	case summary:
-		head(kindSummary, ch.id, int64(ch.attempts), unixMicro(ch.firstSent), flag(ch.out), unixMicro(ch.begun))
+		appendHead(kindSummary, ch.id, int64(ch.attempts), unixMicro(ch.firstSent), boolToInt(ch.inFlight), unixMicro(ch.flowBegun))
 	}
-	payload := b[at+header:]
-	binary.LittleEndian.PutUint32(b[at:], uint32(len(payload)))
-	binary.LittleEndian.PutUint32(b[at+4:], crc32.ChecksumIEEE(payload))
+	payload := b[start+headerBytes:]
+	binary.LittleEndian.PutUint32(b[start:], uint32(len(payload)))
+	binary.LittleEndian.PutUint32(b[start+4:], crc32.ChecksumIEEE(payload))
 	return b
 }
 
-// reader takes a payload apart; after the first misfit it yields noughts and bad is set.
-type reader struct {
-	b   []byte
-	bad bool
+// payloadReader decodes the fields of a payload. After the first field that cannot be decoded it sets invalid and returns zero
+// values.
+type payloadReader struct {
+	b       []byte
+	invalid bool
 }
 
-func (r *reader) number() int64 {
+func (r *payloadReader) number() int64 {
 	v, n := binary.Varint(r.b)
 	if n <= 0 {
-		r.b, r.bad = nil, true
+		r.b, r.invalid = nil, true
 		return 0
 	}
 	r.b = r.b[n:]
 	return v
 }
 
-func (r *reader) time() time.Time {
+func (r *payloadReader) time() time.Time {
 	if us := r.number(); us != 0 {
 		return time.UnixMicro(us)
 	}
 	return time.Time{}
 }
 
-func (r *reader) bytes() []byte {
+func (r *payloadReader) bytes() []byte {
 	v, n := binary.Uvarint(r.b)
 	if n <= 0 || v > uint64(len(r.b)-n) {
-		r.b, r.bad = nil, true
+		r.b, r.invalid = nil, true
 		return nil
 	}
 	s := r.b[n : n+int(v)]
@@ -136,20 +145,21 @@
 	return s
 }
 
-// decode reads the first record of b and says how long it is. What it returns shares no memory with b.
+// decode decodes the first record of b. It returns the change or summary and the length of the record in bytes. The result
+// shares no memory with b.
 func decode(b []byte) (any, int, error) {
-	if len(b) < header {
-		return nil, 0, errRecord
+	if len(b) < headerBytes {
+		return nil, 0, errInvalidRecord
 	}
 	size := int64(binary.LittleEndian.Uint32(b))
-	if size < 1 || size > maxRecord || size > int64(len(b)-header) {
-		return nil, 0, errRecord
+	if size < 1 || size > maxPayloadBytes || size > int64(len(b)-headerBytes) {
+		return nil, 0, errInvalidRecord
 	}
-	payload := b[header : header+int(size)]
+	payload := b[headerBytes : headerBytes+int(size)]
 	if crc32.ChecksumIEEE(payload) != binary.LittleEndian.Uint32(b[4:]) {
-		return nil, 0, errRecord
+		return nil, 0, errInvalidRecord
 	}
-	r := &reader{b: payload[1:]}
+	r := &payloadReader{b: payload[1:]}
 	id := string(r.bytes())
 	var ch any
 	switch payload[0] {
@@ -179,12 +189,12 @@
 	case kindAnswered:
 		ch = traffic.Answered{ID: id}
 	case kindSummary:
-		ch = summary{id: id, attempts: int(r.number()), firstSent: r.time(), out: r.number() == 1, begun: r.time()}
+		ch = summary{id: id, attempts: int(r.number()), firstSent: r.time(), inFlight: r.number() == 1, flowBegun: r.time()}
 	default:
-		return nil, 0, errRecord
+		return nil, 0, errInvalidRecord
 	}
-	if r.bad || len(r.b) > 0 {
-		return nil, 0, errRecord
+	if r.invalid || len(r.b) > 0 {
+		return nil, 0, errInvalidRecord
 	}
-	return ch, header + int(size), nil
+	return ch, headerBytes + int(size), nil
 }
--- a/internal/lab/capacity/slopes/source_test.go
+++ b/internal/lab/capacity/slopes/source_test.go
@@ -67,7 +67,7 @@
 		{"fleet/members.go", "maxListed", "4096", relaysGoneMost, 4096},
 		{"fleet/transport.go", "maxStream", "512 << 10", streamBytesMost, 512 << 10},
 		{"fleet/transport.go", "maxStreams", "8", streamsAtOnceMost, 8},
-		{"journal/journal.go", "livePart", "0.4", journalLiveShare, 0.4},
+		{"journal/journal.go", "liveShare", "0.4", journalLiveShare, 0.4},
 		{"fleet/membership.go", "joinPauseMin", "250 * time.Millisecond", joinFirst.Seconds(), 0.25},
 		{"fleet/membership.go", "joinPauseMax", "8 * time.Second", joinMost.Seconds(), 8},
 		{"fleet/membership.go", "rejoinInterval", "10 * time.Second", rejoinEvery.Seconds(), 10},
--- a/internal/ops/configure.go
+++ b/internal/ops/configure.go
@@ -25,24 +25,24 @@
 // Unwrap returns the reason.
 func (r *Refusal) Unwrap() error { return r.Reason }
 
-// configure answers POST /ops/fleet/configuration.
-func configure(relay Relay) http.HandlerFunc {
+// configurationHandler answers POST /ops/fleet/configuration.
+func configurationHandler(relay Relay) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		change, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxChangeBytes))
 		if err != nil {
-			answer(w, http.StatusBadRequest, "the change was not read: "+oneLine(err)+"\n")
+			writeText(w, http.StatusBadRequest, "the change was not read: "+oneLine(err)+"\n")
 			return
 		}
-		ctx, cancel := context.WithDeadline(r.Context(), time.Now().Add(answerWithin))
+		ctx, cancel := context.WithDeadline(r.Context(), time.Now().Add(answerTimeout))
 		defer cancel()
 		err = relay.Configure(ctx, change)
 		if err == nil {
 			slog.Info("fleet configuration changed by an operator")
-			answer(w, http.StatusOK, "stored and in force\n")
+			writeText(w, http.StatusOK, "stored and in force\n")
 			return
 		}
 		slog.Warn("fleet configuration change not taken", "err", err)
-		answer(w, statusOf(err), oneLine(err)+"\n")
+		writeText(w, statusOf(err), oneLine(err)+"\n")
 	}
 }
 
--- a/internal/ops/ops.go
+++ b/internal/ops/ops.go
@@ -16,9 +16,9 @@
 
 // Every answer is due within a second of the call: the deadlines leave room for the write.
 const (
-	headerWithin = 400 * time.Millisecond // a caller that sends nothing or half a call holds a descriptor so long
-	answerWithin = 800 * time.Millisecond // a handler that waits for the step loop gives up then
-	writeWithin  = 900 * time.Millisecond
+	headerTimeout = 400 * time.Millisecond // a caller that sends nothing or half a call holds a descriptor so long
+	answerTimeout = 800 * time.Millisecond // a handler that waits for the step loop gives up then
+	writeTimeout  = 900 * time.Millisecond
 )
 
 // Stats are the figures of /ops/stats, counted from the start of the process.
@@ -64,61 +64,61 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /ops/readiness", func(w http.ResponseWriter, _ *http.Request) {
 		if relay.Ready() {
-			answer(w, http.StatusOK, "ready\n")
+			writeText(w, http.StatusOK, "ready\n")
 		} else {
-			answer(w, http.StatusServiceUnavailable, "not ready\n")
+			writeText(w, http.StatusServiceUnavailable, "not ready\n")
 		}
 	})
-	mux.HandleFunc("GET /ops/stats", func(w http.ResponseWriter, _ *http.Request) { inJSON(w, relay.Stats()) })
+	mux.HandleFunc("GET /ops/stats", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, relay.Stats()) })
 	mux.HandleFunc("GET /ops/fleet/{what}", func(w http.ResponseWriter, r *http.Request) {
-		if known := relay.Fleet(r.PathValue("what")); known != nil {
-			inJSON(w, known)
+		if value := relay.Fleet(r.PathValue("what")); value != nil {
+			writeJSON(w, value)
 		} else {
-			answer(w, http.StatusNotFound, "this relay takes no part in a fleet, or there is nothing of that name\n")
+			writeText(w, http.StatusNotFound, "this relay takes no part in a fleet, or there is nothing of that name\n")
 		}
 	})
-	maintain := func(down bool) http.HandlerFunc {
+	maintenanceHandler := func(down bool) http.HandlerFunc {
 		return func(w http.ResponseWriter, r *http.Request) {
 			id := r.PathValue("id")
 			if id == "" || strings.ContainsAny(id, "/ \t") {
-				answer(w, http.StatusBadRequest, "an endpoint's id is wanted\n")
+				writeText(w, http.StatusBadRequest, "an endpoint's id is wanted\n")
 				return
 			}
-			ctx, cancel := context.WithDeadline(r.Context(), time.Now().Add(answerWithin))
+			ctx, cancel := context.WithDeadline(r.Context(), time.Now().Add(answerTimeout))
 			defer cancel()
 			switch err := relay.Maintain(ctx, id, down); {
 			case errors.Is(err, ErrUnknown):
-				answer(w, http.StatusNotFound, "no such endpoint: "+id+"\n")
+				writeText(w, http.StatusNotFound, "no such endpoint: "+id+"\n")
 			case err != nil:
 				slog.Warn("maintenance not done", "endpoint", id, "down", down, "err", err)
-				answer(w, http.StatusServiceUnavailable, err.Error()+"\n")
+				writeText(w, http.StatusServiceUnavailable, err.Error()+"\n")
 			default:
 				slog.Info("maintenance", "endpoint", id, "down", down)
-				answer(w, http.StatusOK, "done\n")
+				writeText(w, http.StatusOK, "done\n")
 			}
 		}
 	}
-	mux.HandleFunc("POST /ops/fleet/configuration", configure(relay))
-	mux.HandleFunc("POST /ops/endpoints/down/{id}", maintain(true))
-	mux.HandleFunc("POST /ops/endpoints/up/{id}", maintain(false))
-	s := &Server{ln: ln, http: &http.Server{Handler: mux, ReadHeaderTimeout: headerWithin, ReadTimeout: headerWithin,
-		WriteTimeout: writeWithin, IdleTimeout: headerWithin, MaxHeaderBytes: 8 << 10,
+	mux.HandleFunc("POST /ops/fleet/configuration", configurationHandler(relay))
+	mux.HandleFunc("POST /ops/endpoints/down/{id}", maintenanceHandler(true))
+	mux.HandleFunc("POST /ops/endpoints/up/{id}", maintenanceHandler(false))
+	s := &Server{ln: ln, http: &http.Server{Handler: mux, ReadHeaderTimeout: headerTimeout, ReadTimeout: headerTimeout,
+		WriteTimeout: writeTimeout, IdleTimeout: headerTimeout, MaxHeaderBytes: 8 << 10,
 		ErrorLog: slog.NewLogLogger(slog.Default().Handler(), slog.LevelDebug)}}
 	s.http.SetKeepAlivesEnabled(false) // one call per connection
 	return s, nil
 }
 
-func inJSON(w http.ResponseWriter, x any) {
+func writeJSON(w http.ResponseWriter, x any) {
 	body, err := json.Marshal(x)
 	if err != nil {
-		answer(w, http.StatusInternalServerError, err.Error()+"\n")
+		writeText(w, http.StatusInternalServerError, err.Error()+"\n")
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	answer(w, http.StatusOK, string(body)+"\n")
+	writeText(w, http.StatusOK, string(body)+"\n")
 }
 
-func answer(w http.ResponseWriter, code int, body string) {
+func writeText(w http.ResponseWriter, code int, body string) {
 	w.Header().Set("Connection", "close")
 	w.WriteHeader(code)
 	_, _ = w.Write([]byte(body))
--- a/internal/ops/ops_test.go
+++ b/internal/ops/ops_test.go
@@ -88,7 +88,7 @@
 	return resp.StatusCode, b.String(), time.Since(began)
 }
 
-func TestCalls(t *testing.T) {
+func TestEndpoints(t *testing.T) {
 	f := &fakeRelay{bans: map[string]int{}, known: map[string]bool{"s-1": true}}
 	addr := serve(t, f)
 	if code, _, _ := call(t, addr, "GET", "/ops/readiness"); code != http.StatusServiceUnavailable {
@@ -139,7 +139,7 @@
 }
 
 // A relay that cannot confirm in time is answered no within the second, not at its leisure.
-func TestAnswerInTime(t *testing.T) {
+func TestBlockedMaintainIsAnsweredInTime(t *testing.T) {
 	f := &fakeRelay{ready: true, bans: map[string]int{}, known: map[string]bool{"s-1": true}, block: true}
 	addr := serve(t, f)
 	code, _, took := call(t, addr, "POST", "/ops/endpoints/down/s-1")
@@ -149,7 +149,7 @@
 }
 
 // Callers that send nothing, or half a call, and linger hold nobody else up, and are let go.
-func TestSilentAndHalfCallers(t *testing.T) {
+func TestSilentAndPartialCallersAreClosed(t *testing.T) {
 	f := &fakeRelay{ready: true, bans: map[string]int{}, known: map[string]bool{}}
 	addr := serve(t, f)
 	var lingering []net.Conn
--- a/internal/proptest/proptest.go
+++ b/internal/proptest/proptest.go
@@ -1,5 +1,5 @@
-// Package proptest is the one helper of the network tests: properties with a fixed seed, valid bytes in random
-// pieces, and garbage.
+// Package proptest helps with property-based tests of network code: it runs properties with a fixed seed, splits valid input
+// at random places and generates malformed input.
 package proptest
 
 import (
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// Check tests a property from a fixed seed. The seed is set here and not on the command line, where the
-// flag would break packages that do not import rapid; no fail files are written.
+// Check tests a property with a fixed seed and writes no fail files. It sets rapid's flags here, because a flag on the command
+// line of go test fails in packages that do not import rapid.
 func Check(t *testing.T, prop func(*rapid.T)) {
 	t.Helper()
 	for name, value := range map[string]string{"rapid.seed": "20261201", "rapid.nofailfile": "true"} {
@@ -21,7 +21,7 @@
 	rapid.Check(t, prop)
 }
 
-// Pieces cuts a text at random places.
+// Pieces splits text at random places into non-empty pieces.
 func Pieces(t *rapid.T, text []byte) [][]byte {
 	var pieces [][]byte
 	for len(text) > 0 {
@@ -31,7 +31,7 @@
 	return pieces
 }
 
-// Garbage is random bytes, or a valid text with a few bytes changed or its end missing.
+// Garbage returns either random bytes, or the valid input with a few bytes changed and possibly truncated.
 func Garbage(t *rapid.T, valid []byte) []byte {
 	if rapid.Bool().Draw(t, "random") {
 		return rapid.SliceOfN(rapid.Byte(), 0, 300).Draw(t, "bytes")
--- a/internal/secure/material.go
+++ b/internal/secure/credentials.go
@@ -17,20 +17,20 @@
 	"slatemux/internal/tlspolicy"
 )
 
-// material is what a policy's files held when they were last read and made sense.
-type material struct {
+// credentials is what a policy's files held when they were last read and made sense.
+type credentials struct {
 	roots    *x509.CertPool
 	pair     *tls.Certificate // of the client; nil for none
 	rootsSum [sha256.Size]byte
 	pairSum  [sha256.Size]byte
 }
 
-// maxFile is more than any file of certificates has reason to hold.
-const maxFile = 4 << 20
+// maxFileBytes is more than any file of certificates has reason to hold.
+const maxFileBytes = 4 << 20
 
-// read reads a policy's files. It takes all or nothing, and names the file that is at fault.
-func read(p *tlspolicy.Policy) (*material, error) {
-	m := &material{}
+// readCredentials reads a policy's files. It takes all or nothing, and names the file that is at fault.
+func readCredentials(p *tlspolicy.Policy) (*credentials, error) {
+	m := &credentials{}
 	files := slices.Clone(p.RootFiles)
 	for _, dir := range p.RootDirs {
 		list, err := os.ReadDir(dir)
@@ -71,7 +71,7 @@
 	if p.Certificate == "" {
 		return m, nil
 	}
-	if err := private(p.Key); err != nil {
+	if err := checkKeyMode(p.Key); err != nil {
 		return nil, err
 	}
 	cert, err := readFile(p.Certificate)
@@ -96,14 +96,14 @@
 	if err != nil {
 		return nil, err
 	}
-	if info.Size() > maxFile {
+	if info.Size() > maxFileBytes {
 		return nil, fmt.Errorf("%s: %d bytes are too many for certificates", path, info.Size())
 	}
 	return os.ReadFile(path)
 }
 
-// private refuses a key file that others than its owner may read or write.
-func private(path string) error {
+// checkKeyMode refuses a key file that others than its owner may read or write.
+func checkKeyMode(path string) error {
 	info, err := os.Stat(path)
 	if err != nil {
 		return err
--- a/internal/secure/secure.go
+++ b/internal/secure/secure.go
@@ -23,12 +23,12 @@
 )
 
 const (
-	// settle is how long files must have been left alone before they are read: a renewal writes several.
-	settle = 200 * time.Millisecond
-	// lineEvery is how often a failure of one cause is logged.
-	lineEvery = time.Minute
-	// sampleEvery is how many handshakes share one whose processor time is measured: that binds it to a thread.
-	sampleEvery = 8
+	// reloadDelay is how long files must have been left alone before they are read: a renewal writes several.
+	reloadDelay = 200 * time.Millisecond
+	// failureLogInterval is how often a failure of one cause is logged.
+	failureLogInterval = time.Minute
+	// handshakesPerCPUSample is how many handshakes share one whose processor time is measured: that binds it to a thread.
+	handshakesPerCPUSample = 8
 )
 
 // Manager owns what TLS needs beside connections. It is safe for use by several goroutines.
@@ -36,20 +36,20 @@
 	table tlspolicy.Table
 	now   func() time.Time
 
-	mu    sync.Mutex
-	kept  map[string]*kept // by policy
-	epoch int64
+	mu          sync.Mutex
+	policyState map[string]*policyState // by policy
+	epoch       int64
 
-	lines [tlspolicy.Causes]atomic.Int64 // when a cause was last logged, Unix time in ns
-	count [tlspolicy.Causes]atomic.Int64
+	lastLoggedNanos [tlspolicy.Causes]atomic.Int64 // when a cause was last logged, Unix time in ns
+	failures        [tlspolicy.Causes]atomic.Int64
 
 	handshakes, resumed, reloads, badReloads atomic.Int64
 }
 
-// kept is what is kept of one policy.
-type kept struct {
+// policyState is what is kept of one policy.
+type policyState struct {
 	policy *tlspolicy.Policy
-	*material
+	*credentials
 	epoch    int64
 	sessions map[int]tls.ClientSessionCache // by destination
 }
@@ -59,17 +59,17 @@
 	if err := table.Check(); err != nil {
 		return nil, fmt.Errorf("secure: %w", err)
 	}
-	m := &Manager{table: table, now: time.Now, kept: map[string]*kept{}}
+	m := &Manager{table: table, now: time.Now, policyState: map[string]*policyState{}}
 	for i := range table {
 		p := &table[i]
 		if p.Plain {
 			continue
 		}
-		read, err := read(p)
+		creds, err := readCredentials(p)
 		if err != nil {
 			return nil, fmt.Errorf("secure: policy %q: %w", p.Name, err)
 		}
-		m.kept[p.Name] = &kept{policy: p, material: read, sessions: map[int]tls.ClientSessionCache{}}
+		m.policyState[p.Name] = &policyState{policy: p, credentials: creds, sessions: map[int]tls.ClientSessionCache{}}
 	}
 	return m, nil
 }
@@ -84,22 +84,22 @@
 func (m *Manager) Reload() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for name, k := range m.kept {
-		now, err := read(k.policy)
+	for name, k := range m.policyState {
+		loaded, err := readCredentials(k.policy)
 		if err != nil {
 			m.badReloads.Add(1)
 			slog.Error("tls files not taken over", "policy", name, "err", err)
 			continue
 		}
-		roots, pair := now.rootsSum != k.rootsSum, now.pairSum != k.pairSum
+		roots, pair := loaded.rootsSum != k.rootsSum, loaded.pairSum != k.pairSum
 		if !roots && !pair {
 			continue
 		}
 		m.epoch++
-		next := &kept{policy: k.policy, material: now, epoch: m.epoch, sessions: k.sessions}
+		next := &policyState{policy: k.policy, credentials: loaded, epoch: m.epoch, sessions: k.sessions}
 		// A session stands for a chain that was verified by the old roots, and for our old certificate.
 		next.sessions = map[int]tls.ClientSessionCache{}
-		m.kept[name] = next
+		m.policyState[name] = next
 		m.reloads.Add(1)
 		slog.Info("tls files taken over", "policy", name, "roots", roots, "pair", pair)
 	}
@@ -112,7 +112,7 @@
 		return fmt.Errorf("secure: %w", err)
 	}
 	defer w.Close()
-	for _, dir := range m.folders() {
+	for _, dir := range m.watchedFolders() {
 		if err := w.Add(dir); err != nil {
 			return fmt.Errorf("secure: %s: %w", dir, err)
 		}
@@ -127,13 +127,13 @@
 			if !ok {
 				return nil
 			}
-			due = time.After(settle)
+			due = time.After(reloadDelay)
 		case err, ok := <-w.Errors: // events were lost, say: look at everything
 			if !ok {
 				return nil
 			}
 			slog.Warn("tls files not watched well", "err", err)
-			due = time.After(settle)
+			due = time.After(reloadDelay)
 		case <-due:
 			due = nil
 			m.Reload()
@@ -141,7 +141,7 @@
 	}
 }
 
-func (m *Manager) folders() (dirs []string) {
+func (m *Manager) watchedFolders() (dirs []string) {
 	for i := range m.table {
 		p := &m.table[i]
 		dirs = append(dirs, p.RootDirs...)
@@ -158,9 +158,9 @@
 // Conn is a connection over TLS, with what it was made by.
 type Conn struct {
 	*tls.Conn
-	policy string
-	epoch  int64
-	until  time.Time // the server's certificate is valid
+	policy   string
+	epoch    int64
+	notAfter time.Time // the server's certificate is valid
 }
 
 // Client makes the handshake on a connection to a member, until ctx ends. It closes the connection where that fails.
@@ -171,7 +171,7 @@
 		return nc, 0, nil
 	}
 	m.mu.Lock()
-	k := m.kept[p.Name]
+	k := m.policyState[p.Name]
 	cache := k.sessions[member.Destination]
 	if cache == nil && p.Sessions > 0 {
 		cache = tls.NewLRUClientSessionCache(p.Sessions)
@@ -179,7 +179,7 @@
 	}
 	m.mu.Unlock()
 	if cache != nil {
-		cache = perMember{cache, member.Host}
+		cache = memberSessionCache{cache, member.Host}
 	}
 	name := p.ServerNameOf(member.Dial)
 	cfg := &tls.Config{ServerName: name, RootCAs: k.roots, MinVersion: p.MinVersion, ClientSessionCache: cache, Time: m.now,
@@ -198,7 +198,7 @@
 		if ctx.Err() != nil && f.Cause != tlspolicy.Stalled {
 			f = &tlspolicy.Failure{Cause: tlspolicy.Stalled, Err: err}
 		}
-		m.failed(f, member, p)
+		m.recordFailure(f, member, p)
 		return nil, took, f
 	}
 	m.handshakes.Add(1)
@@ -206,22 +206,22 @@
 	if cs.DidResume {
 		m.resumed.Add(1)
 	}
-	return &Conn{Conn: c, policy: p.Name, epoch: k.epoch, until: cs.PeerCertificates[0].NotAfter}, took, nil
+	return &Conn{Conn: c, policy: p.Name, epoch: k.epoch, notAfter: cs.PeerCertificates[0].NotAfter}, took, nil
 }
 
 // handshake makes a handshake and, for a sample, measures what it takes of the processor.
 func (m *Manager) handshake(ctx context.Context, c *tls.Conn) (time.Duration, error) {
-	if m.handshakes.Load()%sampleEvery != 0 {
+	if m.handshakes.Load()%handshakesPerCPUSample != 0 {
 		return 0, c.HandshakeContext(ctx)
 	}
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
-	from := threadTime()
+	from := threadCPUTime()
 	err := c.HandshakeContext(ctx)
-	return threadTime() - from, err
+	return threadCPUTime() - from, err
 }
 
-func threadTime() time.Duration {
+func threadCPUTime() time.Duration {
 	var ts unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_THREAD_CPUTIME_ID, &ts) != nil {
 		return 0
@@ -238,13 +238,13 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return c.epoch == m.kept[c.policy].epoch && m.now().Before(c.until)
+	return c.epoch == m.policyState[c.policy].epoch && m.now().Before(c.notAfter)
 }
 
-func (m *Manager) failed(f *tlspolicy.Failure, member *traffic.Member, p *tlspolicy.Policy) {
-	m.count[f.Cause].Add(1)
-	now, last := m.now().UnixNano(), m.lines[f.Cause].Load()
-	if last != 0 && now-last < int64(lineEvery) || !m.lines[f.Cause].CompareAndSwap(last, now) {
+func (m *Manager) recordFailure(f *tlspolicy.Failure, member *traffic.Member, p *tlspolicy.Policy) {
+	m.failures[f.Cause].Add(1)
+	now, last := m.now().UnixNano(), m.lastLoggedNanos[f.Cause].Load()
+	if last != 0 && now-last < int64(failureLogInterval) || !m.lastLoggedNanos[f.Cause].CompareAndSwap(last, now) {
 		return
 	}
 	slog.Error("tls handshake failed", "member", member.Host, "destination", member.Destination, "addr", member.Dial, "policy", p.Name,
@@ -260,8 +260,8 @@
 // Counters returns the counters.
 func (m *Manager) Counters() Counters {
 	c := Counters{Handshakes: m.handshakes.Load(), Resumed: m.resumed.Load(), Reloads: m.reloads.Load(), BadReloads: m.badReloads.Load()}
-	for i := range m.count {
-		c.Failed[i] = m.count[i].Load()
+	for i := range m.failures {
+		c.Failed[i] = m.failures[i].Load()
 	}
 	return c
 }
@@ -278,28 +278,28 @@
 	return slog.GroupValue(attrs...)
 }
 
-// perMember keeps the sessions of one member apart from those of others under the same server name: each server has
+// memberSessionCache keeps the sessions of one member apart from those of others under the same server name: each server has
 // ticket keys of its own.
-type perMember struct {
+type memberSessionCache struct {
 	tls.ClientSessionCache
 	host string
 }
 
-func (c perMember) Get(key string) (*tls.ClientSessionState, bool) {
+func (c memberSessionCache) Get(key string) (*tls.ClientSessionState, bool) {
 	return c.ClientSessionCache.Get(strconv.Itoa(len(c.host)) + c.host + key)
 }
 
-func (c perMember) Put(key string, s *tls.ClientSessionState) {
+func (c memberSessionCache) Put(key string, s *tls.ClientSessionState) {
 	c.ClientSessionCache.Put(strconv.Itoa(len(c.host))+c.host+key, s)
 }
 
-// errNoPolicy says that a member's connections are plain.
-var errNoPolicy = errors.New("secure: connections to it are plain")
+// errNoTLS says that a member's connections are plain.
+var errNoTLS = errors.New("secure: connections to it are plain")
 
 // Check connects to a member once, shows what came of it, and connects again to see whether the session is resumed.
 func (m *Manager) Check(ctx context.Context, member *traffic.Member) (first, second tls.ConnectionState, took [2]time.Duration, err error) {
 	if !m.Wants(member) {
-		return first, second, took, errNoPolicy
+		return first, second, took, errNoTLS
 	}
 	for i, state := range []*tls.ConnectionState{&first, &second} {
 		from := time.Now()
--- a/internal/secure/secure_test.go
+++ b/internal/secure/secure_test.go
@@ -29,32 +29,32 @@
 	return v
 }
 
-func no(t *testing.T, err error) {
+func noError(t *testing.T, err error) {
 	t.Helper()
 	if err != nil {
 		t.Fatal(err)
 	}
 }
 
-// rig is an authority, a server under it that a test may change, and a Manager that trusts the authority by a file.
-type rig struct {
-	t      *testing.T
-	root   *ca.Pair
-	dir    string
-	ln     net.Listener
-	m      *Manager
-	member traffic.Member
+// harness is an authority, a server under it that a test may change, and a Manager that trusts the authority by a file.
+type harness struct {
+	t       *testing.T
+	root    *ca.Pair
+	dir     string
+	ln      net.Listener
+	manager *Manager
+	member  traffic.Member
 
-	mu  sync.Mutex
-	cfg *tls.Config
-	raw func(net.Conn) // takes over from TLS
+	mu         sync.Mutex
+	cfg        *tls.Config
+	rawHandler func(net.Conn) // takes over from TLS
 }
 
-func newRig(t *testing.T, change func(*tlspolicy.Policy)) *rig {
+func newHarness(t *testing.T, change func(*tlspolicy.Policy)) *harness {
 	t.Helper()
 	slog.SetDefault(slog.New(slog.DiscardHandler))
-	r := &rig{t: t, root: must(ca.Root("root", ca.P256)), dir: t.TempDir()}
-	no(t, ca.Write(r.file("root.pem"), r.root.PEM(), 0o644))
+	r := &harness{t: t, root: must(ca.Root("root", ca.P256)), dir: t.TempDir()}
+	noError(t, ca.Write(r.file("root.pem"), r.root.PEM(), 0o644))
 	r.serve(must(r.root.Issue(ca.Leaf{Names: []string{"pay.example.org"}})), nil)
 	r.ln = must(net.Listen("tcp", "127.0.0.1:0"))
 	t.Cleanup(func() { r.ln.Close() })
@@ -63,16 +63,16 @@
 	if change != nil {
 		change(&p)
 	}
-	m, err := New(tlspolicy.Table{p})
-	no(t, err)
-	r.m = m
+	manager, err := New(tlspolicy.Table{p})
+	noError(t, err)
+	r.manager = manager
 	r.member = traffic.Member{Host: "m", Dial: r.ln.Addr().String(), Destination: 7}
 	return r
 }
 
-func (r *rig) file(name string) string { return filepath.Join(r.dir, name) }
+func (r *harness) file(name string) string { return filepath.Join(r.dir, name) }
 
-func (r *rig) serve(p *ca.Pair, change func(*tls.Config)) {
+func (r *harness) serve(p *ca.Pair, change func(*tls.Config)) {
 	cfg := &tls.Config{Certificates: []tls.Certificate{p.TLS()}}
 	if change != nil {
 		change(cfg)
@@ -82,19 +82,19 @@
 	r.mu.Unlock()
 }
 
-func (r *rig) accept() {
+func (r *harness) accept() {
 	for {
 		nc, err := r.ln.Accept()
 		if err != nil {
 			return
 		}
 		r.mu.Lock()
-		cfg, raw := r.cfg, r.raw
+		cfg, rawHandler := r.cfg, r.rawHandler
 		r.mu.Unlock()
 		go func() {
 			defer nc.Close()
-			if raw != nil {
-				raw(nc)
+			if rawHandler != nil {
+				rawHandler(nc)
 				return
 			}
 			c := tls.Server(nc, cfg)
@@ -107,13 +107,13 @@
 }
 
 // connect makes one connection and reads what the server says first.
-func (r *rig) connect() (*Conn, error) {
+func (r *harness) connect() (*Conn, error) {
 	r.t.Helper()
 	nc, err := net.Dial("tcp", r.member.Dial)
-	no(r.t, err)
+	noError(r.t, err)
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
-	c, _, err := r.m.Client(ctx, nc, &r.member)
+	c, _, err := r.manager.Client(ctx, nc, &r.member)
 	if err != nil {
 		return nil, err
 	}
@@ -124,21 +124,21 @@
 	return c.(*Conn), nil
 }
 
-// fails connects and wants a cause.
-func (r *rig) fails(want tlspolicy.Cause) {
+// expectFailure connects and wants a cause.
+func (r *harness) expectFailure(want tlspolicy.Cause) {
 	r.t.Helper()
-	before := r.m.Counters().Failed[want]
+	before := r.manager.Counters().Failed[want]
 	_, err := r.connect()
 	var f *tlspolicy.Failure
-	if !errors.As(err, &f) || f.Cause != want || r.m.Counters().Failed[want] != before+1 {
+	if !errors.As(err, &f) || f.Cause != want || r.manager.Counters().Failed[want] != before+1 {
 		r.t.Errorf("want %v: %v", want, err)
 	}
 }
 
-func (r *rig) resumes(want bool) {
+func (r *harness) expectResumption(want bool) {
 	r.t.Helper()
 	c, err := r.connect()
-	no(r.t, err)
+	noError(r.t, err)
 	if c.ConnectionState().DidResume != want {
 		r.t.Errorf("resumed %v, want %v", !want, want)
 	}
@@ -147,95 +147,95 @@
 // Both versions resume; a server that changes its ticket keys, or gives none, costs a full handshake and no failure.
 func TestResumption(t *testing.T) {
 	for _, version := range []uint16{tls.VersionTLS12, tls.VersionTLS13} {
-		r := newRig(t, nil)
+		r := newHarness(t, nil)
 		leaf := must(r.root.Issue(ca.Leaf{Names: []string{"pay.example.org"}}))
 		r.serve(leaf, func(c *tls.Config) { c.MaxVersion = version })
-		r.resumes(false)
-		r.resumes(true)
-		r.resumes(true)
+		r.expectResumption(false)
+		r.expectResumption(true)
+		r.expectResumption(true)
 		r.serve(leaf, func(c *tls.Config) { c.MaxVersion = version }) // new keys for tickets
-		r.resumes(false)
-		r.resumes(true)
+		r.expectResumption(false)
+		r.expectResumption(true)
 		r.serve(leaf, func(c *tls.Config) { c.MaxVersion, c.SessionTicketsDisabled = version, true })
-		r.resumes(false)
-		r.resumes(false)
-		if c := r.m.Counters(); c.Handshakes != 7 || c.Resumed != 3 || c.Failed != [tlspolicy.Causes]int64{} {
+		r.expectResumption(false)
+		r.expectResumption(false)
+		if c := r.manager.Counters(); c.Handshakes != 7 || c.Resumed != 3 || c.Failed != [tlspolicy.Causes]int64{} {
 			t.Errorf("%+v", c)
 		}
 	}
-	r := newRig(t, func(p *tlspolicy.Policy) { p.Sessions = 0 })
-	r.resumes(false)
-	r.resumes(false)
+	r := newHarness(t, func(p *tlspolicy.Policy) { p.Sessions = 0 })
+	r.expectResumption(false)
+	r.expectResumption(false)
 }
 
 // Members under one name keep sessions apart, and a destination keeps no more than it may.
 func TestSessionsAreBounded(t *testing.T) {
-	r := newRig(t, func(p *tlspolicy.Policy) { p.Sessions = 2 })
+	r := newHarness(t, func(p *tlspolicy.Policy) { p.Sessions = 2 })
 	for _, host := range []string{"a", "b", "c"} {
 		r.member.Host = host
-		r.resumes(false)
+		r.expectResumption(false)
 	}
 	r.member.Host = "c"
-	r.resumes(true)
+	r.expectResumption(true)
 	r.member.Host = "a" // the oldest had to go
-	r.resumes(false)
+	r.expectResumption(false)
 }
 
 // A certificate that expires in mid-service: new connections fail and say why, idle ones are not used again, and the
 // session does not let it live on.
-func TestExpiryInMidService(t *testing.T) {
-	r := newRig(t, nil)
+func TestCertificateExpiresInService(t *testing.T) {
+	r := newHarness(t, nil)
 	soon := time.Now().Add(time.Minute)
 	r.serve(must(r.root.Issue(ca.Leaf{Names: []string{"pay.example.org"}, NotAfter: soon})), nil)
 	c, err := r.connect()
-	no(t, err)
-	if !r.m.Fresh(c) {
+	noError(t, err)
+	if !r.manager.Fresh(c) {
 		t.Error("a connection of a valid certificate is not fresh")
 	}
-	r.m.now = func() time.Time { return soon.Add(time.Second) }
-	if r.m.Fresh(c) {
+	r.manager.now = func() time.Time { return soon.Add(time.Second) }
+	if r.manager.Fresh(c) {
 		t.Error("its certificate has expired, and the connection is used on")
 	}
-	r.fails(tlspolicy.Expired)
+	r.expectFailure(tlspolicy.Expired)
 	r.serve(must(r.root.Issue(ca.Leaf{Names: []string{"pay.example.org"}})), nil)
-	r.resumes(false)
-	r.m.now = func() time.Time { return time.Now().Add(-3 * time.Hour) }
-	r.fails(tlspolicy.NotYetValid)
+	r.expectResumption(false)
+	r.manager.now = func() time.Time { return time.Now().Add(-3 * time.Hour) }
+	r.expectFailure(tlspolicy.NotYetValid)
 }
 
 // What is not to be trusted is not, and each says why.
-func TestWhoIsNotTrusted(t *testing.T) {
-	r := newRig(t, nil)
+func TestUntrustedServers(t *testing.T) {
+	r := newHarness(t, nil)
 	other := must(ca.Root("other", ca.P256))
 	r.serve(must(r.root.Issue(ca.Leaf{Names: []string{"pay.example.com"}})), nil)
-	r.fails(tlspolicy.WrongName)
+	r.expectFailure(tlspolicy.WrongName)
 	r.serve(must(other.Issue(ca.Leaf{Names: []string{"pay.example.org"}})), nil)
-	r.fails(tlspolicy.UnknownRoot)
-	alone := must(other.Issue(ca.Leaf{Names: []string{"pay.example.org"}}))
-	r.serve(must((&ca.Pair{Cert: alone.Cert, Key: alone.Key}).Issue(ca.Leaf{Names: []string{"pay.example.org"}, Key: alone.Key})), nil) // by its own key
-	r.fails(tlspolicy.UnknownRoot)
+	r.expectFailure(tlspolicy.UnknownRoot)
+	sameKey := must(other.Issue(ca.Leaf{Names: []string{"pay.example.org"}}))
+	r.serve(must((&ca.Pair{Cert: sameKey.Cert, Key: sameKey.Key}).Issue(ca.Leaf{Names: []string{"pay.example.org"}, Key: sameKey.Key})), nil) // by its own key
+	r.expectFailure(tlspolicy.UnknownRoot)
 	r.serve(must(r.root.Issue(ca.Leaf{Names: []string{"pay.example.org"}, Client: true})), nil)
-	r.fails(tlspolicy.Unsuitable)
+	r.expectFailure(tlspolicy.Unsuitable)
 	r.serve(must(r.root.Issue(ca.Leaf{Names: []string{"pay.example.org"}})), func(c *tls.Config) { c.MaxVersion = tls.VersionTLS11; c.MinVersion = tls.VersionTLS10 })
-	r.fails(tlspolicy.Versions)
+	r.expectFailure(tlspolicy.Versions)
 }
 
 // A key that is not pinned is refused, though its chain is good, also where a session would be resumed.
-func TestRevokedByPin(t *testing.T) {
+func TestRevocationByPin(t *testing.T) {
 	key := must(ca.NewKey(ca.P256))
 	spare := must(ca.NewKey(ca.P256))
 	pins := []tlspolicy.Pin{{1}, {2}}
-	r := newRig(t, func(p *tlspolicy.Policy) { p.Pins = pins })
+	r := newHarness(t, func(p *tlspolicy.Policy) { p.Pins = pins })
 	issue := func() *ca.Pair { return must(r.root.Issue(ca.Leaf{Names: []string{"pay.example.org"}, Key: key})) }
 	pins[0], pins[1] = tlspolicy.PinOf(issue().Cert), tlspolicy.PinOf(must(r.root.Issue(ca.Leaf{Names: []string{"x"}, Key: spare})).Cert)
-	r.fails(tlspolicy.PinMissing)
+	r.expectFailure(tlspolicy.PinMissing)
 	r.serve(issue(), nil)
-	r.resumes(false)
-	r.resumes(true)
+	r.expectResumption(false)
+	r.expectResumption(true)
 	pins[0] = tlspolicy.Pin{1} // its key is known to others now
-	r.fails(tlspolicy.PinMissing)
+	r.expectFailure(tlspolicy.PinMissing)
 	r.serve(must(r.root.Issue(ca.Leaf{Names: []string{"pay.example.org"}, Key: spare})), nil)
-	r.resumes(false)
+	r.expectResumption(false)
 }
 
 // A server may ask for a certificate of ours: with none it refuses us, with ours it lets us in; a new pair counts for
@@ -244,51 +244,51 @@
 	clients := must(ca.Root("clients", ca.P256))
 	pool := x509.NewCertPool()
 	pool.AddCert(clients.Cert)
-	demand := func(c *tls.Config) { c.ClientAuth, c.ClientCAs = tls.RequireAndVerifyClientCert, pool }
-	bare := newRig(t, nil)
-	leaf := func(r *rig) *ca.Pair { return must(r.root.Issue(ca.Leaf{Names: []string{"pay.example.org"}})) }
+	requireClientCert := func(c *tls.Config) { c.ClientAuth, c.ClientCAs = tls.RequireAndVerifyClientCert, pool }
+	withoutCert := newHarness(t, nil)
+	leaf := func(r *harness) *ca.Pair { return must(r.root.Issue(ca.Leaf{Names: []string{"pay.example.org"}})) }
 	for _, version := range []uint16{tls.VersionTLS12, tls.VersionTLS13} {
-		bare.serve(leaf(bare), func(c *tls.Config) { demand(c); c.MaxVersion = version })
+		withoutCert.serve(leaf(withoutCert), func(c *tls.Config) { requireClientCert(c); c.MaxVersion = version })
 		// TLS 1.3 tells it only behind the handshake, TLS 1.2 with an alert that stands for much.
 		want := map[uint16]tlspolicy.Cause{tls.VersionTLS12: tlspolicy.Versions, tls.VersionTLS13: tlspolicy.ClientRefused}[version]
-		if _, err := bare.connect(); err == nil || tlspolicy.Classify(err, time.Now()).Cause != want {
+		if _, err := withoutCert.connect(); err == nil || tlspolicy.Classify(err, time.Now()).Cause != want {
 			t.Errorf("without a certificate of ours: %v", err)
 		}
 	}
 	dir := t.TempDir()
 	cert, key := filepath.Join(dir, "client.pem"), filepath.Join(dir, "client.key")
 	first := must(clients.Issue(ca.Leaf{Names: []string{"relay"}, Client: true}))
-	no(t, first.Files(cert, key))
-	r := newRig(t, func(p *tlspolicy.Policy) { p.Certificate, p.Key = cert, key })
-	r.serve(leaf(r), demand)
+	noError(t, first.Files(cert, key))
+	r := newHarness(t, func(p *tlspolicy.Policy) { p.Certificate, p.Key = cert, key })
+	r.serve(leaf(r), requireClientCert)
 	old, err := r.connect()
-	no(t, err)
+	noError(t, err)
 
 	// A renewal that writes the key first, and one whose certificate is half there: the old pair serves on.
 	second := must(clients.Issue(ca.Leaf{Names: []string{"relay"}, Client: true}))
-	text := must(second.KeyPEM())
-	no(t, ca.Write(key, text, 0o600))
-	r.m.Reload()
-	no(t, os.WriteFile(cert, second.PEM()[:100], 0o600))
-	r.m.Reload()
-	if c := r.m.Counters(); c.Reloads != 0 || c.BadReloads != 2 || !r.m.Fresh(old) {
-		t.Errorf("%+v, fresh %v", c, r.m.Fresh(old))
+	keyPEM := must(second.KeyPEM())
+	noError(t, ca.Write(key, keyPEM, 0o600))
+	r.manager.Reload()
+	noError(t, os.WriteFile(cert, second.PEM()[:100], 0o600))
+	r.manager.Reload()
+	if c := r.manager.Counters(); c.Reloads != 0 || c.BadReloads != 2 || !r.manager.Fresh(old) {
+		t.Errorf("%+v, fresh %v", c, r.manager.Fresh(old))
 	}
 	if _, err := r.connect(); err != nil {
 		t.Errorf("between the two files: %v", err)
 	}
-	no(t, ca.Write(cert, second.PEM(), 0o644))
-	r.m.Reload()
-	r.m.Reload()
-	if c := r.m.Counters(); c.Reloads != 1 || r.m.Fresh(old) {
-		t.Errorf("%+v, fresh %v", c, r.m.Fresh(old))
+	noError(t, ca.Write(cert, second.PEM(), 0o644))
+	r.manager.Reload()
+	r.manager.Reload()
+	if c := r.manager.Counters(); c.Reloads != 1 || r.manager.Fresh(old) {
+		t.Errorf("%+v, fresh %v", c, r.manager.Fresh(old))
 	}
-	if c, err := r.connect(); err != nil || c.ConnectionState().DidResume || !r.m.Fresh(c) {
+	if c, err := r.connect(); err != nil || c.ConnectionState().DidResume || !r.manager.Fresh(c) {
 		t.Errorf("with the new pair: %v", err)
 	}
-	no(t, os.Chmod(key, 0o640))
-	r.m.Reload()
-	if c := r.m.Counters(); c.BadReloads != 3 {
+	noError(t, os.Chmod(key, 0o640))
+	r.manager.Reload()
+	if c := r.manager.Counters(); c.BadReloads != 3 {
 		t.Errorf("a key that others may read was taken: %+v", c)
 	}
 }
@@ -296,71 +296,71 @@
 // Roots rotate: the old one, both, the new one alone. With a cross-signed certificate in its chain, the server changes
 // over at any moment in between and is accepted throughout.
 func TestRootRotation(t *testing.T) {
-	r := newRig(t, nil)
+	r := newHarness(t, nil)
 	next := must(ca.Root("next", ca.P256))
-	crossed := must(r.root.Cross(next))
-	below := must(next.Issue(ca.Leaf{Names: []string{"pay.example.org"}}))
-	r.resumes(false)
-	r.resumes(true)
-	below.Chain = append(below.Chain, crossed.Cert)
-	r.serve(below, nil)
-	r.resumes(false) // the old root vouches for the new one
-	no(t, ca.Write(r.file("root.pem"), append(r.root.PEM(), next.PEM()...), 0o644))
-	r.m.Reload()
-	r.resumes(false) // sessions stand for the old roots
-	r.resumes(true)
-	no(t, ca.Write(r.file("root.pem"), next.PEM(), 0o644))
-	r.m.Reload()
-	r.resumes(false)
+	crossSigned := must(r.root.Cross(next))
+	leaf := must(next.Issue(ca.Leaf{Names: []string{"pay.example.org"}}))
+	r.expectResumption(false)
+	r.expectResumption(true)
+	leaf.Chain = append(leaf.Chain, crossSigned.Cert)
+	r.serve(leaf, nil)
+	r.expectResumption(false) // the old root vouches for the new one
+	noError(t, ca.Write(r.file("root.pem"), append(r.root.PEM(), next.PEM()...), 0o644))
+	r.manager.Reload()
+	r.expectResumption(false) // sessions stand for the old roots
+	r.expectResumption(true)
+	noError(t, ca.Write(r.file("root.pem"), next.PEM(), 0o644))
+	r.manager.Reload()
+	r.expectResumption(false)
 	r.serve(must(r.root.Issue(ca.Leaf{Names: []string{"pay.example.org"}})), nil)
-	r.fails(tlspolicy.UnknownRoot)
-	no(t, os.WriteFile(r.file("root.pem"), nil, 0o644))
-	r.m.Reload()
-	r.serve(below, nil)
-	r.resumes(false)
-	if c := r.m.Counters(); c.Reloads != 2 || c.BadReloads != 1 {
+	r.expectFailure(tlspolicy.UnknownRoot)
+	noError(t, os.WriteFile(r.file("root.pem"), nil, 0o644))
+	r.manager.Reload()
+	r.serve(leaf, nil)
+	r.expectResumption(false)
+	if c := r.manager.Counters(); c.Reloads != 2 || c.BadReloads != 1 {
 		t.Errorf("%+v", c)
 	}
 }
 
 // What is no TLS, or stops in the middle, fails in time and as such.
-func TestServersThatMisbehave(t *testing.T) {
-	r := newRig(t, nil)
-	behave := func(f func(net.Conn)) {
+func TestMisbehavingServers(t *testing.T) {
+	r := newHarness(t, nil)
+	setRawHandler := func(f func(net.Conn)) {
 		r.mu.Lock()
-		r.raw = f
+		r.rawHandler = f
 		r.mu.Unlock()
 	}
-	behave(func(nc net.Conn) {
+	setRawHandler(func(nc net.Conn) {
 		_, _ = io.WriteString(nc, "HTTP/1.1 400 Bad Request\r\n\r\n")
 		time.Sleep(50 * time.Millisecond)
 	})
-	r.fails(tlspolicy.NotTLS)
-	behave(func(nc net.Conn) { _, _ = io.ReadFull(nc, make([]byte, 5)) })
-	r.fails(tlspolicy.Broken)
+	r.expectFailure(tlspolicy.NotTLS)
+	setRawHandler(func(nc net.Conn) { _, _ = io.ReadFull(nc, make([]byte, 5)) })
+	r.expectFailure(tlspolicy.Broken)
 	stalled := make(chan struct{})
-	behave(func(nc net.Conn) { <-stalled })
+	setRawHandler(func(nc net.Conn) { <-stalled })
 	defer close(stalled)
 	nc, err := net.Dial("tcp", r.member.Dial)
-	no(t, err)
+	noError(t, err)
 	ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 	defer cancel()
-	if _, _, err := r.m.Client(ctx, nc, &r.member); tlspolicy.Classify(err, time.Now()).Cause != tlspolicy.Stalled {
+	if _, _, err := r.manager.Client(ctx, nc, &r.member); tlspolicy.Classify(err, time.Now()).Cause != tlspolicy.Stalled {
 		t.Errorf("a hello that stalls: %v", err)
 	}
 	rng := rand.New(rand.NewPCG(1, 1))
 	for range 30 { // garbage of any length, and never a panic or a connection
-		junk := make([]byte, rng.IntN(200))
-		for i := range junk {
-			junk[i] = byte(rng.Uint32())
+		garbage := make([]byte, rng.IntN(200))
+		for i := range garbage {
+			garbage[i] = byte(rng.Uint32())
 		}
-		behave(func(nc net.Conn) { _, _ = nc.Write(junk) })
+		setRawHandler(func(nc net.Conn) { _, _ = nc.Write(garbage) })
 		if _, err := r.connect(); err == nil {
-			t.Fatalf("%x was taken for TLS", junk)
+			t.Fatalf("%x was taken for TLS", garbage)
 		}
 	}
 	// The end without close_notify ends the connection; crypto/tls takes it for a proper end at a record's boundary.
-	behave(func(nc net.Conn) {
+	setRawHandler(func(nc net.Conn) {
 		c := tls.Server(nc, r.cfg)
 		if c.Handshake() == nil {
 			_, _ = io.WriteString(c, "x")
@@ -368,18 +368,18 @@
 		}
 	})
 	c, err := r.connect()
-	no(t, err)
+	noError(t, err)
 	if _, err := c.Read(make([]byte, 1)); err == nil {
 		t.Errorf("cut off without a word, it reads as %v", err)
 	}
 }
 
 // Records cut at random places are one handshake all the same.
-func TestRecordsInPieces(t *testing.T) {
-	r := newRig(t, nil)
+func TestFragmentedRecords(t *testing.T) {
+	r := newHarness(t, nil)
 	r.mu.Lock()
-	r.raw = func(nc net.Conn) {
-		c := tls.Server(pieces{nc, rand.New(rand.NewPCG(2, 2))}, r.cfg)
+	r.rawHandler = func(nc net.Conn) {
+		c := tls.Server(chunkedConn{nc, rand.New(rand.NewPCG(2, 2))}, r.cfg)
 		if c.Handshake() == nil {
 			_, _ = io.WriteString(c, "x")
 			_, _ = io.Copy(io.Discard, c)
@@ -393,13 +393,13 @@
 	}
 }
 
-// pieces writes in pieces of random length.
-type pieces struct {
+// chunkedConn writes in pieces of random length.
+type chunkedConn struct {
 	net.Conn
 	rng *rand.Rand
 }
 
-func (p pieces) Write(b []byte) (n int, err error) {
+func (p chunkedConn) Write(b []byte) (n int, err error) {
 	for len(b) > n && err == nil {
 		var m int
 		m, err = p.Conn.Write(b[n:min(n+1+p.rng.IntN(40), len(b))])
@@ -414,34 +414,34 @@
 	dir := t.TempDir()
 	clients := must(ca.Root("clients", ca.P256))
 	cert, key := filepath.Join(dir, "client.pem"), filepath.Join(dir, "client.key")
-	no(t, must(clients.Issue(ca.Leaf{Names: []string{"0"}, Client: true})).Files(cert, key))
-	r := newRig(t, func(p *tlspolicy.Policy) { p.Certificate, p.Key = cert, key })
+	noError(t, must(clients.Issue(ca.Leaf{Names: []string{"0"}, Client: true})).Files(cert, key))
+	r := newHarness(t, func(p *tlspolicy.Policy) { p.Certificate, p.Key = cert, key })
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
-	go func() { ended <- r.m.Watch(ctx) }()
+	go func() { ended <- r.manager.Watch(ctx) }()
 	for i := 1; i <= 3; i++ {
-		no(t, must(clients.Issue(ca.Leaf{Names: []string{fmt.Sprint(i)}, Client: true})).Files(cert, key))
+		noError(t, must(clients.Issue(ca.Leaf{Names: []string{fmt.Sprint(i)}, Client: true})).Files(cert, key))
 		if _, err := r.connect(); err != nil {
 			t.Errorf("during a renewal: %v", err)
 		}
-		for deadline := time.Now().Add(30 * time.Second); r.m.Counters().Reloads < int64(i); time.Sleep(5 * time.Millisecond) {
+		for deadline := time.Now().Add(30 * time.Second); r.manager.Counters().Reloads < int64(i); time.Sleep(5 * time.Millisecond) {
 			if time.Now().After(deadline) {
-				t.Fatalf("renewal %d was not seen: %+v", i, r.m.Counters())
+				t.Fatalf("renewal %d was not seen: %+v", i, r.manager.Counters())
 			}
 		}
 	}
 	cancel()
-	no(t, <-ended)
+	noError(t, <-ended)
 }
 
 // What makes no sense at the start ends it, with the file or field at fault.
-func TestStartsThatFail(t *testing.T) {
+func TestNewRejectsInvalidFiles(t *testing.T) {
 	dir := t.TempDir()
 	root := must(ca.Root("root", ca.P256))
 	rootFile := filepath.Join(dir, "root.pem")
-	no(t, ca.Write(rootFile, root.PEM(), 0o644))
+	noError(t, ca.Write(rootFile, root.PEM(), 0o644))
 	keyFile := filepath.Join(dir, "a.key")
-	no(t, ca.Write(keyFile, must(root.KeyPEM()), 0o600))
+	noError(t, ca.Write(keyFile, must(root.KeyPEM()), 0o600))
 	base := tlspolicy.Policy{Name: "bank", RootFiles: []string{rootFile}, MinVersion: tls.VersionTLS12}
 	for want, change := range map[string]func(*tlspolicy.Policy){
 		"none.pem":                func(p *tlspolicy.Policy) { p.RootFiles = []string{filepath.Join(dir, "none.pem")} },
@@ -459,7 +459,7 @@
 		case "a.key":
 			want = "none"
 		case "root.pem with":
-			no(t, ca.Write(rootFile+".2", must(must(ca.Root("x", ca.P256)).KeyPEM()), 0o600))
+			noError(t, ca.Write(rootFile+".2", must(must(ca.Root("x", ca.P256)).KeyPEM()), 0o600))
 		}
 		if _, err := New(tlspolicy.Table{p}); err == nil || !strings.Contains(err.Error(), want) || !strings.Contains(err.Error(), "bank") {
 			t.Errorf("%s: %v", want, err)
@@ -473,14 +473,14 @@
 }
 
 // Check shows what a member has, and whether it resumes.
-func TestCheckShows(t *testing.T) {
-	r := newRig(t, nil)
-	first, second, took, err := r.m.Check(context.Background(), &r.member)
+func TestCheck(t *testing.T) {
+	r := newHarness(t, nil)
+	first, second, took, err := r.manager.Check(context.Background(), &r.member)
 	if err != nil || len(first.PeerCertificates) == 0 || !second.DidResume || took[0] == 0 {
 		t.Errorf("%v, resumed %v", err, second.DidResume)
 	}
 	plain := must(New(tlspolicy.Table{}))
-	if _, _, _, err := plain.Check(context.Background(), &r.member); !errors.Is(err, errNoPolicy) {
+	if _, _, _, err := plain.Check(context.Background(), &r.member); !errors.Is(err, errNoTLS) {
 		t.Errorf("%v", err)
 	}
 }
--- a/internal/vitals/process.go
+++ b/internal/vitals/process.go
@@ -12,64 +12,70 @@
 	"github.com/prometheus/procfs"
 )
 
-// slowEvery is how often memory and the runtime's own figures are read: they cost more than the clocks.
-const slowEvery = 250 * time.Millisecond
+// processReadInterval is the minimum interval between two reads of memory use, runtime metrics or the CPU quota. Such a read
+// costs more than a read of the clocks.
+const processReadInterval = 250 * time.Millisecond
 
-// slow holds the figures that are read at most every slowEvery.
-type slow struct {
-	rss, heap int64
-	gc        float64
-	sched     time.Duration
+// processReading holds the values that are read at most once per processReadInterval.
+type processReading struct {
+	rssBytes, heapBytes int64
+	gcShare             float64
+	schedP99            time.Duration
 }
 
-// process reads them; one goroutine at a time calls it.
-type process struct {
+// processSampler reads memory use and runtime metrics of this process. It is not safe for concurrent use.
+type processSampler struct {
 	self    procfs.Proc
-	ok      bool
+	hasProc bool
 	samples []metrics.Sample
-	at      time.Time
-	last    slow
+	readAt  time.Time
+	last    processReading
 }
 
+// Names of the runtime metrics that processSampler reads.
 const (
-	heapLive, heapDead = "/memory/classes/heap/objects:bytes", "/memory/classes/heap/unused:bytes"
-	gcTotal, cpuTotal  = "/cpu/classes/gc/total:cpu-seconds", "/cpu/classes/total:cpu-seconds"
-	cpuIdle            = "/cpu/classes/idle:cpu-seconds"
-	schedLatencies     = "/sched/latencies:seconds"
+	heapObjectsMetric  = "/memory/classes/heap/objects:bytes"
+	heapUnusedMetric   = "/memory/classes/heap/unused:bytes"
+	gcCPUMetric        = "/cpu/classes/gc/total:cpu-seconds"
+	totalCPUMetric     = "/cpu/classes/total:cpu-seconds"
+	idleCPUMetric      = "/cpu/classes/idle:cpu-seconds"
+	schedLatencyMetric = "/sched/latencies:seconds"
 )
 
-func newProcess() *process {
-	p := &process{}
+func newProcessSampler() *processSampler {
+	p := &processSampler{}
 	var err error
 	p.self, err = procfs.Self()
-	p.ok = err == nil
-	for _, name := range []string{heapLive, heapDead, gcTotal, cpuTotal, cpuIdle, schedLatencies} {
+	p.hasProc = err == nil
+	for _, name := range []string{heapObjectsMetric, heapUnusedMetric, gcCPUMetric, totalCPUMetric, idleCPUMetric, schedLatencyMetric} {
 		p.samples = append(p.samples, metrics.Sample{Name: name})
 	}
 	return p
 }
 
-func (p *process) read(now time.Time) slow {
-	if now.Sub(p.at) < slowEvery {
+// read returns the last reading if it is younger than processReadInterval, and a new one otherwise.
+func (p *processSampler) read(now time.Time) processReading {
+	if now.Sub(p.readAt) < processReadInterval {
 		return p.last
 	}
-	p.at = now
-	if p.ok {
+	p.readAt = now
+	if p.hasProc {
 		if mem, err := p.self.Statm(); err == nil {
-			p.last.rss = int64(mem.ResidentBytes())
+			p.last.rssBytes = int64(mem.ResidentBytes())
 		}
 	}
 	metrics.Read(p.samples)
-	p.last.heap = int64(p.samples[0].Value.Uint64() + p.samples[1].Value.Uint64())
+	p.last.heapBytes = int64(p.samples[0].Value.Uint64() + p.samples[1].Value.Uint64())
 	if used := p.samples[3].Value.Float64() - p.samples[4].Value.Float64(); used > 0 {
-		p.last.gc = p.samples[2].Value.Float64() / used
+		p.last.gcShare = p.samples[2].Value.Float64() / used
 	}
-	p.last.sched = upperQuantile(p.samples[5].Value.Float64Histogram(), 0.99)
+	p.last.schedP99 = quantileUpperBound(p.samples[5].Value.Float64Histogram(), 0.99)
 	return p.last
 }
 
-// upperQuantile is the upper bound of the bucket in which the quantile of a runtime histogram lies.
-func upperQuantile(h *metrics.Float64Histogram, q float64) time.Duration {
+// quantileUpperBound returns the upper bound of the histogram bucket that contains the quantile q. If that bound is infinite,
+// it returns the lower bound. It returns 0 for an empty histogram.
+func quantileUpperBound(h *metrics.Float64Histogram, q float64) time.Duration {
 	total := uint64(0)
 	for _, n := range h.Counts {
 		total += n
@@ -90,10 +96,10 @@
 	return 0
 }
 
-// cgroupQuota returns a function that tells how many cores the process's control group grants, in either
-// version of control groups; 0 where none is set or nothing can be read. The file is read anew each time that
-// slowEvery has passed, for a quota may change in service.
-func cgroupQuota() func() float64 {
+// cgroupCPUQuota returns a function that returns the CPU quota of the process's control group in cores. It supports cgroup
+// versions 1 and 2. The function returns 0 if no quota is set or the quota cannot be read. It reads the file again after each
+// processReadInterval, because a quota can change while the process runs.
+func cgroupCPUQuota() func() float64 {
 	path := ""
 	if self, err := procfs.Self(); err == nil {
 		if groups, err := self.Cgroups(); err == nil {
@@ -103,17 +109,18 @@
 	if path == "" {
 		return func() float64 { return 0 }
 	}
-	var at time.Time
+	var readAt time.Time
 	var quota float64
 	return func() float64 {
-		if now := time.Now(); now.Sub(at) >= slowEvery {
-			at, quota = now, readQuota(path)
+		if now := time.Now(); now.Sub(readAt) >= processReadInterval {
+			readAt, quota = now, readQuota(path)
 		}
 		return quota
 	}
 }
 
-// quotaFile finds the file that holds the quota: cpu.max of version 2, cpu.cfs_quota_us of version 1.
+// quotaFile returns the path of the file that holds the quota: cpu.max in cgroup version 2, cpu.cfs_quota_us in version 1.
+// It returns "" if there is no such file.
 func quotaFile(groups []procfs.Cgroup, root string) string {
 	for _, g := range groups {
 		file := filepath.Join(root, g.Path, "cpu.max")
@@ -129,7 +136,9 @@
 	return ""
 }
 
-// readQuota reads "max 100000", "50000 100000", or a version 1 file whose period stands in the one beside it.
+// readQuota returns the quota in cores, or 0 if the file sets no quota or cannot be parsed. A version 2 file holds quota and
+// period in microseconds, such as "max 100000" or "50000 100000". A version 1 file holds only the quota; the period is in
+// cpu.cfs_period_us in the same directory.
 func readQuota(path string) float64 {
 	raw, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/vitals/vitals.go
+++ b/internal/vitals/vitals.go
@@ -1,6 +1,6 @@
-// Package vitals measures how the program itself fares: how late its steps run, how long hand-ins queue, how
-// long a reader waits for bytes that are there, what it takes of the processor given to it, and its memory.
-// It decides nothing; package overload does.
+// Package vitals measures the load of this process: how late its steps start, how long submissions wait for their step, how
+// long a reader waits for bytes that have already arrived, and the use of CPU and memory. Package overload decides what to do
+// about the load.
 package vitals
 
 import (
@@ -18,81 +18,83 @@
 )
 
 const (
-	// longest is the most that a histogram holds; what took longer counts as that.
-	longest = time.Minute
-	// stretchFade is what a reading leaves of the sums behind Stretch: their horizon is about ten readings.
-	stretchFade = 0.9
-	// waitWeight is the share of the newest probe in the usual wait.
-	waitWeight = 0.2
-	// leastSection is how much processor time must lie behind Stretch before it is believed.
-	leastSection = 500 * time.Microsecond
-	// mostAges bounds the hand-in ages that one reading takes the middle of.
-	mostAges = 4096
+	// maxRecorded is the largest duration that a histogram stores. A longer duration is recorded as maxRecorded.
+	maxRecorded = time.Minute
+	// stretchDecay is the factor by which each reading reduces the sums behind Reading.Stretch. They cover about ten readings.
+	stretchDecay = 0.9
+	// newestProbeWeight is the weight of the newest probe in the moving average of probe waits.
+	newestProbeWeight = 0.2
+	// minSectionCPU is the CPU time in sections above which Reading.Stretch is computed. Up to this value Stretch is 1.
+	minSectionCPU = 500 * time.Microsecond
+	// maxWindowAges is the maximum number of submission ages that are kept for the median of one reading.
+	maxWindowAges = 4096
 )
 
-// Meters takes measurements from the parts of the relay. It is safe for use by several goroutines.
+// Meters collects measurements from the components of the relay. It is safe for concurrent use.
 type Meters struct {
-	cores float64
-	quota func() float64 // cores that the control group grants; 0 if none is known
-	proc  *process
-
-	origin time.Time
-	pipe   atomic.Pointer[os.File]
-	sent   atomic.Int64 // since origin, in ns
-	out    atomic.Bool  // a byte is on its way
-
-	probe atomic.Int64 // the longest wait of a probe since the reading, in ns
-	usual atomic.Int64 // wait of a probe, smoothed over the last ones, in ns
-
-	mu                 sync.Mutex
-	loop, age, probes  *hdrhistogram.Histogram // since the start, in microseconds
-	ages               []time.Duration         // of the window
-	agesSeen           int
-	worst              time.Duration // loop delay in the window
-	wall, cpu          time.Duration // sections since the reading
-	stretchW, stretchC float64       // faded sums of the same
-	lastAt             time.Time
-	lastCPU            time.Duration
-}
-
-// New returns meters for a process that is given so many cores; 0 stands for all that it may run on.
+	cores       float64
+	cgroupCores func() float64 // CPU quota of the control group in cores; 0 if none is known
+	sampler     *processSampler
+
+	origin         time.Time
+	probePipe      atomic.Pointer[os.File]
+	probeSentNanos atomic.Int64 // time of the last probe since origin
+	probeInFlight  atomic.Bool  // the reader has not yet received the probe's byte
+
+	maxProbeWait      atomic.Int64 // longest probe wait since the last reading, in nanoseconds
+	smoothedProbeWait atomic.Int64 // moving average of the probe waits, in nanoseconds
+
+	mu                                  sync.Mutex
+	stepDelay, submissionAge, probeWait *hdrhistogram.Histogram // since the start of the process, in microseconds
+	windowAges                          []time.Duration         // submission ages since the last reading, at most maxWindowAges
+	windowSubmissions                   int
+	maxStepDelay                        time.Duration // since the last reading
+	wall, cpu                           time.Duration // time spent in sections since the last reading
+	decayedWall, decayedCPU             float64       // sums of wall and cpu in nanoseconds, reduced by stretchDecay at each reading
+	lastRead                            time.Time
+	lastCPU                             time.Duration
+}
+
+// New returns meters for a process that may use the given number of cores. 0 means all available cores.
 func New(cores float64) *Meters {
-	most := float64(runtime.GOMAXPROCS(0))
-	if cores <= 0 || cores > most {
-		cores = most
+	available := float64(runtime.GOMAXPROCS(0))
+	if cores <= 0 || cores > available {
+		cores = available
 	}
-	return &Meters{origin: time.Now(), cores: cores, quota: cgroupQuota(), proc: newProcess(), loop: histogram(), age: histogram(), probes: histogram(),
-		lastAt: time.Now(), lastCPU: cpuTime()}
+	return &Meters{origin: time.Now(), cores: cores, cgroupCores: cgroupCPUQuota(), sampler: newProcessSampler(), stepDelay: newHistogram(),
+		submissionAge: newHistogram(), probeWait: newHistogram(), lastRead: time.Now(), lastCPU: cpuTime()}
 }
 
-// histogram holds 1 µs to a minute with two digits, in about 20 KB.
-func histogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, longest.Microseconds(), 2) }
+// newHistogram returns a histogram for 1 µs to a minute (maxRecorded) with two significant digits. It takes about 20 KB.
+func newHistogram() *hdrhistogram.Histogram {
+	return hdrhistogram.New(1, maxRecorded.Microseconds(), 2)
+}
 
 func record(h *hdrhistogram.Histogram, d time.Duration) {
-	_ = h.RecordValue(min(max(d, time.Microsecond), longest).Microseconds()) // within bounds: it cannot fail
+	_ = h.RecordValue(min(max(d, time.Microsecond), maxRecorded).Microseconds()) // cannot fail: the value is in range
 }
 
-// Stepped notes that a step which was due at a time began at another.
+// Stepped records when a step was due and when it began.
 func (m *Meters) Stepped(due, began time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	late := began.Sub(due)
-	record(m.loop, late)
-	m.worst = max(m.worst, late)
+	record(m.stepDelay, late)
+	m.maxStepDelay = max(m.maxStepDelay, late)
 }
 
-// HandedIn notes how long a hand-in has waited for its step.
-func (m *Meters) HandedIn(age time.Duration) {
+// HandedIn records how long a submission has waited for its step.
+func (m *Meters) HandedIn(submissionAge time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	record(m.age, age)
-	if m.agesSeen++; len(m.ages) < mostAges {
-		m.ages = append(m.ages, age)
+	record(m.submissionAge, submissionAge)
+	if m.windowSubmissions++; len(m.windowAges) < maxWindowAges {
+		m.windowAges = append(m.windowAges, submissionAge)
 	}
 }
 
-// Section runs f, which computes and does not wait, and notes what the wall and what the processor's clock say
-// of it. Where others take the processor the first runs ahead of the second; by how much is Reading.Stretch.
+// Section runs f and records its wall-clock time and its CPU time. f must compute without waiting. If other processes compete
+// for the CPU, the wall-clock time exceeds the CPU time; Reading.Stretch is the ratio of the two.
 func (m *Meters) Section(f func()) {
 	wall, cpu := time.Now(), cpuTime()
 	f()
@@ -103,71 +105,71 @@
 	m.mu.Unlock()
 }
 
-// Reading is what the meters say of the time since the reading before.
+// Reading holds the measurements since the previous reading, unless a field says otherwise.
 type Reading struct {
-	Window  time.Duration
-	Loop    time.Duration // the latest start of a step
-	Age     time.Duration // that the middle hand-in waited for its step
-	HandIns int
-	Probe   time.Duration // the longest that a reader waited for what was there
-	CPU     float64       // cores used
-	Cores   float64       // cores given
-	Stretch float64       // wall over processor time of computing; 1 where nobody else takes the processor
-	Section float64       // cores used in sections
-	Busy    float64       // share of the cores given that was used or, as Stretch has it, waited for
-	RSS     int64         // bytes; 0 where it cannot be read
-	Heap    int64         // bytes of live and dead objects
-	GCShare float64       // of the processor time used, that the collector took since the start
-	Sched   time.Duration // that the 99th of 100 goroutines waited to run, as the runtime tells, since the start
-}
-
-// Read returns a reading and begins the next window. The slow figures (memory, collector) are at most
-// slowEvery old.
+	Window  time.Duration // time since the previous reading
+	Loop    time.Duration // longest delay between the due time and the start of a step
+	Age     time.Duration // median wait of a submission for its step
+	HandIns int           // number of submissions
+	Probe   time.Duration // longest wait of a reader for bytes that had already arrived
+	CPU     float64       // cores used by the whole process
+	Cores   float64       // cores that the process may use
+	Stretch float64       // wall-clock time over CPU time in sections, about ten readings; 1 if nothing else competes for the CPU
+	Section float64       // cores used by sections
+	Busy    float64       // share of Cores that the process used or, estimated by Stretch, waited for
+	RSS     int64         // resident memory in bytes; 0 if it cannot be read
+	Heap    int64         // bytes of the heap: live objects, dead objects and unused space
+	GCShare float64       // the garbage collector's share of the CPU time used since the start of the process
+	Sched   time.Duration // 99th percentile of the time that goroutines wait to run, since the start of the process
+}
+
+// Read returns a reading and begins the next window. Memory use, garbage collector share and scheduling latency are at most
+// processReadInterval old.
 func (m *Meters) Read(now time.Time) Reading {
 	cpu := cpuTime()
-	slow := m.proc.read(now)
+	sampled := m.sampler.read(now)
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	probe := time.Duration(m.probe.Swap(0))
-	if m.out.Load() { // one that has not come through yet has waited as long as this
-		probe = max(probe, time.Since(m.origin)-time.Duration(m.sent.Load()))
+	maxProbeWait := time.Duration(m.maxProbeWait.Swap(0))
+	if m.probeInFlight.Load() { // count the wait so far of a probe that is still in flight
+		maxProbeWait = max(maxProbeWait, time.Since(m.origin)-time.Duration(m.probeSentNanos.Load()))
 	}
-	r := Reading{Window: now.Sub(m.lastAt), Loop: m.worst, HandIns: m.agesSeen, Cores: m.cores,
-		Probe: probe, RSS: slow.rss, Heap: slow.heap, GCShare: slow.gc, Sched: slow.sched}
-	if q := m.quota(); q > 0 {
+	r := Reading{Window: now.Sub(m.lastRead), Loop: m.maxStepDelay, HandIns: m.windowSubmissions, Cores: m.cores,
+		Probe: maxProbeWait, RSS: sampled.rssBytes, Heap: sampled.heapBytes, GCShare: sampled.gcShare, Sched: sampled.schedP99}
+	if q := m.cgroupCores(); q > 0 {
 		r.Cores = min(r.Cores, q)
 	}
-	if len(m.ages) > 0 {
-		slices.Sort(m.ages)
-		r.Age = m.ages[len(m.ages)/2]
+	if len(m.windowAges) > 0 {
+		slices.Sort(m.windowAges)
+		r.Age = m.windowAges[len(m.windowAges)/2]
 	}
-	m.stretchW = m.stretchW*stretchFade + float64(m.wall)
-	m.stretchC = m.stretchC*stretchFade + float64(m.cpu)
+	m.decayedWall = m.decayedWall*stretchDecay + float64(m.wall)
+	m.decayedCPU = m.decayedCPU*stretchDecay + float64(m.cpu)
 	r.Stretch = 1
-	if m.stretchC > float64(leastSection) {
-		r.Stretch = max(m.stretchW/m.stretchC, 1)
+	if m.decayedCPU > float64(minSectionCPU) {
+		r.Stretch = max(m.decayedWall/m.decayedCPU, 1)
 	}
 	if r.Window > 0 {
 		r.CPU = float64(cpu-m.lastCPU) / float64(r.Window)
 		r.Section = float64(m.cpu) / float64(r.Window)
 		r.Busy = min(r.CPU*r.Stretch/r.Cores, 1)
 	}
-	m.lastAt, m.lastCPU = now, cpu
-	m.ages, m.agesSeen, m.worst, m.wall, m.cpu = m.ages[:0], 0, 0, 0, 0
+	m.lastRead, m.lastCPU = now, cpu
+	m.windowAges, m.windowSubmissions, m.maxStepDelay, m.wall, m.cpu = m.windowAges[:0], 0, 0, 0, 0
 	return r
 }
 
-// Probe opens a pipe for Ping, until ctx ends. Its reader is woken like one of a client's connection, so what it waits
-// is what a client's bytes wait before the program looks at them.
+// Probe opens the pipe that Ping uses and closes it when ctx ends. The runtime wakes the pipe's reader in the same way as the
+// reader of a client connection. The wait of a probe is therefore the wait of a client's bytes before the relay reads them.
 func (m *Meters) Probe(ctx context.Context) {
 	r, w, err := os.Pipe()
-	if err != nil { // out of descriptors, say: the other meters go on
+	if err != nil { // for example no free file descriptor; the other measurements continue
 		slog.Warn("no probe", "err", err)
 		return
 	}
-	m.pipe.Store(w)
+	m.probePipe.Store(w)
 	context.AfterFunc(ctx, func() {
-		m.pipe.Store(nil)
+		m.probePipe.Store(nil)
 		w.Close()
 	})
 	go func() {
@@ -176,68 +178,69 @@
 			if _, err := r.Read(b); err != nil {
 				return
 			}
-			m.waited(time.Since(m.origin) - time.Duration(m.sent.Load()))
-			m.out.Store(false)
+			m.recordProbeWait(time.Since(m.origin) - time.Duration(m.probeSentNanos.Load()))
+			m.probeInFlight.Store(false)
 		}
 	}()
 }
 
-// Ping sends a byte through the pipe, unless one is still on its way.
+// Ping sends one byte through the pipe, unless the previous byte is still in flight.
 func (m *Meters) Ping() {
-	if w := m.pipe.Load(); w != nil && m.out.CompareAndSwap(false, true) {
-		m.sent.Store(int64(time.Since(m.origin)))
-		_, _ = w.Write([]byte{0}) // it fails once the pipe is closed
+	if w := m.probePipe.Load(); w != nil && m.probeInFlight.CompareAndSwap(false, true) {
+		m.probeSentNanos.Store(int64(time.Since(m.origin)))
+		_, _ = w.Write([]byte{0}) // a write to a closed pipe fails, which is harmless
 	}
 }
 
-func (m *Meters) waited(d time.Duration) {
+// recordProbeWait records the wait of one probe. Only the pipe's reader calls it.
+func (m *Meters) recordProbeWait(d time.Duration) {
 	for {
-		old := m.probe.Load()
-		if int64(d) <= old || m.probe.CompareAndSwap(old, int64(d)) {
+		old := m.maxProbeWait.Load()
+		if int64(d) <= old || m.maxProbeWait.CompareAndSwap(old, int64(d)) {
 			break
 		}
 	}
-	usual := m.usual.Load() // of this goroutine alone
-	m.usual.Store(usual + int64(waitWeight*float64(int64(d)-usual)))
+	smoothedProbeWait := m.smoothedProbeWait.Load() // only this goroutine writes the average
+	m.smoothedProbeWait.Store(smoothedProbeWait + int64(newestProbeWeight*float64(int64(d)-smoothedProbeWait)))
 	m.mu.Lock()
-	record(m.probes, d)
+	record(m.probeWait, d)
 	m.mu.Unlock()
 }
 
-// Wait is how long what has come waits until the program looks at it, by the newest probes.
-func (m *Meters) Wait() time.Duration { return time.Duration(m.usual.Load()) }
+// Wait returns how long received bytes wait until the relay reads them: the moving average of the newest probes.
+func (m *Meters) Wait() time.Duration { return time.Duration(m.smoothedProbeWait.Load()) }
 
-// Quantiles are of one distribution since the start.
-type Quantiles struct{ P50, P99, P999, Most time.Duration }
+// Quantiles holds the quantiles and the maximum of one distribution since the start of the process.
+type Quantiles struct{ P50, P99, P999, Max time.Duration }
 
 func quantiles(h *hdrhistogram.Histogram) Quantiles {
 	at := func(q float64) time.Duration { return time.Duration(h.ValueAtQuantile(q)) * time.Microsecond }
 	return Quantiles{at(50), at(99), at(99.9), time.Duration(h.Max()) * time.Microsecond}
 }
 
-// LogValue names the quantiles in a log line.
+// LogValue implements slog.LogValuer.
 func (q Quantiles) LogValue() slog.Value {
 	return slog.GroupValue(slog.Duration("p50", q.P50), slog.Duration("p99", q.P99), slog.Duration("p999", q.P999),
-		slog.Duration("most", q.Most))
+		slog.Duration("most", q.Max))
 }
 
-// Totals are the distributions since the start.
+// Totals holds the distributions of step delay (Loop), submission age (Age) and probe wait (Probe) since the start of the process.
 type Totals struct{ Loop, Age, Probe Quantiles }
 
-// LogValue names the totals in a log line.
+// LogValue implements slog.LogValuer for the totals.
 func (t Totals) LogValue() slog.Value {
 	return slog.GroupValue(slog.Any("loop_delay", t.Loop), slog.Any("hand_in_age", t.Age), slog.Any("probe", t.Probe))
 }
 
-// Totals returns the distributions since the start.
+// Totals returns the distributions since the start of the process.
 func (m *Meters) Totals() Totals {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return Totals{quantiles(m.loop), quantiles(m.age), quantiles(m.probes)}
+	return Totals{quantiles(m.stepDelay), quantiles(m.submissionAge), quantiles(m.probeWait)}
 }
 
-// cpuTime is what the process has used of all processors. CLOCK_PROCESS_CPUTIME_ID counts the same as getrusage
-// does, in nanoseconds and for less.
+// cpuTime returns the CPU time that the process has used on all cores, or 0 if it cannot be read. CLOCK_PROCESS_CPUTIME_ID
+// counts the same time as getrusage, with nanosecond resolution and at lower cost.
 func cpuTime() time.Duration {
 	var ts unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_PROCESS_CPUTIME_ID, &ts) != nil {
--- a/internal/vitals/vitals_test.go
+++ b/internal/vitals/vitals_test.go
@@ -14,48 +14,49 @@
 
 const ms = time.Millisecond
 
-func TestReadingOfAWindow(t *testing.T) {
+func TestReadCoversOneWindow(t *testing.T) {
 	m := New(1)
-	m.proc = &process{at: time.Now().Add(time.Hour), last: slow{rss: 5, heap: 3}}
-	now := m.lastAt
+	m.sampler = &processSampler{readAt: time.Now().Add(time.Hour), last: processReading{rssBytes: 5, heapBytes: 3}}
+	now := m.lastRead
 	for i := range 5 {
 		m.HandedIn(time.Duration(i) * 10 * ms)
 	}
 	m.Stepped(now, now.Add(7*ms))
 	m.Stepped(now, now.Add(3*ms))
-	m.waited(4 * ms)
-	m.waited(2 * ms)
+	m.recordProbeWait(4 * ms)
+	m.recordProbeWait(2 * ms)
 	r := m.Read(now.Add(50 * ms))
 	if r.Age != 20*ms || r.HandIns != 5 || r.Loop != 7*ms || r.Probe != 4*ms || r.Window != 50*ms || r.RSS != 5 || r.Heap != 3 {
 		t.Errorf("%+v", r)
 	}
 	if r = m.Read(now.Add(100 * ms)); r.Age != 0 || r.HandIns != 0 || r.Loop != 0 || r.Probe != 0 {
-		t.Errorf("the next window holds what was in the last: %+v", r)
+		t.Errorf("the next window still holds values of the last one: %+v", r)
 	}
 	total := m.Totals()
 	near := func(got, want time.Duration) bool { return math.Abs(float64(got-want)) <= 0.02*float64(want) }
-	if !near(total.Loop.P50, 3*ms) || !near(total.Loop.Most, 7*ms) || !near(total.Age.P99, 40*ms) || !near(total.Probe.P50, 2*ms) {
+	if !near(total.Loop.P50, 3*ms) || !near(total.Loop.Max, 7*ms) || !near(total.Age.P99, 40*ms) || !near(total.Probe.P50, 2*ms) {
 		t.Errorf("%+v", total)
 	}
 }
 
-// More ages than a reading keeps are counted, and cost no memory.
-func TestAgesAreBounded(t *testing.T) {
+// Submissions beyond maxWindowAges are counted, but their ages are not kept. Otherwise a burst of submissions between two
+// readings would cost memory without bound.
+func TestWindowAgesAreBounded(t *testing.T) {
 	m := New(1)
-	for range 3 * mostAges {
+	for range 3 * maxWindowAges {
 		m.HandedIn(ms)
 	}
-	if r := m.Read(time.Now()); r.HandIns != 3*mostAges || cap(m.ages) > 2*mostAges {
-		t.Errorf("%d counted, room for %d", r.HandIns, cap(m.ages))
+	if r := m.Read(time.Now()); r.HandIns != 3*maxWindowAges || cap(m.windowAges) > 2*maxWindowAges {
+		t.Errorf("%d submissions counted, capacity for %d ages", r.HandIns, cap(m.windowAges))
 	}
 }
 
-// Where the wall's clock runs ahead of the processor's in work that does not wait, others take the processor: what
-// is used then stands for more that was wanted. It fades once they have gone.
+// If work that does not wait takes more wall-clock time than CPU time, other processes compete for the CPU. Busy must then count
+// the CPU time that the process wanted, not only the time it got. Stretch returns to 1 once the competition has ended.
 func TestStretch(t *testing.T) {
 	m := New(1)
 	m.wall, m.cpu = 40*ms, 10*ms
-	now := m.lastAt
+	now := m.lastRead
 	r := m.Read(now.Add(50 * ms))
 	if r.Stretch != 4 {
 		t.Errorf("stretch %v", r.Stretch)
@@ -68,15 +69,15 @@
 		r = m.Read(now.Add(time.Duration(i+2) * 50 * ms))
 	}
 	if r.Stretch > 1.05 {
-		t.Errorf("stretch %v long after", r.Stretch)
+		t.Errorf("stretch %v long after the competition for the CPU ended", r.Stretch)
 	}
 	if m = New(1); m.Read(time.Now()).Stretch != 1 {
-		t.Error("nothing computed, and the processor is said to be taken")
+		t.Error("stretch is not 1 although no section has run")
 	}
 }
 
-// A section notes computing as such: the clocks are read around it.
-func TestSectionIsMeasured(t *testing.T) {
+// Section runs its function and records both wall-clock and CPU time.
+func TestSectionMeasuresWallAndCPU(t *testing.T) {
 	m := New(1)
 	ran := false
 	m.Section(func() {
@@ -85,12 +86,12 @@
 		}
 	})
 	if !ran || m.cpu < 3*ms || m.wall < 2*ms {
-		t.Errorf("ran %v, wall %v, processor %v", ran, m.wall, m.cpu)
+		t.Errorf("ran %v, wall %v, CPU %v", ran, m.wall, m.cpu)
 	}
 }
 
-// A probe comes back, one is on its way at a time, one that does not come back counts with what it has waited, and the
-// pipe ends with the context.
+// The wait of a probe is recorded, only one probe is in flight at a time, a probe that is still in flight counts with its wait
+// so far, and the pipe is closed when the context ends.
 func TestProbe(t *testing.T) {
 	m := New(1)
 	m.Ping() // no pipe yet
@@ -99,48 +100,48 @@
 	m.Probe(ctx)
 	for deadline := time.Now().Add(20 * time.Second); m.Wait() == 0; time.Sleep(ms) {
 		if m.Ping(); time.Now().After(deadline) {
-			t.Fatal("no probe came back")
+			t.Fatal("no probe was received")
 		}
 	}
-	if m.Totals().Probe.Most == 0 || m.Read(time.Now()).Probe == 0 {
-		t.Error("the probe is not told")
+	if m.Totals().Probe.Max == 0 || m.Read(time.Now()).Probe == 0 {
+		t.Error("the wait of the probe is missing from the totals or the reading")
 	}
 	cancel()
-	for deadline := time.Now().Add(20 * time.Second); m.pipe.Load() != nil; time.Sleep(ms) {
+	for deadline := time.Now().Add(20 * time.Second); m.probePipe.Load() != nil; time.Sleep(ms) {
 		if time.Now().After(deadline) {
-			t.Fatal("the pipe stays open")
+			t.Fatal("the pipe is still open after the context ended")
 		}
 	}
 	m = New(1)
-	m.sent.Store(0)
-	m.out.Store(true)
+	m.probeSentNanos.Store(0)
+	m.probeInFlight.Store(true)
 	time.Sleep(5 * ms)
 	if got := m.Read(time.Now()).Probe; got < 5*ms {
-		t.Errorf("a probe that is out counts as %v", got)
+		t.Errorf("a probe in flight for 5 ms counts as %v", got)
 	}
 }
 
-func TestMemoryIsRead(t *testing.T) {
-	s := newProcess().read(time.Now())
-	if s.rss < 1<<20 || s.heap < 1<<10 || s.gc < 0 || s.gc > 1 {
+func TestProcessSamplerReadsMemory(t *testing.T) {
+	s := newProcessSampler().read(time.Now())
+	if s.rssBytes < 1<<20 || s.heapBytes < 1<<10 || s.gcShare < 0 || s.gcShare > 1 {
 		t.Errorf("%+v", s)
 	}
 }
 
-func TestQuantileOfARuntimeHistogram(t *testing.T) {
+func TestQuantileUpperBound(t *testing.T) {
 	h := &metrics.Float64Histogram{Counts: []uint64{98, 1, 1}, Buckets: []float64{0, 0.001, 0.002, math.Inf(1)}}
 	for q, want := range map[float64]time.Duration{0.5: ms, 0.99: 2 * ms, 1: 2 * ms} {
-		if got := upperQuantile(h, q); got != want {
+		if got := quantileUpperBound(h, q); got != want {
 			t.Errorf("quantile %v is %v, want %v", q, got, want)
 		}
 	}
-	if got := upperQuantile(&metrics.Float64Histogram{Counts: []uint64{0}, Buckets: []float64{0, 1}}, 0.5); got != 0 {
-		t.Errorf("of none: %v", got)
+	if got := quantileUpperBound(&metrics.Float64Histogram{Counts: []uint64{0}, Buckets: []float64{0, 1}}, 0.5); got != 0 {
+		t.Errorf("quantile of an empty histogram: %v", got)
 	}
 }
 
-// Both versions of control groups are read; what sets no quota, or cannot be read, is none.
-func TestControlGroups(t *testing.T) {
+// The quota is read from both cgroup versions. A file that sets no quota or cannot be parsed yields 0.
+func TestCgroupCPUQuota(t *testing.T) {
 	root := t.TempDir()
 	write := func(name, text string) {
 		path := filepath.Join(root, name)
@@ -173,11 +174,11 @@
 		}
 	}
 	if got := quotaFile(nil, root); got != "" {
-		t.Errorf("found %q of no group", got)
+		t.Errorf("found %q without any group", got)
 	}
 }
 
-// What the meters cost, per step and hand-in, and per reading (20 of which a second).
+// BenchmarkMeters measures the cost per submission, per section and per reading. The relay takes 20 readings per second.
 func BenchmarkMeters(b *testing.B) {
 	m := New(1)
 	b.Run("HandedIn", func(b *testing.B) {
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -12,29 +12,29 @@
 // message is any line of the wire; each kind of line uses some of the fields. Pointers tell a value that
 // is missing from one that is nought, where the wire always writes the value.
 type message struct {
-	Msg      string          `json:"msg"`
-	Clock    *float64        `json:"ts-ms"`
-	Sender   string          `json:"sender-id"`
-	List     *int            `json:"list"`
-	Rows     *[]row          `json:"rows-in"`
-	Entropy  int64           `json:"entropy"`
-	Config   json.RawMessage `json:"config"`
-	Form     string          `json:"form"`
-	Handle   string          `json:"handle"`
-	Affinity *int64          `json:"affinity"`
-	Budget   float64         `json:"time-budget-ms"`
-	Profile  string          `json:"profile"`
-	FarEnd   int             `json:"far-end"`
-	Billing  name            `json:"billing"`
-	Attempt  int             `json:"go"`
-	Endpoint string          `json:"endpoint"`
-	Code     *int            `json:"code"`
-	Duration float64         `json:"duration-ms"`
-	Settled  bool            `json:"settled"`
-	Note     float64         `json:"note"`
-	Report   *report         `json:"report"`
-	Cookie   string          `json:"cookie"`
-	Contents *string         `json:"contents"`
+	Msg            string          `json:"msg"`
+	ClockMillis    *float64        `json:"ts-ms"`
+	Sender         string          `json:"sender-id"`
+	List           *int            `json:"list"`
+	Rows           *[]row          `json:"rows-in"`
+	Entropy        int64           `json:"entropy"`
+	Config         json.RawMessage `json:"config"`
+	Form           string          `json:"form"`
+	Handle         string          `json:"handle"`
+	Affinity       *int64          `json:"affinity"`
+	BudgetMillis   float64         `json:"time-budget-ms"`
+	Profile        string          `json:"profile"`
+	FarEnd         int             `json:"far-end"`
+	Billing        optionalString  `json:"billing"`
+	Attempt        int             `json:"go"`
+	Endpoint       string          `json:"endpoint"`
+	Code           *int            `json:"code"`
+	DurationMillis float64         `json:"duration-ms"`
+	Settled        bool            `json:"settled"`
+	Note           float64         `json:"note"`
+	Report         *report         `json:"report"`
+	Cookie         string          `json:"cookie"`
+	Contents       *string         `json:"contents"`
 }
 
 type row struct {
@@ -51,38 +51,38 @@
 	X1 float64 `json:"x1"`
 }
 
-// name is a text for which the wire may write 0 where there is none.
-type name string
+// optionalString is a text for which the wire may write 0 where there is none.
+type optionalString string
 
-func (n *name) UnmarshalJSON(b []byte) error {
+func (n *optionalString) UnmarshalJSON(b []byte) error {
 	if string(b) == "0" {
 		*n = ""
 		return nil
 	}
 	var s string
 	err := json.Unmarshal(b, &s)
-	*n = name(s)
+	*n = optionalString(s)
 	return err
 }
 
-// required names, for each event, the first field that it lacks.
-var required = map[string]func(*message) string{
-	"launch":        func(m *message) string { return first(len(m.Config) == 0, "config") },
+// requiredFields names, for each event, the first field that it lacks.
+var requiredFields = map[string]func(*message) string{
+	"launch":        func(m *message) string { return firstMissing(len(m.Config) == 0, "config") },
 	"power-off":     func(*message) string { return "" },
-	"fleet":         func(m *message) string { return first(m.Form == "", "form") },
-	"req":           func(m *message) string { return first(m.Handle == "", "handle", m.Profile == "", "profile") },
-	"streaming":     func(m *message) string { return first(m.Handle == "", "handle") },
-	"hangup":        func(m *message) string { return first(m.Handle == "", "handle") },
-	"alarm":         func(m *message) string { return first(m.Cookie == "", "cookie") },
-	"peer-data":     func(m *message) string { return first(m.Contents == nil, "contents") },
-	"health-result": func(m *message) string { return first(m.Endpoint == "", "endpoint", m.Code == nil, "code") },
+	"fleet":         func(m *message) string { return firstMissing(m.Form == "", "form") },
+	"req":           func(m *message) string { return firstMissing(m.Handle == "", "handle", m.Profile == "", "profile") },
+	"streaming":     func(m *message) string { return firstMissing(m.Handle == "", "handle") },
+	"hangup":        func(m *message) string { return firstMissing(m.Handle == "", "handle") },
+	"alarm":         func(m *message) string { return firstMissing(m.Cookie == "", "cookie") },
+	"peer-data":     func(m *message) string { return firstMissing(m.Contents == nil, "contents") },
+	"health-result": func(m *message) string { return firstMissing(m.Endpoint == "", "endpoint", m.Code == nil, "code") },
 	"reply": func(m *message) string {
-		return first(m.Handle == "", "handle", m.Endpoint == "", "endpoint", m.Code == nil, "code")
+		return firstMissing(m.Handle == "", "handle", m.Endpoint == "", "endpoint", m.Code == nil, "code")
 	},
 }
 
-// first returns the name after the first true value.
-func first(pairs ...any) string {
+// firstMissing returns the name after the first true value.
+func firstMissing(pairs ...any) string {
 	for i := 0; i < len(pairs); i += 2 {
 		if pairs[i].(bool) {
 			return pairs[i+1].(string)
@@ -91,16 +91,16 @@
 	return ""
 }
 
-var statuses = []dispatch.Status{dispatch.OK, dispatch.Errored, dispatch.Full, dispatch.TimedOut,
+var statusByCode = []dispatch.Status{dispatch.OK, dispatch.Errored, dispatch.Full, dispatch.TimedOut,
 	dispatch.ConnectFailed, dispatch.Reset, dispatch.Cancelled, dispatch.Moot}
 
-var states = map[string]dispatch.State{"healthy": dispatch.Listed, "cordoned": dispatch.Draining,
+var stateByReadiness = map[string]dispatch.State{"healthy": dispatch.Listed, "cordoned": dispatch.Draining,
 	"deregistered": dispatch.Gone}
 
-func endpoints(rows []row) ([]dispatch.Endpoint, error) {
+func parseEndpoints(rows []row) ([]dispatch.Endpoint, error) {
 	list := make([]dispatch.Endpoint, len(rows))
 	for i, r := range rows {
-		state, ok := states[r.Readiness]
+		state, ok := stateByReadiness[r.Readiness]
 		if r.Endpoint == "" || !ok {
 			return nil, fmt.Errorf("list: entry %d: endpoint is missing or readiness %q is unknown", i, r.Readiness)
 		}
@@ -114,29 +114,29 @@
 func (s *server) decode(m *message) (dispatch.Event, error) {
 	switch m.Msg {
 	case "fleet":
-		return s.members(m)
+		return s.decodeMembers(m)
 	case "req":
 		ev := dispatch.Request{ID: m.Handle, Destination: m.FarEnd, Class: m.Profile, Tenant: string(m.Billing),
-			TimeLeft: settings.Millis(m.Budget)}
+			TimeLeft: settings.Millis(m.BudgetMillis)}
 		if m.Affinity != nil {
 			ev.Key, ev.HasKey = *m.Affinity, true
 		}
 		return ev, nil
 	case "reply", "health-result":
-		if *m.Code < 0 || *m.Code >= len(statuses) {
+		if *m.Code < 0 || *m.Code >= len(statusByCode) {
 			return nil, fmt.Errorf("unknown code %d", *m.Code)
 		}
-		status := statuses[*m.Code]
+		status := statusByCode[*m.Code]
 		var rep *dispatch.Report
 		if m.Report != nil {
 			rep = &dispatch.Report{Left: m.Report.X0, Limit: m.Report.X1}
 		}
 		if m.Msg == "health-result" {
-			return dispatch.ProbeResult{Endpoint: m.Endpoint, Status: status, Latency: settings.Millis(m.Duration),
+			return dispatch.ProbeResult{Endpoint: m.Endpoint, Status: status, Latency: settings.Millis(m.DurationMillis),
 				Report: rep}, nil
 		}
 		ev := dispatch.Outcome{ID: m.Handle, Attempt: m.Attempt, Endpoint: m.Endpoint, Status: status,
-			Settled: m.Settled, Latency: settings.Millis(m.Duration), Report: rep}
+			Settled: m.Settled, Latency: settings.Millis(m.DurationMillis), Report: rep}
 		if status == dispatch.Full {
 			ev.Wait = settings.Millis(m.Note)
 		}
@@ -150,7 +150,7 @@
 	return nil, nil
 }
 
-func (s *server) members(m *message) (dispatch.Event, error) {
+func (s *server) decodeMembers(m *message) (dispatch.Event, error) {
 	if m.Form == "unavailable" {
 		return dispatch.MembersLost{}, nil
 	}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -22,7 +22,7 @@
 	inBatch   bool
 	lists     map[int][]dispatch.Endpoint
 	instances map[string]*instance
-	order     []*instance // instances with an event in this batch, in order of their first
+	pending   []*instance // instances with an event in this batch, in order of their first
 	out       *bufio.Writer
 }
 
@@ -73,10 +73,10 @@
 		if s.inBatch {
 			return errors.New("tick inside a batch")
 		}
-		if m.Clock == nil {
+		if m.ClockMillis == nil {
 			return errors.New("tick: field ts-ms is missing")
 		}
-		now := settings.Millis(*m.Clock)
+		now := settings.Millis(*m.ClockMillis)
 		if now < s.now {
 			return errors.New("tick: the clock goes back")
 		}
@@ -89,26 +89,26 @@
 		if m.List == nil || m.Rows == nil {
 			return errors.New("list: field list or rows-in is missing")
 		}
-		rows, err := endpoints(*m.Rows)
+		rows, err := parseEndpoints(*m.Rows)
 		s.lists[*m.List] = rows
 		return err
 	}
-	if err := s.event(&m); err != nil {
+	if err := s.handleEvent(&m); err != nil {
 		return fmt.Errorf("%s: %w", m.Msg, err)
 	}
 	return nil
 }
 
-// event takes in a message that belongs to one instance.
-func (s *server) event(m *message) error {
-	need, known := required[m.Msg]
+// handleEvent takes in a message that belongs to one instance.
+func (s *server) handleEvent(m *message) error {
+	findMissing, known := requiredFields[m.Msg]
 	if !known {
 		return errors.New("unknown msg")
 	}
 	if m.Sender == "" {
 		return errors.New("field sender-id is missing")
 	}
-	if missing := need(m); missing != "" {
+	if missing := findMissing(m); missing != "" {
 		return fmt.Errorf("field %s is missing", missing)
 	}
 	inst := s.instances[m.Sender]
@@ -156,13 +156,13 @@
 func (s *server) queue(inst *instance) {
 	if !inst.queued {
 		inst.queued = true
-		s.order = append(s.order, inst)
+		s.pending = append(s.pending, inst)
 	}
 }
 
 // reply steps the instances that had an event and writes what they do.
 func (s *server) reply() error {
-	for _, inst := range s.order {
+	for _, inst := range s.pending {
 		inst.queued = false
 		events := inst.events
 		inst.events = nil
@@ -171,77 +171,77 @@
 		}
 		actions, fault := step(inst.sender, s.now, events)
 		for _, a := range actions {
-			s.action(inst.name, a)
+			s.writeAction(inst.name, a)
 		}
 		if fault != "" {
-			s.open("fault", inst.name)
-			s.text("note-text", fault)
+			s.beginLine("fault", inst.name)
+			s.writeText("note-text", fault)
 			s.out.WriteString("}\n")
 		}
 	}
-	s.order = s.order[:0]
+	s.pending = s.pending[:0]
 	s.out.WriteString("{\"msg\":\"end\"}\n")
 	return s.out.Flush()
 }
 
 // step turns a panic of the decision code into the text of a fault.
-func step(sender *dispatch.Sender, now time.Duration, events []dispatch.Event) (acts []dispatch.Action,
+func step(sender *dispatch.Sender, now time.Duration, events []dispatch.Event) (actions []dispatch.Action,
 	fault string) {
 	defer func() {
 		if r := recover(); r != nil {
-			acts, fault = nil, fmt.Sprint("panic: ", r)
+			actions, fault = nil, fmt.Sprint("panic: ", r)
 		}
 	}()
 	return sender.Step(now, events), ""
 }
 
-func (s *server) open(msg, sender string) {
+func (s *server) beginLine(msg, sender string) {
 	s.out.WriteString(`{"msg":"` + msg + `"`)
-	s.text("sender-id", sender)
+	s.writeText("sender-id", sender)
 }
 
-func (s *server) text(name, value string) {
+func (s *server) writeText(name, value string) {
 	quoted, _ := json.Marshal(value) // a string always encodes
 	s.out.WriteString(`,"` + name + `":`)
 	s.out.Write(quoted)
 }
 
-func (s *server) time(name string, d time.Duration) {
+func (s *server) writeMillis(name string, d time.Duration) {
 	s.out.WriteString(`,"` + name + `":`)
 	s.out.WriteString(strconv.FormatFloat(float64(d)/float64(time.Millisecond), 'f', -1, 64))
 }
 
-func (s *server) action(sender string, a dispatch.Action) {
+func (s *server) writeAction(sender string, a dispatch.Action) {
 	switch a := a.(type) {
 	case dispatch.Send:
-		s.open("assign", sender)
-		s.text("handle", a.ID)
-		s.text("endpoint", a.Endpoint)
-		s.time("cap-ms", a.TimeOut)
+		s.beginLine("assign", sender)
+		s.writeText("handle", a.ID)
+		s.writeText("endpoint", a.Endpoint)
+		s.writeMillis("cap-ms", a.TimeOut)
 	case dispatch.Cancel:
-		s.open("drop-attempt", sender)
-		s.text("handle", a.ID)
+		s.beginLine("drop-attempt", sender)
+		s.writeText("handle", a.ID)
 		s.out.WriteString(`,"go":` + strconv.Itoa(a.Attempt))
 	case dispatch.Refuse:
-		s.open("push-back", sender)
-		s.text("handle", a.ID)
-		s.time("pause-ms", a.RetryAfter)
+		s.beginLine("push-back", sender)
+		s.writeText("handle", a.ID)
+		s.writeMillis("pause-ms", a.RetryAfter)
 	case dispatch.Fail:
-		s.open("abort", sender)
-		s.text("handle", a.ID)
+		s.beginLine("abort", sender)
+		s.writeText("handle", a.ID)
 	case dispatch.Wake:
-		s.open("defer", sender)
-		s.time("instant-ms", a.At)
-		s.text("cookie", "wake")
+		s.beginLine("defer", sender)
+		s.writeMillis("instant-ms", a.At)
+		s.writeText("cookie", "wake")
 	case dispatch.Probe:
-		s.open("test", sender)
-		s.text("endpoint", a.Endpoint)
+		s.beginLine("test", sender)
+		s.writeText("endpoint", a.Endpoint)
 	case dispatch.Watch:
-		s.open("tail", sender)
+		s.beginLine("tail", sender)
 		s.out.WriteString(`,"active":true`)
 	case dispatch.Log:
-		s.open("note-down", sender)
-		s.text("note-text", a.Text)
+		s.beginLine("note-down", sender)
+		s.writeText("note-text", a.Text)
 	}
 	s.out.WriteString("}\n")
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -13,7 +13,7 @@
 	`"carriage":[0],"late":"halves","max-calls":4},"limits":{"connect-timeout-ms":500,"max-attempts":4,` +
 	`"max-open":50},"localities":["z"],"peers-total":1,"resolution-ms":5,"zone":"z"}`
 
-const opening = `{"msg":"tick","ts-ms":10}
+const startLines = `{"msg":"tick","ts-ms":10}
 {"msg":"launch","sender-id":"sender-0","entropy":1,"config":` + settingsLine + `}
 {"msg":"list","list":0,"rows-in":[{"endpoint":"e","failure-domain":"z","flavor":"k","belongs-to":3,"readiness":"healthy"}]}
 {"msg":"fleet","sender-id":"sender-0","form":"restored","serial":1,"list":0}
@@ -26,7 +26,7 @@
 }
 
 func TestRoundTrip(t *testing.T) {
-	out, err := serve(opening + `{"msg":"req","sender-id":"sender-0","handle":"ab","time-budget-ms":9000,"profile":"c","far-end":3,"later":1}
+	out, err := serve(startLines + `{"msg":"req","sender-id":"sender-0","handle":"ab","time-budget-ms":9000,"profile":"c","far-end":3,"later":1}
 {"msg":"commit"}
 {"msg":"tick","ts-ms":110.5}
 {"msg":"reply","sender-id":"sender-0","handle":"ab","go":0,"endpoint":"e","code":0,"duration-ms":100.5,"settled":true,"report":{"x0":0.5,"x1":3}}
@@ -47,7 +47,7 @@
 
 // An instance that dies and starts again under its number knows nothing of its former life.
 func TestRestart(t *testing.T) {
-	out, err := serve(opening + `{"msg":"req","sender-id":"sender-0","handle":"ab","time-budget-ms":9000,"profile":"c","far-end":3}
+	out, err := serve(startLines + `{"msg":"req","sender-id":"sender-0","handle":"ab","time-budget-ms":9000,"profile":"c","far-end":3}
 {"msg":"power-off","sender-id":"sender-0"}
 {"msg":"launch","sender-id":"sender-0","entropy":2,"config":` + settingsLine + `}
 {"msg":"commit"}
@@ -62,18 +62,18 @@
 		"no json":           {"nonsense\n", "line 1: not a message"},
 		"outside a batch":   {`{"msg":"commit"}` + "\n", "line 1"},
 		"no clock":          {`{"msg":"tick"}` + "\n", "ts-ms"},
-		"unknown msg":       {opening + `{"msg":"what","sender-id":"sender-0"}` + "\n", "line 5: what: unknown msg"},
-		"no sender":         {opening + `{"msg":"hangup","handle":"ab"}` + "\n", "sender-id"},
-		"no handle":         {opening + `{"msg":"hangup","sender-id":"sender-0"}` + "\n", "handle"},
-		"mistyped":          {opening + `{"msg":"req","sender-id":"sender-0","handle":7,"profile":"c"}` + "\n", "handle"},
-		"undeclared list":   {opening + `{"msg":"fleet","sender-id":"sender-0","form":"update","list":9}` + "\n", "list 9"},
-		"unknown form":      {opening + `{"msg":"fleet","sender-id":"sender-0","form":"odd","list":0}` + "\n", "odd"},
-		"not running":       {opening + `{"msg":"hangup","sender-id":"sender-8","handle":"ab"}` + "\n", "not running"},
-		"no code":           {opening + `{"msg":"reply","sender-id":"sender-0","handle":"ab","endpoint":"e"}` + "\n", "code"},
-		"unknown code":      {opening + `{"msg":"reply","sender-id":"sender-0","handle":"a","endpoint":"e","code":9}` + "\n", "code 9"},
+		"unknown msg":       {startLines + `{"msg":"what","sender-id":"sender-0"}` + "\n", "line 5: what: unknown msg"},
+		"no sender":         {startLines + `{"msg":"hangup","handle":"ab"}` + "\n", "sender-id"},
+		"no handle":         {startLines + `{"msg":"hangup","sender-id":"sender-0"}` + "\n", "handle"},
+		"mistyped":          {startLines + `{"msg":"req","sender-id":"sender-0","handle":7,"profile":"c"}` + "\n", "handle"},
+		"undeclared list":   {startLines + `{"msg":"fleet","sender-id":"sender-0","form":"update","list":9}` + "\n", "list 9"},
+		"unknown form":      {startLines + `{"msg":"fleet","sender-id":"sender-0","form":"odd","list":0}` + "\n", "odd"},
+		"not running":       {startLines + `{"msg":"hangup","sender-id":"sender-8","handle":"ab"}` + "\n", "not running"},
+		"no code":           {startLines + `{"msg":"reply","sender-id":"sender-0","handle":"ab","endpoint":"e"}` + "\n", "code"},
+		"unknown code":      {startLines + `{"msg":"reply","sender-id":"sender-0","handle":"a","endpoint":"e","code":9}` + "\n", "code 9"},
 		"settings":          {`{"msg":"tick","ts-ms":1}` + "\n" + `{"msg":"launch","sender-id":"s","config":{}}` + "\n", "Classes"},
 		"settings mistyped": {`{"msg":"tick","ts-ms":1}` + "\n" + `{"msg":"launch","sender-id":"s","config":{"zone":1}}` + "\n", "zone"},
-		"cut short":         {opening, "inside a batch"},
+		"cut short":         {startLines, "inside a batch"},
 	} {
 		out, err := serve(c.in)
 		if err == nil || !strings.Contains(err.Error(), c.want) {
@@ -86,7 +86,7 @@
 }
 
 // Every action has a line of its own on the wire.
-func TestActions(t *testing.T) {
+func TestWriteAction(t *testing.T) {
 	for want, a := range map[string]dispatch.Action{
 		`{"msg":"drop-attempt","sender-id":"s","handle":"ab","go":2}`: dispatch.Cancel{ID: "ab", Attempt: 2},
 		`{"msg":"abort","sender-id":"s","handle":"ab"}`:               dispatch.Fail{ID: "ab"},
@@ -96,7 +96,7 @@
 	} {
 		var buf strings.Builder
 		s := &server{out: bufio.NewWriter(&buf)}
-		s.action("s", a)
+		s.writeAction("s", a)
 		s.out.Flush()
 		if got := strings.TrimSpace(buf.String()); got != want {
 			t.Errorf("%T: %s, wanted %s", a, got, want)
