--- a/internal/journal/handover_test.go
+++ b/internal/journal/handover_test.go
@@ -53,7 +53,7 @@
 	last := mustOpenAs(t, dir, "3")
 	defer last.Close()
 	got, pendingNotices := last.Owed()
-	if len(got) != 2 || got[0].ID != "c" || got[1].ID != "a" || len(pendingNotices) != 1 { // in the order in which the successor recorded them
+	if len(got) != 2 || got[0].ID != "c" || got[1].ID != "a" || len(pendingNotices) != 1 { // in the successor's order
 		t.Fatalf("after the successor's end: %+v %+v", got, pendingNotices)
 	}
 }
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -142,7 +142,7 @@
 		if base == j.name+compactionSuffix || base == j.name && j.file != nil {
 			continue
 		}
-		if strings.HasSuffix(base, compactionSuffix) { // compaction file of another process, still being written or left over after a crash
+		if strings.HasSuffix(base, compactionSuffix) { // compaction file of another process, in progress or left over
 			if info, err := os.Stat(path); err == nil {
 				j.otherFilesBytes += roundUpToBlocks(info.Size())
 			}
@@ -207,6 +207,7 @@
 // Limit sets how many bytes the folder may hold. It is safe for concurrent use.
 func (j *Journal) Limit(bytes int64) { j.limitBytes.Store(bytes - bytes%blockBytes) }
 
+// path returns the path of a file in the journal's folder.
 func (j *Journal) path(name string) string { return filepath.Join(j.dir, name) }
 
 // Owed returns the open transactions and the unanswered notices, each in the order in which they were recorded.
--- a/internal/journal/record.go
+++ b/internal/journal/record.go
@@ -60,6 +60,7 @@
 	return append(binary.AppendUvarint(b, uint64(len(s))), s...)
 }
 
+// boolToInt encodes true as 1 and false as 0.
 func boolToInt(yes bool) int64 {
 	if yes {
 		return 1
@@ -117,6 +118,7 @@
 	invalid bool
 }
 
+// number decodes a varint.
 func (r *payloadReader) number() int64 {
 	v, n := binary.Varint(r.b)
 	if n <= 0 {
@@ -127,6 +129,7 @@
 	return v
 }
 
+// time decodes a time in Unix microseconds; 0 is the zero time.
 func (r *payloadReader) time() time.Time {
 	if us := r.number(); us != 0 {
 		return time.UnixMicro(us)
@@ -134,6 +137,7 @@
 	return time.Time{}
 }
 
+// bytes decodes a byte string that is preceded by its length. The result shares memory with the payload.
 func (r *payloadReader) bytes() []byte {
 	v, n := binary.Uvarint(r.b)
 	if n <= 0 || v > uint64(len(r.b)-n) {
--- a/internal/ops/configure.go
+++ b/internal/ops/configure.go
@@ -10,22 +10,22 @@
 	"time"
 )
 
-// maxChangeBytes bounds a change that is handed in.
+// maxChangeBytes is the maximum size of a submitted configuration change.
 const maxChangeBytes = 8 << 10
 
-// Refusal is an error that names the status of its answer.
+// Refusal is an error that determines the HTTP status of the response.
 type Refusal struct {
 	Status int
 	Reason error
 }
 
-// Error implements error.
+// Error returns the text of the reason.
 func (r *Refusal) Error() string { return r.Reason.Error() }
 
-// Unwrap returns the reason.
+// Unwrap returns the reason for errors.Is and errors.As.
 func (r *Refusal) Unwrap() error { return r.Reason }
 
-// configurationHandler answers POST /ops/fleet/configuration.
+// configurationHandler returns the handler of POST /ops/fleet/configuration.
 func configurationHandler(relay Relay) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		change, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxChangeBytes))
@@ -46,7 +46,7 @@
 	}
 }
 
-// statusOf is what an error is answered with.
+// statusOf returns the HTTP status for an error of Relay.Configure: that of a Refusal, otherwise 503.
 func statusOf(err error) int {
 	var refusal *Refusal
 	if errors.As(err, &refusal) {
@@ -55,4 +55,5 @@
 	return http.StatusServiceUnavailable
 }
 
+// oneLine returns the text of an error without line breaks.
 func oneLine(err error) string { return strings.ReplaceAll(err.Error(), "\n", " ") }
--- a/internal/ops/configure_test.go
+++ b/internal/ops/configure_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// post hands a change in and returns status and text of the answer.
+// post submits a change and returns the status and the body of the response.
 func post(t *testing.T, addr, body string) (int, string) {
 	t.Helper()
 	resp, err := http.Post("http://"+addr+"/ops/fleet/configuration", "application/json", strings.NewReader(body))
@@ -24,7 +24,8 @@
 	return resp.StatusCode, string(text)
 }
 
-// A change is handed on as it came; each refusal has its status and one line; what is too long is not handed on.
+// A change must reach the relay unmodified. Each error must be answered with its status and a single line. A change that is too
+// long must not reach the relay.
 func TestConfigure(t *testing.T) {
 	relay := &fakeRelay{ready: true}
 	addr := serve(t, relay)
@@ -53,6 +54,6 @@
 		t.Errorf("%d %q", status, text)
 	}
 	if len(relay.changes) != before {
-		t.Error("a change that is too long was handed on")
+		t.Error("a change that is too long reached the relay")
 	}
 }
--- a/internal/ops/ops.go
+++ b/internal/ops/ops.go
@@ -1,6 +1,6 @@
-// Package ops serves the operators' address: readiness, the figures, and endpoints taken down and brought up.
-// It is net/http's server with deadlines, one call per connection; its handlers read what the step loop has
-// published and never wait for the step loop longer than their answer can afford.
+// Package ops serves the admin endpoint: readiness, metrics, the fleet's state and configuration, and taking endpoints down and
+// up. It uses the server of net/http with deadlines and one call per connection. Handlers read what the step loop has published.
+// If a handler has to wait for the step loop, it waits no longer than answerTimeout.
 package ops
 
 import (
@@ -14,14 +14,14 @@
 	"time"
 )
 
-// Every answer is due within a second of the call: the deadlines leave room for the write.
+// Every call must be answered within a second. The timeouts leave time to write the response.
 const (
-	headerTimeout = 400 * time.Millisecond // a caller that sends nothing or half a call holds a descriptor so long
-	answerTimeout = 800 * time.Millisecond // a handler that waits for the step loop gives up then
+	headerTimeout = 400 * time.Millisecond // limits how long a client with a missing or incomplete request occupies a file descriptor
+	answerTimeout = 800 * time.Millisecond // limits how long a handler waits for the step loop
 	writeTimeout  = 900 * time.Millisecond
 )
 
-// Stats are the figures of /ops/stats, counted from the start of the process.
+// Stats is the response of /ops/stats. Counts begin at the start of the process.
 type Stats struct {
 	Success         map[string]int64 `json:"success"`
 	Overload        map[string]int64 `json:"overload"`
@@ -30,32 +30,36 @@
 	Concurrent      int              `json:"concurrent"`
 	Targets         int              `json:"targets"`
 	TargetsDisabled int              `json:"targets_disabled"`
-	Fleet           any              `json:"fleet,omitempty"` // of a relay that takes part in one
+	Fleet           any              `json:"fleet,omitempty"` // nil if the relay takes part in no fleet
 }
 
-// ErrUnknown is what Maintenance returns for an endpoint that the pool does not name.
+// ErrUnknown is the error that Relay.Maintain returns for an endpoint that is not in the pool.
 var ErrUnknown = errors.New("no such endpoint")
 
-// Relay is what the address asks. Nothing of it blocks but Configure and Maintain, which end by ctx.
+// Relay is the part of the relay that the admin endpoint uses. Configure and Maintain may block until ctx ends; the other methods
+// do not block.
 type Relay interface {
+	// Ready reports whether the relay is ready for clients.
 	Ready() bool
+	// Stats returns the current counters.
 	Stats() Stats
-	// Fleet is what is known of the fleet, by name: members or verdicts; nil where there is no such thing.
+	// Fleet returns a part of the fleet's state by name: members or verdicts. It returns nil if the relay takes part in no fleet
+	// or the name is unknown.
 	Fleet(what string) any
-	// Configure hands in a signed change of the fleet's configuration, as JSON, and returns when it is kept and in force here.
-	// An error that is a Refusal says why not.
+	// Configure submits a signed change of the fleet's configuration as JSON. It returns once this relay has stored and applied
+	// the change. An error of type *Refusal holds the reason and the HTTP status of a refused change.
 	Configure(ctx context.Context, change []byte) error
-	// Maintain takes an endpoint down (no more new sending) or brings it up, and returns once that holds.
+	// Maintain takes an endpoint down, so that it gets no new calls, or brings it up again. It returns once this is in effect.
 	Maintain(ctx context.Context, id string, down bool) error
 }
 
-// Server is the operators' address.
+// Server is the HTTP server of the admin endpoint.
 type Server struct {
 	http *http.Server
 	ln   net.Listener
 }
 
-// Listen opens the address.
+// Listen opens the listening socket on addr. Serve then answers the calls.
 func Listen(addr string, relay Relay) (*Server, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -108,6 +112,7 @@
 	return s, nil
 }
 
+// writeJSON responds with status 200 and x as JSON.
 func writeJSON(w http.ResponseWriter, x any) {
 	body, err := json.Marshal(x)
 	if err != nil {
@@ -118,16 +123,17 @@
 	writeText(w, http.StatusOK, string(body)+"\n")
 }
 
+// writeText responds with a status and a body, and asks the client to close the connection.
 func writeText(w http.ResponseWriter, code int, body string) {
 	w.Header().Set("Connection", "close")
 	w.WriteHeader(code)
 	_, _ = w.Write([]byte(body))
 }
 
-// Addr is where it listens.
+// Addr returns the address on which the server listens.
 func (s *Server) Addr() net.Addr { return s.ln.Addr() }
 
-// Serve serves until Close.
+// Serve answers calls until Close.
 func (s *Server) Serve() error {
 	if err := s.http.Serve(s.ln); !errors.Is(err, http.ErrServerClosed) {
 		return err
@@ -135,5 +141,5 @@
 	return nil
 }
 
-// Close ends the address and its calls.
+// Close closes the listening socket and all connections.
 func (s *Server) Close() error { return s.http.Close() }
--- a/internal/ops/ops_test.go
+++ b/internal/ops/ops_test.go
@@ -12,15 +12,16 @@
 	"time"
 )
 
+// fakeRelay is a Relay with fixed answers that records the calls.
 type fakeRelay struct {
 	mu    sync.Mutex
 	ready bool
-	bans  map[string]int
-	known map[string]bool
-	block bool // Maintain waits for its deadline
+	bans  map[string]int  // calls that took an endpoint down, by endpoint
+	known map[string]bool // endpoints in the pool
+	block bool            // Maintain waits until its context ends
 
-	changes []string // that Configure was handed
-	refusal error    // what it answers
+	changes []string // changes that Configure received
+	refusal error    // error that Configure returns
 }
 
 func (f *fakeRelay) Ready() bool { f.mu.Lock(); defer f.mu.Unlock(); return f.ready }
@@ -63,6 +64,7 @@
 	return nil
 }
 
+// serve starts a server for r and returns its address.
 func serve(t *testing.T, r Relay) string {
 	t.Helper()
 	s, err := Listen("127.0.0.1:0", r)
@@ -74,6 +76,7 @@
 	return s.Addr().String()
 }
 
+// call makes one HTTP call and returns status, body and duration.
 func call(t *testing.T, addr, method, path string) (int, string, time.Duration) {
 	t.Helper()
 	req, _ := http.NewRequest(method, "http://"+addr+path, nil)
@@ -88,11 +91,12 @@
 	return resp.StatusCode, b.String(), time.Since(began)
 }
 
+// Each path and method must be answered with the documented status.
 func TestEndpoints(t *testing.T) {
 	f := &fakeRelay{bans: map[string]int{}, known: map[string]bool{"s-1": true}}
 	addr := serve(t, f)
 	if code, _, _ := call(t, addr, "GET", "/ops/readiness"); code != http.StatusServiceUnavailable {
-		t.Fatalf("readiness before the start: %d", code)
+		t.Fatalf("readiness of a relay that is not ready: %d", code)
 	}
 	f.mu.Lock()
 	f.ready = true
@@ -107,11 +111,11 @@
 	}
 	for _, name := range []string{"success", "overload", "error", "dispatches", "concurrent", "targets", "targets_disabled"} {
 		if _, ok := got[name]; !ok {
-			t.Errorf("stats lack %s: %s", name, body)
+			t.Errorf("stats without field %s: %s", name, body)
 		}
 	}
 	if _, ok := got["fleet"]; ok {
-		t.Error("a relay alone tells of a fleet")
+		t.Error("stats of a relay without a fleet have the field fleet")
 	}
 	for _, c := range []struct {
 		method, path string
@@ -138,7 +142,7 @@
 	}
 }
 
-// A relay that cannot confirm in time is answered no within the second, not at its leisure.
+// If the relay does not confirm a maintenance call in time, the caller must get an error within a second.
 func TestBlockedMaintainIsAnsweredInTime(t *testing.T) {
 	f := &fakeRelay{ready: true, bans: map[string]int{}, known: map[string]bool{"s-1": true}, block: true}
 	addr := serve(t, f)
@@ -148,7 +152,7 @@
 	}
 }
 
-// Callers that send nothing, or half a call, and linger hold nobody else up, and are let go.
+// Clients that send nothing or an incomplete request must not delay other clients, and the server must close their connections.
 func TestSilentAndPartialCallersAreClosed(t *testing.T) {
 	f := &fakeRelay{ready: true, bans: map[string]int{}, known: map[string]bool{}}
 	addr := serve(t, f)
@@ -159,21 +163,21 @@
 			t.Fatal(err)
 		}
 		if i%2 == 1 {
-			c.Write([]byte("GET /ops/stats HTTP/1.1\r\nHost: x\r\n")) // no end of the headers
+			c.Write([]byte("GET /ops/stats HTTP/1.1\r\nHost: x\r\n")) // the empty line after the headers is missing
 		}
 		lingering = append(lingering, c)
 	}
 	if code, _, took := call(t, addr, "GET", "/ops/readiness"); code != 200 || took > time.Second {
-		t.Fatalf("beside silent callers: %d after %v", code, took)
+		t.Fatalf("with silent clients connected: %d after %v", code, took)
 	}
-	// Each lingering caller is closed by the server well before 4 s.
+	// The server must close each of these connections well before 4 s.
 	for _, c := range lingering {
 		c.SetReadDeadline(time.Now().Add(2 * time.Second))
 		buf := make([]byte, 512)
 		for {
 			if _, err := c.Read(buf); err != nil {
 				if ne, ok := err.(net.Error); ok && ne.Timeout() {
-					t.Fatal("a silent caller was kept for 2 s")
+					t.Fatal("the connection of a silent client is still open after 2 s")
 				}
 				break
 			}
--- a/internal/secure/credentials.go
+++ b/internal/secure/credentials.go
@@ -1,5 +1,5 @@
-// Package secure connects to pool members over TLS as package tlspolicy decides: it reads the files that policies name,
-// reads them again when they change, keeps sessions for resumption, and makes the handshakes.
+// Package secure connects to pool members over TLS according to the policies of package tlspolicy. It loads the certificate and
+// key files that the policies name, reloads them when they change, caches sessions for resumption and performs the handshakes.
 package secure
 
 import (
@@ -17,18 +17,18 @@
 	"slatemux/internal/tlspolicy"
 )
 
-// credentials is what a policy's files held when they were last read and made sense.
+// credentials holds the contents of a policy's files as of the last successful read.
 type credentials struct {
 	roots    *x509.CertPool
-	pair     *tls.Certificate // of the client; nil for none
+	pair     *tls.Certificate // client certificate and key; nil if the policy has none
 	rootsSum [sha256.Size]byte
 	pairSum  [sha256.Size]byte
 }
 
-// maxFileBytes is more than any file of certificates has reason to hold.
+// maxFileBytes is the size limit of a file of certificates or keys. No valid file comes near it.
 const maxFileBytes = 4 << 20
 
-// readCredentials reads a policy's files. It takes all or nothing, and names the file that is at fault.
+// readCredentials reads the files of a policy. If one file is invalid it returns only an error, which names the file.
 func readCredentials(p *tlspolicy.Policy) (*credentials, error) {
 	m := &credentials{}
 	files := slices.Clone(p.RootFiles)
@@ -83,7 +83,7 @@
 		return nil, err
 	}
 	pair, err := tls.X509KeyPair(cert, key)
-	if err != nil { // half-written, or one of the two is the new one already
+	if err != nil { // a file is incomplete, or a renewal has replaced only one of the two
 		return nil, fmt.Errorf("%s with %s: %w", p.Certificate, p.Key, err)
 	}
 	m.pair = &pair
@@ -91,18 +91,19 @@
 	return m, nil
 }
 
+// readFile reads a file of at most maxFileBytes.
 func readFile(path string) ([]byte, error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return nil, err
 	}
 	if info.Size() > maxFileBytes {
-		return nil, fmt.Errorf("%s: %d bytes are too many for certificates", path, info.Size())
+		return nil, fmt.Errorf("%s: file of %d bytes is too large for certificates", path, info.Size())
 	}
 	return os.ReadFile(path)
 }
 
-// checkKeyMode refuses a key file that others than its owner may read or write.
+// checkKeyMode returns an error if users other than the owner may access the key file.
 func checkKeyMode(path string) error {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -114,8 +115,8 @@
 	return nil
 }
 
-// parseCertificates reads all certificates of a PEM text; blocks of other kinds are an error, for a key among the
-// roots is a mistake that should not go unseen.
+// parseCertificates parses all certificates of a PEM text. A block of any other type is an error: a private key in a file of
+// roots is a mistake that must be noticed.
 func parseCertificates(raw []byte) (list []*x509.Certificate, err error) {
 	for len(raw) > 0 {
 		var block *pem.Block
@@ -123,7 +124,7 @@
 			break
 		}
 		if block.Type != "CERTIFICATE" {
-			return nil, fmt.Errorf("holds a %q, not only certificates", block.Type)
+			return nil, fmt.Errorf("contains a PEM block of type %q; only certificates are allowed", block.Type)
 		}
 		c, err := x509.ParseCertificate(block.Bytes)
 		if err != nil {
@@ -132,7 +133,7 @@
 		list = append(list, c)
 	}
 	if len(list) == 0 {
-		return nil, errors.New("holds no certificate")
+		return nil, errors.New("contains no certificate")
 	}
 	return list, nil
 }
--- a/internal/secure/secure.go
+++ b/internal/secure/secure.go
@@ -23,38 +23,39 @@
 )
 
 const (
-	// reloadDelay is how long files must have been left alone before they are read: a renewal writes several.
+	// reloadDelay is the time without file changes after which the files are reloaded. A renewal writes several files.
 	reloadDelay = 200 * time.Millisecond
-	// failureLogInterval is how often a failure of one cause is logged.
+	// failureLogInterval is the minimum interval between two log lines about failures of the same cause.
 	failureLogInterval = time.Minute
-	// handshakesPerCPUSample is how many handshakes share one whose processor time is measured: that binds it to a thread.
+	// handshakesPerCPUSample is the number of handshakes for each one whose CPU time is measured. Not every handshake is measured,
+	// because the measurement locks the goroutine to an operating system thread.
 	handshakesPerCPUSample = 8
 )
 
-// Manager owns what TLS needs beside connections. It is safe for use by several goroutines.
+// Manager holds the credentials, session caches and counters of all TLS policies. It is safe for concurrent use.
 type Manager struct {
 	table tlspolicy.Table
 	now   func() time.Time
 
 	mu          sync.Mutex
-	policyState map[string]*policyState // by policy
-	epoch       int64
+	policyState map[string]*policyState // by policy name
+	epoch       int64                   // number of changes of credentials, over all policies
 
-	lastLoggedNanos [tlspolicy.Causes]atomic.Int64 // when a cause was last logged, Unix time in ns
+	lastLoggedNanos [tlspolicy.Causes]atomic.Int64 // Unix time of the last log line about each cause
 	failures        [tlspolicy.Causes]atomic.Int64
 
 	handshakes, resumed, reloads, badReloads atomic.Int64
 }
 
-// policyState is what is kept of one policy.
+// policyState holds the credentials and session caches of one policy.
 type policyState struct {
 	policy *tlspolicy.Policy
 	*credentials
-	epoch    int64
+	epoch    int64                          // value of Manager.epoch when the credentials were loaded
 	sessions map[int]tls.ClientSessionCache // by destination
 }
 
-// New reads all files that the policies name. It fails where one makes no sense.
+// New returns a Manager for a table of policies. It reads all files that the policies name and fails if one of them is invalid.
 func New(table tlspolicy.Table) (*Manager, error) {
 	if err := table.Check(); err != nil {
 		return nil, fmt.Errorf("secure: %w", err)
@@ -74,13 +75,13 @@
 	return m, nil
 }
 
-// Wants says whether connections to a pool member go over TLS.
+// Wants reports whether connections to a pool member use TLS.
 func (m *Manager) Wants(member *traffic.Member) bool {
 	return m.table.For(member.Destination, member.Host, member.Dial) != nil
 }
 
-// Reload reads all files again. Of a policy whose files make no sense the old ones serve on. What has changed counts for
-// new connections; Fresh says of old ones that they are to go once idle.
+// Reload reads all files again. If a file of a policy is invalid, the policy keeps its current credentials. Changed credentials
+// apply to new connections. For connections that were made with the previous ones, Fresh returns false.
 func (m *Manager) Reload() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -97,7 +98,7 @@
 		}
 		m.epoch++
 		next := &policyState{policy: k.policy, credentials: loaded, epoch: m.epoch, sessions: k.sessions}
-		// A session stands for a chain that was verified by the old roots, and for our old certificate.
+		// Drop the sessions: they rely on a chain that was verified with the old roots and on the old client certificate.
 		next.sessions = map[int]tls.ClientSessionCache{}
 		m.policyState[name] = next
 		m.reloads.Add(1)
@@ -105,7 +106,8 @@
 	}
 }
 
-// Watch reads the files again when they change, until ctx ends. It watches their folders, for renewals rename.
+// Watch reloads the files when they change, until ctx ends. It watches the folders of the files, because renewals replace files by
+// renaming.
 func (m *Manager) Watch(ctx context.Context) error {
 	w, err := fsnotify.NewWatcher()
 	if err != nil {
@@ -117,7 +119,7 @@
 			return fmt.Errorf("secure: %s: %w", dir, err)
 		}
 	}
-	m.Reload() // what changed before the folders were watched
+	m.Reload() // picks up changes made before the folders were watched
 	var due <-chan time.Time
 	for {
 		select {
@@ -128,11 +130,11 @@
 				return nil
 			}
 			due = time.After(reloadDelay)
-		case err, ok := <-w.Errors: // events were lost, say: look at everything
+		case err, ok := <-w.Errors: // for example lost events: reload all files
 			if !ok {
 				return nil
 			}
-			slog.Warn("tls files not watched well", "err", err)
+			slog.Warn("tls files not watched reliably: reloading all files", "err", err)
 			due = time.After(reloadDelay)
 		case <-due:
 			due = nil
@@ -141,6 +143,7 @@
 	}
 }
 
+// watchedFolders returns the folders of all files that the policies name.
 func (m *Manager) watchedFolders() (dirs []string) {
 	for i := range m.table {
 		p := &m.table[i]
@@ -155,16 +158,17 @@
 	return slices.Compact(dirs)
 }
 
-// Conn is a connection over TLS, with what it was made by.
+// Conn is a TLS connection together with the policy and the epoch of the credentials that it was made with.
 type Conn struct {
 	*tls.Conn
 	policy   string
 	epoch    int64
-	notAfter time.Time // the server's certificate is valid
+	notAfter time.Time // end of validity of the server's certificate
 }
 
-// Client makes the handshake on a connection to a member, until ctx ends. It closes the connection where that fails.
-// The processor time is that of a sample of the handshakes; 0 for the others.
+// Client performs the TLS handshake on a connection to a member. If the handshake fails or ctx ends first, Client closes the
+// connection. If the member's policy is plain TCP, Client returns nc itself. The returned duration is the CPU time of the
+// handshake; it is 0 for handshakes that are not sampled.
 func (m *Manager) Client(ctx context.Context, nc net.Conn, member *traffic.Member) (net.Conn, time.Duration, error) {
 	p := m.table.For(member.Destination, member.Host, member.Dial)
 	if p == nil {
@@ -192,7 +196,7 @@
 	if err != nil {
 		nc.Close()
 		if cache != nil {
-			cache.Put(name, nil) // the next handshake is a full one
+			cache.Put(name, nil) // forces a full handshake next time
 		}
 		f := tlspolicy.Classify(err, m.now())
 		if ctx.Err() != nil && f.Cause != tlspolicy.Stalled {
@@ -209,7 +213,7 @@
 	return &Conn{Conn: c, policy: p.Name, epoch: k.epoch, notAfter: cs.PeerCertificates[0].NotAfter}, took, nil
 }
 
-// handshake makes a handshake and, for a sample, measures what it takes of the processor.
+// handshake performs the handshake and, for a sample of the handshakes, measures its CPU time.
 func (m *Manager) handshake(ctx context.Context, c *tls.Conn) (time.Duration, error) {
 	if m.handshakes.Load()%handshakesPerCPUSample != 0 {
 		return 0, c.HandshakeContext(ctx)
@@ -221,6 +225,7 @@
 	return threadCPUTime() - from, err
 }
 
+// threadCPUTime returns the CPU time of the current thread, or 0 if it cannot be read.
 func threadCPUTime() time.Duration {
 	var ts unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_THREAD_CPUTIME_ID, &ts) != nil {
@@ -229,8 +234,8 @@
 	return time.Duration(ts.Nano())
 }
 
-// Fresh says whether an idle connection may carry another call: its policy's files are those that it was made by, and
-// the server's certificate is still valid.
+// Fresh reports whether an idle connection may be used for another call: the policy's credentials have not changed since the
+// handshake, and the server's certificate has not expired. A connection without TLS is always fresh.
 func (m *Manager) Fresh(nc net.Conn) bool {
 	c, ok := nc.(*Conn)
 	if !ok {
@@ -241,6 +246,7 @@
 	return c.epoch == m.policyState[c.policy].epoch && m.now().Before(c.notAfter)
 }
 
+// recordFailure counts a failed handshake and logs it, at most once per failureLogInterval for each cause.
 func (m *Manager) recordFailure(f *tlspolicy.Failure, member *traffic.Member, p *tlspolicy.Policy) {
 	m.failures[f.Cause].Add(1)
 	now, last := m.now().UnixNano(), m.lastLoggedNanos[f.Cause].Load()
@@ -251,13 +257,13 @@
 		"cause", f.Cause.String(), "err", f)
 }
 
-// Counters count since the start.
+// Counters holds the counts of handshakes and reloads since the start of the process. Failed is indexed by cause.
 type Counters struct {
 	Handshakes, Resumed, Reloads, BadReloads int64
 	Failed                                   [tlspolicy.Causes]int64
 }
 
-// Counters returns the counters.
+// Counters returns the current counts.
 func (m *Manager) Counters() Counters {
 	c := Counters{Handshakes: m.handshakes.Load(), Resumed: m.resumed.Load(), Reloads: m.reloads.Load(), BadReloads: m.badReloads.Load()}
 	for i := range m.failures {
@@ -266,7 +272,7 @@
 	return c
 }
 
-// LogValue names the counters in a log line; causes that never were are left out.
+// LogValue implements slog.LogValuer. It omits causes without a failure.
 func (c Counters) LogValue() slog.Value {
 	attrs := []slog.Attr{slog.Int64("handshakes", c.Handshakes), slog.Int64("resumed", c.Resumed), slog.Int64("reloads", c.Reloads),
 		slog.Int64("bad_reloads", c.BadReloads)}
@@ -278,25 +284,28 @@
 	return slog.GroupValue(attrs...)
 }
 
-// memberSessionCache keeps the sessions of one member apart from those of others under the same server name: each server has
-// ticket keys of its own.
+// memberSessionCache is a session cache that adds the member's host to each key. Members with the same server name have different
+// ticket keys, so their sessions must not be mixed.
 type memberSessionCache struct {
 	tls.ClientSessionCache
 	host string
 }
 
+// Get returns the cached session of the member for the key.
 func (c memberSessionCache) Get(key string) (*tls.ClientSessionState, bool) {
 	return c.ClientSessionCache.Get(strconv.Itoa(len(c.host)) + c.host + key)
 }
 
+// Put caches a session of the member for the key, or removes it if s is nil.
 func (c memberSessionCache) Put(key string, s *tls.ClientSessionState) {
 	c.ClientSessionCache.Put(strconv.Itoa(len(c.host))+c.host+key, s)
 }
 
-// errNoTLS says that a member's connections are plain.
-var errNoTLS = errors.New("secure: connections to it are plain")
+// errNoTLS is the error of Check for a member without TLS.
+var errNoTLS = errors.New("secure: connections to this member do not use TLS")
 
-// Check connects to a member once, shows what came of it, and connects again to see whether the session is resumed.
+// Check connects to a member twice and returns the TLS state and the duration of both connections. The second state shows whether
+// the session was resumed.
 func (m *Manager) Check(ctx context.Context, member *traffic.Member) (first, second tls.ConnectionState, took [2]time.Duration, err error) {
 	if !m.Wants(member) {
 		return first, second, took, errNoTLS
@@ -313,7 +322,7 @@
 		}
 		took[i] = time.Since(from)
 		*state = c.(*Conn).ConnectionState()
-		// A TLS 1.3 server sends its tickets behind the handshake; they are read with what it says next.
+		// A TLS 1.3 server sends its tickets after the handshake. They are processed during the next read.
 		_ = c.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
 		_, _ = c.Read(make([]byte, 1))
 		c.Close()
--- a/internal/secure/secure_test.go
+++ b/internal/secure/secure_test.go
@@ -22,6 +22,7 @@
 	"slatemux/internal/traffic"
 )
 
+// must returns v, or panics if err is not nil.
 func must[T any](v T, err error) T {
 	if err != nil {
 		panic(err)
@@ -29,6 +30,7 @@
 	return v
 }
 
+// noError fails the test if err is not nil.
 func noError(t *testing.T, err error) {
 	t.Helper()
 	if err != nil {
@@ -36,7 +38,8 @@
 	}
 }
 
-// harness is an authority, a server under it that a test may change, and a Manager that trusts the authority by a file.
+// harness consists of a certificate authority, a server whose certificate the authority issued, and a Manager that reads the
+// authority's certificate from a file. A test may replace the server's configuration.
 type harness struct {
 	t       *testing.T
 	root    *ca.Pair
@@ -47,9 +50,10 @@
 
 	mu         sync.Mutex
 	cfg        *tls.Config
-	rawHandler func(net.Conn) // takes over from TLS
+	rawHandler func(net.Conn) // if set, handles connections instead of the TLS server
 }
 
+// newHarness starts the server and creates the Manager; change may modify the policy first.
 func newHarness(t *testing.T, change func(*tlspolicy.Policy)) *harness {
 	t.Helper()
 	slog.SetDefault(slog.New(slog.DiscardHandler))
@@ -70,8 +74,10 @@
 	return r
 }
 
+// file returns the path of a file in the harness's folder.
 func (r *harness) file(name string) string { return filepath.Join(r.dir, name) }
 
+// serve makes the server use the given certificate for new connections; change may modify its configuration.
 func (r *harness) serve(p *ca.Pair, change func(*tls.Config)) {
 	cfg := &tls.Config{Certificates: []tls.Certificate{p.TLS()}}
 	if change != nil {
@@ -82,6 +88,7 @@
 	r.mu.Unlock()
 }
 
+// accept serves connections until the listener is closed.
 func (r *harness) accept() {
 	for {
 		nc, err := r.ln.Accept()
@@ -99,14 +106,14 @@
 			}
 			c := tls.Server(nc, cfg)
 			if c.Handshake() == nil {
-				_, _ = io.WriteString(c, "x") // behind the tickets, so that these are read
+				_, _ = io.WriteString(c, "x") // the client processes the session tickets when it reads this byte
 				_, _ = io.Copy(io.Discard, c)
 			}
 		}()
 	}
 }
 
-// connect makes one connection and reads what the server says first.
+// connect makes one connection and reads the server's first byte.
 func (r *harness) connect() (*Conn, error) {
 	r.t.Helper()
 	nc, err := net.Dial("tcp", r.member.Dial)
@@ -124,7 +131,7 @@
 	return c.(*Conn), nil
 }
 
-// expectFailure connects and wants a cause.
+// expectFailure connects and checks that the handshake fails with the given cause and that the failure is counted.
 func (r *harness) expectFailure(want tlspolicy.Cause) {
 	r.t.Helper()
 	before := r.manager.Counters().Failed[want]
@@ -135,6 +142,7 @@
 	}
 }
 
+// expectResumption connects and checks whether the session is resumed.
 func (r *harness) expectResumption(want bool) {
 	r.t.Helper()
 	c, err := r.connect()
@@ -144,7 +152,8 @@
 	}
 }
 
-// Both versions resume; a server that changes its ticket keys, or gives none, costs a full handshake and no failure.
+// Sessions are resumed with TLS 1.2 and TLS 1.3. If the server changes its ticket keys or issues no tickets, the next handshake
+// must be a full one and must not fail.
 func TestResumption(t *testing.T) {
 	for _, version := range []uint16{tls.VersionTLS12, tls.VersionTLS13} {
 		r := newHarness(t, nil)
@@ -153,7 +162,7 @@
 		r.expectResumption(false)
 		r.expectResumption(true)
 		r.expectResumption(true)
-		r.serve(leaf, func(c *tls.Config) { c.MaxVersion = version }) // new keys for tickets
+		r.serve(leaf, func(c *tls.Config) { c.MaxVersion = version }) // a new configuration has new ticket keys
 		r.expectResumption(false)
 		r.expectResumption(true)
 		r.serve(leaf, func(c *tls.Config) { c.MaxVersion, c.SessionTicketsDisabled = version, true })
@@ -168,7 +177,7 @@
 	r.expectResumption(false)
 }
 
-// Members under one name keep sessions apart, and a destination keeps no more than it may.
+// Members with the same server name must not share sessions, and a destination must not keep more sessions than its policy allows.
 func TestSessionsAreBounded(t *testing.T) {
 	r := newHarness(t, func(p *tlspolicy.Policy) { p.Sessions = 2 })
 	for _, host := range []string{"a", "b", "c"} {
@@ -177,12 +186,12 @@
 	}
 	r.member.Host = "c"
 	r.expectResumption(true)
-	r.member.Host = "a" // the oldest had to go
+	r.member.Host = "a" // the oldest session was evicted
 	r.expectResumption(false)
 }
 
-// A certificate that expires in mid-service: new connections fail and say why, idle ones are not used again, and the
-// session does not let it live on.
+// A server certificate expires while the relay runs. New connections must fail with the right cause, idle ones must not be used
+// again, and a cached session must not hide the expiry.
 func TestCertificateExpiresInService(t *testing.T) {
 	r := newHarness(t, nil)
 	soon := time.Now().Add(time.Minute)
@@ -190,11 +199,11 @@
 	c, err := r.connect()
 	noError(t, err)
 	if !r.manager.Fresh(c) {
-		t.Error("a connection of a valid certificate is not fresh")
+		t.Error("a connection with a valid certificate is not fresh")
 	}
 	r.manager.now = func() time.Time { return soon.Add(time.Second) }
 	if r.manager.Fresh(c) {
-		t.Error("its certificate has expired, and the connection is used on")
+		t.Error("a connection whose certificate has expired is fresh")
 	}
 	r.expectFailure(tlspolicy.Expired)
 	r.serve(must(r.root.Issue(ca.Leaf{Names: []string{"pay.example.org"}})), nil)
@@ -203,7 +212,7 @@
 	r.expectFailure(tlspolicy.NotYetValid)
 }
 
-// What is not to be trusted is not, and each says why.
+// Handshakes with servers that must not be trusted fail, each with the right cause.
 func TestUntrustedServers(t *testing.T) {
 	r := newHarness(t, nil)
 	other := must(ca.Root("other", ca.P256))
@@ -212,7 +221,7 @@
 	r.serve(must(other.Issue(ca.Leaf{Names: []string{"pay.example.org"}})), nil)
 	r.expectFailure(tlspolicy.UnknownRoot)
 	sameKey := must(other.Issue(ca.Leaf{Names: []string{"pay.example.org"}}))
-	r.serve(must((&ca.Pair{Cert: sameKey.Cert, Key: sameKey.Key}).Issue(ca.Leaf{Names: []string{"pay.example.org"}, Key: sameKey.Key})), nil) // by its own key
+	r.serve(must((&ca.Pair{Cert: sameKey.Cert, Key: sameKey.Key}).Issue(ca.Leaf{Names: []string{"pay.example.org"}, Key: sameKey.Key})), nil) // signed with its own key
 	r.expectFailure(tlspolicy.UnknownRoot)
 	r.serve(must(r.root.Issue(ca.Leaf{Names: []string{"pay.example.org"}, Client: true})), nil)
 	r.expectFailure(tlspolicy.Unsuitable)
@@ -220,7 +229,7 @@
 	r.expectFailure(tlspolicy.Versions)
 }
 
-// A key that is not pinned is refused, though its chain is good, also where a session would be resumed.
+// A server key that is not pinned must be refused although its chain is valid, also if a session could be resumed.
 func TestRevocationByPin(t *testing.T) {
 	key := must(ca.NewKey(ca.P256))
 	spare := must(ca.NewKey(ca.P256))
@@ -232,14 +241,14 @@
 	r.serve(issue(), nil)
 	r.expectResumption(false)
 	r.expectResumption(true)
-	pins[0] = tlspolicy.Pin{1} // its key is known to others now
+	pins[0] = tlspolicy.Pin{1} // simulates the removal of the pin of a compromised key
 	r.expectFailure(tlspolicy.PinMissing)
 	r.serve(must(r.root.Issue(ca.Leaf{Names: []string{"pay.example.org"}, Key: spare})), nil)
 	r.expectResumption(false)
 }
 
-// A server may ask for a certificate of ours: with none it refuses us, with ours it lets us in; a new pair counts for
-// new connections, and old ones are not used again once idle.
+// A server requires a client certificate. It must refuse a client without one and accept a client with one. After a renewal, new
+// connections must use the new certificate, and idle ones made with the old certificate must not be used again.
 func TestClientCertificate(t *testing.T) {
 	clients := must(ca.Root("clients", ca.P256))
 	pool := x509.NewCertPool()
@@ -249,10 +258,10 @@
 	leaf := func(r *harness) *ca.Pair { return must(r.root.Issue(ca.Leaf{Names: []string{"pay.example.org"}})) }
 	for _, version := range []uint16{tls.VersionTLS12, tls.VersionTLS13} {
 		withoutCert.serve(leaf(withoutCert), func(c *tls.Config) { requireClientCert(c); c.MaxVersion = version })
-		// TLS 1.3 tells it only behind the handshake, TLS 1.2 with an alert that stands for much.
+		// With TLS 1.3 the refusal arrives after the handshake. With TLS 1.2 the server sends an alert that has several meanings.
 		want := map[uint16]tlspolicy.Cause{tls.VersionTLS12: tlspolicy.Versions, tls.VersionTLS13: tlspolicy.ClientRefused}[version]
 		if _, err := withoutCert.connect(); err == nil || tlspolicy.Classify(err, time.Now()).Cause != want {
-			t.Errorf("without a certificate of ours: %v", err)
+			t.Errorf("without a client certificate: %v", err)
 		}
 	}
 	dir := t.TempDir()
@@ -264,7 +273,7 @@
 	old, err := r.connect()
 	noError(t, err)
 
-	// A renewal that writes the key first, and one whose certificate is half there: the old pair serves on.
+	// While only the key has been replaced, or the certificate is incomplete, the old pair stays in use.
 	second := must(clients.Issue(ca.Leaf{Names: []string{"relay"}, Client: true}))
 	keyPEM := must(second.KeyPEM())
 	noError(t, ca.Write(key, keyPEM, 0o600))
@@ -275,7 +284,7 @@
 		t.Errorf("%+v, fresh %v", c, r.manager.Fresh(old))
 	}
 	if _, err := r.connect(); err != nil {
-		t.Errorf("between the two files: %v", err)
+		t.Errorf("between the writes of the two files: %v", err)
 	}
 	noError(t, ca.Write(cert, second.PEM(), 0o644))
 	r.manager.Reload()
@@ -289,12 +298,12 @@
 	noError(t, os.Chmod(key, 0o640))
 	r.manager.Reload()
 	if c := r.manager.Counters(); c.BadReloads != 3 {
-		t.Errorf("a key that others may read was taken: %+v", c)
+		t.Errorf("a key that other users may read was accepted: %+v", c)
 	}
 }
 
-// Roots rotate: the old one, both, the new one alone. With a cross-signed certificate in its chain, the server changes
-// over at any moment in between and is accepted throughout.
+// The roots rotate from the old one to both and then to the new one alone. A server with a cross-signed certificate in its chain
+// may switch to the new root at any time in between and must be accepted throughout.
 func TestRootRotation(t *testing.T) {
 	r := newHarness(t, nil)
 	next := must(ca.Root("next", ca.P256))
@@ -304,10 +313,10 @@
 	r.expectResumption(true)
 	leaf.Chain = append(leaf.Chain, crossSigned.Cert)
 	r.serve(leaf, nil)
-	r.expectResumption(false) // the old root vouches for the new one
+	r.expectResumption(false) // the old root has signed the new one
 	noError(t, ca.Write(r.file("root.pem"), append(r.root.PEM(), next.PEM()...), 0o644))
 	r.manager.Reload()
-	r.expectResumption(false) // sessions stand for the old roots
+	r.expectResumption(false) // sessions from before the change of roots are dropped
 	r.expectResumption(true)
 	noError(t, ca.Write(r.file("root.pem"), next.PEM(), 0o644))
 	r.manager.Reload()
@@ -323,7 +332,7 @@
 	}
 }
 
-// What is no TLS, or stops in the middle, fails in time and as such.
+// A server that does not speak TLS, or stops during the handshake, must cause a failure with the right cause and in time.
 func TestMisbehavingServers(t *testing.T) {
 	r := newHarness(t, nil)
 	setRawHandler := func(f func(net.Conn)) {
@@ -346,20 +355,20 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 	defer cancel()
 	if _, _, err := r.manager.Client(ctx, nc, &r.member); tlspolicy.Classify(err, time.Now()).Cause != tlspolicy.Stalled {
-		t.Errorf("a hello that stalls: %v", err)
+		t.Errorf("a server that does not answer the client hello: %v", err)
 	}
 	rng := rand.New(rand.NewPCG(1, 1))
-	for range 30 { // garbage of any length, and never a panic or a connection
+	for range 30 { // random bytes of any length must cause neither a panic nor a connection
 		garbage := make([]byte, rng.IntN(200))
 		for i := range garbage {
 			garbage[i] = byte(rng.Uint32())
 		}
 		setRawHandler(func(nc net.Conn) { _, _ = nc.Write(garbage) })
 		if _, err := r.connect(); err == nil {
-			t.Fatalf("%x was taken for TLS", garbage)
+			t.Fatalf("%x was accepted as TLS", garbage)
 		}
 	}
-	// The end without close_notify ends the connection; crypto/tls takes it for a proper end at a record's boundary.
+	// A connection that ends without close_notify must be reported as ended. crypto/tls accepts such an end at a record boundary.
 	setRawHandler(func(nc net.Conn) {
 		c := tls.Server(nc, r.cfg)
 		if c.Handshake() == nil {
@@ -370,11 +379,11 @@
 	c, err := r.connect()
 	noError(t, err)
 	if _, err := c.Read(make([]byte, 1)); err == nil {
-		t.Errorf("cut off without a word, it reads as %v", err)
+		t.Errorf("read from a connection closed without close_notify: %v", err)
 	}
 }
 
-// Records cut at random places are one handshake all the same.
+// A handshake whose records arrive in fragments of random length must succeed.
 func TestFragmentedRecords(t *testing.T) {
 	r := newHarness(t, nil)
 	r.mu.Lock()
@@ -393,7 +402,7 @@
 	}
 }
 
-// chunkedConn writes in pieces of random length.
+// chunkedConn splits each write into chunks of random length.
 type chunkedConn struct {
 	net.Conn
 	rng *rand.Rand
@@ -408,8 +417,8 @@
 	return n, err
 }
 
-// Files that change are read without being told, however often and in whatever order; every moment has a pair that
-// serves.
+// Watch must notice each renewal of certificate and key, without a call of Reload. During a renewal a valid pair must be in use at
+// any time.
 func TestWatch(t *testing.T) {
 	dir := t.TempDir()
 	clients := must(ca.Root("clients", ca.P256))
@@ -422,11 +431,11 @@
 	for i := 1; i <= 3; i++ {
 		noError(t, must(clients.Issue(ca.Leaf{Names: []string{fmt.Sprint(i)}, Client: true})).Files(cert, key))
 		if _, err := r.connect(); err != nil {
-			t.Errorf("during a renewal: %v", err)
+			t.Errorf("connection during renewal: %v", err)
 		}
 		for deadline := time.Now().Add(30 * time.Second); r.manager.Counters().Reloads < int64(i); time.Sleep(5 * time.Millisecond) {
 			if time.Now().After(deadline) {
-				t.Fatalf("renewal %d was not seen: %+v", i, r.manager.Counters())
+				t.Fatalf("renewal %d was not noticed: %+v", i, r.manager.Counters())
 			}
 		}
 	}
@@ -434,7 +443,7 @@
 	noError(t, <-ended)
 }
 
-// What makes no sense at the start ends it, with the file or field at fault.
+// New must refuse invalid files and policies. The error must name the policy and the file or field.
 func TestNewRejectsInvalidFiles(t *testing.T) {
 	dir := t.TempDir()
 	root := must(ca.Root("root", ca.P256))
@@ -468,11 +477,11 @@
 	p := base
 	p.RootFiles, p.RootDirs = nil, []string{dir}
 	if _, err := New(tlspolicy.Table{p}); err != nil {
-		t.Errorf("a folder of roots: %v", err)
+		t.Errorf("roots from a folder: %v", err)
 	}
 }
 
-// Check shows what a member has, and whether it resumes.
+// Check returns the TLS state of a member and whether it resumes sessions, and an error for a member without TLS.
 func TestCheck(t *testing.T) {
 	r := newHarness(t, nil)
 	first, second, took, err := r.manager.Check(context.Background(), &r.member)
@@ -485,7 +494,7 @@
 	}
 }
 
-// Whatever stands in a file of certificates: all of it counts, or none.
+// FuzzCertificates checks that parseCertificates returns either certificates or an error, for any input.
 func FuzzCertificates(f *testing.F) {
 	root := must(ca.Root("root", ca.P256))
 	f.Add(root.PEM())
--- a/internal/vitals/process.go
+++ b/internal/vitals/process.go
@@ -42,6 +42,7 @@
 	schedLatencyMetric = "/sched/latencies:seconds"
 )
 
+// newProcessSampler returns a sampler for this process. Without access to /proc it reports 0 bytes of resident memory.
 func newProcessSampler() *processSampler {
 	p := &processSampler{}
 	var err error
--- a/internal/vitals/vitals.go
+++ b/internal/vitals/vitals.go
@@ -49,7 +49,7 @@
 	windowAges                          []time.Duration         // submission ages since the last reading, at most maxWindowAges
 	windowSubmissions                   int
 	maxStepDelay                        time.Duration // since the last reading
-	wall, cpu                           time.Duration // time spent in sections since the last reading
+	wall, cpu                           time.Duration // wall-clock and CPU time spent in sections since the last reading
 	decayedWall, decayedCPU             float64       // sums of wall and cpu in nanoseconds, reduced by stretchDecay at each reading
 	lastRead                            time.Time
 	lastCPU                             time.Duration
@@ -70,6 +70,7 @@
 	return hdrhistogram.New(1, maxRecorded.Microseconds(), 2)
 }
 
+// record adds a duration to a histogram, limited to the histogram's range.
 func record(h *hdrhistogram.Histogram, d time.Duration) {
 	_ = h.RecordValue(min(max(d, time.Microsecond), maxRecorded).Microseconds()) // cannot fail: the value is in range
 }
@@ -114,7 +115,7 @@
 	Probe   time.Duration // longest wait of a reader for bytes that had already arrived
 	CPU     float64       // cores used by the whole process
 	Cores   float64       // cores that the process may use
-	Stretch float64       // wall-clock time over CPU time in sections, about ten readings; 1 if nothing else competes for the CPU
+	Stretch float64       // wall-clock time per CPU time in the sections of about ten readings; 1 if nothing else competes for the CPU
 	Section float64       // cores used by sections
 	Busy    float64       // share of Cores that the process used or, estimated by Stretch, waited for
 	RSS     int64         // resident memory in bytes; 0 if it cannot be read
@@ -213,6 +214,7 @@
 // Quantiles holds the quantiles and the maximum of one distribution since the start of the process.
 type Quantiles struct{ P50, P99, P999, Max time.Duration }
 
+// quantiles reads the quantiles and the maximum of a histogram.
 func quantiles(h *hdrhistogram.Histogram) Quantiles {
 	at := func(q float64) time.Duration { return time.Duration(h.ValueAtQuantile(q)) * time.Microsecond }
 	return Quantiles{at(50), at(99), at(99.9), time.Duration(h.Max()) * time.Microsecond}
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -9,8 +9,8 @@
 	"slatemux/internal/settings"
 )
 
-// message is any line of the wire; each kind of line uses some of the fields. Pointers tell a value that
-// is missing from one that is nought, where the wire always writes the value.
+// message is any line of the protocol. Each kind of line uses some of the fields; the tags hold the protocol's keys. A field is a
+// pointer if a missing value must be distinguished from zero.
 type message struct {
 	Msg            string          `json:"msg"`
 	ClockMillis    *float64        `json:"ts-ms"`
@@ -37,6 +37,7 @@
 	Contents       *string         `json:"contents"`
 }
 
+// row is one endpoint of a list.
 type row struct {
 	Endpoint  string  `json:"endpoint"`
 	Zone      string  `json:"failure-domain"`
@@ -46,14 +47,16 @@
 	PowerHint float64 `json:"power-hint"`
 }
 
+// report is the load report of an endpoint: X0 is dispatch.Report.Left, X1 is dispatch.Report.Limit.
 type report struct {
 	X0 float64 `json:"x0"`
 	X1 float64 `json:"x1"`
 }
 
-// optionalString is a text for which the wire may write 0 where there is none.
+// optionalString is a string. The protocol may write the number 0 for an empty one.
 type optionalString string
 
+// UnmarshalJSON decodes a string, or the number 0 as the empty string.
 func (n *optionalString) UnmarshalJSON(b []byte) error {
 	if string(b) == "0" {
 		*n = ""
@@ -65,7 +68,7 @@
 	return err
 }
 
-// requiredFields names, for each event, the first field that it lacks.
+// requiredFields has, for each event, a function that returns the first missing field, or "".
 var requiredFields = map[string]func(*message) string{
 	"launch":        func(m *message) string { return firstMissing(len(m.Config) == 0, "config") },
 	"power-off":     func(*message) string { return "" },
@@ -81,7 +84,7 @@
 	},
 }
 
-// firstMissing returns the name after the first true value.
+// firstMissing takes pairs of a condition and a field name. It returns the name after the first true condition, or "".
 func firstMissing(pairs ...any) string {
 	for i := 0; i < len(pairs); i += 2 {
 		if pairs[i].(bool) {
@@ -91,12 +94,15 @@
 	return ""
 }
 
+// statusByCode maps the protocol's result codes to statuses.
 var statusByCode = []dispatch.Status{dispatch.OK, dispatch.Errored, dispatch.Full, dispatch.TimedOut,
 	dispatch.ConnectFailed, dispatch.Reset, dispatch.Cancelled, dispatch.Moot}
 
+// stateByReadiness maps the protocol's readiness values to endpoint states.
 var stateByReadiness = map[string]dispatch.State{"healthy": dispatch.Listed, "cordoned": dispatch.Draining,
 	"deregistered": dispatch.Gone}
 
+// parseEndpoints converts the rows of a list.
 func parseEndpoints(rows []row) ([]dispatch.Endpoint, error) {
 	list := make([]dispatch.Endpoint, len(rows))
 	for i, r := range rows {
@@ -110,7 +116,7 @@
 	return list, nil
 }
 
-// decode turns a message into the event it carries; nil for one that the interface does not have.
+// decode converts a message to an event. It returns nil for a message that package dispatch has no event for.
 func (s *server) decode(m *message) (dispatch.Event, error) {
 	switch m.Msg {
 	case "fleet":
@@ -150,6 +156,7 @@
 	return nil, nil
 }
 
+// decodeMembers converts a fleet message to a change of the endpoint list.
 func (s *server) decodeMembers(m *message) (dispatch.Event, error) {
 	if m.Form == "unavailable" {
 		return dispatch.MembersLost{}, nil
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,5 +1,5 @@
-// Package wire carries the bench's line protocol to senders and back. It decodes, hands each instance its
-// events, and encodes what the instance answers; it decides nothing.
+// Package wire implements the line protocol of the simulator. It decodes batches of JSON lines, passes the events to the sender
+// instances that they address, and encodes the resulting actions.
 package wire
 
 import (
@@ -16,24 +16,25 @@
 	"slatemux/internal/settings"
 )
 
-// server holds the instances of one process and the batch being read.
+// server holds the sender instances of this process and the state of the current batch.
 type server struct {
-	now       time.Duration
+	now       time.Duration // clock of the current batch
 	inBatch   bool
-	lists     map[int][]dispatch.Endpoint
-	instances map[string]*instance
-	pending   []*instance // instances with an event in this batch, in order of their first
+	lists     map[int][]dispatch.Endpoint // declared endpoint lists by number
+	instances map[string]*instance        // by sender id
+	pending   []*instance                 // instances with an event in this batch, in the order of their first event
 	out       *bufio.Writer
 }
 
+// instance is one simulated sender process.
 type instance struct {
 	name   string
-	sender *dispatch.Sender
-	events []dispatch.Event
-	queued bool
+	sender *dispatch.Sender // nil while the instance is not running
+	events []dispatch.Event // of the current batch
+	queued bool             // is in server.pending
 }
 
-// Serve reads batches from r and writes one reply for each to w until r ends.
+// Serve reads batches from r and writes one reply for each batch to w, until r ends.
 func Serve(r io.Reader, w io.Writer) error {
 	in := bufio.NewReaderSize(r, 1<<20)
 	s := &server{lists: map[int][]dispatch.Endpoint{}, instances: map[string]*instance{},
@@ -57,6 +58,7 @@
 	}
 }
 
+// line processes one line of input.
 func (s *server) line(line []byte) error {
 	var m message
 	if err := json.Unmarshal(line, &m); err != nil {
@@ -78,7 +80,7 @@
 		}
 		now := settings.Millis(*m.ClockMillis)
 		if now < s.now {
-			return errors.New("tick: the clock goes back")
+			return errors.New("tick: field ts-ms is less than in the previous tick")
 		}
 		s.now, s.inBatch = now, true
 		return nil
@@ -87,7 +89,7 @@
 		return s.reply()
 	case "list":
 		if m.List == nil || m.Rows == nil {
-			return errors.New("list: field list or rows-in is missing")
+			return errors.New("list: field list or field rows-in is missing")
 		}
 		rows, err := parseEndpoints(*m.Rows)
 		s.lists[*m.List] = rows
@@ -99,7 +101,7 @@
 	return nil
 }
 
-// handleEvent takes in a message that belongs to one instance.
+// handleEvent processes a message that is addressed to one instance.
 func (s *server) handleEvent(m *message) error {
 	findMissing, known := requiredFields[m.Msg]
 	if !known {
@@ -153,6 +155,7 @@
 	return nil
 }
 
+// queue marks an instance to be stepped at the end of the batch.
 func (s *server) queue(inst *instance) {
 	if !inst.queued {
 		inst.queued = true
@@ -160,7 +163,7 @@
 	}
 }
 
-// reply steps the instances that had an event and writes what they do.
+// reply steps the instances that had an event in this batch and writes their actions.
 func (s *server) reply() error {
 	for _, inst := range s.pending {
 		inst.queued = false
@@ -184,7 +187,7 @@
 	return s.out.Flush()
 }
 
-// step turns a panic of the decision code into the text of a fault.
+// step runs one step of a sender. If the sender panics, it returns the panic as the text of a fault.
 func step(sender *dispatch.Sender, now time.Duration, events []dispatch.Event) (actions []dispatch.Action,
 	fault string) {
 	defer func() {
@@ -195,22 +198,26 @@
 	return sender.Step(now, events), ""
 }
 
+// beginLine writes the start of a JSON line: the message type and the sender id.
 func (s *server) beginLine(msg, sender string) {
 	s.out.WriteString(`{"msg":"` + msg + `"`)
 	s.writeText("sender-id", sender)
 }
 
+// writeText writes a string field.
 func (s *server) writeText(name, value string) {
-	quoted, _ := json.Marshal(value) // a string always encodes
+	quoted, _ := json.Marshal(value) // encoding a string cannot fail
 	s.out.WriteString(`,"` + name + `":`)
 	s.out.Write(quoted)
 }
 
+// writeMillis writes a duration field in milliseconds.
 func (s *server) writeMillis(name string, d time.Duration) {
 	s.out.WriteString(`,"` + name + `":`)
 	s.out.WriteString(strconv.FormatFloat(float64(d)/float64(time.Millisecond), 'f', -1, 64))
 }
 
+// writeAction writes the line of one action.
 func (s *server) writeAction(sender string, a dispatch.Action) {
 	switch a := a.(type) {
 	case dispatch.Send:
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -13,18 +13,21 @@
 	`"carriage":[0],"late":"halves","max-calls":4},"limits":{"connect-timeout-ms":500,"max-attempts":4,` +
 	`"max-open":50},"localities":["z"],"peers-total":1,"resolution-ms":5,"zone":"z"}`
 
+// startLines begins a batch that launches sender-0 with one endpoint.
 const startLines = `{"msg":"tick","ts-ms":10}
 {"msg":"launch","sender-id":"sender-0","entropy":1,"config":` + settingsLine + `}
 {"msg":"list","list":0,"rows-in":[{"endpoint":"e","failure-domain":"z","flavor":"k","belongs-to":3,"readiness":"healthy"}]}
 {"msg":"fleet","sender-id":"sender-0","form":"restored","serial":1,"list":0}
 `
 
+// serve returns the replies of Serve to the input.
 func serve(in string) (string, error) {
 	var out strings.Builder
 	err := Serve(strings.NewReader(in), &out)
 	return out.String(), err
 }
 
+// A request must be answered with an assign line, and each batch with one end line.
 func TestRoundTrip(t *testing.T) {
 	out, err := serve(startLines + `{"msg":"req","sender-id":"sender-0","handle":"ab","time-budget-ms":9000,"profile":"c","far-end":3,"later":1}
 {"msg":"commit"}
@@ -38,14 +41,14 @@
 		t.Fatal(err)
 	}
 	if !strings.Contains(out, `{"msg":"assign","sender-id":"sender-0","handle":"ab","endpoint":"e","cap-ms":`) {
-		t.Errorf("no send in %s", out)
+		t.Errorf("no assign line in %s", out)
 	}
 	if n := strings.Count(out, `{"msg":"end"}`); n != 3 {
 		t.Errorf("%d replies to 3 batches", n)
 	}
 }
 
-// An instance that dies and starts again under its number knows nothing of its former life.
+// An instance that is powered off and launched again under the same sender id must not keep requests of the earlier run.
 func TestRestart(t *testing.T) {
 	out, err := serve(startLines + `{"msg":"req","sender-id":"sender-0","handle":"ab","time-budget-ms":9000,"profile":"c","far-end":3}
 {"msg":"power-off","sender-id":"sender-0"}
@@ -57,6 +60,7 @@
 	}
 }
 
+// Each kind of invalid input must stop Serve with an error that names the cause, and without a partial reply.
 func TestBadInput(t *testing.T) {
 	for name, c := range map[string]struct{ in, want string }{
 		"no json":           {"nonsense\n", "line 1: not a message"},
@@ -80,12 +84,12 @@
 			t.Errorf("%s: error %v, wanted %q", name, err, c.want)
 		}
 		if out != "" {
-			t.Errorf("%s: half a reply %q", name, out)
+			t.Errorf("%s: partial reply %q", name, out)
 		}
 	}
 }
 
-// Every action has a line of its own on the wire.
+// Each type of action must be encoded as its own line.
 func TestWriteAction(t *testing.T) {
 	for want, a := range map[string]dispatch.Action{
 		`{"msg":"drop-attempt","sender-id":"s","handle":"ab","go":2}`: dispatch.Cancel{ID: "ab", Attempt: 2},
