--- a/internal/secure/secure.go
+++ b/internal/secure/secure.go
@@ -302,7 +302,7 @@
 }
 
 // errNoTLS is the error of Check for a member without TLS.
-var errNoTLS = errors.New("secure: connections to this member do not use TLS")
+var errNoTLS = errors.New("secure: connections to this member are plain TCP")
 
 // Check connects to a member twice and returns the TLS state and the duration of both connections. The second state shows whether
 // the session was resumed.
