--- a/internal/front/refuse_test.go
+++ b/internal/front/admission_test.go
@@ -19,10 +19,10 @@
 	"slatemux/internal/traffic"
 )
 
-// A refused body is cut out wherever the bytes are cut, the command stays whole, and no other byte changes: what
-// redcon reads is each admitted command as it was, and each refused one with an empty body, or as it was where its
-// body's size line came in pieces and it is to be ruled on later.
-func TestRefusedBodiesAreCutOut(t *testing.T) {
+// A refused body is removed wherever the input is split, the command stays complete, and no other byte changes. redcon reads each
+// admitted command unchanged. It reads each refused one with an empty body, or unchanged if the body's size line came in pieces;
+// admission then decides later.
+func TestRefusedBodiesAreRemoved(t *testing.T) {
 	proptest.Check(t, func(t *rapid.T) {
 		var text []byte
 		var sent []string
@@ -30,7 +30,7 @@
 			body := strings.Repeat("x\r\n$5", rapid.IntRange(0, 300).Draw(t, "body"))
 			tenant := rapid.SampledFrom([]string{"in", "out"}).Draw(t, "tenant")
 			sent = append(sent, body)
-			text = append(text, command("MSG.PUT", "0", fmt.Sprint("id", i), "c=pay,t="+tenant+",d=5", body)...)
+			text = append(text, encodeCommand("MSG.PUT", "0", fmt.Sprint("id", i), "c=pay,t="+tenant+",d=5", body)...)
 			if rapid.Bool().Draw(t, "ping") {
 				text = append(text, "PING\r\n"...)
 			}
@@ -38,19 +38,19 @@
 		g := guard{}
 		refused := map[int]bool{}
 		n := 0
-		g.rule = func(fields []byte, size int) bool {
+		g.decide = func(fields []byte, size int) bool {
 			if !bytes.HasPrefix(fields, []byte("c=pay,t=")) || !bytes.HasSuffix(fields, []byte(",d=5")) {
-				t.Fatalf("the rule is told of %q", fields)
+				t.Fatalf("decide was called with fields %q", fields)
 			}
 			return bytes.Contains(fields, []byte("t=out"))
 		}
 		var passed []byte
 		for _, piece := range proptest.Pieces(t, text) {
-			good, err := g.Feed(piece)
+			count, err := g.Feed(piece)
 			if err != nil {
 				t.Fatal(err)
 			}
-			passed = append(passed, piece[:good]...)
+			passed = append(passed, piece[:count]...)
 		}
 		rd := redcon.NewReader(bytes.NewReader(passed))
 		for cmd, err := rd.ReadCommand(); err == nil; cmd, err = rd.ReadCommand() {
@@ -64,20 +64,20 @@
 			refused[n] = out && body == ""
 			n++
 		}
-		if n != len(sent) || g.at != atStart {
-			t.Fatalf("%d commands of %d arrived, state %d", n, len(sent), g.at)
+		if n != len(sent) || g.state != atStart {
+			t.Fatalf("%d commands of %d arrived, state %d", n, len(sent), g.state)
 		}
 	})
 }
 
-// Garbage with a rule in front survives as without one.
-func TestGarbageWithARule(t *testing.T) {
+// Garbage is survived also when every submission is refused.
+func TestGuardSurvivesGarbageWhenRefusing(t *testing.T) {
 	proptest.Check(t, func(t *rapid.T) {
-		g := guard{rule: func([]byte, int) bool { return true }}
-		for _, piece := range proptest.Pieces(t, proptest.Garbage(t, bytes.Repeat(put, 3))) {
-			good, err := g.Feed(piece)
-			if good > len(piece) {
-				t.Fatalf("%d bytes of %d passed", good, len(piece))
+		g := guard{decide: func([]byte, int) bool { return true }}
+		for _, piece := range proptest.Pieces(t, proptest.Garbage(t, bytes.Repeat(putCommand, 3))) {
+			passed, err := g.Feed(piece)
+			if passed > len(piece) {
+				t.Fatalf("%d bytes of %d passed on", passed, len(piece))
 			}
 			if err != nil {
 				break
@@ -87,15 +87,15 @@
 }
 
 func FuzzGuard(f *testing.F) {
-	f.Add(put, 7)
+	f.Add(putCommand, 7)
 	f.Add([]byte("*1\r\n$4\r\nPING\r\n"), 3)
 	f.Fuzz(func(t *testing.T, text []byte, cut int) {
-		g := guard{rule: func(fields []byte, size int) bool { return size%2 == 0 }}
+		g := guard{decide: func(fields []byte, size int) bool { return size%2 == 0 }}
 		for len(text) > 0 {
 			n := min(max(cut, 1), len(text))
-			good, err := g.Feed(text[:n])
-			if good > n {
-				t.Fatalf("%d bytes of %d passed", good, n)
+			passed, err := g.Feed(text[:n])
+			if passed > n {
+				t.Fatalf("%d bytes of %d passed on", passed, n)
 			}
 			if err != nil {
 				return
@@ -105,33 +105,33 @@
 	})
 }
 
-// gate refuses what is over a size, and counts.
-type gate struct {
-	most  int
-	asked atomic.Int64
-	pace  time.Duration
+// sizeLimiter refuses bodies over a size and counts its decisions.
+type sizeLimiter struct {
+	maxBodyBytes int
+	decisions    atomic.Int64
+	readPause    time.Duration
 }
 
-func (g *gate) Admit(h overload.HandIn) overload.Ruling {
-	g.asked.Add(1)
-	return overload.Ruling{Refused: h.Size > g.most, RetryIn: 70 * time.Millisecond}
+func (g *sizeLimiter) Admit(h overload.HandIn) overload.Ruling {
+	g.decisions.Add(1)
+	return overload.Ruling{Refused: h.Size > g.maxBodyBytes, RetryIn: 70 * time.Millisecond}
 }
-func (g *gate) Pace() time.Duration { return g.pace }
+func (g *sizeLimiter) Pace() time.Duration { return g.readPause }
 
-// accepting is a relay that takes everything on, and counts.
-type accepting struct{ n atomic.Int64 }
+// acceptingRelay accepts every submission and counts them.
+type acceptingRelay struct{ n atomic.Int64 }
 
-func (a *accepting) Put(traffic.Transaction, time.Time) <-chan traffic.Answer {
+func (a *acceptingRelay) Put(traffic.Transaction, time.Time) <-chan traffic.Answer {
 	a.n.Add(1)
 	c := make(chan traffic.Answer, 1)
 	c <- traffic.Answer{Verdict: traffic.Accepted}
 	return c
 }
 
-// serveGate serves with an admission in front.
-func serveGate(t *testing.T, g *gate) (*Server, *accepting, net.Conn) {
+// startLimitedServer serves with the given admission and connects a client.
+func startLimitedServer(t *testing.T, g *sizeLimiter) (*Server, *acceptingRelay, net.Conn) {
 	t.Helper()
-	relay := &accepting{}
+	relay := &acceptingRelay{}
 	s, err := Listen("127.0.0.1:0", Limits{10, 10, 1 << 20}, []dispatch.Class{{Name: "pay", Effect: dispatch.Keyed}}, relay, g)
 	if err != nil {
 		t.Fatal(err)
@@ -145,15 +145,15 @@
 	return s, relay, c
 }
 
-// Each hand-in is asked about once and answered in order, also when many come at once; a refused one never reaches
-// the relay, and what cannot be read is told so.
+// Admission decides once on each submission, and the answers come in order, also when many commands arrive at once. A refused
+// submission never reaches the relay, and an invalid command gets an error.
 func TestAdmissionAnswersInOrder(t *testing.T) {
-	g := &gate{most: 100}
-	s, relay, c := serveGate(t, g)
+	g := &sizeLimiter{maxBodyBytes: 100}
+	s, relay, c := startLimitedServer(t, g)
 	put := func(body int) []byte {
-		return command("MSG.PUT", "0", "id", "c=pay,t=acme,d=8000,k=5c0f,dest=7", strings.Repeat("b", body))
+		return encodeCommand("MSG.PUT", "0", "id", "c=pay,t=acme,d=8000,k=5c0f,dest=7", strings.Repeat("b", body))
 	}
-	unknown := command("MSG.PUT", "0", "id", "c=what,t=acme,d=8000,k=5c0f,dest=7", strings.Repeat("b", 5000))
+	unknown := encodeCommand("MSG.PUT", "0", "id", "c=what,t=acme,d=8000,k=5c0f,dest=7", strings.Repeat("b", 5000))
 	text := bytes.Join([][]byte{put(10), put(5000), []byte("PING\r\n"), put(60_000), unknown, put(20), put(101)}, nil)
 	if _, err := c.Write(text); err != nil {
 		t.Fatal(err)
@@ -165,31 +165,31 @@
 			t.Fatalf("answer %d is %q (%v), want %s", i, line, err, want)
 		}
 	}
-	if n := s.Counters(); relay.n.Load() != 2 || g.asked.Load() != 5 || n.Shed != 3 || n.ShedUnread > 3 || n.BadCommands != 1 {
-		t.Errorf("%d reached the relay, %d were asked about, counters %+v", relay.n.Load(), g.asked.Load(), n)
+	if n := s.Counters(); relay.n.Load() != 2 || g.decisions.Load() != 5 || n.Shed != 3 || n.ShedUnread > 3 || n.BadCommands != 1 {
+		t.Errorf("%d submissions reached the relay, %d decisions were made, counters %+v", relay.n.Load(), g.decisions.Load(), n)
 	}
-	// Those refused with their command read are counted by class for the operators' figures.
+	// Submissions refused after their command was read are counted by class for the metrics.
 	if n, by := s.Counters(), s.ShedByClass(); by["pay"] != n.Shed-n.ShedUnread || len(by) != 1 {
 		t.Errorf("by class %v, counters %+v", by, n)
 	}
 }
 
-// A refused connection rests before more is read, and is then served as before.
-func TestConnectionRestsAfterARefusal(t *testing.T) {
-	g := &gate{most: 100, pace: 30 * time.Millisecond}
-	s, _, c := serveGate(t, g)
+// Reading from a connection pauses after each refusal and then continues as before.
+func TestReadingPausesAfterRefusal(t *testing.T) {
+	g := &sizeLimiter{maxBodyBytes: 100, readPause: 30 * time.Millisecond}
+	s, _, c := startLimitedServer(t, g)
 	r := bufio.NewReader(c)
 	begin := time.Now()
 	for range 3 {
-		if _, err := c.Write(command("MSG.PUT", "0", "id", "c=pay,t=a,d=8000,k=5,dest=7", strings.Repeat("b", 200))); err != nil {
+		if _, err := c.Write(encodeCommand("MSG.PUT", "0", "id", "c=pay,t=a,d=8000,k=5,dest=7", strings.Repeat("b", 200))); err != nil {
 			t.Fatal(err)
 		}
 		if line, err := r.ReadString('\n'); err != nil || line != "-BUSY 70\r\n" {
 			t.Fatalf("%q %v", line, err)
 		}
 	}
-	if took := time.Since(begin); took < 2*g.pace || s.Counters().Rested != 3 {
-		t.Errorf("three refusals took %v, %d rested", took, s.Counters().Rested)
+	if took := time.Since(begin); took < 2*g.readPause || s.Counters().PausedReads != 3 {
+		t.Errorf("three refusals took %v, with %d pauses", took, s.Counters().PausedReads)
 	}
 	if _, err := c.Write([]byte("PING\r\n")); err != nil {
 		t.Fatal(err)
@@ -199,12 +199,12 @@
 	}
 }
 
-// What the front does for one hand-in, admitted and refused, without the network.
-func BenchmarkHandInAtTheFront(b *testing.B) {
-	text := command("MSG.PUT", "0", "9b1f03aa5c7e2d41", "c=pay,t=acme,d=8000,k=5c0f6e1a2b3d4c59,dest=7", strings.Repeat("b", 2000))
+// BenchmarkSubmission measures the work of this package for one submission, admitted and refused, without the network.
+func BenchmarkSubmission(b *testing.B) {
+	text := encodeCommand("MSG.PUT", "0", "9b1f03aa5c7e2d41", "c=pay,t=acme,d=8000,k=5c0f6e1a2b3d4c59,dest=7", strings.Repeat("b", 2000))
 	for _, refused := range []bool{false, true} {
 		b.Run(map[bool]string{false: "admitted", true: "refused"}[refused], func(b *testing.B) {
-			g := guard{rule: func([]byte, int) bool { return refused }}
+			g := guard{decide: func([]byte, int) bool { return refused }}
 			classes := map[string]dispatch.Effect{"pay": dispatch.Keyed}
 			buf := make([]byte, len(text))
 			b.ReportAllocs()
--- a/internal/front/client.go
+++ b/internal/front/client.go
@@ -16,194 +16,203 @@
 )
 
 const (
-	// silentMost is how long a connection may idle on which nothing was handed in, idleMost another, and halfMost
-	// how long a command may take from its first byte to its last; they are looked at every sweepEvery.
-	silentMost, halfMost, idleMost, sweepEvery = 2 * time.Second, 2 * time.Second, 5 * time.Second, 250 * time.Millisecond
-	// frugalMost takes the place of idleMost while memory is short.
-	frugalMost = 500 * time.Millisecond
-	// writeMost is how long a client may leave its answers unread, lingerMost how long a refused one is still
-	// listened to, so that what it sends does not reset the connection before it has read why.
-	writeMost, lingerMost = 2 * time.Second, 2 * time.Second
-	// A command of so many bytes is in memory weight times, counting the parser's buffers; light ones fit in
-	// what each connection has anyway.
-	weight, light = 4, 4096
+	// maxUnusedIdle is the idle time after which a connection without a submission is closed.
+	maxUnusedIdle = 2 * time.Second
+	// maxCommandTime bounds the time from the first byte of a command to its last.
+	maxCommandTime = 2 * time.Second
+	// maxIdle is the idle time after which any other connection is closed.
+	maxIdle = 5 * time.Second
+	// sweepInterval is how often these times are checked.
+	sweepInterval = 250 * time.Millisecond
+	// maxIdleLowMemory replaces maxIdle while memory is short.
+	maxIdleLowMemory = 500 * time.Millisecond
+	// writeTimeout bounds how long a client may leave its answers unread.
+	writeTimeout = 2 * time.Second
+	// lingerTimeout bounds how long input is discarded before a connection is closed. Without this, unread input would reset the
+	// connection before the client has read the last reply.
+	lingerTimeout = 2 * time.Second
+	// commandMemoryFactor is the ratio of the memory that a large command takes to its size, including the parser's buffers.
+	commandMemoryFactor = 4
+	// smallCommandBytes bounds the commands that fit in the buffers that each connection has anyway.
+	smallCommandBytes = 4096
 )
 
 var (
-	errRoom = errors.New("no room for a command of that size")
-	errHalf = errors.New("command not finished in time")
-	errEnds = errors.New("the relay ends before the command is whole")
+	errNoCapacity     = errors.New("no room for a command of that size")
+	errCommandTimeout = errors.New("command not finished in time")
+	errShutdown       = errors.New("the relay shuts down before the command is complete")
 )
 
-// refusals are the lines that a client reads before its connection is closed.
-var refusals = map[error]string{errFrame: "-ERR Protocol error: " + errFrame.Error() + "\r\n",
-	errHalf: "-ERR Protocol error: " + errHalf.Error() + "\r\n", errRoom: "-BUSY 1000\r\n", errEnds: "-BUSY\r\n"}
+// refusals holds the reply that a client reads, by the reason for which its connection is closed.
+var refusals = map[error]string{errBadFrame: "-ERR Protocol error: " + errBadFrame.Error() + "\r\n",
+	errCommandTimeout: "-ERR Protocol error: " + errCommandTimeout.Error() + "\r\n", errNoCapacity: "-BUSY 1000\r\n", errShutdown: "-BUSY\r\n"}
 
-// client is a connection whose framing is checked before redcon sees it.
+// client is a connection whose framing is checked before redcon reads it.
 //
-// Its reading goroutine alone ends it, between two reads, so that no close comes between bytes that were read and their
-// answer: others ask for that and wake it. It looks once more whether anything has come, shuts its sending, and reads past
-// what still comes: a command that crosses the end is unread then, and its client hands it in again, and the answers before
-// it are not lost to a reset, as they could be by a close over unread bytes.
+// Only its reading goroutine ends it, and only between two reads. So the connection is never closed between the read of a command
+// and its answer. Other goroutines request the end and wake the reader. The reader checks once more for input, shuts the sending
+// side, and discards what still arrives. A command that arrives during the end is therefore not read, and its client submits it
+// again. A close with unread input could reset the connection, and the client would lose earlier answers.
 type client struct {
 	net.Conn
-	s    *Server
-	born time.Time
-	gone sync.Once
-	left chan struct{} // closed once it is none of the server's any more
-
-	// Of the reading goroutine alone, which also handles commands and writes answers.
-	guard    guard
-	answered int // commands
-	bad      error
-	rulings  []ruling      // on hand-ins that are not handled yet, oldest first
-	rest     time.Duration // before more is read: a refusal was answered
-
-	weight int64 // bytes taken from the server's budget; under its lock
-
-	mu    sync.Mutex
-	due   bool      // a whole command was read whose answer is not written
-	use   use       // what has come
-	late  bool      // the unfinished command is waited for no more
-	asks  bool      // it is asked to end, if nothing has come
-	rests bool      // it would not end at once: its reader rests
-	half  time.Time // when the unfinished command began; zero without one
-	last  time.Time // of the newest bytes
-
-	seen quiet // use and last, as the server saw them; under its lock
+	server    *Server
+	created   time.Time
+	closeOnce sync.Once
+	removed   chan struct{} // closed once the server no longer counts this connection
+
+	// Used by the reading goroutine alone, which also handles commands and writes answers.
+	guard     guard
+	answered  int // number of commands
+	frameErr  error
+	decisions []commandDecision // on submissions that are not handled yet, oldest first
+	readPause time.Duration     // pause before the next read, after a refusal
+
+	reservedBytes int64 // taken from the server's budget; guarded by the server's lock
+
+	mu            sync.Mutex
+	answerPending bool      // a complete command was read and its answer is not written yet
+	usage         usage     // the most useful input so far
+	commandLate   bool      // the unfinished command has exceeded maxCommandTime
+	endRequested  bool      // the connection is to end unless a command arrives first
+	readPaused    bool      // the reader sleeps and could not end the connection at once
+	commandStart  time.Time // arrival of the first byte of the unfinished command; zero if there is none
+	lastReceived  time.Time // arrival of the newest bytes
+
+	rank evictionRank // usage and lastReceived when evictionCandidates last looked; guarded by the server's lock
 }
 
-// use is what a connection has been good for.
-type use int
+// usage ranks connections by what they have sent.
+type usage int
 
 const (
-	nothing use = iota // no whole command yet
-	asking             // a command, but no hand-in
-	handing
+	noCommand   usage = iota // no complete command yet
+	commandSeen              // a command, but no submission
+	submissionSeen
 )
 
-// quiet orders connections by which is missed least.
-type quiet struct {
-	use  use
-	last time.Time
+// evictionRank orders connections for eviction: the least useful first.
+type evictionRank struct {
+	usage        usage
+	lastReceived time.Time
 }
 
-func (q quiet) before(o quiet) bool {
-	return q.use < o.use || q.use == o.use && q.last.Before(o.last)
+// before reports whether a connection of this rank is evicted before one of the other rank.
+func (q evictionRank) before(other evictionRank) bool {
+	return q.usage < other.usage || q.usage == other.usage && q.lastReceived.Before(other.lastReceived)
 }
 
-// handsIn notes that the connection is used to hand transactions in.
-func (c *client) handsIn() {
+// markSubmission records that the client submits transactions on this connection.
+func (c *client) markSubmission() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.use = handing
+	c.usage = submissionSeen
 }
 
 func (c *client) Read(b []byte) (int, error) {
 	for {
-		if c.bad != nil {
-			c.s.badFrames.Add(1)
-			slog.Warn("bad frame", "client", c.RemoteAddr(), "err", c.bad)
-			c.refuse(c.bad)
-			return 0, c.bad
+		if c.frameErr != nil {
+			c.server.badFrames.Add(1)
+			slog.Warn("bad frame", "client", c.RemoteAddr(), "err", c.frameErr)
+			c.refuse(c.frameErr)
+			return 0, c.frameErr
 		}
-		if c.rest > 0 { // what its client sends meanwhile stays with its own system
-			c.resting(true)
-			time.Sleep(c.rest)
-			c.resting(false)
-			c.rest = 0
+		if c.readPause > 0 { // meanwhile, further input stays in the client's and the kernel's buffers
+			c.setReadPaused(true)
+			time.Sleep(c.readPause)
+			c.setReadPaused(false)
+			c.readPause = 0
 		}
 		n, err := c.receive(b)
-		if err == errEnded {
+		if err == errConnectionEnded {
 			return 0, net.ErrClosed
 		}
-		good, bad := c.guard.Feed(b[:n])
+		passed, frameErr := c.guard.Feed(b[:n])
 		if n > 0 {
-			c.note(time.Now())
+			c.updateState(time.Now())
 		}
-		if bad == nil && !c.s.reserve(c, int64(c.guard.total)) {
-			bad = errRoom
+		if frameErr == nil && !c.server.reserve(c, int64(c.guard.commandBytes)) {
+			frameErr = errNoCapacity
 		}
-		if c.bad = bad; good > 0 || bad == nil && err != nil {
-			return good, err
-		} // else to say why, or because all that came was of a body that is not read
+		if c.frameErr = frameErr; passed > 0 || frameErr == nil && err != nil {
+			return passed, err
+		} // otherwise loop: to report the error, or because all bytes belonged to a body that is discarded
 	}
 }
 
-func (c *client) resting(on bool) {
+func (c *client) setReadPaused(on bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.rests = on
+	c.readPaused = on
 }
 
-// errEnded says that this side has ended the connection.
-var errEnded = errors.New("ended")
+// errConnectionEnded reports that this side has ended the connection.
+var errConnectionEnded = errors.New("ended")
 
-// receive waits until something comes, or ends the connection where that was asked for and nothing has come.
+// receive waits for input. If the end of the connection was requested and nothing has arrived, it ends the connection.
 func (c *client) receive(b []byte) (int, error) {
 	for {
-		end, why := c.toEnd()
+		end, reason := c.shouldEnd()
 		if !end {
 			n, err := c.Conn.Read(b)
 			if n > 0 || !errors.Is(err, os.ErrDeadlineExceeded) {
 				return n, err
 			}
-			_ = c.Conn.SetReadDeadline(time.Time{}) // it was woken
+			_ = c.Conn.SetReadDeadline(time.Time{}) // wakeReader set a deadline in the past
 			continue
 		}
-		if why != errHalf { // one that has taken too long gets no more time with each byte
-			if n, err := c.receiveNow(b); n > 0 || !errors.Is(err, unix.EAGAIN) {
+		if reason != errCommandTimeout { // a client that exceeded maxCommandTime gains no time by sending more bytes
+			if n, err := c.receiveAvailable(b); n > 0 || !errors.Is(err, unix.EAGAIN) {
 				return n, err
 			}
 		}
-		switch why {
+		switch reason {
 		case nil:
-			c.linger(time.Now().Add(lingerMost))
-		case errHalf:
-			c.s.badFrames.Add(1)
-			slog.Warn("bad frame", "client", c.RemoteAddr(), "err", why)
+			c.linger(time.Now().Add(lingerTimeout))
+		case errCommandTimeout:
+			c.server.badFrames.Add(1)
+			slog.Warn("bad frame", "client", c.RemoteAddr(), "err", reason)
 			fallthrough
 		default:
-			c.refuse(why)
+			c.refuse(reason)
 		}
-		return 0, errEnded
+		return 0, errConnectionEnded
 	}
 }
 
-// toEnd says whether the connection is to end, and, where a command is unfinished, what its client reads.
-func (c *client) toEnd() (end bool, why error) {
+// shouldEnd reports whether the connection is to end. If a command is unfinished, reason selects the reply to its client.
+func (c *client) shouldEnd() (end bool, reason error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	half := !c.half.IsZero()
+	unfinished := !c.commandStart.IsZero()
 	switch {
-	case c.late:
-		return true, errHalf
-	case half && (c.asks || c.s.last.Load()):
-		return true, errEnds
-	case half: // it may still become whole
+	case c.commandLate:
+		return true, errCommandTimeout
+	case unfinished && (c.endRequested || c.server.refuseUnfinished.Load()):
+		return true, errShutdown
+	case unfinished: // the rest may still arrive
 		return false, nil
 	}
-	return c.asks || c.s.ending.Load(), nil
+	return c.endRequested || c.server.draining.Load(), nil
 }
 
-// receiveNow reads what has come already; EAGAIN where nothing has.
-func (c *client) receiveNow(b []byte) (n int, err error) {
+// receiveAvailable reads what has already arrived, without blocking. It returns EAGAIN if nothing has.
+func (c *client) receiveAvailable(b []byte) (n int, err error) {
 	sc, ok := c.Conn.(syscall.Conn)
 	if !ok {
 		return 0, unix.EAGAIN
 	}
-	raw, err := sc.SyscallConn()
-	for looked := false; err == nil && !looked; {
-		_ = c.Conn.SetReadDeadline(time.Time{}) // of the call that woke it; with one more such call it has not looked yet
-		lerr := raw.Read(func(fd uintptr) bool {
-			looked = true
+	rawConn, err := sc.SyscallConn()
+	for attempted := false; err == nil && !attempted; {
+		_ = c.Conn.SetReadDeadline(time.Time{}) // set by wakeReader, which may set it again before the attempt: hence the loop
+		readErr := rawConn.Read(func(fd uintptr) bool {
+			attempted = true
 			for n, err = unix.Read(int(fd), b); err == unix.EINTR; {
 				n, err = unix.Read(int(fd), b)
 			}
 			return true
 		})
-		if lerr != nil && !errors.Is(lerr, os.ErrDeadlineExceeded) {
-			return 0, lerr
+		if readErr != nil && !errors.Is(readErr, os.ErrDeadlineExceeded) {
+			return 0, readErr
 		}
 	}
 	switch {
@@ -215,114 +224,115 @@
 	return 0, err
 }
 
-// ruling is what was ruled on the hand-in that is the connection's command number at.
-type ruling struct {
-	at int
+// commandDecision is the decision on a submission, with the number of its command on the connection.
+type commandDecision struct {
+	command int
 	overload.Ruling
 }
 
-// rule rules on a hand-in of which all but the body has come. What cannot be read is ruled on when it is parsed.
-func (c *client) rule(fields []byte, size int) bool {
-	h, ok := c.s.sketch(fields, size)
+// decide asks admission about a submission of which everything but the body has arrived. If its fields cannot be read, the decision
+// is made when the command is parsed.
+func (c *client) decide(fields []byte, size int) bool {
+	h, ok := c.server.parseFields(fields, size)
 	if !ok {
 		return false
 	}
-	r := c.s.admission.Admit(h)
-	c.rulings = append(c.rulings, ruling{c.guard.whole, r})
+	r := c.server.admission.Admit(h)
+	c.decisions = append(c.decisions, commandDecision{c.guard.completed, r})
 	return r.Refused
 }
 
-// ruled returns what was ruled on command number at, if anything was.
-func (c *client) ruled(at int) (overload.Ruling, bool) {
-	for len(c.rulings) > 0 && c.rulings[0].at < at {
-		c.rulings = c.rulings[1:]
+// takeDecision returns the decision on the given command and removes it from the list, if there is one.
+func (c *client) takeDecision(command int) (overload.Ruling, bool) {
+	for len(c.decisions) > 0 && c.decisions[0].command < command {
+		c.decisions = c.decisions[1:]
 	}
-	if len(c.rulings) == 0 || c.rulings[0].at != at {
+	if len(c.decisions) == 0 || c.decisions[0].command != command {
 		return overload.Ruling{}, false
 	}
-	r := c.rulings[0].Ruling
-	if c.rulings = c.rulings[1:]; len(c.rulings) == 0 {
-		c.rulings = nil
+	r := c.decisions[0].Ruling
+	if c.decisions = c.decisions[1:]; len(c.decisions) == 0 {
+		c.decisions = nil
 	}
 	return r, true
 }
 
-// note brings what others may see up to date with the guard.
-func (c *client) note(now time.Time) {
+// updateState copies the guard's progress to the fields that other goroutines read.
+func (c *client) updateState(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.guard.fresh {
-		c.guard.fresh, c.use, c.half = false, max(c.use, asking), time.Time{}
+	if c.guard.newlyCompleted {
+		c.guard.newlyCompleted, c.usage, c.commandStart = false, max(c.usage, commandSeen), time.Time{}
 	}
-	if c.guard.at == atStart {
-		c.half = time.Time{}
-	} else if c.half.IsZero() {
-		c.half = now
+	if c.guard.state == atStart {
+		c.commandStart = time.Time{}
+	} else if c.commandStart.IsZero() {
+		c.commandStart = now
 	}
-	c.due, c.last, c.late = c.answered < c.guard.whole, now, c.late && !c.half.IsZero()
-	c.asks = c.asks && !c.due // it goes on for a command that came; half of one is refused
+	c.answerPending, c.lastReceived, c.commandLate = c.answered < c.guard.completed, now, c.commandLate && !c.commandStart.IsZero()
+	c.endRequested = c.endRequested && !c.answerPending // a command that arrived cancels the request; an unfinished one is refused
 }
 
-// Write carries answers.
+// Write writes answers to the client.
 func (c *client) Write(b []byte) (int, error) {
-	_ = c.Conn.SetWriteDeadline(time.Now().Add(writeMost)) // a Write then fails and ends the connection
+	_ = c.Conn.SetWriteDeadline(time.Now().Add(writeTimeout)) // on timeout, Write fails and ends the connection
 	n, err := c.Conn.Write(b)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.due = c.answered < c.guard.whole
+	c.answerPending = c.answered < c.guard.completed
 	return n, err
 }
 
-// wake has the reading goroutine look whether the connection is to end.
-func (c *client) wake() { _ = c.Conn.SetReadDeadline(time.Unix(1, 0)) }
+// wakeReader interrupts a blocked read, so that the reading goroutine checks whether the connection is to end.
+func (c *client) wakeReader() { _ = c.Conn.SetReadDeadline(time.Unix(1, 0)) }
 
-// askToEnd asks for the end of the connection, unless something comes first, if that holds.
-func (c *client) askToEnd(may func() bool) {
+// requestEnd requests the end of the connection if allowed returns true. A command that arrives first cancels the request.
+func (c *client) requestEnd(allowed func() bool) {
 	c.mu.Lock()
-	c.asks = c.asks || may()
-	asks := c.asks
+	c.endRequested = c.endRequested || allowed()
+	requested := c.endRequested
 	c.mu.Unlock()
-	if asks {
-		c.wake()
+	if requested {
+		c.wakeReader()
 	}
 }
 
-// sweep ends a connection that has been of no use for too long.
+// sweep requests the end of the connection if it has been idle for too long, or if its unfinished command takes too long.
 func (c *client) sweep(now time.Time) {
 	c.mu.Lock()
-	c.late = !c.due && !c.half.IsZero() && now.Sub(c.half) >= halfMost
-	late := c.late
+	c.commandLate = !c.answerPending && !c.commandStart.IsZero() && now.Sub(c.commandStart) >= maxCommandTime
+	late := c.commandLate
 	c.mu.Unlock()
-	if late { // ends the Read, which refuses the rest
-		c.wake()
+	if late { // the interrupted Read refuses the command
+		c.wakeReader()
 	}
-	idleMost := idleMost
-	if c.s.frugal.Load() {
-		idleMost = frugalMost
+	maxIdle := maxIdle
+	if c.server.closeIdle.Load() {
+		maxIdle = maxIdleLowMemory
 	}
-	c.askToEnd(func() bool {
-		if c.due || !c.half.IsZero() {
+	c.requestEnd(func() bool {
+		if c.answerPending || !c.commandStart.IsZero() {
 			return false
 		}
-		return c.use < handing && now.Sub(c.last) >= silentMost || now.Sub(c.last) >= idleMost
+		return c.usage < submissionSeen && now.Sub(c.lastReceived) >= maxUnusedIdle || now.Sub(c.lastReceived) >= maxIdle
 	})
 }
 
-// refuse writes why the connection is about to be closed. What its client still sends is then read past.
-func (c *client) refuse(why error) {
-	_ = c.Conn.SetWriteDeadline(time.Now().Add(writeMost))
-	_, _ = c.Conn.Write([]byte(refusals[why]))
-	c.linger(time.Now().Add(lingerMost))
+// refuse writes the reply for the reason and then discards what the client still sends.
+func (c *client) refuse(reason error) {
+	_ = c.Conn.SetWriteDeadline(time.Now().Add(writeTimeout))
+	_, _ = c.Conn.Write([]byte(refusals[reason]))
+	c.linger(time.Now().Add(lingerTimeout))
 }
 
-// linger shuts the sending and reads past what comes until the client closes, if there is room for one more connection in that
-// state: closing with unread input would reset the connection, and the client might never read what was written. It is no
-// longer one of the server's.
+// linger shuts the sending side and discards input until the client closes, unless too many connections are in that state. Closing
+// with unread input would reset the connection, and the client might never read the answers already written. A lingering connection
+// no longer counts as one of the server's connections.
 func (c *client) linger(until time.Time) {
-	half, ok := c.Conn.(interface{ CloseWrite() error })
-	if n := c.s.lingering.Add(1); ok && (n <= int64(c.s.room().Clients/4) || c.s.ending.Load()) {
-		c.s.leave(c)
-		_ = half.CloseWrite()
+	halfCloser, ok := c.Conn.(interface{ CloseWrite() error })
+	if n := c.server.lingering.Add(1); ok && (n <= int64(c.server.currentLimits().Clients/4) || c.server.draining.Load()) {
+		c.server.remove(c)
+		_ = halfCloser.CloseWrite()
 		_ = c.Conn.SetReadDeadline(until)
 		for b := make([]byte, 16<<10); ; {
 			if _, err := c.Conn.Read(b); err != nil {
@@ -330,14 +340,14 @@
 			}
 		}
 	}
-	_ = c.Close() // before it counts no more
-	c.s.lingering.Add(-1)
+	_ = c.Close() // before the lingering count drops
+	c.server.lingering.Add(-1)
 }
 
 // Close closes the connection, once.
 func (c *client) Close() (err error) {
-	c.gone.Do(func() {
-		c.s.leave(c)
+	c.closeOnce.Do(func() {
+		c.server.remove(c)
 		err = c.Conn.Close()
 	})
 	return err
--- a/internal/front/put.go
+++ b/internal/front/command.go
@@ -13,26 +13,26 @@
 	"slatemux/internal/traffic"
 )
 
-// farthest is the longest time that a client may give a transaction.
-const farthest = 24 * time.Hour
+// maxTimeLeft is the longest time to its deadline that a client may give a transaction.
+const maxTimeLeft = 24 * time.Hour
 
 // Command is one decoded command: Ping, Put or Unknown.
 type Command interface{ command() }
 
-// Ping asks whether the relay is ready; Text comes back, if there is any.
+// Ping asks whether the relay is ready. The reply repeats Text if there is any.
 type Ping struct{ Text []byte }
 
-// Put hands a transaction in.
+// Put submits a transaction.
 type Put struct{ Transaction traffic.Transaction }
 
-// Unknown is a command that the relay does not have.
+// Unknown is an unrecognized command.
 type Unknown struct{ Name string }
 
 func (Ping) command()    {}
 func (Put) command()     {}
 func (Unknown) command() {}
 
-// Parse decodes a command that was received at a time. Its result shares memory with args.
+// Parse decodes a command that was received at the given time. The result shares memory with args.
 func Parse(args [][]byte, classes map[string]dispatch.Effect, received time.Time) (Command, error) {
 	if len(args) == 0 {
 		return nil, errors.New("empty command")
@@ -54,23 +54,23 @@
 	}
 }
 
-// parsePut decodes MSG.PUT KEY ID NAMES BODY.
+// parsePut decodes MSG.PUT KEY ID FIELDS BODY.
 func parsePut(args [][]byte, classes map[string]dispatch.Effect, received time.Time) (traffic.Transaction, error) {
 	var t traffic.Transaction
 	if len(args) != 5 {
 		return t, fmt.Errorf("MSG.PUT takes 4 arguments, not %d", len(args)-1)
 	}
 	t.ID, t.Body = string(args[2]), args[4]
-	if strings.Trim(string(args[1]), "0") != "" { // zeros where the class keeps no order
+	if strings.Trim(string(args[1]), "0") != "" { // the key is all zeros in classes without ordering
 		t.Order = string(args[1])
 	}
-	if !plain(t.ID) {
+	if !isPrintable(t.ID) {
 		return t, fmt.Errorf("not an id: %.40q", t.ID)
 	}
 	if len(t.Body) > traffic.MaxBody {
 		return t, fmt.Errorf("body of %d bytes is over %d", len(t.Body), traffic.MaxBody)
 	}
-	left, dest := int64(0), -1
+	leftMillis, dest := int64(0), -1
 	var err error
 	for _, pair := range strings.Split(string(args[3]), ",") {
 		name, value, _ := strings.Cut(pair, "=")
@@ -80,11 +80,11 @@
 		case "t":
 			t.Tenant = value
 		case "k":
-			if t.Key = value; !plain(value) {
+			if t.Key = value; !isPrintable(value) {
 				err = fmt.Errorf("not a key: %.40q", value)
 			}
 		case "d":
-			if left, err = strconv.ParseInt(value, 10, 64); err != nil || left <= 0 || left > farthest.Milliseconds() {
+			if leftMillis, err = strconv.ParseInt(value, 10, 64); err != nil || leftMillis <= 0 || leftMillis > maxTimeLeft.Milliseconds() {
 				return t, fmt.Errorf("not a time: d=%.40q", value)
 			}
 		case "dest":
@@ -99,7 +99,7 @@
 		return t, err
 	case !known:
 		return t, fmt.Errorf("unknown class %.40q", t.Class)
-	case left == 0 || dest < 0:
+	case leftMillis == 0 || dest < 0:
 		return t, errors.New("d or dest is missing")
 	case effect == dispatch.Keyed && t.Key == "":
 		return t, fmt.Errorf("class %q needs k", t.Class)
@@ -108,14 +108,14 @@
 	case len(t.Tenant) > 64:
 		return t, errors.New("tenant is too long")
 	}
-	t.Destination, t.Deadline = dest, received.Add(time.Duration(left)*time.Millisecond)
+	t.Destination, t.Deadline = dest, received.Add(time.Duration(leftMillis)*time.Millisecond)
 	return t, nil
 }
 
-// sketch reads what a rule needs from the names and values of a hand-in; false where the class is unknown or a
-// value cannot be read, for the whole command is then to be answered with what is wrong with it.
-func (s *Server) sketch(fields []byte, size int) (overload.HandIn, bool) {
-	h := overload.HandIn{Size: size}
+// parseFields reads what admission needs from the fields of a submission. It returns false if the class is unknown or a value is
+// invalid: the complete command is then answered with an error.
+func (s *Server) parseFields(fields []byte, size int) (overload.HandIn, bool) {
+	submission := overload.HandIn{Size: size}
 	for len(fields) > 0 {
 		pair := fields
 		if comma := bytes.IndexByte(fields, ','); comma >= 0 {
@@ -126,23 +126,23 @@
 		name, value, _ := bytes.Cut(pair, []byte("="))
 		switch string(name) {
 		case "c":
-			h.Class = string(value)
+			submission.Class = string(value)
 		case "t":
-			h.Tenant = string(value)
+			submission.Tenant = string(value)
 		case "d":
-			left, err := strconv.ParseInt(string(value), 10, 64)
-			if err != nil || left <= 0 || left > farthest.Milliseconds() {
-				return h, false
+			leftMillis, err := strconv.ParseInt(string(value), 10, 64)
+			if err != nil || leftMillis <= 0 || leftMillis > maxTimeLeft.Milliseconds() {
+				return submission, false
 			}
-			h.Left = time.Duration(left) * time.Millisecond
+			submission.Left = time.Duration(leftMillis) * time.Millisecond
 		}
 	}
-	_, known := s.classes[h.Class]
-	return h, known && h.Left > 0 && size <= traffic.MaxBody
+	_, known := s.classes[submission.Class]
+	return submission, known && submission.Left > 0 && size <= traffic.MaxBody
 }
 
-// plain says that a text can stand in a header and a log line as it is.
-func plain(s string) bool {
+// isPrintable reports whether s can be used in a header and a log line unchanged: 1 to 128 visible ASCII characters.
+func isPrintable(s string) bool {
 	for i := 0; i < len(s); i++ {
 		if s[i] <= ' ' || s[i] > '~' {
 			return false
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -1,4 +1,4 @@
-// Package front is the virtual server: it takes commands from clients, over redcon, and answers them.
+// Package front is the virtual server: it reads commands from clients, with redcon as the protocol's parser, and answers them.
 package front
 
 import (
@@ -23,82 +23,83 @@
 	"slatemux/internal/traffic"
 )
 
-// Relay is what a front hands transactions to; any protocol's front may.
+// Relay takes the transactions that clients submit. Any protocol's server can use it.
 type Relay interface {
 	Put(t traffic.Transaction, received time.Time) <-chan traffic.Answer
 }
 
-// Admission rules on hand-ins before they reach the relay, and says how long a connection rests after a refusal.
+// Admission decides on submissions before they reach the relay. Pace returns how long reading from a connection pauses after a
+// refusal.
 type Admission interface {
 	Admit(overload.HandIn) overload.Ruling
 	Pace() time.Duration
 }
 
-// Counters count since the start.
-type Counters struct{ Accepted, TurnedAway, MadeRoom, Commands, BadCommands, BadFrames, Shed, ShedUnread, Rested int64 }
+// Counters holds counts since the start.
+type Counters struct{ Accepted, TurnedAway, Evicted, Commands, BadCommands, BadFrames, Shed, ShedUnread, PausedReads int64 }
 
 // LogValue names the counters in a log line.
 func (c Counters) LogValue() slog.Value {
 	return slog.GroupValue(slog.Int64("accepted", c.Accepted), slog.Int64("turned_away", c.TurnedAway),
-		slog.Int64("made_room", c.MadeRoom), slog.Int64("commands", c.Commands),
+		slog.Int64("made_room", c.Evicted), slog.Int64("commands", c.Commands),
 		slog.Int64("bad_commands", c.BadCommands), slog.Int64("bad_frames", c.BadFrames),
-		slog.Int64("shed", c.Shed), slog.Int64("shed_unread", c.ShedUnread), slog.Int64("rested", c.Rested))
+		slog.Int64("shed", c.Shed), slog.Int64("shed_unread", c.ShedUnread), slog.Int64("rested", c.PausedReads))
 }
 
 // Server serves clients on one listener.
 type Server struct {
 	relay     Relay
-	admission Admission // nil for none
+	admission Admission // nil: every submission is admitted
 	classes   map[string]dispatch.Effect
-	ln        net.Listener
+	listener  net.Listener
 
-	mu       sync.Mutex
-	limits   Limits
-	buffered int64 // of Limits.Buffered
-	conns    map[*client]bool
-	shedBy   map[string]*atomic.Int64 // by class: refused by overload control after their command was read
+	mu            sync.Mutex
+	limits        Limits
+	reservedBytes int64 // by large commands; bounded by Limits.Buffered
+	conns         map[*client]bool
+	shedBy        map[string]*atomic.Int64 // by class: submissions that overload control refused after their command was read
 
-	ending    atomic.Bool
-	last      atomic.Bool  // unfinished commands are waited for no more
-	lingering atomic.Int64 // connections whose sending is shut, and that are read past
-	frugal    atomic.Bool  // idle connections are closed soon
+	draining         atomic.Bool
+	refuseUnfinished atomic.Bool  // set by End: unfinished commands are refused
+	lingering        atomic.Int64 // connections whose sending side is shut and whose remaining input is discarded
+	closeIdle        atomic.Bool  // idle connections are closed early, since memory is short
 
-	shed, shedUnread, rested atomic.Int64
+	shed, shedUnread, pausedReads atomic.Int64
 
-	accepted, turnedAway, madeRoom, commands, badCommands, badFrames atomic.Int64
+	accepted, turnedAway, evicted, commands, badCommands, badFrames atomic.Int64
 }
 
-// Limits bound what a server holds.
+// Limits bounds what a server holds.
 type Limits struct {
-	Clients  int   // connections
-	Used     int   // connections on which a command has come; beyond it, idle ones make room for new ones
-	Buffered int64 // bytes of memory for commands that are not light, over all connections
+	Clients  int   // maximum number of connections
+	Used     int   // connections that have sent a command; above this number, idle ones are closed to make room for new ones
+	Buffered int64 // bytes of memory for commands over smallCommandBytes, over all connections
 }
 
-// Listen opens a virtual server that holds no more than its limits. Admission may be nil.
+// Listen opens a virtual server with the given limits. Admission may be nil.
 func Listen(addr string, limits Limits, classes []dispatch.Class, relay Relay, admission Admission) (*Server, error) {
-	// A successor listens beside this process during a hand-over: the kernel deals new connections to both.
+	// During a handover a successor process listens on the same address. The kernel distributes new connections over both.
 	ln, err := (&net.ListenConfig{Control: reusePort}).Listen(context.Background(), "tcp", addr)
 	if err != nil {
 		return nil, fmt.Errorf("front: %w", err)
 	}
-	s := &Server{relay: relay, admission: admission, classes: map[string]dispatch.Effect{}, limits: limits, ln: ln, conns: map[*client]bool{},
+	s := &Server{relay: relay, admission: admission, classes: map[string]dispatch.Effect{}, limits: limits, listener: ln, conns: map[*client]bool{},
 		shedBy: map[string]*atomic.Int64{}}
 	for _, c := range classes {
 		s.classes[c.Name] = c.Effect
-		s.shedBy[c.Name] = new(atomic.Int64) // its keys are fixed from now on: any goroutine may read it
+		s.shedBy[c.Name] = new(atomic.Int64) // the keys are fixed from here on, so any goroutine may read the map
 	}
 	return s, nil
 }
 
-// Limit changes what the server may hold; what it holds stays.
+// Limit changes the limits. Connections and memory already in use stay.
 func (s *Server) Limit(limits Limits) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.limits = limits
 }
 
-// ShedByClass counts, by class, the hand-ins that overload control refused once their command was read.
+// ShedByClass returns, by class, the number of submissions that overload control refused after their command was read.
 func (s *Server) ShedByClass() map[string]int64 {
 	counts := make(map[string]int64, len(s.shedBy))
 	for name, n := range s.shedBy {
@@ -107,37 +108,38 @@
 	return counts
 }
 
-// Addr is where the server listens.
-func (s *Server) Addr() net.Addr { return s.ln.Addr() }
+// Addr returns the address that the server listens on.
+func (s *Server) Addr() net.Addr { return s.listener.Addr() }
 
-// Serve serves until Drain; then it returns, and connections with a request under way are served on.
+// Serve accepts and serves connections until Drain. It returns once the connections have ended, or an hour after Drain.
 func (s *Server) Serve() error {
 	ended := make(chan struct{})
 	defer close(ended)
 	go s.sweep(ended)
-	if err := redcon.Serve(listener{s.ln, s}, s.handle, nil, nil); err != nil {
+	if err := redcon.Serve(limitedListener{s.listener, s}, s.handle, nil, nil); err != nil {
 		return fmt.Errorf("front: %w", err)
 	}
 	return nil
 }
 
-// Drain closes the listener, and ends each connection as soon as no request is under way on it: a request that
-// crosses the end is unread, and its client sends it once more elsewhere.
+// Drain closes the listener and ends each connection as soon as none of its requests is being processed. A request that arrives
+// after that is not read; its client sends it again to another relay.
 func (s *Server) Drain() {
-	s.ending.Store(true)
-	s.ln.Close()
+	s.draining.Store(true)
+	s.listener.Close()
 	for _, c := range s.clients() {
-		c.wake()
+		c.wakeReader()
 	}
 }
 
-// End is Drain, and waits for unfinished commands no more: they are refused.
+// End drains the server and also refuses unfinished commands instead of waiting for the rest of them.
 func (s *Server) End() {
-	s.last.Store(true)
+	s.refuseUnfinished.Store(true)
 	s.Drain()
 }
 
-// Drained waits until every client has its answer and no connection is read past any more, but not beyond the deadline.
+// Drained waits until every client has its answer and no input is being discarded any more. It returns false if the deadline passes
+// first.
 func (s *Server) Drained(deadline time.Time) bool {
 	for len(s.clients()) > 0 || s.lingering.Load() > 0 {
 		if time.Now().After(deadline) {
@@ -156,27 +158,27 @@
 
 // Counters returns the counters.
 func (s *Server) Counters() Counters {
-	return Counters{s.accepted.Load(), s.turnedAway.Load(), s.madeRoom.Load(), s.commands.Load(), s.badCommands.Load(),
-		s.badFrames.Load(), s.shed.Load(), s.shedUnread.Load(), s.rested.Load()}
+	return Counters{s.accepted.Load(), s.turnedAway.Load(), s.evicted.Load(), s.commands.Load(), s.badCommands.Load(),
+		s.badFrames.Load(), s.shed.Load(), s.shedUnread.Load(), s.pausedReads.Load()}
 }
 
-// FreeIdle closes connections that idle for longer than a moment, while it is on.
-func (s *Server) FreeIdle(on bool) { s.frugal.Store(on) }
+// FreeIdle sets whether connections are closed after the short idle time for low memory.
+func (s *Server) FreeIdle(on bool) { s.closeIdle.Store(on) }
 
-// Handing is how many connections there are.
+// Handing returns the number of open connections.
 func (s *Server) Handing() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns)
 }
 
-// refuse answers a hand-in that is not admitted. Its connection then rests, if admission wants that.
+// refuse answers a submission that is not admitted. Reading from its connection then pauses if admission asks for that.
 func (s *Server) refuse(conn redcon.Conn, c *client, r overload.Ruling) {
 	s.shed.Add(1)
 	writeAnswer(conn, traffic.Answer{Verdict: traffic.Busy, RetryIn: r.RetryIn})
 	if c != nil {
-		if c.rest = s.admission.Pace(); c.rest > 0 {
-			s.rested.Add(1)
+		if c.readPause = s.admission.Pace(); c.readPause > 0 {
+			s.pausedReads.Add(1)
 		}
 	}
 }
@@ -186,14 +188,14 @@
 	s.commands.Add(1)
 	c, ok := conn.NetConn().(*client)
 	if ok {
-		c.answered++ // in this goroutine, before the answer is written
+		c.answered++ // here, in the reading goroutine, before the answer is written
 	}
-	ruling, ruled := overload.Ruling{}, false
+	decision, decided := overload.Ruling{}, false
 	if ok && s.admission != nil {
-		if ruling, ruled = c.ruled(c.answered - 1); ruling.Refused { // its body was not read
+		if decision, decided = c.takeDecision(c.answered - 1); decision.Refused { // the guard removed its body
 			s.shedUnread.Add(1)
-			c.handsIn()
-			s.refuse(conn, c, ruling)
+			c.markSubmission()
+			s.refuse(conn, c, decision)
 			return
 		}
 	}
@@ -213,15 +215,15 @@
 		}
 	case Put:
 		if ok {
-			c.handsIn()
+			c.markSubmission()
 		}
-		if t := &cmd.Transaction; s.admission != nil && !ruled {
-			if ruling = s.admission.Admit(overload.HandIn{Class: t.Class, Tenant: t.Tenant, Size: len(t.Body),
-				Left: t.Deadline.Sub(received)}); ruling.Refused {
-				if n := s.shedBy[t.Class]; n != nil { // Parse takes only the settings' classes
+		if transaction := &cmd.Transaction; s.admission != nil && !decided {
+			if decision = s.admission.Admit(overload.HandIn{Class: transaction.Class, Tenant: transaction.Tenant, Size: len(transaction.Body),
+				Left: transaction.Deadline.Sub(received)}); decision.Refused {
+				if n := s.shedBy[transaction.Class]; n != nil { // Parse accepts only the classes of the settings
 					n.Add(1)
 				}
-				s.refuse(conn, c, ruling)
+				s.refuse(conn, c, decision)
 				return
 			}
 		}
@@ -238,155 +240,155 @@
 	case traffic.Accepted:
 		conn.WriteString("OK")
 	case traffic.Busy:
-		text := "BUSY"
+		reply := "BUSY"
 		if a.RetryIn > 0 {
-			text += " " + strconv.FormatInt(max(a.RetryIn.Milliseconds(), 1), 10)
+			reply += " " + strconv.FormatInt(max(a.RetryIn.Milliseconds(), 1), 10)
 		}
-		conn.WriteError(text)
+		conn.WriteError(reply)
 	default:
 		conn.WriteError("ERR failed")
 	}
 }
 
-// listener hands redcon guarded connections, no more than the server may hold.
-type listener struct {
+// limitedListener gives redcon guarded connections, at most as many as the limits allow.
+type limitedListener struct {
 	net.Listener
-	s *Server
+	server *Server
 }
 
-func (l listener) Accept() (net.Conn, error) {
+func (l limitedListener) Accept() (net.Conn, error) {
 	for {
 		nc, err := l.Listener.Accept()
 		if err != nil {
 			if errors.Is(err, net.ErrClosed) {
-				l.s.Drained(time.Now().Add(time.Hour)) // once Accept fails, redcon closes all connections
+				l.server.Drained(time.Now().Add(time.Hour)) // redcon closes all connections once Accept fails
 			} else {
-				slog.Error("accept failed", "err", err) // out of descriptors, say: redcon would spin
+				slog.Error("accept failed", "err", err) // e.g. no file descriptors left; redcon would retry in a busy loop
 				time.Sleep(10 * time.Millisecond)
 			}
 			return nil, err
 		}
 		now := time.Now()
-		c := &client{Conn: nc, s: l.s, born: now, last: now, left: make(chan struct{})}
-		if l.s.admission != nil {
-			c.guard.rule = c.rule
+		c := &client{Conn: nc, server: l.server, created: now, lastReceived: now, removed: make(chan struct{})}
+		if l.server.admission != nil {
+			c.guard.decide = c.decide
 		}
-		if l.s.enter(c) {
-			l.s.accepted.Add(1)
+		if l.server.add(c) {
+			l.server.accepted.Add(1)
 			return c, nil
 		}
-		l.s.turnedAway.Add(1)
+		l.server.turnedAway.Add(1)
 		slog.Warn("client turned away: too many connections", "client", nc.RemoteAddr())
 		go func() {
-			c.refuse(errRoom)
+			c.refuse(errNoCapacity)
 			c.Close()
 		}()
 	}
 }
 
-// roomWithin is how long a connection that came waits for the end of the one that makes room for it: that is at rest, and its
-// reader has nothing else to do.
-const roomWithin = 50 * time.Millisecond
+// maxEvictionWait bounds how long a new connection waits for the close of the connection that makes room for it. The evicted
+// connection is idle and its reading goroutine has nothing else to do, so the close is quick.
+const maxEvictionWait = 50 * time.Millisecond
 
-// enter holds a connection, if there is room or another makes some.
-func (s *Server) enter(c *client) bool {
+// add registers a connection if there is room or an idle connection can be evicted. It returns false otherwise.
+func (s *Server) add(c *client) bool {
 	for {
 		s.mu.Lock()
 		full := len(s.conns) >= s.limits.Clients
-		var quiet *client
+		var victim *client
 		if full || len(s.conns) >= s.limits.Used {
-			first, idle, used := s.quietest()
-			if quiet = idle; full {
-				quiet = first
-			} else if used < s.limits.Used {
-				quiet = nil
+			candidate, usedCandidate, usedCount := s.evictionCandidates()
+			if victim = usedCandidate; full {
+				victim = candidate
+			} else if usedCount < s.limits.Used {
+				victim = nil
 			}
 		}
 		if !full {
 			s.conns[c] = true
 		}
 		s.mu.Unlock()
-		if quiet != nil {
-			quiet.askToEnd(func() bool { return !quiet.due })
-			s.madeRoom.Add(1)
+		if victim != nil {
+			victim.requestEnd(func() bool { return !victim.answerPending })
+			s.evicted.Add(1)
 		}
 		if !full {
 			return true
-		} else if quiet == nil {
+		} else if victim == nil {
 			return false
 		}
-		// Descriptors are counted, not raced for: one has to go before one may come. Where a command came on that one just now,
-		// another may go.
+		// Wait for the close, so that the number of file descriptors stays within the limit. If a command has just arrived on the
+		// victim, the next pass may choose another one.
 		select {
-		case <-quiet.left:
-		case <-time.After(roomWithin):
+		case <-victim.removed:
+		case <-time.After(maxEvictionWait):
 		}
 	}
 }
 
-// quietest finds the connection that may go first to make room: one on which no command has come, then one on
-// which nothing was handed in, then the one that idled longest; so a flood of connections that say nothing, or
-// only ask whether the relay is there, drives out itself and not the clients in use. Of those with a command,
-// idle is the first to go and used their number. It needs the lock.
-func (s *Server) quietest() (first, idle *client, used int) {
+// evictionCandidates finds the connections to close first to make room. The order is: no command received, then no submission
+// received, then longest idle. A flood of connections that send nothing or only PING thus evicts itself and not the clients in use.
+// candidate is the first in this order, usedCandidate the first that has sent a command, and usedCount the number of connections
+// that have sent one. The caller holds the lock.
+func (s *Server) evictionCandidates() (candidate, usedCandidate *client, usedCount int) {
 	for c := range s.conns {
 		c.mu.Lock()
-		c.seen = quiet{c.use, c.last}
-		free := !c.due && !c.asks && !c.rests && (c.use == nothing || c.half.IsZero())
-		going := c.asks
+		c.rank = evictionRank{c.usage, c.lastReceived}
+		evictable := !c.answerPending && !c.endRequested && !c.readPaused && (c.usage == noCommand || c.commandStart.IsZero())
+		ending := c.endRequested
 		c.mu.Unlock()
-		if c.seen.use > nothing && !going {
-			used++
+		if c.rank.usage > noCommand && !ending {
+			usedCount++
 		}
-		if free && (first == nil || c.seen.before(first.seen)) {
-			first = c
+		if evictable && (candidate == nil || c.rank.before(candidate.rank)) {
+			candidate = c
 		}
-		if free && c.seen.use > nothing && (idle == nil || c.seen.before(idle.seen)) {
-			idle = c
+		if evictable && c.rank.usage > noCommand && (usedCandidate == nil || c.rank.before(usedCandidate.rank)) {
+			usedCandidate = c
 		}
 	}
-	return first, idle, used
+	return candidate, usedCandidate, usedCount
 }
 
-// reserve takes the memory for a command of so many bytes from the budget, before they are buffered. The
-// parser keeps its buffers, so it is given back only with the connection.
+// reserve takes the memory for a command of the given size from the budget before the command is buffered. The parser keeps its
+// buffers, so the memory is returned only when the connection ends.
 func (s *Server) reserve(c *client, bytes int64) bool {
-	if bytes <= light {
+	if bytes <= smallCommandBytes {
 		return true
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	more := weight*bytes - c.weight
-	if more > 0 && s.buffered+more > s.limits.Buffered {
+	extra := commandMemoryFactor*bytes - c.reservedBytes
+	if extra > 0 && s.reservedBytes+extra > s.limits.Buffered {
 		return false
 	}
-	if more > 0 && s.conns[c] {
-		c.weight, s.buffered = c.weight+more, s.buffered+more
+	if extra > 0 && s.conns[c] {
+		c.reservedBytes, s.reservedBytes = c.reservedBytes+extra, s.reservedBytes+extra
 	}
 	return true
 }
 
-// leave ends what the server holds of a connection.
-func (s *Server) leave(c *client) {
+// remove unregisters a connection and returns its memory to the budget.
+func (s *Server) remove(c *client) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.conns[c] {
 		delete(s.conns, c)
-		close(c.left)
+		close(c.removed)
 	}
-	s.buffered -= c.weight
-	c.weight = 0
+	s.reservedBytes -= c.reservedBytes
+	c.reservedBytes = 0
 }
 
-func (s *Server) room() Limits {
+func (s *Server) currentLimits() Limits {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.limits
 }
 
-// sweep looks after connections that are of no use, until the last is gone after Drain.
+// sweep regularly ends connections that are idle or too slow, until the last one has ended after Drain.
 func (s *Server) sweep(ended <-chan struct{}) {
-	tick := time.NewTicker(sweepEvery)
+	tick := time.NewTicker(sweepInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -400,7 +402,7 @@
 	}
 }
 
-// reusePort lets a second process listen on the same address.
+// reusePort lets a successor process listen on the same address.
 func reusePort(_, _ string, c syscall.RawConn) error {
 	var err error
 	if cerr := c.Control(func(fd uintptr) {
@@ -408,7 +410,7 @@
 	}); cerr != nil {
 		return cerr
 	}
-	if err != nil { // alone on the address it serves as well; a successor then cannot start beside it
+	if err != nil { // this process can still serve the address, but no successor can start beside it
 		slog.Warn("client address not shared with a successor", "err", err)
 	}
 	return nil
--- a/internal/front/guard.go
+++ b/internal/front/guard.go
@@ -8,186 +8,192 @@
 )
 
 const (
-	// maxArgs, maxInline and maxCommand bound one command. A body may hold MaxBody; the rest is short.
-	maxArgs, maxInline = 16, 1024
-	maxCommand         = traffic.MaxBody + 4096
+	maxArgs        = 16
+	maxInlineBytes = 1024
+	// maxCommandBytes leaves 4096 bytes for everything but the body, which is short.
+	maxCommandBytes = traffic.MaxBody + 4096
 )
 
-// errFrame is what a client reads whose bytes are no command that the relay could have.
-var errFrame = errors.New("command too long or malformed")
+// errBadFrame is the reply to bytes that are not a valid command within the bounds.
+var errBadFrame = errors.New("command too long or malformed")
 
-type frame int
+// parseState is the position of the guard within a command.
+type parseState int
 
 const (
-	atStart frame = iota
-	inLine
+	atStart parseState = iota
+	inInlineCommand
 	inCount
-	atSize
+	beforeSize
 	inSize
-	inText
-	atEnd
+	inArgument
+	afterArgument
 )
 
-// guard follows the framing of commands in front of redcon's own parser. That one trusts what it reads: it
-// buffers a command of any announced size, loops over any announced count, and a size near the largest
-// integer makes it index out of range. The guard passes on only what stays within the bounds.
+// guard checks the framing of commands before redcon's parser sees them. The parser does not bound its input: it buffers a command
+// of any announced size, loops over any announced count, and indexes out of range on a size near the largest integer. The guard
+// passes on only what stays within the bounds.
 type guard struct {
-	at    frame
-	n     int // digits or bytes of the present part
-	value int
-	args  int  // still to come
-	total int  // bytes of the command
-	inked bool // the inline command is more than blanks, which the parser passes over
-
-	whole int  // commands that ended
-	fresh bool // one did since this was unset
-
-	// Of a command that hands in: what stands before its body, and what is ruled on it then.
-	arg    int    // number of the present part
-	first  []byte // of the command's name
-	fields []byte // of its names and values
-	sizeAt int    // where the body's size line begins in the bytes being fed; -1 if it began before them
-	rule   func(fields []byte, size int) (refused bool)
-	drop   bool // the body is refused: it is not passed on
-	kept   int  // bytes of the present Feed that are passed on so far
+	state        parseState
+	partBytes    int // digits or bytes read of the current part; -1 after the carriage return of a number
+	value        int
+	argsLeft     int  // still to come
+	commandBytes int  // bytes in the arguments of the command
+	notBlank     bool // the inline command is not blank; the parser ignores blank ones
+
+	completed      int  // number of complete commands
+	newlyCompleted bool // a command was completed since this was last cleared
+
+	// For a submission: the parts before its body, and the decision made on them.
+	argIndex  int    // index of the current argument; 0 is the command's name
+	name      []byte // the command's name
+	fields    []byte // the submission's fields
+	sizeStart int    // start of the body's size line in the bytes passed to Feed; -1 if it began in an earlier call
+	decide    func(fields []byte, size int) (refused bool)
+	dropBody  bool // the submission is refused: its body is not passed on
+	passed    int  // bytes of the current Feed that are passed on so far
 }
 
-// end is the end of a command.
-func (g *guard) end() {
-	g.at, g.total, g.whole, g.fresh = atStart, 0, g.whole+1, true
+// endCommand records the end of a command.
+func (g *guard) endCommand() {
+	g.state, g.commandBytes, g.completed, g.newlyCompleted = atStart, 0, g.completed+1, true
 }
 
-// Feed says how many of the bytes may be passed on; with an error, what follows them may not. Where a rule
-// refuses a command before its body, the body is cut out of the bytes in place, and an empty one stands for it.
+// Feed returns how many of the bytes may be passed on. After an error, no later bytes may be passed on. If decide refuses a
+// submission before its body, Feed removes the body from b in place and leaves an empty one.
 func (g *guard) Feed(b []byte) (int, error) {
-	g.kept, g.sizeAt = 0, -1
+	g.passed, g.sizeStart = 0, -1
 	for i := 0; i < len(b); i++ {
-		if g.at == inText && g.value > 0 { // the body in one stride
+		if g.state == inArgument && g.value > 0 { // consume the argument's bytes in one step
 			step := min(g.value, len(b)-i)
 			g.value -= step
-			g.sniff(b[i : i+step])
-			if !g.drop {
-				g.kept += g.keep(b, i, step)
+			g.collect(b[i : i+step])
+			if !g.dropBody {
+				g.passed += g.passOn(b, i, step)
 			}
 			i += step - 1
 			continue
 		}
-		if g.at == atSize {
-			g.sizeAt = g.kept
+		if g.state == beforeSize {
+			g.sizeStart = g.passed
 		}
-		err := g.byte(b[i])
+		err := g.consume(b[i])
 		if err != nil {
-			return g.kept, err
+			return g.passed, err
 		}
-		g.kept += g.keep(b, i, 1)
-		if g.at == inText && g.n == -1 { // a size line has just ended
-			g.n = 0
-			g.sized(b)
+		g.passed += g.passOn(b, i, 1)
+		if g.state == inArgument && g.partBytes == -1 { // a size line has just ended
+			g.partBytes = 0
+			g.checkBody(b)
 		}
 	}
-	return g.kept, nil
+	return g.passed, nil
 }
 
-// keep moves bytes to where the kept ones end, which is where they are unless something was cut out before them.
-func (g *guard) keep(b []byte, from, n int) int {
-	if g.kept != from {
-		copy(b[g.kept:], b[from:from+n])
+// passOn moves bytes to the end of those already passed. They are in place unless earlier bytes were removed.
+func (g *guard) passOn(b []byte, from, n int) int {
+	if g.passed != from {
+		copy(b[g.passed:], b[from:from+n])
 	}
 	return n
 }
 
-// bodyArg and fieldsArg are the numbers of a hand-in's body and of its names and values, counted from its name.
-const bodyArg, fieldsArg = 4, 3
+// Indexes of a submission's body and fields among the arguments of the command, counted from the command's name.
+const (
+	bodyArgIndex   = 4
+	fieldsArgIndex = 3
+)
 
-// sniff keeps the parts that a rule is told of.
-func (g *guard) sniff(b []byte) {
+// collect keeps the parts of the command that decide needs.
+func (g *guard) collect(b []byte) {
 	switch {
-	case g.rule == nil:
-	case g.arg == 0 && len(g.first)+len(b) <= 16:
-		g.first = append(g.first, b...)
-	case g.arg == fieldsArg && len(g.fields)+len(b) <= maxInline:
+	case g.decide == nil:
+	case g.argIndex == 0 && len(g.name)+len(b) <= 16:
+		g.name = append(g.name, b...)
+	case g.argIndex == fieldsArgIndex && len(g.fields)+len(b) <= maxInlineBytes:
 		g.fields = append(g.fields, b...)
 	}
 }
 
-// sized asks the rule, if the size that has just been read is that of a hand-in's body and its line can still be
-// changed. Otherwise the command is ruled on once it is whole.
-func (g *guard) sized(b []byte) {
-	if g.rule == nil || g.arg != bodyArg || g.args != 1 || g.sizeAt < 0 || len(g.fields) == 0 ||
-		!strings.EqualFold(string(g.first), "MSG.PUT") || !g.rule(g.fields, g.value) {
+// checkBody calls decide if the size just read is that of a submission's body and its size line can still be changed. Otherwise
+// admission decides once the command is complete.
+func (g *guard) checkBody(b []byte) {
+	if g.decide == nil || g.argIndex != bodyArgIndex || g.argsLeft != 1 || g.sizeStart < 0 || len(g.fields) == 0 ||
+		!strings.EqualFold(string(g.name), "MSG.PUT") || !g.decide(g.fields, g.value) {
 		return
 	}
-	g.drop = true
-	g.total -= g.value
-	g.kept = g.sizeAt + copy(b[g.sizeAt:], "$0\r\n")
+	g.dropBody = true
+	g.commandBytes -= g.value
+	g.passed = g.sizeStart + copy(b[g.sizeStart:], "$0\r\n")
 }
 
-func (g *guard) byte(c byte) error {
-	switch g.at {
+// consume advances the state by one byte.
+func (g *guard) consume(c byte) error {
+	switch g.state {
 	case atStart:
-		g.n, g.value, g.total, g.inked = 0, 0, 0, c != ' ' && c != '\r'
-		g.arg, g.drop, g.first, g.fields = 0, false, g.first[:0], g.fields[:0]
+		g.partBytes, g.value, g.commandBytes, g.notBlank = 0, 0, 0, c != ' ' && c != '\r'
+		g.argIndex, g.dropBody, g.name, g.fields = 0, false, g.name[:0], g.fields[:0]
 		if c == '*' {
-			g.at = inCount
+			g.state = inCount
 		} else if c != '\n' {
-			g.at = inLine
+			g.state = inInlineCommand
 		}
-	case inLine:
-		if g.n++; c == '\n' && g.inked {
-			g.end()
+	case inInlineCommand:
+		if g.partBytes++; c == '\n' && g.notBlank {
+			g.endCommand()
 		} else if c == '\n' {
-			g.at = atStart
-		} else if g.inked = g.inked || c != ' ' && c != '\r'; g.n > maxInline {
-			return errFrame
+			g.state = atStart
+		} else if g.notBlank = g.notBlank || c != ' ' && c != '\r'; g.partBytes > maxInlineBytes {
+			return errBadFrame
 		}
 	case inCount, inSize:
-		return g.number(c)
-	case atSize:
+		return g.consumeDigit(c)
+	case beforeSize:
 		if c != '$' {
-			return errFrame
+			return errBadFrame
 		}
-		g.n, g.value, g.at = 0, 0, inSize
-	case inText: // all bytes have come: the line's end is due
+		g.partBytes, g.value, g.state = 0, 0, inSize
+	case inArgument: // all bytes have arrived; the line must end here
 		if c != '\r' {
-			return errFrame
+			return errBadFrame
 		}
-		g.at = atEnd
-	case atEnd:
+		g.state = afterArgument
+	case afterArgument:
 		if c != '\n' {
-			return errFrame
+			return errBadFrame
 		}
-		g.arg++
-		if g.args--; g.args == 0 {
-			g.end()
+		g.argIndex++
+		if g.argsLeft--; g.argsLeft == 0 {
+			g.endCommand()
 		} else {
-			g.at = atSize
+			g.state = beforeSize
 		}
 	}
 	return nil
 }
 
-// number reads digits up to the line's end; n turns negative once the carriage return has come.
-func (g *guard) number(c byte) error {
+// consumeDigit reads a number up to the end of its line. partBytes is -1 after the carriage return.
+func (g *guard) consumeDigit(c byte) error {
 	switch {
-	case c >= '0' && c <= '9' && g.n >= 0 && g.n < 8:
-		g.n, g.value = g.n+1, g.value*10+int(c-'0')
+	case c >= '0' && c <= '9' && g.partBytes >= 0 && g.partBytes < 8:
+		g.partBytes, g.value = g.partBytes+1, g.value*10+int(c-'0')
 		return nil
-	case c == '\r' && g.n > 0:
-		g.n = -1
+	case c == '\r' && g.partBytes > 0:
+		g.partBytes = -1
 		return nil
-	case c != '\n' || g.n != -1:
-		return errFrame
+	case c != '\n' || g.partBytes != -1:
+		return errBadFrame
 	}
-	if g.at == inCount {
-		if g.args = g.value; g.args < 1 || g.args > maxArgs {
-			return errFrame
+	if g.state == inCount {
+		if g.argsLeft = g.value; g.argsLeft < 1 || g.argsLeft > maxArgs {
+			return errBadFrame
 		}
-		g.at = atSize
+		g.state = beforeSize
 		return nil
 	}
-	if g.total += g.value; g.total > maxCommand {
-		return errFrame
+	if g.commandBytes += g.value; g.commandBytes > maxCommandBytes {
+		return errBadFrame
 	}
-	g.at = inText
+	g.state = inArgument
 	return nil
 }
