--- a/internal/notice/notice.go
+++ b/internal/notice/notice.go
@@ -1,4 +1,4 @@
-// Package notice tells the platform how undelivered transactions ended, and goes on until it has answered.
+// Package notice sends the platform notices about how undelivered transactions ended, and repeats each until it is answered.
 package notice
 
 import (
@@ -16,48 +16,52 @@
 )
 
 const (
-	// answerBy is how long the platform, which answers at once, may take; retryAfter the pause before
-	// another try. Both are short, for a notice is wanted 300 ms after its transaction's time is up.
-	answerBy, retryAfter = 250 * time.Millisecond, 20 * time.Millisecond
-	most                 = 200 // lines in one call
+	// answerTimeout bounds a call. The platform answers at once. Both times are short because a notice is wanted 300 ms after the
+	// deadline of its transaction.
+	answerTimeout = 250 * time.Millisecond
+	// retryPause is the pause before a retry.
+	retryPause = 20 * time.Millisecond
+	// maxBatchLines bounds the notices in one call.
+	maxBatchLines = 200
 )
 
-// Sender delivers notices in the order they come.
+// Sender delivers notices in order.
 type Sender struct {
-	at       *discoveryaddr.Place
+	place    *discoveryaddr.Place
 	answered func(ids []string)
 
-	mu    sync.Mutex
-	queue []traffic.Notice
-	count Counters
-	wake  chan struct{}
-
-	// Of the goroutine in Run alone: the connection, the address that it is to, and when that is left. A move
-	// closes it at once, in a call or idle; what had no answer there is sent again to the new address.
-	nc     net.Conn
-	addr   string
-	here   context.Context
-	unhook func() bool
+	mu       sync.Mutex
+	queue    []traffic.Notice
+	counters Counters
+	wake     chan struct{}
+
+	// Used by the goroutine in Run alone: the connection, its address, and the context that ends when the platform leaves that
+	// address. A move closes the connection at once, also during a call. Notices without an answer are sent again to the new
+	// address.
+	conn      net.Conn
+	addr      string
+	placeCtx  context.Context
+	stopClose func() bool
 }
 
-// Counters count since the start: calls, and those that were not answered and so are made again.
-type Counters struct{ Calls, Again int64 }
+// Counters holds counts since the start: calls, and those of them that were not answered and so are repeated.
+type Counters struct{ Calls, Retries int64 }
 
 // LogValue names the counters in a log line.
 func (c Counters) LogValue() slog.Value {
-	return slog.GroupValue(slog.Int64("calls", c.Calls), slog.Int64("again", c.Again))
+	return slog.GroupValue(slog.Int64("calls", c.Calls), slog.Int64("again", c.Retries))
 }
 
 // Counters returns the counters.
 func (s *Sender) Counters() Counters {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.count
+	return s.counters
 }
 
-// New returns a Sender to the platform at a place that may move; answered is told what needs no more tries.
+// New returns a Sender to the platform, whose address may change. answered is called with the ids of notices that need no retry.
 func New(at *discoveryaddr.Place, answered func(ids []string)) *Sender {
-	return &Sender{at: at, answered: answered, wake: make(chan struct{}, 1)}
+	return &Sender{place: at, answered: answered, wake: make(chan struct{}, 1)}
 }
 
 // Send queues a notice. It does not block.
@@ -71,16 +75,16 @@
 	}
 }
 
-// Run delivers until ctx ends.
+// Run delivers notices until ctx ends.
 func (s *Sender) Run(ctx context.Context) {
-	defer s.hangUp()
-	part := most // 1 after a call that the platform could not read, to find the line at fault
+	defer s.closeConn()
+	batchLimit := maxBatchLines // 1 after a call that the platform could not read, to find the invalid line
 	for {
 		s.mu.Lock()
-		batch := s.queue[:min(len(s.queue), part)]
+		batch := s.queue[:min(len(s.queue), batchLimit)]
 		s.mu.Unlock()
 		if len(batch) == 0 {
-			part = most
+			batchLimit = maxBatchLines
 			select {
 			case <-ctx.Done():
 				return
@@ -90,35 +94,36 @@
 		}
 		status, err := s.call(ctx, batch)
 		s.mu.Lock()
-		if s.count.Calls++; status == 0 {
-			s.count.Again++
+		if s.counters.Calls++; status == 0 {
+			s.counters.Retries++
 		}
 		s.mu.Unlock()
 		switch {
 		case status == 204 || status == 200:
-			s.drop(batch)
+			s.removeAnswered(batch)
 		case status == 400 && len(batch) > 1:
-			part = 1
+			batchLimit = 1
 		case status == 400:
 			slog.Error("notice refused by the platform", "id", batch[0].ID)
-			s.drop(batch)
+			s.removeAnswered(batch)
 		default:
-			s.hangUp()
-			if s.here.Err() != nil {
-				continue // the platform has moved: nothing is to be waited for here
+			s.closeConn()
+			if s.placeCtx.Err() != nil {
+				continue // the platform has moved, so there is no reason to pause
 			}
 			slog.Warn("notices not answered", "addr", s.addr, "count", len(batch), "status", status, "err", err)
 			select {
 			case <-ctx.Done():
 				return
-			case <-s.here.Done():
-			case <-time.After(retryAfter):
+			case <-s.placeCtx.Done():
+			case <-time.After(retryPause):
 			}
 		}
 	}
 }
 
-func (s *Sender) drop(batch []traffic.Notice) {
+// removeAnswered removes a batch from the queue and reports it as answered.
+func (s *Sender) removeAnswered(batch []traffic.Notice) {
 	ids := make([]string, len(batch))
 	for i, n := range batch {
 		ids[i] = n.ID
@@ -129,55 +134,56 @@
 	s.answered(ids)
 }
 
-func (s *Sender) hangUp() {
-	if s.nc != nil {
-		s.unhook()
-		s.nc.Close()
-		s.nc = nil
+func (s *Sender) closeConn() {
+	if s.conn != nil {
+		s.stopClose()
+		s.conn.Close()
+		s.conn = nil
 	}
 }
 
+// call sends a batch and returns the HTTP status of the answer; 0 if there was none.
 func (s *Sender) call(ctx context.Context, batch []traffic.Notice) (int, error) {
-	deadline := time.Now().Add(answerBy)
-	if s.nc != nil && s.here.Err() != nil {
-		s.hangUp()
+	deadline := time.Now().Add(answerTimeout)
+	if s.conn != nil && s.placeCtx.Err() != nil {
+		s.closeConn()
 	}
-	if s.nc == nil {
-		s.addr, s.here = s.at.Now()
+	if s.conn == nil {
+		s.addr, s.placeCtx = s.place.Now()
 		ctx, cancel := context.WithCancel(ctx)
 		defer cancel()
-		defer context.AfterFunc(s.here, cancel)()
+		defer context.AfterFunc(s.placeCtx, cancel)()
 		dialer := net.Dialer{Deadline: deadline}
 		nc, err := dialer.DialContext(ctx, "tcp", s.addr)
 		if err != nil {
 			return 0, fmt.Errorf("notice: %w", err)
 		}
-		s.nc, s.unhook = nc, context.AfterFunc(s.here, func() { nc.Close() })
+		s.conn, s.stopClose = nc, context.AfterFunc(s.placeCtx, func() { nc.Close() })
 	}
-	resp, err := http1.Exchange(s.nc, http1.AppendRequest(nil, "POST", "/v1/notices", s.addr, nil, encode(batch)),
+	resp, err := http1.Exchange(s.conn, http1.AppendRequest(nil, "POST", "/v1/notices", s.addr, nil, encode(batch)),
 		http1.MaxHead, deadline, deadline)
 	if err != nil {
 		return 0, err
 	}
 	if !resp.Reusable() {
-		s.hangUp()
+		s.closeConn()
 	}
 	return resp.Status, nil
 }
 
-type line struct {
+type noticeLine struct {
 	Message string `json:"message"`
 	Outcome string `json:"outcome"`
 	RetryIn int64  `json:"retry_in_ms,omitempty"`
 }
 
-var outcomes = map[traffic.NoticeOutcome]string{traffic.GivenUp: "given_up", traffic.HandedBack: "handed_back"}
+var outcomeNames = map[traffic.NoticeOutcome]string{traffic.GivenUp: "given_up", traffic.HandedBack: "handed_back"}
 
-// encode writes one JSON object a line.
+// encode writes one JSON object per line.
 func encode(batch []traffic.Notice) []byte {
 	var body []byte
 	for _, n := range batch {
-		text, _ := json.Marshal(line{n.ID, outcomes[n.Outcome], n.RetryIn.Milliseconds()}) // it always encodes
+		text, _ := json.Marshal(noticeLine{n.ID, outcomeNames[n.Outcome], n.RetryIn.Milliseconds()}) // a noticeLine can always be encoded
 		body = append(append(body, text...), '\n')
 	}
 	return body
--- a/internal/notice/notice_test.go
+++ b/internal/notice/notice_test.go
@@ -13,8 +13,8 @@
 	"slatemux/internal/traffic"
 )
 
-// Notices go out until they are answered: an error is tried again, and a call that the platform cannot read
-// is taken apart so that one bad line does not hold up the rest.
+// Each notice is sent until it is answered: after an error it is sent again. A call that the platform cannot read is split, so that
+// one invalid line does not block the other notices.
 func TestRetriesUntilAnswered(t *testing.T) {
 	calls := make(chan string, 20)
 	n := 0
--- a/internal/pool/book.go
+++ b/internal/pool/book.go
@@ -6,62 +6,65 @@
 	"slatemux/internal/traffic"
 )
 
-// Book is what is known of discovery's list, and says what of an answer counts. A drain that was heard is kept until
-// discovery takes it back: by a newer version than the one that told it, or for a member that has started since. An answer
-// that is older than what is known, or not what was asked for, changes nothing. It knows no socket and no clock.
+// Book holds the known members and decides what of an answer from discovery applies. A drain stays until discovery withdraws it: by
+// a newer version than the one that announced it, or for a member that has started since. An answer that is older than the known
+// list, or of another kind than requested, changes nothing. Book uses no socket and no clock.
 type Book struct {
-	seq   int64
-	whole bool // the whole list is wanted next
-	older bool // the answer before was older than what is known
-	moved bool // the versions of the present place say nothing of those before
-	// spoiltAt is the version whose whole list was asked for because an entry made no sense: once, for that may be how it is.
-	spoiltAt int64
-	hosts    map[string]entry
-	gone     map[string]entry // the newest of those that left
+	seq          int64
+	wantFull     bool // the next call asks for the full list
+	lastWasOlder bool // the previous answer was older than the known list
+	moved        bool // discovery has moved, and its versions are not comparable with the known ones
+	// invalidSeq is the version whose full list was requested because of invalid entries. The request is made once per version,
+	// since the full list may have the same entries.
+	invalidSeq int64
+	hosts      map[string]entry
+	departed   map[string]entry // the newest of the members that have left
 }
 
-// entry is what is known of a member, and the version that told it; 0 for one of another place.
+// entry is a known member and the version that announced its state; 0 if that came from another discovery address.
 type entry struct {
 	Host
 	seq int64
 }
 
-// goneMost bounds what is kept of members that have left: a list that comes late may still name those of some releases.
-const goneMost = 2048
+// maxGone bounds the remembered members that have left. A late list may still name those of some releases.
+const maxGone = 2048
 
-// NewBook returns one that starts from a known list.
+// NewBook returns a Book that starts from a known list.
 func NewBook(known List) *Book {
-	b := &Book{seq: known.Seq, spoiltAt: -1, hosts: make(map[string]entry, len(known.Hosts)), gone: map[string]entry{}}
+	b := &Book{seq: known.Seq, invalidSeq: -1, hosts: make(map[string]entry, len(known.Hosts)), departed: map[string]entry{}}
 	for _, h := range known.Hosts {
 		b.hosts[h.Host] = entry{h, known.Seq}
 	}
 	return b
 }
 
-// Seq is the version of what is known.
+// Seq returns the version of the known list.
 func (b *Book) Seq() int64 { return b.seq }
 
-// Whole says whether the whole list is to be asked for next.
-func (b *Book) Whole() bool { return b.whole }
+// WantFull reports whether the next call must ask for the full list.
+func (b *Book) WantFull() bool { return b.wantFull }
 
-// Move notes that discovery is another one: its versions need not go on from those before, and its whole list is wanted.
-func (b *Book) Move() { b.whole, b.moved, b.older = true, true, false }
+// SourceChanged records that discovery has moved. The versions of the new address need not continue the old ones, so the full list
+// is needed.
+func (b *Book) SourceChanged() { b.wantFull, b.moved, b.lastWasOlder = true, true, false }
 
-// Take takes in an answer and says what it tells. asked says that the whole list was asked for.
-func (b *Book) Take(l List, asked bool) (traffic.PoolNews, error) {
-	anew := b.moved || l.Seq < b.seq
+// Take applies an answer and returns what changes. askedFull says that the full list was requested.
+func (b *Book) Take(l List, askedFull bool) (traffic.PoolNews, error) {
+	restarted := b.moved || l.Seq < b.seq
 	switch {
-	case asked && !l.Whole:
-		return traffic.PoolNews{}, fmt.Errorf("pool: list: changes, where the whole list was asked for")
-	case anew && !b.moved && !(b.older && l.Whole): // an answer that comes late; or, the second time, versions that begin anew
-		b.whole, b.older = true, true
+	case askedFull && !l.Whole:
+		return traffic.PoolNews{}, fmt.Errorf("pool: list: changes received, but the full list was requested")
+	case restarted && !b.moved && !(b.lastWasOlder && l.Whole):
+		// One older answer is late. A second one in a row with a full list means that the versions of discovery have restarted.
+		b.wantFull, b.lastWasOlder = true, true
 		return traffic.PoolNews{}, fmt.Errorf("pool: list: version %d is older than %d", l.Seq, b.seq)
 	}
-	b.whole, b.moved, b.older, b.seq = l.Spoilt.Count > 0 && b.spoiltAt != l.Seq, false, false, l.Seq
-	if b.whole {
-		b.spoiltAt = l.Seq
+	b.wantFull, b.moved, b.lastWasOlder, b.seq = l.Invalid.Count > 0 && b.invalidSeq != l.Seq, false, false, l.Seq
+	if b.wantFull {
+		b.invalidSeq = l.Seq
 	}
-	if anew {
+	if restarted {
 		b.forgetVersions()
 	}
 	before := b.hosts
@@ -70,56 +73,56 @@
 	}
 	for i := range l.Hosts {
 		h := &l.Hosts[i]
-		if was, ok := before[h.Host]; ok {
-			was.hold(h, l.Seq)
-		} else if was, ok := b.gone[h.Host]; ok {
-			was.hold(h, l.Seq)
+		if previous, ok := before[h.Host]; ok {
+			previous.keepDrain(h, l.Seq)
+		} else if previous, ok := b.departed[h.Host]; ok {
+			previous.keepDrain(h, l.Seq)
 		}
 		if h.Health == left {
 			delete(b.hosts, h.Host)
-			b.bury(h, l.Seq)
+			b.depart(h, l.Seq)
 		} else {
-			delete(b.gone, h.Host)
+			delete(b.departed, h.Host)
 			b.hosts[h.Host] = entry{*h, l.Seq}
 		}
 	}
 	if l.Whole {
-		b.missing(&l, before)
+		b.departMissing(&l, before)
 	}
 	return l.News(), nil
 }
 
-// missing looks at the members that a whole list does not name. They have left; but where an entry makes no sense, and it is not
-// known what it should have said, what was known of its member stays.
-func (b *Book) missing(l *List, before map[string]entry) {
-	for name, was := range before {
-		if _, here := b.hosts[name]; here {
+// departMissing handles the members that a full list does not name. They have left. If the list has an invalid entry for a member,
+// its new state is unknown, and the known state is kept.
+func (b *Book) departMissing(l *List, before map[string]entry) {
+	for name, previous := range before {
+		if _, listed := b.hosts[name]; listed {
 			continue
 		}
-		if _, told := b.gone[name]; told {
+		if _, departed := b.departed[name]; departed {
 			continue
 		}
-		if l.Spoilt.Hosts[name] {
-			b.hosts[name] = was
-			l.Hosts = append(l.Hosts, was.Host)
+		if l.Invalid.Hosts[name] {
+			b.hosts[name] = previous
+			l.Hosts = append(l.Hosts, previous.Host)
 		} else {
-			was.Health = left
-			b.bury(&was.Host, l.Seq)
+			previous.Health = left
+			b.depart(&previous.Host, l.Seq)
 		}
 	}
 }
 
-// hold has a member that is said to be active go on leaving, or stay gone, where that is no newer word.
-func (e *entry) hold(h *Host, seq int64) {
+// keepDrain keeps a member leaving or departed if h says that it is active but is not newer.
+func (e *entry) keepDrain(h *Host, seq int64) {
 	newer := h.BornMS > e.BornMS || e.seq > 0 && seq > e.seq
 	if h.Health == active && e.Health != active && !newer {
 		h.Health = e.Health
 	}
 }
 
-// forgetVersions has all that is known count as another place's.
+// forgetVersions marks everything known as announced by another discovery address.
 func (b *Book) forgetVersions() {
-	for _, list := range []map[string]entry{b.hosts, b.gone} {
+	for _, list := range []map[string]entry{b.hosts, b.departed} {
 		for name, e := range list {
 			e.seq = 0
 			list[name] = e
@@ -127,15 +130,16 @@
 	}
 }
 
-func (b *Book) bury(h *Host, seq int64) {
-	if len(b.gone) >= goneMost {
+// depart remembers a member that has left, in place of the oldest one if there are too many.
+func (b *Book) depart(h *Host, seq int64) {
+	if len(b.departed) >= maxGone {
 		oldest := ""
-		for name, e := range b.gone {
-			if oldest == "" || e.seq < b.gone[oldest].seq {
+		for name, e := range b.departed {
+			if oldest == "" || e.seq < b.departed[oldest].seq {
 				oldest = name
 			}
 		}
-		delete(b.gone, oldest)
+		delete(b.departed, oldest)
 	}
-	b.gone[h.Host] = entry{*h, seq}
+	b.departed[h.Host] = entry{*h, seq}
 }
--- a/internal/pool/pace.go
+++ b/internal/pool/pace.go
@@ -5,155 +5,174 @@
 	"time"
 )
 
-// Terms are what the settings say of discovery.
+// Terms holds the settings of discovery.
 type Terms struct {
-	// Pushed: lists are sent to an agent on this machine, which answers at once and at no cost with what it has. All that it
-	// has counts as told, asked for or not. Otherwise one service for all relays is asked, and works through their calls.
+	// Pushed means that lists are pushed to an agent on this machine, which answers at once, at no cost, with what it has. The relay
+	// counts as notified of everything that the agent has, whether it asked or not. Otherwise all relays poll one central service,
+	// which processes their calls in turn.
 	Pushed bool
-	Peers  int           // relays, this one included
-	Grace  time.Duration // a member that leaves gets nothing new so long after that was told
-	Asked  time.Duration // asked for: after so long without a call, what was listed then counts as told; 0 where nothing says
+	Peers  int           // number of relays, this one included
+	Grace  time.Duration // grace period: how long after notification of a drain new calls to the member are still allowed
+	Asked  time.Duration // polling: time without a call after which the relay counts as notified of what was listed; 0 if not set
 }
 
-// Pace says when a relay may call for the list. It reads no clock.
+// Pace decides when a relay calls discovery for the list. It reads no clock.
 //
-// Where discovery is asked, all relays of a fleet see the same events, and discovery is sized for the calls of a few: a
-// release, a mass restart or its own overload has all of them call at one moment, and calls that it cannot answer in time cost
-// it as much as those that it can. So what no fresh message causes is spread: a first call over the time that discovery needs
-// for the fleet, and a call after a failure over a span that doubles with each one in a row, at random anew each time, for two
-// relays that failed together must not come back together.
+// With polling, all relays of a fleet see the same events, and discovery is sized for the calls of a few. A release, a mass restart
+// or an overload of discovery makes all relays call at the same moment, and calls that discovery cannot answer in time cost it as
+// much as the others. So calls that no recent answer caused are spread. The first calls are spread over the time that discovery
+// needs for the whole fleet. Retries are spread over a span that doubles with each failure in a row. Each delay is drawn again at
+// random, so that two relays that failed together do not retry together.
 //
-// Where lists are pushed, the agent is this relay's alone, and what it has counts against a relay that does not ask: nothing is
-// spread over more than a part of the grace.
+// With pushed lists, the agent serves this relay alone, and a relay that does not ask still counts as notified of what the agent
+// has. So nothing is spread over more than part of the grace period.
 //
-// Either way a change counts as told toldWithin after discovery had it and could be reached, whatever became of a call before. What
-// lies between is one sum on each path, and the constants below are chosen by it: the rest of a call that brings nothing, the pause
-// behind it, and the call that brings the change.
+// In both modes, a relay counts as notified of a change maxNotifyDelay after discovery had it and was reachable, whatever happened
+// to earlier calls. The constants below are chosen so that on each path the sum of three times stays below that: the rest of a call
+// that brings nothing, the pause after it, and the call that brings the change.
 type Pace struct {
-	terms Terms
-	first time.Duration // over which the fleet's first calls are spread
-	fails int           // in a row
-	rng   *rand.Rand
+	terms       Terms
+	startSpread time.Duration // first calls of the fleet are spread over this time
+	failures    int           // number in a row
+	rng         *rand.Rand
 }
 
 const (
-	// callEvery is how often a discovery that is asked is taken to answer one relay of the fleet, as long as nothing says
-	// otherwise: twenty calls a second. The price is that a start relies on the known list for so long.
-	callEvery = 50 * time.Millisecond
-	// toldWithin is when a change counts as told that discovery has, whatever became of calls for it, once it can be reached.
-	toldWithin = 6 * time.Second
-	// firstMost bounds the spread of first calls, whatever the fleet, and pauseLeast to pauseFirst that of calls after a first
-	// failure; movedMost that after a move, for what the new place has to tell counts as told soon.
-	firstMost, pauseLeast, pauseFirst, movedMost = 4 * time.Second, 100 * time.Millisecond, time.Second, 500 * time.Millisecond
-	// hold is how long a watch may wait for news. One that has fallen silent is found out at the end of its wait and overdue.
-	hold = 3 * time.Second
-	// overdue is when an answer that has not begun is given up where discovery is asked, beyond the wait of the call; after failures
-	// twice that, for it may be slow and not dead. wholeWithin is how long one that has begun may take.
-	overdue, wholeWithin = 700 * time.Millisecond, 500 * time.Millisecond
-	// silenceMost bounds the pause after a watch that brought nothing. Watches began apart, and so do their ends.
-	silenceMost = 250 * time.Millisecond
-	// pauseMost bounds the pause after any number of failures.
-	pauseMost = toldWithin - 2*(2*overdue+wholeWithin)
-	answered  = overdue + wholeWithin // a call that is answered at last, after one failure
-	// agentMost bounds, and the parts of the grace say, when an agent's answer is given up and how long the pause behind is: a
-	// few calls fit into the grace of any deployment.
-	agentMost, agentLeast  = 500 * time.Millisecond, 20 * time.Millisecond
-	agentAnswer, agentRest = 4, 8
+	// callInterval is the assumed interval between calls that polled discovery can answer: twenty calls a second for the whole
+	// fleet. Its cost is that a starting relay relies on the known list for the spread.
+	callInterval = 50 * time.Millisecond
+	// maxNotifyDelay is the time after which a relay counts as notified of a change that discovery has, once discovery is reachable.
+	maxNotifyDelay = 6 * time.Second
+	// maxStartSpread bounds the spread of first calls, whatever the size of the fleet.
+	maxStartSpread = 4 * time.Second
+	// minRetrySpan and maxFirstRetrySpan bound the span of the delay after a first failure.
+	minRetrySpan      = 100 * time.Millisecond
+	maxFirstRetrySpan = time.Second
+	// maxMoveSpread bounds the spread after a move of discovery. The relay soon counts as notified of what the new address has.
+	maxMoveSpread = 500 * time.Millisecond
+	// watchHold is how long a watch may wait for changes. A silent watch is detected answerTimeout after that.
+	watchHold = 3 * time.Second
+	// answerTimeout bounds the wait for the first byte of an answer in polling mode, beyond the hold of the call. It doubles after
+	// failures, since discovery may be slow and not down.
+	answerTimeout = 700 * time.Millisecond
+	// transferTimeout bounds the time from the first byte of an answer to its last.
+	transferTimeout = 500 * time.Millisecond
+	// maxSilentRetrySpan bounds the delay after a watch that brought nothing. Watches began at different times, so their ends are spread.
+	maxSilentRetrySpan = 250 * time.Millisecond
+	// maxRetrySpan bounds the delay after any number of failures.
+	maxRetrySpan  = maxNotifyDelay - 2*(2*answerTimeout+transferTimeout)
+	answeredRetry = answerTimeout + transferTimeout // a retry that succeeds after one failure
+	// The timeout of an agent's answer and the delay after a failure are parts of the grace period within these bounds, so that a
+	// few calls fit into the grace period of any deployment.
+	maxAgentWait        = 500 * time.Millisecond
+	minAgentWait        = 20 * time.Millisecond
+	agentTimeoutDivisor = 4
+	agentRetryDivisor   = 8
 )
 
-// The sums, one for each path. Where a second call fails too, or the first of a start, the list is in doubt in time. A constant that is below nought here does not compile.
+// The worst sum of each path. If a second call fails as well, or the first call of a start, the known list expires in time
+// (MaxUnconfirmed). A negative constant here does not compile.
 const (
-	_ = uint64(toldWithin - (hold + overdue + wholeWithin + silenceMost + answered))                // a watch that fell silent
-	_ = uint64(toldWithin - (firstMost + answered))                                                 // a start; where its first call brings nothing, the doubt
-	_ = uint64(toldWithin - (movedMost + overdue + wholeWithin + pauseFirst + answered))            // a move
-	_ = uint64(toldWithin - (2*overdue + wholeWithin + pauseMost + 2*overdue + wholeWithin))        // a failure of many in a row
-	_ = uint64(toldWithin - (hold + agentMost + wholeWithin + agentMost + agentMost + wholeWithin)) // an agent's silent watch
+	// A watch that becomes silent.
+	_ = uint64(maxNotifyDelay - (watchHold + answerTimeout + transferTimeout + maxSilentRetrySpan + answeredRetry))
+	// A start.
+	_ = uint64(maxNotifyDelay - (maxStartSpread + answeredRetry))
+	// A move of discovery.
+	_ = uint64(maxNotifyDelay - (maxMoveSpread + answerTimeout + transferTimeout + maxFirstRetrySpan + answeredRetry))
+	// One failure after many others.
+	_ = uint64(maxNotifyDelay - (2*answerTimeout + transferTimeout + maxRetrySpan + 2*answerTimeout + transferTimeout))
+	// A silent watch at an agent.
+	_ = uint64(maxNotifyDelay - (watchHold + maxAgentWait + transferTimeout + maxAgentWait + maxAgentWait + transferTimeout))
 )
 
-// NewPace returns the pace of one relay. The seed is the relay's own.
+// NewPace returns the pace of one relay. Each relay needs its own seed.
 func NewPace(terms Terms, seed int64) *Pace {
-	first := min(time.Duration(min(max(terms.Peers, 1), 1000)-1)*callEvery, firstMost)
-	if terms.Asked > 0 { // or it counts as told of all that was listed at its start before it has asked
-		first = min(first, terms.Asked/2)
+	startSpread := min(time.Duration(min(max(terms.Peers, 1), 1000)-1)*callInterval, maxStartSpread)
+	if terms.Asked > 0 { // otherwise the relay counts as notified of everything listed at its start before it has called
+		startSpread = min(startSpread, terms.Asked/2)
 	}
-	return &Pace{terms: terms, first: first, rng: rand.New(rand.NewPCG(uint64(seed), 5))}
+	return &Pace{terms: terms, startSpread: startSpread, rng: rand.New(rand.NewPCG(uint64(seed), 5))}
 }
 
-// Start is the pause before the first call.
-func (p *Pace) Start() time.Duration {
+// StartDelay returns the delay before the first call.
+func (p *Pace) StartDelay() time.Duration {
 	if p.terms.Pushed {
 		return 0
 	}
-	return p.within(p.first)
+	return p.randomUpTo(p.startSpread)
 }
 
-// Moved is the pause before the first call to another place.
-func (p *Pace) Moved() time.Duration {
-	p.fails = 0
+// MoveDelay returns the delay before the first call after discovery has moved to another address.
+func (p *Pace) MoveDelay() time.Duration {
+	p.failures = 0
 	if p.terms.Pushed {
 		return 0
 	}
-	return p.within(min(p.first, movedMost))
+	return p.randomUpTo(min(p.startSpread, maxMoveSpread))
 }
 
-// Answered notes that a call was answered.
-func (p *Pace) Answered() { p.fails = 0 }
+// Answered records that a call was answered.
+func (p *Pace) Answered() { p.failures = 0 }
 
-// Failed notes that one was not, because nothing came in time or for another reason, and returns the pause before the next: at
-// random from half of a span on, so that no call follows another at once. A watch that waited has used most of the time.
-func (p *Pace) Failed(watch bool) time.Duration {
-	first, most := min(max(p.first, pauseLeast), pauseFirst), pauseMost
+// RetryDelay records that a call failed and returns the delay before the next call. It is a random value in the upper half of the
+// span, so that calls never follow each other at once. After a watch, most of the time for a retry is already used, so its first
+// span is shorter.
+func (p *Pace) RetryDelay(watch bool) time.Duration {
+	firstSpan, maxSpan := min(max(p.startSpread, minRetrySpan), maxFirstRetrySpan), maxRetrySpan
 	if p.terms.Pushed {
-		first, most = agentLeast, max(min(p.terms.Grace/agentRest, agentMost), agentLeast)
-	} else if watch && p.fails == 0 {
-		first = min(first, silenceMost)
+		firstSpan, maxSpan = minAgentWait, max(min(p.terms.Grace/agentRetryDivisor, maxAgentWait), minAgentWait)
+	} else if watch && p.failures == 0 {
+		firstSpan = min(firstSpan, maxSilentRetrySpan)
 	}
-	span := min(first<<min(p.fails, 16), most)
-	p.fails++
-	return span/2 + p.within(span/2)
+	span := min(firstSpan<<min(p.failures, 16), maxSpan)
+	p.failures++
+	return span/2 + p.randomUpTo(span/2)
 }
 
-// Watch is how long a watch may wait for news, and how long behind that its answer is given up. The first of a start, which no check
-// came before, is over before the list is in doubt.
-func (p *Pace) Watch(first bool) (wait, late time.Duration) {
+// WatchTimeouts returns how long a watch may wait for changes, and how long after that its answer times out. The first watch of a
+// start, which has no check before it, ends before the known list expires.
+func (p *Pace) WatchTimeouts(first bool) (hold, timeout time.Duration) {
 	switch {
 	case p.terms.Pushed:
-		return hold, p.patience()
+		return watchHold, p.agentTimeout()
 	case first:
-		return min(hold, toldWithin-p.first), overdue
+		return min(watchHold, maxNotifyDelay-p.startSpread), answerTimeout
 	}
-	return hold, overdue
+	return watchHold, answerTimeout
 }
 
-// Checks says whether a relay that has no watch makes a check before it: without one nobody knows whether the list is fresh, or whether
-// discovery is there at all. At a start a discovery that is asked has the whole fleet to answer, once each.
-func (p *Pace) Checks() bool { return p.terms.Pushed || p.fails > 0 }
+// NeedsCheck reports whether a relay makes a check before it begins a watch. Without a check, nobody knows whether the list is fresh
+// or discovery is reachable. At a start with polling there is none, since discovery has to answer the whole fleet.
+func (p *Pace) NeedsCheck() bool { return p.terms.Pushed || p.failures > 0 }
 
-// Check is when a call is given up that asks for an answer at once.
-func (p *Pace) Check() (late time.Duration) {
+// CheckTimeout returns the timeout of a call that asks for an answer at once. It doubles after failures, since discovery may be slow
+// and not down.
+func (p *Pace) CheckTimeout() (timeout time.Duration) {
 	if p.terms.Pushed {
-		return p.patience()
+		return p.agentTimeout()
 	}
-	return overdue << min(p.fails/2, 1)
+	return answerTimeout << min(p.failures/2, 1)
 }
 
-// patience grows with failures, for an agent may be slow and not dead, up to what the grace has room for.
-func (p *Pace) patience() time.Duration {
-	least := min(p.terms.Grace/agentAnswer, agentMost)
-	return max(min(least<<min(p.fails/2, 1), 2*agentMost), agentLeast)
+// agentTimeout grows with failures, since an agent may be slow and not down, up to a bound within the grace period.
+func (p *Pace) agentTimeout() time.Duration {
+	timeout := min(p.terms.Grace/agentTimeoutDivisor, maxAgentWait)
+	return max(min(timeout<<min(p.failures/2, 1), 2*maxAgentWait), minAgentWait)
 }
 
-// Doubt is how long a list may be used that is not known to be fresh: from the process's start on, and from when it was known to
-// be. What an agent has counts as told from the first moment on. The rest of the grace is for flows under way.
-func (p *Pace) Doubt() (start, later time.Duration) {
-	later = toldWithin + p.terms.Grace*3/4
+// MaxUnconfirmed returns how long a list may be used that is not known to be fresh: since the start of the process, and since it was
+// last known to be fresh. The relay counts as notified of what an agent has from the first moment on. The rest of the grace period
+// is for flows in progress.
+func (p *Pace) MaxUnconfirmed() (start, later time.Duration) {
+	later = maxNotifyDelay + p.terms.Grace*3/4
 	if p.terms.Pushed {
 		return p.terms.Grace * 3 / 4, later
 	}
 	return later, later
 }
 
-func (p *Pace) within(span time.Duration) time.Duration {
+// randomUpTo returns a random duration from 0 up to span.
+func (p *Pace) randomUpTo(span time.Duration) time.Duration {
 	if span <= 0 {
 		return 0
 	}
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -1,5 +1,5 @@
-// Package pool follows discovery's list: it starts from the list that the configuration holds, watches for
-// changes, and starts anew when discovery falls silent. Pace says when it calls, Book what of an answer counts.
+// Package pool follows discovery's list of pool members. It starts from the list in the configuration, watches for changes, and
+// begins a new watch when discovery is silent. Pace decides when it calls, and Book what of an answer applies.
 package pool
 
 import (
@@ -14,22 +14,22 @@
 	"slatemux/internal/traffic"
 )
 
-// List is the list in discovery's form.
+// List is a list of members as discovery sends it: the full list, or changes.
 type List struct {
-	Seq    int64
-	Whole  bool
-	Hosts  []Host // those that make sense, each once
-	Spoilt Spoilt
+	Seq     int64
+	Whole   bool
+	Hosts   []Host // valid entries, one for each host
+	Invalid InvalidEntries
 }
 
-// Spoilt are the entries of a list that make no sense. They must not keep the rest of it from the relay.
-type Spoilt struct {
-	Hosts map[string]bool // their names, as far as they have one
+// InvalidEntries describes the invalid entries of a list. They do not keep the relay from using the rest.
+type InvalidEntries struct {
+	Hosts map[string]bool // names of the hosts, if the entries have one
 	Count int
-	First error // says what is wrong with the first
+	First error // error of the first one
 }
 
-// Host is one entry of the list.
+// Host is an entry of the list.
 type Host struct {
 	Host   string  `json:"host"`
 	Dial   string  `json:"dial"`
@@ -38,15 +38,15 @@
 	Block  *int    `json:"block"`
 	Health string  `json:"health"`
 	Share  float64 `json:"share"`
-	BornMS float64 `json:"born_ms"` // when it last started; 0 for long ago
+	BornMS float64 `json:"born_ms"` // time of the member's last start; 0 for long ago
 }
 
 const active, leaving, left = "active", "leaving", "left"
 
-// healths are ordered by how much they withhold.
-var healths = map[string]traffic.Health{active: traffic.Active, leaving: traffic.Leaving, left: traffic.Left}
+// healthByName is ordered so that a higher value withholds more messages from the member.
+var healthByName = map[string]traffic.Health{active: traffic.Active, leaving: traffic.Leaving, left: traffic.Left}
 
-// Parse decodes a list. It fails where there is none, and passes over entries that make no sense.
+// Parse decodes a list. It skips invalid entries, and fails if raw is not a list.
 func Parse(raw []byte) (List, error) {
 	var text struct {
 		Seq   *int64            `json:"seq"`
@@ -60,66 +60,66 @@
 		return List{}, errors.New("pool: list: seq or hosts is missing")
 	}
 	l := List{Seq: *text.Seq, Whole: text.Whole, Hosts: make([]Host, 0, len(text.Hosts))}
-	at := make(map[string]int, len(text.Hosts))
+	indexes := make(map[string]int, len(text.Hosts))
 	for _, line := range text.Hosts {
 		var h Host
-		err := json.Unmarshal(line, &h) // fields that it can read it has read
+		err := json.Unmarshal(line, &h) // after an error, the fields that could be decoded are set
 		if err == nil {
 			err = h.check()
 		}
-		i, twice := at[h.Host]
-		if err == nil && twice {
+		index, duplicate := indexes[h.Host]
+		if err == nil && duplicate {
 			err = errors.New("named twice")
-			if healths[h.Health] > healths[l.Hosts[i].Health] { // what withholds more counts
-				l.Hosts[i] = h
+			if healthByName[h.Health] > healthByName[l.Hosts[index].Health] { // the entry that withholds more applies
+				l.Hosts[index] = h
 			}
 		} else if err == nil {
-			at[h.Host] = len(l.Hosts)
+			indexes[h.Host] = len(l.Hosts)
 			l.Hosts = append(l.Hosts, h)
 		}
 		if err != nil {
-			l.Spoilt.add(h.Host, err)
+			l.Invalid.add(h.Host, err)
 		}
 	}
 	return l, nil
 }
 
-func (s *Spoilt) add(host string, err error) {
+func (s *InvalidEntries) add(host string, err error) {
 	if s.Count++; s.First == nil {
 		s.First, s.Hosts = fmt.Errorf("pool: list: host %q: %w", host, err), map[string]bool{}
 	}
 	s.Hosts[host] = true
 }
 
-// Log tells of the entries that make no sense, in one line.
+// Log logs the invalid entries in one line.
 func (l *List) Log() {
-	if l.Spoilt.Count > 0 {
-		slog.Warn("pool entries passed over", "seq", l.Seq, "count", l.Spoilt.Count, "first", l.Spoilt.First)
+	if l.Invalid.Count > 0 {
+		slog.Warn("pool entries passed over", "seq", l.Seq, "count", l.Invalid.Count, "first", l.Invalid.First)
 	}
 }
 
-// check says what makes no sense. A member that goes is heeded whatever else its entry says.
+// check returns what is invalid in the entry. For a member that leaves, only the host and the health must be valid.
 func (h *Host) check() error {
-	switch _, ok := healths[h.Health]; {
+	switch _, ok := healthByName[h.Health]; {
 	case h.Host == "":
-		return errors.New("no name")
+		return errors.New("host is missing")
 	case !ok:
-		return fmt.Errorf("health %q", h.Health)
+		return fmt.Errorf("unknown health %q", h.Health)
 	case h.Health != active:
 		return nil
 	case h.Block == nil:
-		return errors.New("no block")
+		return errors.New("block is missing")
 	}
 	for part := range strings.SplitSeq(h.Dial, ",") {
 		host, port, err := net.SplitHostPort(strings.TrimSpace(part))
 		if n, nerr := strconv.ParseUint(port, 10, 16); err != nil || nerr != nil || n == 0 || host == "" {
-			return fmt.Errorf("dial %q", h.Dial)
+			return fmt.Errorf("invalid dial %q", h.Dial)
 		}
 	}
 	return nil
 }
 
-// News turns a list into what the relay and the flows are told.
+// News converts a list to the form that the relay and the flows use.
 func (l *List) News() traffic.PoolNews {
 	news := traffic.PoolNews{Seq: l.Seq, Whole: l.Whole, Members: make([]traffic.Member, 0, len(l.Hosts))}
 	for i := range l.Hosts {
@@ -129,7 +129,7 @@
 }
 
 func (h *Host) member() traffic.Member {
-	m := traffic.Member{Host: h.Host, Dial: h.Dial, Site: h.Site, Class: h.Class, Health: healths[h.Health], Share: h.Share}
+	m := traffic.Member{Host: h.Host, Dial: h.Dial, Site: h.Site, Class: h.Class, Health: healthByName[h.Health], Share: h.Share}
 	if h.Block != nil {
 		m.Destination = *h.Block
 	}
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -11,21 +11,21 @@
 	"slatemux/internal/traffic"
 )
 
-const list = `{"seq":41,"whole":true,"hosts":[{"host":"s-5b","dial":"127.0.0.1:1","site":"a","class":"m2","block":3,` +
+const exampleList = `{"seq":41,"whole":true,"hosts":[{"host":"s-5b","dial":"127.0.0.1:1","site":"a","class":"m2","block":3,` +
 	`"health":"leaving","share":1.5,"born_ms":0}]}`
 
-// line is an entry of a list.
-func line(host, health string) string {
+// entryJSON returns an entry of a list.
+func entryJSON(host, health string) string {
 	return `{"host":"` + host + `","dial":"127.0.0.1:1","block":3,"health":"` + health + `"}`
 }
 
-// answer is a list.
-func answer(seq int, whole bool, lines ...string) string {
+// listJSON returns a list.
+func listJSON(seq int, whole bool, lines ...string) string {
 	return fmt.Sprintf(`{"seq":%d,"whole":%v,"hosts":[%s]}`, seq, whole, strings.Join(lines, ","))
 }
 
 func TestParse(t *testing.T) {
-	l, err := Parse([]byte(list))
+	l, err := Parse([]byte(exampleList))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -34,21 +34,21 @@
 	if news := l.News(); l.Seq != 41 || !news.Whole || len(news.Members) != 1 || news.Members[0] != want {
 		t.Errorf("%+v", news)
 	}
-	for _, spoilt := range []string{line("a", "odd"), line("", "active"), `{"host":"a","health":"active","dial":"127.0.0.1:1"}`,
+	for _, invalid := range []string{entryJSON("a", "odd"), entryJSON("", "active"), `{"host":"a","health":"active","dial":"127.0.0.1:1"}`,
 		`{"host":"a","health":"active","dial":"127.0.0.1","block":1}`, `{"host":"a","health":"active","dial":":0","block":1}`,
-		line("b", "active"), `7`, `{"host":"a","block":"x","dial":"127.0.0.1:1","health":"active"}`} {
-		l, err := Parse([]byte(answer(1, true, spoilt, line("b", "left"), line("c", "active"))))
-		if err != nil || l.Spoilt.Count != 1 || l.Spoilt.First == nil || len(l.Hosts) != 2 || l.Hosts[0].Health != left {
-			t.Errorf("%s: %+v, %v: the other entries, or what withholds more, do not count", spoilt, l, err)
+		entryJSON("b", "active"), `7`, `{"host":"a","block":"x","dial":"127.0.0.1:1","health":"active"}`} {
+		l, err := Parse([]byte(listJSON(1, true, invalid, entryJSON("b", "left"), entryJSON("c", "active"))))
+		if err != nil || l.Invalid.Count != 1 || l.Invalid.First == nil || len(l.Hosts) != 2 || l.Hosts[0].Health != left {
+			t.Errorf("%s: %+v, %v: the other entries, or the entry that withholds more, do not apply", invalid, l, err)
 		}
 	}
-	for _, none := range []string{`{}`, `[]`, `null`, `{"seq":4}`, `{"hosts":[]}`, `{"seq":4,"hosts":null}`, list[:60]} {
+	for _, none := range []string{`{}`, `[]`, `null`, `{"seq":4}`, `{"hosts":[]}`, `{"seq":4,"hosts":null}`, exampleList[:60]} {
 		if _, err := Parse([]byte(none)); err == nil {
-			t.Errorf("%s is taken for a list", none)
+			t.Errorf("%s is accepted as a list", none)
 		}
 	}
 	proptest.Check(t, func(t *rapid.T) {
-		if l, err := Parse(proptest.Garbage(t, []byte(list))); err == nil {
+		if l, err := Parse(proptest.Garbage(t, []byte(exampleList))); err == nil {
 			for _, m := range l.News().Members {
 				if m.Host == "" {
 					t.Fatalf("%+v", l)
--- a/internal/pool/watch.go
+++ b/internal/pool/watch.go
@@ -19,147 +19,149 @@
 )
 
 const (
-	// atOnce is too soon for an answer to a watch that tells nothing new, and the pause that it is given: short enough for the
-	// watch, which lapses 200 ms after an answer. The next call after any other answer goes out at once.
-	atOnce  = 100 * time.Millisecond
+	// minWatchTime is the pause after a watch that ends sooner than this with nothing new. It is short enough for discovery, where a
+	// watch lapses 200 ms after an answer. After any other answer, the next call follows at once.
+	minWatchTime = 100 * time.Millisecond
+	// maxList bounds the bytes of an answer.
 	maxList = 4 << 20
 )
 
-// Counters count since the start.
+// Counters holds counts since the start.
 type Counters struct {
-	Asked, Anew     int64 // calls; of them, those that began a watch, which cost discovery most
-	Whole, Changes  int64 // answers that held the whole list; changes of it
-	Entries         int64 // lines of the list in all answers
-	Refused, Failed int64 // calls that discovery turned away, by 503 and the like; that had no answer
-	Paused          time.Duration
-	Longest         time.Duration // without an answer
+	Calls, NewWatches  int64 // calls; those of them that began a watch, which cost discovery most
+	FullLists, Changes int64 // answers with the full list; answers with changes
+	Entries            int64 // entries of the list in all answers
+	Refused, Failed    int64 // calls that discovery refused, e.g. with 503; calls without a valid answer
+	Paused             time.Duration
+	LongestSilence     time.Duration // longest time without an answer
 }
 
 // LogValue names the counters in a log line.
 func (c Counters) LogValue() slog.Value {
-	return slog.GroupValue(slog.Int64("asked", c.Asked), slog.Int64("anew", c.Anew), slog.Int64("whole", c.Whole),
+	return slog.GroupValue(slog.Int64("asked", c.Calls), slog.Int64("anew", c.NewWatches), slog.Int64("whole", c.FullLists),
 		slog.Int64("changes", c.Changes), slog.Int64("entries", c.Entries), slog.Int64("refused", c.Refused),
-		slog.Int64("failed", c.Failed), slog.Duration("paused", c.Paused), slog.Duration("longest", c.Longest))
+		slog.Int64("failed", c.Failed), slog.Duration("paused", c.Paused), slog.Duration("longest", c.LongestSilence))
 }
 
-// Watcher follows the list. Its connection stays open from one call to the next as long as discovery lets it.
+// Watcher follows the list. Its connection stays open between calls as long as discovery allows it.
 type Watcher struct {
-	at      *discoveryaddr.Place
-	pace    *Pace
-	book    *Book
-	to      Listener
-	since   time.Time // the process's first moment
-	nc      net.Conn
-	addr    string
-	heard   time.Time // the newest answer
-	anew    bool      // the next call begins a watch
-	watched bool      // the newest call was a watch
+	place        *discoveryaddr.Place
+	pace         *Pace
+	book         *Book
+	listener     Listener
+	processStart time.Time
+	conn         net.Conn
+	addr         string
+	lastAnswer   time.Time // time of the newest answer
+	newWatch     bool      // the next call begins a watch
+	lastWasWatch bool      // the newest call was a watch
 
-	mu        sync.Mutex
-	count     Counters
-	confirmed bool        // discovery has answered, and the list is not in doubt since
-	told      bool        // discovery has answered at all
-	fresh     time.Time   // then the list was known to be fresh, or discovery known not to be there
-	doubts    *time.Timer // when that is too long ago
+	mu           sync.Mutex
+	counters     Counters
+	confirmed    bool        // discovery has answered, and the list has not expired since
+	everAnswered bool        // discovery has answered at least once
+	freshAt      time.Time   // when the list was last known to be fresh, or discovery known to be unreachable
+	expiryTimer  *time.Timer // runs checkFreshness when the list may have expired
 }
 
-// Listener hears of the pool. Nothing of it blocks.
+// Listener receives the changes of the pool. Its methods must not block.
 type Listener interface {
 	PoolChanged(traffic.PoolNews)
-	// PoolDoubted says that the known list may be used no longer: discovery has not confirmed it, and what it has to tell
-	// counts already. The next change ends the doubt.
+	// PoolDoubted says that the known list has expired: discovery has not confirmed it, and the relay already counts as notified of
+	// later changes. The next PoolChanged ends this state.
 	PoolDoubted()
 }
 
-// NewWatcher returns one that goes on from the known list and hands on each change. The process began at since.
+// NewWatcher returns a Watcher that continues from the known list and passes each change to the listener. The process started at
+// since.
 func NewWatcher(at *discoveryaddr.Place, pace *Pace, known List, since time.Time, to Listener) *Watcher {
-	return &Watcher{at: at, pace: pace, book: NewBook(known), since: since, to: to}
+	return &Watcher{place: at, pace: pace, book: NewBook(known), processStart: since, listener: to}
 }
 
 // Counters returns the counters.
 func (w *Watcher) Counters() Counters {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.count
+	return w.counters
 }
 
-func (w *Watcher) counting(f func(c *Counters)) {
+func (w *Watcher) updateCounters(f func(c *Counters)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	f(&w.count)
+	f(&w.counters)
 }
 
-// Run watches until ctx ends. When the place moves, the watch moves with it and begins there with the whole list: the
-// versions of another discovery need not go on from those of the one before.
+// Run watches until ctx ends. When discovery moves, the watch moves as well and begins with the full list, since the versions of the
+// new address need not continue the old ones.
 func (w *Watcher) Run(ctx context.Context) {
-	start, _ := w.pace.Doubt()
+	allowed, _ := w.pace.MaxUnconfirmed()
 	w.mu.Lock()
-	w.fresh, w.doubts = w.since, time.AfterFunc(time.Until(w.since.Add(start)), w.doubt)
+	w.freshAt, w.expiryTimer = w.processStart, time.AfterFunc(time.Until(w.processStart.Add(allowed)), w.checkFreshness)
 	w.mu.Unlock()
-	defer w.doubts.Stop()
-	pause := w.pace.Start()
-	w.heard = time.Now()
-	for fails := 0; ctx.Err() == nil; {
-		addr, here := w.at.Now()
-		pausing, cancel := context.WithCancel(ctx)
-		unhook := context.AfterFunc(here, cancel)
-		from := w.heard
-		err := w.follow(pausing, addr, pause)
-		if w.heard != from {
-			fails = 0
+	defer w.expiryTimer.Stop()
+	pause := w.pace.StartDelay()
+	w.lastAnswer = time.Now()
+	for failures := 0; ctx.Err() == nil; {
+		addr, placeCtx := w.place.Now()
+		followCtx, cancel := context.WithCancel(ctx)
+		stopCancel := context.AfterFunc(placeCtx, cancel)
+		lastAnswer := w.lastAnswer
+		err := w.callRepeatedly(followCtx, addr, pause)
+		if w.lastAnswer != lastAnswer {
+			failures = 0
 		}
-		if here.Err() != nil {
+		if placeCtx.Err() != nil {
 			slog.Info("watch moves", "from", addr)
-			w.hangUp()
-			w.book.Move()
-			pause = w.pace.Moved()
+			w.closeConn()
+			w.book.SourceChanged()
+			pause = w.pace.MoveDelay()
 		} else if ctx.Err() == nil {
-			pause = w.pace.Failed(w.watched)
-			if fails++; bits.OnesCount(uint(fails)) == 1 { // an agent is asked often
-				slog.Warn("watch broken", "addr", addr, "seq", w.book.Seq(), "err", err, "pause", pause, "in_a_row", fails)
+			pause = w.pace.RetryDelay(w.lastWasWatch)
+			if failures++; bits.OnesCount(uint(failures)) == 1 { // log at failures 1, 2, 4, and so on, since an agent is called often
+				slog.Warn("watch broken", "addr", addr, "seq", w.book.Seq(), "err", err, "pause", pause, "in_a_row", failures)
 			}
 		}
-		unhook()
+		stopCancel()
 		cancel()
 	}
-	w.hangUp()
+	w.closeConn()
 }
 
-// doubt tells that the list has not been known to be fresh for too long.
-func (w *Watcher) doubt() {
+// checkFreshness tells the listener if the list has not been known to be fresh for too long.
+func (w *Watcher) checkFreshness() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	allowed, later := w.pace.Doubt()
-	if w.told {
+	allowed, later := w.pace.MaxUnconfirmed()
+	if w.everAnswered {
 		allowed = later
 	}
-	if left := time.Until(w.fresh.Add(allowed)); left > 0 { // it was, meanwhile
-		w.doubts.Reset(left)
+	if left := time.Until(w.freshAt.Add(allowed)); left > 0 { // the list was confirmed in the meantime
+		w.expiryTimer.Reset(left)
 		return
 	}
-	slog.Warn("the known list is not confirmed: nothing is sent until discovery answers", "after", time.Since(w.fresh))
+	slog.Warn("the known list is not confirmed: nothing is sent until discovery answers", "after", time.Since(w.freshAt))
 	w.confirmed = false
-	w.to.PoolDoubted()
+	w.listener.PoolDoubted()
 }
 
-// known notes that the list was fresh at a time, or that discovery was not there to be asked: what it gets later counts from
-// when it is back. An agent that was silent from the process's start on may have had news before.
-func (w *Watcher) known(at time.Time, answered bool) {
+// setFresh records that the list was fresh at a time, or that discovery was unreachable: the relay counts as notified of later
+// changes only once discovery is back. An agent that is silent since the start of the process may already have had changes before.
+func (w *Watcher) setFresh(at time.Time, answered bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if !answered && !w.told && w.pace.terms.Pushed || !at.After(w.fresh) {
+	if !answered && !w.everAnswered && w.pace.terms.Pushed || !at.After(w.freshAt) {
 		return
 	}
-	w.fresh = at
-	if _, later := w.pace.Doubt(); w.confirmed || !w.told {
-		w.doubts.Reset(time.Until(at.Add(later)))
+	w.freshAt = at
+	if _, later := w.pace.MaxUnconfirmed(); w.confirmed || !w.everAnswered {
+		w.expiryTimer.Reset(time.Until(at.Add(later)))
 	}
 }
 
-// follow calls again and again until a call fails. The first waits for so long.
-func (w *Watcher) follow(ctx context.Context, addr string, pause time.Duration) error {
+// callRepeatedly makes calls until one fails. It pauses before the first.
+func (w *Watcher) callRepeatedly(ctx context.Context, addr string, pause time.Duration) error {
 	if pause > 0 {
-		w.counting(func(c *Counters) { c.Paused += pause })
+		w.updateCounters(func(c *Counters) { c.Paused += pause })
 		timer := time.NewTimer(pause)
 		defer timer.Stop()
 		select {
@@ -168,116 +170,117 @@
 		case <-timer.C:
 		}
 	}
-	w.anew = true
-	for check := w.pace.Checks(); ; check = false {
-		from, was := time.Now(), w.book.Seq()
+	w.newWatch = true
+	for check := w.pace.NeedsCheck(); ; check = false {
+		begin, seq := time.Now(), w.book.Seq()
 		if err := w.call(ctx, addr, check); err != nil {
 			return fmt.Errorf("pool: %w", err)
 		}
-		if !check && w.book.Seq() == was && time.Since(from) < atOnce { // it does not hold the watch: asking at once would be a storm
+		if !check && w.book.Seq() == seq && time.Since(begin) < minWatchTime { // discovery did not hold the watch; avoid a flood of calls
 			select {
 			case <-ctx.Done():
 				return ctx.Err()
-			case <-time.After(atOnce):
+			case <-time.After(minWatchTime):
 			}
 		}
 	}
 }
 
-// call makes one call and hands on what it brings. A check is answered at once, as the whole list is; a watch may wait.
+// call makes one call and passes its answer on. A check, or a call for the full list, is answered at once; a watch may wait.
 func (w *Watcher) call(ctx context.Context, addr string, check bool) error {
 	now := time.Now()
-	hold, late := w.pace.Watch(!check && w.anew)
-	whole, target := w.book.Whole(), "/discovery/hosts"
-	w.watched = !check && !whole
-	if !w.watched {
-		hold, late = time.Millisecond, w.pace.Check() // no wait at all might be taken for the usual one
+	hold, timeout := w.pace.WatchTimeouts(!check && w.newWatch)
+	full, target := w.book.WantFull(), "/discovery/hosts"
+	w.lastWasWatch = !check && !full
+	if !w.lastWasWatch {
+		hold, timeout = time.Millisecond, w.pace.CheckTimeout() // discovery might take 0 for its default hold
 	}
-	if !whole {
+	if !full {
 		target += "?from=" + strconv.FormatInt(w.book.Seq(), 10) + "&hold_ms=" + strconv.FormatInt(hold.Milliseconds(), 10)
 	}
-	if w.nc != nil && w.addr != addr {
-		w.hangUp()
+	if w.conn != nil && w.addr != addr {
+		w.closeConn()
 	}
-	if w.nc == nil {
-		dialer := net.Dialer{Deadline: now.Add(late)}
+	if w.conn == nil {
+		dialer := net.Dialer{Deadline: now.Add(timeout)}
 		nc, err := dialer.DialContext(ctx, "tcp", addr)
 		if err != nil {
-			w.counting(func(c *Counters) { c.Failed++ })
-			var failed net.Error
-			if errors.Is(err, syscall.ECONNREFUSED) || errors.As(err, &failed) && failed.Timeout() { // not for want of a descriptor, say, or at a move
-				w.known(now, false)
+			w.updateCounters(func(c *Counters) { c.Failed++ })
+			// Other errors, such as a lack of file descriptors or a move, say nothing about discovery.
+			var netErr net.Error
+			if errors.Is(err, syscall.ECONNREFUSED) || errors.As(err, &netErr) && netErr.Timeout() {
+				w.setFresh(now, false)
 			}
 			return err
 		}
-		w.nc, w.addr = nc, addr
+		w.conn, w.addr = nc, addr
 	}
-	nc := w.nc
+	nc := w.conn
 	defer context.AfterFunc(ctx, func() { nc.Close() })()
-	w.counting(func(c *Counters) {
-		if c.Asked++; w.anew {
-			c.Anew++
+	w.updateCounters(func(c *Counters) {
+		if c.Calls++; w.newWatch {
+			c.NewWatches++
 		}
 	})
-	begun := now.Add(hold + late)
-	resp, err := http1.Exchange(nc, http1.AppendRequest(nil, "GET", target, addr, nil, nil), maxList, begun, begun.Add(wholeWithin))
+	answerBy := now.Add(hold + timeout)
+	resp, err := http1.Exchange(nc, http1.AppendRequest(nil, "GET", target, addr, nil, nil), maxList, answerBy, answerBy.Add(transferTimeout))
 	if err != nil {
-		w.hangUp()
-		w.counting(func(c *Counters) { c.Failed++ })
-		if check && errors.Is(err, os.ErrDeadlineExceeded) && !resp.Underway() { // nobody there, on a connection of its own
-			w.known(now, false)
+		w.closeConn()
+		w.updateCounters(func(c *Counters) { c.Failed++ })
+		if check && errors.Is(err, os.ErrDeadlineExceeded) && !resp.Underway() { // discovery does not answer a check at all
+			w.setFresh(now, false)
 		}
 		return err
 	}
 	if !resp.Reusable() {
-		w.hangUp()
+		w.closeConn()
 	}
 	if resp.Status != 200 {
-		w.counting(func(c *Counters) { c.Refused++ })
+		w.updateCounters(func(c *Counters) { c.Refused++ })
 		return fmt.Errorf("discovery answered %d", resp.Status)
 	}
 	list, err := Parse(resp.Body)
-	if ctx.Err() != nil { // what an address that was left still says counts no more
+	if ctx.Err() != nil { // discovery has moved, so the old address no longer counts
 		return ctx.Err()
 	}
 	var news traffic.PoolNews
 	if err == nil {
-		news, err = w.book.Take(list, whole)
+		news, err = w.book.Take(list, full)
 	}
 	if err != nil {
-		w.hangUp() // what else this connection would say is as doubtful
-		w.counting(func(c *Counters) { c.Failed++ })
+		w.closeConn() // later answers on this connection are unreliable as well
+		w.updateCounters(func(c *Counters) { c.Failed++ })
 		return err
 	}
 	list.Log()
 	w.pace.Answered()
 	at := time.Now()
-	w.counting(func(c *Counters) {
+	w.updateCounters(func(c *Counters) {
 		if news.Whole {
-			c.Whole++
+			c.FullLists++
 		} else if len(news.Members) > 0 {
 			c.Changes++
 		}
 		c.Entries += int64(len(list.Hosts))
-		c.Longest = max(c.Longest, at.Sub(w.heard))
+		c.LongestSilence = max(c.LongestSilence, at.Sub(w.lastAnswer))
 	})
-	w.heard, w.anew = at, w.nc == nil
-	w.known(at, true)
+	w.lastAnswer, w.newWatch = at, w.conn == nil
+	w.setFresh(at, true)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	first := !w.confirmed
-	w.told = true
-	_, later := w.pace.Doubt()
-	w.doubts.Reset(time.Until(w.fresh.Add(later)))
+	w.everAnswered = true
+	_, later := w.pace.MaxUnconfirmed()
+	w.expiryTimer.Reset(time.Until(w.freshAt.Add(later)))
 	if w.confirmed = true; first || news.Whole || len(news.Members) > 0 { // an empty change confirms the known list
-		w.to.PoolChanged(news)
+		w.listener.PoolChanged(news)
 	}
 	return nil
 }
 
-func (w *Watcher) hangUp() {
-	if w.nc != nil {
-		w.nc.Close()
-		w.nc = nil
+func (w *Watcher) closeConn() {
+	if w.conn != nil {
+		w.conn.Close()
+		w.conn = nil
 	}
 }
--- a/internal/pool/watch_test.go
+++ b/internal/pool/watch_test.go
@@ -15,20 +15,20 @@
 	"slatemux/internal/traffic"
 )
 
-// scripted is a discovery that answers call after call as a test says.
-func scripted(t *testing.T, answers func(n int, req *http.Request) string) string {
+// startScripted starts a discovery that answers call number n as the test says.
+func startScripted(t *testing.T, answers func(n int, req *http.Request) string) string {
 	var calls atomic.Int64
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		req = req.WithContext(context.WithValue(req.Context(), writerKey{}, w))
 		switch text := answers(int(calls.Add(1)), req); {
-		case text == silent:
+		case text == silentAnswer:
 			<-req.Context().Done()
-		case text == broken:
+		case text == brokenAnswer:
 			panic(http.ErrAbortHandler)
-		case strings.HasPrefix(text, torn): // less than it promises
+		case strings.HasPrefix(text, truncatedAnswer): // shorter than announced
 			w.Header().Set("Content-Length", "5000")
-			fmt.Fprint(w, strings.TrimPrefix(text, torn))
-		case text == busy:
+			fmt.Fprint(w, strings.TrimPrefix(text, truncatedAnswer))
+		case text == refusedAnswer:
 			w.WriteHeader(http.StatusServiceUnavailable)
 		default:
 			fmt.Fprint(w, text)
@@ -41,33 +41,33 @@
 	return s.Listener.Addr().String()
 }
 
-// writerKey finds, in a request's context, where its answer is written.
+// writerKey is the key of the response writer in a request's context.
 type writerKey struct{}
 
-const silent, broken, torn, busy = "silent", "broken", "torn ", "busy"
+const silentAnswer, brokenAnswer, truncatedAnswer, refusedAnswer = "silent", "broken", "truncated ", "refused"
 
-// heard is what a listener was told, and when.
-type heard struct {
+// recorder is a Listener that records its calls.
+type recorder struct {
 	news    chan traffic.PoolNews
-	doubted chan time.Time
+	expired chan time.Time
 }
 
-func (h heard) PoolChanged(n traffic.PoolNews) {
+func (h recorder) PoolChanged(n traffic.PoolNews) {
 	select {
 	case h.news <- n:
 	default:
 	}
 }
 
-func (h heard) PoolDoubted() { h.doubted <- time.Now() }
+func (h recorder) PoolDoubted() { h.expired <- time.Now() }
 
-// watch follows the list at a place, from a known list at version 41 where b is active, until the test ends.
-func watch(t *testing.T, at *discoveryaddr.Place, terms Terms) (*Watcher, heard) {
-	known, err := Parse([]byte(answer(41, true, line("a", "active"), line("b", "active"))))
+// startWatcher follows the list at a place until the test ends, from a known list at version 41 in which b is active.
+func startWatcher(t *testing.T, at *discoveryaddr.Place, terms Terms) (*Watcher, recorder) {
+	known, err := Parse([]byte(listJSON(41, true, entryJSON("a", "active"), entryJSON("b", "active"))))
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := heard{make(chan traffic.PoolNews, 100), make(chan time.Time, 1)}
+	h := recorder{make(chan traffic.PoolNews, 100), make(chan time.Time, 1)}
 	w := NewWatcher(at, NewPace(terms, 1), known, time.Now(), h)
 	ctx, cancel := context.WithCancel(context.Background())
 	over := make(chan struct{})
@@ -82,8 +82,8 @@
 	return w, h
 }
 
-// leaves waits until the listener hears that b leaves, and says how long that took.
-func (h heard) leaves(t *testing.T) time.Duration {
+// waitForDrain waits until the listener is notified that b is leaving, and returns how long that took.
+func (h recorder) waitForDrain(t *testing.T) time.Duration {
 	t.Helper()
 	from := time.Now()
 	for {
@@ -95,13 +95,13 @@
 				}
 			}
 		case <-time.After(20 * time.Second):
-			t.Fatal("the drain is never heard of")
+			t.Fatal("the drain is never received")
 		}
 	}
 }
 
-// held answers a watch that has all there is when its time is up.
-func held(req *http.Request, text string) string {
+// holdWatch answers a watch without changes at the end of its hold.
+func holdWatch(req *http.Request, text string) string {
 	if hold, _ := time.ParseDuration(req.URL.Query().Get("hold_ms") + "ms"); hold > 10*time.Millisecond {
 		select {
 		case <-req.Context().Done():
@@ -111,128 +111,128 @@
 	return text
 }
 
-var drained = answer(42, false, line("b", "leaving"))
+var drainedList = listJSON(42, false, entryJSON("b", "leaving"))
 
-// What an agent has when a process starts, when discovery moves, and after each way in which a call may fail, is heard of
-// well within the grace, in a fleet of any size.
-func TestDrainIsHeardInTime(t *testing.T) {
+// A drain that the agent has is received well within the grace period in a fleet of any size: when a process starts, and after each
+// way in which a call can fail.
+func TestDrainIsReceivedInTime(t *testing.T) {
 	const grace = 500 * time.Millisecond
-	for what, first := range map[string][]string{"at a start": nil, "a reset": {broken}, "five resets": {broken, broken, broken, broken, broken},
-		"refused": {busy, busy}, "torn": {torn + drained[:30]}, "malformed": {drained[:30]}, "no list": {"{}"}, "late": {answer(7, false, line("b", "active"))},
-		"too late twice": {answer(7, true, line("b", "active")), answer(40, false)}, "silent": {silent}} {
+	for what, first := range map[string][]string{"at a start": nil, "a reset": {brokenAnswer}, "five resets": {brokenAnswer, brokenAnswer, brokenAnswer, brokenAnswer, brokenAnswer},
+		"refused": {refusedAnswer, refusedAnswer}, "truncated": {truncatedAnswer + drainedList[:30]}, "malformed": {drainedList[:30]}, "no list": {"{}"}, "late": {listJSON(7, false, entryJSON("b", "active"))},
+		"late twice": {listJSON(7, true, entryJSON("b", "active")), listJSON(40, false)}, "silent": {silentAnswer}} {
 		t.Run(what, func(t *testing.T) {
 			t.Parallel()
-			at := scripted(t, func(n int, req *http.Request) string {
+			at := startScripted(t, func(n int, req *http.Request) string {
 				if n <= len(first) {
 					return first[n-1]
 				} else if req.URL.Query().Get("from") == "" {
-					return answer(42, true, line("a", "active"), line("b", "leaving"))
+					return listJSON(42, true, entryJSON("a", "active"), entryJSON("b", "leaving"))
 				}
-				return held(req, drained)
+				return holdWatch(req, drainedList)
 			})
-			_, h := watch(t, discoveryaddr.New(at), pushed(350, grace))
-			if took := h.leaves(t); took > grace {
-				t.Errorf("the drain is heard of after %v", took)
+			_, h := startWatcher(t, discoveryaddr.New(at), pushedTerms(350, grace))
+			if took := h.waitForDrain(t); took > grace {
+				t.Errorf("the drain is received after %v", took)
 			}
 		})
 	}
 }
 
-// A discovery that moves: what the new place has counts soon, in a fleet of any size.
-func TestMoveIsHeardInTime(t *testing.T) {
-	from := scripted(t, func(_ int, req *http.Request) string { return held(req, answer(41, false)) })
-	to := scripted(t, func(_ int, req *http.Request) string {
-		return held(req, answer(3, true, line("a", "active"), line("b", "leaving")))
+// After a move of discovery, a drain at the new address is received soon, in a fleet of any size.
+func TestMoveIsReceivedInTime(t *testing.T) {
+	from := startScripted(t, func(_ int, req *http.Request) string { return holdWatch(req, listJSON(41, false)) })
+	to := startScripted(t, func(_ int, req *http.Request) string {
+		return holdWatch(req, listJSON(3, true, entryJSON("a", "active"), entryJSON("b", "leaving")))
 	})
 	at := discoveryaddr.New(from)
-	_, h := watch(t, at, pushed(350, 500*time.Millisecond))
+	_, h := startWatcher(t, at, pushedTerms(350, 500*time.Millisecond))
 	<-h.news // the first answer
 	at.Move(to)
-	if took := h.leaves(t); took > 300*time.Millisecond {
-		t.Errorf("the drain is heard of after %v", took)
+	if took := h.waitForDrain(t); took > 300*time.Millisecond {
+		t.Errorf("the drain is received after %v", took)
 	}
 }
 
-// A watch that falls silent: what it misses counts as told 2 s after its wait, and is heard of before.
-func TestSilentWatchIsMadeAnew(t *testing.T) {
+// A silent watch: the relay counts as notified of what it misses 2 s after its hold, and must receive it before that.
+func TestSilentWatchIsReplaced(t *testing.T) {
 	t.Parallel()
-	for what, terms := range map[string]Terms{"pushed": pushed(350, 500*time.Millisecond), "asked": asked(350)} {
+	for what, terms := range map[string]Terms{"pushed": pushedTerms(350, 500*time.Millisecond), "asked": askedTerms(350)} {
 		t.Run(what, func(t *testing.T) {
 			t.Parallel()
 			var hold time.Duration
 			began := make(chan time.Time, 1)
 			silenced := false
-			at := scripted(t, func(_ int, req *http.Request) string {
+			at := startScripted(t, func(_ int, req *http.Request) string {
 				wait, _ := time.ParseDuration(req.URL.Query().Get("hold_ms") + "ms")
 				if wait <= 10*time.Millisecond {
 					if silenced {
-						return drained
+						return drainedList
 					}
-					return answer(41, false)
+					return listJSON(41, false)
 				} else if !silenced {
 					silenced, hold = true, wait
 					began <- time.Now()
-					return silent
+					return silentAnswer
 				}
-				return drained
+				return drainedList
 			})
-			_, h := watch(t, discoveryaddr.New(at), terms)
+			_, h := startWatcher(t, discoveryaddr.New(at), terms)
 			from := <-began
-			h.leaves(t)
+			h.waitForDrain(t)
 			if took := time.Since(from); took > hold+2*time.Second {
-				t.Errorf("the drain is heard of %v after the watch began, which was to wait %v", took, hold)
+				t.Errorf("the drain is received %v after the watch began, which had a hold of %v", took, hold)
 			}
 		})
 	}
 }
 
-// An agent that is silent when a process starts: the known list may be used for a part of the grace and then no longer, until
-// the agent answers, which is heard of in time.
-func TestUnconfirmedListIsDoubted(t *testing.T) {
+// An agent that is silent when a process starts: the known list may be used for part of the grace period and then expires, until the
+// agent answers. Its answer is then received in time.
+func TestUnconfirmedListExpires(t *testing.T) {
 	t.Parallel()
 	const grace = 2 * time.Second
 	back := time.Now().Add(grace + grace/4)
-	at := scripted(t, func(_ int, req *http.Request) string {
+	at := startScripted(t, func(_ int, req *http.Request) string {
 		if time.Now().Before(back) {
-			return silent
+			return silentAnswer
 		}
-		return held(req, drained)
+		return holdWatch(req, drainedList)
 	})
 	began := time.Now()
-	_, h := watch(t, discoveryaddr.New(at), pushed(350, grace))
-	if after := (<-h.doubted).Sub(began); after < grace/2 || after > grace*9/10 {
-		t.Errorf("the known list is doubted after %v", after)
+	_, h := startWatcher(t, discoveryaddr.New(at), pushedTerms(350, grace))
+	if after := (<-h.expired).Sub(began); after < grace/2 || after > grace*9/10 {
+		t.Errorf("the known list expires after %v", after)
 	}
-	h.leaves(t)
+	h.waitForDrain(t)
 	if late := time.Since(back); late > grace {
-		t.Errorf("the drain is heard of %v after the agent is back", late)
+		t.Errorf("the drain is received %v after the agent is back", late)
 	}
-	// One that answers is not doubted, also where it has nothing new to tell: its answer says so.
-	at = scripted(t, func(_ int, req *http.Request) string { return held(req, answer(41, false)) })
-	_, h = watch(t, discoveryaddr.New(at), pushed(350, 100*time.Millisecond))
+	// An answer confirms the list, also if it has no changes.
+	at = startScripted(t, func(_ int, req *http.Request) string { return holdWatch(req, listJSON(41, false)) })
+	_, h = startWatcher(t, discoveryaddr.New(at), pushedTerms(350, 100*time.Millisecond))
 	if n := <-h.news; n.Whole || len(n.Members) != 0 {
 		t.Errorf("%+v", n)
 	}
 	select {
-	case <-h.doubted:
-		t.Error("a list that was confirmed is doubted")
+	case <-h.expired:
+		t.Error("a confirmed list has expired")
 	case <-time.After(200 * time.Millisecond):
 	}
 }
 
-// The watch goes on from the newest version, and anew from there after its connection broke.
+// The watch continues from the newest version. After a broken connection, a new watch continues from there as well.
 func TestWatch(t *testing.T) {
-	asks := make(chan string, 100)
-	at := scripted(t, func(n int, req *http.Request) string {
-		asks <- req.URL.Query().Get("from")
+	calls := make(chan string, 100)
+	at := startScripted(t, func(n int, req *http.Request) string {
+		calls <- req.URL.Query().Get("from")
 		if n%2 == 0 {
-			return broken
+			return brokenAnswer
 		}
-		return answer(41+n, false, line(fmt.Sprint("h", 41+n), "active"))
+		return listJSON(41+n, false, entryJSON(fmt.Sprint("h", 41+n), "active"))
 	})
-	_, h := watch(t, discoveryaddr.New(at), asked(1))
+	_, h := startWatcher(t, discoveryaddr.New(at), askedTerms(1))
 	for _, seq := range []string{"41", "42", "42", "44"} {
-		if got := <-asks; got != seq {
+		if got := <-calls; got != seq {
 			t.Errorf("asked from %s, want %s", got, seq)
 		}
 	}
@@ -241,25 +241,25 @@
 	}
 }
 
-// A discovery that does not hold a watch, or has nothing but the whole list again, makes no storm of calls. Nor does one that
-// cannot be made sense of, or that hangs in the middle of its answer.
-func TestNoStorm(t *testing.T) {
-	for what, text := range map[string]string{"nothing, at once": answer(41, false), "the whole again": answer(41, true, line("a", "active")),
-		"an entry that makes no sense": answer(41, true, line("a", "odd")), "nonsense": "{}", "busy": busy} {
+// Discovery must not be called too often if it does not hold a watch, sends the same full list again, sends invalid answers, or
+// refuses.
+func TestCallRateIsBounded(t *testing.T) {
+	for what, text := range map[string]string{"no changes, at once": listJSON(41, false), "the full list again": listJSON(41, true, entryJSON("a", "active")),
+		"an invalid entry": listJSON(41, true, entryJSON("a", "odd")), "not a list": "{}", "refused": refusedAnswer} {
 		t.Run(what, func(t *testing.T) {
 			t.Parallel()
-			at := scripted(t, func(int, *http.Request) string { return text })
-			w, _ := watch(t, discoveryaddr.New(at), pushed(1, 5*time.Second))
-			time.Sleep(time.Second) // what is counted is what is not done in it
-			if n := w.Counters().Asked; n < 2 || n > 20 {
+			at := startScripted(t, func(int, *http.Request) string { return text })
+			w, _ := startWatcher(t, discoveryaddr.New(at), pushedTerms(1, 5*time.Second))
+			time.Sleep(time.Second) // the test counts the calls of one second
+			if n := w.Counters().Calls; n < 2 || n > 20 {
 				t.Errorf("%d calls in a second", n)
 			}
 		})
 	}
 }
 
-// A list that comes in pieces counts when it is whole, and one that never ends is given up.
-func TestSlowList(t *testing.T) {
+// A list that arrives in pieces is used when it is complete, and one that never ends is given up.
+func TestSlowListTransfer(t *testing.T) {
 	t.Parallel()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -275,7 +275,7 @@
 			go func() {
 				defer nc.Close()
 				_, _ = nc.Read(make([]byte, 1<<10))
-				if n == 0 { // without end
+				if n == 0 { // an answer without end
 					fmt.Fprint(nc, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 					for err == nil {
 						_, err = fmt.Fprint(nc, "1\r\n \r\n")
@@ -283,79 +283,79 @@
 					}
 					return
 				}
-				for _, b := range []byte(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(drained), drained)) {
+				for _, b := range []byte(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(drainedList), drainedList)) {
 					_, _ = nc.Write([]byte{b})
 				}
 			}()
 		}
 	}()
-	_, h := watch(t, discoveryaddr.New(ln.Addr().String()), pushed(1, 2*time.Second))
-	if took := h.leaves(t); took > 2*time.Second {
-		t.Errorf("heard of after %v", took)
+	_, h := startWatcher(t, discoveryaddr.New(ln.Addr().String()), pushedTerms(1, 2*time.Second))
+	if took := h.waitForDrain(t); took > 2*time.Second {
+		t.Errorf("received after %v", took)
 	}
 }
 
-// Where discovery is asked, a change that it has when a call begins is heard within toldWithin whatever becomes of that call and
-// of the watch behind it, also in a large fleet and after many failures.
-func TestAskedDrainIsHeardInTime(t *testing.T) {
+// With polling, a change that discovery has when a call begins is received within maxNotifyDelay, whatever becomes of that call and
+// of the watch after it, also in a large fleet and after many failures.
+func TestAskedDrainIsReceivedInTime(t *testing.T) {
 	t.Parallel()
-	many := []string{busy, broken, busy, broken, busy, busy}
-	for what, first := range map[string][]string{"a reset": {broken}, "refused": {busy}, "torn": {torn + drained[:30]}, "malformed": {drained[:30]},
-		"silent": {silent}, "stalls": {torn}, "many": many, "the watch is silent": {answer(41, false), silent},
-		"the watch stalls": {answer(41, false), torn + drained[:30]}, "the watch is refused": {answer(41, false), busy}} {
+	many := []string{refusedAnswer, brokenAnswer, refusedAnswer, brokenAnswer, refusedAnswer, refusedAnswer}
+	for what, first := range map[string][]string{"a reset": {brokenAnswer}, "refused": {refusedAnswer}, "truncated": {truncatedAnswer + drainedList[:30]}, "malformed": {drainedList[:30]},
+		"silent": {silentAnswer}, "a stall": {truncatedAnswer}, "many": many, "the watch is silent": {listJSON(41, false), silentAnswer},
+		"the watch stalls": {listJSON(41, false), truncatedAnswer + drainedList[:30]}, "the watch is refused": {listJSON(41, false), refusedAnswer}} {
 		t.Run(what, func(t *testing.T) {
 			t.Parallel()
 			had := make(chan time.Time, 1)
-			at := scripted(t, func(n int, req *http.Request) string {
+			at := startScripted(t, func(n int, req *http.Request) string {
 				if n == len(first) {
 					had <- time.Now()
 				}
 				if n <= len(first) {
-					if strings.HasPrefix(first[n-1], torn) { // it stalls: what was promised does not come
-						stalls(t, req, first[n-1])
+					if strings.HasPrefix(first[n-1], truncatedAnswer) { // the rest of the answer never arrives
+						stallAnswer(t, req, first[n-1])
 					}
 					return first[n-1]
 				}
-				return drained
+				return drainedList
 			})
-			_, h := watch(t, discoveryaddr.New(at), asked(350))
-			h.leaves(t)
-			if took := time.Since(<-had); took > toldWithin {
-				t.Errorf("heard %v after discovery had it", took)
+			_, h := startWatcher(t, discoveryaddr.New(at), askedTerms(350))
+			h.waitForDrain(t)
+			if took := time.Since(<-had); took > maxNotifyDelay {
+				t.Errorf("received %v after discovery had it", took)
 			}
 		})
 	}
 }
 
-// stalls has an answer hang in its middle until its client gives up.
-func stalls(t *testing.T, req *http.Request, text string) {
+// stallAnswer sends part of an answer and waits until its client gives up.
+func stallAnswer(t *testing.T, req *http.Request, text string) {
 	w, ok := req.Context().Value(writerKey{}).(http.ResponseWriter)
 	if !ok {
 		t.Error("no writer")
 		return
 	}
 	w.Header().Set("Content-Length", "5000")
-	fmt.Fprint(w, strings.TrimPrefix(text, torn), " ")
+	fmt.Fprint(w, strings.TrimPrefix(text, truncatedAnswer), " ")
 	w.(http.Flusher).Flush()
 	<-req.Context().Done()
 }
 
-// A discovery that can be reached and gives no list: it may have a change that counts by now, and the list that is known is used no
-// longer. One that is not there, or says nothing at all, learns nothing, and the relay goes on.
-func TestRefusedListIsDoubted(t *testing.T) {
+// If discovery is reachable but sends no list, the relay may already count as notified of a change, so the known list expires. If
+// discovery is unreachable or silent, the relay counts as notified of nothing new and continues.
+func TestRefusedListExpires(t *testing.T) {
 	t.Parallel()
-	for what, doubted := range map[string]bool{busy: true, broken: true, "gone": false, silent: false} {
+	for what, expires := range map[string]bool{refusedAnswer: true, brokenAnswer: true, "gone": false, silentAnswer: false} {
 		t.Run(what, func(t *testing.T) {
 			t.Parallel()
 			var answering atomic.Bool
 			answering.Store(true)
-			at := scripted(t, func(_ int, req *http.Request) string {
+			at := startScripted(t, func(_ int, req *http.Request) string {
 				if answering.Load() {
-					return answer(41, false)
+					return listJSON(41, false)
 				}
 				return what
 			})
-			if what == "gone" { // nobody listens there
+			if what == "gone" { // nobody listens on the address
 				ln, err := net.Listen("tcp", "127.0.0.1:0")
 				if err != nil {
 					t.Fatal(err)
@@ -363,22 +363,22 @@
 				at = ln.Addr().String()
 				ln.Close()
 			}
-			_, h := watch(t, discoveryaddr.New(at), asked(3))
+			_, h := startWatcher(t, discoveryaddr.New(at), askedTerms(3))
 			if what != "gone" {
 				<-h.news
 			}
 			answering.Store(false)
 			from := time.Now()
 			select {
-			case at := <-h.doubted:
-				if took := at.Sub(from); !doubted || took < toldWithin-500*time.Millisecond {
-					t.Errorf("doubted after %v", took)
+			case at := <-h.expired:
+				if took := at.Sub(from); !expires || took < maxNotifyDelay-500*time.Millisecond {
+					t.Errorf("expired after %v", took)
 				}
 				answering.Store(true)
-				<-h.news // an answer that has nothing new ends the doubt
-			case <-time.After(toldWithin + time.Second):
-				if doubted {
-					t.Error("not doubted")
+				<-h.news // an answer without changes confirms the list
+			case <-time.After(maxNotifyDelay + time.Second):
+				if expires {
+					t.Error("the known list has not expired")
 				}
 			}
 		})
