--- a/internal/lab/capacity/slopes/source_test.go
+++ b/internal/lab/capacity/slopes/source_test.go
@@ -59,7 +59,7 @@
 		here, want       float64
 	}{
 		{"pool/watch.go", "maxList", "4 << 20", discoveryListMost, 4 << 20},
-		{"pool/book.go", "goneMost", "2048", membersGoneMost, 2048},
+		{"pool/book.go", "maxGone", "2048", membersGoneMost, 2048},
 		{"allowance/allocator.go", "maxDestinations", "16384", dividedMost, 16384},
 		{"allowance/claims.go", "maxClaimed", "24", claimedMost, 24},
 		{"verdicts/judge.go", "maxTracked", "8192", judgedMost, 8192},
@@ -67,7 +67,7 @@
 		{"fleet/members.go", "maxListed", "4096", relaysGoneMost, 4096},
 		{"fleet/transport.go", "maxStream", "512 << 10", streamBytesMost, 512 << 10},
 		{"fleet/transport.go", "maxStreams", "8", streamsAtOnceMost, 8},
-		{"journal/journal.go", "livePart", "0.4", journalLiveShare, 0.4},
+		{"journal/journal.go", "liveShare", "0.4", journalLiveShare, 0.4},
 		{"fleet/membership.go", "joinPauseMin", "250 * time.Millisecond", joinFirst.Seconds(), 0.25},
 		{"fleet/membership.go", "joinPauseMax", "8 * time.Second", joinMost.Seconds(), 8},
 		{"fleet/membership.go", "rejoinInterval", "10 * time.Second", rejoinEvery.Seconds(), 10},
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -1,6 +1,6 @@
-// Package relay is the one goroutine that calls the decision module. It gives the module its time, its wakes
-// and its events, journals what changes hands, and then carries out what the module decided. It knows no
-// socket: fronts hand in transactions, and flows, notices and store are interfaces.
+// Package relay runs the decision module in a single goroutine. It passes the module the time, wake-ups and events, writes the
+// resulting changes to the journal, and then carries out what the module decided. The package uses no sockets: front ends submit
+// transactions, and Flows, Notices and Store are interfaces.
 package relay
 
 import (
@@ -19,56 +19,56 @@
 )
 
 const (
-	// staleHandIn is the age at which a hand-in that waited for a step is not taken on any more: its client,
-	// who waits 400 ms for the answer, may be gone before it comes.
-	staleHandIn = 300 * time.Millisecond
-	// fullRetry is what a client is told where the relay itself, not the module, has no room.
-	fullRetry = 500 * time.Millisecond
+	// maxSubmissionAge is the age at which a submission that waited for a step is refused. The client waits 400 ms for the answer
+	// and may be gone before a later answer arrives.
+	maxSubmissionAge = 300 * time.Millisecond
+	// fullRetryIn is the retry time sent to a client if the relay itself, not the module, has no room.
+	fullRetryIn = 500 * time.Millisecond
 )
 
-// Store outlives the process.
+// Store is the journal, which outlives the process.
 type Store interface {
-	// Commit writes the changes of one step; after an error none counts as written.
+	// Commit writes the changes of one step. After an error, none of them counts as written.
 	Commit([]traffic.Change) error
-	// Room says whether a transaction of so many bytes can be taken on.
+	// Room reports whether the store has room for a transaction of that many bytes.
 	Room(bytes int64) bool
 }
 
-// Flows carries attempts. Each Start leads to one FlowEnd handed to Relay.FlowEnded. Nothing blocks.
+// Flows carries out delivery attempts. Each Start leads to one FlowEnd passed to Relay.FlowEnded. No method blocks.
 type Flows interface {
 	Start(traffic.Flow)
 	Cancel(id string, attempt int)
 	Pool(traffic.PoolNews)
 }
 
-// Ahead is told how many transactions are held for a destination, so that connections are there when they go. Nothing
-// blocks.
+// Ahead is notified of the number of transactions that wait for a destination, so that connections are open when they are sent.
+// Expect does not block.
 type Ahead interface {
 	Expect(destination, transactions int)
 }
 
-// aheadEvery is how often it is told.
-const aheadEvery = 250 * time.Millisecond
+// expectInterval is the time between two notifications of Ahead.
+const expectInterval = 250 * time.Millisecond
 
-// Lessons keeps what was learned of destinations for the next process. Nothing blocks.
+// Lessons records learned limits of destinations for the next process. Learn does not block.
 type Lessons interface {
 	Learn(destination int, limit float64, at time.Time)
 }
 
-// Heir takes over what processes that shared the state folder and have ended left owed: a predecessor
-// that handed over to this process. Nothing blocks long: it reads a small folder.
+// Heir recovers the open transactions and unanswered notices of processes that shared the state folder and have ended, such as a
+// predecessor after a handover. Adopt may block briefly: it reads a small folder.
 type Heir interface {
 	Adopt() ([]traffic.Open, []traffic.Notice, error)
 }
 
-// adoptEvery is how often the relay looks for what a predecessor left: what it left at its exit is taken up
-// within a fifth of a second.
-const adoptEvery = 200 * time.Millisecond
+// recoveryInterval is the time between two looks for the state of an ended predecessor. That state is recovered within 200 ms of the
+// predecessor's exit.
+const recoveryInterval = 200 * time.Millisecond
 
-// Notices tells the platform of ends. Each Send leads to the id in a call of Relay.NoticesAnswered.
+// Notices tells the platform how undelivered transactions ended. Each Send leads to the id in a call of Relay.NoticesAnswered.
 type Notices interface{ Send(traffic.Notice) }
 
-// Meters measure the stepping. Section runs f and notes what it took.
+// Meters measures the steps. Section runs f and records the time that f took.
 type Meters interface {
 	Stepped(due, began time.Time)
 	HandedIn(age time.Duration)
@@ -81,37 +81,37 @@
 func (noMeters) HandedIn(time.Duration) {}
 func (noMeters) Section(f func())       { f() }
 
-// Config is what a Relay works with.
+// Config configures a Relay.
 type Config struct {
-	Meters    Meters // nil for none
+	Meters    Meters // nil: no measurement
 	Settings  dispatch.Settings
 	Seed      int64
-	MostBytes int64 // of open transactions in memory
+	MostBytes int64 // upper limit for open transactions in memory
 	Store     Store
 	Flows     Flows
 	Notices   Notices
-	Ahead     Ahead           // nil for nobody
-	Lessons   Lessons         // nil for nobody
-	Heir      Heir            // nil for nobody
-	Fleet     Fleet           // nil for a relay alone
-	Turns     Turns           // nil where the order of keys is this process's alone
-	Banned    map[string]bool // members that operators had taken down at the start
+	Ahead     Ahead           // nil: no notifications
+	Lessons   Lessons         // nil: limits are not recorded
+	Heir      Heir            // nil: no recovery from predecessors
+	Fleet     Fleet           // nil for a relay without a fleet
+	Turns     Turns           // nil if no other process shares the order of keys
+	Banned    map[string]bool // members that operators had banned at the start
 }
 
-// Counters count since the start.
+// Counters are totals since the start of the process, except Open and Bytes, which are current values.
 type Counters struct {
-	HandedIn, TakenOn, Refused, Failed, Full, Late int64 // at the front
-	Unlisted, Borrowed                             int64 // at the front too: no such destination; another's id
+	HandedIn, TakenOn, Refused, Failed, Full, Late int64 // submissions
+	Unlisted, Borrowed                             int64 // refused submissions: unknown destination; id of another open message
 	Recovered                                      int64
 	Flows                                          int64
 	HandedBack, GivenUp, NoticesAnswered           int64
 	Steps, CommitErrors                            int64
 	Open                                           int
 	Bytes                                          int64
-	Ends                                           [traffic.FlowStatusMost]int64
+	Ends                                           [traffic.FlowStatusCount]int64
 }
 
-// LogValue names the counters in a log line; ends of flows that never happened are left out.
+// LogValue returns the counters as log attributes. Flow statuses that did not occur are omitted.
 func (c Counters) LogValue() slog.Value {
 	attrs := []slog.Attr{slog.Int64("handed_in", c.HandedIn), slog.Int64("taken_on", c.TakenOn),
 		slog.Int64("refused", c.Refused), slog.Int64("failed", c.Failed), slog.Int64("full", c.Full),
@@ -126,85 +126,85 @@
 		slog.Int64("commit_errors", c.CommitErrors), slog.Int("open", c.Open), slog.Int64("bytes", c.Bytes))...)
 }
 
-// Relay drives one Sender.
+// Relay drives one dispatch.Sender.
 type Relay struct {
-	cfg     Config
-	sender  *dispatch.Sender
-	origin  time.Time // of the module's time
-	classes map[string]*dispatch.Class
-	apart   map[string]bool
-	bundles map[string]int // by kind of member: how many transactions one call carries
-	pool    roster
-	open    map[string]*held
-	bytes   int64
-	fresh   int64 // bytes that this step has admitted and not journalled yet
-	count   Counters
-	unsaved []traffic.Change // ends that the store has not taken yet
-	wakes   []time.Time
-	squeeze squeeze
-	later   []*held                   // transactions that wait for another process's turn, in the order of their turns
-	noticed map[string]string         // transactions of a class in order whose notice has no answer yet, and their keys
-	parked  map[string][]traffic.Flow // by key: flows that wait for such answers
-	waiting map[int]int               // transactions without a flow, by destination; those that are told of with 0 go at the next telling
-	toldAt  time.Time                 // when Ahead was told
-	out     int                       // flows
-	ended   int64                     // transactions that had been taken on
-	learned map[int]float64           // limits that an earlier process had learned, of destinations that no list has named yet
-	adopted time.Time                 // when the Heir was last asked
-	bans    map[string]bool           // members that operators took down
-	bars    map[string]bool           // members that other relays bar, and whether operators took them down there
-	doubts  map[string]bool           // members of a list that may be used no longer; nil as a rule
-	shut    map[string]bool           // all three
-	outs    map[string]bool           // members that the fleet was told to be out
-	heard   map[string]bool           // members that the fleet holds to be out
-	demands *demands                  // for the fleet; nil for a relay alone
-	parts   map[int]part              // of limits, by destination
-	lapse   time.Time                 // when the first of them ends
-	tally   tally
-	// dispatches counts transactions written whole to members.
-	dispatches int64
-	figuredAt  time.Time
-
-	stretch atomic.Int64 // least time between two steps, where it is more than the module's
-
-	mu        sync.Mutex
-	inbox     []any
-	stopped   bool
-	published Counters
-	figures   Figures
-	known     map[string]bool // the pool's members, for operators' calls
-	load      Load
-	dueAt     time.Time // when the next step could run; zero while nothing asks for one
-	earliest  time.Time // the module's least time after the last step
-	signal    chan struct{}
-}
-
-// held is an open transaction.
-type held struct {
+	cfg              Config
+	sender           *dispatch.Sender
+	epoch            time.Time // start of the module's clock
+	classes          map[string]*dispatch.Class
+	separateLimits   map[string]bool
+	maxBundle        map[string]int // by kind of member: maximum number of transactions in one call
+	pool             poolView
+	open             map[string]*openTransaction
+	bytes            int64
+	uncommittedBytes int64 // bytes admitted in this step and not yet in the journal
+	counters         Counters
+	unsavedChanges   []traffic.Change // ends that the store has not written yet
+	wakes            []time.Time
+	openLimits       openLimits
+	awaitingTurn     []*openTransaction        // transactions that wait for another process to finish earlier ones of their key, by ticket
+	noticePending    map[string]string         // ids of transactions of an ordered class whose notice has no answer yet, and their keys
+	blockedFlows     map[string][]traffic.Flow // by key: flows that wait for the answers to such notices
+	waiting          map[int]int               // transactions without a flow, by destination; an entry of 0 is removed at the next notification
+	lastExpect       time.Time                 // time of the last notification of Ahead
+	activeFlows      int                       // number of flows that have not ended
+	ended            int64                     // number of accepted transactions that are over
+	learnedLimits    map[int]float64           // limits learned by an earlier process, for destinations that no list has named yet
+	lastRecovery     time.Time                 // time of the last call of Heir.Adopt
+	bans             map[string]bool           // members that operators banned on this relay
+	excluded         map[string]bool           // members that other relays exclude, and whether operators banned them there
+	unconfirmed      map[string]bool           // members of a list that is no longer valid; usually nil
+	blocked          map[string]bool           // union of bans, excluded and unconfirmed
+	reportedOutages  map[string]bool           // members that this relay has reported to the fleet as down
+	fleetOutages     map[string]bool           // members that the fleet considers down
+	demands          *demands                  // nil for a relay without a fleet
+	allowances       map[int]allowance         // this relay's shares of limits, by destination
+	nextExpiry       time.Time                 // earliest expiry in allowances
+	classCounts      classCounts
+	// dispatches counts transactions that were written whole to members.
+	dispatches    int64
+	statsCopiedAt time.Time
+
+	minStepInterval atomic.Int64 // nanoseconds between two steps; has an effect if above the module's resolution
+
+	mu           sync.Mutex
+	inbox        []any
+	stopped      bool
+	published    Counters
+	stats        Figures
+	knownMembers map[string]bool // the pool's members, for the admin endpoint
+	load         Load
+	stepDueAt    time.Time // when the next step could run; zero while nothing asks for one
+	earliestStep time.Time // the earliest time that the module allows for the next step
+	signal       chan struct{}
+}
+
+// openTransaction is a transaction that has not ended.
+type openTransaction struct {
 	traffic.Open
-	begun   time.Time               // of the flow that is out; zero without one
-	fresh   []chan<- traffic.Answer // waiting for the answer to the hand-in; in its first step alone
-	noticed bool                    // it ends by a notice
-	turn    uint64                  // its place among those of its key, in all processes of this relay
+	flowStarted   time.Time               // start of the current flow; zero without one
+	submitters    []chan<- traffic.Answer // clients waiting for the answer to the submission; set only during its first step
+	noticePending bool                    // the transaction ends with a notice, whose answer is pending
+	ticket        uint64                  // position among the transactions of the key, over all processes of this relay
 }
 
-// handIn, flowEnd, and so on are what the inbox holds.
+// The inbox holds values of these types, and of some types of packages traffic and dispatch.
 type (
-	handIn struct {
-		t        traffic.Transaction
-		received time.Time
-		answer   chan<- traffic.Answer
-	}
-	answered []string
-	doubted  struct{}
-	limit    int64
-	squeeze  struct {
+	submission struct {
+		transaction traffic.Transaction
+		received    time.Time
+		answer      chan<- traffic.Answer
+	}
+	answeredNotices []string
+	poolUnconfirmed struct{}
+	memoryLimit     int64
+	openLimits      struct {
 		messages         int
 		heavy, byteScale float64
 	}
 )
 
-// New makes a Relay.
+// New returns a Relay for the settings in cfg.
 func New(cfg Config) (*Relay, error) {
 	sender, err := dispatch.New(cfg.Settings, cfg.Seed)
 	if err != nil {
@@ -213,54 +213,54 @@
 	if cfg.Meters == nil {
 		cfg.Meters = noMeters{}
 	}
-	r := &Relay{cfg: cfg, squeeze: squeeze{messages: cfg.Settings.MaxOpen, byteScale: 1}, sender: sender, origin: time.Now(), classes: map[string]*dispatch.Class{},
-		apart: map[string]bool{}, bundles: map[string]int{}, waiting: map[int]int{}, noticed: map[string]string{}, parked: map[string][]traffic.Flow{}, pool: newRoster(), open: map[string]*held{}, tally: newTally(),
+	r := &Relay{cfg: cfg, openLimits: openLimits{messages: cfg.Settings.MaxOpen, byteScale: 1}, sender: sender, epoch: time.Now(), classes: map[string]*dispatch.Class{},
+		separateLimits: map[string]bool{}, maxBundle: map[string]int{}, waiting: map[int]int{}, noticePending: map[string]string{}, blockedFlows: map[string][]traffic.Flow{}, pool: newPoolView(), open: map[string]*openTransaction{}, classCounts: newClassCounts(),
 		signal: make(chan struct{}, 1)}
-	r.bans, r.shut, r.outs, r.heard = maps.Clone(cfg.Banned), maps.Clone(cfg.Banned), map[string]bool{}, map[string]bool{}
+	r.bans, r.blocked, r.reportedOutages, r.fleetOutages = maps.Clone(cfg.Banned), maps.Clone(cfg.Banned), map[string]bool{}, map[string]bool{}
 	if cfg.Fleet != nil {
-		r.demands, r.parts = newDemands(cfg.Settings.Classes), map[int]part{}
+		r.demands, r.allowances = newDemands(cfg.Settings.Classes), map[int]allowance{}
 	}
 	for i := range cfg.Settings.Classes {
 		r.classes[cfg.Settings.Classes[i].Name] = &cfg.Settings.Classes[i]
 	}
 	for _, k := range cfg.Settings.Kinds {
-		r.apart[k.Name] = k.OwnLimits
-		r.bundles[k.Name] = k.Bundle
+		r.separateLimits[k.Name] = k.OwnLimits
+		r.maxBundle[k.Name] = k.Bundle
 	}
 	return r, nil
 }
 
-// Start takes the first step: the pool as last known, the limits of destinations that an earlier process had learned, and
-// what it left open. Notices that it left unanswered are owed again.
+// Start takes the first step. Its input is the last known pool, the limits that an earlier process learned, and the transactions and
+// unanswered notices which that process left open. The notices are sent again.
 func (r *Relay) Start(known traffic.PoolNews, limits map[int]float64, open []traffic.Open, notices []traffic.Notice) {
 	now := time.Now()
-	r.pool.take(known, now)
-	r.knownChanged()
-	r.learned = maps.Clone(limits)
-	r.poolToFleet(known.Seq)
-	events := append([]dispatch.Event{r.members(known)}, r.recalled(known)...)
-	r.decide(now, r.takeUp(open, notices, now, events), nil)
+	r.pool.update(known, now)
+	r.publishKnownMembers()
+	r.learnedLimits = maps.Clone(limits)
+	r.reportPool(known.Seq)
+	events := append([]dispatch.Event{r.members(known)}, r.recalledLimits(known)...)
+	r.decide(now, r.recoverState(open, notices, now, events), nil)
 }
 
-// takeUp takes over open transactions and owed notices of an earlier process.
-func (r *Relay) takeUp(open []traffic.Open, notices []traffic.Notice, now time.Time, events []dispatch.Event) []dispatch.Event {
+// recoverState takes over open transactions and unanswered notices of an earlier process.
+func (r *Relay) recoverState(open []traffic.Open, notices []traffic.Notice, now time.Time, events []dispatch.Event) []dispatch.Event {
 	for _, o := range open {
-		if r.open[o.ID] != nil { // handed in here again meanwhile: it is owed once
+		if r.open[o.ID] != nil { // submitted here again in the meantime: the transaction is delivered once
 			continue
 		}
-		h := &held{Open: r.timely(o, now)}
+		h := &openTransaction{Open: r.clampTimes(o, now)}
 		r.open[o.ID] = h
 		r.bytes += int64(o.Size())
 		r.waiting[o.Destination]++
-		r.demands.note(&o.Transaction, 0, 1)
-		r.count.Recovered++
+		r.demands.record(&o.Transaction, 0, 1)
+		r.counters.Recovered++
 		events = r.offer(h, now, events)
 	}
 	for _, n := range notices {
-		if n.Order != "" { // what follows it waits here, too
-			r.noticed[n.ID] = n.Order
+		if n.Order != "" { // later transactions of the key wait for the answer in this process, too
+			r.noticePending[n.ID] = n.Order
 			if r.cfg.Turns != nil {
-				r.cfg.Turns.Take(n.Order, n.ID, now, now.Add(noticeWithin))
+				r.cfg.Turns.TakeTicket(n.Order, n.ID, now, now.Add(noticeTimeout))
 			}
 		}
 		r.cfg.Notices.Send(n)
@@ -268,10 +268,10 @@
 	return events
 }
 
-// timely is a transaction of an earlier process by this one's clock, which may have been set back meanwhile. A first call in the future
-// is as old as the class remembers, for nobody knows how old: no repeat goes out that may not be dropped. No transaction has more time
-// than its class gives.
-func (r *Relay) timely(o traffic.Open, now time.Time) traffic.Open {
+// clampTimes corrects the times of a recovered transaction if the clock was set back since. A first call in the future counts as old
+// as the class's memory span, because its age is unknown. A retry that the destination might not recognize as a duplicate is
+// therefore not sent. No transaction gets more time than its class allows.
+func (r *Relay) clampTimes(o traffic.Open, now time.Time) traffic.Open {
 	c := r.classes[o.Class]
 	if c == nil {
 		return o
@@ -279,18 +279,18 @@
 	if o.FirstSent.After(now) {
 		o.FirstSent = now.Add(-c.Memory)
 	}
-	if most := now.Add(c.Deadline); o.Deadline.After(most) {
-		o.Deadline = most
+	if latest := now.Add(c.Deadline); o.Deadline.After(latest) {
+		o.Deadline = latest
 	}
 	return o
 }
 
-// adopt asks the Heir, now and then, for what a predecessor left at its end.
-func (r *Relay) adopt(now time.Time, events []dispatch.Event) []dispatch.Event {
-	if r.cfg.Heir == nil || now.Sub(r.adopted) < adoptEvery {
+// recoverPredecessor calls Heir.Adopt every recoveryInterval.
+func (r *Relay) recoverPredecessor(now time.Time, events []dispatch.Event) []dispatch.Event {
+	if r.cfg.Heir == nil || now.Sub(r.lastRecovery) < recoveryInterval {
 		return events
 	}
-	r.adopted = now
+	r.lastRecovery = now
 	open, notices, err := r.cfg.Heir.Adopt()
 	if err != nil {
 		slog.Error("journal of an ended process not taken over", "err", err)
@@ -298,73 +298,74 @@
 	if len(open)+len(notices) > 0 {
 		slog.Info("taken over from an ended process", "open", len(open), "notices", len(notices))
 	}
-	return r.takeUp(open, notices, now, events)
+	return r.recoverState(open, notices, now, events)
 }
 
-// Put hands a transaction in. The answer comes through the channel, exactly once.
+// Put submits a transaction. The channel delivers the answer exactly once.
 func (r *Relay) Put(t traffic.Transaction, received time.Time) <-chan traffic.Answer {
 	answer := make(chan traffic.Answer, 1)
-	if !r.post(handIn{t, received, answer}) {
-		answer <- traffic.Answer{Verdict: traffic.Busy, RetryIn: fullRetry}
+	if !r.post(submission{t, received, answer}) {
+		answer <- traffic.Answer{Verdict: traffic.Busy, RetryIn: fullRetryIn}
 	}
 	return answer
 }
 
-// Limit changes how many bytes of open transactions the relay may hold, from the next step on.
-func (r *Relay) Limit(mostBytes int64) { r.post(limit(mostBytes)) }
+// Limit sets how many bytes of open transactions the relay may hold. The new limit applies from the next step on.
+func (r *Relay) Limit(maxBytes int64) { r.post(memoryLimit(maxBytes)) }
 
-// Squeeze bounds how many transactions may be open, and the bytes that they take as a share of the limit, from
-// the next step on. What is over the first goes back by the module's rule; with heavy above 0, large ones sooner.
+// Squeeze limits the number of open transactions, and scales the byte limit by byteScale, from the next step on. The module returns
+// transactions above the first limit by its own rule; with heavy above 0 it returns large ones sooner.
 func (r *Relay) Squeeze(messages int, heavy, byteScale float64) {
-	r.post(squeeze{messages, heavy, byteScale})
+	r.post(openLimits{messages, heavy, byteScale})
 }
 
-// Stretch sets the least time between two steps; the module's own is the least of all.
-func (r *Relay) Stretch(least time.Duration) { r.stretch.Store(int64(least)) }
+// Stretch sets the minimum time between two steps. A value below the module's resolution has no effect.
+func (r *Relay) Stretch(interval time.Duration) { r.minStepInterval.Store(int64(interval)) }
 
-// Load is what the relay holds.
+// Load describes the open transactions.
 type Load struct {
-	Open    int     // transactions
-	Waiting int     // of them, those without a flow
-	Bytes   float64 // share of the bytes that they may take
-	Ended   int64   // transactions that were taken on and are over, since the start
+	Open    int     // number of open transactions
+	Waiting int     // number of open transactions without a flow
+	Bytes   float64 // share of the byte limit in use
+	Ended   int64   // number of accepted transactions that have ended since the start
 }
 
-// Load returns it, as of the newest step.
+// Load returns the load after the latest step.
 func (r *Relay) Load() Load {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.load
 }
 
-// FlowEnded takes in the end of a flow.
+// FlowEnded passes the end of a flow to the next step.
 func (r *Relay) FlowEnded(f traffic.FlowEnd) { r.post(f) }
 
-// PoolChanged takes in news of the pool.
+// PoolChanged passes a change of the pool to the next step.
 func (r *Relay) PoolChanged(news traffic.PoolNews) { r.post(news) }
 
-// PoolDoubted takes in that the known list may be used no longer: until news of the pool comes, nothing is sent to its members.
-func (r *Relay) PoolDoubted() { r.post(doubted{}) }
+// PoolDoubted marks the known list as no longer valid: nothing is sent to its members until the pool changes.
+func (r *Relay) PoolDoubted() { r.post(poolUnconfirmed{}) }
 
-// NoticesAnswered takes in that the platform has these notices.
-func (r *Relay) NoticesAnswered(ids []string) { r.post(answered(ids)) }
+// NoticesAnswered reports that the platform has received these notices.
+func (r *Relay) NoticesAnswered(ids []string) { r.post(answeredNotices(ids)) }
 
-// Counters returns the counters as of the newest step.
+// Counters returns the counters after the latest step.
 func (r *Relay) Counters() Counters {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.published
 }
 
+// post adds input for the next step to the inbox. It returns false after stop.
 func (r *Relay) post(in any) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.stopped {
 		return false
 	}
-	if len(r.inbox) == 0 { // the step that takes this is due now, or as soon as the module may step again
-		if r.dueAt = time.Now(); r.dueAt.Before(r.earliest) {
-			r.dueAt = r.earliest
+	if len(r.inbox) == 0 { // the step for this input is due now, or as soon as the module allows
+		if r.stepDueAt = time.Now(); r.stepDueAt.Before(r.earliestStep) {
+			r.stepDueAt = r.earliestStep
 		}
 	}
 	r.inbox = append(r.inbox, in)
@@ -375,7 +376,7 @@
 	return true
 }
 
-// Run steps until ctx ends. Hand-ins that no step has seen by then are refused.
+// Run steps until ctx ends. Submissions that no step has processed by then are refused.
 func (r *Relay) Run(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -388,10 +389,10 @@
 		case <-r.signal:
 		case <-timer.C:
 		}
-		// The module wants its least time between steps; what comes meanwhile shares the next one.
-		time.Sleep(time.Until(last.Add(r.spacing())))
+		// The module requires a minimum time between steps. Input that arrives in between shares the next step.
+		time.Sleep(time.Until(last.Add(r.stepInterval())))
 		last = time.Now()
-		batch, due := r.take()
+		batch, due := r.takeInbox()
 		if wake := r.nextWake(last); due.IsZero() || wake.Before(due) {
 			due = wake
 		}
@@ -399,57 +400,57 @@
 			r.cfg.Meters.Stepped(due, last)
 		}
 		if at, ok := r.demands.due(); ok && len(batch) == 0 && !at.After(last) && r.nextWake(last).After(last) {
-			r.demandToFleet(last) // it is late; the module has nothing to decide
+			r.reportDemand(last) // only the demand report is due; the module has nothing to decide
 		} else {
 			r.step(last, batch)
 		}
 		r.mu.Lock()
-		r.earliest = last.Add(r.spacing())
+		r.earliestStep = last.Add(r.stepInterval())
 		r.mu.Unlock()
 		next := r.nextWake(last)
-		if r.cfg.Heir != nil && next.After(last.Add(adoptEvery)) {
-			next = last.Add(adoptEvery) // a predecessor's end comes unannounced
+		if r.cfg.Heir != nil && next.After(last.Add(recoveryInterval)) {
+			next = last.Add(recoveryInterval) // a predecessor ends without notification
 		}
 		if at, ok := r.demands.due(); ok && at.Before(next) {
 			next = at
 		}
-		if len(r.later) > 0 && next.After(last.Add(turnEvery)) {
-			next = last.Add(turnEvery) // so does another process's turn
+		if len(r.awaitingTurn) > 0 && next.After(last.Add(turnInterval)) {
+			next = last.Add(turnInterval) // another process finishes a transaction without notification
 		}
 		timer.Reset(time.Until(next))
 	}
 }
 
-// spacing is the least time between two steps.
-func (r *Relay) spacing() time.Duration {
-	return max(r.cfg.Settings.Resolution, time.Duration(r.stretch.Load()))
+// stepInterval is the minimum time between two steps.
+func (r *Relay) stepInterval() time.Duration {
+	return max(r.cfg.Settings.Resolution, time.Duration(r.minStepInterval.Load()))
 }
 
-// take empties the inbox and says since when a step has been due for what was in it.
-func (r *Relay) take() (batch []any, due time.Time) {
+// takeInbox empties the inbox and returns since when a step has been due for its content.
+func (r *Relay) takeInbox() (batch []any, due time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	batch, due = r.inbox, r.dueAt
-	r.inbox, r.dueAt = nil, time.Time{}
+	batch, due = r.inbox, r.stepDueAt
+	r.inbox, r.stepDueAt = nil, time.Time{}
 	return batch, due
 }
 
-// stop ends the stepping. What no step has seen is not decided on any more: hand-ins are refused, but flows
-// and notices that have ended are journalled, or the next process would make those calls again.
+// stop ends the stepping and refuses submissions that no step has processed. Ends of flows and answers to notices go to the journal
+// all the same, or the next process would repeat those calls.
 func (r *Relay) stop() {
 	r.mu.Lock()
 	r.stopped = true
 	r.mu.Unlock()
-	changes := r.unsaved
-	batch, _ := r.take()
+	changes := r.unsavedChanges
+	batch, _ := r.takeInbox()
 	for _, in := range batch {
 		switch in := in.(type) {
-		case handIn:
-			in.answer <- traffic.Answer{Verdict: traffic.Busy, RetryIn: fullRetry}
+		case submission:
+			in.answer <- traffic.Answer{Verdict: traffic.Busy, RetryIn: fullRetryIn}
 		case traffic.FlowEnd:
-			_, changes = r.flowEnd(in, nil, changes)
-		case answered:
-			changes = append(changes, acknowledged(in)...)
+			_, changes = r.handleFlowEnd(in, nil, changes)
+		case answeredNotices:
+			changes = append(changes, answeredChanges(in)...)
 		}
 	}
 	if err := r.cfg.Store.Commit(changes); err != nil {
@@ -457,7 +458,8 @@
 	}
 }
 
-func acknowledged(ids answered) []traffic.Change {
+// answeredChanges returns a journal record for each answered notice.
+func answeredChanges(ids answeredNotices) []traffic.Change {
 	changes := make([]traffic.Change, len(ids))
 	for i, id := range ids {
 		changes[i] = traffic.Answered{ID: id}
@@ -465,7 +467,7 @@
 	return changes
 }
 
-// nextWake is the earliest wake that the module has asked for.
+// nextWake returns the earliest wake-up that the module or an expiring allowance needs.
 func (r *Relay) nextWake(now time.Time) time.Time {
 	next := now.Add(time.Hour)
 	for _, at := range r.wakes {
@@ -473,13 +475,13 @@
 			next = at
 		}
 	}
-	if len(r.parts) > 0 && r.lapse.Before(next) {
-		next = r.lapse
+	if len(r.allowances) > 0 && r.nextExpiry.Before(next) {
+		next = r.nextExpiry
 	}
 	return next
 }
 
-// step turns a batch of the inbox into events, and the wakes that are due.
+// step turns the wake-ups that are due and a batch of the inbox into events, and lets the module decide.
 func (r *Relay) step(now time.Time, batch []any) {
 	var events []dispatch.Event
 	var changes []traffic.Change
@@ -492,177 +494,180 @@
 		}
 	}
 	r.wakes = due
-	events = r.offerAgain(now, r.adopt(now, events))
+	events = r.offerWaiting(now, r.recoverPredecessor(now, events))
 	for _, in := range batch {
 		switch in := in.(type) {
-		case handIn:
+		case submission:
 			if h := r.admit(in, now); h != nil {
 				events = r.offer(h, now, events)
 			}
 		case traffic.FlowEnd:
-			events, changes = r.flowEnd(in, events, changes)
+			events, changes = r.handleFlowEnd(in, events, changes)
 		case traffic.PoolNews:
-			r.pool.take(in, now)
-			r.pool.told = true
-			if r.doubts != nil {
-				r.doubts = nil
-				events = append(events, r.closed(nobody))
+			r.pool.update(in, now)
+			r.pool.fromDiscovery = true
+			if r.unconfirmed != nil {
+				r.unconfirmed = nil
+				events = append(events, r.updateBlocked(noMember))
 			}
-			r.cfg.Flows.Pool(r.overlay(in, r.shut))
-			r.poolToFleet(in.Seq)
-			events = append(append(events, r.members(in)), r.recalled(in)...)
-			r.knownChanged()
-		case doubted:
-			r.doubts = map[string]bool{}
+			r.cfg.Flows.Pool(r.overlay(in, r.blocked))
+			r.reportPool(in.Seq)
+			events = append(append(events, r.members(in)), r.recalledLimits(in)...)
+			r.publishKnownMembers()
+		case poolUnconfirmed:
+			r.unconfirmed = map[string]bool{}
 			for id := range r.pool.members {
-				r.doubts[id] = true
+				r.unconfirmed[id] = true
 			}
-			events = append(events, r.closed(nobody))
+			events = append(events, r.updateBlocked(noMember))
 		case bans:
-			events = append(events, r.banned(in))
-			defer close(in.done) // once the module has stepped with it
+			events = append(events, r.applyBans(in))
+			defer close(in.done) // after the module has processed the bans
 		case []traffic.Restraint:
-			events = append(events, r.restrained(in, now)...)
+			events = append(events, r.applyRestraints(in, now)...)
 		case []traffic.Allowance:
-			events = append(events, r.allowed(in, now)...)
+			events = append(events, r.allowanceEvents(in, now)...)
 		case []traffic.Bar:
-			events = append(events, r.barred(in))
-		case limit:
+			events = append(events, r.applyExclusions(in))
+		case memoryLimit:
 			r.cfg.MostBytes = int64(in)
-		case squeeze:
-			r.squeeze = in
+		case openLimits:
+			r.openLimits = in
 			events = append(events, dispatch.HoldCap{Messages: in.messages, Heavy: in.heavy})
-		case []dispatch.Event: // what follows from a failed write
+		case []dispatch.Event: // events that follow a failed commit
 			events = append(events, in...)
-		case answered:
-			r.count.NoticesAnswered += int64(len(in))
-			defer r.unpark(in) // what follows them goes once the journal has it
-			changes = append(changes, acknowledged(in)...)
+		case answeredNotices:
+			r.counters.NoticesAnswered += int64(len(in))
+			defer r.startUnblocked(in) // later flows of the key start once the journal has the answer
+			changes = append(changes, answeredChanges(in)...)
 		}
 	}
-	events = append(r.lapses(now), events...)
-	r.overdue(now)
+	events = append(r.expireAllowances(now), events...)
+	r.endOverdue(now)
 	r.decide(now, events, changes)
-	r.healthToFleet(batch)
-	r.demandToFleet(now)
+	r.reportHealth(batch)
+	r.reportDemand(now)
 }
 
-// admit holds a hand-in that the relay has room for; others it answers.
-func (r *Relay) admit(in handIn, now time.Time) *held {
-	r.count.HandedIn++
+// admit opens a transaction for a submission that the relay has room for. It answers other submissions at once.
+func (r *Relay) admit(in submission, now time.Time) *openTransaction {
+	r.counters.HandedIn++
 	r.cfg.Meters.HandedIn(now.Sub(in.received))
-	size := int64(in.t.Size())
-	switch h := r.open[in.t.ID]; {
-	case h != nil && !same(&h.Transaction, &in.t): // another client's id: that one's message is not touched
-		r.count.Borrowed++
-		r.answeredAs(in.t.Class, traffic.Answer{Verdict: traffic.Failed})
+	size := int64(in.transaction.Size())
+	switch h := r.open[in.transaction.ID]; {
+	case h != nil && !sameMessage(&h.Transaction, &in.transaction): // the id belongs to another client's message, which stays unchanged
+		r.counters.Borrowed++
+		r.countAnswer(in.transaction.Class, traffic.Answer{Verdict: traffic.Failed})
 		in.answer <- traffic.Answer{Verdict: traffic.Failed}
 		return nil
-	case h != nil && h.fresh != nil:
-		h.fresh = append(h.fresh, in.answer)
+	case h != nil && h.submitters != nil:
+		h.submitters = append(h.submitters, in.answer)
 		return nil
-	case h != nil: // taken on already, and owed once
+	case h != nil: // already accepted; delivered once
 		in.answer <- traffic.Answer{Verdict: traffic.Accepted}
 		return nil
-	case !r.pool.knows(in.t.Destination, now):
-		if r.count.Unlisted++; r.pool.told {
-			r.answeredAs(in.t.Class, traffic.Answer{Verdict: traffic.Failed})
+	case !r.pool.hasDestination(in.transaction.Destination, now):
+		if r.counters.Unlisted++; r.pool.fromDiscovery {
+			r.countAnswer(in.transaction.Class, traffic.Answer{Verdict: traffic.Failed})
 			in.answer <- traffic.Answer{Verdict: traffic.Failed}
 			return nil
 		}
-	case now.Sub(in.received) > staleHandIn:
-		r.count.Late++
-	case len(r.open) >= r.squeeze.messages, r.bytes+size > r.mostBytes(), !r.cfg.Store.Room(r.fresh + size):
-		r.count.Full++
+	case now.Sub(in.received) > maxSubmissionAge:
+		r.counters.Late++
+	case len(r.open) >= r.openLimits.messages, r.bytes+size > r.maxBytes(), !r.cfg.Store.Room(r.uncommittedBytes + size):
+		r.counters.Full++
 	default:
-		r.demands.note(&in.t, 1, 0)
-		h = &held{Open: traffic.Open{Transaction: in.t}, fresh: []chan<- traffic.Answer{in.answer}}
-		r.open[in.t.ID] = h
-		r.bytes, r.fresh = r.bytes+size, r.fresh+size
+		r.demands.record(&in.transaction, 1, 0)
+		h = &openTransaction{Open: traffic.Open{Transaction: in.transaction}, submitters: []chan<- traffic.Answer{in.answer}}
+		r.open[in.transaction.ID] = h
+		r.bytes, r.uncommittedBytes = r.bytes+size, r.uncommittedBytes+size
 		r.waiting[h.Destination]++
-		r.demands.note(&h.Transaction, 0, 1)
+		r.demands.record(&h.Transaction, 0, 1)
 		return h
 	}
-	r.answeredAs(in.t.Class, traffic.Answer{Verdict: traffic.Busy})
-	in.answer <- traffic.Answer{Verdict: traffic.Busy, RetryIn: fullRetry}
+	r.countAnswer(in.transaction.Class, traffic.Answer{Verdict: traffic.Busy})
+	in.answer <- traffic.Answer{Verdict: traffic.Busy, RetryIn: fullRetryIn}
 	return nil
 }
 
-func (r *Relay) mostBytes() int64 { return int64(float64(r.cfg.MostBytes) * r.squeeze.byteScale) }
+// maxBytes returns the current limit for the bytes of open transactions.
+func (r *Relay) maxBytes() int64 { return int64(float64(r.cfg.MostBytes) * r.openLimits.byteScale) }
 
-// same says that two hand-ins with one id are the same message, sent once more, and not another that borrows
-// the id. The time left may differ.
-func same(a, b *traffic.Transaction) bool {
+// sameMessage reports whether two submissions with the same id are the same message sent again. Otherwise the second one reuses the
+// id of another message. The remaining time may differ.
+func sameMessage(a, b *traffic.Transaction) bool {
 	return a.Class == b.Class && a.Tenant == b.Tenant && a.Key == b.Key && a.Destination == b.Destination &&
 		bytes.Equal(a.Body, b.Body)
 }
 
-func (r *Relay) flowEnd(f traffic.FlowEnd, events []dispatch.Event, changes []traffic.Change) ([]dispatch.Event,
+// handleFlowEnd updates the transaction of an ended flow. It adds an event for the module and a journal record.
+func (r *Relay) handleFlowEnd(f traffic.FlowEnd, events []dispatch.Event, changes []traffic.Change) ([]dispatch.Event,
 	[]traffic.Change) {
-	r.count.Ends[f.Status]++
-	if written(f.Status) {
+	r.counters.Ends[f.Status]++
+	if writtenWhole(f.Status) {
 		r.dispatches++
 	}
 	h := r.open[f.ID]
-	if h == nil || h.begun.IsZero() || f.Attempt != h.Attempts-1 {
+	if h == nil || h.flowStarted.IsZero() || f.Attempt != h.Attempts-1 {
 		slog.Error("flow end without its flow", "id", f.ID, "attempt", f.Attempt)
 		return events, changes
 	}
 	if f.Status == traffic.Delivered {
-		r.counted(h.Class, r.tally.success)
+		r.countClass(h.Class, r.classCounts.success)
 	}
-	if f.Report != nil && r.cfg.Lessons != nil && !r.apart[r.pool.members[f.Member].Class] {
+	if f.Report != nil && r.cfg.Lessons != nil && !r.separateLimits[r.pool.members[f.Member].Class] {
 		r.cfg.Lessons.Learn(h.Destination, f.Report.Limit, time.Now())
 	}
-	e := endings[f.Status]
-	if e.mayHave && h.FirstSent.IsZero() {
-		h.FirstSent = h.begun
+	e := flowEndings[f.Status]
+	if e.mayHaveRun && h.FirstSent.IsZero() {
+		h.FirstSent = h.flowStarted
 	}
-	h.begun = time.Time{}
+	h.flowStarted = time.Time{}
 	r.waiting[h.Destination]++
-	r.demands.note(&h.Transaction, 0, 1)
-	r.out--
+	r.demands.record(&h.Transaction, 0, 1)
+	r.activeFlows--
 	if e.settled {
 		r.forget(h)
 		changes = append(changes, traffic.Ended{ID: f.ID})
 	} else {
-		changes = append(changes, traffic.FlowEnded{ID: f.ID, Attempt: f.Attempt, MayHaveRun: e.mayHave})
+		changes = append(changes, traffic.FlowEnded{ID: f.ID, Attempt: f.Attempt, MayHaveRun: e.mayHaveRun})
 	}
 	return append(events, outcome(f)), changes
 }
 
-func (r *Relay) forget(h *held) {
+// forget removes a transaction and everything counted for it.
+func (r *Relay) forget(h *openTransaction) {
 	delete(r.open, h.ID)
 	r.bytes -= int64(h.Size())
-	if h.begun.IsZero() {
+	if h.flowStarted.IsZero() {
 		r.waiting[h.Destination]--
-		r.demands.note(&h.Transaction, 0, -1)
+		r.demands.record(&h.Transaction, 0, -1)
 	}
-	if h.fresh == nil {
+	if h.submitters == nil {
 		r.ended++
 	}
-	if r.cfg.Turns != nil && !h.noticed && r.ordered(&h.Transaction) {
-		r.cfg.Turns.Done(h.Order, h.ID)
+	if r.cfg.Turns != nil && !h.noticePending && r.keepsOrder(&h.Transaction) {
+		r.cfg.Turns.Release(h.Order, h.ID)
 	}
 }
 
-// deed is what may be done once the journal has the step; a flow is not started where that failed.
-type deed struct {
-	do   func()
+// deferredAction is executed once the journal has the step. A flow is not started if the commit failed.
+type deferredAction struct {
+	run  func()
 	flow *traffic.Flow
 }
 
-// decide lets the module step, journals what comes of it in one write, and only then acts on it.
+// decide lets the module step, writes the resulting changes to the journal in one commit, and then acts on them.
 func (r *Relay) decide(now time.Time, events []dispatch.Event, changes []traffic.Change) {
-	r.count.Steps++
+	r.counters.Steps++
 	var actions []dispatch.Action
-	r.cfg.Meters.Section(func() { actions = r.sender.Step(now.Sub(r.origin), events) })
-	var after []deed // in the module's order
-	var taken []*held
+	r.cfg.Meters.Section(func() { actions = r.sender.Step(now.Sub(r.epoch), events) })
+	var deferred []deferredAction // in the module's order
+	var accepted []*openTransaction
 	ended := map[string]bool{}
-	for _, h := range r.later { // taken on, though the module has not heard of them
-		if h.fresh != nil {
-			taken = append(taken, h)
+	for _, h := range r.awaitingTurn { // accepted, although the module does not know them yet
+		if h.submitters != nil {
+			accepted = append(accepted, h)
 			changes = append(changes, traffic.Taken{Transaction: h.Transaction})
 		}
 	}
@@ -676,78 +681,78 @@
 	}
 	for _, ev := range events {
 		if req, ok := ev.(dispatch.Request); ok && !ended[req.ID] {
-			if h := r.open[req.ID]; h.fresh != nil {
-				taken = append(taken, h)
+			if h := r.open[req.ID]; h.submitters != nil {
+				accepted = append(accepted, h)
 				changes = append(changes, traffic.Taken{Transaction: h.Transaction})
 			}
 		}
 	}
-	together := map[string]*traffic.Flow{} // the newest call to each member
+	newestCall := map[string]*traffic.Flow{} // by member
 	for _, a := range actions {
 		switch a := a.(type) {
 		case dispatch.Send:
 			h := r.open[a.ID]
 			f := r.flow(&h.Open, a, now)
 			h.Attempts++
-			h.begun = now
+			h.flowStarted = now
 			r.waiting[h.Destination]--
-			r.demands.note(&h.Transaction, 0, -1)
-			r.out++
+			r.demands.record(&h.Transaction, 0, -1)
+			r.activeFlows++
 			changes = append(changes, traffic.FlowBegun{ID: f.ID, Attempt: f.Attempt, At: now})
-			if with := together[f.Member]; with != nil && len(with.With)+1 < r.bundles[r.pool.members[f.Member].Class] &&
-				with.Carried()+f.Carried() <= traffic.MostCarried {
-				with.Join(f) // the module counts what goes to a member in one step as one call
+			if call := newestCall[f.Member]; call != nil && len(call.With)+1 < r.maxBundle[r.pool.members[f.Member].Class] &&
+				call.CallBytes()+f.CallBytes() <= traffic.MaxCallBytes {
+				call.Join(f) // the module counts everything sent to a member in one step as one call
 			} else {
-				together[f.Member] = &f
-				after = append(after, deed{flow: &f})
+				newestCall[f.Member] = &f
+				deferred = append(deferred, deferredAction{flow: &f})
 			}
 		case dispatch.Cancel:
-			after = append(after, deed{do: func() { r.cancel(a.ID, a.Attempt) }})
+			deferred = append(deferred, deferredAction{run: func() { r.cancelFlow(a.ID, a.Attempt) }})
 		case dispatch.Refuse:
-			changes = r.end(traffic.Notice{ID: a.ID, Outcome: traffic.HandedBack, RetryIn: a.RetryAfter}, changes, &after)
+			changes = r.end(traffic.Notice{ID: a.ID, Outcome: traffic.HandedBack, RetryIn: a.RetryAfter}, changes, &deferred)
 		case dispatch.Fail:
-			changes = r.end(traffic.Notice{ID: a.ID, Outcome: traffic.GivenUp}, changes, &after)
+			changes = r.end(traffic.Notice{ID: a.ID, Outcome: traffic.GivenUp}, changes, &deferred)
 		case dispatch.Wake:
-			r.wakes = append(r.wakes, r.origin.Add(a.At))
+			r.wakes = append(r.wakes, r.epoch.Add(a.At))
 		case dispatch.Log:
 			slog.Info("module", "text", a.Text)
-		case dispatch.Watch: // the pool is watched from the start
+		case dispatch.Watch: // the relay watches the pool from the start
 		}
 	}
-	saved := r.commit(changes, taken, after)
-	for _, d := range after {
-		if d.do != nil {
-			d.do()
+	saved := r.commit(changes, accepted, deferred)
+	for _, d := range deferred {
+		if d.run != nil {
+			d.run()
 		} else if saved {
-			r.count.Flows += int64(1 + len(d.flow.With))
-			r.start(*d.flow)
+			r.counters.Flows += int64(1 + len(d.flow.With))
+			r.startFlow(*d.flow)
 		}
 	}
-	r.tellAhead(now)
-	r.fresh = 0
-	r.count.Open, r.count.Bytes = len(r.open), r.bytes
-	var figures *Figures
-	if now.Sub(r.figuredAt) >= figuresEvery {
-		r.figuredAt = now
-		f := r.publishFigures()
-		figures = &f
+	r.announceWaiting(now)
+	r.uncommittedBytes = 0
+	r.counters.Open, r.counters.Bytes = len(r.open), r.bytes
+	var stats *Figures
+	if now.Sub(r.statsCopiedAt) >= statsInterval {
+		r.statsCopiedAt = now
+		f := r.collectStats()
+		stats = &f
 	}
 	r.mu.Lock()
-	if figures != nil {
-		r.figures = *figures
+	if stats != nil {
+		r.stats = *stats
 	}
-	r.published = r.count
-	r.load = Load{Open: len(r.open), Waiting: len(r.open) - r.out, Bytes: float64(r.bytes) / float64(max(r.cfg.MostBytes, 1)),
+	r.published = r.counters
+	r.load = Load{Open: len(r.open), Waiting: len(r.open) - r.activeFlows, Bytes: float64(r.bytes) / float64(max(r.cfg.MostBytes, 1)),
 		Ended: r.ended}
 	r.mu.Unlock()
 }
 
-// tellAhead tells what is held, now and then.
-func (r *Relay) tellAhead(now time.Time) {
-	if now.Sub(r.toldAt) < aheadEvery {
+// announceWaiting notifies Ahead of the number of waiting transactions every expectInterval.
+func (r *Relay) announceWaiting(now time.Time) {
+	if now.Sub(r.lastExpect) < expectInterval {
 		return
 	}
-	r.toldAt = now
+	r.lastExpect = now
 	for dest, n := range r.waiting {
 		if r.cfg.Ahead != nil {
 			r.cfg.Ahead.Expect(dest, n)
@@ -758,104 +763,105 @@
 	}
 }
 
-// end gives a transaction its final answer: to the client that just handed it in, or by a notice.
-func (r *Relay) end(n traffic.Notice, changes []traffic.Change, after *[]deed) []traffic.Change {
+// end gives a transaction its final answer: directly to the clients that have just submitted it, or by a notice.
+func (r *Relay) end(n traffic.Notice, changes []traffic.Change, deferred *[]deferredAction) []traffic.Change {
 	h := r.open[n.ID]
-	h.noticed = h.fresh == nil
+	h.noticePending = h.submitters == nil
 	r.forget(h)
-	if h.fresh != nil { // not taken on: nothing is owed and nothing journalled
+	if h.submitters != nil { // not accepted: no notice and no journal record
 		answer := traffic.Answer{Verdict: traffic.Busy, RetryIn: n.RetryIn}
 		if n.Outcome == traffic.GivenUp {
 			answer = traffic.Answer{Verdict: traffic.Failed}
-			r.count.Failed++
+			r.counters.Failed++
 		} else {
-			r.count.Refused++
+			r.counters.Refused++
 		}
 		h.reply(answer)
-		r.answeredAs(h.Class, answer)
+		r.countAnswer(h.Class, answer)
 		return changes
 	}
 	if n.Outcome == traffic.GivenUp {
-		r.count.GivenUp++
-		r.counted(h.Class, r.tally.errors)
+		r.counters.GivenUp++
+		r.countClass(h.Class, r.classCounts.errors)
 	} else {
-		r.count.HandedBack++
-		r.counted(h.Class, r.tally.overload)
+		r.counters.HandedBack++
+		r.countClass(h.Class, r.classCounts.overload)
 	}
-	if r.ordered(&h.Transaction) {
+	if r.keepsOrder(&h.Transaction) {
 		n.Order = h.Order
-		r.noticed[n.ID] = h.Order
+		r.noticePending[n.ID] = h.Order
 	}
-	*after = append(*after, deed{do: func() { r.cfg.Notices.Send(n) }})
+	*deferred = append(*deferred, deferredAction{run: func() { r.cfg.Notices.Send(n) }})
 	return append(changes, traffic.Ended{ID: n.ID, Notice: &n})
 }
 
-func (h *held) reply(a traffic.Answer) {
-	for _, to := range h.fresh {
+// reply answers all clients that wait for the result of the submission.
+func (h *openTransaction) reply(a traffic.Answer) {
+	for _, to := range h.submitters {
 		to <- a
 	}
-	h.fresh = nil
+	h.submitters = nil
 }
 
-// commit journals a step. Where that fails, nothing new is taken on and no flow starts; ends are kept for
-// the next step's write.
-func (r *Relay) commit(changes []traffic.Change, taken []*held, after []deed) bool {
-	err := r.cfg.Store.Commit(append(r.unsaved, changes...))
+// commit writes a step to the journal. After an error no transaction is accepted and no flow starts; ends are kept for the commit of
+// the next step.
+func (r *Relay) commit(changes []traffic.Change, accepted []*openTransaction, deferred []deferredAction) bool {
+	err := r.cfg.Store.Commit(append(r.unsavedChanges, changes...))
 	if err == nil {
-		r.unsaved = nil
-		r.count.TakenOn += int64(len(taken))
-		for _, h := range taken {
+		r.unsavedChanges = nil
+		r.counters.TakenOn += int64(len(accepted))
+		for _, h := range accepted {
 			h.reply(traffic.Answer{Verdict: traffic.Accepted})
 		}
 		return true
 	}
-	r.count.CommitErrors++
+	r.counters.CommitErrors++
 	slog.Error("journal write failed", "err", err)
 	for _, ch := range changes {
 		switch ch.(type) {
 		case traffic.Taken, traffic.FlowBegun:
 		default:
-			r.unsaved = append(r.unsaved, ch)
+			r.unsavedChanges = append(r.unsavedChanges, ch)
 		}
 	}
 	dropped := map[string]bool{}
-	var follow []dispatch.Event
-	for _, h := range taken {
+	var followUp []dispatch.Event
+	for _, h := range accepted {
 		dropped[h.ID] = true
-		r.later = slices.DeleteFunc(r.later, func(o *held) bool { return o == h })
+		r.awaitingTurn = slices.DeleteFunc(r.awaitingTurn, func(o *openTransaction) bool { return o == h })
 		r.forget(h)
-		r.count.Full++
-		r.answeredAs(h.Class, traffic.Answer{Verdict: traffic.Busy})
-		h.reply(traffic.Answer{Verdict: traffic.Busy, RetryIn: fullRetry})
-		follow = append(follow, dispatch.Hangup{ID: h.ID})
+		r.counters.Full++
+		r.countAnswer(h.Class, traffic.Answer{Verdict: traffic.Busy})
+		h.reply(traffic.Answer{Verdict: traffic.Busy, RetryIn: fullRetryIn})
+		followUp = append(followUp, dispatch.Hangup{ID: h.ID})
 	}
-	for _, d := range after {
+	for _, d := range deferred {
 		if d.flow == nil {
 			continue
 		}
 		for _, f := range d.flow.All() {
 			end := traffic.FlowEnd{ID: f.ID, Attempt: f.Attempt, Member: f.Member, Status: traffic.Unsent}
 			if dropped[end.ID] {
-				r.out--
-				follow = append(follow, outcome(end))
+				r.activeFlows--
+				followUp = append(followUp, outcome(end))
 			} else {
 				r.post(end)
 			}
 		}
 	}
-	if len(follow) > 0 {
-		r.post(follow)
+	if len(followUp) > 0 {
+		r.post(followUp)
 	}
 	return false
 }
 
-// knownChanged publishes the pool's members for operators' calls.
-func (r *Relay) knownChanged() {
-	known := make(map[string]bool, len(r.pool.members))
+// publishKnownMembers copies the pool's members for the admin endpoint.
+func (r *Relay) publishKnownMembers() {
+	knownMembers := make(map[string]bool, len(r.pool.members))
 	for id := range r.pool.members {
-		known[id] = true
+		knownMembers[id] = true
 	}
 	r.mu.Lock()
-	r.known = known
+	r.knownMembers = knownMembers
 	r.mu.Unlock()
 }
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -11,56 +11,58 @@
 	"slatemux/internal/traffic"
 )
 
-// world stands for store, flows and notices, and notes what is asked of them in order.
-type world struct {
-	did   []string
-	flows []traffic.Flow
-	fail  error
-	full  bool
+// fakeIO implements Store, Flows and Notices and records the calls in order.
+type fakeIO struct {
+	calls     []string
+	flows     []traffic.Flow
+	commitErr error
+	storeFull bool
 }
 
-func (w *world) Commit(changes []traffic.Change) error {
+func (w *fakeIO) Commit(changes []traffic.Change) error {
 	for _, ch := range changes {
 		text := strings.TrimPrefix(fmt.Sprintf("%T", ch), "traffic.")
-		if w.fail != nil {
+		if w.commitErr != nil {
 			text = "not " + text
 		}
-		w.did = append(w.did, text)
+		w.calls = append(w.calls, text)
 	}
-	return w.fail
+	return w.commitErr
 }
-func (w *world) Room(int64) bool         { return !w.full }
-func (w *world) Start(f traffic.Flow)    { w.did, w.flows = append(w.did, "start"), append(w.flows, f) }
-func (w *world) Cancel(id string, a int) { w.did = append(w.did, "cancel") }
-func (w *world) Pool(traffic.PoolNews)   { w.did = append(w.did, "pool") }
-func (w *world) Send(n traffic.Notice)   { w.did = append(w.did, fmt.Sprint("notice ", n.Outcome)) }
-func (w *world) took() (done string)     { done, w.did = strings.Join(w.did, ", "), nil; return }
-func (w *world) last() traffic.Flow      { return w.flows[len(w.flows)-1] }
-func (w *world) String() string          { return w.took() }
+func (w *fakeIO) Room(int64) bool { return !w.storeFull }
+func (w *fakeIO) Start(f traffic.Flow) {
+	w.calls, w.flows = append(w.calls, "start"), append(w.flows, f)
+}
+func (w *fakeIO) Cancel(id string, a int)  { w.calls = append(w.calls, "cancel") }
+func (w *fakeIO) Pool(traffic.PoolNews)    { w.calls = append(w.calls, "pool") }
+func (w *fakeIO) Send(n traffic.Notice)    { w.calls = append(w.calls, fmt.Sprint("notice ", n.Outcome)) }
+func (w *fakeIO) takeCalls() (done string) { done, w.calls = strings.Join(w.calls, ", "), nil; return }
+func (w *fakeIO) lastFlow() traffic.Flow   { return w.flows[len(w.flows)-1] }
+func (w *fakeIO) String() string           { return w.takeCalls() }
 
-var known = traffic.PoolNews{Whole: true, Members: []traffic.Member{{Host: "m1", Class: "partner", Destination: 7},
+var initialPool = traffic.PoolNews{Whole: true, Members: []traffic.Member{{Host: "m1", Class: "partner", Destination: 7},
 	{Host: "m2", Class: "partner", Destination: 7}}}
 
-func start(t *testing.T, open ...traffic.Open) (*Relay, *world, time.Time) {
+func startRelay(t *testing.T, open ...traffic.Open) (*Relay, *fakeIO, time.Time) {
 	t.Helper()
-	w := &world{}
-	r, err := New(Config{Settings: settingsForTest(), MostBytes: 1 << 20, Store: w, Flows: w, Notices: w})
+	w := &fakeIO{}
+	r, err := New(Config{Settings: testSettings(), MostBytes: 1 << 20, Store: w, Flows: w, Notices: w})
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.Start(known, nil, open, nil)
-	return r, w, r.origin.Add(10 * time.Millisecond)
+	r.Start(initialPool, nil, open, nil)
+	return r, w, r.epoch.Add(10 * time.Millisecond)
 }
 
 func transaction(id, class string, deadline time.Time) traffic.Transaction {
 	return traffic.Transaction{ID: id, Class: class, Key: "k", Destination: 7, Deadline: deadline, Body: []byte("b")}
 }
 
-// hand hands a transaction in at a step of its own and returns its answer, if there is one.
-func hand(t *testing.T, r *Relay, now time.Time, tr traffic.Transaction) traffic.Answer {
+// submit submits a transaction in a step of its own and returns the answer.
+func submit(t *testing.T, r *Relay, now time.Time, tr traffic.Transaction) traffic.Answer {
 	t.Helper()
 	answer := r.Put(tr, now)
-	r.step(now, taken(r))
+	r.step(now, takeBatch(r))
 	select {
 	case a := <-answer:
 		return a
@@ -70,41 +72,41 @@
 	}
 }
 
-// The journal has a transaction before its client hears of it and a flow before it starts; what ends in the
-// step of its hand-in leaves no trace.
-func TestOrderOfAStep(t *testing.T) {
-	r, w, now := start(t)
-	w.took()
-	if a := hand(t, r, now, transaction("a", "slot", now.Add(5*time.Second))); a.Verdict != traffic.Accepted {
-		t.Fatalf("%+v", a)
+// The journal has a transaction before its client gets the answer, and a flow before it starts. A transaction that ends in the step
+// of its submission leaves no journal record.
+func TestJournalsBeforeAnswerAndStart(t *testing.T) {
+	r, w, now := startRelay(t)
+	w.takeCalls()
+	if a := submit(t, r, now, transaction("a", "slot", now.Add(5*time.Second))); a.Verdict != traffic.Accepted {
+		t.Fatalf("answer %+v", a)
 	}
-	if got := w.took(); got != "Taken, FlowBegun, start" {
-		t.Errorf("a hand-in: %s", got)
+	if got := w.takeCalls(); got != "Taken, FlowBegun, start" {
+		t.Errorf("calls for a submission: %s", got)
 	}
-	if a := hand(t, r, now, transaction("a", "slot", now.Add(5*time.Second))); a.Verdict != traffic.Accepted || w.took() != "" {
-		t.Errorf("the same once more: %+v", a)
+	if a := submit(t, r, now, transaction("a", "slot", now.Add(5*time.Second))); a.Verdict != traffic.Accepted || w.takeCalls() != "" {
+		t.Errorf("the same message again: answer %+v", a)
 	}
-	if a := hand(t, r, now, transaction("b", "slot", now.Add(time.Millisecond))); a.Verdict != traffic.Busy || w.took() != "" {
-		t.Errorf("out of time at once: %+v", a)
+	if a := submit(t, r, now, transaction("b", "slot", now.Add(time.Millisecond))); a.Verdict != traffic.Busy || w.takeCalls() != "" {
+		t.Errorf("deadline too close: answer %+v", a)
 	}
 	now = now.Add(time.Second)
-	r.step(now, []any{traffic.FlowEnd{ID: "a", Member: w.last().Member, Status: traffic.Delivered}})
-	if got := w.took(); got != "Ended" || len(r.open) != 0 || r.bytes != 0 {
-		t.Errorf("a delivery: %s, %d open, %d bytes", got, len(r.open), r.bytes)
+	r.step(now, []any{traffic.FlowEnd{ID: "a", Member: w.lastFlow().Member, Status: traffic.Delivered}})
+	if got := w.takeCalls(); got != "Ended" || len(r.open) != 0 || r.bytes != 0 {
+		t.Errorf("after the delivery: calls %s, %d open, %d bytes", got, len(r.open), r.bytes)
 	}
 }
 
-// Each end of a flow that the protocol's table has, and what it means.
-func TestEveryEndOfAFlow(t *testing.T) {
+// Every flow status leads to the journal record that the protocol requires.
+func TestFlowEndings(t *testing.T) {
 	for status, want := range map[traffic.FlowStatus]string{
 		traffic.Delivered: "Ended", traffic.Over: "Ended", traffic.Errored: "ran", traffic.Broken: "ran",
 		traffic.OutOfTime: "ran", traffic.CalledOff: "ran", traffic.TurnedAway: "never", traffic.NoSlot: "never",
 		traffic.Spent: "never", traffic.Unsent: "never", traffic.NotConnected: "never"} {
-		r, w, now := start(t)
-		hand(t, r, now, transaction("a", "pay", now.Add(28*time.Second)))
-		w.took()
-		r.step(now.Add(time.Millisecond), []any{traffic.FlowEnd{ID: "a", Member: w.last().Member, Status: status}})
-		got := strings.Split(w.took(), ", ")[0]
+		r, w, now := startRelay(t)
+		submit(t, r, now, transaction("a", "pay", now.Add(28*time.Second)))
+		w.takeCalls()
+		r.step(now.Add(time.Millisecond), []any{traffic.FlowEnd{ID: "a", Member: w.lastFlow().Member, Status: status}})
+		got := strings.Split(w.takeCalls(), ", ")[0]
 		if got == "FlowEnded" {
 			if got = "never"; !r.open["a"].FirstSent.IsZero() {
 				got = "ran"
@@ -116,103 +118,103 @@
 	}
 }
 
-// Where the journal cannot be written nothing is taken on and nothing sent, and an end is written later.
+// While the journal cannot be written, nothing is accepted or sent. The end of a flow is written later.
 func TestJournalFailure(t *testing.T) {
-	r, w, now := start(t)
-	hand(t, r, now, transaction("a", "slot", now.Add(5*time.Second)))
-	w.took()
-	w.fail = errors.New("no room")
-	if a := hand(t, r, now, transaction("b", "slot", now.Add(5*time.Second))); a.Verdict != traffic.Busy {
-		t.Errorf("%+v", a)
-	}
-	if got := w.took(); strings.Contains(got, "start") || len(r.open) != 1 {
-		t.Errorf("%s, %d open", got, len(r.open))
-	}
-	r.step(now, append(taken(r), traffic.FlowEnd{ID: "a", Member: w.flows[0].Member, Status: traffic.Delivered}))
-	w.took()
-	w.fail = nil
+	r, w, now := startRelay(t)
+	submit(t, r, now, transaction("a", "slot", now.Add(5*time.Second)))
+	w.takeCalls()
+	w.commitErr = errors.New("no room")
+	if a := submit(t, r, now, transaction("b", "slot", now.Add(5*time.Second))); a.Verdict != traffic.Busy {
+		t.Errorf("failed commit: answer %+v", a)
+	}
+	if got := w.takeCalls(); strings.Contains(got, "start") || len(r.open) != 1 {
+		t.Errorf("failed commit: calls %s, %d open", got, len(r.open))
+	}
+	r.step(now, append(takeBatch(r), traffic.FlowEnd{ID: "a", Member: w.flows[0].Member, Status: traffic.Delivered}))
+	w.takeCalls()
+	w.commitErr = nil
 	r.step(now.Add(time.Second), nil)
-	if got := w.took(); got != "Ended" {
-		t.Errorf("after the failure: %s", got)
+	if got := w.takeCalls(); got != "Ended" {
+		t.Errorf("after the failure: calls %s", got)
 	}
 }
 
-func TestRefusesWhatItHasNoRoomFor(t *testing.T) {
-	r, w, now := start(t)
-	w.full = true
-	if a := hand(t, r, now, transaction("a", "slot", now.Add(5*time.Second))); a.Verdict != traffic.Busy || a.RetryIn == 0 {
-		t.Errorf("journal full: %+v", a)
+func TestRefusesWithoutRoom(t *testing.T) {
+	r, w, now := startRelay(t)
+	w.storeFull = true
+	if a := submit(t, r, now, transaction("a", "slot", now.Add(5*time.Second))); a.Verdict != traffic.Busy || a.RetryIn == 0 {
+		t.Errorf("journal full: answer %+v", a)
 	}
-	w.full, r.cfg.MostBytes = false, 10
-	if a := hand(t, r, now, transaction("b", "slot", now.Add(5*time.Second))); a.Verdict != traffic.Busy {
-		t.Errorf("memory full: %+v", a)
+	w.storeFull, r.cfg.MostBytes = false, 10
+	if a := submit(t, r, now, transaction("b", "slot", now.Add(5*time.Second))); a.Verdict != traffic.Busy {
+		t.Errorf("memory full: answer %+v", a)
 	}
 	r.cfg.MostBytes = 1 << 20
 	late := r.Put(transaction("c", "slot", now.Add(5*time.Second)), now.Add(-time.Second))
-	r.step(now, taken(r))
-	if a := <-late; a.Verdict != traffic.Busy { // its client has gone
-		t.Errorf("a hand-in that waited for a second: %+v", a)
+	r.step(now, takeBatch(r))
+	if a := <-late; a.Verdict != traffic.Busy { // its client may have gone
+		t.Errorf("a submission that waited for a second: answer %+v", a)
 	}
 	r.stop()
 	if a := <-r.Put(transaction("d", "slot", now.Add(5*time.Second)), now); a.Verdict != traffic.Busy {
-		t.Errorf("after the end: %+v", a)
+		t.Errorf("after stop: answer %+v", a)
 	}
 }
 
-// A destination that the pool does not have is refused: with a word to come again while discovery has not been
-// heard, for good after that. One whose last member just left is still known, for a successor may come.
+// A submission for a destination outside the pool is refused: with a retry time before the first update from discovery, for good
+// after that. A destination whose last member has just left is still known, because a replacement may join.
 func TestUnknownDestination(t *testing.T) {
-	r, _, now := start(t)
+	r, _, now := startRelay(t)
 	odd := transaction("a", "slot", now.Add(5*time.Second))
 	odd.Destination = 99
-	if a := hand(t, r, now, odd); a.Verdict != traffic.Busy {
-		t.Errorf("before discovery was heard: %+v", a)
+	if a := submit(t, r, now, odd); a.Verdict != traffic.Busy {
+		t.Errorf("before the first update from discovery: answer %+v", a)
 	}
 	news := func(after time.Duration, health traffic.Health) {
 		r.PoolChanged(traffic.PoolNews{Members: []traffic.Member{{Host: "m1", Class: "partner", Destination: 7,
 			Health: health}, {Host: "m2", Class: "partner", Destination: 7, Health: health}}})
-		r.step(now.Add(after), taken(r))
+		r.step(now.Add(after), takeBatch(r))
 	}
 	news(0, traffic.Left)
-	if a := hand(t, r, now, odd); a.Verdict != traffic.Failed || len(r.pool.members) > 0 {
-		t.Errorf("not in the pool: %+v, kept %v", a, r.pool.members)
+	if a := submit(t, r, now, odd); a.Verdict != traffic.Failed || len(r.pool.members) > 0 {
+		t.Errorf("not in the pool: answer %+v, members kept %v", a, r.pool.members)
 	}
-	if a := hand(t, r, now, transaction("b", "slot", now.Add(5*time.Second))); a.Verdict != traffic.Accepted {
-		t.Errorf("just left: %+v", a)
+	if a := submit(t, r, now, transaction("b", "slot", now.Add(5*time.Second))); a.Verdict != traffic.Accepted {
+		t.Errorf("last member just left: answer %+v", a)
 	}
-	if a := hand(t, r, now.Add(2*goneFor), transaction("c", "slot", now.Add(3*goneFor))); a.Verdict != traffic.Failed {
-		t.Errorf("long left: %+v", a)
+	if a := submit(t, r, now.Add(2*goneRetention), transaction("c", "slot", now.Add(3*goneRetention))); a.Verdict != traffic.Failed {
+		t.Errorf("last member left long ago: answer %+v", a)
 	}
-	news(2*goneFor, traffic.Left)
-	if len(r.pool.gone) > 0 || r.count.Unlisted != 3 {
-		t.Errorf("kept %v, counted %d", r.pool.gone, r.count.Unlisted)
+	news(2*goneRetention, traffic.Left)
+	if len(r.pool.goneSince) > 0 || r.counters.Unlisted != 3 {
+		t.Errorf("destinations kept %v, unlisted submissions counted %d", r.pool.goneSince, r.counters.Unlisted)
 	}
 }
 
-// Another message under the id of one that is open is not taken on and changes nothing; the same one sent once
-// more, as after a close that crossed it, is answered as taken on.
-func TestBorrowedID(t *testing.T) {
-	r, w, now := start(t)
+// Another message with the id of an open one is refused and changes nothing. The same message sent again, for example after a
+// connection closed before the answer, is answered as accepted.
+func TestReusedID(t *testing.T) {
+	r, w, now := startRelay(t)
 	tr := transaction("a", "pay", now.Add(28*time.Second))
-	if a := hand(t, r, now, tr); a.Verdict != traffic.Accepted {
+	if a := submit(t, r, now, tr); a.Verdict != traffic.Accepted {
 		t.Fatal(a)
 	}
-	w.took()
+	w.takeCalls()
 	other := tr
 	other.Body = []byte("other")
-	if a := hand(t, r, now, other); a.Verdict != traffic.Failed || string(r.open["a"].Body) != "b" {
-		t.Errorf("another message with the id: %+v, held %q", a, r.open["a"].Body)
+	if a := submit(t, r, now, other); a.Verdict != traffic.Failed || string(r.open["a"].Body) != "b" {
+		t.Errorf("another message with the id: answer %+v, open body %q", a, r.open["a"].Body)
 	}
-	if a := hand(t, r, now, tr); a.Verdict != traffic.Accepted {
-		t.Errorf("the same once more: %+v", a)
+	if a := submit(t, r, now, tr); a.Verdict != traffic.Accepted {
+		t.Errorf("the same message again: answer %+v", a)
 	}
-	if got := w.took(); strings.Contains(got, "Taken") || strings.Contains(got, "start") || r.count.Borrowed != 1 {
-		t.Errorf("did %s, counted %d", got, r.count.Borrowed)
+	if got := w.takeCalls(); strings.Contains(got, "Taken") || strings.Contains(got, "start") || r.counters.Borrowed != 1 {
+		t.Errorf("calls %s, reused ids counted %d", got, r.counters.Borrowed)
 	}
 }
 
-// After a restart a keyed transaction that may have run is repeated within the memory of its destination
-// alone, its attempts count on, and one that may not go again ends with a notice at once.
+// After a restart, a keyed transaction that may have run is retried only within the class's memory span. Its attempts continue to
+// count. A transaction that may not be sent again ends with a notice at once.
 func TestRestart(t *testing.T) {
 	now := time.Now()
 	far := now.Add(20 * time.Second)
@@ -222,31 +224,32 @@
 		{Transaction: transaction("spent", "slot", far), Attempts: 3},
 		{Transaction: transaction("late", "slot", now.Add(-time.Second))},
 	}
-	r, w, _ := start(t, open...)
+	r, w, _ := startRelay(t, open...)
 	if len(w.flows) != 1 {
-		t.Fatalf("flows %+v", w.flows)
+		t.Fatalf("started flows %+v", w.flows)
 	}
-	f := w.last()
+	f := w.lastFlow()
 	if f.ID != "fresh" || f.Attempt != 1 || !f.WriteBy.Equal(open[0].FirstSent.Add(15*time.Second)) {
-		t.Errorf("%+v", f)
+		t.Errorf("retry after the restart: flow %+v", f)
 	}
-	got := w.took()
+	got := w.takeCalls()
 	if strings.Count(got, fmt.Sprint("notice ", traffic.GivenUp)) != 1 ||
 		strings.Count(got, fmt.Sprint("notice ", traffic.HandedBack)) != 2 || strings.Contains(got, "Taken") {
 		t.Error(got)
 	}
 	if c := r.Counters(); c.Recovered != 4 || c.Open != 1 {
-		t.Errorf("%+v", c)
+		t.Errorf("counters %+v", c)
 	}
 }
 
-// A restart where the window for repeats is 1 s: what was tried is sent again within that of its first try, with room for the call
-// itself, also by the second of two restarts within the second, and then ended truthfully; what was never tried has no window running,
-// and is tried, also where many were found; an unsafe one that may have run is never sent again. A clock that was set back, so that the
-// first try lies in the future, makes no window longer, and no transaction's time either.
-func TestRestartWithAShortWindow(t *testing.T) {
+// Restart with a retry window of 1 s. A transaction that was sent is retried only within the window after its first call, with time
+// left for the call itself. This also applies to the second of two restarts within the second. After the window it ends as given up.
+// A transaction that was never sent has no window and is sent, even if many were recovered. An unsafe transaction that may have run
+// is never sent again. If the clock was set back, the first call lies in the future; this extends neither the window nor the time of
+// any transaction.
+func TestRestartWithShortRetryWindow(t *testing.T) {
 	now := time.Now()
-	set := settingsForTest()
+	set := testSettings()
 	set.MaxOpen = 40
 	for i := range set.Classes {
 		set.Classes[i].Memory = time.Second
@@ -261,95 +264,95 @@
 	for i := range 6 {
 		open = append(open, traffic.Open{Transaction: transaction(fmt.Sprint("untried", i), "pay", far)})
 	}
-	open[4].Deadline = now.Add(time.Hour) // by the clock before
-	for range 2 {                         // the second start finds what the first one did
-		w := &world{}
+	open[4].Deadline = now.Add(time.Hour) // by the clock before it was set back
+	for range 2 {                         // the second start recovers the same state
+		w := &fakeIO{}
 		r, err := New(Config{Settings: set, MostBytes: 1 << 20, Store: w, Flows: w, Notices: w})
 		if err != nil {
 			t.Fatal(err)
 		}
-		r.Start(known, nil, open, nil)
+		r.Start(initialPool, nil, open, nil)
 		sent := map[string]traffic.Flow{}
 		for _, f := range w.flows {
 			sent[f.ID] = f
 		}
 		for _, id := range []string{"over", "back", "once"} {
 			if f, ok := sent[id]; ok || r.open[id] != nil {
-				t.Errorf("%s: sent %v %+v, open %v", id, ok, f, r.open[id] != nil)
+				t.Errorf("transaction %s: sent %v, flow %+v, open %v", id, ok, f, r.open[id] != nil)
 			}
 		}
-		if got := strings.Count(w.took(), fmt.Sprint("notice ", traffic.GivenUp)); got != 3 {
+		if got := strings.Count(w.takeCalls(), fmt.Sprint("notice ", traffic.GivenUp)); got != 3 {
 			t.Errorf("%d given up, want 3", got)
 		}
 		if f := sent["within"]; f.WriteBy.IsZero() || f.WriteBy.After(open[0].FirstSent.Add(time.Second)) {
-			t.Errorf("a repeat within its window: %+v", f)
+			t.Errorf("a retry within its window: flow %+v", f)
 		}
-		for i := range 6 { // those that have to wait for a slot are still owed their try
+		for i := range 6 { // transactions that wait for a slot are not lost
 			id := fmt.Sprint("untried", i)
 			f, ok := sent[id]
 			if !ok && r.open[id] == nil || !f.WriteBy.IsZero() {
-				t.Errorf("%s: sent %v, %+v", id, ok, f)
+				t.Errorf("transaction %s: sent %v, flow %+v", id, ok, f)
 			}
 		}
 		if h := r.open["untried0"]; h == nil || h.Deadline.After(now.Add(29*time.Second)) {
-			t.Errorf("a transaction's time by a clock that was set back: %+v", h)
+			t.Errorf("after the clock was set back: transaction %+v", h)
 		}
 	}
 }
 
-// The answer to a keyed call that came too late must not lead to a call beyond the memory; WriteBy carries
-// that to the flow, which may have to connect first.
-func TestWriteByHoldsForRepeats(t *testing.T) {
-	r, w, now := start(t)
-	hand(t, r, now, transaction("a", "pay", now.Add(28*time.Second)))
-	if !w.last().WriteBy.IsZero() {
-		t.Errorf("a first call has %v", w.last().WriteBy)
-	}
-	r.step(now.Add(time.Second), []any{traffic.FlowEnd{ID: "a", Member: w.last().Member, Status: traffic.Broken}})
+// A retry of a keyed call must not be written after the memory span. WriteBy tells that limit to the flow, which may have to connect
+// first.
+func TestRetryHasWriteBy(t *testing.T) {
+	r, w, now := startRelay(t)
+	submit(t, r, now, transaction("a", "pay", now.Add(28*time.Second)))
+	if !w.lastFlow().WriteBy.IsZero() {
+		t.Errorf("a first call has WriteBy %v", w.lastFlow().WriteBy)
+	}
+	r.step(now.Add(time.Second), []any{traffic.FlowEnd{ID: "a", Member: w.lastFlow().Member, Status: traffic.Broken}})
 	r.step(now.Add(2*time.Second), nil)
-	if len(w.flows) != 2 || !w.last().WriteBy.Equal(now.Add(15*time.Second)) {
-		t.Errorf("%+v", w.flows)
+	if len(w.flows) != 2 || !w.lastFlow().WriteBy.Equal(now.Add(15*time.Second)) {
+		t.Errorf("retry: flows %+v", w.flows)
 	}
 }
 
-// A call that was answered in the last moment before the exit must not be made again after the restart.
-func TestStopJournalsWhatHasEnded(t *testing.T) {
-	r, w, now := start(t)
-	hand(t, r, now, transaction("a", "slot", now.Add(5*time.Second)))
-	w.took()
-	r.FlowEnded(traffic.FlowEnd{ID: "a", Member: w.last().Member, Status: traffic.Delivered})
+// A call that was answered just before the exit must not be repeated after the restart.
+func TestStopJournalsEnds(t *testing.T) {
+	r, w, now := startRelay(t)
+	submit(t, r, now, transaction("a", "slot", now.Add(5*time.Second)))
+	w.takeCalls()
+	r.FlowEnded(traffic.FlowEnd{ID: "a", Member: w.lastFlow().Member, Status: traffic.Delivered})
 	r.NoticesAnswered([]string{"z"})
 	answer := r.Put(transaction("b", "slot", now.Add(5*time.Second)), now)
 	r.stop()
-	if got := w.took(); got != "Ended, Answered" {
+	if got := w.takeCalls(); got != "Ended, Answered" {
 		t.Error(got)
 	}
 	if a := <-answer; a.Verdict != traffic.Busy {
-		t.Errorf("a hand-in that no step saw: %+v", a)
+		t.Errorf("a submission that no step processed: answer %+v", a)
 	}
 }
 
-// taken is what the inbox held.
-func taken(r *Relay) []any {
-	batch, _ := r.take()
+// takeBatch empties the inbox and returns its content.
+func takeBatch(r *Relay) []any {
+	batch, _ := r.takeInbox()
 	return batch
 }
 
-// What was learned of a destination is told once a list names it, which the list of the start need not do, and once only.
-func TestLimitsWaitForTheList(t *testing.T) {
-	r, _, _ := start(t)
+// A learned limit is reported once, when a list first names its destination. The list at the start need not name it.
+func TestRecallsLimitsOncePerDestination(t *testing.T) {
+	r, _, _ := startRelay(t)
 	limits := map[int]float64{3: 25, 7: 50}
-	r.Start(known, limits, nil, nil)
+	r.Start(initialPool, limits, nil, nil)
 	news := traffic.PoolNews{Members: []traffic.Member{{Host: "b", Destination: 3}, {Host: "c", Destination: 3}, {Host: "m1", Destination: 7}}}
-	if got := r.recalled(news); len(got) != 1 || got[0] != (dispatch.Recalled{Destination: 3, Limit: 25}) {
-		t.Errorf("%v", got)
+	if got := r.recalledLimits(news); len(got) != 1 || got[0] != (dispatch.Recalled{Destination: 3, Limit: 25}) {
+		t.Errorf("first list: events %v", got)
 	}
-	if got := r.recalled(news); len(got) != 0 || len(limits) != 2 {
-		t.Errorf("told again: %v", got)
+	if got := r.recalledLimits(news); len(got) != 0 || len(limits) != 2 {
+		t.Errorf("second list: events %v", got)
 	}
 }
 
-func settingsForTest() dispatch.Settings {
+func testSettings() dispatch.Settings {
 	return dispatch.Settings{
 		Classes: []dispatch.Class{
 			{Name: "pay", Effect: dispatch.Keyed, Memory: 15 * time.Second, Aim: 4 * time.Second, Deadline: 28 * time.Second, Worth: 1},
