--- a/cmd/slatemux/cli.go
+++ b/cmd/slatemux/cli.go
@@ -25,17 +25,17 @@
 )
 
 func main() {
-	in := listen() // first of all: a SIGHUP that comes early must not end the program
-	if err := command(in, os.Getenv).Execute(); err != nil {
+	sig := notifySignals() // first of all: a SIGHUP that comes early must not end the program
+	if err := newRootCommand(sig, os.Getenv).Execute(); err != nil {
 		fmt.Fprintln(os.Stderr, "slatemux:", err)
 		os.Exit(1)
 	}
 }
 
-// command builds the command line. Without a subcommand the program serves.
-func command(in signals, getenv func(string) string) *cobra.Command {
+// newRootCommand builds the command line. Without a subcommand the program serves.
+func newRootCommand(sig signals, getenv func(string) string) *cobra.Command {
 	var path, format, level string
-	var countersEvery time.Duration
+	var countersInterval time.Duration
 	root := &cobra.Command{
 		Use:   "slatemux",
 		Short: "A relay that delivers messages to outside partners",
@@ -57,23 +57,23 @@
 		Example: "  NODE_CONFIG=example/config.json NODE_STATE=bin/state slatemux serve --config deploy/gateway.textproto",
 		Args:    cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
-			cfg, err := load(getenv, path)
+			cfg, err := loadConfig(getenv, path)
 			if err != nil {
 				return err
 			}
-			cfg.countersEvery = countersEvery
+			cfg.countersInterval = countersInterval
 			logging := cfg.gateway.Log
-			if err := logFlags(&logging, format, level); err != nil {
+			if err := applyLogFlags(&logging, format, level); err != nil {
 				return err
 			}
 			slog.SetDefault(newLogger(os.Stderr, logging).With("relay", cfg.name))
-			return run(cfg, in, func() (config, error) { return load(getenv, path) }, func(net.Addr) {})
+			return run(cfg, sig, func() (config, error) { return loadConfig(getenv, path) }, func(net.Addr) {})
 		},
 	}
 	for _, c := range []*cobra.Command{root, serve} {
 		c.Flags().StringVar(&format, "log-format", "", "auto, text, json or colour (default: as the settings say, or auto)")
 		c.Flags().StringVar(&level, "log-level", "", "debug, info, warn or error (default: as the settings say, or info)")
-		c.Flags().DurationVar(&countersEvery, "counters-every", 0, "log the counters so often, as slatelab fleet reads them (default: at SIGUSR1 and at the exit alone)")
+		c.Flags().DurationVar(&countersInterval, "counters-every", 0, "log the counters so often, as slatelab fleet reads them (default: at SIGUSR1 and at the exit alone)")
 		_ = c.RegisterFlagCompletionFunc("log-format", cobra.FixedCompletions([]string{"auto", "text", "json", "colour"}, cobra.ShellCompDirectiveNoFileComp))
 		_ = c.RegisterFlagCompletionFunc("log-level", cobra.FixedCompletions([]string{"debug", "info", "warn", "error"}, cobra.ShellCompDirectiveNoFileComp))
 	}
@@ -86,7 +86,7 @@
 		Example: "  NODE_CONFIG=example/config.json slatemux check --config deploy/gateway.textproto",
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			cfg, err := load(func(name string) string {
+			cfg, err := loadConfig(func(name string) string {
 				if name == "NODE_STATE" && getenv(name) == "" {
 					return os.TempDir()
 				}
@@ -96,7 +96,7 @@
 				return err
 			}
 			if cfg.gateway.Overload.Enabled {
-				if _, err := governor.New(governor.Config{Control: cfg.control()}); err != nil {
+				if _, err := governor.New(governor.Config{Control: cfg.overloadConfig()}); err != nil {
 					return fmt.Errorf("%s: %w", cfg.gatewayPath, err)
 				}
 			}
@@ -113,7 +113,7 @@
 			if _, err := secure.New(cfg.gateway.TLS.Policies); err != nil {
 				return fmt.Errorf("%s: %w", cfg.gatewayPath, err)
 			}
-			return summary(cmd.OutOrStdout(), cfg)
+			return writeSummary(cmd.OutOrStdout(), cfg)
 		},
 	}
 	version := &cobra.Command{
@@ -146,22 +146,22 @@
 }
 
 // signalRelay sends a signal to a running relay.
-func signalRelay(what, process string, sig syscall.Signal) error {
-	pid, err := strconv.Atoi(process)
+func signalRelay(subcommand, pidText string, sig syscall.Signal) error {
+	pid, err := strconv.Atoi(pidText)
 	if err != nil || pid <= 1 {
-		return fmt.Errorf("%s: %q is not a process id", what, process)
+		return fmt.Errorf("%s: %q is not a process id", subcommand, pidText)
 	}
-	if exe, err := os.Readlink("/proc/" + process + "/exe"); err == nil && !strings.Contains(exe, "slatemux") {
-		return fmt.Errorf("%s: process %d is %s, not a slatemux: the signal would end it", what, pid, exe)
+	if exe, err := os.Readlink("/proc/" + pidText + "/exe"); err == nil && !strings.Contains(exe, "slatemux") {
+		return fmt.Errorf("%s: process %d is %s, not a slatemux: the signal would end it", subcommand, pid, exe)
 	}
 	if err := syscall.Kill(pid, sig); err != nil {
-		return fmt.Errorf("%s: process %d: %w", what, pid, err)
+		return fmt.Errorf("%s: process %d: %w", subcommand, pid, err)
 	}
 	return nil
 }
 
-// logFlags puts what the command line says over what the settings say.
-func logFlags(l *gateway.Log, format, level string) error {
+// applyLogFlags puts what the command line says over what the settings say.
+func applyLogFlags(l *gateway.Log, format, level string) error {
 	if format != "" {
 		f, ok := map[string]gateway.Format{"auto": gateway.Auto, "text": gateway.Text, "json": gateway.JSON, "colour": gateway.Colour}[format]
 		if !ok {
@@ -180,12 +180,12 @@
 // logLevel is what lines must have to be logged. It is the program's, for slog's default logger is.
 var logLevel slog.LevelVar
 
-// quiet rests lines below warnings, or sets the usual level again.
-func quiet(on bool, usual slog.Level) {
-	if on {
-		usual = max(usual, slog.LevelWarn)
+// setQuietLogging rests lines below warnings, or sets the usual level again.
+func setQuietLogging(quiet bool, configured slog.Level) {
+	if quiet {
+		configured = max(configured, slog.LevelWarn)
 	}
-	logLevel.Set(usual)
+	logLevel.Set(configured)
 }
 
 // newLogger writes log lines as the settings say.
@@ -201,48 +201,48 @@
 	default:
 		h = slog.NewTextHandler(w, opts)
 	}
-	return slog.New(sparingly(h, l.LinesPerSecond))
+	return slog.New(newRateLimitedHandler(h, l.LinesPerSecond))
 }
 
-// summary says what the files come to.
-func summary(w io.Writer, cfg config) error {
-	t := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
-	fmt.Fprintf(t, "relay\t%s\n", cfg.name)
-	fmt.Fprintf(t, "clients connect to\t%s\n", cfg.listen)
-	fmt.Fprintf(t, "discovery and platform\t%s\n", cfg.discovery)
-	fmt.Fprintf(t, "known pool members\t%d\n", len(cfg.known.Hosts))
-	most := cfg.caps()
-	fmt.Fprintf(t, "memory, bytes\t%d, of them %d for open messages, collector's limit %d\n", cfg.memory, most.openBytes, most.heap)
-	fmt.Fprintf(t, "descriptors\t%d: %d clients, %d to pool members\n", cfg.sockets, most.clients.Clients, most.members)
+// writeSummary says what the files come to.
+func writeSummary(w io.Writer, cfg config) error {
+	table := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
+	fmt.Fprintf(table, "relay\t%s\n", cfg.name)
+	fmt.Fprintf(table, "clients connect to\t%s\n", cfg.listen)
+	fmt.Fprintf(table, "discovery and platform\t%s\n", cfg.discovery)
+	fmt.Fprintf(table, "known pool members\t%d\n", len(cfg.known.Hosts))
+	limits := cfg.resourceLimits()
+	fmt.Fprintf(table, "memory, bytes\t%d, of them %d for open messages, collector's limit %d\n", cfg.memoryBytes, limits.openBytes, limits.heapBytes)
+	fmt.Fprintf(table, "descriptors\t%d: %d clients, %d to pool members\n", cfg.sockets, limits.clients.Clients, limits.memberConns)
 	for _, k := range cfg.settings.Classes {
-		fmt.Fprintf(t, "class %s\tworth %v, aim %v, deadline %v\n", k.Name, k.Worth, k.Aim, k.Deadline)
+		fmt.Fprintf(table, "class %s\tworth %v, aim %v, deadline %v\n", k.Name, k.Worth, k.Aim, k.Deadline)
 	}
-	own := "none: all defaults"
+	settingsFile := "none: all defaults"
 	if cfg.gatewayPath != "" {
-		own = cfg.gatewayPath
+		settingsFile = cfg.gatewayPath
 	}
-	fmt.Fprintf(t, "gateway settings\t%s\n", own)
+	fmt.Fprintf(table, "gateway settings\t%s\n", settingsFile)
 	if o := cfg.gateway.Overload; o.Enabled {
-		fmt.Fprintf(t, "overload\ton: busy %.2f, delay %v, a decision each %v, brownout %v\n", o.Control.TargetBusy, o.Control.TargetDelay, o.Tick, o.Brownout)
+		fmt.Fprintf(table, "overload\ton: busy %.2f, delay %v, a decision each %v, brownout %v\n", o.Control.TargetBusy, o.Control.TargetDelay, o.Tick, o.Brownout)
 	} else {
-		fmt.Fprintf(t, "overload\toff\n")
+		fmt.Fprintf(table, "overload\toff\n")
 	}
 	if f := cfg.gateway.Fleet; f.Enabled {
-		fmt.Fprintf(t, "fleet\t%s: hears others on %v, looks for them at %v, %d must agree\n", f.Name, f.Bind, f.Join, f.Agree)
+		fmt.Fprintf(table, "fleet\t%s: hears others on %v, looks for them at %v, %d must agree\n", f.Name, f.Bind, f.Join, f.Agree)
 	} else {
-		fmt.Fprintf(t, "fleet\toff\n")
+		fmt.Fprintf(table, "fleet\toff\n")
 	}
-	if c := replication(&cfg); c != nil {
-		fmt.Fprintf(t, "fleet configuration\ton: keys in %s, region %q, zone %q, an exchange each %v, %.0f bytes a second, of them %.0f of repairs, %d entries\n",
+	if c := replicationConfig(&cfg); c != nil {
+		fmt.Fprintf(table, "fleet configuration\ton: keys in %s, region %q, zone %q, an exchange each %v, %.0f bytes a second, of them %.0f of repairs, %d entries\n",
 			c.TrustedKeyFile, c.Region, c.Zone, c.Replication.Exchange, c.Replication.BytesPerSecond, c.Replication.RepairBytesPerSecond, c.MaxEntries)
 	} else {
-		fmt.Fprintf(t, "fleet configuration\toff\n")
+		fmt.Fprintf(table, "fleet configuration\toff\n")
 	}
 	for _, p := range cfg.gateway.TLS.Policies {
-		fmt.Fprintf(t, "tls policy %s\tdestinations %v, host %q, plain %v, client certificate %v, %d pins\n", p.Name, p.Destinations, p.Hosts, p.Plain,
+		fmt.Fprintf(table, "tls policy %s\tdestinations %v, host %q, plain %v, client certificate %v, %d pins\n", p.Name, p.Destinations, p.Hosts, p.Plain,
 			p.Certificate != "", len(p.Pins))
 	}
-	return t.Flush()
+	return table.Flush()
 }
 
 // buildVersion is what the Go tool knows of the build.
--- a/cmd/slatemux/cli_test.go
+++ b/cmd/slatemux/cli_test.go
@@ -10,11 +10,11 @@
 	"slatemux/internal/gateway"
 )
 
-// cli runs the command line and returns what it printed.
-func cli(t *testing.T, env map[string]string, args ...string) (string, error) {
+// runCLI runs the command line and returns what it printed.
+func runCLI(t *testing.T, env map[string]string, args ...string) (string, error) {
 	t.Helper()
 	var out bytes.Buffer
-	c := command(signals{}, func(name string) string { return env[name] })
+	c := newRootCommand(signals{}, func(name string) string { return env[name] })
 	c.SetArgs(args)
 	c.SetOut(&out)
 	c.SetErr(&out)
@@ -22,24 +22,24 @@
 	return out.String(), err
 }
 
-func TestCheck(t *testing.T) {
-	env := env(t, newAround(t).config)
-	out, err := cli(t, env, "check", "--config", "../../deploy/gateway.textproto")
+func TestCheckCommand(t *testing.T) {
+	env := writeTestConfig(t, newTestPeers(t).config)
+	out, err := runCLI(t, env, "check", "--config", "../../deploy/gateway.textproto")
 	if err != nil || !strings.Contains(out, "overload") || !strings.Contains(out, "on: busy 0.92") || !strings.Contains(out, "slot-status") {
 		t.Errorf("%s%v", out, err)
 	}
-	if out, err = cli(t, env, "check"); err != nil || !strings.Contains(out, "none: all defaults") {
+	if out, err = runCLI(t, env, "check"); err != nil || !strings.Contains(out, "none: all defaults") {
 		t.Errorf("%s%v", out, err)
 	}
 	bad := filepath.Join(t.TempDir(), "bad.textproto")
 	if err := os.WriteFile(bad, []byte("overload {\n  enabled: true\n  tick_ms: 1\n}\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := cli(t, env, "check", "--config", bad); err == nil || !strings.Contains(err.Error(), bad) || !strings.Contains(err.Error(), "overload.tick_ms") {
+	if _, err := runCLI(t, env, "check", "--config", bad); err == nil || !strings.Contains(err.Error(), bad) || !strings.Contains(err.Error(), "overload.tick_ms") {
 		t.Errorf("%v", err)
 	}
 	env["SLATEMUX_CONFIG"] = bad
-	if _, err := cli(t, env, "serve"); err == nil || !strings.Contains(err.Error(), "tick_ms") {
+	if _, err := runCLI(t, env, "serve"); err == nil || !strings.Contains(err.Error(), "tick_ms") {
 		t.Errorf("a relay was to serve with a bad file: %v", err)
 	}
 	// A floor that fits the file's range may still be too much for so many classes.
@@ -47,7 +47,7 @@
 	if err := os.WriteFile(floor, []byte("overload { enabled: true class_floor: 0.2 }"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := cli(t, env, "check", "--config", floor); err != nil {
+	if _, err := runCLI(t, env, "check", "--config", floor); err != nil {
 		t.Errorf("%v", err) // two classes keep 0.4: within bounds
 	}
 }
@@ -62,7 +62,7 @@
 		{[]string{"completion", "bash"}, "__start_slatemux"},
 		{[]string{"serve", "--help"}, "log-format"},
 	} {
-		if out, err := cli(t, nil, c.args...); err != nil || !strings.Contains(out, c.want) {
+		if out, err := runCLI(t, nil, c.args...); err != nil || !strings.Contains(out, c.want) {
 			t.Errorf("%v: %v, %d bytes without %q", c.args, err, len(out), c.want)
 		}
 	}
@@ -73,7 +73,7 @@
 		{[]string{"connections"}, "1 arg"}, {[]string{"connections", "0"}, "not a process id"}, {[]string{"counters"}, "1 arg"}, {[]string{"counters", "x"}, "not a process id"}, {[]string{"counters", "1"}, "not a process id"},
 		{[]string{"what"}, "unknown command"}, {nil, "NODE_CONFIG"},
 	} {
-		if _, err := cli(t, map[string]string{}, c.args...); err == nil || !strings.Contains(err.Error(), c.want) {
+		if _, err := runCLI(t, map[string]string{}, c.args...); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%v: %v, want %q", c.args, err, c.want)
 		}
 	}
@@ -82,10 +82,10 @@
 // Flags go before what the file says; what is not known is an error.
 func TestLogFlags(t *testing.T) {
 	l := gateway.Log{Format: gateway.Text}
-	if err := logFlags(&l, "json", "debug"); err != nil || l.Format != gateway.JSON || l.Level.String() != "DEBUG" {
+	if err := applyLogFlags(&l, "json", "debug"); err != nil || l.Format != gateway.JSON || l.Level.String() != "DEBUG" {
 		t.Errorf("%+v %v", l, err)
 	}
-	if logFlags(&l, "xml", "") == nil || logFlags(&l, "", "loud") == nil {
+	if applyLogFlags(&l, "xml", "") == nil || applyLogFlags(&l, "", "loud") == nil {
 		t.Error("a format or level that is not known was taken")
 	}
 }
--- a/cmd/slatemux/config.go
+++ b/cmd/slatemux/config.go
@@ -20,8 +20,8 @@
 	"slatemux/internal/settings"
 )
 
-// file is the configuration as deployed.
-type file struct {
+// configFile is the configuration as deployed.
+type configFile struct {
 	Name      string `json:"name"`
 	Listen    string `json:"listen"`
 	Discovery string `json:"discovery"`
@@ -39,30 +39,30 @@
 
 // config is what the relay runs with.
 type config struct {
-	name, listen, discovery, state string
-	ops                            string // the operators' address; none where empty
-	written                        string // discovery as the file has it, whatever the environment says
-	seed                           int64
-	memory, disk                   int64 // bytes
-	sockets                        int
-	cores                          float64 // 0 where the file says nothing
-	gateway                        gateway.Config
-	gatewayPath                    string
-	known                          pool.List
-	settings                       dispatch.Settings
-	began                          time.Time
-	serveOn, exitAfter             time.Duration // after SIGTERM
-	countersEvery                  time.Duration // between lines of counters; 0 for none unasked
+	name, listen, discovery, stateDir string
+	opsAddr                           string // the operators' address; none where empty
+	fileDiscovery                     string // discovery as the file has it, whatever the environment says
+	seed                              int64
+	memoryBytes, diskBytes            int64 // bytes
+	sockets                           int
+	cores                             float64 // 0 where the file says nothing
+	gateway                           gateway.Config
+	gatewayPath                       string
+	known                             pool.List
+	settings                          dispatch.Settings
+	startTime                         time.Time
+	drainDelay, exitDelay             time.Duration // after SIGTERM
+	countersInterval                  time.Duration // between lines of counters; 0 for none unasked
 }
 
-// load reads the platform's configuration file that the environment names, and the gateway's own, if there is
+// loadConfig reads the platform's configuration file that the environment names, and the gateway's own, if there is
 // one; other variables override what the first says.
-func load(getenv func(string) string, gatewayPath string) (config, error) {
+func loadConfig(getenv func(string) string, gatewayPath string) (config, error) {
 	var c config
 	if gatewayPath == "" {
 		gatewayPath = getenv("SLATEMUX_CONFIG")
 	}
-	own, err := gateway.Load(gatewayPath)
+	gatewayConfig, err := gateway.Load(gatewayPath)
 	if err != nil {
 		return c, err
 	}
@@ -74,43 +74,43 @@
 	if err != nil {
 		return c, err
 	}
-	var f file
+	var f configFile
 	if err := json.Unmarshal(raw, &f); err != nil {
 		return c, fmt.Errorf("%s: %w", path, err)
 	}
-	or := func(name, value string) string {
+	envOr := func(name, value string) string {
 		if v := getenv(name); v != "" {
 			return v
 		}
 		return value
 	}
-	c = config{gateway: own, gatewayPath: gatewayPath, cores: f.Limits.Cores, name: or("NODE_NAME", f.Name), listen: or("NODE_LISTEN", f.Listen),
-		discovery: or("NODE_DISCOVERY", f.Discovery), ops: or("NODE_OPS", f.Ops), written: f.Discovery, state: getenv("NODE_STATE"), sockets: f.Limits.Sockets,
-		began: began, serveOn: serveOn, exitAfter: exitAfter}
-	for _, o := range []struct {
+	c = config{gateway: gatewayConfig, gatewayPath: gatewayPath, cores: f.Limits.Cores, name: envOr("NODE_NAME", f.Name), listen: envOr("NODE_LISTEN", f.Listen),
+		discovery: envOr("NODE_DISCOVERY", f.Discovery), opsAddr: envOr("NODE_OPS", f.Ops), fileDiscovery: f.Discovery, stateDir: getenv("NODE_STATE"), sockets: f.Limits.Sockets,
+		startTime: processStart, drainDelay: drainDelay, exitDelay: exitDelay}
+	for _, override := range []struct {
 		name string
 		to   *netip.AddrPort
 	}{{"SLATEMUX_FLEET_BIND", &c.gateway.Fleet.Bind}, {"SLATEMUX_FLEET_ADVERTISE", &c.gateway.Fleet.Advertise}} {
-		if text := getenv(o.name); text != "" {
-			if *o.to, err = netip.ParseAddrPort(text); err != nil {
-				return c, fmt.Errorf("%s: %w", o.name, err)
+		if text := getenv(override.name); text != "" {
+			if *override.to, err = netip.ParseAddrPort(text); err != nil {
+				return c, fmt.Errorf("%s: %w", override.name, err)
 			}
 		}
 	}
 	if c.gateway.Fleet.Enabled && c.name == "" {
 		return c, errors.New("name is missing: the relays of a fleet know each other by it")
 	}
-	if c.listen == "" || c.discovery == "" || c.state == "" {
+	if c.listen == "" || c.discovery == "" || c.stateDir == "" {
 		return c, errors.New("listen, discovery or NODE_STATE is missing")
 	}
-	if info, err := os.Stat(c.state); err != nil || !info.IsDir() {
-		return c, fmt.Errorf("NODE_STATE: %s is not a folder", c.state)
+	if info, err := os.Stat(c.stateDir); err != nil || !info.IsDir() {
+		return c, fmt.Errorf("NODE_STATE: %s is not a folder", c.stateDir)
 	}
 	for _, limit := range []struct {
 		name string
 		mb   float64
 		to   *int64
-	}{{"memory_mb", f.Limits.MemoryMB, &c.memory}, {"disk_mb", f.Limits.DiskMB, &c.disk}} {
+	}{{"memory_mb", f.Limits.MemoryMB, &c.memoryBytes}, {"disk_mb", f.Limits.DiskMB, &c.diskBytes}} {
 		if !(limit.mb > 0) || limit.mb > 1e9 {
 			return c, fmt.Errorf("limits: %s is missing or makes no sense", limit.name)
 		}
@@ -139,48 +139,48 @@
 	return c, nil
 }
 
-// caps are the bounds of the parts, derived from the limits.
-type caps struct {
-	heap            int64 // for the collector: files count as memory too
-	openBytes, disk int64
-	learned         int64 // of the folder, beside the journal
-	configuration   int64 // of the folder: the file of the fleet's configuration; 0 where none is replicated
-	flows, members  int   // flows out, connections to pool members
-	clients         front.Limits
+// resourceLimits are the bounds of the parts, derived from the limits.
+type resourceLimits struct {
+	heapBytes               int64 // for the collector: files count as memory too
+	openBytes, journalBytes int64
+	learnedBytes            int64 // of the folder, beside the journal
+	configurationBytes      int64 // of the folder: the file of the fleet's configuration; 0 where none is replicated
+	flows, memberConns      int   // flows out, connections to pool members
+	clients                 front.Limits
 }
 
-// learnedMost is what the limits of destinations may take of the folder that lasts: those of a thousand, twice.
-const learnedMost = 200_000
+// maxLearnedBytes is what the limits of destinations may take of the folder that lasts: those of a thousand, twice.
+const maxLearnedBytes = 200_000
 
-// spare is how many descriptors are for all but clients and pool members: files, the listener, discovery.
-const spare = 16
+// reservedDescriptors is how many descriptors are for all but clients and pool members: files, the listener, discovery.
+const reservedDescriptors = 16
 
-// caps leaves a quarter of the descriptors to flows and their warm connections, half to clients, and a quarter
+// resourceLimits leaves a quarter of the descriptors to flows and their warm connections, half to clients, and a quarter
 // of that again to refused clients that are read past. Clients hold a third of the descriptors at most for
 // their requests: idle connections make room before that is full, or new requests would find none. Open transactions may take an eighth of the memory, and
 // large commands of clients, with the parser's buffers, another.
-func (c *config) caps() caps {
-	n := c.sockets - spare
-	learned := min(c.disk/16, learnedMost)
-	configuration := c.configurationFile()
-	const copies = 2 // while it is compacted there are two of it
-	return caps{heap: c.memory / 2, openBytes: c.memory / 8, disk: c.disk - learned - copies*configuration, learned: learned, configuration: configuration, flows: min(c.settings.MaxCalls, n/4),
-		members: n / 4,
-		clients: front.Limits{Clients: n / 2, Used: n / 4, Buffered: c.memory / 8}}
+func (c *config) resourceLimits() resourceLimits {
+	n := c.sockets - reservedDescriptors
+	learned := min(c.diskBytes/16, maxLearnedBytes)
+	configuration := c.configurationFileBytes()
+	const fileCopies = 2 // while it is compacted there are two of it
+	return resourceLimits{heapBytes: c.memoryBytes / 2, openBytes: c.memoryBytes / 8, journalBytes: c.diskBytes - learned - fileCopies*configuration, learnedBytes: learned, configurationBytes: configuration, flows: min(c.settings.MaxCalls, n/4),
+		memberConns: n / 4,
+		clients:     front.Limits{Clients: n / 2, Used: n / 4, Buffered: c.memoryBytes / 8}}
 }
 
-// configurationFile is the bound of the file that keeps the fleet's configuration: what its entries take, and a sixteenth of the
+// configurationFileBytes is the bound of the file that keeps the fleet's configuration: what its entries take, and a sixteenth of the
 // folder at most.
-func (c *config) configurationFile() int64 {
+func (c *config) configurationFileBytes() int64 {
 	if !c.gateway.Fleet.Configuration.Enabled {
 		return 0
 	}
-	return min(c.disk/16, configfile.MaxBytes(c.gateway.Fleet.Configuration.MaxEntries))
+	return min(c.diskBytes/16, configfile.MaxBytes(c.gateway.Fleet.Configuration.MaxEntries))
 }
 
-// fixed names what a newer configuration changes that only a restart can apply. The seed and the known list
+// restartOnlyChanges names what a newer configuration changes that only a restart can apply. The seed and the known list
 // are for a start alone.
-func (c *config) fixed(newer *config) (names []string) {
+func (c *config) restartOnlyChanges(newer *config) (names []string) {
 	for _, f := range []struct {
 		name    string
 		changed bool
@@ -193,14 +193,14 @@
 	return names
 }
 
-// terms are what the settings say of discovery.
-func (c *config) terms() pool.Terms {
+// discoveryTerms are what the settings say of discovery.
+func (c *config) discoveryTerms() pool.Terms {
 	return pool.Terms{Pushed: !c.settings.OnRequest, Peers: c.settings.Peers, Grace: c.settings.Safety.DrainGrace, Asked: c.settings.Safety.AskEvery}
 }
 
-// control is what the overload controller works with: the gateway's figures, with the classes and tenants of the
+// overloadConfig is what the overload controller works with: the gateway's figures, with the classes and tenants of the
 // platform's settings.
-func (c *config) control() overload.Config {
+func (c *config) overloadConfig() overload.Config {
 	o := c.gateway.Overload.Control
 	o.OverShare, o.LateByHalves, o.OpenMost = c.settings.OverShareWorth, c.settings.LateByHalves, c.settings.MaxOpen
 	o.Seed = uint64(c.seed)
@@ -212,8 +212,8 @@
 		o.Tenants = append(o.Tenants, overload.Tenant{Name: t.Name, Share: t.Share})
 	}
 	// A platform whose clients honour no wait is told none that is longer than it says.
-	if most := c.settings.MaxRetryAfter; most > 0 {
-		o.RetryMost = max(most, o.RetryLeast)
+	if maxWait := c.settings.MaxRetryAfter; maxWait > 0 {
+		o.RetryMost = max(maxWait, o.RetryLeast)
 	}
 	return o
 }
--- a/cmd/slatemux/configuration.go
+++ b/cmd/slatemux/configuration.go
@@ -14,36 +14,36 @@
 	"slatemux/internal/ops"
 )
 
-// replication is what the settings say of the replication of the fleet's configuration; nil where it is off.
-func replication(cfg *config) *fleet.ConfigurationConfig {
-	own := cfg.gateway.Fleet.Configuration
-	if !cfg.gateway.Fleet.Enabled || !own.Enabled {
+// replicationConfig is what the settings say of the replication of the fleet's configuration; nil where it is off.
+func replicationConfig(cfg *config) *fleet.ConfigurationConfig {
+	replicated := cfg.gateway.Fleet.Configuration
+	if !cfg.gateway.Fleet.Enabled || !replicated.Enabled {
 		return nil
 	}
-	zone := own.Zone
+	zone := replicated.Zone
 	if zone == "" {
 		zone = cfg.settings.Zone
 	}
 	return &fleet.ConfigurationConfig{
-		TrustedKeyFile: own.TrustedKeyFile,
-		Region:         own.Region,
+		TrustedKeyFile: replicated.TrustedKeyFile,
+		Region:         replicated.Region,
 		Zone:           zone,
-		MaxEntries:     own.MaxEntries,
-		MaxFileBytes:   cfg.caps().configuration,
-		Replication:    own.Replication,
+		MaxEntries:     replicated.MaxEntries,
+		MaxFileBytes:   cfg.resourceLimits().configurationBytes,
+		Replication:    replicated.Replication,
 	}
 }
 
 // Configure hands a signed change to the fleet's configuration.
-func (d *opsDesk) Configure(ctx context.Context, body []byte) error {
-	if !d.ready.Load() || d.fleet == nil {
+func (h *opsHandler) Configure(ctx context.Context, body []byte) error {
+	if !h.ready.Load() || h.fleet == nil {
 		return &ops.Refusal{Status: http.StatusServiceUnavailable, Reason: fleet.ErrConfigurationOff}
 	}
 	change, err := decodeChange(body)
 	if err != nil {
 		return &ops.Refusal{Status: http.StatusBadRequest, Reason: err}
 	}
-	if err := d.fleet.Configure(ctx, change); err != nil {
+	if err := h.fleet.Configure(ctx, change); err != nil {
 		return &ops.Refusal{Status: configurationStatus(err), Reason: err}
 	}
 	return nil
--- a/cmd/slatemux/configuration_cli.go
+++ b/cmd/slatemux/configuration_cli.go
@@ -35,7 +35,7 @@
 )
 
 // configurationCommand shows and changes the configuration that a fleet replicates.
-func configurationCommand(addr *string, raw *bool) *cobra.Command {
+func configurationCommand(addr *string, printJSON *bool) *cobra.Command {
 	root := &cobra.Command{
 		Use:   "configuration",
 		Short: "Show or change the configuration that the fleet replicates",
@@ -50,14 +50,14 @@
 			if !utf8.ValidString(args[1]) {
 				return errors.New("fleet configuration: the value is not UTF-8")
 			}
-			return signer.run(cmd, *raw, fleet.ConfigurationChange{Key: args[0], Value: args[1]})
+			return signer.run(cmd, *printJSON, fleet.ConfigurationChange{Key: args[0], Value: args[1]})
 		},
 	}
 	remove := &cobra.Command{
 		Use: "remove KEY", Short: "Sign the removal of an entry and hand it to a relay", Args: cobra.ExactArgs(1),
 		Example: "  slatemux fleet configuration remove endpoint/s-5be2a07c --ops 127.0.0.1:8600 --source control-1 --key-file control-1.key",
 		RunE: func(cmd *cobra.Command, args []string) error {
-			return signer.run(cmd, *raw, fleet.ConfigurationChange{Key: args[0], Removed: true})
+			return signer.run(cmd, *printJSON, fleet.ConfigurationChange{Key: args[0], Removed: true})
 		},
 	}
 	keygen := &cobra.Command{
@@ -81,18 +81,18 @@
 	show := &cobra.Command{
 		Use: "show", Short: "List the entries that a relay holds", Args: cobra.NoArgs,
 		Example: "  slatemux fleet configuration show --ops 127.0.0.1:8600",
-		RunE:    func(cmd *cobra.Command, _ []string) error { return showConfiguration(cmd, *addr, *raw) },
+		RunE:    func(cmd *cobra.Command, _ []string) error { return showConfiguration(cmd, *addr, *printJSON) },
 	}
 	root.AddCommand(show, set, remove, keygen)
 	return root
 }
 
-func showConfiguration(cmd *cobra.Command, addr string, raw bool) error {
-	body, err := askConfiguration(cmd.Context(), addr)
+func showConfiguration(cmd *cobra.Command, addr string, printJSON bool) error {
+	body, err := getConfiguration(cmd.Context(), addr)
 	if err != nil {
 		return err
 	}
-	if raw {
+	if printJSON {
 		_, err = cmd.OutOrStdout().Write(body)
 		return err
 	}
@@ -100,21 +100,21 @@
 	if err := json.Unmarshal(body, &state); err != nil {
 		return fmt.Errorf("fleet configuration: %w", err)
 	}
-	return configurationTable(cmd.OutOrStdout(), &state)
+	return writeConfigurationTable(cmd.OutOrStdout(), &state)
 }
 
-func askConfiguration(ctx context.Context, addr string) ([]byte, error) {
+func getConfiguration(ctx context.Context, addr string) ([]byte, error) {
 	if addr == "" {
 		return nil, errors.New("fleet: --ops is missing: the relay's operators' address")
 	}
-	body, err := askOps(ctx, addr, configurationPath)
+	body, err := getOps(ctx, addr, configurationPath)
 	if err != nil {
 		return nil, fmt.Errorf("fleet configuration: %w", err)
 	}
 	return body, nil
 }
 
-func configurationTable(out io.Writer, state *fleet.ConfigurationState) error {
+func writeConfigurationTable(out io.Writer, state *fleet.ConfigurationState) error {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintf(w, "digest\t%s\n", state.Digest)
 	fmt.Fprintf(w, "replicating\t%d: %s\n", len(state.Members), strings.Join(state.Members, ", "))
@@ -185,29 +185,29 @@
 	source, keyFile string
 }
 
-func (s *changeSigner) run(cmd *cobra.Command, raw bool, wanted fleet.ConfigurationChange) error {
+func (s *changeSigner) run(cmd *cobra.Command, printJSON bool, wanted fleet.ConfigurationChange) error {
 	key, err := readPrivateKey(s.keyFile)
 	if err != nil {
 		return fmt.Errorf("fleet configuration: %w", err)
 	}
-	if err := s.finishLast(cmd.Context()); err != nil {
+	if err := s.resubmitLast(cmd.Context()); err != nil {
 		return fmt.Errorf("fleet configuration: the change before this one is not in force yet: %w", err)
 	}
-	change, err := s.change(cmd.Context(), key, wanted)
+	change, err := s.submit(cmd.Context(), key, wanted)
 	if err != nil {
 		return fmt.Errorf("fleet configuration: %w", err)
 	}
-	if raw {
+	if printJSON {
 		return json.NewEncoder(cmd.OutOrStdout()).Encode(change)
 	}
 	_, err = fmt.Fprintf(cmd.OutOrStdout(), "stored and in force at %s: change %d of %s\n", *s.addr, change.Sequence, change.Source)
 	return err
 }
 
-// change signs a change as the next one of its source, anew where another one came first, and hands it in.
-func (s *changeSigner) change(ctx context.Context, key ed25519.PrivateKey, wanted fleet.ConfigurationChange) (fleet.ConfigurationChange, error) {
+// submit signs a change as the next one of its source, anew where another one came first, and hands it in.
+func (s *changeSigner) submit(ctx context.Context, key ed25519.PrivateKey, wanted fleet.ConfigurationChange) (fleet.ConfigurationChange, error) {
 	for attempt := 1; ; attempt++ {
-		source, err := s.next(ctx)
+		source, err := s.nextVersions(ctx)
 		if err != nil {
 			return wanted, err
 		}
@@ -215,13 +215,13 @@
 		change := wanted.Change()
 		configsync.Sign(&change, key)
 		wanted.Signature = change.Signature
-		if err := s.writeLast(wanted); err != nil {
+		if err := s.saveLast(wanted); err != nil {
 			return wanted, err
 		}
 		err = s.post(ctx, wanted)
-		var refused *refusedChange
-		if errors.As(err, &refused) && refused.certain() {
-			err = errors.Join(err, s.forgetLast())
+		var refused *changeRefusedError
+		if errors.As(err, &refused) && refused.notApplied() {
+			err = errors.Join(err, s.removeLast())
 		}
 		if refused == nil || refused.status != http.StatusConflict || attempt == changeAttempts {
 			return wanted, err
@@ -230,9 +230,9 @@
 	}
 }
 
-// next asks the relay which change it expects next.
-func (s *changeSigner) next(ctx context.Context) (fleet.ConfigurationSource, error) {
-	body, err := askConfiguration(ctx, *s.addr)
+// nextVersions asks the relay which change it expects next.
+func (s *changeSigner) nextVersions(ctx context.Context) (fleet.ConfigurationSource, error) {
+	body, err := getConfiguration(ctx, *s.addr)
 	if err != nil {
 		return fleet.ConfigurationSource{}, err
 	}
@@ -248,8 +248,8 @@
 	return fleet.ConfigurationSource{}, fmt.Errorf("%s does not trust a source %q", *s.addr, s.source)
 }
 
-// finishLast hands in the last change again where the relay does not know of it.
-func (s *changeSigner) finishLast(ctx context.Context) error {
+// resubmitLast hands in the last change again where the relay does not know of it.
+func (s *changeSigner) resubmitLast(ctx context.Context) error {
 	raw, err := os.ReadFile(s.keyFile + lastChangeSuffix)
 	if errors.Is(err, os.ErrNotExist) {
 		return nil
@@ -261,20 +261,20 @@
 	if err := json.Unmarshal(raw, &last); err != nil {
 		return fmt.Errorf("%s: %w", s.keyFile+lastChangeSuffix, err)
 	}
-	source, err := s.next(ctx)
+	source, err := s.nextVersions(ctx)
 	if err != nil || last.Source != s.source || source.NextSequence > last.Sequence {
 		return err
 	}
 	err = s.post(ctx, last)
-	var refused *refusedChange
+	var refused *changeRefusedError
 	if errors.As(err, &refused) && refused.status == http.StatusForbidden { // by a key that is not trusted any more
-		return s.forgetLast()
+		return s.removeLast()
 	}
 	return err
 }
 
-// writeLast replaces the file of the last change as a whole.
-func (s *changeSigner) writeLast(change fleet.ConfigurationChange) error {
+// saveLast replaces the file of the last change as a whole.
+func (s *changeSigner) saveLast(change fleet.ConfigurationChange) error {
 	raw, err := json.Marshal(change)
 	if err != nil {
 		return err
@@ -286,23 +286,23 @@
 	return os.Rename(path+".new", path)
 }
 
-// forgetLast drops a last change that no relay has taken.
-func (s *changeSigner) forgetLast() error { return os.Remove(s.keyFile + lastChangeSuffix) }
+// removeLast drops a last change that no relay has taken.
+func (s *changeSigner) removeLast() error { return os.Remove(s.keyFile + lastChangeSuffix) }
 
-// refusedChange is a relay's answer that it did not take a change.
-type refusedChange struct {
+// changeRefusedError is a relay's answer that it did not take a change.
+type changeRefusedError struct {
 	addr   string
 	status int
 	reason string
 }
 
 // Error implements error.
-func (r *refusedChange) Error() string {
+func (r *changeRefusedError) Error() string {
 	return fmt.Sprintf("%s answered %d: %s", r.addr, r.status, r.reason)
 }
 
-// certain reports whether the relay has nothing of the change.
-func (r *refusedChange) certain() bool { return r.status >= 400 && r.status < 500 }
+// notApplied reports whether the relay has nothing of the change.
+func (r *changeRefusedError) notApplied() bool { return r.status >= 400 && r.status < 500 }
 
 func (s *changeSigner) post(ctx context.Context, change fleet.ConfigurationChange) error {
 	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(5*time.Second))
@@ -326,7 +326,7 @@
 		return err
 	}
 	if resp.StatusCode != http.StatusOK {
-		return &refusedChange{*s.addr, resp.StatusCode, strings.TrimSpace(string(text))}
+		return &changeRefusedError{*s.addr, resp.StatusCode, strings.TrimSpace(string(text))}
 	}
 	return nil
 }
--- a/cmd/slatemux/configuration_test.go
+++ b/cmd/slatemux/configuration_test.go
@@ -33,22 +33,22 @@
 
 // controlMachine is a folder with a control machine's key, and the settings of a relay that trusts it.
 type controlMachine struct {
-	dir, keyFile, trusted, settings string
+	dir, keyFile, trustedKeyFile, settings string
 }
 
 func newControlMachine(t *testing.T) controlMachine {
 	t.Helper()
 	dir := t.TempDir()
-	c := controlMachine{dir: dir, keyFile: filepath.Join(dir, "control.key"), trusted: filepath.Join(dir, "trusted"),
+	c := controlMachine{dir: dir, keyFile: filepath.Join(dir, "control.key"), trustedKeyFile: filepath.Join(dir, "trusted"),
 		settings: filepath.Join(dir, "gateway.textproto")}
-	line, err := cli(t, nil, "fleet", "configuration", "keygen", "--source", "control", "--key-file", c.keyFile)
+	line, err := runCLI(t, nil, "fleet", "configuration", "keygen", "--source", "control", "--key-file", c.keyFile)
 	if err != nil || !strings.HasPrefix(line, "control ") {
 		t.Fatal(line, err)
 	}
 	fleetKey := base64.StdEncoding.EncodeToString(bytes.Repeat([]byte{1}, 32))
 	text := fmt.Sprintf("fleet { enabled: true name: \"tbilisi\" bind: %q key_file: %q\n configuration { enabled: true trusted_key_file: %q\n region: \"caucasus\" }\n}",
-		freeAddress(t), filepath.Join(dir, "fleet.key"), c.trusted)
-	for path, content := range map[string]string{c.trusted: line, filepath.Join(dir, "fleet.key"): fleetKey, c.settings: text} {
+		freeAddress(t), filepath.Join(dir, "fleet.key"), c.trustedKeyFile)
+	for path, content := range map[string]string{c.trustedKeyFile: line, filepath.Join(dir, "fleet.key"): fleetKey, c.settings: text} {
 		if err := os.WriteFile(path, []byte(content), 0o600); err != nil {
 			t.Fatal(err)
 		}
@@ -56,19 +56,19 @@
 	return c
 }
 
-// change runs set or remove as the control machine.
-func (c controlMachine) change(t *testing.T, ops string, args ...string) (string, error) {
+// runChange runs set or remove as the control machine.
+func (c controlMachine) runChange(t *testing.T, ops string, args ...string) (string, error) {
 	t.Helper()
 	args = append([]string{"fleet", "configuration"}, args...)
-	return cli(t, nil, append(args, "--ops", ops, "--source", "control", "--key-file", c.keyFile)...)
+	return runCLI(t, nil, append(args, "--ops", ops, "--source", "control", "--key-file", c.keyFile)...)
 }
 
-// shown is what a relay holds, as soon as it can take changes.
-func shown(t *testing.T, ops string) fleet.ConfigurationState {
+// awaitConfiguration is what a relay holds, as soon as it can take changes.
+func awaitConfiguration(t *testing.T, ops string) fleet.ConfigurationState {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); ; time.Sleep(20 * time.Millisecond) {
 		var state fleet.ConfigurationState
-		out, err := cli(t, nil, "fleet", "configuration", "show", "--json", "--ops", ops)
+		out, err := runCLI(t, nil, "fleet", "configuration", "show", "--json", "--ops", ops)
 		if err == nil {
 			err = json.Unmarshal([]byte(out), &state)
 		}
@@ -83,7 +83,7 @@
 
 func disabledTargets(t *testing.T, ops string) int {
 	t.Helper()
-	body, err := askOps(t.Context(), ops, "/ops/stats")
+	body, err := getOps(t.Context(), ops, "/ops/stats")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -96,7 +96,7 @@
 	return stats.Disabled
 }
 
-func untilDisabled(t *testing.T, ops string, want int) {
+func awaitDisabledTargets(t *testing.T, ops string, want int) {
 	t.Helper()
 	for end := time.Now().Add(10 * time.Second); disabledTargets(t, ops) != want; time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(end) {
@@ -106,55 +106,55 @@
 }
 
 // An operator sets an entry, sees it in force, finds it again after a restart, and removes it.
-func TestConfigurationOfARelay(t *testing.T) {
-	c, a := newControlMachine(t), newAround(t)
-	close(a.release)
-	vars := env(t, a.config)
+func TestConfigurationSetShowRemove(t *testing.T) {
+	c, a := newControlMachine(t), newTestPeers(t)
+	close(a.releaseCalls)
+	vars := writeTestConfig(t, a.config)
 	vars["SLATEMUX_CONFIG"], vars["NODE_OPS"] = c.settings, freeAddress(t)
 	ops := vars["NODE_OPS"]
 
-	_, _, end := boot(t, vars)
-	shown(t, ops)
-	untilDisabled(t, ops, 0)
-	out, err := c.change(t, ops, "set", "endpoint/m", "down")
+	_, _, end := startRelay(t, vars)
+	awaitConfiguration(t, ops)
+	awaitDisabledTargets(t, ops, 0)
+	out, err := c.runChange(t, ops, "set", "endpoint/m", "down")
 	if err != nil || !strings.Contains(out, "change 1 of control") {
 		t.Fatal(out, err)
 	}
-	untilDisabled(t, ops, 1)
-	if out, err := c.change(t, ops, "set", "other/key", "a b", "--json"); err != nil || !strings.Contains(out, `"sequence":2`) {
+	awaitDisabledTargets(t, ops, 1)
+	if out, err := c.runChange(t, ops, "set", "other/key", "a b", "--json"); err != nil || !strings.Contains(out, `"sequence":2`) {
 		t.Error(out, err)
 	}
 	end()
 
-	_, _, end = boot(t, vars)
+	_, _, end = startRelay(t, vars)
 	defer end()
-	untilDisabled(t, ops, 1)
-	state := shown(t, ops)
+	awaitDisabledTargets(t, ops, 1)
+	state := awaitConfiguration(t, ops)
 	if len(state.Entries) != 2 || !state.Entries[0].Applied || state.Entries[1].Applied || state.Versions["control"] != 2 {
 		t.Errorf("%+v", state)
 	}
-	table, err := cli(t, nil, "fleet", "configuration", "show", "--ops", ops)
+	table, err := runCLI(t, nil, "fleet", "configuration", "show", "--ops", ops)
 	for _, want := range []string{"digest", "source control", "known through 2, trusted", "endpoint/m", "applied", "unknown here", "a b"} {
 		if err != nil || !strings.Contains(table, want) {
 			t.Errorf("%v, no %q in\n%s", err, want, table)
 		}
 	}
-	if out, err := c.change(t, ops, "remove", "endpoint/m"); err != nil {
+	if out, err := c.runChange(t, ops, "remove", "endpoint/m"); err != nil {
 		t.Error(out, err)
 	}
-	untilDisabled(t, ops, 0)
+	awaitDisabledTargets(t, ops, 0)
 }
 
 // A change whose answer was lost is handed in again before the next one: no sequence is left out or used twice.
-func TestChangeIsHandedInAgain(t *testing.T) {
-	c, a := newControlMachine(t), newAround(t)
-	close(a.release)
-	vars := env(t, a.config)
+func TestLostChangeIsResubmitted(t *testing.T) {
+	c, a := newControlMachine(t), newTestPeers(t)
+	close(a.releaseCalls)
+	vars := writeTestConfig(t, a.config)
 	vars["SLATEMUX_CONFIG"], vars["NODE_OPS"] = c.settings, freeAddress(t)
 	ops := vars["NODE_OPS"]
-	_, _, end := boot(t, vars)
+	_, _, end := startRelay(t, vars)
 	defer end()
-	shown(t, ops)
+	awaitConfiguration(t, ops)
 
 	key, err := readPrivateKey(c.keyFile)
 	if err != nil {
@@ -162,35 +162,35 @@
 	}
 	lost := &changeSigner{addr: &ops, source: "control", keyFile: c.keyFile}
 	first := fleet.ConfigurationChange{Source: "control", Sequence: 1, Revision: 1, Key: "lost", Value: "yes"}
-	first.Signature = signature(first, key)
-	if err := lost.writeLast(first); err != nil {
+	first.Signature = signChange(first, key)
+	if err := lost.saveLast(first); err != nil {
 		t.Fatal(err)
 	}
-	if out, err := c.change(t, ops, "set", "next", "yes"); err != nil || !strings.Contains(out, "change 2 of control") {
+	if out, err := c.runChange(t, ops, "set", "next", "yes"); err != nil || !strings.Contains(out, "change 2 of control") {
 		t.Fatal(out, err)
 	}
-	if state := shown(t, ops); len(state.Entries) != 2 || state.Versions["control"] != 2 {
+	if state := awaitConfiguration(t, ops); len(state.Entries) != 2 || state.Versions["control"] != 2 {
 		t.Errorf("%+v", state)
 	}
 }
 
 // What is no signed change of a trusted source is refused with the status and one line that say why.
 func TestConfigurationRefusals(t *testing.T) {
-	c, a := newControlMachine(t), newAround(t)
-	close(a.release)
-	vars := env(t, a.config)
+	c, a := newControlMachine(t), newTestPeers(t)
+	close(a.releaseCalls)
+	vars := writeTestConfig(t, a.config)
 	vars["SLATEMUX_CONFIG"], vars["NODE_OPS"] = c.settings, freeAddress(t)
 	ops := vars["NODE_OPS"]
-	_, _, end := boot(t, vars)
+	_, _, end := startRelay(t, vars)
 	defer end()
-	shown(t, ops)
+	awaitConfiguration(t, ops)
 	key, err := readPrivateKey(c.keyFile)
 	if err != nil {
 		t.Fatal(err)
 	}
 	signed := func(sequence uint64, name string) string {
 		change := fleet.ConfigurationChange{Source: "control", Sequence: sequence, Revision: 1, Key: name, Value: "x"}
-		change.Signature = signature(change, key)
+		change.Signature = signChange(change, key)
 		raw, _ := json.Marshal(change)
 		return string(raw)
 	}
@@ -221,59 +221,59 @@
 	}
 }
 
-func signature(change fleet.ConfigurationChange, key ed25519.PrivateKey) []byte {
+func signChange(change fleet.ConfigurationChange, key ed25519.PrivateKey) []byte {
 	signed := change.Change()
 	configsync.Sign(&signed, key)
 	return signed.Signature
 }
 
 // SIGHUP has the trusted keys read again: a source that is not in the file any more can change nothing, another one can.
-func TestTrustedKeysAreReadAgain(t *testing.T) {
-	c, other, a := newControlMachine(t), newControlMachine(t), newAround(t)
-	close(a.release)
-	vars := env(t, a.config)
+func TestReloadRereadsTrustedKeys(t *testing.T) {
+	c, other, a := newControlMachine(t), newControlMachine(t), newTestPeers(t)
+	close(a.releaseCalls)
+	vars := writeTestConfig(t, a.config)
 	vars["SLATEMUX_CONFIG"], vars["NODE_OPS"] = c.settings, freeAddress(t)
 	ops := vars["NODE_OPS"]
-	_, reload, end := boot(t, vars)
+	_, reload, end := startRelay(t, vars)
 	defer end()
-	shown(t, ops)
-	if out, err := c.change(t, ops, "set", "k", "first"); err != nil {
+	awaitConfiguration(t, ops)
+	if out, err := c.runChange(t, ops, "set", "k", "first"); err != nil {
 		t.Fatal(out, err)
 	}
-	line, err := os.ReadFile(other.trusted)
+	line, err := os.ReadFile(other.trustedKeyFile)
 	if err != nil {
 		t.Fatal(err)
 	}
 	line = bytes.Replace(line, []byte("control "), []byte("other "), 1)
-	if err := os.WriteFile(c.trusted, line, 0o600); err != nil {
+	if err := os.WriteFile(c.trustedKeyFile, line, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	reload()
-	for end := time.Now().Add(10 * time.Second); shown(t, ops).Sources[0].Trusted; time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(10 * time.Second); awaitConfiguration(t, ops).Sources[0].Trusted; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("the source is still trusted")
 		}
 	}
-	if out, err := c.change(t, ops, "set", "k", "second"); err == nil || !strings.Contains(err.Error(), "does not trust") {
+	if out, err := c.runChange(t, ops, "set", "k", "second"); err == nil || !strings.Contains(err.Error(), "does not trust") {
 		t.Error(out, err)
 	}
-	if out, err := cli(t, nil, "fleet", "configuration", "set", "k", "third", "--ops", ops, "--source", "other", "--key-file", other.keyFile); err != nil {
+	if out, err := runCLI(t, nil, "fleet", "configuration", "set", "k", "third", "--ops", ops, "--source", "other", "--key-file", other.keyFile); err != nil {
 		t.Error(out, err)
 	}
-	if entry := shown(t, ops).Entries[0]; entry.Value != "third" || entry.Source != "other" {
+	if entry := awaitConfiguration(t, ops).Entries[0]; entry.Value != "third" || entry.Source != "other" {
 		t.Errorf("%+v", entry)
 	}
 }
 
 // Without the fleet's configuration there is nothing to show, and nothing is taken.
-func TestConfigurationIsOff(t *testing.T) {
-	a := newAround(t)
-	close(a.release)
-	vars := env(t, a.config)
+func TestConfigurationDisabled(t *testing.T) {
+	a := newTestPeers(t)
+	close(a.releaseCalls)
+	vars := writeTestConfig(t, a.config)
 	vars["NODE_OPS"] = freeAddress(t)
-	_, _, end := boot(t, vars)
+	_, _, end := startRelay(t, vars)
 	defer end()
-	if out, err := cli(t, nil, "fleet", "configuration", "show", "--ops", vars["NODE_OPS"]); err == nil || !strings.Contains(err.Error(), "404") {
+	if out, err := runCLI(t, nil, "fleet", "configuration", "show", "--ops", vars["NODE_OPS"]); err == nil || !strings.Contains(err.Error(), "404") {
 		t.Error(out, err)
 	}
 	resp, err := http.Post("http://"+vars["NODE_OPS"]+configurationPath, "application/json", strings.NewReader("{}"))
@@ -289,40 +289,40 @@
 // check names the file that is missing, and says what the settings come to.
 func TestCheckConfiguration(t *testing.T) {
 	c := newControlMachine(t)
-	vars := env(t, newAround(t).config)
-	out, err := cli(t, vars, "check", "--config", c.settings)
+	vars := writeTestConfig(t, newTestPeers(t).config)
+	out, err := runCLI(t, vars, "check", "--config", c.settings)
 	for _, want := range []string{"fleet configuration", `region "caucasus"`, `zone "here"`, "2500 bytes a second", "4096 entries"} {
 		if err != nil || !strings.Contains(out, want) {
 			t.Errorf("%v, no %q in\n%s", err, want, out)
 		}
 	}
-	if err := os.WriteFile(c.trusted, []byte("control short\n"), 0o600); err != nil {
+	if err := os.WriteFile(c.trustedKeyFile, []byte("control short\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := cli(t, vars, "check", "--config", c.settings); err == nil || !strings.Contains(err.Error(), c.settings+": fleet.configuration.trusted_key_file: "+c.trusted+": line 1") {
+	if _, err := runCLI(t, vars, "check", "--config", c.settings); err == nil || !strings.Contains(err.Error(), c.settings+": fleet.configuration.trusted_key_file: "+c.trustedKeyFile+": line 1") {
 		t.Error(err)
 	}
-	if err := os.Remove(c.trusted); err != nil {
+	if err := os.Remove(c.trustedKeyFile); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := cli(t, vars, "check", "--config", c.settings); err == nil || !strings.Contains(err.Error(), "fleet.configuration.trusted_key_file") {
+	if _, err := runCLI(t, vars, "check", "--config", c.settings); err == nil || !strings.Contains(err.Error(), "fleet.configuration.trusted_key_file") {
 		t.Error(err)
 	}
 }
 
 // A control machine's key is its owner's alone, and never written over.
-func TestControlKeys(t *testing.T) {
+func TestControlMachineKeyFile(t *testing.T) {
 	c := newControlMachine(t)
-	if _, err := cli(t, nil, "fleet", "configuration", "keygen", "--source", "control", "--key-file", c.keyFile); err == nil {
+	if _, err := runCLI(t, nil, "fleet", "configuration", "keygen", "--source", "control", "--key-file", c.keyFile); err == nil {
 		t.Error("a key was written over")
 	}
-	if _, err := c.change(t, "127.0.0.1:1", "set", "k"); err == nil {
+	if _, err := c.runChange(t, "127.0.0.1:1", "set", "k"); err == nil {
 		t.Error("a key without a value was taken")
 	}
 	if err := os.Chmod(c.keyFile, 0o644); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := c.change(t, "127.0.0.1:1", "set", "k", "v"); err == nil || !strings.Contains(err.Error(), "others may use it") {
+	if _, err := c.runChange(t, "127.0.0.1:1", "set", "k", "v"); err == nil || !strings.Contains(err.Error(), "others may use it") {
 		t.Error(err)
 	}
 	if err := os.WriteFile(c.keyFile, []byte("secret"), 0o600); err != nil {
@@ -331,24 +331,24 @@
 	if err := os.Chmod(c.keyFile, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := c.change(t, "127.0.0.1:1", "remove", "k"); err == nil || strings.Contains(err.Error(), "secret") || !strings.Contains(err.Error(), "32 bytes in base64") {
+	if _, err := c.runChange(t, "127.0.0.1:1", "remove", "k"); err == nil || strings.Contains(err.Error(), "secret") || !strings.Contains(err.Error(), "32 bytes in base64") {
 		t.Error(err)
 	}
 }
 
 // The file of the configuration has its share of the folder, and only where there is one.
 func TestConfigurationFileShare(t *testing.T) {
-	c := config{disk: 1 << 30}
-	if off := c.caps(); off.configuration != 0 || off.disk+off.learned != c.disk {
+	c := config{diskBytes: 1 << 30}
+	if off := c.resourceLimits(); off.configurationBytes != 0 || off.journalBytes+off.learnedBytes != c.diskBytes {
 		t.Errorf("%+v", off)
 	}
 	c.gateway.Fleet.Configuration.Enabled = true
 	c.gateway.Fleet.Configuration.MaxEntries = 100
-	if on := c.caps(); on.configuration != configfile.MaxBytes(100) || on.disk+on.learned+2*on.configuration != c.disk {
+	if on := c.resourceLimits(); on.configurationBytes != configfile.MaxBytes(100) || on.journalBytes+on.learnedBytes+2*on.configurationBytes != c.diskBytes {
 		t.Errorf("%+v", on)
 	}
-	c.disk = 16 << 10
-	if small := c.caps(); small.configuration != 1<<10 {
+	c.diskBytes = 16 << 10
+	if small := c.resourceLimits(); small.configurationBytes != 1<<10 {
 		t.Errorf("%+v", small)
 	}
 }
--- a/cmd/slatemux/deploy_test.go
+++ b/cmd/slatemux/deploy_test.go
@@ -10,8 +10,8 @@
 	"testing"
 )
 
-// deployed reads a line of the deploy file.
-func deployed(t *testing.T, key string) string {
+// deploySetting reads a line of the deploy file.
+func deploySetting(t *testing.T, key string) string {
 	t.Helper()
 	raw, err := os.ReadFile("../../deploy/balancer.toml")
 	if err != nil {
@@ -27,9 +27,9 @@
 // The platform loads a library of its own into the relay. That takes a program that is linked against the C library, which
 // Go makes of a program only where cgo and the external linker are asked for; and one that is the process that run started.
 func TestDeployedRelayIsDynamicallyLinked(t *testing.T) {
-	build := regexp.MustCompile(`go build (.*)-o bin/ ./cmd/\.\.\.`).FindStringSubmatch(deployed(t, "build"))
-	if build == nil || !strings.Contains(deployed(t, "build"), "CGO_ENABLED=1") {
-		t.Fatalf("build is %s", deployed(t, "build"))
+	build := regexp.MustCompile(`go build (.*)-o bin/ ./cmd/\.\.\.`).FindStringSubmatch(deploySetting(t, "build"))
+	if build == nil || !strings.Contains(deploySetting(t, "build"), "CGO_ENABLED=1") {
+		t.Fatalf("build is %s", deploySetting(t, "build"))
 	}
 	program := filepath.Join(t.TempDir(), "slatemux")
 	cmd := exec.Command("go", append(append([]string{"build"}, strings.Fields(build[1])...), "-o", program, ".")...)
@@ -53,18 +53,18 @@
 	if !interpreter || !strings.Contains(strings.Join(libraries, " "), "libc.so") {
 		t.Errorf("the relay has no interpreter (%v) or does not need the C library: %v", interpreter, libraries)
 	}
-	if run := deployed(t, "run"); !strings.HasPrefix(run, `"exec `) {
+	if run := deploySetting(t, "run"); !strings.HasPrefix(run, `"exec `) {
 		t.Errorf("run does not end in one process: %s", run)
 	}
 }
 
 // What the relay is built of is named in the deploy file, or the operators read less than what runs.
-func TestDeployFileNamesThePartsOfTheRelay(t *testing.T) {
+func TestDeployFileListsRelayPackages(t *testing.T) {
 	out, err := exec.Command("go", "list", "-deps", "-f", "{{if not .Standard}}{{.ImportPath}}{{end}}", ".").Output()
 	if err != nil {
 		t.Fatal(err)
 	}
-	node := deployed(t, "node")
+	node := deploySetting(t, "node")
 	for _, pkg := range strings.Fields(string(out)) {
 		part, ours := strings.CutPrefix(pkg, "slatemux/")
 		if !ours || strings.Contains(node, `"`+part+`"`) {
--- a/cmd/slatemux/fleet.go
+++ b/cmd/slatemux/fleet.go
@@ -21,34 +21,34 @@
 	"slatemux/internal/traffic"
 )
 
-// told hands the fleet's word to the relay, which is made after the relay's part in the fleet.
-type told func() *relay.Relay
+// relayForwarder hands the fleet's word to the relay, which is made after the relay's part in the fleet.
+type relayForwarder func() *relay.Relay
 
-func (t told) Restrain(list []traffic.Restraint) { t().Restrain(list) }
-func (t told) Allow(list []traffic.Allowance)    { t().Allow(list) }
-func (t told) Bar(bars []traffic.Bar)            { t().Bar(bars) }
+func (t relayForwarder) Restrain(list []traffic.Restraint) { t().Restrain(list) }
+func (t relayForwarder) Allow(list []traffic.Allowance)    { t().Allow(list) }
+func (t relayForwarder) Bar(bars []traffic.Bar)            { t().Bar(bars) }
 
-// join makes the relay's part in its fleet; nil where there is none.
-func join(cfg *config, r told) (*fleet.Fleet, error) {
-	own := cfg.gateway.Fleet
-	if !own.Enabled {
+// joinFleet makes the relay's part in its fleet; nil where there is none.
+func joinFleet(cfg *config, r relayForwarder) (*fleet.Fleet, error) {
+	fleetSettings := cfg.gateway.Fleet
+	if !fleetSettings.Enabled {
 		return nil, nil
 	}
 	return fleet.New(fleet.Config{
-		Name:             own.Name,
+		Name:             fleetSettings.Name,
 		Self:             cfg.name,
-		Bind:             own.Bind,
-		Advertise:        own.Advertise,
-		Join:             own.Join,
-		KeyFile:          own.KeyFile,
-		StateDir:         cfg.state,
+		Bind:             fleetSettings.Bind,
+		Advertise:        fleetSettings.Advertise,
+		Join:             fleetSettings.Join,
+		KeyFile:          fleetSettings.KeyFile,
+		StateDir:         cfg.stateDir,
 		Seed:             uint64(cfg.seed),
-		Quorum:           own.Agree,
-		ExchangeInterval: own.Exchange,
-		BytesPerSecond:   own.Bytes,
-		DivideLimits:     own.DivideLimits,
+		Quorum:           fleetSettings.Agree,
+		ExchangeInterval: fleetSettings.Exchange,
+		BytesPerSecond:   fleetSettings.Bytes,
+		DivideLimits:     fleetSettings.DivideLimits,
 		Relays:           cfg.settings.Peers,
-		Configuration:    replication(cfg),
+		Configuration:    replicationConfig(cfg),
 	}, r)
 }
 
@@ -61,27 +61,27 @@
 docs/operate-fleet.md explains what is shown.`,
 	}
 	var addr string
-	var raw bool
+	var printJSON bool
 	root.PersistentFlags().StringVar(&addr, "ops", "", "the relay's operators' address, host:port")
-	root.PersistentFlags().BoolVar(&raw, "json", false, "print JSON")
-	show := func(what, short string, table func(w io.Writer, body []byte) error) *cobra.Command {
+	root.PersistentFlags().BoolVar(&printJSON, "json", false, "print JSON")
+	newListCommand := func(list, short string, writeTable func(w io.Writer, body []byte) error) *cobra.Command {
 		return &cobra.Command{
-			Use: what, Short: short, Args: cobra.NoArgs,
-			Example: "  slatemux fleet " + what + " --ops 127.0.0.1:8600",
+			Use: list, Short: short, Args: cobra.NoArgs,
+			Example: "  slatemux fleet " + list + " --ops 127.0.0.1:8600",
 			RunE: func(cmd *cobra.Command, _ []string) error {
 				if addr == "" {
 					return errors.New("fleet: --ops is missing: the relay's operators' address")
 				}
-				body, err := askOps(cmd.Context(), addr, "/ops/fleet/"+what)
+				body, err := getOps(cmd.Context(), addr, "/ops/fleet/"+list)
 				if err != nil {
 					return fmt.Errorf("fleet: %w", err)
 				}
-				if raw {
+				if printJSON {
 					_, err = cmd.OutOrStdout().Write(body)
 					return err
 				}
 				t := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 4, 2, ' ', 0)
-				if err := table(t, body); err != nil {
+				if err := writeTable(t, body); err != nil {
 					return fmt.Errorf("fleet: %w", err)
 				}
 				return t.Flush()
@@ -97,13 +97,13 @@
 			_, err := fmt.Fprintln(cmd.OutOrStdout(), base64.StdEncoding.EncodeToString(key))
 			return err
 		},
-	}, configurationCommand(&addr, &raw), show("members", "List the fleet's members", membersTable), show("verdicts", "List what relays have told each other and still holds", verdictsTable),
-		show("limits", "List the limits that the fleet divides, and what this relay has of them", limitsTable))
+	}, configurationCommand(&addr, &printJSON), newListCommand("members", "List the fleet's members", writeMembersTable), newListCommand("verdicts", "List what relays have told each other and still holds", writeVerdictsTable),
+		newListCommand("limits", "List the limits that the fleet divides, and what this relay has of them", writeLimitsTable))
 	return root
 }
 
-// askOps makes one call to an operators' address.
-func askOps(ctx context.Context, addr, path string) ([]byte, error) {
+// getOps makes one call to an operators' address.
+func getOps(ctx context.Context, addr, path string) ([]byte, error) {
 	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(5*time.Second))
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+path, nil)
@@ -125,7 +125,7 @@
 	return body, nil
 }
 
-func membersTable(w io.Writer, body []byte) error {
+func writeMembersTable(w io.Writer, body []byte) error {
 	var list []fleet.MemberState
 	if err := json.Unmarshal(body, &list); err != nil {
 		return err
@@ -143,7 +143,7 @@
 	return nil
 }
 
-func limitsTable(w io.Writer, body []byte) error {
+func writeLimitsTable(w io.Writer, body []byte) error {
 	var list []allowance.State
 	if err := json.Unmarshal(body, &list); err != nil {
 		return err
@@ -166,12 +166,12 @@
 	return nil
 }
 
-func verdictsTable(w io.Writer, body []byte) error {
+func writeVerdictsTable(w io.Writer, body []byte) error {
 	var list []fleet.Verdict
 	if err := json.Unmarshal(body, &list); err != nil {
 		return err
 	}
-	span := func(ms float64) time.Duration {
+	millis := func(ms float64) time.Duration {
 		return (time.Duration(ms * float64(time.Millisecond))).Round(time.Millisecond)
 	}
 	fmt.Fprintln(w, "FROM\tWHAT\tDESTINATION\tMEMBER\tAGE\tLAPSES IN")
@@ -180,12 +180,12 @@
 		if v.Over {
 			what += " is over"
 		} else if v.LengthMS > 0 {
-			what += fmt.Sprintf(" (%v)", span(v.LengthMS))
+			what += fmt.Sprintf(" (%v)", millis(v.LengthMS))
 		}
 		if member == "" {
 			member = "all"
 		}
-		fmt.Fprintf(w, "%s\t%s\t%d\t%s\t%v\t%v\n", v.Origin, what, v.Destination, member, span(v.AgeMS), span(v.LeftMS))
+		fmt.Fprintf(w, "%s\t%s\t%d\t%s\t%v\t%v\n", v.Origin, what, v.Destination, member, millis(v.AgeMS), millis(v.LeftMS))
 	}
 	return nil
 }
--- a/cmd/slatemux/log.go
+++ b/cmd/slatemux/log.go
@@ -7,69 +7,69 @@
 	"time"
 )
 
-// sparing is a log handler that passes over lines of a message beyond so many a second: a bad client or a spoilt
+// rateLimitedHandler is a log handler that passes over lines of a message beyond so many a second: a bad client or a spoilt
 // partner may cause hundreds of them, and the log must not take the core from those that are served; the next line that is
 // logged tells how many there were.
-type sparing struct {
+type rateLimitedHandler struct {
 	slog.Handler
-	shared *lines
+	counts *messageCounts
 }
 
-type lines struct {
-	mu   sync.Mutex
-	most int64
-	by   map[string]*count // by message, of which there are as many as calls of slog
+type messageCounts struct {
+	mu           sync.Mutex
+	maxPerSecond int64
+	byMessage    map[string]*messageCount // by message, of which there are as many as calls of slog
 }
 
-type count struct {
-	second    time.Time
-	n, passed int64
+type messageCount struct {
+	second           time.Time
+	seen, suppressed int64
 }
 
-// sparingly writes at most so many lines of one message a second. The libraries that sample log lines count what
+// newRateLimitedHandler writes at most so many lines of one message a second. The libraries that sample log lines count what
 // they pass over in a hook apart; here the next line tells, which is what those on call read.
-func sparingly(h slog.Handler, most int) sparing {
-	return sparing{h, &lines{most: int64(most), by: map[string]*count{}}}
+func newRateLimitedHandler(h slog.Handler, maxPerSecond int) rateLimitedHandler {
+	return rateLimitedHandler{h, &messageCounts{maxPerSecond: int64(maxPerSecond), byMessage: map[string]*messageCount{}}}
 }
 
 // Handle logs a line or passes over it. Errors always pass.
-func (s sparing) Handle(ctx context.Context, r slog.Record) error {
+func (s rateLimitedHandler) Handle(ctx context.Context, r slog.Record) error {
 	if r.Level < slog.LevelError {
-		passed, ok := s.shared.take(r.Message, r.Time.Truncate(time.Second))
+		suppressed, ok := s.counts.allow(r.Message, r.Time.Truncate(time.Second))
 		if !ok {
 			return nil
 		}
-		if passed > 0 {
-			r.AddAttrs(slog.Int64("passed_over", passed))
+		if suppressed > 0 {
+			r.AddAttrs(slog.Int64("passed_over", suppressed))
 		}
 	}
 	return s.Handler.Handle(ctx, r)
 }
 
-func (l *lines) take(message string, second time.Time) (passed int64, ok bool) {
+func (l *messageCounts) allow(message string, second time.Time) (suppressed int64, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	c := l.by[message]
+	c := l.byMessage[message]
 	if c == nil {
-		c = &count{}
-		l.by[message] = c
+		c = &messageCount{}
+		l.byMessage[message] = c
 	}
 	if !c.second.Equal(second) {
-		c.second, c.n = second, 0
+		c.second, c.seen = second, 0
 	}
-	if c.n++; c.n > l.most {
-		c.passed++
+	if c.seen++; c.seen > l.maxPerSecond {
+		c.suppressed++
 		return 0, false
 	}
-	passed, c.passed = c.passed, 0
-	return passed, true
+	suppressed, c.suppressed = c.suppressed, 0
+	return suppressed, true
 }
 
 // WithAttrs and WithGroup keep the counts.
-func (s sparing) WithAttrs(attrs []slog.Attr) slog.Handler {
-	return sparing{s.Handler.WithAttrs(attrs), s.shared}
+func (s rateLimitedHandler) WithAttrs(attrs []slog.Attr) slog.Handler {
+	return rateLimitedHandler{s.Handler.WithAttrs(attrs), s.counts}
 }
 
-func (s sparing) WithGroup(name string) slog.Handler {
-	return sparing{s.Handler.WithGroup(name), s.shared}
+func (s rateLimitedHandler) WithGroup(name string) slog.Handler {
+	return rateLimitedHandler{s.Handler.WithGroup(name), s.counts}
 }
--- a/cmd/slatemux/log_test.go
+++ b/cmd/slatemux/log_test.go
@@ -8,27 +8,27 @@
 	"time"
 )
 
-const linesMost = 5
+const testMaxPerSecond = 5
 
 // A flood of lines with one message costs little: the rest of a second's are counted, not written. Other
 // messages and errors are not held back by it.
-func TestFloodOfLinesIsSpared(t *testing.T) {
+func TestLogRateLimitPerMessage(t *testing.T) {
 	var text strings.Builder
-	h := sparingly(slog.NewTextHandler(&text, nil), linesMost).WithAttrs([]slog.Attr{slog.String("relay", "n0")})
+	h := newRateLimitedHandler(slog.NewTextHandler(&text, nil), testMaxPerSecond).WithAttrs([]slog.Attr{slog.String("relay", "n0")})
 	log := func(level slog.Level, message string, second int64) {
 		r := slog.NewRecord(time.Unix(second, 0), level, message, 0)
 		if err := h.Handle(context.Background(), r); err != nil {
 			t.Error(err)
 		}
 	}
-	for range linesMost + 7 {
+	for range testMaxPerSecond + 7 {
 		log(slog.LevelWarn, "bad", 1)
 		log(slog.LevelError, "worse", 1)
 	}
 	log(slog.LevelWarn, "other", 1)
 	log(slog.LevelWarn, "bad", 2)
-	for part, want := range map[string]int{"msg=bad": linesMost + 1, "msg=worse": linesMost + 7, "msg=other": 1,
-		"passed_over=7": 1, "relay=n0": 2*linesMost + 9} {
+	for part, want := range map[string]int{"msg=bad": testMaxPerSecond + 1, "msg=worse": testMaxPerSecond + 7, "msg=other": 1,
+		"passed_over=7": 1, "relay=n0": 2*testMaxPerSecond + 9} {
 		if got := strings.Count(text.String(), part); got != want {
 			t.Errorf("%d lines with %s, want %d", got, part, want)
 		}
--- a/cmd/slatemux/sizes_test.go
+++ b/cmd/slatemux/long_list_test.go
@@ -16,36 +16,36 @@
 	"time"
 )
 
-// crowd is a pool of many members, all at one address and each a destination of its own but the first two hundred, which share
+// largePool is a pool of many members, all at one address and each a destination of its own but the first two hundred, which share
 // one; and an agent that lists them as a test says.
-type crowd struct {
-	mu     sync.Mutex
-	last   map[string]time.Time // first bytes of the newest call to each member
-	out    int                  // calls under way
-	most   int                  // of them at one time
-	dial   string
-	size   int
-	gone   bool      // the members with odd numbers leave
-	toldAt time.Time // when the last byte of that was written
+type largePool struct {
+	mu           sync.Mutex
+	lastCall     map[string]time.Time // first bytes of the newest call to each member
+	inFlight     int                  // calls under way
+	maxInFlight  int                  // of them at one time
+	dial         string
+	size         int
+	oddLeaving   bool      // the members with odd numbers leave
+	changeSentAt time.Time // when the last byte of that was written
 }
 
-// list is the whole list, or the change that has half of the members leave.
-func (c *crowd) list(whole, gone, indent bool) []byte {
+// hostList is the whole list, or the change that has half of the members leave.
+func (c *largePool) hostList(full, leaving, indent bool) []byte {
 	seq := 1
 	var hosts []map[string]any
 	for i := range c.size {
 		h := map[string]any{"host": fmt.Sprint("m", i), "dial": c.dial, "site": "here", "class": "partner", "block": max(i-200, 0), "health": "active", "share": 9000, "born_ms": 0}
-		if gone && i%2 == 1 {
+		if leaving && i%2 == 1 {
 			h["health"] = "leaving"
 		}
-		if whole || i%2 == 1 {
+		if full || i%2 == 1 {
 			hosts = append(hosts, h)
 		}
 	}
-	if gone {
+	if leaving {
 		seq = 2
 	}
-	list := map[string]any{"seq": seq, "whole": whole, "hosts": hosts}
+	list := map[string]any{"seq": seq, "whole": full, "hosts": hosts}
 	raw, _ := json.Marshal(list) // it never fails
 	if indent {
 		raw, _ = json.MarshalIndent(list, "", "    ")
@@ -53,19 +53,19 @@
 	return raw
 }
 
-// newCrowd returns one, and the configuration of a relay that knows it. The agent gives its change in pieces.
-func newCrowd(t *testing.T, size int, indent bool, piece int) (*crowd, string) {
-	c := &crowd{size: size, last: map[string]time.Time{}}
+// newLargePool returns one, and the configuration of a relay that knows it. The agent gives its change in pieces.
+func newLargePool(t *testing.T, size int, indent bool, piece int) (*largePool, string) {
+	c := &largePool{size: size, lastCall: map[string]time.Time{}}
 	member := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		now := time.Now()
 		c.mu.Lock()
-		c.last[req.Host] = now
-		c.out++
-		c.most = max(c.most, c.out)
+		c.lastCall[req.Host] = now
+		c.inFlight++
+		c.maxInFlight = max(c.maxInFlight, c.inFlight)
 		c.mu.Unlock()
 		time.Sleep(60 * time.Millisecond)
 		c.mu.Lock()
-		c.out--
+		c.inFlight--
 		c.mu.Unlock()
 		w.Header().Set("X-Backend-Load", "x0=0.9,x1=10000")
 	}))
@@ -90,12 +90,12 @@
 		t.Fatal(err)
 	}
 	return c, strings.NewReplacer("127.0.0.1:6379", "127.0.0.1:0", `"127.0.0.1:8600"`, `""`, "127.0.0.1:8500", ln.Addr().String(),
-		`{"seq": 0, "whole": true, "hosts": []}`, string(c.list(true, false, indent)), `"peers-total": 1,`, `"peers-total": 350,`,
+		`{"seq": 0, "whole": true, "hosts": []}`, string(c.hostList(true, false, indent)), `"peers-total": 1,`, `"peers-total": 350,`,
 		`"max-calls": 16`, `"max-calls": 400`, `"max-open": 200`, `"max-open": 5000`, `"sockets": 1024`, `"sockets": 4096`).Replace(string(raw))
 }
 
 // serve answers an agent's connection.
-func (c *crowd) serve(nc net.Conn, indent bool, piece int) {
+func (c *largePool) serve(nc net.Conn, indent bool, piece int) {
 	defer nc.Close()
 	for rd := bufio.NewReader(nc); ; {
 		req, err := http.ReadRequest(rd)
@@ -109,35 +109,35 @@
 		}
 		from := req.URL.Query().Get("from")
 		c.mu.Lock()
-		gone, size := c.gone, c.size
+		leaving, size := c.oddLeaving, c.size
 		c.mu.Unlock()
 		var body []byte
-		news := gone && from == "1"
+		sendChange := leaving && from == "1"
 		switch {
 		case from == "" || from == "0":
-			body = c.list(true, gone, indent)
-		case news:
-			body = c.list(false, true, indent)
+			body = c.hostList(true, leaving, indent)
+		case sendChange:
+			body = c.hostList(false, true, indent)
 		default:
 			time.Sleep(10 * time.Millisecond)
 			body = fmt.Appendf(nil, `{"seq":%s,"whole":false,"hosts":[]}`, from)
 		}
 		answer := append(fmt.Appendf(nil, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", len(body)), body...)
-		for part := range bytesOf(answer, piece) {
+		for part := range chunks(answer, piece) {
 			if _, err := nc.Write(part); err != nil {
 				return
 			}
 		}
-		if news && size > 0 {
+		if sendChange && size > 0 {
 			c.mu.Lock()
-			c.toldAt = time.Now()
+			c.changeSentAt = time.Now()
 			c.mu.Unlock()
 		}
 	}
 }
 
-// bytesOf cuts a text into pieces; 0 for one.
-func bytesOf(text []byte, piece int) func(func([]byte) bool) {
+// chunks cuts a text into pieces; 0 for one.
+func chunks(text []byte, piece int) func(func([]byte) bool) {
 	return func(yield func([]byte) bool) {
 		if piece == 0 {
 			piece = len(text)
@@ -152,56 +152,56 @@
 // moment after the list's last byte, compact and indented, whole at once and in small pieces.
 func TestLongListLeaves(t *testing.T) {
 	for _, size := range []int{1024, 2000, 5000} {
-		for what, how := range map[string]struct {
+		for form, sent := range map[string]struct {
 			indent bool
 			piece  int
 		}{"compact": {}, "indented": {indent: true}, "in pieces": {indent: true, piece: 64}} {
-			t.Run(fmt.Sprint(size, " ", what), func(t *testing.T) {
-				c, config := newCrowd(t, size, how.indent, how.piece)
-				began := time.Now()
-				addr, _, end := boot(t, env(t, config))
+			t.Run(fmt.Sprint(size, " ", form), func(t *testing.T) {
+				c, config := newLargePool(t, size, sent.indent, sent.piece)
+				started := time.Now()
+				addr, _, end := startRelay(t, writeTestConfig(t, config))
 				defer end()
-				if took := time.Since(began); took > time.Second {
+				if took := time.Since(started); took > time.Second {
 					t.Errorf("ready after %v", took)
 				}
 				stop := make(chan struct{})
 				var clients sync.WaitGroup
 				for n := range 40 {
-					clients.Go(func() { hammer(t, addr, n, size, stop) })
+					clients.Go(func() { submitUntilStopped(t, addr, n, size, stop) })
 				}
 				time.Sleep(300 * time.Millisecond)
 				c.mu.Lock()
-				c.gone = true
+				c.oddLeaving = true
 				c.mu.Unlock()
 				time.Sleep(600 * time.Millisecond)
 				close(stop)
 				clients.Wait()
 				c.mu.Lock()
 				defer c.mu.Unlock()
-				if c.toldAt.IsZero() {
+				if c.changeSentAt.IsZero() {
 					t.Fatal("nobody asked for the change")
 				}
-				var latest time.Duration
+				var latestCall time.Duration
 				calls := 0
-				for host, at := range c.last {
+				for host, at := range c.lastCall {
 					if calls++; host != "m0" && (host[len(host)-1]-'0')%2 == 1 {
-						latest = max(latest, at.Sub(c.toldAt))
+						latestCall = max(latestCall, at.Sub(c.changeSentAt))
 					}
 				}
-				t.Logf("%d members called, %d flows at one time; the last byte of the change to the last flow withheld: %v", calls, c.most, latest)
-				if c.most < 100 {
-					t.Errorf("%d flows at one time: this is no test", c.most)
+				t.Logf("%d members called, %d flows at one time; the last byte of the change to the last flow withheld: %v", calls, c.maxInFlight, latestCall)
+				if c.maxInFlight < 100 {
+					t.Errorf("%d flows at one time: this is no test", c.maxInFlight)
 				}
-				if latest > time.Second {
-					t.Errorf("a flow begins %v after the change", latest)
+				if latestCall > time.Second {
+					t.Errorf("a flow begins %v after the change", latestCall)
 				}
 			})
 		}
 	}
 }
 
-// hammer hands messages in on one connection until it is told to stop.
-func hammer(t *testing.T, addr string, client, size int, stop chan struct{}) {
+// submitUntilStopped hands messages in on one connection until it is told to stop.
+func submitUntilStopped(t *testing.T, addr string, client, size int, stop chan struct{}) {
 	nc, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Error(err)
--- a/cmd/slatemux/main.go
+++ b/cmd/slatemux/main.go
@@ -35,211 +35,211 @@
 // After SIGTERM the relay serves on for serveOn; then it closes its clients' connections between requests,
 // while what is out may still end, and exits after exitAfter, before SIGKILL comes at 3.7 s. What is open
 // then is in the journal.
-const serveOn, exitAfter = 3000 * time.Millisecond, 3550 * time.Millisecond
+const drainDelay, exitDelay = 3000 * time.Millisecond, 3550 * time.Millisecond
 
-// settle is how long a connection to a pool member rests after an answer: less than half of a step.
-const settle = 2 * time.Millisecond
+// connRestTime is how long a connection to a pool member rests after an answer: less than half of a step.
+const connRestTime = 2 * time.Millisecond
 
-// answerWithin is what clients may still need for the answers to what was read.
-const answerWithin = 100 * time.Millisecond
+// finalAnswersTimeout is what clients may still need for the answers to what was read.
+const finalAnswersTimeout = 100 * time.Millisecond
 
-// began is about the process's first moment: what discovery has to tell may count from then on.
-var began = time.Now()
+// processStart is about the process's first moment: what discovery has to tell may count from then on.
+var processStart = time.Now()
 
 // signals are what may come while the relay runs. Each kind has a channel of its own, with room for one: what
 // comes again before it is looked at asks for the same, and none can push another out.
-type signals struct{ end, report, conns, reload chan os.Signal }
+type signals struct{ terminate, logCounters, logConnections, reload chan os.Signal }
 
-func listen() signals {
+func notifySignals() signals {
 	s := signals{make(chan os.Signal, 1), make(chan os.Signal, 1), make(chan os.Signal, 1), make(chan os.Signal, 1)}
-	signal.Notify(s.end, syscall.SIGTERM, syscall.SIGINT)
-	signal.Notify(s.report, syscall.SIGUSR1)
-	signal.Notify(s.conns, syscall.SIGUSR2)
+	signal.Notify(s.terminate, syscall.SIGTERM, syscall.SIGINT)
+	signal.Notify(s.logCounters, syscall.SIGUSR1)
+	signal.Notify(s.logConnections, syscall.SIGUSR2)
 	signal.Notify(s.reload, syscall.SIGHUP)
 	return s
 }
 
-// keepsOrder says whether any class keeps the order of keys.
-func keepsOrder(set *dispatch.Settings) bool {
+// anyOrderedByKey says whether any class keeps the order of keys.
+func anyOrderedByKey(set *dispatch.Settings) bool {
 	return slices.ContainsFunc(set.Classes, func(c dispatch.Class) bool { return c.OrderedByKey })
 }
 
 // run serves until a signal ends it. It reads its configuration again when asked to, and tells where it
 // listens once it is ready.
-func run(cfg config, in signals, reread func() (config, error), ready func(net.Addr)) error {
+func run(cfg config, sig signals, reread func() (config, error), ready func(net.Addr)) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 
-	read := time.Now()
-	most := cfg.caps()
-	debug.SetMemoryLimit(most.heap)
+	configRead := time.Now()
+	limits := cfg.resourceLimits()
+	debug.SetMemoryLimit(limits.heapBytes)
 	discovery := discoveryaddr.New(cfg.discovery)
-	store, err := journal.Open(cfg.state, most.disk)
+	store, err := journal.Open(cfg.stateDir, limits.journalBytes)
 	if err != nil {
 		return err
 	}
 	defer store.Close()
-	opened := time.Now()
+	journalOpened := time.Now()
 
 	// The operators' address answers from the start: not ready until clients are taken.
-	var desk *opsDesk
-	if cfg.ops != "" {
-		desk = &opsDesk{bans: maintenance.Open(cfg.state)}
-		if desk.server, err = ops.Listen(cfg.ops, desk); err != nil {
+	var handler *opsHandler
+	if cfg.opsAddr != "" {
+		handler = &opsHandler{bans: maintenance.Open(cfg.stateDir)}
+		if handler.server, err = ops.Listen(cfg.opsAddr, handler); err != nil {
 			return fmt.Errorf("ops: %w", err)
 		}
 		go func() {
-			if err := desk.server.Serve(); err != nil {
+			if err := handler.server.Serve(); err != nil {
 				slog.Error("ops address ended", "err", err)
 			}
 		}()
-		defer desk.server.Close()
-		slog.Info("ops address", "listen", desk.server.Addr())
+		defer handler.server.Close()
+		slog.Info("ops address", "listen", handler.server.Addr())
 	}
 	bans := map[string]bool{}
-	if desk != nil {
-		bans = desk.bans.Banned()
+	if handler != nil {
+		bans = handler.bans.Banned()
 	}
 
 	meters := vitals.New(cfg.cores)
 	var gov *governor.Governor
 	var admission front.Admission // a nil interface where nothing is governed
-	if own := cfg.gateway.Overload; own.Enabled {
-		gov, err = governor.New(governor.Config{Control: cfg.control(), Tick: own.Tick, Brownout: own.Brownout,
-			Step: cfg.settings.Resolution, Memory: cfg.memory, Meters: meters,
-			Quiet: func(on bool) { quiet(on, cfg.gateway.Log.Level) }})
+	if overload := cfg.gateway.Overload; overload.Enabled {
+		gov, err = governor.New(governor.Config{Control: cfg.overloadConfig(), Tick: overload.Tick, Brownout: overload.Brownout,
+			Step: cfg.settings.Resolution, Memory: cfg.memoryBytes, Meters: meters,
+			Quiet: func(on bool) { setQuietLogging(on, cfg.gateway.Log.Level) }})
 		if err != nil {
 			return err
 		}
 		admission = gov
 	}
 
-	var secured *secure.Manager
-	var overTLS flow.Secure // a nil interface where all is plain
+	var tlsManager *secure.Manager
+	var flowTLS flow.Secure // a nil interface where all is plain
 	if len(cfg.gateway.TLS.Policies) > 0 {
-		if secured, err = secure.New(cfg.gateway.TLS.Policies); err != nil {
+		if tlsManager, err = secure.New(cfg.gateway.TLS.Policies); err != nil {
 			return err
 		}
-		overTLS = secured
+		flowTLS = tlsManager
 	}
-	busy := func() float64 {
+	cpuBusy := func() float64 {
 		if gov == nil {
 			return 0
 		}
 		return gov.State().Reading.Busy
 	}
 
-	var shared flow.Waits // a nil interface where none are shared
+	var sharedWaits flow.Waits // a nil interface where none are shared
 	if table, err := retryafter.Open(os.TempDir()); err != nil {
 		slog.Warn("told waits not shared with a successor", "err", err)
 	} else {
 		defer table.Close()
-		shared = table
+		sharedWaits = table
 	}
-	var inTurn relay.Turns // as well
-	if keepsOrder(&cfg.settings) {
-		if table, err := keyorder.Open(os.TempDir(), fmt.Sprint(os.Getpid(), cfg.began.UnixNano())); err != nil {
+	var turns relay.Turns // as well
+	if anyOrderedByKey(&cfg.settings) {
+		if table, err := keyorder.Open(os.TempDir(), fmt.Sprint(os.Getpid(), cfg.startTime.UnixNano())); err != nil {
 			slog.Warn("the order of keys is not shared with a successor", "err", err)
 		} else {
 			defer table.Close()
-			inTurn = table
+			turns = table
 		}
 	}
 	var r *relay.Relay
-	part, err := join(&cfg, func() *relay.Relay { return r })
+	member, err := joinFleet(&cfg, func() *relay.Relay { return r })
 	if err != nil {
 		return err
 	}
-	var amongFlows flow.Fleet // nil interfaces for a relay alone
-	var amongRelays relay.Fleet
-	if part != nil {
-		amongFlows, amongRelays = part, part
+	var flowFleet flow.Fleet // nil interfaces for a relay alone
+	var relayFleet relay.Fleet
+	if member != nil {
+		flowFleet, relayFleet = member, member
 	}
-	keep := cfg.gateway.Conns.Keep
-	keep.Most, keep.IdleMost, keep.Seed = most.members, cfg.settings.KeepAlive, uint64(cfg.seed)
-	var names flow.Resolver // a nil interface where none are looked up
+	connsConfig := cfg.gateway.Conns.Keep
+	connsConfig.Most, connsConfig.IdleMost, connsConfig.Seed = limits.memberConns, cfg.settings.KeepAlive, uint64(cfg.seed)
+	var resolver flow.Resolver // a nil interface where none are looked up
 	if cfg.gateway.Conns.LookUpNames {
-		names = net.DefaultResolver
+		resolver = net.DefaultResolver
 	}
-	flows, err := flow.New(flow.Config{Names: names, Secure: overTLS, Gate: cfg.gateway.TLS.Gate, Busy: busy, ConnectWithin: cfg.settings.ConnectTimeout,
-		MostFlows: most.flows, Settle: settle, Conns: keep, HeldMost: cfg.gateway.Conns.HeldMost, StuckAfter: cfg.gateway.Conns.StuckAfter,
-		OwnDelay: meters.Wait, Shared: shared, Fleet: amongFlows}, func(end traffic.FlowEnd) { r.FlowEnded(end) })
+	flows, err := flow.New(flow.Config{Names: resolver, Secure: flowTLS, Gate: cfg.gateway.TLS.Gate, Busy: cpuBusy, ConnectWithin: cfg.settings.ConnectTimeout,
+		MostFlows: limits.flows, Settle: connRestTime, Conns: connsConfig, HeldMost: cfg.gateway.Conns.HeldMost, StuckAfter: cfg.gateway.Conns.StuckAfter,
+		OwnDelay: meters.Wait, Shared: sharedWaits, Fleet: flowFleet}, func(end traffic.FlowEnd) { r.FlowEnded(end) })
 	if err != nil {
 		return err
 	}
 	defer flows.Close() // before the journal lets go, which is deferred earlier
-	var ahead relay.Ahead
-	if keep.Ahead {
-		ahead = flows
+	var preconnector relay.Ahead
+	if connsConfig.Ahead {
+		preconnector = flows
 	}
-	learned := limitstore.Open(cfg.state, most.learned, time.Now())
+	limitStore := limitstore.Open(cfg.stateDir, limits.learnedBytes, time.Now())
 	notices := notice.New(discovery, func(ids []string) { r.NoticesAnswered(ids) })
-	r, err = relay.New(relay.Config{Meters: meters, Settings: cfg.settings, Seed: cfg.seed, MostBytes: most.openBytes, Store: store,
-		Flows: flows, Notices: notices, Ahead: ahead, Lessons: learned, Heir: store, Fleet: amongRelays, Turns: inTurn, Banned: bans})
+	r, err = relay.New(relay.Config{Meters: meters, Settings: cfg.settings, Seed: cfg.seed, MostBytes: limits.openBytes, Store: store,
+		Flows: flows, Notices: notices, Ahead: preconnector, Lessons: limitStore, Heir: store, Fleet: relayFleet, Turns: turns, Banned: bans})
 	if err != nil {
 		return err
 	}
 	cfg.known.Log()
-	news := cfg.known.News()
-	flows.Pool(news)
-	open, owed := store.Owed()
-	slog.Info("started", "discovery", cfg.discovery, "members", len(news.Members), "recovered", len(open), "notices", len(owed),
-		"limits", len(learned.Limits()))
-	before := time.Now()
-	r.Start(news, learned.Limits(), open, owed)
-	stepped := time.Now()
+	knownPool := cfg.known.News()
+	flows.Pool(knownPool)
+	openMessages, pendingNotices := store.Owed()
+	slog.Info("started", "discovery", cfg.discovery, "members", len(knownPool.Members), "recovered", len(openMessages), "notices", len(pendingNotices),
+		"limits", len(limitStore.Limits()))
+	partsBuilt := time.Now()
+	r.Start(knownPool, limitStore.Limits(), openMessages, pendingNotices)
+	firstStepDone := time.Now()
 
-	var parts sync.WaitGroup
-	stepping, stopStepping := context.WithCancel(context.Background())
+	var workers sync.WaitGroup
+	stepCtx, stopStepping := context.WithCancel(context.Background())
 	defer stopStepping()
-	parts.Go(func() { r.Run(stepping) })
-	parts.Go(func() { notices.Run(ctx) })
-	parts.Go(func() { flows.Sweep(ctx) })
-	parts.Go(func() { learned.Run(ctx) })
-	watch := pool.NewWatcher(discovery, pool.NewPace(cfg.terms(), cfg.seed), cfg.known, cfg.began, r)
-	parts.Go(func() { watch.Run(ctx) })
-	apart, leave := context.WithCancel(ctx)
-	defer leave()
-	if part != nil {
-		part.Recall(learned.Limits())
-		parts.Go(func() { part.Run(apart) })
+	workers.Go(func() { r.Run(stepCtx) })
+	workers.Go(func() { notices.Run(ctx) })
+	workers.Go(func() { flows.Sweep(ctx) })
+	workers.Go(func() { limitStore.Run(ctx) })
+	watcher := pool.NewWatcher(discovery, pool.NewPace(cfg.discoveryTerms(), cfg.seed), cfg.known, cfg.startTime, r)
+	workers.Go(func() { watcher.Run(ctx) })
+	fleetCtx, leaveFleet := context.WithCancel(ctx)
+	defer leaveFleet()
+	if member != nil {
+		member.Recall(limitStore.Limits())
+		workers.Go(func() { member.Run(fleetCtx) })
 	}
 
 	// Clients are let in last: a PING that is answered says that all before has been taken up.
-	server, err := front.Listen(cfg.listen, most.clients, cfg.settings.Classes, r, admission)
+	server, err := front.Listen(cfg.listen, limits.clients, cfg.settings.Classes, r, admission)
 	if err != nil {
 		return err
 	}
 	if gov != nil {
 		meters.Probe(ctx)
-		parts.Go(func() { gov.Run(ctx, r, server, flows) })
+		workers.Go(func() { gov.Run(ctx, r, server, flows) })
 	}
-	if secured != nil && cfg.gateway.TLS.Watch {
-		parts.Go(func() {
-			if err := secured.Watch(ctx); err != nil {
+	if tlsManager != nil && cfg.gateway.TLS.Watch {
+		workers.Go(func() {
+			if err := tlsManager.Watch(ctx); err != nil {
 				slog.Error("tls files not watched: they are read again at SIGHUP alone", "err", err)
 			}
 		})
 	}
-	served := make(chan error, 1)
-	go func() { served <- server.Serve() }()
-	slog.Info("ready", "listen", server.Addr(), "after", time.Since(cfg.began), "configured", read.Sub(cfg.began),
-		"journal", opened.Sub(read), "parts", before.Sub(opened), "first_step", stepped.Sub(before))
-	if desk != nil {
-		desk.relay, desk.front, desk.fleet = r, server, part
-		desk.ready.Store(true)
-		parts.Go(func() { desk.follow(ctx) })
+	serveEnded := make(chan error, 1)
+	go func() { serveEnded <- server.Serve() }()
+	slog.Info("ready", "listen", server.Addr(), "after", time.Since(cfg.startTime), "configured", configRead.Sub(cfg.startTime),
+		"journal", journalOpened.Sub(configRead), "parts", partsBuilt.Sub(journalOpened), "first_step", firstStepDone.Sub(partsBuilt))
+	if handler != nil {
+		handler.relay, handler.front, handler.fleet = r, server, member
+		handler.ready.Store(true)
+		workers.Go(func() { handler.watchBans(ctx) })
 	}
 	ready(server.Addr())
 
 	// apply takes over what a configuration that was read again may change; a bad one changes nothing.
 	var reloads, badReloads int64
-	apply := func() {
-		if secured != nil {
-			secured.Reload()
+	reload := func() {
+		if tlsManager != nil {
+			tlsManager.Reload()
 		}
-		if part != nil {
-			if err := part.Reload(); err != nil {
+		if member != nil {
+			if err := member.Reload(); err != nil {
 				slog.Error("fleet keys not taken over: the old ones serve on", "err", err)
 			}
 		}
@@ -250,86 +250,86 @@
 			return
 		}
 		reloads++
-		moved := newer.written != cfg.written && discovery.Move(newer.written)
-		if c := newer.caps(); c != most {
-			most = c
-			debug.SetMemoryLimit(c.heap)
-			store.Limit(c.disk)
+		moved := newer.fileDiscovery != cfg.fileDiscovery && discovery.Move(newer.fileDiscovery)
+		if c := newer.resourceLimits(); c != limits {
+			limits = c
+			debug.SetMemoryLimit(c.heapBytes)
+			store.Limit(c.journalBytes)
 			r.Limit(c.openBytes)
-			flows.Limit(c.flows, c.members)
+			flows.Limit(c.flows, c.memberConns)
 			if gov != nil {
-				gov.Limit(newer.memory)
+				gov.Limit(newer.memoryBytes)
 			}
 			server.Limit(c.clients)
 		}
 		at, _ := discovery.Now()
-		slog.Info("configuration read again", "discovery", at, "moved", moved, "restart_for", cfg.fixed(&newer))
-		cfg.written = newer.written
+		slog.Info("configuration read again", "discovery", at, "moved", moved, "restart_for", cfg.restartOnlyChanges(&newer))
+		cfg.fileDiscovery = newer.fileDiscovery
 	}
-	report := func(why string) {
+	logCounters := func(cause string) {
 		level := max(slog.LevelInfo, min(logLevel.Level(), slog.LevelWarn)) // asked for, they are told in a brownout too
-		size, live, compacted := store.Stats()
+		journalBytes, pending, compacted := store.Stats()
 		if gov != nil {
-			slog.Log(ctx, level, "overload counters", "why", why, "overload", gov.State())
+			slog.Log(ctx, level, "overload counters", "why", cause, "overload", gov.State())
 		}
-		if secured != nil {
+		if tlsManager != nil {
 			gate, waiting := flows.Handshakes()
-			slog.Log(ctx, level, "tls counters", "why", why, "tls", secured.Counters(), "asked", gate.Asked, "begun", gate.Begun, "carried", gate.Carried,
+			slog.Log(ctx, level, "tls counters", "why", cause, "tls", tlsManager.Counters(), "asked", gate.Asked, "begun", gate.Begun, "carried", gate.Carried,
 				"out_of_time", gate.Expired, "waiting", waiting)
 		}
-		if part != nil {
-			slog.Log(ctx, level, "fleet counters", "why", why, "fleet", part.Figures())
+		if member != nil {
+			slog.Log(ctx, level, "fleet counters", "why", cause, "fleet", member.Figures())
 		}
-		slog.Log(ctx, level, "counters", "why", why, "relay", r.Counters(), "front", server.Counters(), "connections", flows.Counters(), "pool", watch.Counters(), "notices", notices.Counters(),
-			"journal", size, "owed", live, "compacted", compacted, "reloads", reloads, "bad_reloads", badReloads,
+		slog.Log(ctx, level, "counters", "why", cause, "relay", r.Counters(), "front", server.Counters(), "connections", flows.Counters(), "pool", watcher.Counters(), "notices", notices.Counters(),
+			"journal", journalBytes, "owed", pending, "compacted", compacted, "reloads", reloads, "bad_reloads", badReloads,
 			"vitals", meters.Totals())
 	}
-	var every <-chan time.Time
-	if cfg.countersEvery > 0 {
-		tick := time.NewTicker(cfg.countersEvery)
+	var countersTick <-chan time.Time
+	if cfg.countersInterval > 0 {
+		tick := time.NewTicker(cfg.countersInterval)
 		defer tick.Stop()
-		every = tick.C
+		countersTick = tick.C
 	}
-	var drain, end <-chan time.Time
+	var drainTimer, exitTimer <-chan time.Time
 	for running := true; running; {
 		select {
-		case <-in.report:
-			report("signal")
-		case <-every:
-			report("interval")
-		case <-in.conns:
+		case <-sig.logCounters:
+			logCounters("signal")
+		case <-countersTick:
+			logCounters("interval")
+		case <-sig.logConnections:
 			level := max(slog.LevelInfo, min(logLevel.Level(), slog.LevelWarn))
 			for _, s := range flows.Connections() {
 				slog.Log(ctx, level, "member's connections", "state", s)
 			}
 			slog.Log(ctx, level, "idle at their ends", "connections", flows.Ends())
-		case <-in.reload:
-			apply()
-		case sig := <-in.end:
-			if end == nil {
+		case <-sig.reload:
+			reload()
+		case sig := <-sig.terminate:
+			if exitTimer == nil {
 				slog.Info("ending", "signal", sig.String())
-				drain, end = time.After(cfg.serveOn), time.After(cfg.exitAfter)
+				drainTimer, exitTimer = time.After(cfg.drainDelay), time.After(cfg.exitDelay)
 			}
-		case <-drain:
-			if desk != nil {
-				desk.ready.Store(false)
+		case <-drainTimer:
+			if handler != nil {
+				handler.ready.Store(false)
 			}
 			server.Drain()
-			leave() // the others hear it from this relay and need not find out
-		case <-end:
+			leaveFleet() // the others hear it from this relay and need not find out
+		case <-exitTimer:
 			running = false
-		case err := <-served:
-			if drain == nil {
+		case err := <-serveEnded:
+			if drainTimer == nil {
 				return err
 			}
-			served = nil
+			serveEnded = nil
 		}
 	}
 	server.End()
 	stopStepping()
 	cancel()
-	parts.Wait()
-	server.Drained(time.Now().Add(answerWithin))
-	report("exit")
+	workers.Wait()
+	server.Drained(time.Now().Add(finalAnswersTimeout))
+	logCounters("exit")
 	return nil
 }
--- a/cmd/slatemux/tls.go
+++ b/cmd/slatemux/tls.go
@@ -33,7 +33,7 @@
 			if err != nil {
 				return fmt.Errorf("tls check: %q is not the number of a destination", args[0])
 			}
-			cfg, err := load(func(name string) string {
+			cfg, err := loadConfig(func(name string) string {
 				if name == "NODE_STATE" && getenv(name) == "" {
 					return "/"
 				}
@@ -42,7 +42,7 @@
 			if err != nil {
 				return err
 			}
-			m, err := secure.New(cfg.gateway.TLS.Policies)
+			manager, err := secure.New(cfg.gateway.TLS.Policies)
 			if err != nil {
 				return err
 			}
@@ -58,13 +58,13 @@
 			if len(members) == 0 {
 				return fmt.Errorf("tls check: the configuration knows no member of destination %d; name one with --address", dest)
 			}
-			var bad error
+			var failures error
 			for i := range members {
-				if err := checkMember(cmd.Context(), cmd.OutOrStdout(), m, &members[i]); err != nil {
-					bad = errors.Join(bad, fmt.Errorf("%s at %s: %w", members[i].Host, members[i].Dial, err))
+				if err := checkMember(cmd.Context(), cmd.OutOrStdout(), manager, &members[i]); err != nil {
+					failures = errors.Join(failures, fmt.Errorf("%s at %s: %w", members[i].Host, members[i].Dial, err))
 				}
 			}
-			return bad
+			return failures
 		},
 	}
 	check.Flags().StringVar(&addr, "address", "", "host and port to connect to, in place of the known members'")
@@ -72,13 +72,13 @@
 	return parent
 }
 
-func checkMember(ctx context.Context, w io.Writer, m *secure.Manager, member *traffic.Member) error {
+func checkMember(ctx context.Context, w io.Writer, manager *secure.Manager, member *traffic.Member) error {
 	if ctx == nil {
 		ctx = context.Background()
 	}
 	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(10*time.Second))
 	defer cancel()
-	first, second, took, err := m.Check(ctx, member)
+	first, second, took, err := manager.Check(ctx, member)
 	if err != nil {
 		return err
 	}
--- a/cmd/slatemux/tls_test.go
+++ b/cmd/slatemux/tls_test.go
@@ -48,30 +48,30 @@
 		}
 		return path
 	}
-	roots := write("root.pem", string(root.PEM()))
-	good := write("good.textproto", `tls { policy { name: "bank" root_file: "`+roots+`" } }`)
-	wrong := write("wrong.textproto", `tls { policy { name: "bank" root_file: "`+roots+`" server_name: "pay.example.org" } }`)
-	env := env(t, strings.ReplaceAll(newAround(t).config, `"dial":"`, `"dial":"`+ln.Addr().String()+`","was":"`))
-	out, err := cli(t, env, "tls", "check", "7", "--config", good)
+	rootFile := write("root.pem", string(root.PEM()))
+	goodSettings := write("good.textproto", `tls { policy { name: "bank" root_file: "`+rootFile+`" } }`)
+	wrongNameSettings := write("wrong.textproto", `tls { policy { name: "bank" root_file: "`+rootFile+`" server_name: "pay.example.org" } }`)
+	env := writeTestConfig(t, strings.ReplaceAll(newTestPeers(t).config, `"dial":"`, `"dial":"`+ln.Addr().String()+`","was":"`))
+	out, err := runCLI(t, env, "tls", "check", "7", "--config", goodSettings)
 	if err != nil || !strings.Contains(out, "TLS 1.3") || !strings.Contains(out, "pin sha256/") || !strings.Contains(out, "resumed true") {
 		t.Errorf("%s%v", out, err)
 	}
-	if out, err = cli(t, env, "tls", "check", "3", "--address", ln.Addr().String(), "--config", good); err != nil || !strings.Contains(out, "accepted") {
+	if out, err = runCLI(t, env, "tls", "check", "3", "--address", ln.Addr().String(), "--config", goodSettings); err != nil || !strings.Contains(out, "accepted") {
 		t.Errorf("%s%v", out, err)
 	}
 	for want, args := range map[string][]string{
-		"wrong name": {"tls", "check", "7", "--config", wrong}, "no member": {"tls", "check", "8", "--config", good},
-		"not the number": {"tls", "check", "x", "--config", good}, "are plain": {"tls", "check", "7"},
+		"wrong name": {"tls", "check", "7", "--config", wrongNameSettings}, "no member": {"tls", "check", "8", "--config", goodSettings},
+		"not the number": {"tls", "check", "x", "--config", goodSettings}, "are plain": {"tls", "check", "7"},
 	} {
-		if _, err := cli(t, env, args...); err == nil || !strings.Contains(err.Error(), want) {
+		if _, err := runCLI(t, env, args...); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%v: %v, want %q", args, err, want)
 		}
 	}
-	if out, err := cli(t, env, "check", "--config", good); err != nil || !strings.Contains(out, "tls policy bank") {
+	if out, err := runCLI(t, env, "check", "--config", goodSettings); err != nil || !strings.Contains(out, "tls policy bank") {
 		t.Errorf("%s%v", out, err)
 	}
-	missing := write("missing.textproto", `tls { policy { name: "bank" root_file: "`+dir+`/none.pem" } }`)
-	if _, err := cli(t, env, "check", "--config", missing); err == nil || !strings.Contains(err.Error(), "none.pem") {
+	missingRootSettings := write("missing.textproto", `tls { policy { name: "bank" root_file: "`+dir+`/none.pem" } }`)
+	if _, err := runCLI(t, env, "check", "--config", missingRootSettings); err == nil || !strings.Contains(err.Error(), "none.pem") {
 		t.Errorf("%v", err)
 	}
 }
--- a/internal/gateway/configuration.go
+++ b/internal/gateway/configuration.go
@@ -30,33 +30,33 @@
 	return Configuration{MaxEntries: defaultMaxEntries, Replication: configsync.Defaults()}
 }
 
-func (c *Configuration) take(p *gatewayv1.Configuration, fleetEnabled bool) error {
+func (c *Configuration) apply(p *gatewayv1.Configuration, fleetEnabled bool) error {
 	if p == nil {
 		return nil
 	}
 	c.Enabled, c.TrustedKeyFile, c.Region, c.Zone = p.GetEnabled(), p.GetTrustedKeyFile(), p.GetRegion(), p.GetZone()
 	r := &c.Replication
-	millis := func(to *time.Duration) func(float64) {
+	setMillis := func(to *time.Duration) func(float64) {
 		return func(x float64) { *to = time.Duration(x * float64(time.Millisecond)) }
 	}
-	set := func(to *float64) func(float64) { return func(x float64) { *to = x } }
-	whole := func(to *int) func(float64) { return func(x float64) { *to = int(x) } }
-	errs := numbers("fleet.configuration", []number{
-		{"exchange_ms", p.ExchangeMs, 100, 60_000, millis(&r.Exchange)},
-		{"bytes_per_s", p.BytesPerS, 2400, 1e9, set(&r.BytesPerSecond)},
-		{"repair_bytes_per_s", p.RepairBytesPerS, 64, 1e9, set(&r.RepairBytesPerSecond)},
-		{"fan_out", float(p.FanOut), 2, 64, whole(&r.FanOut)},
-		{"ack_timeout_ms", p.AckTimeoutMs, 10, 10_000, millis(&r.AckTimeout)},
-		{"attempts", float(p.Attempts), 1, 16, whole(&r.Attempts)},
-		{"max_entries", float(p.MaxEntries), 1, 100_000, whole(&c.MaxEntries)},
+	setFloat := func(to *float64) func(float64) { return func(x float64) { *to = x } }
+	setInt := func(to *int) func(float64) { return func(x float64) { *to = int(x) } }
+	errs := applyNumbers("fleet.configuration", []numberField{
+		{"exchange_ms", p.ExchangeMs, 100, 60_000, setMillis(&r.Exchange)},
+		{"bytes_per_s", p.BytesPerS, 2400, 1e9, setFloat(&r.BytesPerSecond)},
+		{"repair_bytes_per_s", p.RepairBytesPerS, 64, 1e9, setFloat(&r.RepairBytesPerSecond)},
+		{"fan_out", toFloat(p.FanOut), 2, 64, setInt(&r.FanOut)},
+		{"ack_timeout_ms", p.AckTimeoutMs, 10, 10_000, setMillis(&r.AckTimeout)},
+		{"attempts", toFloat(p.Attempts), 1, 16, setInt(&r.Attempts)},
+		{"max_entries", toFloat(p.MaxEntries), 1, 100_000, setInt(&c.MaxEntries)},
 	})
 	if len(errs) == 0 && r.RepairBytesPerSecond > r.BytesPerSecond {
 		errs = append(errs, fmt.Errorf("fleet.configuration.repair_bytes_per_s: %v is above bytes_per_s, %v", r.RepairBytesPerSecond, r.BytesPerSecond))
 	}
-	return errors.Join(append(errs, c.checkNames(fleetEnabled)...)...)
+	return errors.Join(append(errs, c.check(fleetEnabled)...)...)
 }
 
-func (c *Configuration) checkNames(fleetEnabled bool) (errs []error) {
+func (c *Configuration) check(fleetEnabled bool) (errs []error) {
 	for _, name := range []struct{ field, text string }{{"region", c.Region}, {"zone", c.Zone}} {
 		if len(name.text) > maxLocationBytes {
 			errs = append(errs, fmt.Errorf("fleet.configuration.%s: %d bytes are more than %d", name.field, len(name.text), maxLocationBytes))
--- a/internal/gateway/configuration_test.go
+++ b/internal/gateway/configuration_test.go
@@ -8,15 +8,15 @@
 	"slatemux/internal/configsync"
 )
 
-const configured = `fleet { enabled: true name: "tbilisi" bind: "127.0.0.1:7946" key_file: "k"
+const configurationText = `fleet { enabled: true name: "tbilisi" bind: "127.0.0.1:7946" key_file: "k"
   configuration {
     enabled: true trusted_key_file: "trusted" region: "caucasus" zone: "north" exchange_ms: 250 bytes_per_s: 5000
     repair_bytes_per_s: 600 fan_out: 3 ack_timeout_ms: 70.5 attempts: 5 max_entries: 99
   }
 }`
 
-func TestConfiguration(t *testing.T) {
-	c, err := Parse("f", []byte(configured))
+func TestConfigurationFields(t *testing.T) {
+	c, err := Parse("f", []byte(configurationText))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -57,39 +57,39 @@
 // What makes no sense is told with its file, line and field.
 func TestConfigurationErrors(t *testing.T) {
 	for text, want := range map[string]string{
-		"exchange_ms: 0":             "gw:3: fleet.configuration.exchange_ms: 0",
-		"bytes_per_s: 0":             "gw:3: fleet.configuration.bytes_per_s: 0",
-		"repair_bytes_per_s: 0":      "gw:3: fleet.configuration.repair_bytes_per_s: 0",
-		"repair_bytes_per_s: 3000":   "gw:3: fleet.configuration.repair_bytes_per_s: 3000 is above",
-		"bytes_per_s: nan":           "gw:3: fleet.configuration.bytes_per_s: ",
-		"fan_out: 1":                 "gw:3: fleet.configuration.fan_out: 1",
-		"ack_timeout_ms: 5":          "gw:3: fleet.configuration.ack_timeout_ms: 5",
-		"attempts: 0":                "gw:3: fleet.configuration.attempts: 0",
-		"max_entries: 0":             "gw:3: fleet.configuration.max_entries: 0",
-		"max_entries: 1000000":       "gw:3: fleet.configuration.max_entries: 1e+06",
-		"enabled: true":              "gw:3: fleet.configuration.enabled: the fleet is off",
-		"max_entry: 3":               "gw: (line 3:2): unknown field: max_entry",
-		"enabled: 'yes'":             "gw: (line 3:",
-		"region: '" + long() + "'":   "gw:3: fleet.configuration.region: 65 bytes",
-		"zone: '" + long() + "'":     "gw:3: fleet.configuration.zone: 65 bytes",
-		"attempts: 3\n attempts: 50": "gw: (line 4:",
+		"exchange_ms: 0":                  "gw:3: fleet.configuration.exchange_ms: 0",
+		"bytes_per_s: 0":                  "gw:3: fleet.configuration.bytes_per_s: 0",
+		"repair_bytes_per_s: 0":           "gw:3: fleet.configuration.repair_bytes_per_s: 0",
+		"repair_bytes_per_s: 3000":        "gw:3: fleet.configuration.repair_bytes_per_s: 3000 is above",
+		"bytes_per_s: nan":                "gw:3: fleet.configuration.bytes_per_s: ",
+		"fan_out: 1":                      "gw:3: fleet.configuration.fan_out: 1",
+		"ack_timeout_ms: 5":               "gw:3: fleet.configuration.ack_timeout_ms: 5",
+		"attempts: 0":                     "gw:3: fleet.configuration.attempts: 0",
+		"max_entries: 0":                  "gw:3: fleet.configuration.max_entries: 0",
+		"max_entries: 1000000":            "gw:3: fleet.configuration.max_entries: 1e+06",
+		"enabled: true":                   "gw:3: fleet.configuration.enabled: the fleet is off",
+		"max_entry: 3":                    "gw: (line 3:2): unknown field: max_entry",
+		"enabled: 'yes'":                  "gw: (line 3:",
+		"region: '" + tooLongName() + "'": "gw:3: fleet.configuration.region: 65 bytes",
+		"zone: '" + tooLongName() + "'":   "gw:3: fleet.configuration.zone: 65 bytes",
+		"attempts: 3\n attempts: 50":      "gw: (line 4:",
 	} {
 		if _, err := Parse("gw", []byte("fleet {\n configuration {\n "+text+"\n }\n}")); err == nil || !strings.HasPrefix(err.Error(), want) {
 			t.Errorf("%q: %v, not %q", text, err, want)
 		}
 	}
-	missing := strings.Replace(configured, `trusted_key_file: "trusted"`, "", 1)
+	missing := strings.Replace(configurationText, `trusted_key_file: "trusted"`, "", 1)
 	if _, err := Parse("gw", []byte(missing)); err == nil || !strings.HasPrefix(err.Error(), "gw:2: fleet.configuration.trusted_key_file: missing") {
 		t.Error(err)
 	}
 }
 
-func long() string { return strings.Repeat("x", maxLocationBytes+1) }
+func tooLongName() string { return strings.Repeat("x", maxLocationBytes+1) }
 
 // The least that the settings may say is enough for a replica.
-func TestLeastConfigurationReplicates(t *testing.T) {
-	const least = "exchange_ms: 100 bytes_per_s: 2400 repair_bytes_per_s: 64 fan_out: 2 ack_timeout_ms: 10 attempts: 1 max_entries: 1"
-	c, err := Parse("f", []byte("fleet { configuration { "+least+" } }"))
+func TestMinimumConfigurationIsValid(t *testing.T) {
+	const minimum = "exchange_ms: 100 bytes_per_s: 2400 repair_bytes_per_s: 64 fan_out: 2 ack_timeout_ms: 10 attempts: 1 max_entries: 1"
+	c, err := Parse("f", []byte("fleet { configuration { "+minimum+" } }"))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -108,32 +108,32 @@
 func Parse(path string, raw []byte) (Config, error) {
 	var g gatewayv1.Gateway
 	if err := prototext.Unmarshal(raw, &g); err != nil {
-		return Config{}, fmt.Errorf("%s: %s", path, syntax(err))
+		return Config{}, fmt.Errorf("%s: %s", path, stableSyntaxError(err))
 	}
 	c := Default()
-	if err := errors.Join(c.Overload.take(g.GetOverload()), c.Log.take(g.GetLog()), c.TLS.take(g.GetTls()), c.Conns.take(g.GetConnections()),
-		c.Fleet.take(g.GetFleet())); err != nil {
-		return Config{}, placed(path, raw, err)
+	if err := errors.Join(c.Overload.apply(g.GetOverload()), c.Log.apply(g.GetLog()), c.TLS.apply(g.GetTls()), c.Conns.apply(g.GetConnections()),
+		c.Fleet.apply(g.GetFleet())); err != nil {
+		return Config{}, locateErrors(path, raw, err)
 	}
 	return c, nil
 }
 
-// syntax tells a parser's error in words that do not change from one build to the next: prototext puts a
+// stableSyntaxError tells a parser's error in words that do not change from one build to the next: prototext puts a
 // no-break space into its own on purpose.
-func syntax(err error) string {
+func stableSyntaxError(err error) string {
 	text := strings.ReplaceAll(err.Error(), "\u00a0", " ")
 	return strings.TrimPrefix(text, "proto: ")
 }
 
-// number is an optional field, its range and where its value goes.
-type number struct {
-	field       string
-	value       *float64
-	least, most float64
-	to          func(float64)
+// numberField is an optional field, its range and where its value goes.
+type numberField struct {
+	field    string
+	value    *float64
+	min, max float64
+	set      func(float64)
 }
 
-func (o *Overload) take(p *gatewayv1.Overload) error {
+func (o *Overload) apply(p *gatewayv1.Overload) error {
 	if p == nil {
 		return nil
 	}
@@ -142,24 +142,24 @@
 		o.Brownout = *p.Brownout
 	}
 	c := &o.Control
-	set := func(to *float64) func(float64) { return func(x float64) { *to = x } }
-	whole := func(to *int) func(float64) { return func(x float64) { *to = int(x) } }
-	millis := func(to *time.Duration) func(float64) {
+	setFloat := func(to *float64) func(float64) { return func(x float64) { *to = x } }
+	setInt := func(to *int) func(float64) { return func(x float64) { *to = int(x) } }
+	setMillis := func(to *time.Duration) func(float64) {
 		return func(x float64) { *to = time.Duration(x * float64(time.Millisecond)) }
 	}
-	errs := numbers("overload", []number{
-		{"target_busy", p.TargetBusy, 0.1, 1, set(&c.TargetBusy)},
-		{"target_delay_ms", p.TargetDelayMs, 1, 300, millis(&c.TargetDelay)},
-		{"tick_ms", p.TickMs, 20, 500, millis(&o.Tick)},
-		{"confirm_ticks", float(p.ConfirmTicks), 1, 100, whole(&c.Confirm)},
-		{"least_rate", p.LeastRate, 0, 1e6, set(&c.LeastRate)},
-		{"class_floor", p.ClassFloor, 0, 0.2, set(&c.Floor)},
-		{"body_work_bytes", float(p.BodyWorkBytes), 64, 1e9, whole(&c.BodyWork)},
-		{"refusal_share", p.RefusalShare, 0.01, 0.9, set(&c.RefusalShare)},
-		{"most_pace_ms", p.MostPaceMs, 0, 300, millis(&c.MostPace)},
-		{"retry_least_ms", p.RetryLeastMs, 1, 60_000, millis(&c.RetryLeast)},
-		{"memory_high", p.MemoryHigh, 0.1, 1, set(&c.MemoryHigh)},
-		{"memory_full", p.MemoryFull, 0.1, 1, set(&c.MemoryFull)},
+	errs := applyNumbers("overload", []numberField{
+		{"target_busy", p.TargetBusy, 0.1, 1, setFloat(&c.TargetBusy)},
+		{"target_delay_ms", p.TargetDelayMs, 1, 300, setMillis(&c.TargetDelay)},
+		{"tick_ms", p.TickMs, 20, 500, setMillis(&o.Tick)},
+		{"confirm_ticks", toFloat(p.ConfirmTicks), 1, 100, setInt(&c.Confirm)},
+		{"least_rate", p.LeastRate, 0, 1e6, setFloat(&c.LeastRate)},
+		{"class_floor", p.ClassFloor, 0, 0.2, setFloat(&c.Floor)},
+		{"body_work_bytes", toFloat(p.BodyWorkBytes), 64, 1e9, setInt(&c.BodyWork)},
+		{"refusal_share", p.RefusalShare, 0.01, 0.9, setFloat(&c.RefusalShare)},
+		{"most_pace_ms", p.MostPaceMs, 0, 300, setMillis(&c.MostPace)},
+		{"retry_least_ms", p.RetryLeastMs, 1, 60_000, setMillis(&c.RetryLeast)},
+		{"memory_high", p.MemoryHigh, 0.1, 1, setFloat(&c.MemoryHigh)},
+		{"memory_full", p.MemoryFull, 0.1, 1, setFloat(&c.MemoryFull)},
 	})
 	if c.MemoryHigh >= c.MemoryFull {
 		errs = append(errs, fmt.Errorf("overload.memory_high: %v is not below memory_full, %v", c.MemoryHigh, c.MemoryFull))
@@ -167,7 +167,7 @@
 	return errors.Join(errs...)
 }
 
-func (l *Log) take(p *gatewayv1.Log) error {
+func (l *Log) apply(p *gatewayv1.Log) error {
 	if p == nil {
 		return nil
 	}
@@ -182,35 +182,35 @@
 	}
 	l.Level = map[gatewayv1.Level]slog.Level{gatewayv1.Level_DEBUG: slog.LevelDebug, gatewayv1.Level_WARN: slog.LevelWarn,
 		gatewayv1.Level_ERROR: slog.LevelError}[p.GetLevel()]
-	return errors.Join(append(errs, numbers("log", []number{{"lines_per_second", float(p.LinesPerSecond), 1, 100_000,
+	return errors.Join(append(errs, applyNumbers("log", []numberField{{"lines_per_second", toFloat(p.LinesPerSecond), 1, 100_000,
 		func(x float64) { l.LinesPerSecond = int(x) }}})...)...)
 }
 
-func (c *Conns) take(p *gatewayv1.Connections) error {
+func (c *Conns) apply(p *gatewayv1.Connections) error {
 	if p == nil {
 		return nil
 	}
-	span := func(to *time.Duration, unit time.Duration) func(float64) {
+	setDuration := func(to *time.Duration, unit time.Duration) func(float64) {
 		return func(x float64) { *to = time.Duration(x * float64(unit)) }
 	}
 	c.Keep.Ahead, c.LookUpNames = p.GetAhead(), p.GetLookUpNames()
-	list := []number{
-		{"max_age_s", p.MaxAgeS, 1, 1e6, span(&c.Keep.MaxAge, time.Second)},
-		{"keep_s", p.KeepS, 0.1, 3600, span(&c.Keep.Keep, time.Second)},
+	list := []numberField{
+		{"max_age_s", p.MaxAgeS, 1, 1e6, setDuration(&c.Keep.MaxAge, time.Second)},
+		{"keep_s", p.KeepS, 0.1, 3600, setDuration(&c.Keep.Keep, time.Second)},
 		{"stale_share", p.StaleShare, 1e-5, 0.5, func(x float64) { c.Keep.StaleMost = x }},
 		{"open_price", p.OpenPrice, 1e-4, 1, func(x float64) { c.Keep.OpenPrice = x * c.Keep.LossPrice }},
-		{"held_most_ms", p.HeldMostMs, 1, 10_000, span(&c.HeldMost, time.Millisecond)},
-		{"stuck_after_ms", p.StuckAfterMs, 100, 60_000, span(&c.StuckAfter, time.Millisecond)},
+		{"held_most_ms", p.HeldMostMs, 1, 10_000, setDuration(&c.HeldMost, time.Millisecond)},
+		{"stuck_after_ms", p.StuckAfterMs, 100, 60_000, setDuration(&c.StuckAfter, time.Millisecond)},
 	}
 	for i, n := range list { // 0 switches these off
 		if (n.field == "max_age_s" || n.field == "stuck_after_ms") && n.value != nil && *n.value == 0 {
-			list[i].least = 0
+			list[i].min = 0
 		}
 	}
-	return errors.Join(numbers("connections", list)...)
+	return errors.Join(applyNumbers("connections", list)...)
 }
 
-func (t *TLS) take(p *gatewayv1.Tls) error {
+func (t *TLS) apply(p *gatewayv1.Tls) error {
 	if p == nil {
 		return nil
 	}
@@ -219,7 +219,7 @@
 	}
 	var errs []error
 	for i, row := range p.GetPolicy() {
-		policy, err := takePolicy(row)
+		policy, err := parsePolicy(row)
 		if err == nil {
 			err = policy.Check()
 		}
@@ -238,58 +238,58 @@
 	if h == nil {
 		h = &gatewayv1.Handshakes{}
 	}
-	return errors.Join(append(errs, numbers("tls.handshakes", []number{
+	return errors.Join(append(errs, applyNumbers("tls.handshakes", []numberField{
 		{"core_share", h.CoreShare, 0.01, 1, func(x float64) { t.Gate.Share = x }},
 		{"least_per_second", h.LeastPerSecond, 0.1, 10_000, func(x float64) { t.Gate.Least = x }},
-		{"per_member", float(h.PerMember), 1, 1000, func(x float64) { t.Gate.PerEndpoint = int(x) }},
+		{"per_member", toFloat(h.PerMember), 1, 1000, func(x float64) { t.Gate.PerEndpoint = int(x) }},
 	})...)...)
 }
 
-func takePolicy(p *gatewayv1.TlsPolicy) (tlspolicy.Policy, error) {
-	out := tlspolicy.Policy{Name: p.GetName(), Hosts: p.GetHost(), Plain: p.GetPlain(), ServerName: p.GetServerName(), RootFiles: p.GetRootFile(),
+func parsePolicy(p *gatewayv1.TlsPolicy) (tlspolicy.Policy, error) {
+	policy := tlspolicy.Policy{Name: p.GetName(), Hosts: p.GetHost(), Plain: p.GetPlain(), ServerName: p.GetServerName(), RootFiles: p.GetRootFile(),
 		RootDirs: p.GetRootDir(), SystemRoots: p.GetSystemRoots(), MinVersion: tls.VersionTLS12, Certificate: p.GetClientCertificate(),
 		Key: p.GetClientKey(), Sessions: 16}
-	if out.Name == "" {
-		return out, errors.New("name is missing")
+	if policy.Name == "" {
+		return policy, errors.New("name is missing")
 	}
 	for _, d := range p.GetDestination() {
 		if d < 0 {
-			return out, fmt.Errorf("destination: %d is negative", d)
+			return policy, fmt.Errorf("destination: %d is negative", d)
 		}
-		out.Destinations = append(out.Destinations, int(d))
+		policy.Destinations = append(policy.Destinations, int(d))
 	}
 	switch p.GetMinVersion() {
 	case gatewayv1.Version_VERSION_UNSPECIFIED, gatewayv1.Version_TLS_1_2:
 	case gatewayv1.Version_TLS_1_3:
-		out.MinVersion = tls.VersionTLS13
+		policy.MinVersion = tls.VersionTLS13
 	default:
-		return out, fmt.Errorf("min_version: %d is not a version", p.GetMinVersion())
+		return policy, fmt.Errorf("min_version: %d is not a version", p.GetMinVersion())
 	}
 	for _, text := range p.GetPin() {
 		pin, err := tlspolicy.ParsePin(text)
 		if err != nil {
-			return out, fmt.Errorf("pin: %w", err)
+			return policy, fmt.Errorf("pin: %w", err)
 		}
-		out.Pins = append(out.Pins, pin)
+		policy.Pins = append(policy.Pins, pin)
 	}
 	if p.Sessions != nil {
-		out.Sessions = int(*p.Sessions)
+		policy.Sessions = int(*p.Sessions)
 	}
-	return out, nil
+	return policy, nil
 }
 
-func (f *Fleet) take(p *gatewayv1.Fleet) error {
+func (f *Fleet) apply(p *gatewayv1.Fleet) error {
 	if p == nil {
 		return nil
 	}
 	f.Enabled, f.Name, f.KeyFile = p.GetEnabled(), p.GetName(), p.GetKeyFile()
 	f.DivideLimits = p.DivideLimits == nil || *p.DivideLimits
-	errs := numbers("fleet", []number{
-		{"agree", float(p.Agree), 1, 64, func(x float64) { f.Agree = int(x) }},
+	errs := applyNumbers("fleet", []numberField{
+		{"agree", toFloat(p.Agree), 1, 64, func(x float64) { f.Agree = int(x) }},
 		{"exchange_ms", p.ExchangeMs, 100, 60_000, func(x float64) { f.Exchange = time.Duration(x * float64(time.Millisecond)) }},
 		{"bytes_per_s", p.BytesPerS, 256, 1e9, func(x float64) { f.Bytes = x }},
 	})
-	address := func(field, text string, to *netip.AddrPort) {
+	setAddress := func(field, text string, to *netip.AddrPort) {
 		a, err := netip.ParseAddrPort(text)
 		if err == nil && (a.Port() == 0 || a.Addr().IsUnspecified() || a.Addr().IsMulticast()) {
 			err = errors.New("an address that others could reach is wanted, with its port")
@@ -299,14 +299,14 @@
 		}
 	}
 	if p.GetAdvertise() != "" {
-		address("advertise", p.GetAdvertise(), &f.Advertise)
+		setAddress("advertise", p.GetAdvertise(), &f.Advertise)
 	}
 	for i, text := range p.GetJoin() {
 		f.Join = append(f.Join, netip.AddrPort{})
-		address(fmt.Sprintf("join[%d]", i), text, &f.Join[i])
+		setAddress(fmt.Sprintf("join[%d]", i), text, &f.Join[i])
 	}
 	if p.GetBind() != "" || f.Enabled {
-		address("bind", p.GetBind(), &f.Bind)
+		setAddress("bind", p.GetBind(), &f.Bind)
 	}
 	if f.Enabled && (f.Name == "" || len(f.Name) > 64) {
 		errs = append(errs, fmt.Errorf("fleet.name: %q: 1 to 64 bytes are wanted", f.Name))
@@ -314,26 +314,26 @@
 	if f.Enabled && f.KeyFile == "" {
 		errs = append(errs, errors.New("fleet.key_file: missing; what relays tell each other is sealed"))
 	}
-	errs = append(errs, f.Configuration.take(p.GetConfiguration(), f.Enabled))
+	errs = append(errs, f.Configuration.apply(p.GetConfiguration(), f.Enabled))
 	return errors.Join(errs...)
 }
 
-// numbers takes over fields that are present and within their ranges.
-func numbers(message string, list []number) (errs []error) {
+// applyNumbers takes over fields that are present and within their ranges.
+func applyNumbers(message string, list []numberField) (errs []error) {
 	for _, n := range list {
 		if n.value == nil {
 			continue
 		}
-		if x := *n.value; !(x >= n.least && x <= n.most) || math.IsNaN(x) {
-			errs = append(errs, fmt.Errorf("%s.%s: %v is not within %v to %v", message, n.field, x, n.least, n.most))
+		if x := *n.value; !(x >= n.min && x <= n.max) || math.IsNaN(x) {
+			errs = append(errs, fmt.Errorf("%s.%s: %v is not within %v to %v", message, n.field, x, n.min, n.max))
 			continue
 		}
-		n.to(*n.value)
+		n.set(*n.value)
 	}
 	return errs
 }
 
-func float(p *int32) *float64 {
+func toFloat(p *int32) *float64 {
 	if p == nil {
 		return nil
 	}
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -16,7 +16,7 @@
 	"slatemux/internal/tlspolicy"
 )
 
-const whole = `
+const allFieldsText = `
 overload {
   enabled: true
   target_busy: 0.8
@@ -36,8 +36,8 @@
 log { format: JSON level: WARN lines_per_second: 9 }
 `
 
-func TestEveryFieldIsTaken(t *testing.T) {
-	c, err := Parse("f", []byte(whole))
+func TestOverloadAndLogFields(t *testing.T) {
+	c, err := Parse("f", []byte(allFieldsText))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -53,7 +53,7 @@
 	}
 }
 
-const secured = `
+const tlsText = `
 tls {
   policy { name: "in" host: "10.*" plain: true }
   policy {
@@ -67,8 +67,8 @@
 }
 `
 
-func TestPolicies(t *testing.T) {
-	c, err := Parse("f", []byte(secured))
+func TestTLSFields(t *testing.T) {
+	c, err := Parse("f", []byte(tlsText))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -80,7 +80,7 @@
 	}
 }
 
-func TestConnections(t *testing.T) {
+func TestConnectionFields(t *testing.T) {
 	c, err := Parse("f", []byte("connections { max_age_s: 0 keep_s: 2.5 ahead: true stale_share: 0.01 open_price: 0.5 held_most_ms: 7 stuck_after_ms: 500 "+
 		"look_up_names: true }"))
 	if err != nil {
@@ -127,7 +127,7 @@
 }
 
 // A bad file is one line that names the file and the place or the field.
-func TestBadFiles(t *testing.T) {
+func TestInvalidFiles(t *testing.T) {
 	for text, wants := range map[string][]string{
 		"overload {\n  enable: true\n}":                                   {"gw:", "(line 2:3)", "unknown field", "enable"},
 		"overload { enabled: 3.5 }":                                       {"gw:", "line 1"},
@@ -164,7 +164,7 @@
 }
 
 // A value that makes no sense is told with its file, line and field, also of the second of several, in any way of writing.
-func TestErrorsNameTheLine(t *testing.T) {
+func TestErrorsNameLineAndField(t *testing.T) {
 	for text, want := range map[string]string{
 		"overload {\n # target_busy: 9\n target_busy: 7\n}":                                                                      "gw:3: overload.target_busy: ",
 		"log { format: TEXT } fleet {\n\n bind: 'here' }":                                                                        "gw:3: fleet.bind: ",
@@ -184,9 +184,9 @@
 	}
 }
 
-func TestGarbageIsSurvived(t *testing.T) {
+func TestParseSurvivesGarbage(t *testing.T) {
 	proptest.Check(t, func(t *rapid.T) {
-		text := proptest.Garbage(t, []byte(whole))
+		text := proptest.Garbage(t, []byte(allFieldsText))
 		if c, err := Parse("f", text); err == nil {
 			if err := c.Overload.Control.Check(); err != nil && !strings.Contains(err.Error(), "Classes") {
 				t.Fatalf("%q was taken and makes no sense: %v", text, err)
@@ -196,8 +196,8 @@
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(whole))
-	f.Add([]byte(secured))
+	f.Add([]byte(allFieldsText))
+	f.Add([]byte(tlsText))
 	if raw, err := os.ReadFile("../../deploy/gateway.textproto"); err == nil {
 		f.Add(raw)
 	}
