--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -1,4 +1,4 @@
-// Command benchlink runs senders on a simulator's wire: events on standard input, actions on standard output.
+// Command benchlink runs senders for a simulator. It reads events from standard input and writes the senders' actions to standard output.
 package main
 
 import (
--- a/cmd/slatemux/cli.go
+++ b/cmd/slatemux/cli.go
@@ -1,4 +1,4 @@
-// Command slatemux is the relay: it takes transactions from clients and delivers them to outside partners.
+// Command slatemux is a relay. It accepts transactions from clients and delivers them to outside partners.
 package main
 
 import (
@@ -25,39 +25,39 @@
 )
 
 func main() {
-	sig := notifySignals() // first of all: a SIGHUP that comes early must not end the program
+	sig := notifySignals() // comes first: until signals are handled, a SIGHUP would end the program
 	if err := newRootCommand(sig, os.Getenv).Execute(); err != nil {
 		fmt.Fprintln(os.Stderr, "slatemux:", err)
 		os.Exit(1)
 	}
 }
 
-// newRootCommand builds the command line. Without a subcommand the program serves.
+// newRootCommand builds the root command and its subcommands. Without a subcommand the program serves.
 func newRootCommand(sig signals, getenv func(string) string) *cobra.Command {
-	var path, format, level string
+	var gatewayPath, format, level string
 	var countersInterval time.Duration
 	root := &cobra.Command{
 		Use:   "slatemux",
 		Short: "A relay that delivers messages to outside partners",
-		Long: `slatemux takes messages from clients over RESP2, keeps them in a journal that outlives the process, and
-delivers them by HTTP/1.1 to an endpoint of their destination, or tells the platform how they ended.
+		Long: `slatemux accepts messages from clients over RESP2 and stores them in a journal that outlives the process. It
+delivers each message by HTTP/1.1 to an endpoint of its destination, or notifies the platform of its outcome.
 
-Without a subcommand it serves. The environment names the platform's configuration (NODE_CONFIG) and the
-folder that lasts (NODE_STATE); the gateway's own settings come from --config or SLATEMUX_CONFIG.`,
+Without a subcommand it serves. Environment variables name the platform's configuration file (NODE_CONFIG) and the
+persistent state folder (NODE_STATE). The gateway settings come from --config or SLATEMUX_CONFIG.`,
 		Args:          cobra.NoArgs,
 		SilenceErrors: true, SilenceUsage: true,
 	}
-	root.PersistentFlags().StringVar(&path, "config", "", "the gateway's own settings, protobuf text format (default $SLATEMUX_CONFIG, or none)")
+	root.PersistentFlags().StringVar(&gatewayPath, "config", "", "file of the gateway settings, protobuf text format (default $SLATEMUX_CONFIG, or none)")
 	_ = root.MarkPersistentFlagFilename("config", "textproto", "txtpb")
 	serve := &cobra.Command{
 		Use:   "serve",
-		Short: "Serve until a signal ends it (what slatemux alone does)",
+		Short: "Serve until a signal ends the process (the default command)",
 		Long: `Serve until SIGTERM or SIGINT. SIGHUP reads the configuration again, SIGUSR1 logs the counters, SIGUSR2 the connections.
-See ONCALL.md for the lines and counters.`,
+ONCALL.md explains the log lines and counters.`,
 		Example: "  NODE_CONFIG=example/config.json NODE_STATE=bin/state slatemux serve --config deploy/gateway.textproto",
 		Args:    cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
-			cfg, err := loadConfig(getenv, path)
+			cfg, err := loadConfig(getenv, gatewayPath)
 			if err != nil {
 				return err
 			}
@@ -67,22 +67,22 @@
 				return err
 			}
 			slog.SetDefault(newLogger(os.Stderr, logging).With("relay", cfg.name))
-			return run(cfg, sig, func() (config, error) { return loadConfig(getenv, path) }, func(net.Addr) {})
+			return run(cfg, sig, func() (config, error) { return loadConfig(getenv, gatewayPath) }, func(net.Addr) {})
 		},
 	}
 	for _, c := range []*cobra.Command{root, serve} {
-		c.Flags().StringVar(&format, "log-format", "", "auto, text, json or colour (default: as the settings say, or auto)")
-		c.Flags().StringVar(&level, "log-level", "", "debug, info, warn or error (default: as the settings say, or info)")
-		c.Flags().DurationVar(&countersInterval, "counters-every", 0, "log the counters so often, as slatelab fleet reads them (default: at SIGUSR1 and at the exit alone)")
+		c.Flags().StringVar(&format, "log-format", "", "auto, text, json or colour (default: from the settings, or auto)")
+		c.Flags().StringVar(&level, "log-level", "", "debug, info, warn or error (default: from the settings, or info)")
+		c.Flags().DurationVar(&countersInterval, "counters-every", 0, "log the counters at this interval, for slatelab fleet (default: only at SIGUSR1 and at exit)")
 		_ = c.RegisterFlagCompletionFunc("log-format", cobra.FixedCompletions([]string{"auto", "text", "json", "colour"}, cobra.ShellCompDirectiveNoFileComp))
 		_ = c.RegisterFlagCompletionFunc("log-level", cobra.FixedCompletions([]string{"debug", "info", "warn", "error"}, cobra.ShellCompDirectiveNoFileComp))
 	}
 	root.RunE = serve.RunE
 	check := &cobra.Command{
 		Use:   "check",
-		Short: "Check both configuration files and say what they come to",
-		Long: `Read the platform's configuration and the gateway's own settings as serve would, and name the first file
-and field that make no sense. NODE_STATE need not exist. Exit code 1 if anything is wrong.`,
+		Short: "Check both configuration files and print the resulting configuration",
+		Long: `Read the platform's configuration and the gateway settings as serve does, and name the first file and field that
+are invalid. NODE_STATE need not exist. The exit code is 1 if anything is invalid.`,
 		Example: "  NODE_CONFIG=example/config.json slatemux check --config deploy/gateway.textproto",
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
@@ -91,7 +91,7 @@
 					return os.TempDir()
 				}
 				return getenv(name)
-			}, path)
+			}, gatewayPath)
 			if err != nil {
 				return err
 			}
@@ -117,42 +117,42 @@
 		},
 	}
 	version := &cobra.Command{
-		Use: "version", Short: "Print the version that was built", Args: cobra.NoArgs,
+		Use: "version", Short: "Print the version of this build", Args: cobra.NoArgs,
 		Run: func(cmd *cobra.Command, _ []string) { fmt.Fprintln(cmd.OutOrStdout(), buildVersion()) },
 	}
 	counters := &cobra.Command{
 		Use:   "counters PID",
-		Short: "Have a running relay log its counters",
-		Long: `Send SIGUSR1 to the relay with this process id. It writes its counters to its own log, as it does at its
-exit; ONCALL.md explains each of them. No port is open for it, for the platform gives a relay one listener.`,
+		Short: "Make a running relay log its counters",
+		Long: `Send SIGUSR1 to the relay with this process id. The relay writes its counters to its own log, as it does at exit.
+ONCALL.md explains each counter. This works by signal because the platform gives a relay only one listener.`,
 		Example: "  slatemux counters 4711",
 		Args:    cobra.ExactArgs(1),
 		RunE:    func(_ *cobra.Command, args []string) error { return signalRelay("counters", args[0], syscall.SIGUSR1) },
 	}
 	connections := &cobra.Command{
 		Use:   "connections PID",
-		Short: "Have a running relay log the state of its connections to each pool member",
-		Long: `Send SIGUSR2 to the relay with this process id. It writes a line for each pool member to its own log: connections that
-are busy, idle and being opened, how many are wanted and why, how long one may idle, and what was given up for which
-reason. docs/operate-connections.md explains each figure.`,
+		Short: "Make a running relay log the state of its connections to each pool member",
+		Long: `Send SIGUSR2 to the relay with this process id. The relay writes one line for each pool member to its own log. The line
+holds the numbers of busy, idle and opening connections, the wanted number and its reason, the idle limit, and the closed
+connections by reason. docs/operate-connections.md explains each value.`,
 		Example: "  slatemux connections 4711",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
 			return signalRelay("connections", args[0], syscall.SIGUSR2)
 		},
 	}
-	root.AddCommand(serve, check, version, counters, connections, fleetCommand(), tlsCommand(getenv, &path))
+	root.AddCommand(serve, check, version, counters, connections, fleetCommand(), tlsCommand(getenv, &gatewayPath))
 	return root
 }
 
-// signalRelay sends a signal to a running relay.
+// signalRelay sends a signal to the running relay with the given process id.
 func signalRelay(subcommand, pidText string, sig syscall.Signal) error {
 	pid, err := strconv.Atoi(pidText)
 	if err != nil || pid <= 1 {
 		return fmt.Errorf("%s: %q is not a process id", subcommand, pidText)
 	}
 	if exe, err := os.Readlink("/proc/" + pidText + "/exe"); err == nil && !strings.Contains(exe, "slatemux") {
-		return fmt.Errorf("%s: process %d is %s, not a slatemux: the signal would end it", subcommand, pid, exe)
+		return fmt.Errorf("%s: process %d is %s, not slatemux: the signal would end that process", subcommand, pid, exe)
 	}
 	if err := syscall.Kill(pid, sig); err != nil {
 		return fmt.Errorf("%s: process %d: %w", subcommand, pid, err)
@@ -160,7 +160,7 @@
 	return nil
 }
 
-// applyLogFlags puts what the command line says over what the settings say.
+// applyLogFlags overrides the log settings with the flags that are not empty.
 func applyLogFlags(l *gateway.Log, format, level string) error {
 	if format != "" {
 		f, ok := map[string]gateway.Format{"auto": gateway.Auto, "text": gateway.Text, "json": gateway.JSON, "colour": gateway.Colour}[format]
@@ -177,10 +177,10 @@
 	return nil
 }
 
-// logLevel is what lines must have to be logged. It is the program's, for slog's default logger is.
+// logLevel is the minimum level of logged lines. It is global because slog's default logger is.
 var logLevel slog.LevelVar
 
-// setQuietLogging rests lines below warnings, or sets the usual level again.
+// setQuietLogging suppresses lines below the warning level, or restores the configured level.
 func setQuietLogging(quiet bool, configured slog.Level) {
 	if quiet {
 		configured = max(configured, slog.LevelWarn)
@@ -188,7 +188,7 @@
 	logLevel.Set(configured)
 }
 
-// newLogger writes log lines as the settings say.
+// newLogger returns a logger that writes to w in the configured format, level and rate.
 func newLogger(w *os.File, l gateway.Log) *slog.Logger {
 	var h slog.Handler
 	logLevel.Set(l.Level)
@@ -204,7 +204,7 @@
 	return slog.New(newRateLimitedHandler(h, l.LinesPerSecond))
 }
 
-// writeSummary says what the files come to.
+// writeSummary prints the configuration that results from both files.
 func writeSummary(w io.Writer, cfg config) error {
 	table := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
 	fmt.Fprintf(table, "relay\t%s\n", cfg.name)
@@ -214,8 +214,8 @@
 	limits := cfg.resourceLimits()
 	fmt.Fprintf(table, "memory, bytes\t%d, of them %d for open messages, collector's limit %d\n", cfg.memoryBytes, limits.openBytes, limits.heapBytes)
 	fmt.Fprintf(table, "descriptors\t%d: %d clients, %d to pool members\n", cfg.sockets, limits.clients.Clients, limits.memberConns)
-	for _, k := range cfg.settings.Classes {
-		fmt.Fprintf(table, "class %s\tworth %v, aim %v, deadline %v\n", k.Name, k.Worth, k.Aim, k.Deadline)
+	for _, class := range cfg.settings.Classes {
+		fmt.Fprintf(table, "class %s\tworth %v, aim %v, deadline %v\n", class.Name, class.Worth, class.Aim, class.Deadline)
 	}
 	settingsFile := "none: all defaults"
 	if cfg.gatewayPath != "" {
@@ -228,7 +228,7 @@
 		fmt.Fprintf(table, "overload\toff\n")
 	}
 	if f := cfg.gateway.Fleet; f.Enabled {
-		fmt.Fprintf(table, "fleet\t%s: hears others on %v, looks for them at %v, %d must agree\n", f.Name, f.Bind, f.Join, f.Agree)
+		fmt.Fprintf(table, "fleet\t%s: hears others on %v, looks for them at %v, %d must agree\n", f.Name, f.Bind, f.Join, f.Quorum)
 	} else {
 		fmt.Fprintf(table, "fleet\toff\n")
 	}
@@ -245,7 +245,7 @@
 	return table.Flush()
 }
 
-// buildVersion is what the Go tool knows of the build.
+// buildVersion returns the version, revision and Go version that the Go tool recorded in the binary.
 func buildVersion() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
--- a/cmd/slatemux/cli_test.go
+++ b/cmd/slatemux/cli_test.go
@@ -10,7 +10,7 @@
 	"slatemux/internal/gateway"
 )
 
-// runCLI runs the command line and returns what it printed.
+// runCLI runs the command line and returns its output.
 func runCLI(t *testing.T, env map[string]string, args ...string) (string, error) {
 	t.Helper()
 	var out bytes.Buffer
@@ -40,15 +40,15 @@
 	}
 	env["SLATEMUX_CONFIG"] = bad
 	if _, err := runCLI(t, env, "serve"); err == nil || !strings.Contains(err.Error(), "tick_ms") {
-		t.Errorf("a relay was to serve with a bad file: %v", err)
+		t.Errorf("serve accepted an invalid settings file: %v", err)
 	}
-	// A floor that fits the file's range may still be too much for so many classes.
+	// The maximum class_floor could be too much for many classes. The configuration has two.
 	floor := filepath.Join(t.TempDir(), "floor.textproto")
 	if err := os.WriteFile(floor, []byte("overload { enabled: true class_floor: 0.2 }"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := runCLI(t, env, "check", "--config", floor); err != nil {
-		t.Errorf("%v", err) // two classes keep 0.4: within bounds
+		t.Errorf("%v", err) // the floors of two classes add up to 0.4, which is within bounds
 	}
 }
 
@@ -79,18 +79,18 @@
 	}
 }
 
-// Flags go before what the file says; what is not known is an error.
+// Flags override the settings file. An unknown format or level is an error.
 func TestLogFlags(t *testing.T) {
 	l := gateway.Log{Format: gateway.Text}
 	if err := applyLogFlags(&l, "json", "debug"); err != nil || l.Format != gateway.JSON || l.Level.String() != "DEBUG" {
 		t.Errorf("%+v %v", l, err)
 	}
 	if applyLogFlags(&l, "xml", "") == nil || applyLogFlags(&l, "", "loud") == nil {
-		t.Error("a format or level that is not known was taken")
+		t.Error("an unknown format or level was accepted")
 	}
 }
 
-// Each format writes lines of its own look.
+// Each log format writes a line in its own syntax.
 func TestLogFormats(t *testing.T) {
 	for format, want := range map[gateway.Format]string{gateway.Auto: "msg=hello", gateway.Text: "msg=hello", gateway.JSON: `"msg":"hello"`,
 		gateway.Colour: "\x1b["} {
--- a/cmd/slatemux/config.go
+++ b/cmd/slatemux/config.go
@@ -20,7 +20,7 @@
 	"slatemux/internal/settings"
 )
 
-// configFile is the configuration as deployed.
+// configFile is the content of the platform's configuration file.
 type configFile struct {
 	Name      string `json:"name"`
 	Listen    string `json:"listen"`
@@ -37,26 +37,26 @@
 	Settings json.RawMessage `json:"settings"`
 }
 
-// config is what the relay runs with.
+// config is the effective configuration of the relay, from both files and the environment.
 type config struct {
 	name, listen, discovery, stateDir string
-	opsAddr                           string // the operators' address; none where empty
-	fileDiscovery                     string // discovery as the file has it, whatever the environment says
+	opsAddr                           string // admin endpoint; empty for none
+	fileDiscovery                     string // discovery address in the file, regardless of the environment
 	seed                              int64
-	memoryBytes, diskBytes            int64 // bytes
+	memoryBytes, diskBytes            int64
 	sockets                           int
-	cores                             float64 // 0 where the file says nothing
+	cores                             float64 // 0 if the file does not set it
 	gateway                           gateway.Config
 	gatewayPath                       string
 	known                             pool.List
 	settings                          dispatch.Settings
 	startTime                         time.Time
-	drainDelay, exitDelay             time.Duration // after SIGTERM
-	countersInterval                  time.Duration // between lines of counters; 0 for none unasked
+	drainDelay, exitDelay             time.Duration // both count from SIGTERM
+	countersInterval                  time.Duration // between two log lines of counters; 0: only on request and at exit
 }
 
-// loadConfig reads the platform's configuration file that the environment names, and the gateway's own, if there is
-// one; other variables override what the first says.
+// loadConfig reads the platform's configuration file, named by NODE_CONFIG, and the gateway settings file, if there is one.
+// Other environment variables override values of these files.
 func loadConfig(getenv func(string) string, gatewayPath string) (config, error) {
 	var c config
 	if gatewayPath == "" {
@@ -98,13 +98,13 @@
 		}
 	}
 	if c.gateway.Fleet.Enabled && c.name == "" {
-		return c, errors.New("name is missing: the relays of a fleet know each other by it")
+		return c, errors.New("name is missing: a fleet identifies its relays by name")
 	}
 	if c.listen == "" || c.discovery == "" || c.stateDir == "" {
 		return c, errors.New("listen, discovery or NODE_STATE is missing")
 	}
 	if info, err := os.Stat(c.stateDir); err != nil || !info.IsDir() {
-		return c, fmt.Errorf("NODE_STATE: %s is not a folder", c.stateDir)
+		return c, fmt.Errorf("NODE_STATE: %s is not a directory", c.stateDir)
 	}
 	for _, limit := range []struct {
 		name string
@@ -112,12 +112,12 @@
 		to   *int64
 	}{{"memory_mb", f.Limits.MemoryMB, &c.memoryBytes}, {"disk_mb", f.Limits.DiskMB, &c.diskBytes}} {
 		if !(limit.mb > 0) || limit.mb > 1e9 {
-			return c, fmt.Errorf("limits: %s is missing or makes no sense", limit.name)
+			return c, fmt.Errorf("limits: %s is missing or out of range", limit.name)
 		}
-		*limit.to = int64(math.Floor(limit.mb * 1e6)) // the smaller of the two megabytes
+		*limit.to = int64(math.Floor(limit.mb * 1e6)) // 1 MB is taken as 1e6 bytes, the smaller of its two meanings
 	}
 	if c.cores < 0 || c.cores > 1e4 {
-		return c, fmt.Errorf("limits: %v cores make no sense", c.cores)
+		return c, fmt.Errorf("limits: cores: %v is out of range", c.cores)
 	}
 	if c.sockets < 64 {
 		return c, fmt.Errorf("limits: %d sockets are too few", c.sockets)
@@ -139,38 +139,42 @@
 	return c, nil
 }
 
-// resourceLimits are the bounds of the parts, derived from the limits.
+// resourceLimits holds the bounds of the components. They are derived from the limits of the platform's configuration.
 type resourceLimits struct {
-	heapBytes               int64 // for the collector: files count as memory too
+	// heapBytes is the soft memory limit of the garbage collector. It is lower than the memory limit, because files count as memory too.
+	heapBytes               int64
 	openBytes, journalBytes int64
-	learnedBytes            int64 // of the folder, beside the journal
-	configurationBytes      int64 // of the folder: the file of the fleet's configuration; 0 where none is replicated
-	flows, memberConns      int   // flows out, connections to pool members
+	learnedBytes            int64 // disk space for learned limits of destinations, beside the journal
+	configurationBytes      int64 // bound of the file of the fleet configuration; 0 if no configuration is replicated
+	flows, memberConns      int   // concurrent flows; connections to pool members
 	clients                 front.Limits
 }
 
-// maxLearnedBytes is what the limits of destinations may take of the folder that lasts: those of a thousand, twice.
+// maxLearnedBytes bounds the disk space for learned limits of destinations. It is enough for two copies of a thousand limits.
 const maxLearnedBytes = 200_000
 
-// reservedDescriptors is how many descriptors are for all but clients and pool members: files, the listener, discovery.
+// reservedDescriptors is the number of descriptors kept for files, the listener and discovery.
 const reservedDescriptors = 16
 
-// resourceLimits leaves a quarter of the descriptors to flows and their warm connections, half to clients, and a quarter
-// of that again to refused clients that are read past. Clients hold a third of the descriptors at most for
-// their requests: idle connections make room before that is full, or new requests would find none. Open transactions may take an eighth of the memory, and
-// large commands of clients, with the parser's buffers, another.
+// resourceLimits divides descriptors, memory and disk among the components.
+//
+// Flows and their idle connections get a quarter of the descriptors, and clients get half. Refused clients, whose input is still read
+// and dropped, get a quarter of the clients' half on top. Clients hold at most a third of the descriptors for their requests. Idle client
+// connections are closed before that third is full, because new requests would otherwise find no descriptor.
+//
+// Open transactions may take an eighth of the memory. Large commands of clients, with the parser's buffers, may take another eighth.
 func (c *config) resourceLimits() resourceLimits {
 	n := c.sockets - reservedDescriptors
 	learned := min(c.diskBytes/16, maxLearnedBytes)
 	configuration := c.configurationFileBytes()
-	const fileCopies = 2 // while it is compacted there are two of it
+	const fileCopies = 2 // compaction writes a second file beside the old one
 	return resourceLimits{heapBytes: c.memoryBytes / 2, openBytes: c.memoryBytes / 8, journalBytes: c.diskBytes - learned - fileCopies*configuration, learnedBytes: learned, configurationBytes: configuration, flows: min(c.settings.MaxCalls, n/4),
 		memberConns: n / 4,
 		clients:     front.Limits{Clients: n / 2, Used: n / 4, Buffered: c.memoryBytes / 8}}
 }
 
-// configurationFileBytes is the bound of the file that keeps the fleet's configuration: what its entries take, and a sixteenth of the
-// folder at most.
+// configurationFileBytes returns the bound of the file that stores the fleet configuration: the size of the maximum number of entries,
+// but at most a sixteenth of the state folder.
 func (c *config) configurationFileBytes() int64 {
 	if !c.gateway.Fleet.Configuration.Enabled {
 		return 0
@@ -178,8 +182,8 @@
 	return min(c.diskBytes/16, configfile.MaxBytes(c.gateway.Fleet.Configuration.MaxEntries))
 }
 
-// restartOnlyChanges names what a newer configuration changes that only a restart can apply. The seed and the known list
-// are for a start alone.
+// restartOnlyChanges returns the names of changed settings that take effect only after a restart. It leaves out the seed and the
+// known list, which are used only at the start.
 func (c *config) restartOnlyChanges(newer *config) (names []string) {
 	for _, f := range []struct {
 		name    string
@@ -193,12 +197,12 @@
 	return names
 }
 
-// discoveryTerms are what the settings say of discovery.
+// discoveryTerms returns the settings of discovery.
 func (c *config) discoveryTerms() pool.Terms {
 	return pool.Terms{Pushed: !c.settings.OnRequest, Peers: c.settings.Peers, Grace: c.settings.Safety.DrainGrace, Asked: c.settings.Safety.AskEvery}
 }
 
-// overloadConfig is what the overload controller works with: the gateway's figures, with the classes and tenants of the
+// overloadConfig returns the configuration of the overload controller: the gateway settings, with the classes and tenants of the
 // platform's settings.
 func (c *config) overloadConfig() overload.Config {
 	o := c.gateway.Overload.Control
@@ -211,7 +215,8 @@
 	for _, t := range c.settings.Tenants {
 		o.Tenants = append(o.Tenants, overload.Tenant{Name: t.Name, Share: t.Share})
 	}
-	// A platform whose clients honour no wait is told none that is longer than it says.
+	// A platform whose clients do not honour retry-after waits sets a maximum. Refused clients are given no longer wait, unless the
+	// minimum RetryLeast is longer.
 	if maxWait := c.settings.MaxRetryAfter; maxWait > 0 {
 		o.RetryMost = max(maxWait, o.RetryLeast)
 	}
--- a/cmd/slatemux/deploy_test.go
+++ b/cmd/slatemux/deploy_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-// deploySetting reads a line of the deploy file.
+// deploySetting returns the value of a key in the deploy file.
 func deploySetting(t *testing.T, key string) string {
 	t.Helper()
 	raw, err := os.ReadFile("../../deploy/balancer.toml")
@@ -24,12 +24,12 @@
 	return string(found[1])
 }
 
-// The platform loads a library of its own into the relay. That takes a program that is linked against the C library, which
-// Go makes of a program only where cgo and the external linker are asked for; and one that is the process that run started.
+// The platform loads its own library into the relay process. The relay must therefore be linked dynamically against the C library, which
+// Go does only with cgo and the external linker. The run command must also replace the shell with the relay.
 func TestDeployedRelayIsDynamicallyLinked(t *testing.T) {
 	build := regexp.MustCompile(`go build (.*)-o bin/ ./cmd/\.\.\.`).FindStringSubmatch(deploySetting(t, "build"))
 	if build == nil || !strings.Contains(deploySetting(t, "build"), "CGO_ENABLED=1") {
-		t.Fatalf("build is %s", deploySetting(t, "build"))
+		t.Fatalf("deploy/balancer.toml: unexpected build command %s", deploySetting(t, "build"))
 	}
 	program := filepath.Join(t.TempDir(), "slatemux")
 	cmd := exec.Command("go", append(append([]string{"build"}, strings.Fields(build[1])...), "-o", program, ".")...)
@@ -54,11 +54,11 @@
 		t.Errorf("the relay has no interpreter (%v) or does not need the C library: %v", interpreter, libraries)
 	}
 	if run := deploySetting(t, "run"); !strings.HasPrefix(run, `"exec `) {
-		t.Errorf("run does not end in one process: %s", run)
+		t.Errorf("deploy/balancer.toml: the run command does not replace the shell by exec: %s", run)
 	}
 }
 
-// What the relay is built of is named in the deploy file, or the operators read less than what runs.
+// The deploy file lists every package of the relay. If one is missing there, the operators review less code than they run.
 func TestDeployFileListsRelayPackages(t *testing.T) {
 	out, err := exec.Command("go", "list", "-deps", "-f", "{{if not .Standard}}{{.ImportPath}}{{end}}", ".").Output()
 	if err != nil {
--- a/cmd/slatemux/drain_test.go
+++ b/cmd/slatemux/drain_test.go
@@ -11,21 +11,23 @@
 	"time"
 )
 
-// drainingPool is a relay of a large fleet between two members of a destination, of which the first leaves, and an agent of discovery
-// that may be silent. It counts as told what the agent has, from when the agent has it, or from the process's first moment.
+// drainingPool simulates two members of a destination and a discovery agent for a relay of a large fleet. The first member leaves, and the
+// agent may be silent. A change counts as notified from when the agent has it, or from the start of the process.
 type drainingPool struct {
 	mu           sync.Mutex
 	silent       bool
-	leavingSince time.Time    // when it counts as told that the first member leaves; zero while it stays
-	lateCalls    []string     // calls there whose first byte came after the grace
-	calls        [2]int       // to each
-	lastCall     [2]time.Time // when the newest came
+	leavingSince time.Time    // when the leave of the first member counts as notified; zero while it stays
+	lateCalls    []string     // calls to the first member whose first byte came after the drain grace
+	calls        [2]int       // received by each member
+	lastCall     [2]time.Time // time of the latest call of each member
 	config       string
-	answerDelay  time.Duration // what a member takes
+	answerDelay  time.Duration // time that a member takes to answer
 }
 
+// drainGrace is how long a leaving member may still get new calls.
 const drainGrace = 500 * time.Millisecond
 
+// newDrainingPool starts the members and the agent, and makes the configuration of a relay that uses them.
 func newDrainingPool(t *testing.T) *drainingPool {
 	d := &drainingPool{}
 	var hosts []string
@@ -66,7 +68,7 @@
 		default:
 			select {
 			case <-req.Context().Done():
-			case <-time.After(min(hold, 50*time.Millisecond)): // short, so that a test may change things
+			case <-time.After(min(hold, 50*time.Millisecond)): // short, so that changes by a test show soon
 			}
 			fmt.Fprintf(w, `{"seq":%s,"whole":false,"hosts":[]}`, req.URL.Query().Get("from"))
 		}
@@ -85,14 +87,14 @@
 	return d
 }
 
-// locked changes things under the lock.
+// locked calls f with the lock held.
 func (d *drainingPool) locked(f func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	f()
 }
 
-// submitFor hands messages in for so long, and says how many were taken on.
+// submitFor submits messages for the given time and returns how many were accepted.
 func (d *drainingPool) submitFor(t *testing.T, addr string, during time.Duration) (accepted int) {
 	for n, until := 0, time.Now().Add(during); time.Now().Before(until); n++ {
 		id := fmt.Sprintf("%x", time.Now().UnixNano())
@@ -104,18 +106,18 @@
 	return accepted
 }
 
-// checkDrained says what the rule on drains says, and that the other member was used.
+// checkDrained checks that the leaving member got no call after the drain grace, and that the other member got calls.
 func (d *drainingPool) checkDrained(t *testing.T) {
 	t.Helper()
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if len(d.lateCalls) > 0 || d.calls[1] == 0 {
-		t.Errorf("%d calls to the member that leaves after %v, first %v; %d to the other", len(d.lateCalls), drainGrace, d.lateCalls, d.calls[1])
+		t.Errorf("%d calls to the leaving member after %v: %v; %d calls to the other member", len(d.lateCalls), drainGrace, d.lateCalls, d.calls[1])
 	}
 }
 
-// A drain that the agent has heard of while the process was down, with messages in the journal that were out to that member:
-// after the grace, nothing goes there, in a fleet of any size. The same where the successor of a hand-over starts.
+// A member starts to leave while the process is down, and the journal holds messages with calls in flight to that member. After the drain
+// grace, the next process makes no calls to it, in a fleet of any size. The same holds for the successor process of a handover.
 func TestDrainBeforeStart(t *testing.T) {
 	t.Parallel()
 	d := newDrainingPool(t)
@@ -123,23 +125,24 @@
 	d.locked(func() { d.answerDelay = time.Second })
 	addr, _, end := startRelay(t, env)
 	if d.submitFor(t, addr, 300*time.Millisecond) == 0 {
-		t.Fatal("nothing is taken on")
+		t.Fatal("no message was accepted")
 	}
-	end() // at once, with calls out: as by SIGKILL, they are in the journal
+	end() // at once, with calls in flight; their messages stay in the journal, as after SIGKILL
 	d.locked(func() { d.leavingSince, d.answerDelay = time.Now(), 0 })
 	addr, _, end = startRelay(t, env)
 	d.submitFor(t, addr, 3*drainGrace)
 	d.checkDrained(t)
 	d.locked(func() { d.calls = [2]int{} })
-	next, _, endNext := startRelay(t, env) // beside it
+	next, _, endNext := startRelay(t, env) // runs beside the first process
 	d.submitFor(t, next, 2*drainGrace)
 	d.checkDrained(t)
 	end()
 	endNext()
 }
 
-// An agent that is silent at the start may have had a drain before: the known list is used for a part of the grace, and then
-// not, until the agent answers. Messages are taken on all the while, and go when it is back.
+// If the agent is silent at the start, it may already have a drain that the relay does not know. The relay uses the known list only for a
+// part of the drain grace, and then makes no calls until the agent answers. It accepts messages throughout, and sends them when the agent
+// answers again.
 func TestSilentDiscoveryAtStart(t *testing.T) {
 	t.Parallel()
 	d := newDrainingPool(t)
@@ -148,15 +151,15 @@
 	defer end()
 	began := time.Now()
 	if d.submitFor(t, addr, 3*drainGrace) == 0 {
-		t.Error("nothing is taken on")
+		t.Error("no message was accepted")
 	}
 	d.locked(func() {
 		if d.calls == [2]int{} {
-			t.Error("within the grace, the known list is not used")
+			t.Error("the known list is not used within the drain grace")
 		}
 		for i, at := range d.lastCall {
 			if at.Sub(began) > drainGrace+50*time.Millisecond {
-				t.Errorf("a call to m%d goes out %v after the start", i, at.Sub(began))
+				t.Errorf("a call to m%d starts %v after the start of the relay", i, at.Sub(began))
 			}
 		}
 		d.calls, d.silent = [2]int{}, false
@@ -165,7 +168,8 @@
 	d.checkDrained(t)
 }
 
-// A drain that only the new place of discovery knows counts 4 s after SIGHUP; it is heard of at once.
+// After SIGHUP moves discovery to a new address, a drain that only the new address has counts as notified after 4 s. The relay learns of it
+// at once.
 func TestDrainAtDiscoveryMove(t *testing.T) {
 	t.Parallel()
 	from, to := newDrainingPool(t), newDrainingPool(t)
@@ -188,6 +192,7 @@
 	})
 }
 
+// discoveryAddr returns the discovery address in a configuration.
 func discoveryAddr(t *testing.T, config string) string {
 	_, rest, ok := strings.Cut(config, `"discovery": "`)
 	addr, _, closed := strings.Cut(rest, `"`)
@@ -197,7 +202,7 @@
 	return addr
 }
 
-// An agent that falls silent under a watch, and has a drain when it is back: that counts from then on.
+// The agent becomes silent during a watch and has a drain when it answers again. The drain counts as notified from then on.
 func TestDrainAfterSilentDiscovery(t *testing.T) {
 	t.Parallel()
 	d := newDrainingPool(t)
@@ -205,12 +210,12 @@
 	defer end()
 	d.submitFor(t, addr, 100*time.Millisecond)
 	d.locked(func() { d.silent = true })
-	if d.submitFor(t, addr, 4*time.Second) == 0 { // longer than a watch waits
-		t.Error("nothing is taken on")
+	if d.submitFor(t, addr, 4*time.Second) == 0 { // longer than the timeout of a watch
+		t.Error("no message was accepted")
 	}
 	d.locked(func() {
 		if time.Since(d.lastCall[0]) > time.Second && time.Since(d.lastCall[1]) > time.Second {
-			t.Error("a relay that had its list confirmed stops when discovery falls silent")
+			t.Error("the relay stops making calls when discovery becomes silent, although its list was confirmed")
 		}
 		d.silent, d.leavingSince, d.calls = false, time.Now(), [2]int{}
 	})
--- a/cmd/slatemux/fleet.go
+++ b/cmd/slatemux/fleet.go
@@ -21,14 +21,19 @@
 	"slatemux/internal/traffic"
 )
 
-// relayForwarder hands the fleet's word to the relay, which is made after the relay's part in the fleet.
+// relayForwarder implements fleet.Relay. It forwards the fleet's decisions to the relay, which is created after the fleet member.
 type relayForwarder func() *relay.Relay
 
+// Restrain implements fleet.Relay.
 func (t relayForwarder) Restrain(list []traffic.Restraint) { t().Restrain(list) }
-func (t relayForwarder) Allow(list []traffic.Allowance)    { t().Allow(list) }
-func (t relayForwarder) Bar(bars []traffic.Bar)            { t().Bar(bars) }
 
-// joinFleet makes the relay's part in its fleet; nil where there is none.
+// Allow implements fleet.Relay.
+func (t relayForwarder) Allow(list []traffic.Allowance) { t().Allow(list) }
+
+// Bar implements fleet.Relay.
+func (t relayForwarder) Bar(bars []traffic.Bar) { t().Bar(bars) }
+
+// joinFleet creates the relay's member of its fleet. It returns nil if the fleet is off.
 func joinFleet(cfg *config, r relayForwarder) (*fleet.Fleet, error) {
 	fleetSettings := cfg.gateway.Fleet
 	if !fleetSettings.Enabled {
@@ -43,26 +48,26 @@
 		KeyFile:          fleetSettings.KeyFile,
 		StateDir:         cfg.stateDir,
 		Seed:             uint64(cfg.seed),
-		Quorum:           fleetSettings.Agree,
-		ExchangeInterval: fleetSettings.Exchange,
-		BytesPerSecond:   fleetSettings.Bytes,
+		Quorum:           fleetSettings.Quorum,
+		ExchangeInterval: fleetSettings.ExchangeInterval,
+		BytesPerSecond:   fleetSettings.BytesPerSecond,
 		DivideLimits:     fleetSettings.DivideLimits,
 		Relays:           cfg.settings.Peers,
 		Configuration:    replicationConfig(cfg),
 	}, r)
 }
 
-// fleetCommand asks a relay's operators' address what it knows of its fleet.
+// fleetCommand builds the command that asks the admin endpoint of a relay for its view of the fleet.
 func fleetCommand() *cobra.Command {
 	root := &cobra.Command{
 		Use:   "fleet",
-		Short: "Ask a relay what it knows of its fleet",
-		Long: `Ask the operators' address of a running relay for its fleet's members, or for what they have told each other.
-docs/operate-fleet.md explains what is shown.`,
+		Short: "Show what a relay knows about its fleet",
+		Long: `Ask the admin endpoint of a running relay for the members of its fleet, for their verdicts, or for the limits that they
+divide. docs/operate-fleet.md explains the output.`,
 	}
 	var addr string
 	var printJSON bool
-	root.PersistentFlags().StringVar(&addr, "ops", "", "the relay's operators' address, host:port")
+	root.PersistentFlags().StringVar(&addr, "ops", "", "address of the relay's admin endpoint, host:port")
 	root.PersistentFlags().BoolVar(&printJSON, "json", false, "print JSON")
 	newListCommand := func(list, short string, writeTable func(w io.Writer, body []byte) error) *cobra.Command {
 		return &cobra.Command{
@@ -70,7 +75,7 @@
 			Example: "  slatemux fleet " + list + " --ops 127.0.0.1:8600",
 			RunE: func(cmd *cobra.Command, _ []string) error {
 				if addr == "" {
-					return errors.New("fleet: --ops is missing: the relay's operators' address")
+					return errors.New("fleet: --ops is missing: the address of the relay's admin endpoint")
 				}
 				body, err := getOps(cmd.Context(), addr, "/ops/fleet/"+list)
 				if err != nil {
@@ -93,16 +98,16 @@
 		Example: "  (umask 077; slatemux fleet key > fleet.key)",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			key := make([]byte, 32)
-			_, _ = rand.Read(key) // it never fails
+			_, _ = rand.Read(key) // never fails
 			_, err := fmt.Fprintln(cmd.OutOrStdout(), base64.StdEncoding.EncodeToString(key))
 			return err
 		},
-	}, configurationCommand(&addr, &printJSON), newListCommand("members", "List the fleet's members", writeMembersTable), newListCommand("verdicts", "List what relays have told each other and still holds", writeVerdictsTable),
-		newListCommand("limits", "List the limits that the fleet divides, and what this relay has of them", writeLimitsTable))
+	}, configurationCommand(&addr, &printJSON), newListCommand("members", "List the fleet's members", writeMembersTable), newListCommand("verdicts", "List the verdicts of the relays that are still valid", writeVerdictsTable),
+		newListCommand("limits", "List the limits that the fleet divides, and the share of this relay", writeLimitsTable))
 	return root
 }
 
-// getOps makes one call to an operators' address.
+// getOps sends a GET request to the admin endpoint at addr and returns the body of the answer.
 func getOps(ctx context.Context, addr, path string) ([]byte, error) {
 	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(5*time.Second))
 	defer cancel()
@@ -125,6 +130,7 @@
 	return body, nil
 }
 
+// writeMembersTable prints the members of the fleet, given as JSON.
 func writeMembersTable(w io.Writer, body []byte) error {
 	var list []fleet.MemberState
 	if err := json.Unmarshal(body, &list); err != nil {
@@ -143,6 +149,7 @@
 	return nil
 }
 
+// writeLimitsTable prints the divided limits, given as JSON.
 func writeLimitsTable(w io.Writer, body []byte) error {
 	var list []allowance.State
 	if err := json.Unmarshal(body, &list); err != nil {
@@ -166,12 +173,13 @@
 	return nil
 }
 
+// writeVerdictsTable prints the valid verdicts, given as JSON.
 func writeVerdictsTable(w io.Writer, body []byte) error {
 	var list []fleet.Verdict
 	if err := json.Unmarshal(body, &list); err != nil {
 		return err
 	}
-	millis := func(ms float64) time.Duration {
+	rounded := func(ms float64) time.Duration {
 		return (time.Duration(ms * float64(time.Millisecond))).Round(time.Millisecond)
 	}
 	fmt.Fprintln(w, "FROM\tWHAT\tDESTINATION\tMEMBER\tAGE\tLAPSES IN")
@@ -180,12 +188,12 @@
 		if v.Over {
 			what += " is over"
 		} else if v.LengthMS > 0 {
-			what += fmt.Sprintf(" (%v)", millis(v.LengthMS))
+			what += fmt.Sprintf(" (%v)", rounded(v.LengthMS))
 		}
 		if member == "" {
 			member = "all"
 		}
-		fmt.Fprintf(w, "%s\t%s\t%d\t%s\t%v\t%v\n", v.Origin, what, v.Destination, member, millis(v.AgeMS), millis(v.LeftMS))
+		fmt.Fprintf(w, "%s\t%s\t%d\t%s\t%v\t%v\n", v.Origin, what, v.Destination, member, rounded(v.AgeMS), rounded(v.LeftMS))
 	}
 	return nil
 }
--- a/cmd/slatemux/configuration.go
+++ b/cmd/slatemux/fleet_configuration.go
@@ -14,7 +14,7 @@
 	"slatemux/internal/ops"
 )
 
-// replicationConfig is what the settings say of the replication of the fleet's configuration; nil where it is off.
+// replicationConfig returns the settings for replicating the fleet configuration, or nil if replication is off.
 func replicationConfig(cfg *config) *fleet.ConfigurationConfig {
 	replicated := cfg.gateway.Fleet.Configuration
 	if !cfg.gateway.Fleet.Enabled || !replicated.Enabled {
@@ -34,7 +34,7 @@
 	}
 }
 
-// Configure hands a signed change to the fleet's configuration.
+// Configure submits a signed change of the fleet configuration. It implements ops.Relay.
 func (h *opsHandler) Configure(ctx context.Context, body []byte) error {
 	if !h.ready.Load() || h.fleet == nil {
 		return &ops.Refusal{Status: http.StatusServiceUnavailable, Reason: fleet.ErrConfigurationOff}
@@ -49,7 +49,7 @@
 	return nil
 }
 
-// decodeChange reads a change; what is no change, or more than one, is an error.
+// decodeChange decodes exactly one change. Anything else, or data after the change, is an error.
 func decodeChange(body []byte) (configsync.Change, error) {
 	decoder := json.NewDecoder(bytes.NewReader(body))
 	decoder.DisallowUnknownFields()
@@ -58,12 +58,12 @@
 		return configsync.Change{}, fmt.Errorf("not a configuration change: %w", err)
 	}
 	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
-		return configsync.Change{}, errors.New("not a configuration change: something follows it")
+		return configsync.Change{}, errors.New("not a configuration change: unexpected data after the first JSON value")
 	}
 	return change.Change(), nil
 }
 
-// configurationStatus is the status that tells why a change was not taken.
+// configurationStatus returns the HTTP status for the reason why a change was refused.
 func configurationStatus(err error) int {
 	switch {
 	case errors.Is(err, configsync.ErrInvalid):
--- a/cmd/slatemux/configuration_cli.go
+++ b/cmd/slatemux/fleet_configuration_cli.go
@@ -24,27 +24,28 @@
 )
 
 const (
+	// configurationPath is the path of the fleet configuration at the admin endpoint.
 	configurationPath = "/ops/fleet/configuration"
-	// changeAttempts is how often a change is signed anew where another one came first.
+	// changeAttempts is the maximum number of times that a change is signed and submitted while other changes conflict with it.
 	changeAttempts = 5
-	// changeRetryPause is the pause between two of them.
+	// changeRetryPause is the pause between two of these attempts.
 	changeRetryPause = 200 * time.Millisecond
-	// lastChangeSuffix names the file beside a control machine's key that keeps its last change. A change whose answer was lost is
-	// handed in again before the next one, so that no sequence is used twice or left out.
+	// lastChangeSuffix is appended to the path of the private key to name the file of the last change. A change whose answer was lost
+	// is submitted again before the next one, so that no sequence number is used twice or skipped.
 	lastChangeSuffix = ".last"
 )
 
-// configurationCommand shows and changes the configuration that a fleet replicates.
+// configurationCommand builds the command that shows and changes the fleet configuration.
 func configurationCommand(addr *string, printJSON *bool) *cobra.Command {
 	root := &cobra.Command{
 		Use:   "configuration",
 		Short: "Show or change the configuration that the fleet replicates",
-		Long: `Show what a relay holds of the fleet's configuration, or sign a change of it and hand that to a relay, which passes it on to
-all. docs/operate-fleet.md explains keys and values.`,
+		Long: `Show the entries of the fleet configuration that a relay has, or sign a change and submit it to a relay, which replicates
+the change to all relays. docs/operate-fleet.md explains keys and values.`,
 	}
 	signer := &changeSigner{addr: addr}
 	set := &cobra.Command{
-		Use: "set KEY VALUE", Short: "Sign an entry and hand it to a relay", Args: cobra.ExactArgs(2),
+		Use: "set KEY VALUE", Short: "Sign an entry and submit it to a relay", Args: cobra.ExactArgs(2),
 		Example: "  slatemux fleet configuration set endpoint/s-5be2a07c down --ops 127.0.0.1:8600 --source control-1 --key-file control-1.key",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if !utf8.ValidString(args[1]) {
@@ -54,14 +55,14 @@
 		},
 	}
 	remove := &cobra.Command{
-		Use: "remove KEY", Short: "Sign the removal of an entry and hand it to a relay", Args: cobra.ExactArgs(1),
+		Use: "remove KEY", Short: "Sign the removal of an entry and submit it to a relay", Args: cobra.ExactArgs(1),
 		Example: "  slatemux fleet configuration remove endpoint/s-5be2a07c --ops 127.0.0.1:8600 --source control-1 --key-file control-1.key",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			return signer.run(cmd, *printJSON, fleet.ConfigurationChange{Key: args[0], Removed: true})
 		},
 	}
 	keygen := &cobra.Command{
-		Use: "keygen", Short: "Write a new private key of a control machine, and print its line of the trusted key file", Args: cobra.NoArgs,
+		Use: "keygen", Short: "Write a new private key for a control machine, and print the line for the trusted key file", Args: cobra.NoArgs,
 		Example: "  slatemux fleet configuration keygen --source control-1 --key-file control-1.key >> trusted.keys",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			line, err := generateKey(signer.source, signer.keyFile)
@@ -79,7 +80,7 @@
 		_ = command.MarkFlagRequired("key-file")
 	}
 	show := &cobra.Command{
-		Use: "show", Short: "List the entries that a relay holds", Args: cobra.NoArgs,
+		Use: "show", Short: "List the entries that a relay has", Args: cobra.NoArgs,
 		Example: "  slatemux fleet configuration show --ops 127.0.0.1:8600",
 		RunE:    func(cmd *cobra.Command, _ []string) error { return showConfiguration(cmd, *addr, *printJSON) },
 	}
@@ -87,6 +88,7 @@
 	return root
 }
 
+// showConfiguration prints the fleet configuration of a relay, as a table or as the JSON that the relay returned.
 func showConfiguration(cmd *cobra.Command, addr string, printJSON bool) error {
 	body, err := getConfiguration(cmd.Context(), addr)
 	if err != nil {
@@ -103,9 +105,10 @@
 	return writeConfigurationTable(cmd.OutOrStdout(), &state)
 }
 
+// getConfiguration requests the fleet configuration from the relay at addr and returns the JSON text.
 func getConfiguration(ctx context.Context, addr string) ([]byte, error) {
 	if addr == "" {
-		return nil, errors.New("fleet: --ops is missing: the relay's operators' address")
+		return nil, errors.New("fleet: --ops is missing: the address of the relay's admin endpoint")
 	}
 	body, err := getOps(ctx, addr, configurationPath)
 	if err != nil {
@@ -114,6 +117,7 @@
 	return body, nil
 }
 
+// writeConfigurationTable prints the fleet configuration as a table.
 func writeConfigurationTable(out io.Writer, state *fleet.ConfigurationState) error {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintf(w, "digest\t%s\n", state.Digest)
@@ -133,6 +137,8 @@
 	return w.Flush()
 }
 
+// entryState returns the text of an entry's state. An entry that this version of the relay does not know is
+// stored but not applied.
 func entryState(entry fleet.ConfigurationEntry) string {
 	switch {
 	case entry.Removed:
@@ -143,7 +149,7 @@
 	return "unknown here"
 }
 
-// generateKey writes a new private key, which must not exist yet, and returns the line that has relays trust it.
+// generateKey writes a new private key to path and returns the line for the trusted key file. A file that exists is an error.
 func generateKey(source, path string) (string, error) {
 	public, private, err := ed25519.GenerateKey(rand.Reader)
 	if err != nil {
@@ -160,13 +166,14 @@
 	return source + " " + base64.StdEncoding.EncodeToString(public), nil
 }
 
+// readPrivateKey reads a private key from a file that only its owner may access.
 func readPrivateKey(path string) (ed25519.PrivateKey, error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return nil, err
 	}
 	if mode := info.Mode().Perm(); mode&0o077 != 0 {
-		return nil, fmt.Errorf("%s: others may use it (mode %04o); it must be its owner's alone, as 0600", path, mode)
+		return nil, fmt.Errorf("%s: others may use it (mode %04o); only its owner may have access, as with mode 0600", path, mode)
 	}
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -174,24 +181,25 @@
 	}
 	seed, err := base64.StdEncoding.DecodeString(strings.TrimSpace(string(raw)))
 	if err != nil || len(seed) != ed25519.SeedSize {
-		return nil, fmt.Errorf("%s: not %d bytes in base64", path, ed25519.SeedSize) // and never what it says
+		return nil, fmt.Errorf("%s: not %d bytes in base64", path, ed25519.SeedSize) // the error must not contain the secret
 	}
 	return ed25519.NewKeyFromSeed(seed), nil
 }
 
-// changeSigner signs changes as a control machine and hands them to a relay.
+// changeSigner signs changes as a control machine and submits them to the relay at addr.
 type changeSigner struct {
 	addr            *string
 	source, keyFile string
 }
 
+// run submits the wanted change after the last change of this source has reached the relay, and prints the result.
 func (s *changeSigner) run(cmd *cobra.Command, printJSON bool, wanted fleet.ConfigurationChange) error {
 	key, err := readPrivateKey(s.keyFile)
 	if err != nil {
 		return fmt.Errorf("fleet configuration: %w", err)
 	}
 	if err := s.resubmitLast(cmd.Context()); err != nil {
-		return fmt.Errorf("fleet configuration: the change before this one is not in force yet: %w", err)
+		return fmt.Errorf("fleet configuration: the previous change is not in force yet: %w", err)
 	}
 	change, err := s.submit(cmd.Context(), key, wanted)
 	if err != nil {
@@ -204,7 +212,8 @@
 	return err
 }
 
-// submit signs a change as the next one of its source, anew where another one came first, and hands it in.
+// submit signs a change with the next sequence number of its source and submits it. If another change comes first, it signs and
+// submits again.
 func (s *changeSigner) submit(ctx context.Context, key ed25519.PrivateKey, wanted fleet.ConfigurationChange) (fleet.ConfigurationChange, error) {
 	for attempt := 1; ; attempt++ {
 		source, err := s.nextVersions(ctx)
@@ -230,7 +239,7 @@
 	}
 }
 
-// nextVersions asks the relay which change it expects next.
+// nextVersions asks the relay for the state of this source, which holds the next sequence and revision numbers.
 func (s *changeSigner) nextVersions(ctx context.Context) (fleet.ConfigurationSource, error) {
 	body, err := getConfiguration(ctx, *s.addr)
 	if err != nil {
@@ -248,7 +257,7 @@
 	return fleet.ConfigurationSource{}, fmt.Errorf("%s does not trust a source %q", *s.addr, s.source)
 }
 
-// resubmitLast hands in the last change again where the relay does not know of it.
+// resubmitLast submits the last change again if the relay does not have it.
 func (s *changeSigner) resubmitLast(ctx context.Context) error {
 	raw, err := os.ReadFile(s.keyFile + lastChangeSuffix)
 	if errors.Is(err, os.ErrNotExist) {
@@ -267,13 +276,13 @@
 	}
 	err = s.post(ctx, last)
 	var refused *changeRefusedError
-	if errors.As(err, &refused) && refused.status == http.StatusForbidden { // by a key that is not trusted any more
+	if errors.As(err, &refused) && refused.status == http.StatusForbidden { // signed with a key that is no longer trusted
 		return s.removeLast()
 	}
 	return err
 }
 
-// saveLast replaces the file of the last change as a whole.
+// saveLast replaces the file of the last change atomically.
 func (s *changeSigner) saveLast(change fleet.ConfigurationChange) error {
 	raw, err := json.Marshal(change)
 	if err != nil {
@@ -286,10 +295,10 @@
 	return os.Rename(path+".new", path)
 }
 
-// removeLast drops a last change that no relay has taken.
+// removeLast deletes the file of the last change. It is called only if no relay has accepted that change.
 func (s *changeSigner) removeLast() error { return os.Remove(s.keyFile + lastChangeSuffix) }
 
-// changeRefusedError is a relay's answer that it did not take a change.
+// changeRefusedError is a relay's answer that refuses a change.
 type changeRefusedError struct {
 	addr   string
 	status int
@@ -301,9 +310,10 @@
 	return fmt.Sprintf("%s answered %d: %s", r.addr, r.status, r.reason)
 }
 
-// notApplied reports whether the relay has nothing of the change.
+// notApplied reports whether the relay has surely not stored the change. After a server error this is unknown.
 func (r *changeRefusedError) notApplied() bool { return r.status >= 400 && r.status < 500 }
 
+// post sends a signed change to the relay. If the relay refuses the change, the error is a *changeRefusedError.
 func (s *changeSigner) post(ctx context.Context, change fleet.ConfigurationChange) error {
 	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(5*time.Second))
 	defer cancel()
--- a/cmd/slatemux/configuration_test.go
+++ b/cmd/slatemux/fleet_configuration_test.go
@@ -20,7 +20,7 @@
 	"slatemux/internal/fleet/configfile"
 )
 
-// freeAddress returns an address that nobody listens on.
+// freeAddress returns a TCP address on which nothing listens.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -31,11 +31,12 @@
 	return ln.Addr().String()
 }
 
-// controlMachine is a folder with a control machine's key, and the settings of a relay that trusts it.
+// controlMachine holds the paths of a control machine's key and of the settings of a relay that trusts this key, all in one folder.
 type controlMachine struct {
 	dir, keyFile, trustedKeyFile, settings string
 }
 
+// newControlMachine generates a key and writes the settings of a relay that trusts it.
 func newControlMachine(t *testing.T) controlMachine {
 	t.Helper()
 	dir := t.TempDir()
@@ -56,14 +57,14 @@
 	return c
 }
 
-// runChange runs set or remove as the control machine.
+// runChange runs the command line with set or remove as the control machine.
 func (c controlMachine) runChange(t *testing.T, ops string, args ...string) (string, error) {
 	t.Helper()
 	args = append([]string{"fleet", "configuration"}, args...)
 	return runCLI(t, nil, append(args, "--ops", ops, "--source", "control", "--key-file", c.keyFile)...)
 }
 
-// awaitConfiguration is what a relay holds, as soon as it can take changes.
+// awaitConfiguration waits until the relay can accept changes, and returns its fleet configuration.
 func awaitConfiguration(t *testing.T, ops string) fleet.ConfigurationState {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); ; time.Sleep(20 * time.Millisecond) {
@@ -81,6 +82,7 @@
 	}
 }
 
+// disabledTargets returns the number of disabled targets in the stats of the admin endpoint.
 func disabledTargets(t *testing.T, ops string) int {
 	t.Helper()
 	body, err := getOps(t.Context(), ops, "/ops/stats")
@@ -96,16 +98,17 @@
 	return stats.Disabled
 }
 
+// awaitDisabledTargets waits until the relay reports the wanted number of disabled targets.
 func awaitDisabledTargets(t *testing.T, ops string, want int) {
 	t.Helper()
 	for end := time.Now().Add(10 * time.Second); disabledTargets(t, ops) != want; time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%d targets are disabled, not %d", disabledTargets(t, ops), want)
+			t.Fatalf("%d targets are disabled, want %d", disabledTargets(t, ops), want)
 		}
 	}
 }
 
-// An operator sets an entry, sees it in force, finds it again after a restart, and removes it.
+// An entry that an operator sets takes effect, is still in effect after a restart, and can be removed.
 func TestConfigurationSetShowRemove(t *testing.T) {
 	c, a := newControlMachine(t), newTestPeers(t)
 	close(a.releaseCalls)
@@ -145,7 +148,8 @@
 	awaitDisabledTargets(t, ops, 0)
 }
 
-// A change whose answer was lost is handed in again before the next one: no sequence is left out or used twice.
+// A change whose answer was lost is submitted again before the next change, so that no sequence number is skipped or used twice. The test
+// saves a signed change that no relay has received.
 func TestLostChangeIsResubmitted(t *testing.T) {
 	c, a := newControlMachine(t), newTestPeers(t)
 	close(a.releaseCalls)
@@ -160,10 +164,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	lost := &changeSigner{addr: &ops, source: "control", keyFile: c.keyFile}
-	first := fleet.ConfigurationChange{Source: "control", Sequence: 1, Revision: 1, Key: "lost", Value: "yes"}
-	first.Signature = signChange(first, key)
-	if err := lost.saveLast(first); err != nil {
+	signer := &changeSigner{addr: &ops, source: "control", keyFile: c.keyFile}
+	lostChange := fleet.ConfigurationChange{Source: "control", Sequence: 1, Revision: 1, Key: "lost", Value: "yes"}
+	lostChange.Signature = signChange(lostChange, key)
+	if err := signer.saveLast(lostChange); err != nil {
 		t.Fatal(err)
 	}
 	if out, err := c.runChange(t, ops, "set", "next", "yes"); err != nil || !strings.Contains(out, "change 2 of control") {
@@ -174,7 +178,7 @@
 	}
 }
 
-// What is no signed change of a trusted source is refused with the status and one line that say why.
+// Anything but a change signed by a trusted source is refused, with the HTTP status for the reason and one line of text.
 func TestConfigurationRefusals(t *testing.T) {
 	c, a := newControlMachine(t), newTestPeers(t)
 	close(a.releaseCalls)
@@ -198,16 +202,16 @@
 		body   string
 		status int
 	}{
-		"no JSON":             {"down", 400},
-		"an unknown field":    {`{"sourc":"control"}`, 400},
-		"two changes":         {signed(1, "k") + signed(2, "k"), 400},
-		"no key":              {signed(1, ""), 400},
-		"too long":            {signed(1, strings.Repeat("k", 9000)), 400},
-		"not signed":          {`{"source":"control","sequence":1,"revision":1,"key":"k","value":"x"}`, 403},
-		"of another source":   {strings.Replace(signed(1, "k"), "control", "contra", 1), 403},
-		"changed on the way":  {strings.Replace(signed(1, "k"), `"x"`, `"y"`, 1), 403},
-		"not the next of all": {signed(5, "k"), 409},
-		"of no number":        {signed(0, "k"), 409},
+		"no JSON":          {"down", 400},
+		"an unknown field": {`{"sourc":"control"}`, 400},
+		"two changes":      {signed(1, "k") + signed(2, "k"), 400},
+		"empty key":        {signed(1, ""), 400},
+		"key too long":     {signed(1, strings.Repeat("k", 9000)), 400},
+		"not signed":       {`{"source":"control","sequence":1,"revision":1,"key":"k","value":"x"}`, 403},
+		"unknown source":   {strings.Replace(signed(1, "k"), "control", "contra", 1), 403},
+		"changed value":    {strings.Replace(signed(1, "k"), `"x"`, `"y"`, 1), 403},
+		"skipped sequence": {signed(5, "k"), 409},
+		"sequence 0":       {signed(0, "k"), 409},
 	} {
 		resp, err := http.Post("http://"+ops+configurationPath, "application/json", strings.NewReader(r.body))
 		if err != nil {
@@ -216,18 +220,19 @@
 		text, _ := io.ReadAll(resp.Body)
 		resp.Body.Close()
 		if resp.StatusCode != r.status || strings.Count(string(text), "\n") != 1 {
-			t.Errorf("%s: %d %q, not %d", name, resp.StatusCode, text, r.status)
+			t.Errorf("%s: answer %d %q, want status %d", name, resp.StatusCode, text, r.status)
 		}
 	}
 }
 
+// signChange returns the signature of the change.
 func signChange(change fleet.ConfigurationChange, key ed25519.PrivateKey) []byte {
 	signed := change.Change()
 	configsync.Sign(&signed, key)
 	return signed.Signature
 }
 
-// SIGHUP has the trusted keys read again: a source that is not in the file any more can change nothing, another one can.
+// SIGHUP makes the relay read the trusted keys again. A source that is no longer in the file cannot change entries, and a new one can.
 func TestReloadRereadsTrustedKeys(t *testing.T) {
 	c, other, a := newControlMachine(t), newControlMachine(t), newTestPeers(t)
 	close(a.releaseCalls)
@@ -265,7 +270,7 @@
 	}
 }
 
-// Without the fleet's configuration there is nothing to show, and nothing is taken.
+// A relay without a fleet configuration answers show with 404 and refuses changes.
 func TestConfigurationDisabled(t *testing.T) {
 	a := newTestPeers(t)
 	close(a.releaseCalls)
@@ -286,7 +291,7 @@
 	}
 }
 
-// check names the file that is missing, and says what the settings come to.
+// The check command prints the resulting settings, and names a file that is missing or invalid.
 func TestCheckConfiguration(t *testing.T) {
 	c := newControlMachine(t)
 	vars := writeTestConfig(t, newTestPeers(t).config)
@@ -310,14 +315,14 @@
 	}
 }
 
-// A control machine's key is its owner's alone, and never written over.
+// A control machine's private key file is never overwritten, must be accessible to its owner only, and does not appear in error texts.
 func TestControlMachineKeyFile(t *testing.T) {
 	c := newControlMachine(t)
 	if _, err := runCLI(t, nil, "fleet", "configuration", "keygen", "--source", "control", "--key-file", c.keyFile); err == nil {
-		t.Error("a key was written over")
+		t.Error("keygen overwrote an existing key")
 	}
 	if _, err := c.runChange(t, "127.0.0.1:1", "set", "k"); err == nil {
-		t.Error("a key without a value was taken")
+		t.Error("set accepted a key without a value")
 	}
 	if err := os.Chmod(c.keyFile, 0o644); err != nil {
 		t.Fatal(err)
@@ -336,7 +341,7 @@
 	}
 }
 
-// The file of the configuration has its share of the folder, and only where there is one.
+// The file of the fleet configuration reduces the space of the journal only if there is one, and takes at most a sixteenth of the folder.
 func TestConfigurationFileShare(t *testing.T) {
 	c := config{diskBytes: 1 << 30}
 	if off := c.resourceLimits(); off.configurationBytes != 0 || off.journalBytes+off.learnedBytes != c.diskBytes {
--- a/cmd/slatemux/log.go
+++ b/cmd/slatemux/log.go
@@ -7,32 +7,34 @@
 	"time"
 )
 
-// rateLimitedHandler is a log handler that passes over lines of a message beyond so many a second: a bad client or a spoilt
-// partner may cause hundreds of them, and the log must not take the core from those that are served; the next line that is
-// logged tells how many there were.
+// rateLimitedHandler is a log handler that bounds the number of lines a second for each message. A misbehaving client or partner may
+// cause hundreds of lines a second, and writing them must not take processor time from other clients. The next logged line of the
+// message holds the number of suppressed lines.
 type rateLimitedHandler struct {
 	slog.Handler
 	counts *messageCounts
 }
 
+// messageCounts counts the lines of each message. It is safe for concurrent use.
 type messageCounts struct {
 	mu           sync.Mutex
 	maxPerSecond int64
-	byMessage    map[string]*messageCount // by message, of which there are as many as calls of slog
+	byMessage    map[string]*messageCount // bounded by the number of slog calls in the program
 }
 
+// messageCount counts the lines of one message: those seen in the current second, and those suppressed since the last logged line.
 type messageCount struct {
 	second           time.Time
 	seen, suppressed int64
 }
 
-// newRateLimitedHandler writes at most so many lines of one message a second. The libraries that sample log lines count what
-// they pass over in a hook apart; here the next line tells, which is what those on call read.
+// newRateLimitedHandler returns a handler that passes at most maxPerSecond lines a second of each message to h. Log sampling libraries
+// report suppressed lines to a separate hook. This handler reports them in the next line, where engineers on call see them.
 func newRateLimitedHandler(h slog.Handler, maxPerSecond int) rateLimitedHandler {
 	return rateLimitedHandler{h, &messageCounts{maxPerSecond: int64(maxPerSecond), byMessage: map[string]*messageCount{}}}
 }
 
-// Handle logs a line or passes over it. Errors always pass.
+// Handle logs or suppresses a line. It never suppresses errors.
 func (s rateLimitedHandler) Handle(ctx context.Context, r slog.Record) error {
 	if r.Level < slog.LevelError {
 		suppressed, ok := s.counts.allow(r.Message, r.Time.Truncate(time.Second))
@@ -46,6 +48,8 @@
 	return s.Handler.Handle(ctx, r)
 }
 
+// allow counts a line of the message in the given second and reports whether it may be logged. If so, it also returns how many lines were
+// suppressed before.
 func (l *messageCounts) allow(message string, second time.Time) (suppressed int64, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -65,11 +69,12 @@
 	return suppressed, true
 }
 
-// WithAttrs and WithGroup keep the counts.
+// WithAttrs implements slog.Handler. The new handler shares the counts.
 func (s rateLimitedHandler) WithAttrs(attrs []slog.Attr) slog.Handler {
 	return rateLimitedHandler{s.Handler.WithAttrs(attrs), s.counts}
 }
 
+// WithGroup implements slog.Handler. The new handler shares the counts.
 func (s rateLimitedHandler) WithGroup(name string) slog.Handler {
 	return rateLimitedHandler{s.Handler.WithGroup(name), s.counts}
 }
--- a/cmd/slatemux/log_test.go
+++ b/cmd/slatemux/log_test.go
@@ -10,8 +10,7 @@
 
 const testMaxPerSecond = 5
 
-// A flood of lines with one message costs little: the rest of a second's are counted, not written. Other
-// messages and errors are not held back by it.
+// Lines of one message beyond the limit of a second are counted and not written. Lines of other messages and errors are not affected.
 func TestLogRateLimitPerMessage(t *testing.T) {
 	var text strings.Builder
 	h := newRateLimitedHandler(slog.NewTextHandler(&text, nil), testMaxPerSecond).WithAttrs([]slog.Attr{slog.String("relay", "n0")})
--- a/cmd/slatemux/long_list_test.go
+++ b/cmd/slatemux/long_list_test.go
@@ -16,20 +16,20 @@
 	"time"
 )
 
-// largePool is a pool of many members, all at one address and each a destination of its own but the first two hundred, which share
-// one; and an agent that lists them as a test says.
+// largePool simulates a pool of many members at one address, and a discovery agent that lists them. The first two hundred members share
+// one destination, and each other member has a destination of its own.
 type largePool struct {
 	mu           sync.Mutex
-	lastCall     map[string]time.Time // first bytes of the newest call to each member
-	inFlight     int                  // calls under way
-	maxInFlight  int                  // of them at one time
+	lastCall     map[string]time.Time // arrival of the latest call to each member
+	inFlight     int                  // current number of calls
+	maxInFlight  int                  // maximum number of concurrent calls
 	dial         string
 	size         int
-	oddLeaving   bool      // the members with odd numbers leave
-	changeSentAt time.Time // when the last byte of that was written
+	oddLeaving   bool      // members with odd numbers leave
+	changeSentAt time.Time // when the last byte of the change was written
 }
 
-// hostList is the whole list, or the change that has half of the members leave.
+// hostList returns the full list, or the change in which half of the members leave.
 func (c *largePool) hostList(full, leaving, indent bool) []byte {
 	seq := 1
 	var hosts []map[string]any
@@ -46,15 +46,16 @@
 		seq = 2
 	}
 	list := map[string]any{"seq": seq, "whole": full, "hosts": hosts}
-	raw, _ := json.Marshal(list) // it never fails
+	raw, _ := json.Marshal(list) // never fails
 	if indent {
 		raw, _ = json.MarshalIndent(list, "", "    ")
 	}
 	return raw
 }
 
-// newLargePool returns one, and the configuration of a relay that knows it. The agent gives its change in pieces.
-func newLargePool(t *testing.T, size int, indent bool, piece int) (*largePool, string) {
+// newLargePool starts a pool and its agent, and returns the pool and the configuration of a relay that uses it. The agent writes its
+// answers in chunks of chunkBytes; 0 means at once.
+func newLargePool(t *testing.T, size int, indent bool, chunkBytes int) (*largePool, string) {
 	c := &largePool{size: size, lastCall: map[string]time.Time{}}
 	member := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		now := time.Now()
@@ -82,7 +83,7 @@
 			if err != nil {
 				return
 			}
-			go c.serve(nc, indent, piece)
+			go c.serve(nc, indent, chunkBytes)
 		}
 	}()
 	raw, err := os.ReadFile("../../example/config.json")
@@ -94,8 +95,8 @@
 		`"max-calls": 16`, `"max-calls": 400`, `"max-open": 200`, `"max-open": 5000`, `"sockets": 1024`, `"sockets": 4096`).Replace(string(raw))
 }
 
-// serve answers an agent's connection.
-func (c *largePool) serve(nc net.Conn, indent bool, piece int) {
+// serve answers the requests on one connection to the agent.
+func (c *largePool) serve(nc net.Conn, indent bool, chunkBytes int) {
 	defer nc.Close()
 	for rd := bufio.NewReader(nc); ; {
 		req, err := http.ReadRequest(rd)
@@ -123,7 +124,7 @@
 			body = fmt.Appendf(nil, `{"seq":%s,"whole":false,"hosts":[]}`, from)
 		}
 		answer := append(fmt.Appendf(nil, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", len(body)), body...)
-		for part := range chunks(answer, piece) {
+		for part := range chunks(answer, chunkBytes) {
 			if _, err := nc.Write(part); err != nil {
 				return
 			}
@@ -136,33 +137,33 @@
 	}
 }
 
-// chunks cuts a text into pieces; 0 for one.
-func chunks(text []byte, piece int) func(func([]byte) bool) {
+// chunks iterates over the text in chunks of chunkBytes; 0 means one chunk.
+func chunks(text []byte, chunkBytes int) func(func([]byte) bool) {
 	return func(yield func([]byte) bool) {
-		if piece == 0 {
-			piece = len(text)
+		if chunkBytes == 0 {
+			chunkBytes = len(text)
 		}
-		for len(text) > 0 && yield(text[:min(piece, len(text))]) {
-			text = text[min(piece, len(text)):]
+		for len(text) > 0 && yield(text[:min(chunkBytes, len(text))]) {
+			text = text[min(chunkBytes, len(text)):]
 		}
 	}
 }
 
-// One change has half of a long list leave, while hundreds of flows are under way: no flow begins at any of them later than a
-// moment after the list's last byte, compact and indented, whole at once and in small pieces.
+// One list change makes half of a long list leave while hundreds of flows are under way. No flow to a leaving member may start more than
+// a second after the last byte of the change. The change is sent compact or indented, and at once or in small chunks.
 func TestLongListLeaves(t *testing.T) {
 	for _, size := range []int{1024, 2000, 5000} {
 		for form, sent := range map[string]struct {
-			indent bool
-			piece  int
-		}{"compact": {}, "indented": {indent: true}, "in pieces": {indent: true, piece: 64}} {
+			indent     bool
+			chunkBytes int
+		}{"compact": {}, "indented": {indent: true}, "in pieces": {indent: true, chunkBytes: 64}} {
 			t.Run(fmt.Sprint(size, " ", form), func(t *testing.T) {
-				c, config := newLargePool(t, size, sent.indent, sent.piece)
+				c, config := newLargePool(t, size, sent.indent, sent.chunkBytes)
 				started := time.Now()
 				addr, _, end := startRelay(t, writeTestConfig(t, config))
 				defer end()
 				if took := time.Since(started); took > time.Second {
-					t.Errorf("ready after %v", took)
+					t.Errorf("the relay is ready only after %v", took)
 				}
 				stop := make(chan struct{})
 				var clients sync.WaitGroup
@@ -179,7 +180,7 @@
 				c.mu.Lock()
 				defer c.mu.Unlock()
 				if c.changeSentAt.IsZero() {
-					t.Fatal("nobody asked for the change")
+					t.Fatal("the relay did not request the change")
 				}
 				var latestCall time.Duration
 				calls := 0
@@ -188,19 +189,19 @@
 						latestCall = max(latestCall, at.Sub(c.changeSentAt))
 					}
 				}
-				t.Logf("%d members called, %d flows at one time; the last byte of the change to the last flow withheld: %v", calls, c.maxInFlight, latestCall)
+				t.Logf("%d members called, at most %d concurrent flows; from the last byte of the change to the last flow to a leaving member: %v", calls, c.maxInFlight, latestCall)
 				if c.maxInFlight < 100 {
-					t.Errorf("%d flows at one time: this is no test", c.maxInFlight)
+					t.Errorf("at most %d concurrent flows: too few for this test", c.maxInFlight)
 				}
 				if latestCall > time.Second {
-					t.Errorf("a flow begins %v after the change", latestCall)
+					t.Errorf("a flow to a leaving member starts %v after the change", latestCall)
 				}
 			})
 		}
 	}
 }
 
-// submitUntilStopped hands messages in on one connection until it is told to stop.
+// submitUntilStopped submits messages on one connection until stop is closed.
 func submitUntilStopped(t *testing.T, addr string, client, size int, stop chan struct{}) {
 	nc, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -218,7 +219,7 @@
 		id := fmt.Sprintf("%x%08x", client+16, n)
 		dest := (n*7919 + client*101) % max(size-200, 1)
 		if n%2 == 0 {
-			dest = 0 // where many members are, half of them leaving
+			dest = 0 // the destination of many members, of which half leave
 		}
 		var b bytes.Buffer
 		args := []string{"MSG.PUT", "0", id, fmt.Sprintf("c=order-payment,t=acme,d=28000,k=%s,dest=%d", id, dest), "body"}
--- a/cmd/slatemux/main.go
+++ b/cmd/slatemux/main.go
@@ -32,24 +32,31 @@
 	"slatemux/internal/vitals"
 )
 
-// After SIGTERM the relay serves on for serveOn; then it closes its clients' connections between requests,
-// while what is out may still end, and exits after exitAfter, before SIGKILL comes at 3.7 s. What is open
-// then is in the journal.
-const drainDelay, exitDelay = 3000 * time.Millisecond, 3550 * time.Millisecond
+const (
+	// drainDelay is the time after SIGTERM during which the relay continues to serve. Then the relay closes each client connection
+	// between two requests, while flows under way may still end.
+	drainDelay = 3000 * time.Millisecond
+	// exitDelay is the time from SIGTERM to the exit, which must precede the SIGKILL after 3.7 s. Messages that are still open at the
+	// exit are in the journal.
+	exitDelay = 3550 * time.Millisecond
 
-// connRestTime is how long a connection to a pool member rests after an answer: less than half of a step.
-const connRestTime = 2 * time.Millisecond
+	// connRestTime is the minimum time between an answer on a connection to a pool member and the next call on it. It is less than half
+	// of a step.
+	connRestTime = 2 * time.Millisecond
 
-// finalAnswersTimeout is what clients may still need for the answers to what was read.
-const finalAnswersTimeout = 100 * time.Millisecond
+	// finalAnswersTimeout is the time that clients get at the exit to receive the answers to commands that the relay has read.
+	finalAnswersTimeout = 100 * time.Millisecond
+)
 
-// processStart is about the process's first moment: what discovery has to tell may count from then on.
+// processStart is approximately the time at which the process started. Changes that discovery has by then may count as notified from this
+// time on.
 var processStart = time.Now()
 
-// signals are what may come while the relay runs. Each kind has a channel of its own, with room for one: what
-// comes again before it is looked at asks for the same, and none can push another out.
+// signals holds a channel with room for one signal for each kind of signal. A signal that arrives while one of its kind is waiting asks for
+// the same action and may be dropped. Signals of one kind cannot displace those of another.
 type signals struct{ terminate, logCounters, logConnections, reload chan os.Signal }
 
+// notifySignals starts the delivery of signals to channels.
 func notifySignals() signals {
 	s := signals{make(chan os.Signal, 1), make(chan os.Signal, 1), make(chan os.Signal, 1), make(chan os.Signal, 1)}
 	signal.Notify(s.terminate, syscall.SIGTERM, syscall.SIGINT)
@@ -59,13 +66,13 @@
 	return s
 }
 
-// anyOrderedByKey says whether any class keeps the order of keys.
+// anyOrderedByKey reports whether any class delivers messages of one key in order.
 func anyOrderedByKey(set *dispatch.Settings) bool {
 	return slices.ContainsFunc(set.Classes, func(c dispatch.Class) bool { return c.OrderedByKey })
 }
 
-// run serves until a signal ends it. It reads its configuration again when asked to, and tells where it
-// listens once it is ready.
+// run serves until SIGTERM or SIGINT arrives on sig. At SIGHUP it reads the configuration again with reread. It calls ready with its
+// listening address once it accepts clients.
 func run(cfg config, sig signals, reread func() (config, error), ready func(net.Addr)) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -81,7 +88,7 @@
 	defer store.Close()
 	journalOpened := time.Now()
 
-	// The operators' address answers from the start: not ready until clients are taken.
+	// The admin endpoint answers from the start. It reports that the relay is not ready until clients are accepted.
 	var handler *opsHandler
 	if cfg.opsAddr != "" {
 		handler = &opsHandler{bans: maintenance.Open(cfg.stateDir)}
@@ -103,7 +110,7 @@
 
 	meters := vitals.New(cfg.cores)
 	var gov *governor.Governor
-	var admission front.Admission // a nil interface where nothing is governed
+	var admission front.Admission // a nil interface if overload control is off
 	if overload := cfg.gateway.Overload; overload.Enabled {
 		gov, err = governor.New(governor.Config{Control: cfg.overloadConfig(), Tick: overload.Tick, Brownout: overload.Brownout,
 			Step: cfg.settings.Resolution, Memory: cfg.memoryBytes, Meters: meters,
@@ -115,7 +122,7 @@
 	}
 
 	var tlsManager *secure.Manager
-	var flowTLS flow.Secure // a nil interface where all is plain
+	var flowTLS flow.Secure // a nil interface if there are no TLS policies
 	if len(cfg.gateway.TLS.Policies) > 0 {
 		if tlsManager, err = secure.New(cfg.gateway.TLS.Policies); err != nil {
 			return err
@@ -129,14 +136,14 @@
 		return gov.State().Reading.Busy
 	}
 
-	var sharedWaits flow.Waits // a nil interface where none are shared
+	var sharedWaits flow.Waits // a nil interface if no waits are shared
 	if table, err := retryafter.Open(os.TempDir()); err != nil {
 		slog.Warn("told waits not shared with a successor", "err", err)
 	} else {
 		defer table.Close()
 		sharedWaits = table
 	}
-	var turns relay.Turns // as well
+	var turns relay.Turns // a nil interface if the order of keys is not shared
 	if anyOrderedByKey(&cfg.settings) {
 		if table, err := keyorder.Open(os.TempDir(), fmt.Sprint(os.Getpid(), cfg.startTime.UnixNano())); err != nil {
 			slog.Warn("the order of keys is not shared with a successor", "err", err)
@@ -150,14 +157,14 @@
 	if err != nil {
 		return err
 	}
-	var flowFleet flow.Fleet // nil interfaces for a relay alone
+	var flowFleet flow.Fleet // nil interfaces for a relay without a fleet
 	var relayFleet relay.Fleet
 	if member != nil {
 		flowFleet, relayFleet = member, member
 	}
 	connsConfig := cfg.gateway.Conns.Keep
 	connsConfig.Most, connsConfig.IdleMost, connsConfig.Seed = limits.memberConns, cfg.settings.KeepAlive, uint64(cfg.seed)
-	var resolver flow.Resolver // a nil interface where none are looked up
+	var resolver flow.Resolver // a nil interface if no names are looked up
 	if cfg.gateway.Conns.LookUpNames {
 		resolver = net.DefaultResolver
 	}
@@ -167,7 +174,7 @@
 	if err != nil {
 		return err
 	}
-	defer flows.Close() // before the journal lets go, which is deferred earlier
+	defer flows.Close() // runs before the deferred store.Close releases the journal
 	var preconnector relay.Ahead
 	if connsConfig.Ahead {
 		preconnector = flows
@@ -205,7 +212,7 @@
 		workers.Go(func() { member.Run(fleetCtx) })
 	}
 
-	// Clients are let in last: a PING that is answered says that all before has been taken up.
+	// Clients are accepted last, so that an answer to PING means that everything before this point is running.
 	server, err := front.Listen(cfg.listen, limits.clients, cfg.settings.Classes, r, admission)
 	if err != nil {
 		return err
@@ -214,10 +221,10 @@
 		meters.Probe(ctx)
 		workers.Go(func() { gov.Run(ctx, r, server, flows) })
 	}
-	if tlsManager != nil && cfg.gateway.TLS.Watch {
+	if tlsManager != nil && cfg.gateway.TLS.WatchFiles {
 		workers.Go(func() {
 			if err := tlsManager.Watch(ctx); err != nil {
-				slog.Error("tls files not watched: they are read again at SIGHUP alone", "err", err)
+				slog.Error("tls files not watched: they are read again only at SIGHUP", "err", err)
 			}
 		})
 	}
@@ -232,7 +239,7 @@
 	}
 	ready(server.Addr())
 
-	// apply takes over what a configuration that was read again may change; a bad one changes nothing.
+	// reload reads the configuration again and applies the settings that can change at run time. An invalid file changes no setting.
 	var reloads, badReloads int64
 	reload := func() {
 		if tlsManager != nil {
@@ -240,7 +247,7 @@
 		}
 		if member != nil {
 			if err := member.Reload(); err != nil {
-				slog.Error("fleet keys not taken over: the old ones serve on", "err", err)
+				slog.Error("fleet keys not taken over: the old keys stay in use", "err", err)
 			}
 		}
 		newer, err := reread()
@@ -251,23 +258,24 @@
 		}
 		reloads++
 		moved := newer.fileDiscovery != cfg.fileDiscovery && discovery.Move(newer.fileDiscovery)
-		if c := newer.resourceLimits(); c != limits {
-			limits = c
-			debug.SetMemoryLimit(c.heapBytes)
-			store.Limit(c.journalBytes)
-			r.Limit(c.openBytes)
-			flows.Limit(c.flows, c.memberConns)
+		if newLimits := newer.resourceLimits(); newLimits != limits {
+			limits = newLimits
+			debug.SetMemoryLimit(newLimits.heapBytes)
+			store.Limit(newLimits.journalBytes)
+			r.Limit(newLimits.openBytes)
+			flows.Limit(newLimits.flows, newLimits.memberConns)
 			if gov != nil {
 				gov.Limit(newer.memoryBytes)
 			}
-			server.Limit(c.clients)
+			server.Limit(newLimits.clients)
 		}
-		at, _ := discovery.Now()
-		slog.Info("configuration read again", "discovery", at, "moved", moved, "restart_for", cfg.restartOnlyChanges(&newer))
+		discoveryAddr, _ := discovery.Now()
+		slog.Info("configuration read again", "discovery", discoveryAddr, "moved", moved, "restart_for", cfg.restartOnlyChanges(&newer))
 		cfg.fileDiscovery = newer.fileDiscovery
 	}
 	logCounters := func(cause string) {
-		level := max(slog.LevelInfo, min(logLevel.Level(), slog.LevelWarn)) // asked for, they are told in a brownout too
+		// A brownout raises the minimum level to warnings. The requested lines are then logged as warnings, so that they still appear.
+		level := max(slog.LevelInfo, min(logLevel.Level(), slog.LevelWarn))
 		journalBytes, pending, compacted := store.Stats()
 		if gov != nil {
 			slog.Log(ctx, level, "overload counters", "why", cause, "overload", gov.State())
@@ -305,9 +313,9 @@
 			slog.Log(ctx, level, "idle at their ends", "connections", flows.Ends())
 		case <-sig.reload:
 			reload()
-		case sig := <-sig.terminate:
+		case received := <-sig.terminate:
 			if exitTimer == nil {
-				slog.Info("ending", "signal", sig.String())
+				slog.Info("ending", "signal", received.String())
 				drainTimer, exitTimer = time.After(cfg.drainDelay), time.After(cfg.exitDelay)
 			}
 		case <-drainTimer:
@@ -315,7 +323,7 @@
 				handler.ready.Store(false)
 			}
 			server.Drain()
-			leaveFleet() // the others hear it from this relay and need not find out
+			leaveFleet() // announces the leave to the other relays, so that they need not detect a failure
 		case <-exitTimer:
 			running = false
 		case err := <-serveEnded:
--- a/cmd/slatemux/main_test.go
+++ b/cmd/slatemux/main_test.go
@@ -18,17 +18,18 @@
 	"slatemux/internal/limitstore"
 )
 
-// testPeers stands for the rest of the world: one pool member, and the platform.
+// testPeers simulates the peers of a relay: one pool member, and the platform with discovery.
 type testPeers struct {
-	callIDs      chan string // ids of calls
+	callIDs      chan string // ids of received calls
 	releaseCalls chan struct{}
 	notices      chan string
 	config       string
 
-	platformAddr                 string      // its address, and discovery's
-	watchesStarted, watchesEnded chan string // watches that began, and that their client ended
+	platformAddr                 string      // address of the platform and of discovery
+	watchesStarted, watchesEnded chan string // URLs of watches that started, and of watches that the client closed
 }
 
+// newTestPeers starts the servers and makes the configuration of a relay that uses them.
 func newTestPeers(t *testing.T) *testPeers {
 	p := &testPeers{callIDs: make(chan string, 100), releaseCalls: make(chan struct{}), notices: make(chan string, 100),
 		watchesStarted: make(chan string, 100), watchesEnded: make(chan string, 100)}
@@ -44,21 +45,21 @@
 			return
 		}
 		p.watchesStarted <- req.URL.String()
-		if req.URL.Query().Get("hold_ms") == "1" { // it has nothing to tell
+		if req.URL.Query().Get("hold_ms") == "1" { // discovery has no changes
 			fmt.Fprint(w, `{"seq":0,"whole":false,"hosts":[]}`)
 			return
 		}
-		<-req.Context().Done() // discovery is silent
+		<-req.Context().Done() // discovery does not answer
 		p.watchesEnded <- req.URL.String()
 	}))
 	raw, err := os.ReadFile("../../example/config.json")
 	if err != nil {
 		t.Fatal(err)
 	}
-	host := func(s *httptest.Server) string { return strings.TrimPrefix(s.URL, "http://") }
-	p.platformAddr = host(platform)
-	p.config = strings.NewReplacer("127.0.0.1:6379", "127.0.0.1:0", `"127.0.0.1:8600"`, `""`, "127.0.0.1:8500", host(platform), `"hosts": []`,
-		`"hosts":[{"host":"m","dial":"`+host(member)+`","site":"here","class":"partner","block":7,"health":"active",`+
+	serverAddr := func(s *httptest.Server) string { return strings.TrimPrefix(s.URL, "http://") }
+	p.platformAddr = serverAddr(platform)
+	p.config = strings.NewReplacer("127.0.0.1:6379", "127.0.0.1:0", `"127.0.0.1:8600"`, `""`, "127.0.0.1:8500", serverAddr(platform), `"hosts": []`,
+		`"hosts":[{"host":"m","dial":"`+serverAddr(member)+`","site":"here","class":"partner","block":7,"health":"active",`+
 			`"share":20}]`).Replace(string(raw))
 	t.Cleanup(func() {
 		platform.CloseClientConnections()
@@ -68,7 +69,7 @@
 	return p
 }
 
-// writeTestConfig writes the configuration and returns the environment that names it.
+// writeTestConfig writes the configuration to a file and returns environment variables that name this file and a state folder.
 func writeTestConfig(t *testing.T, config string) map[string]string {
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(config), 0o600); err != nil {
@@ -77,7 +78,7 @@
 	return map[string]string{"NODE_CONFIG": path, "NODE_STATE": t.TempDir()}
 }
 
-// startRelay runs a relay and returns where it listens and what ends it.
+// startRelay runs a relay until end is called. It returns the address of its listener, and functions that send it SIGHUP and SIGTERM.
 func startRelay(t *testing.T, env map[string]string) (addr string, reload, end func()) {
 	cfg, err := loadConfig(func(name string) string { return env[name] }, "")
 	if err != nil {
@@ -102,6 +103,7 @@
 	}
 }
 
+// sendCommand sends a RESP command on a new connection and returns the first line of the answer.
 func sendCommand(t *testing.T, addr string, args ...string) string {
 	nc, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -122,8 +124,8 @@
 	return strings.TrimSpace(line)
 }
 
-// What was taken on outlives the process: a call that was out when it ended is made once more by the next
-// process, with the same id, and only then is the next process in use.
+// Accepted messages outlive the process. A call that is in flight when the process ends is repeated by the next process with the same id,
+// and the next process accepts clients only after it has taken up the journal.
 func TestRestartKeepsAcceptedMessages(t *testing.T) {
 	a := newTestPeers(t)
 	env := writeTestConfig(t, a.config)
@@ -135,14 +137,14 @@
 		t.Fatal(got)
 	}
 	if id := <-a.callIDs; id != "abc1" {
-		t.Fatalf("call of %s", id)
+		t.Fatalf("call of message %s", id)
 	}
 	end()
 	addr, _, end = startRelay(t, env)
 	if id := <-a.callIDs; id != "abc1" {
-		t.Fatalf("call of %s after the restart", id)
+		t.Fatalf("call of message %s after the restart", id)
 	}
-	// A message that nobody delivers ends with a notice, discovery silent or not.
+	// A message that is not delivered ends with a notice, even while discovery does not answer.
 	if got := sendCommand(t, addr, "MSG.PUT", "0", "abc2", "c=slot-status,t=acme,d=300,dest=7", "body"); got != "+OK" {
 		t.Fatal(got)
 	}
@@ -153,7 +155,7 @@
 	end()
 }
 
-// What a pool member told of its destination's limit outlives the process too, and a torn file of it is no reason not to start.
+// The learned rate limit of a destination outlives the process, and a truncated file of limits does not prevent the start.
 func TestRestartRemembersLimits(t *testing.T) {
 	a := newTestPeers(t)
 	close(a.releaseCalls)
@@ -164,16 +166,16 @@
 	}
 	<-a.callIDs
 	path := filepath.Join(env["NODE_STATE"], "learned")
-	for known := 0.0; known != 25; time.Sleep(time.Millisecond) { // it is written behind the answer
+	for storedRate := 0.0; storedRate != 25; time.Sleep(time.Millisecond) { // the file is written after the answer
 		if raw, err := os.ReadFile(path); err == nil {
 			if limits, err := limitstore.Decode(raw, time.Now()); err == nil && len(limits) == 1 {
-				known = limits[0].Rate
+				storedRate = limits[0].Rate
 			}
 		}
 	}
 	end()
 	if got := limitstore.Open(env["NODE_STATE"], 10_000, time.Now()).Limits(); got[7] != 25 {
-		t.Errorf("remembered: %v", got)
+		t.Errorf("stored limits: %v", got)
 	}
 	if err := os.WriteFile(path, []byte("slatemux-learned-1 torn"), 0o600); err != nil {
 		t.Fatal(err)
@@ -185,16 +187,16 @@
 	end()
 }
 
-// A changed configuration moves the watch and the notices: the new discovery's list counts, also over the
-// environment's address and although its versions are lower, a notice under way reaches the new platform, and
-// what the old address still holds open ends. A bad file in between changes nothing.
+// A changed discovery address in the configuration moves the watch and the notices. The list of the new discovery applies even if its
+// version is lower, and the new address overrides that of the environment. Pending notices go to the new platform, and requests to the old
+// address end. An invalid file before that changes nothing.
 func TestReloadMovesDiscovery(t *testing.T) {
 	a, b := newTestPeers(t), newTestPeers(t)
 	env := writeTestConfig(t, a.config)
 	env["NODE_DISCOVERY"] = a.platformAddr
 	addr, reload, end := startRelay(t, env)
-	<-a.watchesStarted // for what there is
-	<-a.watchesStarted // for news
+	<-a.watchesStarted // for the full list
+	<-a.watchesStarted // for changes
 	write := func(text string) {
 		if err := os.WriteFile(env["NODE_CONFIG"], []byte(text), 0o600); err != nil {
 			t.Fatal(err)
@@ -208,7 +210,7 @@
 	write(strings.Replace(a.config, a.platformAddr, b.platformAddr, 1))
 	<-a.watchesEnded
 	if got := <-b.watchesStarted; got != "/discovery/hosts" {
-		t.Errorf("asked the new discovery for %s first, not for the whole list", got)
+		t.Errorf("the first request to the new discovery is %s, not one for the full list", got)
 	}
 	if got := sendCommand(t, addr, "MSG.PUT", "0", "abc3", "c=slot-status,t=acme,d=300,dest=7", "body"); got != "+OK" {
 		t.Fatal(got)
@@ -217,12 +219,12 @@
 		t.Error(n)
 	}
 	close(a.releaseCalls)
-	reload() // while ending, it changes nothing
+	reload() // has no effect while the relay ends
 	end()
 }
 
-// All that may be open at once fits in the descriptors, also in the smallest configuration, and clients have
-// room for the third of them that the deployment's clients may hold.
+// The maximum numbers of open connections fit in the descriptors, even in the smallest configuration. Clients may use the third of the
+// descriptors that the clients of the deployment may hold.
 func TestResourceLimitsFitDescriptors(t *testing.T) {
 	for _, sockets := range []int{64, 256, 384, 1024} {
 		cfg := config{sockets: sockets, memoryBytes: 32e6}
@@ -230,12 +232,12 @@
 		c := cfg.resourceLimits()
 		if all := c.clients.Clients + c.clients.Clients/4 + c.memberConns + reservedDescriptors; all > sockets ||
 			sockets > 64 && c.clients.Clients < sockets/3 || c.clients.Used >= sockets/3 || c.flows < 1 || c.flows > c.memberConns {
-			t.Errorf("%d descriptors: %+v, %d at most", sockets, c, all)
+			t.Errorf("%d descriptors: limits %+v allow %d", sockets, c, all)
 		}
 	}
 }
 
-// A bad configuration ends the program with a line that says what is wrong.
+// The error for an invalid configuration is one line that names the invalid value.
 func TestBadConfiguration(t *testing.T) {
 	good := newTestPeers(t).config
 	for change, want := range map[[2]string]string{
@@ -257,10 +259,11 @@
 		}
 	}
 	if _, err := loadConfig(func(string) string { return "" }, ""); err == nil {
-		t.Error("no configuration was taken")
+		t.Error("a missing configuration was accepted")
 	}
 }
 
+// TestMain discards log lines.
 func TestMain(m *testing.M) {
 	slog.SetDefault(slog.New(slog.DiscardHandler))
 	os.Exit(m.Run())
--- a/cmd/slatemux/ops_handler.go
+++ b/cmd/slatemux/ops_handler.go
@@ -11,22 +11,24 @@
 	"slatemux/internal/relay"
 )
 
-// bansPollInterval is how often the bans file is read for changes that the other process of a hand-over made.
+// bansPollInterval is the interval at which the bans file is checked for changes by the other process of a handover.
 const bansPollInterval = 200 * time.Millisecond
 
-// opsHandler answers the operators' address for the relay: it reads the relay's published figures, and keeps
-// bans in the state folder before the relay is told of them.
+// opsHandler implements ops.Relay: it answers the requests to the admin endpoint. It reads the relay's published counters, and stores
+// bans in the state folder before it passes them to the relay.
 type opsHandler struct {
 	server *ops.Server
 	bans   *maintenance.Bans
 	ready  atomic.Bool
-	relay  *relay.Relay // set before ready
+	relay  *relay.Relay // set before ready is true; the same holds for front and fleet
 	front  interface{ ShedByClass() map[string]int64 }
-	fleet  *fleet.Fleet // nil for a relay alone
+	fleet  *fleet.Fleet // nil for a relay without a fleet
 }
 
+// Ready reports whether the relay is ready for clients. It implements ops.Relay.
 func (h *opsHandler) Ready() bool { return h.ready.Load() }
 
+// Stats returns the current counters. It implements ops.Relay.
 func (h *opsHandler) Stats() ops.Stats {
 	if !h.ready.Load() {
 		return ops.Stats{Success: map[string]int64{}, Overload: map[string]int64{}, Error: map[string]int64{}}
@@ -36,7 +38,7 @@
 	for class, n := range counters.Overload {
 		overload[class] += n
 	}
-	for class, n := range h.front.ShedByClass() { // refused before the relay saw them
+	for class, n := range h.front.ShedByClass() { // refused before they reached the relay
 		if n > 0 {
 			overload[class] += n
 		}
@@ -49,7 +51,7 @@
 	return stats
 }
 
-// Fleet answers what this relay knows of its fleet.
+// Fleet returns the named part of what this relay knows about its fleet, or nil. It implements ops.Relay.
 func (h *opsHandler) Fleet(what string) any {
 	if !h.ready.Load() || h.fleet == nil {
 		return nil
@@ -69,6 +71,7 @@
 	return nil
 }
 
+// emptyIfNil returns m, or an empty map for nil, so that JSON shows an object in place of null.
 func emptyIfNil(m map[string]int64) map[string]int64 {
 	if m == nil {
 		return map[string]int64{}
@@ -76,7 +79,8 @@
 	return m
 }
 
-// Maintain writes the ban first, so that it outlives the process from the moment the relay obeys it.
+// Maintain takes an endpoint down or brings it up again. It implements ops.Relay. It stores the ban before the relay applies it, so that
+// a ban in effect always outlives the process.
 func (h *opsHandler) Maintain(ctx context.Context, id string, down bool) error {
 	if !h.ready.Load() {
 		return errNotReady
@@ -96,7 +100,7 @@
 	}
 }
 
-// watchBans takes over bans that another process wrote.
+// watchBans passes on bans that another process has written, until ctx ends.
 func (h *opsHandler) watchBans(ctx context.Context) {
 	tick := time.NewTicker(bansPollInterval)
 	defer tick.Stop()
@@ -112,8 +116,11 @@
 	}
 }
 
+// notReadyError is the type of errNotReady.
 type notReadyError struct{}
 
+// Error implements error.
 func (notReadyError) Error() string { return "not ready" }
 
+// errNotReady refuses a request that comes before the relay is ready for clients, or while it drains.
 var errNotReady error = notReadyError{}
--- a/cmd/slatemux/tls.go
+++ b/cmd/slatemux/tls.go
@@ -16,16 +16,16 @@
 	"slatemux/internal/traffic"
 )
 
-// tlsCommand is for looking at servers' certificates as the relay sees them.
+// tlsCommand builds the command that shows the certificates of pool members as the relay sees them.
 func tlsCommand(getenv func(string) string, path *string) *cobra.Command {
-	parent := &cobra.Command{Use: "tls", Short: "Look at connections over TLS"}
+	parent := &cobra.Command{Use: "tls", Short: "Inspect TLS connections"}
 	var addr string
 	check := &cobra.Command{
 		Use:   "check DESTINATION",
-		Short: "Connect to a destination's members as the relay would, and say what they show",
-		Long: `Connect twice to each member of a destination that the platform's configuration knows, by the policies of the
-gateway's settings, and print chain, dates, version, cipher and whether the second connection resumed the first's session.
-With --address connect there instead. Exit code 1 if any member is not accepted.`,
+		Short: "Connect to the members of a destination as the relay does, and print their certificates",
+		Long: `Connect twice to each member that the platform's configuration lists for a destination, with the TLS policies of the
+gateway settings. Print chain, dates, version, cipher, and whether the second connection resumed the session of the first.
+With --address, connect to that address instead. The exit code is 1 if any member is not accepted.`,
 		Example: "  NODE_CONFIG=config.json slatemux tls check 7 --config deploy/gateway.textproto",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -56,7 +56,7 @@
 				members = []traffic.Member{{Host: addr, Dial: addr, Destination: dest}}
 			}
 			if len(members) == 0 {
-				return fmt.Errorf("tls check: the configuration knows no member of destination %d; name one with --address", dest)
+				return fmt.Errorf("tls check: the configuration lists no member of destination %d; name one with --address", dest)
 			}
 			var failures error
 			for i := range members {
@@ -67,11 +67,12 @@
 			return failures
 		},
 	}
-	check.Flags().StringVar(&addr, "address", "", "host and port to connect to, in place of the known members'")
+	check.Flags().StringVar(&addr, "address", "", "host and port to connect to, in place of the listed members")
 	parent.AddCommand(check)
 	return parent
 }
 
+// checkMember connects twice to one member and prints its certificates and the result of both handshakes.
 func checkMember(ctx context.Context, w io.Writer, manager *secure.Manager, member *traffic.Member) error {
 	if ctx == nil {
 		ctx = context.Background()
--- a/cmd/slatemux/tls_test.go
+++ b/cmd/slatemux/tls_test.go
@@ -12,7 +12,8 @@
 	"slatemux/internal/lab/ca"
 )
 
-// tls check shows what a member has, says which it does not accept, and wants to be told where to look.
+// The tls check command prints the certificates of a member, returns an error for a member that it does not accept, and requires an address
+// if the configuration lists no member.
 func TestTLSCheck(t *testing.T) {
 	dir := t.TempDir()
 	root, err := ca.Root("root", ca.P256)
--- a/internal/gateway/field_lines.go
+++ b/internal/gateway/field_lines.go
@@ -7,8 +7,8 @@
 	"strings"
 )
 
-// locateErrors puts file and line before each of several errors that begin with the path of a field, as "tls.policy[1].name: ...".
-// One whose field does not stand in the file, for it is missing, names the line of what should hold it.
+// locateErrors returns a copy of err in one line, with file and line before each joined error. The text of each error must start with the
+// path of a field, such as "tls.policy[1].name: ...". If the file lacks the field, the line is that of the nearest enclosing message.
 func locateErrors(path string, raw []byte, err error) error {
 	lineOf := fieldLines(raw)
 	var texts []string
@@ -23,14 +23,14 @@
 	return errors.New(strings.Join(texts, "; "))
 }
 
-// fieldLines tells on which line each field of a text-format file stands, by its path. A field that comes more than once has its
-// number behind it too: "join" and "join[0]" are the first. The file is one that has been parsed, so it is well formed.
+// fieldLines returns the line of each field of a text-format file by the path of the field. Each occurrence is also listed with its index:
+// "join" and "join[0]" are the first occurrence. The file must be well formed, as it is after successful parsing.
 func fieldLines(raw []byte) map[string]int {
 	lineOf := map[string]int{}
 	counts := map[string]int{}
-	var openMessages []string // paths of the messages that are open
+	var openMessages []string // paths of the enclosing messages
 	line, name, nameLine := 1, "", 0
-	openPath := "" // the path of a message that "name:" begins, until its brace
+	openPath := "" // path of the field after its colon, until an opening brace shows that it is a message
 	currentPath := func() string {
 		p := name
 		if len(openMessages) > 0 {
@@ -84,6 +84,7 @@
 	return lineOf
 }
 
+// isWordByte reports whether c may be part of a field name.
 func isWordByte(c byte) bool {
 	return c == '_' || 'a' <= c && c <= 'z' || 'A' <= c && c <= 'Z' || '0' <= c && c <= '9'
 }
--- a/internal/gateway/configuration.go
+++ b/internal/gateway/fleet_configuration.go
@@ -10,26 +10,27 @@
 )
 
 const (
-	// defaultMaxEntries is how many entries of configuration are kept unless the settings say otherwise.
+	// defaultMaxEntries is the default maximum number of configuration entries.
 	defaultMaxEntries = 4096
-	// maxLocationBytes bounds the names of regions and zones.
+	// maxLocationBytes bounds the length of the names of regions and zones.
 	maxLocationBytes = 64
 )
 
-// Configuration holds the settings of the replication of the operators' configuration.
+// Configuration holds the settings of the replication of the fleet configuration.
 type Configuration struct {
 	Enabled        bool
 	TrustedKeyFile string
 	Region         string
-	Zone           string // empty for that of the platform's settings
+	Zone           string // empty for the zone of the platform's settings
 	MaxEntries     int
-	Replication    configsync.Config // without Self, Size and Seed, which are each relay's own
+	Replication    configsync.Config // without Self, Size and Seed, which differ between relays
 }
 
 func defaultConfiguration() Configuration {
 	return Configuration{MaxEntries: defaultMaxEntries, Replication: configsync.Defaults()}
 }
 
+// apply overrides the settings with the fields that are present in p, and checks them.
 func (c *Configuration) apply(p *gatewayv1.Configuration, fleetEnabled bool) error {
 	if p == nil {
 		return nil
@@ -56,6 +57,7 @@
 	return errors.Join(append(errs, c.check(fleetEnabled)...)...)
 }
 
+// check checks the names, and that everything that replication requires is set.
 func (c *Configuration) check(fleetEnabled bool) (errs []error) {
 	for _, name := range []struct{ field, text string }{{"region", c.Region}, {"zone", c.Zone}} {
 		if len(name.text) > maxLocationBytes {
@@ -66,7 +68,7 @@
 		errs = append(errs, errors.New("fleet.configuration.enabled: the fleet is off"))
 	}
 	if c.Enabled && c.TrustedKeyFile == "" {
-		errs = append(errs, errors.New("fleet.configuration.trusted_key_file: missing; configuration is taken from those alone whom it names"))
+		errs = append(errs, errors.New("fleet.configuration.trusted_key_file: missing; only the sources in this file may change the configuration"))
 	}
 	return errs
 }
--- a/internal/gateway/configuration_test.go
+++ b/internal/gateway/fleet_configuration_test.go
@@ -31,9 +31,9 @@
 	}
 }
 
-// It is off by default, and what the file leaves out is as the replication has it.
+// Replication is off by default, and settings that the file leaves out have the defaults of package configsync.
 func TestConfigurationDefaults(t *testing.T) {
-	for name, text := range map[string]string{"no file": "", "no such message": `fleet { agree: 3 }`, "an empty one": `fleet { configuration {} }`} {
+	for name, text := range map[string]string{"no file": "", "no configuration message": `fleet { agree: 3 }`, "empty configuration message": `fleet { configuration {} }`} {
 		c, err := Parse("f", []byte(text))
 		if err != nil {
 			t.Fatal(err)
@@ -46,15 +46,15 @@
 		}
 	}
 	if want := (configsync.Config{}); configsync.Defaults().FanOut == want.FanOut {
-		t.Error("the replication has no defaults")
+		t.Error("package configsync has no default for FanOut")
 	}
 	deployed, err := Load("../../deploy/gateway.textproto")
 	if err != nil || deployed.Fleet.Configuration.Enabled {
-		t.Errorf("the deployed file switches it on, %v", err)
+		t.Errorf("the deployed file enables the replication, or an error: %v", err)
 	}
 }
 
-// What makes no sense is told with its file, line and field.
+// The error for an invalid setting names its file, line and field.
 func TestConfigurationErrors(t *testing.T) {
 	for text, want := range map[string]string{
 		"exchange_ms: 0":                  "gw:3: fleet.configuration.exchange_ms: 0",
@@ -86,7 +86,7 @@
 
 func tooLongName() string { return strings.Repeat("x", maxLocationBytes+1) }
 
-// The least that the settings may say is enough for a replica.
+// A replica accepts the minimum of each setting.
 func TestMinimumConfigurationIsValid(t *testing.T) {
 	const minimum = "exchange_ms: 100 bytes_per_s: 2400 repair_bytes_per_s: 64 fan_out: 2 ack_timeout_ms: 10 attempts: 1 max_entries: 1"
 	c, err := Parse("f", []byte("fleet { configuration { "+minimum+" } }"))
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,5 +1,5 @@
-// Package gateway reads the program's own settings, protobuf text format by the schema under proto/, and checks
-// them. Without a file every setting has the value that the program had before there was one.
+// Package gateway reads and checks the gateway settings: the relay's own settings file, in protobuf text format, with the schema under
+// proto/. Settings that the file leaves out keep their defaults, which are the values from before the settings file existed.
 package gateway
 
 import (
@@ -23,7 +23,7 @@
 
 //go:generate protoc -I ../../proto --go_out=../.. --go_opt=module=slatemux ../../proto/slatemux/gateway/v1/gateway.proto
 
-// Config is what the file says, with defaults where it says nothing.
+// Config holds the gateway settings. Settings that the file leaves out have their defaults.
 type Config struct {
 	Overload Overload
 	Log      Log
@@ -32,45 +32,47 @@
 	Fleet    Fleet
 }
 
-// Fleet holds the settings of this relay's part in its fleet.
+// Fleet holds the settings of this relay's membership in its fleet.
 type Fleet struct {
-	Enabled         bool
-	Name            string
-	Bind, Advertise netip.AddrPort
-	Join            []netip.AddrPort
-	KeyFile         string
-	Agree           int
-	Exchange        time.Duration
-	Bytes           float64 // a second
-	DivideLimits    bool
-	Configuration   Configuration
+	Enabled          bool
+	Name             string
+	Bind, Advertise  netip.AddrPort   // where this relay listens; where other relays reach it, if that differs
+	Join             []netip.AddrPort // addresses of some other relays
+	KeyFile          string
+	Quorum           int // relays that must agree before a member counts as down or is excluded
+	ExchangeInterval time.Duration
+	BytesPerSecond   float64 // bound of what this relay sends to its fleet
+	DivideLimits     bool
+	Configuration    Configuration
 }
 
 // Conns holds the settings of connections to pool members.
 type Conns struct {
-	Keep                 conns.Config // without how many there may be and how long they may idle, which the platform's settings give
+	Keep conns.Config // without the maximum number and the idle time of connections, which the platform's settings give
+	// HeldMost bounds how long a call waits for a connection while no new one may be opened. StuckAfter is how long a peer may leave
+	// written bytes unacknowledged before the connection is closed; 0 disables the check.
 	HeldMost, StuckAfter time.Duration
 	LookUpNames          bool
 }
 
-// TLS holds the settings of connections over TLS.
+// TLS holds the settings of TLS connections.
 type TLS struct {
-	Policies tlspolicy.Table
-	Watch    bool
-	Gate     tlspolicy.GateConfig
+	Policies   tlspolicy.Table
+	WatchFiles bool
+	Gate       tlspolicy.GateConfig
 }
 
-// Overload holds the settings of the program's own overload.
+// Overload holds the settings of the relay's overload control.
 type Overload struct {
 	Enabled, Brownout bool
 	Tick              time.Duration
 	Control           overload.Config // without classes, tenants and bounds, which the platform's settings give
 }
 
-// Format is how log lines are written.
+// Format is the format of log lines.
 type Format int
 
-// The formats. Auto is colour on a terminal, else text.
+// The log formats. Auto means Colour on a terminal and Text otherwise.
 const (
 	Auto Format = iota
 	Text
@@ -85,14 +87,14 @@
 	LinesPerSecond int
 }
 
-// Default is the configuration without a file.
+// Default returns the settings without a file.
 func Default() Config {
 	return Config{Overload: Overload{Brownout: true, Tick: 50 * time.Millisecond, Control: overload.Defaults()},
-		Log: Log{LinesPerSecond: 5}, TLS: TLS{Watch: true, Gate: tlspolicy.GateDefaults()}, Conns: Conns{Keep: conns.Defaults(), HeldMost: 250 * time.Millisecond},
-		Fleet: Fleet{Agree: 2, Exchange: time.Second, Bytes: 4096, DivideLimits: true, Configuration: defaultConfiguration()}}
+		Log: Log{LinesPerSecond: 5}, TLS: TLS{WatchFiles: true, Gate: tlspolicy.GateDefaults()}, Conns: Conns{Keep: conns.Defaults(), HeldMost: 250 * time.Millisecond},
+		Fleet: Fleet{Quorum: 2, ExchangeInterval: time.Second, BytesPerSecond: 4096, DivideLimits: true, Configuration: defaultConfiguration()}}
 }
 
-// Load reads a file. An empty path is no file.
+// Load reads the settings file at path. An empty path means that there is no file.
 func Load(path string) (Config, error) {
 	if path == "" {
 		return Default(), nil
@@ -104,7 +106,7 @@
 	return Parse(path, raw)
 }
 
-// Parse decodes a file's text. Errors name the file, and the line and column or the field.
+// Parse decodes the text of a settings file. Its errors name the file and the line, and the column or the field.
 func Parse(path string, raw []byte) (Config, error) {
 	var g gatewayv1.Gateway
 	if err := prototext.Unmarshal(raw, &g); err != nil {
@@ -118,14 +120,14 @@
 	return c, nil
 }
 
-// stableSyntaxError tells a parser's error in words that do not change from one build to the next: prototext puts a
-// no-break space into its own on purpose.
+// stableSyntaxError returns the text of a parser error without its deliberate instability: prototext puts no-break spaces into error
+// texts, which differ from one build to the next.
 func stableSyntaxError(err error) string {
 	text := strings.ReplaceAll(err.Error(), "\u00a0", " ")
 	return strings.TrimPrefix(text, "proto: ")
 }
 
-// numberField is an optional field, its range and where its value goes.
+// numberField is an optional numeric field with its valid range and the function that stores its value.
 type numberField struct {
 	field    string
 	value    *float64
@@ -133,6 +135,7 @@
 	set      func(float64)
 }
 
+// apply overrides the settings with the fields that are present in p, and checks them.
 func (o *Overload) apply(p *gatewayv1.Overload) error {
 	if p == nil {
 		return nil
@@ -167,6 +170,7 @@
 	return errors.Join(errs...)
 }
 
+// apply overrides the settings with those of p, and checks them.
 func (l *Log) apply(p *gatewayv1.Log) error {
 	if p == nil {
 		return nil
@@ -186,6 +190,7 @@
 		func(x float64) { l.LinesPerSecond = int(x) }}})...)...)
 }
 
+// apply overrides the settings with the fields that are present in p, and checks them.
 func (c *Conns) apply(p *gatewayv1.Connections) error {
 	if p == nil {
 		return nil
@@ -202,7 +207,7 @@
 		{"held_most_ms", p.HeldMostMs, 1, 10_000, setDuration(&c.HeldMost, time.Millisecond)},
 		{"stuck_after_ms", p.StuckAfterMs, 100, 60_000, setDuration(&c.StuckAfter, time.Millisecond)},
 	}
-	for i, n := range list { // 0 switches these off
+	for i, n := range list { // 0 is valid for these fields and disables the feature
 		if (n.field == "max_age_s" || n.field == "stuck_after_ms") && n.value != nil && *n.value == 0 {
 			list[i].min = 0
 		}
@@ -210,12 +215,13 @@
 	return errors.Join(applyNumbers("connections", list)...)
 }
 
+// apply overrides the settings with the fields that are present in p, and checks them.
 func (t *TLS) apply(p *gatewayv1.Tls) error {
 	if p == nil {
 		return nil
 	}
 	if p.WatchFiles != nil {
-		t.Watch = *p.WatchFiles
+		t.WatchFiles = *p.WatchFiles
 	}
 	var errs []error
 	for i, row := range p.GetPolicy() {
@@ -245,6 +251,7 @@
 	})...)...)
 }
 
+// parsePolicy converts a TLS policy of the file. The caller checks the result.
 func parsePolicy(p *gatewayv1.TlsPolicy) (tlspolicy.Policy, error) {
 	policy := tlspolicy.Policy{Name: p.GetName(), Hosts: p.GetHost(), Plain: p.GetPlain(), ServerName: p.GetServerName(), RootFiles: p.GetRootFile(),
 		RootDirs: p.GetRootDir(), SystemRoots: p.GetSystemRoots(), MinVersion: tls.VersionTLS12, Certificate: p.GetClientCertificate(),
@@ -278,6 +285,7 @@
 	return policy, nil
 }
 
+// apply overrides the settings with the fields that are present in p, and checks them.
 func (f *Fleet) apply(p *gatewayv1.Fleet) error {
 	if p == nil {
 		return nil
@@ -285,14 +293,14 @@
 	f.Enabled, f.Name, f.KeyFile = p.GetEnabled(), p.GetName(), p.GetKeyFile()
 	f.DivideLimits = p.DivideLimits == nil || *p.DivideLimits
 	errs := applyNumbers("fleet", []numberField{
-		{"agree", toFloat(p.Agree), 1, 64, func(x float64) { f.Agree = int(x) }},
-		{"exchange_ms", p.ExchangeMs, 100, 60_000, func(x float64) { f.Exchange = time.Duration(x * float64(time.Millisecond)) }},
-		{"bytes_per_s", p.BytesPerS, 256, 1e9, func(x float64) { f.Bytes = x }},
+		{"agree", toFloat(p.Agree), 1, 64, func(x float64) { f.Quorum = int(x) }},
+		{"exchange_ms", p.ExchangeMs, 100, 60_000, func(x float64) { f.ExchangeInterval = time.Duration(x * float64(time.Millisecond)) }},
+		{"bytes_per_s", p.BytesPerS, 256, 1e9, func(x float64) { f.BytesPerSecond = x }},
 	})
 	setAddress := func(field, text string, to *netip.AddrPort) {
 		a, err := netip.ParseAddrPort(text)
 		if err == nil && (a.Port() == 0 || a.Addr().IsUnspecified() || a.Addr().IsMulticast()) {
-			err = errors.New("an address that others could reach is wanted, with its port")
+			err = errors.New("not an address with a port that other relays can reach")
 		}
 		if *to = a; err != nil {
 			errs = append(errs, fmt.Errorf("fleet.%s: %q: %w", field, text, err))
@@ -309,16 +317,16 @@
 		setAddress("bind", p.GetBind(), &f.Bind)
 	}
 	if f.Enabled && (f.Name == "" || len(f.Name) > 64) {
-		errs = append(errs, fmt.Errorf("fleet.name: %q: 1 to 64 bytes are wanted", f.Name))
+		errs = append(errs, fmt.Errorf("fleet.name: %q: length is not within 1 to 64 bytes", f.Name))
 	}
 	if f.Enabled && f.KeyFile == "" {
-		errs = append(errs, errors.New("fleet.key_file: missing; what relays tell each other is sealed"))
+		errs = append(errs, errors.New("fleet.key_file: missing; messages between relays are encrypted"))
 	}
 	errs = append(errs, f.Configuration.apply(p.GetConfiguration(), f.Enabled))
 	return errors.Join(errs...)
 }
 
-// applyNumbers takes over fields that are present and within their ranges.
+// applyNumbers stores the fields that are present and within their ranges, and returns an error for each field that is out of range.
 func applyNumbers(message string, list []numberField) (errs []error) {
 	for _, n := range list {
 		if n.value == nil {
@@ -333,6 +341,7 @@
 	return errs
 }
 
+// toFloat converts an optional integer field.
 func toFloat(p *int32) *float64 {
 	if p == nil {
 		return nil
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -75,7 +75,7 @@
 	want := tlspolicy.Table{{Name: "in", Hosts: "10.*", Plain: true, MinVersion: tls.VersionTLS12, Sessions: 16}, {Name: "bank", Destinations: []int{7, 9},
 		Hosts: "*.bank.example.org", ServerName: "pay.bank.example.org", RootFiles: []string{"a.pem"}, RootDirs: []string{"roots"}, SystemRoots: true,
 		MinVersion: tls.VersionTLS13, Pins: []tlspolicy.Pin{{}, {1}}, Certificate: "c.pem", Key: "c.key", Sessions: 3}}
-	if !reflect.DeepEqual(c.TLS.Policies, want) || c.TLS.Watch || c.TLS.Gate.Share != 0.5 || c.TLS.Gate.Least != 9 || c.TLS.Gate.PerEndpoint != 4 {
+	if !reflect.DeepEqual(c.TLS.Policies, want) || c.TLS.WatchFiles || c.TLS.Gate.Share != 0.5 || c.TLS.Gate.Least != 9 || c.TLS.Gate.PerEndpoint != 4 {
 		t.Errorf("%+v", c.TLS)
 	}
 }
@@ -100,7 +100,7 @@
 	}
 }
 
-// Without a file, and with an empty one, everything is as it was before there was one.
+// Without a file, and with an empty file, each setting has its default.
 func TestDefaults(t *testing.T) {
 	c, err := Load("")
 	if err != nil || c.Overload.Enabled || c.Log.LinesPerSecond != 5 || c.Log.Format != Auto || c.Log.Level != slog.LevelInfo {
@@ -111,22 +111,22 @@
 		t.Errorf("%+v, %v", empty, err)
 	}
 	if _, err := Load(filepath.Join(t.TempDir(), "none")); err == nil {
-		t.Error("a file that is not there was read")
+		t.Error("loading a missing file succeeded")
 	}
 }
 
-// The file in the repository is read, and what it switches on is on.
+// The deployed settings file is valid and enables overload control.
 func TestDeployedFile(t *testing.T) {
 	c, err := Load("../../deploy/gateway.textproto")
 	if err != nil || !c.Overload.Enabled {
 		t.Errorf("%+v, %v", c, err)
 	}
-	if c.Fleet.Enabled { // relays of the platform may not talk to each other
-		t.Error("the deployed file switches the fleet on")
+	if c.Fleet.Enabled { // the platform does not allow relays to communicate with each other
+		t.Error("the deployed file enables the fleet")
 	}
 }
 
-// A bad file is one line that names the file and the place or the field.
+// The error for an invalid file is one line that names the file, and the position or the field.
 func TestInvalidFiles(t *testing.T) {
 	for text, wants := range map[string][]string{
 		"overload {\n  enable: true\n}":                                   {"gw:", "(line 2:3)", "unknown field", "enable"},
@@ -152,7 +152,7 @@
 	} {
 		_, err := Parse("gw", []byte(text))
 		if err == nil {
-			t.Errorf("%q was taken", text)
+			t.Errorf("%q was accepted", text)
 			continue
 		}
 		for _, want := range wants {
@@ -163,7 +163,8 @@
 	}
 }
 
-// A value that makes no sense is told with its file, line and field, also of the second of several, in any way of writing.
+// The error for an invalid value names its file, line and field, in every notation of the text format and also for the second of several
+// occurrences.
 func TestErrorsNameLineAndField(t *testing.T) {
 	for text, want := range map[string]string{
 		"overload {\n # target_busy: 9\n target_busy: 7\n}":                                                                      "gw:3: overload.target_busy: ",
@@ -179,7 +180,7 @@
 		}
 	}
 	c, err := Parse("gw", []byte(`fleet { enabled: true name: "tbilisi" bind: "127.0.0.1:7946" join: "127.0.0.1:7947" key_file: "k" }`))
-	if f := c.Fleet; err != nil || !f.Enabled || f.Bind.Port() != 7946 || len(f.Join) != 1 || f.Agree != 2 || f.Exchange != time.Second {
+	if f := c.Fleet; err != nil || !f.Enabled || f.Bind.Port() != 7946 || len(f.Join) != 1 || f.Quorum != 2 || f.ExchangeInterval != time.Second {
 		t.Errorf("%+v, %v", f, err)
 	}
 }
@@ -189,7 +190,7 @@
 		text := proptest.Garbage(t, []byte(allFieldsText))
 		if c, err := Parse("f", text); err == nil {
 			if err := c.Overload.Control.Check(); err != nil && !strings.Contains(err.Error(), "Classes") {
-				t.Fatalf("%q was taken and makes no sense: %v", text, err)
+				t.Fatalf("%q was accepted, but the overload settings are invalid: %v", text, err)
 			}
 		}
 	})
@@ -203,7 +204,7 @@
 	}
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		if c, err := Parse("f", raw); err == nil && c.Overload.Tick < 20*time.Millisecond {
-			t.Errorf("a tick of %v", c.Overload.Tick)
+			t.Errorf("a tick of %v was accepted", c.Overload.Tick)
 		}
 	})
 }
