--- a/internal/lab/capacity/arrivals.go
+++ b/internal/lab/capacity/arrivals.go
@@ -9,24 +9,24 @@
 
 // Marks of a relay that has no time of arrival for a change.
 const (
-	notArrived = time.Duration(-1)
-	exempt     = time.Duration(-2) // it had the change before it was published to the rest
+	notArrived   = time.Duration(-1)
+	alreadyKnown = time.Duration(-2) // it had the change before it was published to the rest
 )
 
-// arrival follows one change.
-type arrival struct {
+// changeArrivals follows one change.
+type changeArrivals struct {
 	published emulator.Time
 	delays    []time.Duration // by relay: from when it was published, or from the start of the relay's process if that was later
 }
 
 // arrivals follow all changes of a run.
 type arrivals struct {
-	changes []*arrival
+	changes []*changeArrivals
 }
 
-// add begins to follow a change, which gets the next number.
-func (a *arrivals) add(now emulator.Time, relays int) int {
-	c := &arrival{published: now, delays: make([]time.Duration, relays)}
+// track begins to follow a change, which gets the next number.
+func (a *arrivals) track(now emulator.Time, relays int) int {
+	c := &changeArrivals{published: now, delays: make([]time.Duration, relays)}
 	for i := range c.delays {
 		c.delays[i] = notArrived
 	}
@@ -34,11 +34,11 @@
 	return len(a.changes) - 1
 }
 
-// learned notes that a relay, whose process began at a time, has a change.
-func (a *arrivals) learned(now, began emulator.Time, relay, change int) {
+// record notes that a relay, whose process began at a time, has a change.
+func (a *arrivals) record(now, startedAt emulator.Time, relay, change int) {
 	c := a.changes[change]
 	if c.delays[relay] == notArrived {
-		c.delays[relay] = (now - max(c.published, began)).Duration()
+		c.delays[relay] = (now - max(c.published, startedAt)).Duration()
 	}
 }
 
@@ -55,49 +55,49 @@
 	Changes int `json:"changes"`
 	// Incomplete counts the changes that at least one live relay did not have in the end; Missing is the share of all pairs of
 	// a change and a live relay that were so.
-	Incomplete int     `json:"incomplete"`
-	Missing    float64 `json:"missing"`
+	Incomplete   int     `json:"incomplete"`
+	MissingShare float64 `json:"missing"`
 	// Until so many of the live relays had a change; of those changes that came to so many.
 	ToHalf Times `json:"to_half_s"`
 	To99   Times `json:"to_99_percent_s"`
 	ToAll  Times `json:"to_all_s"`
 }
 
-// reach sums up over the relays that live at the end.
-func (a *arrivals) reach(live func(relay int) bool) Reach {
+// summarize sums up over the relays that live at the end.
+func (a *arrivals) summarize(live func(relay int) bool) Reach {
 	r := Reach{}
 	var toHalf, to99, toAll []time.Duration
 	pairs, missing := 0, 0
 	for _, c := range a.changes {
-		var came []time.Duration
-		wanted := 0
+		var arrived []time.Duration
+		expected := 0
 		for relay, delay := range c.delays {
-			if !live(relay) || delay == exempt {
+			if !live(relay) || delay == alreadyKnown {
 				continue
 			}
-			wanted++
+			expected++
 			if delay != notArrived {
-				came = append(came, delay)
+				arrived = append(arrived, delay)
 			}
 		}
-		if wanted == 0 {
+		if expected == 0 {
 			continue
 		}
 		r.Changes++
-		slices.Sort(came)
-		pairs += wanted
-		missing += wanted - len(came)
-		if len(came) < wanted {
+		slices.Sort(arrived)
+		pairs += expected
+		missing += expected - len(arrived)
+		if len(arrived) < expected {
 			r.Incomplete++
 		}
 		for share, list := range map[float64]*[]time.Duration{0.5: &toHalf, 0.99: &to99, 1: &toAll} {
-			if n := rank(wanted, share); n <= len(came) {
-				*list = append(*list, came[n-1])
+			if n := rank(expected, share); n <= len(arrived) {
+				*list = append(*list, arrived[n-1])
 			}
 		}
 	}
 	if pairs > 0 {
-		r.Missing = float64(missing) / float64(pairs)
+		r.MissingShare = float64(missing) / float64(pairs)
 	}
 	r.ToHalf, r.To99, r.ToAll = timesOf(toHalf), timesOf(to99), timesOf(toAll)
 	return r
--- a/internal/lab/capacity/capacity_test.go
+++ b/internal/lab/capacity/capacity_test.go
@@ -24,17 +24,17 @@
 
 // What the operators' plan allows each relay.
 const (
-	planInForce       = 7.0 // seconds until a change is in force everywhere
-	planBytesPerS     = 2500.0
-	planPeakRatio     = 2.0
-	testSeed          = 7
-	testRelays        = 120
-	testWorkers       = 3
-	testStopWithin    = time.Second
-	testFitResolution = 1e-6
+	planInForceSeconds = 7.0 // seconds until a change is in force everywhere
+	planBytesPerSecond = 2500.0
+	planPeakRatio      = 2.0
+	testSeed           = 7
+	testRelays         = 120
+	testWorkers        = 3
+	testMaxStopTime    = time.Second
+	testFitTolerance   = 1e-6
 )
 
-func scenarioNamed(t *testing.T, name string) *Scenario {
+func loadScenario(t *testing.T, name string) *Scenario {
 	t.Helper()
 	s, err := Load(name)
 	if err != nil {
@@ -43,7 +43,7 @@
 	return s
 }
 
-func play(t *testing.T, jobs ...Job) []*Result {
+func runJobs(t *testing.T, jobs ...Job) []*Result {
 	t.Helper()
 	var results []*Result
 	pool := NewPool(min(testWorkers, runtime.NumCPU()), func(string) {})
@@ -54,8 +54,8 @@
 	return results
 }
 
-// withoutCost is a result as text, without what differs from run to run.
-func withoutCost(t *testing.T, r *Result) string {
+// withoutCostJSON is a result as text, without what differs from run to run.
+func withoutCostJSON(t *testing.T, r *Result) string {
 	t.Helper()
 	copied := *r
 	copied.Cost = Cost{}
@@ -66,10 +66,10 @@
 	return string(raw)
 }
 
-func TestSameSeedSameFigures(t *testing.T) {
-	scenarios := []*Scenario{scenarioNamed(t, "restarts")}
+func TestSameSeedGivesSameResults(t *testing.T) {
+	scenarios := []*Scenario{loadScenario(t, "restarts")}
 	for _, name := range []string{"limits-1", "outages"} {
-		s, err := scenarioNamed(t, name).Override(8*time.Second, 0, 0)
+		s, err := loadScenario(t, name).Override(8*time.Second, 0, 0)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -87,36 +87,36 @@
 	if len(jobs) != len(carriers) {
 		t.Fatalf("%d runs for %d carriers", len(jobs), len(carriers))
 	}
-	first, again := play(t, jobs...), play(t, jobs...)
+	first, again := runJobs(t, jobs...), runJobs(t, jobs...)
 	for i := range jobs {
-		if a, b := withoutCost(t, first[i]), withoutCost(t, again[i]); a != b {
+		if a, b := withoutCostJSON(t, first[i]), withoutCostJSON(t, again[i]); a != b {
 			t.Errorf("%s of %s differs:\n%s\n%s", first[i].Carrier, first[i].Scenario, a, b)
 		}
 		jobs[i].Seed++
 	}
-	other := play(t, jobs...)
+	other := runJobs(t, jobs...)
 	for i := range jobs {
-		if withoutCost(t, first[i]) == withoutCost(t, other[i]) {
+		if withoutCostJSON(t, first[i]) == withoutCostJSON(t, other[i]) {
 			t.Errorf("%s of %s: another seed has the same figures", first[i].Carrier, first[i].Scenario)
 		}
 	}
 }
 
-// TestConfigsyncKeepsThePlan plays every fault: all changes come to all live relays in time and in few bytes.
-func TestConfigsyncKeepsThePlan(t *testing.T) {
+// TestConfigsyncMeetsPlan plays every fault: all changes come to all live relays in time and in few bytes.
+func TestConfigsyncMeetsPlan(t *testing.T) {
 	var jobs []Job
 	for _, name := range []string{"ordinary", "burst", "restarts", "zone-loss", "mass-restart", "standing"} {
-		jobs = append(jobs, Job{Scenario: scenarioNamed(t, name), Carrier: "configsync", Relays: testRelays, Seed: testSeed})
+		jobs = append(jobs, Job{Scenario: loadScenario(t, name), Carrier: "configsync", Relays: testRelays, Seed: testSeed})
 	}
-	for _, r := range play(t, jobs...) {
-		if r.Reach.Changes == 0 || r.Reach.Incomplete > 0 || r.Reach.Missing > 0 {
+	for _, r := range runJobs(t, jobs...) {
+		if r.Reach.Changes == 0 || r.Reach.Incomplete > 0 || r.Reach.MissingShare > 0 {
 			t.Errorf("%s: %d of %d changes did not come to all", r.Scenario, r.Reach.Incomplete, r.Reach.Changes)
 		}
-		if r.Reach.ToAll.P99 > planInForce {
-			t.Errorf("%s: a change was in force after %.2f s, not %v", r.Scenario, r.Reach.ToAll.P99, planInForce)
+		if r.Reach.ToAll.P99 > planInForceSeconds {
+			t.Errorf("%s: a change was in force after %.2f s, not %v", r.Scenario, r.Reach.ToAll.P99, planInForceSeconds)
 		}
-		if r.Traffic.Sent.Busiest > planBytesPerS {
-			t.Errorf("%s: the busiest relay sends %.0f bytes a second, not %v", r.Scenario, r.Traffic.Sent.Busiest, planBytesPerS)
+		if r.Traffic.Sent.Busiest > planBytesPerSecond {
+			t.Errorf("%s: the busiest relay sends %.0f bytes a second, not %v", r.Scenario, r.Traffic.Sent.Busiest, planBytesPerSecond)
 		}
 		if r.Counts.Errors > 0 {
 			t.Errorf("%s: %d errors", r.Scenario, r.Counts.Errors)
@@ -124,10 +124,10 @@
 	}
 }
 
-// TestReunionCausesNoStorm has two groups of regions meet after an hour.
-func TestReunionCausesNoStorm(t *testing.T) {
-	r := play(t, Job{Scenario: scenarioNamed(t, "ordinary"), Carrier: "configsync", Relays: testRelays, Seed: testSeed},
-		Job{Scenario: scenarioNamed(t, "reunion"), Carrier: "configsync", Relays: testRelays, Seed: testSeed})
+// TestReunionCausesNoTrafficPeak has two groups of regions meet after an hour.
+func TestReunionCausesNoTrafficPeak(t *testing.T) {
+	r := runJobs(t, Job{Scenario: loadScenario(t, "ordinary"), Carrier: "configsync", Relays: testRelays, Seed: testSeed},
+		Job{Scenario: loadScenario(t, "reunion"), Carrier: "configsync", Relays: testRelays, Seed: testSeed})
 	ordinary, reunion := r[0], r[1]
 	if reunion.Reach.Incomplete > 0 {
 		t.Errorf("%d of %d changes did not come to all", reunion.Reach.Incomplete, reunion.Reach.Changes)
@@ -144,26 +144,26 @@
 func TestSpreadCarriesBans(t *testing.T) {
 	var jobs []Job
 	for _, name := range []string{"ordinary", "burst", "restarts", "zone-loss", "mass-restart"} {
-		jobs = append(jobs, Job{Scenario: scenarioNamed(t, name), Carrier: "spread", Relays: testRelays, Seed: testSeed})
+		jobs = append(jobs, Job{Scenario: loadScenario(t, name), Carrier: "spread", Relays: testRelays, Seed: testSeed})
 	}
-	for _, r := range play(t, jobs...) {
+	for _, r := range runJobs(t, jobs...) {
 		if r.Reach.Changes == 0 || r.Reach.Incomplete > 0 {
 			t.Errorf("%s: %d of %d changes did not come to all", r.Scenario, r.Reach.Incomplete, r.Reach.Changes)
 		}
-		if r.Traffic.Sent.Mean > spreadBytesPerS || r.Traffic.Sent.Mean < 100 {
+		if r.Traffic.Sent.Mean > spreadBytesPerSecond || r.Traffic.Sent.Mean < 100 {
 			t.Errorf("%s: %.0f bytes a second are not what a relay may send", r.Scenario, r.Traffic.Sent.Mean)
 		}
 	}
 }
 
-func TestLimitsAndOutagesAreMeasured(t *testing.T) {
-	limits := scenarioNamed(t, "limits-1")
-	told, err := scenarioNamed(t, "outages").Override(12*time.Second, 0, 10_000)
+func TestLimitsAndOutages(t *testing.T) {
+	limits := loadScenario(t, "limits-1")
+	outagesScenario, err := loadScenario(t, "outages").Override(12*time.Second, 0, 10_000)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := play(t, Job{Scenario: limits, Carrier: "limits", Relays: testRelays, Seed: testSeed}, Job{Scenario: told, Carrier: "verdicts", Relays: testRelays, Seed: testSeed})
-	if l := r[0]; l.Leases == nil || l.Leases.Loan <= l.Leases.Lease || l.Traffic.Sent.Busiest < 3*l.Traffic.Sent.Mean {
+	r := runJobs(t, Job{Scenario: limits, Carrier: "limits", Relays: testRelays, Seed: testSeed}, Job{Scenario: outagesScenario, Carrier: "verdicts", Relays: testRelays, Seed: testSeed})
+	if l := r[0]; l.Leases == nil || l.Leases.LoanSeconds <= l.Leases.LeaseSeconds || l.Traffic.Sent.Busiest < 3*l.Traffic.Sent.Mean {
 		t.Errorf("one destination's owner should be far busier than others: %+v, %+v", l.Leases, l.Traffic.Sent)
 	}
 	if v := r[1]; v.Reach.Changes < 50 || v.Reach.ToHalf.P50 <= 0 {
@@ -171,19 +171,19 @@
 	}
 }
 
-// TestOverloadIsMeasured has today's statements want more bytes than there are.
-func TestOverloadIsMeasured(t *testing.T) {
-	s, err := scenarioNamed(t, "outages").Override(8*time.Second, 0, 0)
+// TestOutagesOverBudget has today's statements want more bytes than there are.
+func TestOutagesOverBudget(t *testing.T) {
+	s, err := loadScenario(t, "outages").Override(8*time.Second, 0, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := play(t, Job{Scenario: s, Carrier: "verdicts", Relays: 60, Seed: testSeed})[0]
-	if r.Counts.OverBudget == 0 || r.Reach.Missing < 0.2 {
-		t.Errorf("5,280 outages told each 15 s should not fit: %d packets dropped, %.2f missing", r.Counts.OverBudget, r.Reach.Missing)
+	r := runJobs(t, Job{Scenario: s, Carrier: "verdicts", Relays: 60, Seed: testSeed})[0]
+	if r.Counts.OverBudget == 0 || r.Reach.MissingShare < 0.2 {
+		t.Errorf("5,280 outages told each 15 s should not fit: %d packets dropped, %.2f missing", r.Counts.OverBudget, r.Reach.MissingShare)
 	}
 }
 
-func TestRunStopsWithItsContext(t *testing.T) {
+func TestRunStopsWhenCancelled(t *testing.T) {
 	for _, carrier := range carriers {
 		name := map[workload]string{configurationChanges: "ordinary", dividedLimits: "limits-16", outages: "outages"}[carrier.workload]
 		ctx, cancel := context.WithCancel(t.Context())
@@ -192,16 +192,16 @@
 			cancelled = time.Now()
 			cancel()
 		})
-		err := NewPool(1, func(string) {}).Run(ctx, []Job{{Scenario: scenarioNamed(t, name), Carrier: carrier.name, Relays: 2000, Seed: testSeed}}, func(*Result) {})
-		took := time.Since(cancelled)
-		if !errors.Is(err, context.Canceled) || !strings.Contains(err.Error(), "of virtual time") || took > testStopWithin {
-			t.Errorf("%s stopped %v after it was told so: %v", carrier.name, took, err)
+		err := NewPool(1, func(string) {}).Run(ctx, []Job{{Scenario: loadScenario(t, name), Carrier: carrier.name, Relays: 2000, Seed: testSeed}}, func(*Result) {})
+		stopTime := time.Since(cancelled)
+		if !errors.Is(err, context.Canceled) || !strings.Contains(err.Error(), "of virtual time") || stopTime > testMaxStopTime {
+			t.Errorf("%s stopped %v after it was told so: %v", carrier.name, stopTime, err)
 		}
 		cancel()
 	}
 }
 
-func TestBadScenarios(t *testing.T) {
+func TestInvalidScenarios(t *testing.T) {
 	const good = "name: \"x\"\nrelays: 10\nlength_s: 10\ntopology {\n  loss: 0.5\n}\nchanges { count: 2 at_s: 1 every_s: 1 }\nzone_loss {\n  at_s: 1\n  zone: 2\n}\n"
 	if _, err := Parse("file", []byte(good)); err != nil {
 		t.Fatal(err)
@@ -238,8 +238,8 @@
 	}
 }
 
-func TestJobsRefuseWhatCannotRun(t *testing.T) {
-	ordinary := []*Scenario{scenarioNamed(t, "ordinary")}
+func TestInvalidJobs(t *testing.T) {
+	ordinary := []*Scenario{loadScenario(t, "ordinary")}
 	for _, c := range []struct {
 		carriers []string
 		sizes    []int
@@ -271,7 +271,7 @@
 	}
 }
 
-func TestFitFindsTheLaw(t *testing.T) {
+func TestFitLaw(t *testing.T) {
 	sizes := []int{100, 300, 1000, 3900}
 	for _, c := range []struct {
 		law  string
@@ -285,7 +285,7 @@
 			values = append(values, c.of(float64(n)))
 		}
 		fit, ok := FitLaw(sizes, values)
-		if !ok || fit.Law != c.law || math.Abs(fit.A-c.a) > testFitResolution || math.Abs(fit.B-c.b) > testFitResolution || fit.Residual > testFitResolution {
+		if !ok || fit.Law != c.law || math.Abs(fit.A-c.a) > testFitTolerance || math.Abs(fit.B-c.b) > testFitTolerance || fit.Residual > testFitTolerance {
 			t.Errorf("%s: %+v", c.law, fit)
 		}
 	}
@@ -296,26 +296,26 @@
 
 func TestReach(t *testing.T) {
 	a := &arrivals{}
-	change := a.add(0, 4)
-	a.learned(10, 0, 0, change)
-	a.learned(30, 20, 1, change) // its process began at 20
-	a.learned(40, 0, 2, change)
-	a.learned(90, 0, 2, change) // once more
-	r := a.reach(func(relay int) bool { return relay != 3 })
+	change := a.track(0, 4)
+	a.record(10, 0, 0, change)
+	a.record(30, 20, 1, change) // its process began at 20
+	a.record(40, 0, 2, change)
+	a.record(90, 0, 2, change) // once more
+	r := a.summarize(func(relay int) bool { return relay != 3 })
 	second := float64(time.Second)
 	if r.Incomplete != 0 || r.ToAll.Max != 40/second || r.ToHalf.P50 != 10/second {
 		t.Errorf("%+v", r)
 	}
-	if r = a.reach(func(int) bool { return true }); r.Incomplete != 1 || r.Missing != 0.25 || r.ToAll != (Times{}) {
+	if r = a.summarize(func(int) bool { return true }); r.Incomplete != 1 || r.MissingShare != 0.25 || r.ToAll != (Times{}) {
 		t.Errorf("with one that lacks it: %+v", r)
 	}
 }
 
-func TestPeakIsFoundInAnyWindow(t *testing.T) {
+func TestPeakInAnyWindow(t *testing.T) {
 	m := newMeter(2, 0, 20*time.Second)
-	m.sends(15_500_000_000/10, 0, 700) // in two windows that begin at no full second
-	m.sends(22_000_000_000/10, 0, 300)
-	m.sends(35_000_000_000/10, 1, 500)
+	m.recordSent(15_500_000_000/10, 0, 700) // in two windows that begin at no full second
+	m.recordSent(22_000_000_000/10, 0, 300)
+	m.recordSent(35_000_000_000/10, 1, 500)
 	got := m.traffic(func(int) bool { return true })
 	if got.Peak1s.Busiest != 1000 || got.Peak10s.Busiest != 100 || got.Peak10s.Mean != 75 || got.Sent.Busiest != 50 {
 		t.Errorf("%+v", got)
@@ -359,7 +359,7 @@
 		t.Errorf("%+v", topology)
 	}
 	links := newLinks(topology, rand.New(rand.NewPCG(testSeed, 1)))
-	least, most, lost := map[string]time.Duration{}, map[string]time.Duration{}, 0
+	minDelay, maxDelay, lost := map[string]time.Duration{}, map[string]time.Duration{}, 0
 	const draws = 200_000
 	for i := range draws {
 		from, to := i%170, (i*7+1)%170
@@ -369,18 +369,18 @@
 		} else if topology.Region(from) == topology.Region(to) {
 			kind = "region"
 		}
-		delay, arrives := links.pass(from, to)
+		delay, arrives := links.transmit(from, to)
 		if !arrives {
 			lost++
 		}
-		if l, ok := least[kind]; !ok || delay < l {
-			least[kind] = delay
+		if l, ok := minDelay[kind]; !ok || delay < l {
+			minDelay[kind] = delay
 		}
-		most[kind] = max(most[kind], delay)
+		maxDelay[kind] = max(maxDelay[kind], delay)
 	}
 	for kind, r := range map[string]DelayRange{"zone": topology.InZone, "region": topology.InRegion, "between": topology.BetweenRegions} {
-		if least[kind] < r.Min || most[kind] > r.Max || most[kind] == 0 {
-			t.Errorf("%s: from %v to %v, not within %v", kind, least[kind], most[kind], r)
+		if minDelay[kind] < r.Min || maxDelay[kind] > r.Max || maxDelay[kind] == 0 {
+			t.Errorf("%s: from %v to %v, not within %v", kind, minDelay[kind], maxDelay[kind], r)
 		}
 	}
 	if share := float64(lost) / draws; math.Abs(share-topology.Loss) > 0.002 {
@@ -388,7 +388,7 @@
 	}
 }
 
-func TestFieldErrorNamesAll(t *testing.T) {
+func TestFieldErrorText(t *testing.T) {
 	err := &FieldError{File: "f", Line: 3, Field: "a.b", Text: "no"}
 	if got := fmt.Sprint(err); got != "f:3: a.b: no" {
 		t.Error(got)
@@ -444,7 +444,7 @@
 				b.Fatal(err)
 			}
 			for b.Loop() {
-				node.Members(0, view)
+				node.SetMembers(0, view)
 			}
 		})
 	}
--- a/internal/lab/capacity/carrier.go
+++ b/internal/lab/capacity/carrier.go
@@ -17,7 +17,7 @@
 // Node is a process of one hollow relay. Times are since the process began.
 type Node interface {
 	// Members replaces the set of live members.
-	Members(now time.Duration, view *View) []Message
+	SetMembers(now time.Duration, view *View) []Message
 	// Receive takes a message in.
 	Receive(now time.Duration, from int, body any) []Message
 	// Tick does what is due.
@@ -25,7 +25,7 @@
 	// Due is when Tick has something to do.
 	Due() time.Duration
 	// Counts adds what the node counted.
-	Counts(to *Counts)
+	AddCounts(to *Counts)
 }
 
 // Publisher is a node that carries configuration changes.
@@ -57,18 +57,18 @@
 
 // View is who is a member, as far as some relays know. It is shared and not changed.
 type View struct {
-	Names   []string
-	Members []configsync.Member
-	Has     []bool // by relay
+	Names    []string
+	Members  []configsync.Member
+	IsMember []bool // by relay
 }
 
-func newView(t Topology, relays int, has func(relay int) bool) *View {
-	v := &View{Has: make([]bool, relays)}
+func newView(t Topology, relays int, isMember func(relay int) bool) *View {
+	v := &View{IsMember: make([]bool, relays)}
 	for i := range relays {
-		if !has(i) {
+		if !isMember(i) {
 			continue
 		}
-		v.Has[i] = true
+		v.IsMember[i] = true
 		v.Names = append(v.Names, relayName(i))
 		v.Members = append(v.Members, configsync.Member{Name: relayName(i), Region: regionName(t.Region(i)), Zone: zoneName(t.Zone(i))})
 	}
@@ -81,15 +81,15 @@
 	Relays   int
 	Seed     uint64
 	// Learned is called when a relay has a change, or a statement that is followed.
-	Learned func(relay, change int)
+	OnLearned func(relay, change int)
 	// Now is the time since the start of the simulation.
 	Now func() time.Duration
 	// Follow begins to follow a change that happens now, and returns its number.
-	Follow func() int
-	index  map[string]int
+	TrackChange func() int
+	indexByName map[string]int
 }
 
-func (e *Environment) relay(name string) int { return e.index[name] }
+func (e *Environment) relayIndex(name string) int { return e.indexByName[name] }
 
 // carrierDefinition describes a carrier.
 type carrierDefinition struct {
@@ -113,7 +113,7 @@
 	return names
 }
 
-func carrierNamed(name string) (carrierDefinition, error) {
+func findCarrier(name string) (carrierDefinition, error) {
 	for _, c := range carriers {
 		if c.name == name {
 			return c, nil
--- a/internal/lab/capacity/configsync.go
+++ b/internal/lab/capacity/configsync.go
@@ -23,12 +23,12 @@
 // configsyncCarrier carries changes with internal/configsync.
 type configsyncCarrier struct {
 	environment *Environment
-	numbers     map[string]int // of changes, by their keys
-	published   map[int]configsync.Change
+	changeByKey map[string]int // of changes, by their keys
+	seeded      map[int]configsync.Change
 }
 
 func newConfigsyncCarrier(e *Environment) (Carrier, error) {
-	return &configsyncCarrier{environment: e, numbers: map[string]int{}, published: map[int]configsync.Change{}}, nil
+	return &configsyncCarrier{environment: e, changeByKey: map[string]int{}, seeded: map[int]configsync.Change{}}, nil
 }
 
 // Bound is that of internal/configsync.
@@ -40,9 +40,9 @@
 // Start begins a process. It keeps the store of the one before.
 func (c *configsyncCarrier) Start(relay int, incarnation uint64, predecessor Node) (Node, error) {
 	n := &configsyncNode{carrier: c, relay: relay, incarnation: incarnation}
-	if before, ok := predecessor.(*configsyncNode); ok {
-		n.store = before.store
-		before.Counts(&n.counted)
+	if previous, ok := predecessor.(*configsyncNode); ok {
+		n.store = previous.store
+		previous.AddCounts(&n.earlierCounts)
 	} else {
 		n.store = configsync.NewStore(acceptAll{}, maxConfigurationEntries)
 	}
@@ -57,60 +57,60 @@
 
 // configsyncNode is a process of a relay.
 type configsyncNode struct {
-	carrier *configsyncCarrier
-	relay   int
-	store   *configsync.Store
-	replica *configsync.Replica
-	counted Counts
+	carrier       *configsyncCarrier
+	relay         int
+	store         *configsync.Store
+	replica       *configsync.Replica
+	earlierCounts Counts
 
 	incarnation uint64
 	packets     uint64
 }
 
-// messages are what the program would put into packets.
-func (n *configsyncNode) messages(now time.Duration, list []configsync.Send) (messages []Message) {
-	for i := range list {
+// toMessages are what the program would put into packets.
+func (n *configsyncNode) toMessages(now time.Duration, sends []configsync.Send) (messages []Message) {
+	for i := range sends {
 		n.packets++
-		m := &list[i].Message
+		m := &sends[i].Message
 		packet := &spread.Packet{From: relayName(n.relay), Incarnation: n.incarnation, Uptime: now, Count: n.packets, Configuration: m}
-		messages = append(messages, Message{To: n.carrier.environment.relay(list[i].To), Bytes: wire.Size(packet), Body: m})
+		messages = append(messages, Message{To: n.carrier.environment.relayIndex(sends[i].To), Bytes: wire.Size(packet), Body: m})
 	}
 	return messages
 }
 
-// Members takes over who lives.
-func (n *configsyncNode) Members(now time.Duration, view *View) []Message {
+// SetMembers takes over who lives.
+func (n *configsyncNode) SetMembers(now time.Duration, view *View) []Message {
 	n.replica.Members(now, view.Members)
 	return nil
 }
 
-// make words a change as the control machine beside a relay would sign it.
-func (n *configsyncNode) make(change int) configsync.Change {
+// newChange words a change as the control machine beside a relay would sign it.
+func (n *configsyncNode) newChange(change int) configsync.Change {
 	source := fmt.Sprintf("control-%02d", n.relay)
 	sequence, revision := n.store.Next(source)
 	c := configsync.Change{Source: source, Sequence: sequence, Revision: revision, Key: "endpoint/" + changedEndpoint(change),
 		Value: make([]byte, n.carrier.environment.Scenario.Changes.ValueBytes), Signature: make([]byte, signatureBytes)}
-	n.carrier.numbers[c.Key] = change
+	n.carrier.changeByKey[c.Key] = change
 	return c
 }
 
 // Publish hands over a change.
 func (n *configsyncNode) Publish(now time.Duration, change int) ([]Message, error) {
-	list, err := n.replica.Publish(now, n.make(change))
+	list, err := n.replica.Publish(now, n.newChange(change))
 	if err != nil {
 		return nil, err
 	}
-	n.carrier.environment.Learned(n.relay, change)
-	return n.messages(now, list), nil
+	n.carrier.environment.OnLearned(n.relay, change)
+	return n.toMessages(now, list), nil
 }
 
 // Seed has the store take a change that was made elsewhere, or here.
 func (n *configsyncNode) Seed(_ time.Duration, change, publisher int) error {
-	c, ok := n.carrier.published[change]
+	c, ok := n.carrier.seeded[change]
 	if !ok {
-		maker := &configsyncNode{carrier: n.carrier, relay: publisher, store: n.store}
-		c = maker.make(change)
-		n.carrier.published[change] = c
+		publisherNode := &configsyncNode{carrier: n.carrier, relay: publisher, store: n.store}
+		c = publisherNode.newChange(change)
+		n.carrier.seeded[change] = c
 	}
 	_, err := n.store.Apply(c)
 	return err
@@ -120,28 +120,28 @@
 func (n *configsyncNode) Receive(now time.Duration, from int, body any) []Message {
 	applied, list := n.replica.Receive(now, relayName(from), *body.(*configsync.Message))
 	for i := range applied {
-		if change, ok := n.carrier.numbers[applied[i].Key]; ok {
-			n.carrier.environment.Learned(n.relay, change)
+		if change, ok := n.carrier.changeByKey[applied[i].Key]; ok {
+			n.carrier.environment.OnLearned(n.relay, change)
 		}
 	}
-	return n.messages(now, list)
+	return n.toMessages(now, list)
 }
 
 // Tick does what is due.
 func (n *configsyncNode) Tick(now time.Duration) []Message {
-	return n.messages(now, n.replica.Tick(now))
+	return n.toMessages(now, n.replica.Tick(now))
 }
 
 // Due is when the replica wants to be called.
 func (n *configsyncNode) Due() time.Duration { return n.replica.Due() }
 
-// Counts adds what the replicas of this relay counted.
-func (n *configsyncNode) Counts(to *Counts) {
+// AddCounts adds what the replicas of this relay counted.
+func (n *configsyncNode) AddCounts(to *Counts) {
 	c := n.replica.Counters()
-	to.OverBudget += n.counted.OverBudget + c.OverBudget
-	to.Retries += n.counted.Retries + c.Retries
-	to.Abandoned += n.counted.Abandoned + c.Abandoned
-	to.Repaired += n.counted.Repaired + c.Repaired
-	to.Duplicates += n.counted.Duplicates + c.Duplicates
-	to.Errors += n.counted.Errors + c.Untrusted + c.Invalid + c.Diverged + c.Full
+	to.OverBudget += n.earlierCounts.OverBudget + c.OverBudget
+	to.Retries += n.earlierCounts.Retries + c.Retries
+	to.Abandoned += n.earlierCounts.Abandoned + c.Abandoned
+	to.Repaired += n.earlierCounts.Repaired + c.Repaired
+	to.Duplicates += n.earlierCounts.Duplicates + c.Duplicates
+	to.Errors += n.earlierCounts.Errors + c.Untrusted + c.Invalid + c.Diverged + c.Full
 }
--- a/internal/lab/capacity/faults.go
+++ b/internal/lab/capacity/faults.go
@@ -6,27 +6,27 @@
 	"slatemux/internal/lab/emulator"
 )
 
-// plan schedules what the scenario wants to happen.
-func (f *fleet) plan() {
+// scheduleEvents schedules what the scenario wants to happen.
+func (f *fleet) scheduleEvents() {
 	if f.scenario.Changes != nil {
-		f.planChanges()
+		f.scheduleChanges()
 	}
 	if f.scenario.Restarts != nil {
-		f.planRestarts()
+		f.scheduleRestarts()
 	}
 	if f.scenario.ZoneLoss != nil {
-		f.planZoneLoss()
+		f.scheduleZoneLoss()
 	}
 	if f.scenario.Reunion != nil {
-		f.planReunion()
+		f.scheduleReunion()
 	}
 }
 
-func (f *fleet) planChanges() {
+func (f *fleet) scheduleChanges() {
 	c := f.scenario.Changes
-	f.at(0, func() { f.seed(int(c.Standing), f.start, func(int, *relay) bool { return true }) })
+	f.schedule(0, func() { f.seedChanges(int(c.Standing), f.measurementStart, func(int, *relay) bool { return true }) })
 	for i := range int(c.Count) {
-		f.at(seconds(c.AtS+c.EveryS*float64(i)), f.publish)
+		f.schedule(seconds(c.AtS+c.EveryS*float64(i)), f.publish)
 	}
 }
 
@@ -34,9 +34,9 @@
 func (f *fleet) controlPoint() *relay {
 	points := min(int(f.scenario.Changes.ControlPoints), len(f.relays))
 	for range points {
-		r := f.relays[f.turn%points]
-		f.turn++
-		if !r.down && !r.gone {
+		r := f.relays[f.nextControlPoint%points]
+		f.nextControlPoint++
+		if !r.down && !r.removed {
 			return r
 		}
 	}
@@ -47,11 +47,11 @@
 func (f *fleet) publish() {
 	r := f.controlPoint()
 	if r == nil {
-		f.sim.After(simulatedSlice, emulator.Any, f.publish)
+		f.sim.After(timeSlice, emulator.Any, f.publish)
 		return
 	}
-	change := f.arrivals.add(f.sim.Now(), len(f.relays))
-	f.call(r, func(now time.Duration) []Message {
+	change := f.arrivals.track(f.sim.Now(), len(f.relays))
+	f.runNode(r, func(now time.Duration) []Message {
 		messages, err := r.node.(Publisher).Publish(now, change)
 		if err != nil {
 			f.err = err
@@ -60,68 +60,68 @@
 	})
 }
 
-func (f *fleet) planRestarts() {
+func (f *fleet) scheduleRestarts() {
 	c := f.scenario.Restarts
-	share := int(c.Share*float64(len(f.relays)) + 0.5)
-	for _, i := range f.rng.Perm(len(f.relays))[:share] {
+	count := int(c.Share*float64(len(f.relays)) + 0.5)
+	for _, i := range f.faultRNG.Perm(len(f.relays))[:count] {
 		r := f.relays[i]
-		at := seconds(c.FromS + f.rng.Float64()*c.WithinS)
-		f.at(at, func() { f.end(r) })
-		f.at(at+seconds(c.DownS), func() { f.begin(r) })
+		at := seconds(c.FromS + f.faultRNG.Float64()*c.WithinS)
+		f.schedule(at, func() { f.stopRelay(r) })
+		f.schedule(at+seconds(c.DownS), func() { f.startRelay(r) })
 	}
 }
 
-func (f *fleet) planZoneLoss() {
+func (f *fleet) scheduleZoneLoss() {
 	c := f.scenario.ZoneLoss
 	lost := func(i int) bool { return f.scenario.Topology.Zone(i) == int(c.Zone) }
 	rest := newView(f.scenario.Topology, len(f.relays), func(i int) bool { return !lost(i) })
-	f.at(seconds(c.AtS), func() {
+	f.schedule(seconds(c.AtS), func() {
 		for i, r := range f.relays {
 			if lost(i) {
-				f.end(r)
-				r.gone = true
+				f.stopRelay(r)
+				r.removed = true
 			}
 		}
 	})
-	f.at(seconds(c.AtS)+seconds(c.LearnedAfterS), func() {
+	f.schedule(seconds(c.AtS)+seconds(c.LearnedAfterS), func() {
 		for _, r := range f.relays {
-			if !r.gone {
-				f.hear(r, rest)
+			if !r.removed {
+				f.notifyMembers(r, rest)
 			}
 		}
 	})
 }
 
-func (f *fleet) planReunion() {
+func (f *fleet) scheduleReunion() {
 	c := f.scenario.Reunion
-	together := seconds(c.AtS)
-	f.at(0, func() {
-		f.seed(int(c.Changes), f.start+emulator.Time(together), func(i int, publisher *relay) bool { return f.side(i) == f.side(publisher.index) })
+	reunionAt := seconds(c.AtS)
+	f.schedule(0, func() {
+		f.seedChanges(int(c.Changes), f.measurementStart+emulator.Time(reunionAt), func(i int, publisher *relay) bool { return f.partitionOf(i) == f.partitionOf(publisher.index) })
 	})
 	all := newView(f.scenario.Topology, len(f.relays), func(int) bool { return true })
-	f.at(together, func() {
-		f.apart = false
+	f.schedule(reunionAt, func() {
+		f.partitioned = false
 		for _, r := range f.relays {
-			f.hear(r, all)
+			f.notifyMembers(r, all)
 		}
 	})
 }
 
-// seed puts changes of the time before into the stores of those relays that had them. They count as published, to the others, at a time.
-func (f *fleet) seed(count int, published emulator.Time, had func(relay int, publisher *relay) bool) {
+// seedChanges puts changes of the time before into the stores of those relays that had them. They count as published, to the others, at a time.
+func (f *fleet) seedChanges(count int, published emulator.Time, hadChange func(relay int, publisher *relay) bool) {
 	for range count {
 		publisher := f.controlPoint()
 		if publisher == nil {
 			return
 		}
-		change := f.arrivals.add(published, len(f.relays))
+		change := f.arrivals.track(published, len(f.relays))
 		delays := f.arrivals.changes[change].delays
 		for i, r := range f.relays {
-			if !had(i, publisher) {
+			if !hadChange(i, publisher) {
 				continue
 			}
-			delays[i] = exempt
-			if err := r.node.(Publisher).Seed((f.sim.Now() - r.began).Duration(), change, publisher.index); err != nil {
+			delays[i] = alreadyKnown
+			if err := r.node.(Publisher).Seed((f.sim.Now() - r.startedAt).Duration(), change, publisher.index); err != nil {
 				f.err = err
 				return
 			}
--- a/internal/lab/capacity/fit.go
+++ b/internal/lab/capacity/fit.go
@@ -13,7 +13,7 @@
 type Fit struct {
 	Scenario string  `json:"scenario"`
 	Carrier  string  `json:"carrier"`
-	Figure   string  `json:"figure"`
+	Quantity string  `json:"figure"`
 	Law      string  `json:"law"`
 	A        float64 `json:"a"`
 	B        float64 `json:"b"`
@@ -30,12 +30,12 @@
 	inverse func(y float64) float64
 }
 
-func same(v float64) float64 { return v }
+func identity(v float64) float64 { return v }
 
 var laws = []law{
 	{"a * N^b", math.Log, math.Log, math.Exp},
-	{"a + b * ln N", math.Log, same, same},
-	{"a + b * sqrt N", math.Sqrt, same, same},
+	{"a + b * ln N", math.Log, identity, identity},
+	{"a + b * sqrt N", math.Sqrt, identity, identity},
 }
 
 // FitLaw fits all laws to a figure by least squares, and returns the one with the least residual; no where there are too few sizes,
@@ -46,8 +46,8 @@
 		return best, false
 	}
 	for _, l := range laws {
-		a, b := line(sizes, values, l)
-		residual := residualOf(sizes, values, l, a, b)
+		a, b := leastSquares(sizes, values, l)
+		residual := relativeResidual(sizes, values, l, a, b)
 		if residual < best.Residual {
 			best, found = Fit{Law: l.name, A: a, B: b, Residual: residual, Sizes: sizes}, true
 			if l.name == laws[0].name {
@@ -58,8 +58,8 @@
 	return best, found
 }
 
-// line is the straight line of least squares.
-func line(sizes []int, values []float64, l law) (a, b float64) {
+// leastSquares is the straight line of least squares.
+func leastSquares(sizes []int, values []float64, l law) (a, b float64) {
 	var sumX, sumY, sumXX, sumXY float64
 	for i, n := range sizes {
 		x, y := l.x(float64(n)), l.y(values[i])
@@ -71,7 +71,7 @@
 	return (sumY - b*sumX) / count, b
 }
 
-func residualOf(sizes []int, values []float64, l law, a, b float64) float64 {
+func relativeResidual(sizes []int, values []float64, l law, a, b float64) float64 {
 	sum := 0.0
 	for i, n := range sizes {
 		relative := l.inverse(a+b*l.x(float64(n)))/values[i] - 1
@@ -85,23 +85,23 @@
 	return fmt.Sprintf("%s, a = %.4g, b = %.4g, residual %.1f %%", f.Law, f.A, f.B, 100*f.Residual)
 }
 
-// figure is one that is fitted over sizes.
-type figure struct {
+// fittedQuantity is one that is fitted over sizes.
+type fittedQuantity struct {
 	name string
 	of   func(r *Result) float64
 }
 
-var fittedFigures = []figure{
+var fittedQuantities = []fittedQuantity{
 	{"to half, median (s)", func(r *Result) float64 { return r.Reach.ToHalf.P50 }},
 	{"to 99 %, p99 (s)", func(r *Result) float64 { return r.Reach.To99.P99 }},
 	{"to all, p99 (s)", func(r *Result) float64 { return r.Reach.ToAll.P99 }},
-	{"bound (s)", func(r *Result) float64 { return r.Bound }},
+	{"bound (s)", func(r *Result) float64 { return r.BoundSeconds }},
 	{"sent, mean (B/s)", func(r *Result) float64 { return r.Traffic.Sent.Mean }},
 	{"sent, busiest (B/s)", func(r *Result) float64 { return r.Traffic.Sent.Busiest }},
 	{"peak 10 s, busiest (B/s)", func(r *Result) float64 { return r.Traffic.Peak10s.Busiest }},
-	{"processor, mean (share)", func(r *Result) float64 { return r.Cost.Processor.Mean }},
-	{"processor, busiest (share)", func(r *Result) float64 { return r.Cost.Processor.Busiest }},
-	{"heap (B/relay)", func(r *Result) float64 { return r.Cost.HeapPerRelay }},
+	{"processor, mean (share)", func(r *Result) float64 { return r.Cost.CPUShare.Mean }},
+	{"processor, busiest (share)", func(r *Result) float64 { return r.Cost.CPUShare.Busiest }},
+	{"heap (B/relay)", func(r *Result) float64 { return r.Cost.HeapBytesPerRelay }},
 }
 
 // Fits are the laws of all figures, of each scenario and carrier that was played at enough sizes.
@@ -117,14 +117,14 @@
 		groups[k] = append(groups[k], r)
 	}
 	for _, k := range order {
-		for _, figure := range fittedFigures {
+		for _, figure := range fittedQuantities {
 			var sizes []int
 			var values []float64
 			for _, r := range groups[k] {
 				sizes, values = append(sizes, r.Relays), append(values, figure.of(r))
 			}
 			if fit, ok := FitLaw(sizes, values); ok {
-				fit.Scenario, fit.Carrier, fit.Figure = k.scenario, k.carrier, figure.name
+				fit.Scenario, fit.Carrier, fit.Quantity = k.scenario, k.carrier, figure.name
 				fits = append(fits, fit)
 			}
 		}
--- a/internal/lab/capacity/meter.go
+++ b/internal/lab/capacity/meter.go
@@ -9,48 +9,48 @@
 
 // The finest span of which bytes are counted, and the windows in which peaks are looked for.
 const (
-	meterBin   = 100 * time.Millisecond
-	peakShort  = time.Second
-	peakLong   = 10 * time.Second
-	shortBins  = int(peakShort / meterBin)
-	longBins   = int(peakLong / meterBin)
-	percentile = 0.99
+	binWidth        = 100 * time.Millisecond
+	shortWindow     = time.Second
+	longWindow      = 10 * time.Second
+	shortWindowBins = int(shortWindow / binWidth)
+	longWindowBins  = int(longWindow / binWidth)
+	p99Share        = 0.99
 )
 
 // meter counts what relays send and receive.
 type meter struct {
-	from emulator.Time
-	bins int
-	sent [][]uint32 // bytes, by relay and bin
-	got  [][]uint32
+	start    emulator.Time
+	bins     int
+	sent     [][]uint32 // bytes, by relay and bin
+	received [][]uint32
 	// packets sent, by relay
 	packets []int64
 }
 
 func newMeter(relays int, from emulator.Time, length time.Duration) *meter {
-	m := &meter{from: from, bins: int((length + meterBin - 1) / meterBin), sent: make([][]uint32, relays), got: make([][]uint32, relays), packets: make([]int64, relays)}
+	m := &meter{start: from, bins: int((length + binWidth - 1) / binWidth), sent: make([][]uint32, relays), received: make([][]uint32, relays), packets: make([]int64, relays)}
 	for i := range relays {
-		m.sent[i], m.got[i] = make([]uint32, m.bins), make([]uint32, m.bins)
+		m.sent[i], m.received[i] = make([]uint32, m.bins), make([]uint32, m.bins)
 	}
 	return m
 }
 
-// bin is the present one; no where nothing is measured.
-func (m *meter) bin(now emulator.Time) (int, bool) {
-	at := int((now - m.from).Duration() / meterBin)
-	return at, now >= m.from && at < m.bins
+// binAt is the present one; no where nothing is measured.
+func (m *meter) binAt(now emulator.Time) (int, bool) {
+	at := int((now - m.start).Duration() / binWidth)
+	return at, now >= m.start && at < m.bins
 }
 
-func (m *meter) sends(now emulator.Time, relay, bytes int) {
-	if at, ok := m.bin(now); ok {
+func (m *meter) recordSent(now emulator.Time, relay, bytes int) {
+	if at, ok := m.binAt(now); ok {
 		m.sent[relay][at] += uint32(bytes)
 		m.packets[relay]++
 	}
 }
 
-func (m *meter) receives(now emulator.Time, relay, bytes int) {
-	if at, ok := m.bin(now); ok {
-		m.got[relay][at] += uint32(bytes)
+func (m *meter) recordReceived(now emulator.Time, relay, bytes int) {
+	if at, ok := m.binAt(now); ok {
+		m.received[relay][at] += uint32(bytes)
 	}
 }
 
@@ -70,7 +70,7 @@
 	for _, x := range list {
 		sum += x
 	}
-	return Distribution{Mean: sum / float64(len(list)), P99: list[rank(len(list), percentile)-1], Busiest: list[len(list)-1]}
+	return Distribution{Mean: sum / float64(len(list)), P99: list[rank(len(list), p99Share)-1], Busiest: list[len(list)-1]}
 }
 
 // Peak is the most in any window, in bytes a second: of any relay, and of the mean of all relays.
@@ -81,30 +81,30 @@
 
 // Traffic is what the relays of a run sent and received.
 type Traffic struct {
-	Sent      Distribution `json:"sent_bytes_per_s"`
-	Received  Distribution `json:"received_bytes_per_s"`
-	Packets   Distribution `json:"sent_packets_per_s"`
-	Peak1s    Peak         `json:"peak_1s_sent_bytes_per_s"`
-	Peak10s   Peak         `json:"peak_10s_sent_bytes_per_s"`
-	PeakGot1s Peak         `json:"peak_1s_received_bytes_per_s"`
+	Sent           Distribution `json:"sent_bytes_per_s"`
+	Received       Distribution `json:"received_bytes_per_s"`
+	Packets        Distribution `json:"sent_packets_per_s"`
+	Peak1s         Peak         `json:"peak_1s_sent_bytes_per_s"`
+	Peak10s        Peak         `json:"peak_10s_sent_bytes_per_s"`
+	PeakReceived1s Peak         `json:"peak_1s_received_bytes_per_s"`
 }
 
 // traffic sums up over the relays that are to count.
-func (m *meter) traffic(counts func(relay int) bool) Traffic {
-	length := float64(m.bins) * meterBin.Seconds()
-	var sent, got, packets []float64
+func (m *meter) traffic(include func(relay int) bool) Traffic {
+	lengthSeconds := float64(m.bins) * binWidth.Seconds()
+	var sent, received, packets []float64
 	for relay := range m.sent {
-		if counts(relay) {
-			sent = append(sent, float64(total(m.sent[relay]))/length)
-			got = append(got, float64(total(m.got[relay]))/length)
-			packets = append(packets, float64(m.packets[relay])/length)
+		if include(relay) {
+			sent = append(sent, float64(sumBins(m.sent[relay]))/lengthSeconds)
+			received = append(received, float64(sumBins(m.received[relay]))/lengthSeconds)
+			packets = append(packets, float64(m.packets[relay])/lengthSeconds)
 		}
 	}
-	return Traffic{Sent: distributionOf(sent), Received: distributionOf(got), Packets: distributionOf(packets), Peak1s: m.peak(m.sent, shortBins, counts),
-		Peak10s: m.peak(m.sent, longBins, counts), PeakGot1s: m.peak(m.got, shortBins, counts)}
+	return Traffic{Sent: distributionOf(sent), Received: distributionOf(received), Packets: distributionOf(packets), Peak1s: m.peak(m.sent, shortWindowBins, include),
+		Peak10s: m.peak(m.sent, longWindowBins, include), PeakReceived1s: m.peak(m.received, shortWindowBins, include)}
 }
 
-func total(bins []uint32) (sum int64) {
+func sumBins(bins []uint32) (sum int64) {
 	for _, n := range bins {
 		sum += int64(n)
 	}
@@ -112,37 +112,37 @@
 }
 
 // peak looks through all windows of so many bins.
-func (m *meter) peak(bins [][]uint32, window int, counts func(relay int) bool) Peak {
+func (m *meter) peak(bins [][]uint32, window int, include func(relay int) bool) Peak {
 	window = min(window, m.bins)
-	span := float64(window) * meterBin.Seconds()
-	all := make([]int64, m.bins)
-	most, relays := int64(0), 0
+	windowSeconds := float64(window) * binWidth.Seconds()
+	totalBytes := make([]int64, m.bins)
+	busiestBytes, relays := int64(0), 0
 	for relay, list := range bins {
-		if !counts(relay) {
+		if !include(relay) {
 			continue
 		}
 		relays++
-		sum := int64(0)
+		windowBytes := int64(0)
 		for i, n := range list {
-			all[i] += int64(n)
-			sum += int64(n)
+			totalBytes[i] += int64(n)
+			windowBytes += int64(n)
 			if i >= window {
-				sum -= int64(list[i-window])
+				windowBytes -= int64(list[i-window])
 			}
-			most = max(most, sum)
+			busiestBytes = max(busiestBytes, windowBytes)
 		}
 	}
-	p := Peak{Busiest: float64(most) / span}
-	sum, mostOfAll := int64(0), int64(0)
-	for i, n := range all {
-		sum += n
+	p := Peak{Busiest: float64(busiestBytes) / windowSeconds}
+	windowBytes, maxTotalBytes := int64(0), int64(0)
+	for i, n := range totalBytes {
+		windowBytes += n
 		if i >= window {
-			sum -= all[i-window]
+			windowBytes -= totalBytes[i-window]
 		}
-		mostOfAll = max(mostOfAll, sum)
+		maxTotalBytes = max(maxTotalBytes, windowBytes)
 	}
 	if relays > 0 {
-		p.Mean = float64(mostOfAll) / span / float64(relays)
+		p.Mean = float64(maxTotalBytes) / windowSeconds / float64(relays)
 	}
 	return p
 }
--- a/internal/lab/capacity/real/real.go
+++ b/internal/lab/capacity/real/real.go
@@ -24,25 +24,25 @@
 )
 
 const (
-	// pollEvery is how often a relay is asked what it holds. A relay shows that each 100 ms, so a time is up to both later than
+	// pollInterval is how often a relay is asked what it holds. A relay shows that each 100 ms, so a time is up to both later than
 	// the change itself.
-	pollEvery = 20 * time.Millisecond
-	// showEvery is how often a relay shows what it holds.
-	showEvery = 100 * time.Millisecond
+	pollInterval = 20 * time.Millisecond
+	// refreshInterval is how often a relay shows what it holds.
+	refreshInterval = 100 * time.Millisecond
 	// MaxLag is how much later than the change a relay may be seen to have it.
-	MaxLag = pollEvery + showEvery
-	// giveUpAfter is how long a change is waited for.
-	giveUpAfter = 30 * time.Second
-	// settle is the time between the start and the first measurement.
-	settle = 5 * time.Second
+	MaxLag = pollInterval + refreshInterval
+	// changeTimeout is how long a change is waited for.
+	changeTimeout = 30 * time.Second
+	// settleTime is the time between the start and the first measurement.
+	settleTime = 5 * time.Second
 	// controlPoints is at how many relays changes are made in turn.
-	controlPoints = 10
-	sourceName    = "control-0"
-	trustedFile   = "trusted.keys"
-	partnerName   = "p"
-	trustedMode   = 0o600
-	postWithin    = 5 * time.Second
-	configPath    = "/ops/fleet/configuration"
+	controlPoints     = 10
+	sourceName        = "control-0"
+	trustedKeysFile   = "trusted.keys"
+	partnerName       = "p"
+	trustedKeysMode   = 0o600
+	postTimeout       = 5 * time.Second
+	configurationPath = "/ops/fleet/configuration"
 )
 
 // Config says what is run.
@@ -71,21 +71,21 @@
 	Relays int `json:"relays"`
 	// Idle bytes a second that a relay sends: of statements and limits, of configuration, and in all, memberlist's own included
 	// (without the headers of UDP and IP).
-	Spread        PerRelay `json:"idle_spread_bytes_per_s"`
-	Configuration PerRelay `json:"idle_configuration_bytes_per_s"`
-	All           PerRelay `json:"idle_all_bytes_per_s"`
+	SpreadBytesPerSecond        PerRelay `json:"idle_spread_bytes_per_s"`
+	ConfigurationBytesPerSecond PerRelay `json:"idle_configuration_bytes_per_s"`
+	SentBytesPerSecond          PerRelay `json:"idle_all_bytes_per_s"`
 	// What an idle process takes, with its part in the fleet and without.
-	Processor        PerRelay `json:"processor_share"`
-	ProcessorWithout PerRelay `json:"processor_share_without_fleet"`
-	Resident         PerRelay `json:"resident_bytes"`
-	ResidentWithout  PerRelay `json:"resident_bytes_without_fleet"`
+	CPUShare                  PerRelay `json:"processor_share"`
+	CPUShareWithoutFleet      PerRelay `json:"processor_share_without_fleet"`
+	ResidentBytes             PerRelay `json:"resident_bytes"`
+	ResidentBytesWithoutFleet PerRelay `json:"resident_bytes_without_fleet"`
 	// When each relay was seen to hold each change, in seconds after it was handed over, by change.
-	Bans    [][]float64 `json:"bans_s"`
-	Entries [][]float64 `json:"entries_s"`
+	BanSeconds   [][]float64 `json:"bans_s"`
+	EntrySeconds [][]float64 `json:"entries_s"`
 }
 
-// run is one fleet.
-type run struct {
+// realFleet is one fleet.
+type realFleet struct {
 	config  Config
 	fleet   *fleets.Fleet
 	private ed25519.PrivateKey
@@ -108,7 +108,7 @@
 }
 
 func measure(ctx context.Context, dir string, config Config, note func(string), inFleet bool, result *Result) error {
-	r, err := put(dir, config, inFleet)
+	r, err := newRealFleet(dir, config, inFleet)
 	if err != nil {
 		return err
 	}
@@ -120,22 +120,22 @@
 	if err := r.setLinks(); err != nil {
 		return err
 	}
-	if err := sleep(ctx, settle); err != nil {
+	if err := sleep(ctx, settleTime); err != nil {
 		return err
 	}
 	note(fmt.Sprintf("measuring them idle for %v", config.Idle))
-	if err := r.idle(ctx, inFleet, result); err != nil || !inFleet {
+	if err := r.measureIdle(ctx, inFleet, result); err != nil || !inFleet {
 		return err
 	}
 	note(fmt.Sprintf("%d bans and %d configuration entries, one each %v", config.Changes, config.Changes, config.Interval))
-	if result.Bans, err = r.changes(ctx, r.ban, r.hasBan); err != nil {
+	if result.BanSeconds, err = r.measureChanges(ctx, r.banEndpoint, r.hasBan); err != nil {
 		return err
 	}
-	result.Entries, err = r.changes(ctx, r.set, r.hasEntry)
+	result.EntrySeconds, err = r.measureChanges(ctx, r.publishEntry, r.hasEntry)
 	return err
 }
 
-func put(dir string, config Config, inFleet bool) (*run, error) {
+func newRealFleet(dir string, config Config, inFleet bool) (*realFleet, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, err
 	}
@@ -143,9 +143,9 @@
 	if err != nil {
 		return nil, err
 	}
-	trusted := filepath.Join(dir, trustedFile)
+	trusted := filepath.Join(dir, trustedKeysFile)
 	line := sourceName + " " + base64.StdEncoding.EncodeToString(public) + "\n"
-	if err := os.WriteFile(trusted, []byte(line), trustedMode); err != nil {
+	if err := os.WriteFile(trusted, []byte(line), trustedKeysMode); err != nil {
 		return nil, err
 	}
 	scenario := &labv1.FleetScenario{Name: "capacity", Seed: config.Seed, Relays: int32(config.Relays), LengthS: 1, Load: &labv1.Load{Rate: 1},
@@ -158,102 +158,102 @@
 	if err != nil {
 		return nil, err
 	}
-	return &run{config: config, fleet: f, private: private}, nil
+	return &realFleet{config: config, fleet: f, private: private}, nil
 }
 
-func (r *run) setLinks() error {
+func (r *realFleet) setLinks() error {
 	return r.fleet.Do(&labv1.Event{What: &labv1.Event_Links{Links: &labv1.Links{From: []string{"relays"}, To: []string{"relays"},
 		DelayMs: r.config.Delay.Seconds() * 1000, JitterMs: r.config.Jitter.Seconds() * 1000, Loss: r.config.Loss}}})
 }
 
-// sample is what a relay has sent and used up to now.
-type sample struct {
-	spread, configuration, all float64
-	processor, resident        float64
+// relayUsage is what a relay has sent and used up to now.
+type relayUsage struct {
+	spreadBytes, configurationBytes, sentBytes float64
+	cpuSeconds, residentBytes                  float64
 }
 
-func (r *run) samples(inFleet bool) ([]sample, error) {
-	list := make([]sample, r.config.Relays)
-	for i := range list {
-		usage := r.fleet.Process(i).Usage()
-		list[i] = sample{processor: usage.CPU.Seconds(), resident: float64(usage.RSS)}
+func (r *realFleet) usages(inFleet bool) ([]relayUsage, error) {
+	usages := make([]relayUsage, r.config.Relays)
+	for i := range usages {
+		process := r.fleet.Process(i).Usage()
+		usages[i] = relayUsage{cpuSeconds: process.CPU.Seconds(), residentBytes: float64(process.RSS)}
 		if !inFleet {
 			continue
 		}
-		figures, err := r.fleet.Figures(i)
+		stats, err := r.fleet.Figures(i)
 		if err != nil {
 			return nil, err
 		}
-		list[i].all = float64(figures.SentBytes)
-		list[i].spread = float64(figures.Spread.SentBytes)
-		if c := figures.Configuration; c != nil {
-			list[i].configuration = float64(c.Counters.SentBytes)
-			list[i].spread -= list[i].configuration // it goes through internal/spread, and is counted there as well
+		usages[i].sentBytes = float64(stats.SentBytes)
+		usages[i].spreadBytes = float64(stats.Spread.SentBytes)
+		if c := stats.Configuration; c != nil {
+			usages[i].configurationBytes = float64(c.Counters.SentBytes)
+			usages[i].spreadBytes -= usages[i].configurationBytes // it goes through internal/spread, and is counted there as well
 		}
 	}
-	return list, nil
+	return usages, nil
 }
 
-// idle measures relays that have nothing to do.
-func (r *run) idle(ctx context.Context, inFleet bool, result *Result) error {
-	before, err := r.samples(inFleet)
+// measureIdle measures relays that have nothing to do.
+func (r *realFleet) measureIdle(ctx context.Context, inFleet bool, result *Result) error {
+	before, err := r.usages(inFleet)
 	if err != nil {
 		return err
 	}
 	if err := sleep(ctx, r.config.Idle); err != nil {
 		return err
 	}
-	after, err := r.samples(inFleet)
+	after, err := r.usages(inFleet)
 	if err != nil {
 		return err
 	}
-	rate := func(of func(sample) float64) PerRelay {
-		return perRelay(len(after), func(i int) float64 { return (of(after[i]) - of(before[i])) / r.config.Idle.Seconds() })
+	rate := func(quantity func(relayUsage) float64) PerRelay {
+		return perRelay(len(after), func(i int) float64 { return (quantity(after[i]) - quantity(before[i])) / r.config.Idle.Seconds() })
 	}
-	processor := rate(func(s sample) float64 { return s.processor })
-	resident := perRelay(len(after), func(i int) float64 { return after[i].resident })
+	processor := rate(func(s relayUsage) float64 { return s.cpuSeconds })
+	resident := perRelay(len(after), func(i int) float64 { return after[i].residentBytes })
 	if !inFleet {
-		result.ProcessorWithout, result.ResidentWithout = processor, resident
+		result.CPUShareWithoutFleet, result.ResidentBytesWithoutFleet = processor, resident
 		return nil
 	}
-	result.Processor, result.Resident = processor, resident
-	result.Spread = rate(func(s sample) float64 { return s.spread })
-	result.Configuration = rate(func(s sample) float64 { return s.configuration })
-	result.All = rate(func(s sample) float64 { return s.all })
+	result.CPUShare, result.ResidentBytes = processor, resident
+	result.SpreadBytesPerSecond = rate(func(s relayUsage) float64 { return s.spreadBytes })
+	result.ConfigurationBytesPerSecond = rate(func(s relayUsage) float64 { return s.configurationBytes })
+	result.SentBytesPerSecond = rate(func(s relayUsage) float64 { return s.sentBytes })
 	return nil
 }
 
-func perRelay(count int, of func(i int) float64) PerRelay {
+func perRelay(count int, value func(i int) float64) PerRelay {
 	p := PerRelay{}
 	for i := range count {
-		p.Mean += of(i) / float64(count)
-		p.Busiest = max(p.Busiest, of(i))
+		p.Mean += value(i) / float64(count)
+		p.Busiest = max(p.Busiest, value(i))
 	}
 	return p
 }
 
-// changes makes one change after another, and returns when each relay was seen to have each.
-func (r *run) changes(ctx context.Context, publish func(change int) error, has func(relay, change int) (bool, error)) (seen [][]float64, err error) {
+// measureChanges makes one change after another, and returns when each relay was seen to have each.
+func (r *realFleet) measureChanges(ctx context.Context, publish func(change int) error, has func(relay, change int) (bool, error)) (seen [][]float64, err error) {
 	for change := range r.config.Changes {
-		began := time.Now()
-		waiting := r.await(ctx, began, change, has)
+		publishedAt := time.Now()
+		waitForAll := r.startPolling(ctx, publishedAt, change, has)
 		if err := publish(change); err != nil {
 			return nil, fmt.Errorf("change %d: %w", change, err)
 		}
-		times, err := waiting()
+		times, err := waitForAll()
 		if err != nil {
 			return nil, fmt.Errorf("change %d: %w", change, err)
 		}
 		seen = append(seen, times)
-		if err := sleep(ctx, time.Until(began.Add(r.config.Interval))); err != nil {
+		if err := sleep(ctx, time.Until(publishedAt.Add(r.config.Interval))); err != nil {
 			return nil, err
 		}
 	}
 	return seen, nil
 }
 
-// await begins to ask all relays for a change; what it returns waits until all have it.
-func (r *run) await(ctx context.Context, began time.Time, change int, has func(relay, change int) (bool, error)) func() ([]float64, error) {
+// startPolling begins to ask all relays for a change; what it returns waits until all have it.
+func (r *realFleet) startPolling(ctx context.Context, publishedAt time.Time, change int, has func(relay, change int) (bool, error)) func() ([]float64, error) {
 	times := make([]float64, r.config.Relays)
 	done := make(chan error, r.config.Relays)
 	for relay := range r.config.Relays {
@@ -261,15 +261,15 @@
 			for {
 				ok, err := has(relay, change)
 				if ok {
-					times[relay] = time.Since(began).Seconds()
+					times[relay] = time.Since(publishedAt).Seconds()
 					done <- nil
 					return
 				}
-				if time.Since(began) > giveUpAfter {
-					done <- fmt.Errorf("relay %d has not got it after %v: %w", relay, giveUpAfter, errors.Join(err))
+				if time.Since(publishedAt) > changeTimeout {
+					done <- fmt.Errorf("relay %d has not got it after %v: %w", relay, changeTimeout, errors.Join(err))
 					return
 				}
-				if err := sleep(ctx, pollEvery); err != nil {
+				if err := sleep(ctx, pollInterval); err != nil {
 					done <- err
 					return
 				}
@@ -287,15 +287,15 @@
 
 func endpointName(change int) string { return fmt.Sprintf("%s-%d", partnerName, change) }
 
-func (r *run) controlPoint(change int) int { return change % min(controlPoints, r.config.Relays) }
+func (r *realFleet) controlPoint(change int) int { return change % min(controlPoints, r.config.Relays) }
 
-// ban has operators take an endpoint down at one relay.
-func (r *run) ban(change int) error {
+// banEndpoint has operators take an endpoint down at one relay.
+func (r *realFleet) banEndpoint(change int) error {
 	return r.fleet.Do(&labv1.Event{What: &labv1.Event_Operators{Operators: &labv1.Operators{Relay: fmt.Sprint("r", r.controlPoint(change)),
 		Endpoint: endpointName(change)}}})
 }
 
-func (r *run) hasBan(relay, change int) (bool, error) {
+func (r *realFleet) hasBan(relay, change int) (bool, error) {
 	if relay == r.controlPoint(change) {
 		return true, nil
 	}
@@ -303,33 +303,33 @@
 	return slices.ContainsFunc(list, func(v fleet.Verdict) bool { return v.Kind == "ban" && v.Member == endpointName(change) }), err
 }
 
-// set hands a signed entry to one relay.
-func (r *run) set(change int) error {
-	number := uint64(change + 1)
-	signed := configsync.Change{Source: sourceName, Sequence: number, Revision: number, Key: entryKey(change), Value: []byte("down")}
+// publishEntry hands a signed entry to one relay.
+func (r *realFleet) publishEntry(change int) error {
+	sequence := uint64(change + 1)
+	signed := configsync.Change{Source: sourceName, Sequence: sequence, Revision: sequence, Key: entryKey(change), Value: []byte("down")}
 	configsync.Sign(&signed, r.private)
 	body, err := json.Marshal(fleet.ConfigurationChange{Source: signed.Source, Sequence: signed.Sequence, Revision: signed.Revision, Key: signed.Key,
 		Value: string(signed.Value), Signature: signed.Signature})
 	if err != nil {
 		return err
 	}
-	client := http.Client{Timeout: postWithin}
-	response, err := client.Post("http://"+r.fleet.Ops(r.controlPoint(change))+configPath, "application/json", bytes.NewReader(body))
+	client := http.Client{Timeout: postTimeout}
+	response, err := client.Post("http://"+r.fleet.Ops(r.controlPoint(change))+configurationPath, "application/json", bytes.NewReader(body))
 	if err != nil {
 		return err
 	}
 	defer response.Body.Close()
-	if text, _ := io.ReadAll(response.Body); response.StatusCode != http.StatusOK {
-		return fmt.Errorf("answered %d: %s", response.StatusCode, text)
+	if responseBody, _ := io.ReadAll(response.Body); response.StatusCode != http.StatusOK {
+		return fmt.Errorf("answered %d: %s", response.StatusCode, responseBody)
 	}
 	return nil
 }
 
 func entryKey(change int) string { return "endpoint/" + endpointName(change) }
 
-func (r *run) hasEntry(relay, change int) (bool, error) {
+func (r *realFleet) hasEntry(relay, change int) (bool, error) {
 	var state fleet.ConfigurationState
-	err := r.fleet.Get(relay, configPath, &state)
+	err := r.fleet.Get(relay, configurationPath, &state)
 	return slices.ContainsFunc(state.Entries, func(e fleet.ConfigurationEntry) bool { return e.Key == entryKey(change) && e.Applied }), err
 }
 
--- a/internal/lab/capacity/real/real_test.go
+++ b/internal/lab/capacity/real/real_test.go
@@ -11,10 +11,10 @@
 )
 
 const (
-	// testTolerance is by how much the simulator's idle bytes may be off in the few seconds of a test.
-	testTolerance = 0.35
-	// testInForce is what the operators' plan allows.
-	testInForce = 7.0
+	// maxRelativeError is by how much the simulator's idle bytes may be off in the few seconds of a test.
+	maxRelativeError = 0.35
+	// maxInForceSeconds is what the operators' plan allows.
+	maxInForceSeconds = 7.0
 )
 
 // TestSimulatorAgreesWithRealRelays runs a few relays on loopback, and the simulator at the same size.
@@ -33,18 +33,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for name, pair := range map[string][2]float64{"statements": {result.Spread.Mean, model.IdleSpread.Traffic.Sent.Mean},
-		"configuration": {result.Configuration.Mean, model.IdleConfiguration.Traffic.Sent.Mean}} {
-		if !(math.Abs(pair[1]/pair[0]-1) <= testTolerance) {
+	for name, pair := range map[string][2]float64{"statements": {result.SpreadBytesPerSecond.Mean, model.IdleSpread.Traffic.Sent.Mean},
+		"configuration": {result.ConfigurationBytesPerSecond.Mean, model.IdleConfiguration.Traffic.Sent.Mean}} {
+		if !(math.Abs(pair[1]/pair[0]-1) <= maxRelativeError) {
 			t.Errorf("%s of an idle fleet: measured %.0f, simulated %.0f bytes a second", name, pair[0], pair[1])
 		}
 	}
-	for kind, times := range map[string][][]float64{"ban": result.Bans, "configuration entry": result.Entries} {
+	for kind, times := range map[string][][]float64{"ban": result.BanSeconds, "configuration entry": result.EntrySeconds} {
 		if len(times) != config.Changes {
 			t.Errorf("%d %s changes were made, not %d", len(times), kind, config.Changes)
 		}
-		for _, last := range reached(times, 1) {
-			if last > testInForce {
+		for _, last := range timesToReach(times, 1) {
+			if last > maxInForceSeconds {
 				t.Errorf("a %s came to all after %.2f s", kind, last)
 			}
 		}
--- a/internal/lab/capacity/report.go
+++ b/internal/lab/capacity/report.go
@@ -31,7 +31,7 @@
 	t := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(t, tableHeader)
 	for _, r := range results {
-		fmt.Fprintln(t, row(r, ordinaryOf(results, r)))
+		fmt.Fprintln(t, tableRow(r, ordinaryRun(results, r)))
 	}
 	if err := t.Flush(); err != nil {
 		return err
@@ -42,18 +42,18 @@
 	return writeFits(w, Fits(results))
 }
 
-func row(r, ordinary *Result) string {
+func tableRow(r, ordinary *Result) string {
 	bound := "-"
-	if r.Bound > 0 {
-		bound = fmt.Sprintf("%.2f", r.Bound)
+	if r.BoundSeconds > 0 {
+		bound = fmt.Sprintf("%.2f", r.BoundSeconds)
 	}
-	x, reach := r.Traffic, r.Reach
-	cells := []string{r.Carrier, r.Scenario, strconv.Itoa(r.Relays), strconv.Itoa(reach.Changes), strconv.Itoa(reach.Incomplete), fmt.Sprintf("%.4f", reach.Missing),
+	traffic, reach := r.Traffic, r.Reach
+	cells := []string{r.Carrier, r.Scenario, strconv.Itoa(r.Relays), strconv.Itoa(reach.Changes), strconv.Itoa(reach.Incomplete), fmt.Sprintf("%.4f", reach.MissingShare),
 		reach.ToHalf.cell(), reach.To99.cell(), reach.ToAll.cell(), bound,
-		fmt.Sprintf("%.0f/%.0f/%.0f", x.Sent.Mean, x.Sent.P99, x.Sent.Busiest), fmt.Sprintf("%.0f/%.0f", x.Received.Mean, x.Received.Busiest),
-		fmt.Sprintf("%.2f/%.2f", x.Packets.Mean, x.Packets.Busiest), fmt.Sprintf("%.0f/%.0f", x.Peak1s.Busiest, x.Peak10s.Busiest), peakRatio(r, ordinary),
-		strconv.FormatInt(r.Counts.OverBudget, 10), fmt.Sprintf("%.3f/%.3f", 100*r.Cost.Processor.Mean, 100*r.Cost.Processor.Busiest),
-		fmt.Sprintf("%.0f", r.Cost.HeapPerRelay/1024), strconv.FormatUint(r.Cost.PeakHeap>>20, 10), fmt.Sprintf("%.1f", r.Cost.Wall)}
+		fmt.Sprintf("%.0f/%.0f/%.0f", traffic.Sent.Mean, traffic.Sent.P99, traffic.Sent.Busiest), fmt.Sprintf("%.0f/%.0f", traffic.Received.Mean, traffic.Received.Busiest),
+		fmt.Sprintf("%.2f/%.2f", traffic.Packets.Mean, traffic.Packets.Busiest), fmt.Sprintf("%.0f/%.0f", traffic.Peak1s.Busiest, traffic.Peak10s.Busiest), peakRatio(r, ordinary),
+		strconv.FormatInt(r.Counts.OverBudget, 10), fmt.Sprintf("%.3f/%.3f", 100*r.Cost.CPUShare.Mean, 100*r.Cost.CPUShare.Busiest),
+		fmt.Sprintf("%.0f", r.Cost.HeapBytesPerRelay/1024), strconv.FormatUint(r.Cost.PeakHeapBytes>>20, 10), fmt.Sprintf("%.1f", r.Cost.WallSeconds)}
 	return strings.Join(cells, "\t")
 }
 
@@ -73,8 +73,8 @@
 	return fmt.Sprintf("%.2f/%.2f", r.Traffic.Peak1s.Busiest/ordinary.Traffic.Peak1s.Busiest, r.Traffic.Peak10s.Busiest/ordinary.Traffic.Peak10s.Busiest)
 }
 
-// ordinaryOf is the ordinary run of a result's carrier and size, if there was one.
-func ordinaryOf(results []*Result, r *Result) *Result {
+// ordinaryRun is the ordinary run of a result's carrier and size, if there was one.
+func ordinaryRun(results []*Result, r *Result) *Result {
 	for _, o := range results {
 		if o.Scenario == ordinaryScenario && o.Carrier == r.Carrier && o.Relays == r.Relays {
 			return o
@@ -88,8 +88,8 @@
 		if r.Leases == nil {
 			continue
 		}
-		if _, err := fmt.Fprintf(w, "%s, %d relays: asked every %.2f s, leases of %.2f s, loans of %.2f s\n", r.Scenario, r.Relays, r.Leases.Every, r.Leases.Lease,
-			r.Leases.Loan); err != nil {
+		if _, err := fmt.Fprintf(w, "%s, %d relays: asked every %.2f s, leases of %.2f s, loans of %.2f s\n", r.Scenario, r.Relays, r.Leases.ClaimSeconds, r.Leases.LeaseSeconds,
+			r.Leases.LoanSeconds); err != nil {
 			return err
 		}
 	}
@@ -103,7 +103,7 @@
 	t := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(t, "\nfit over the size N\tcarrier\tfigure\tlaw")
 	for _, f := range fits {
-		fmt.Fprintf(t, "%s\t%s\t%s\t%v\n", f.Scenario, f.Carrier, f.Figure, f)
+		fmt.Fprintf(t, "%s\t%s\t%s\t%v\n", f.Scenario, f.Carrier, f.Quantity, f)
 	}
 	return t.Flush()
 }
--- a/internal/lab/capacity/result.go
+++ b/internal/lab/capacity/result.go
@@ -8,8 +8,8 @@
 	Seed     uint64 `json:"seed"`
 	Reach    Reach  `json:"reach"`
 	// Bound is the time within which the program says that all know a change; 0 where it says nothing.
-	Bound   float64 `json:"bound_s,omitempty"`
-	Traffic Traffic `json:"traffic"`
+	BoundSeconds float64 `json:"bound_s,omitempty"`
+	Traffic      Traffic `json:"traffic"`
 	// Leases are the lengths that relays divide limits by.
 	Leases *Leases `json:"leases,omitempty"`
 	Counts Counts  `json:"counts"`
@@ -19,50 +19,50 @@
 
 // Leases are the lengths by which relays of a fleet of a size divide limits.
 type Leases struct {
-	Every float64 `json:"every_s"`
-	Lease float64 `json:"lease_s"`
-	Loan  float64 `json:"loan_s"`
+	ClaimSeconds float64 `json:"every_s"`
+	LeaseSeconds float64 `json:"lease_s"`
+	LoanSeconds  float64 `json:"loan_s"`
 }
 
 // Cost is what a run took of the machine. It differs from run to run.
 type Cost struct {
 	// Processor is the share of a core that the carrier's code took for a relay, in virtual time.
-	Processor Distribution `json:"processor_share"`
+	CPUShare Distribution `json:"processor_share"`
 	// HeapPerRelay is what a relay's process holds in the end, in bytes.
-	HeapPerRelay float64 `json:"heap_bytes_per_relay"`
+	HeapBytesPerRelay float64 `json:"heap_bytes_per_relay"`
 	// PeakHeap is the highest of the whole process while this run went on, and of others beside it.
-	PeakHeap uint64  `json:"peak_heap_bytes"`
-	Wall     float64 `json:"wall_s"`
+	PeakHeapBytes uint64  `json:"peak_heap_bytes"`
+	WallSeconds   float64 `json:"wall_s"`
 	// ThreadProcessor is the processor time of the run's thread, and Code the share of it that went to the carrier's code;
 	// the rest is the event loop.
-	ThreadProcessor float64 `json:"thread_processor_s"`
-	Code            float64 `json:"code_share"`
+	ThreadCPUSeconds float64 `json:"thread_processor_s"`
+	CodeShare        float64 `json:"code_share"`
 }
 
 // result sums up a run that is over.
 func (f *fleet) result(carrier string, seed uint64) *Result {
-	r := &Result{Scenario: f.scenario.Name, Carrier: carrier, Relays: len(f.relays), Seed: seed, Bound: f.carrier.Bound().Seconds(), Events: f.events}
-	r.Reach = f.arrivals.reach(f.live)
-	r.Traffic = f.meter.traffic(f.live)
+	r := &Result{Scenario: f.scenario.Name, Carrier: carrier, Relays: len(f.relays), Seed: seed, BoundSeconds: f.carrier.Bound().Seconds(), Events: f.events}
+	r.Reach = f.arrivals.summarize(f.isLive)
+	r.Traffic = f.meter.traffic(f.isLive)
 	for _, x := range f.relays {
 		if x.node != nil {
-			x.node.Counts(&r.Counts)
+			x.node.AddCounts(&r.Counts)
 		}
 	}
 	if c, ok := f.carrier.(*limitsCarrier); ok {
 		config := c.Config()
-		r.Leases = &Leases{Every: config.HeartbeatInterval.Seconds(), Lease: config.LeaseDuration.Seconds(), Loan: config.LoanDuration.Seconds()}
+		r.Leases = &Leases{ClaimSeconds: config.HeartbeatInterval.Seconds(), LeaseSeconds: config.LeaseDuration.Seconds(), LoanSeconds: config.LoanDuration.Seconds()}
 	}
 	return r
 }
 
-// processor is the share of a core that relays took during the measured time: what the run's thread used in the calls of the
+// cpuShares is the share of a core that relays took during the measured time: what the run's thread used in the calls of the
 // carrier's code. The collector's own threads are not in it, nor what a real relay takes for sockets, seals and timers.
-func (f *fleet) processor() Distribution {
+func (f *fleet) cpuShares() Distribution {
 	var list []float64
 	for i, r := range f.relays {
-		if f.live(i) {
-			list = append(list, float64(r.used)/float64(f.scenario.Length))
+		if f.isLive(i) {
+			list = append(list, float64(r.cpuTime)/float64(f.scenario.Length))
 		}
 	}
 	return distributionOf(list)
--- a/internal/lab/capacity/run.go
+++ b/internal/lab/capacity/run.go
@@ -14,8 +14,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// progressEvery is how often progress is reported.
-const progressEvery = 2 * time.Second
+// progressInterval is how often progress is reported.
+const progressInterval = 2 * time.Second
 
 // Job is one run.
 type Job struct {
@@ -33,7 +33,7 @@
 // Jobs are all runs of scenarios with those carriers that suit them, at some sizes: those given, or the scenario's own.
 func Jobs(scenarios []*Scenario, carrierNames []string, sizes []int, seed uint64) (jobs []Job, err error) {
 	for _, name := range carrierNames {
-		if _, err := carrierNamed(name); err != nil {
+		if _, err := findCarrier(name); err != nil {
 			return nil, err
 		}
 	}
@@ -43,17 +43,17 @@
 		}
 	}
 	for _, s := range scenarios {
-		own := sizes
-		if len(own) == 0 {
+		runSizes := sizes
+		if len(runSizes) == 0 {
 			for _, n := range s.Relays {
-				own = append(own, int(n))
+				runSizes = append(runSizes, int(n))
 			}
 		}
 		for _, name := range carrierNames {
-			if c, _ := carrierNamed(name); !s.fits(c) {
+			if c, _ := findCarrier(name); !s.supportsCarrier(c) {
 				continue
 			}
-			for _, n := range own {
+			for _, n := range runSizes {
 				jobs = append(jobs, Job{Scenario: s, Carrier: name, Relays: n, Seed: seed})
 			}
 		}
@@ -66,15 +66,15 @@
 
 // Pool plays runs side by side.
 type Pool struct {
-	workers int
-	note    func(string)
+	workers        int
+	reportProgress func(string)
 	// exclusive is held, by a run that measures its heap, against all others.
-	exclusive sync.RWMutex
+	heapLock sync.RWMutex
 }
 
 // NewPool returns one for so many runs at a time. Progress is reported to note from several goroutines.
-func NewPool(workers int, note func(string)) *Pool {
-	return &Pool{workers: max(workers, 1), note: note}
+func NewPool(workers int, reportProgress func(string)) *Pool {
+	return &Pool{workers: max(workers, 1), reportProgress: reportProgress}
 }
 
 // Run plays runs, the largest first, and hands each result over as it comes, one at a time.
@@ -88,7 +88,7 @@
 	for range p.workers {
 		group.Go(func() {
 			for job := range next {
-				r, err := p.Play(ctx, job)
+				r, err := p.RunJob(ctx, job)
 				mu.Lock()
 				if err != nil {
 					errs = append(errs, fmt.Errorf("%v: %w", job, err))
@@ -113,17 +113,17 @@
 	return errors.Join(errs...)
 }
 
-// Play plays one run, on a thread of its own.
-func (p *Pool) Play(ctx context.Context, job Job) (*Result, error) {
+// RunJob plays one run, on a thread of its own.
+func (p *Pool) RunJob(ctx context.Context, job Job) (*Result, error) {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
-	began := time.Now()
-	carrier, err := carrierNamed(job.Carrier)
+	started := time.Now()
+	carrier, err := findCarrier(job.Carrier)
 	if err != nil {
 		return nil, err
 	}
-	p.exclusive.RLock()
-	defer p.exclusive.RUnlock()
+	p.heapLock.RLock()
+	defer p.heapLock.RUnlock()
 	f, err := newFleet(ctx, job.Scenario.forSize(job.Relays), carrier, job.Relays, job.Seed)
 	if err != nil {
 		return nil, err
@@ -131,75 +131,75 @@
 	var peak atomic.Uint64
 	stop := watchHeap(&peak)
 	defer stop()
-	cpuBegan := threadProcessor()
+	cpuBefore := threadCPUTime()
 	reported := time.Now()
-	err = f.run(p.yield, func(done, whole time.Duration) {
-		if time.Since(reported) >= progressEvery {
+	err = f.run(p.awaitHeapMeasurement, func(elapsed, total time.Duration) {
+		if time.Since(reported) >= progressInterval {
 			reported = time.Now()
-			p.note(fmt.Sprintf("%v: %.1f of %.1f s", job, done.Seconds(), whole.Seconds()))
+			p.reportProgress(fmt.Sprintf("%v: %.1f of %.1f s", job, elapsed.Seconds(), total.Seconds()))
 		}
 	})
 	if err != nil {
 		return nil, err
 	}
-	thread, wall := threadProcessor()-cpuBegan, time.Since(began)
+	threadTime, wallTime := threadCPUTime()-cpuBefore, time.Since(started)
 	r := f.result(job.Carrier, job.Seed)
-	r.Cost = Cost{Processor: f.processor(), Wall: wall.Seconds(), ThreadProcessor: thread.Seconds(), Code: float64(f.used) / float64(max(thread, 1))}
-	r.Cost.HeapPerRelay = p.heapOf(&f) / float64(job.Relays)
-	r.Cost.PeakHeap = peak.Load()
-	p.note(fmt.Sprintf("%v: over in %.1f s", job, time.Since(began).Seconds()))
+	r.Cost = Cost{CPUShare: f.cpuShares(), WallSeconds: wallTime.Seconds(), ThreadCPUSeconds: threadTime.Seconds(), CodeShare: float64(f.cpuTime) / float64(max(threadTime, 1))}
+	r.Cost.HeapBytesPerRelay = p.measureHeap(&f) / float64(job.Relays)
+	r.Cost.PeakHeapBytes = peak.Load()
+	p.reportProgress(fmt.Sprintf("%v: over in %.1f s", job, time.Since(started).Seconds()))
 	return r, nil
 }
 
-// yield lets a run that measures its heap go first.
-func (p *Pool) yield() {
-	p.exclusive.RUnlock()
-	p.exclusive.RLock()
+// awaitHeapMeasurement lets a run that measures its heap go first.
+func (p *Pool) awaitHeapMeasurement() {
+	p.heapLock.RUnlock()
+	p.heapLock.RLock()
 }
 
-// heapOf is what a fleet holds: the heap with it, less the heap without it, while no other run goes on. The fleet is gone then.
-func (p *Pool) heapOf(f **fleet) float64 {
-	p.exclusive.RUnlock()
-	p.exclusive.Lock()
-	with := heapNow()
+// measureHeap is what a fleet holds: the heap with it, less the heap without it, while no other run goes on. The fleet is gone then.
+func (p *Pool) measureHeap(f **fleet) float64 {
+	p.heapLock.RUnlock()
+	p.heapLock.Lock()
+	with := heapAfterGC()
 	runtime.KeepAlive(*f)
 	*f = nil
-	without := heapNow()
-	p.exclusive.Unlock()
-	p.exclusive.RLock()
+	without := heapAfterGC()
+	p.heapLock.Unlock()
+	p.heapLock.RLock()
 	return max(float64(with)-float64(without), 0)
 }
 
-func heapNow() uint64 {
+func heapAfterGC() uint64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	return m.HeapAlloc
 }
 
-// heapLookEvery is how often the heap is looked at for its peak.
-const heapLookEvery = 100 * time.Millisecond
+// heapSampleInterval is how often the heap is looked at for its peak.
+const heapSampleInterval = 100 * time.Millisecond
 
 // watchHeap keeps the peak of the heap until it is stopped.
 func watchHeap(peak *atomic.Uint64) (stop func()) {
-	over := make(chan struct{})
+	stopped := make(chan struct{})
 	go func() {
-		tick := time.NewTicker(heapLookEvery)
+		tick := time.NewTicker(heapSampleInterval)
 		defer tick.Stop()
 		for {
 			select {
-			case <-over:
+			case <-stopped:
 				return
 			case <-tick.C:
 				peak.Store(max(peak.Load(), heapInUse()))
 			}
 		}
 	}()
-	return func() { close(over) }
+	return func() { close(stopped) }
 }
 
-// threadProcessor is the processor time that this thread has had.
-func threadProcessor() time.Duration {
+// threadCPUTime is the processor time that this thread has had.
+func threadCPUTime() time.Duration {
 	var ts unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_THREAD_CPUTIME_ID, &ts) != nil {
 		return 0
--- a/internal/lab/capacity/scenario.go
+++ b/internal/lab/capacity/scenario.go
@@ -24,10 +24,10 @@
 
 // Bounds of scenarios.
 const (
-	maxLength       = 3600.0
-	maxChanges      = 100_000
-	maxDestinations = 10_000_000
-	maxValueBytes   = 1 << 10
+	maxLengthSeconds = 3600.0
+	maxChanges       = 100_000
+	maxDestinations  = 10_000_000
+	maxValueBytes    = 1 << 10
 )
 
 // Defaults of scenarios.
@@ -132,10 +132,10 @@
 		s.WarmUp = defaultWarmUp
 	}
 	c := &checker{scenario: s}
-	c.whole()
-	c.topology()
-	c.workloads()
-	c.faults()
+	c.checkGeneral()
+	c.checkTopology()
+	c.checkWorkloads()
+	c.checkFaults()
 	if c.errs != nil {
 		return nil, errors.Join(c.errs...)
 	}
@@ -160,8 +160,8 @@
 	if relays < 1 {
 		return fmt.Errorf("%d relays are no fleet", relays)
 	}
-	if need := EstimateMemory(relays); need > maxMemoryBytes {
-		return fmt.Errorf("%d relays take about %.1f GB, more than %d GB", relays, float64(need)/(1<<30), maxMemoryBytes>>30)
+	if neededBytes := EstimateMemory(relays); neededBytes > maxMemoryBytes {
+		return fmt.Errorf("%d relays take about %.1f GB, more than %d GB", relays, float64(neededBytes)/(1<<30), maxMemoryBytes>>30)
 	}
 	return nil
 }
@@ -178,8 +178,8 @@
 	return idle
 }
 
-// fits says whether a carrier can be given the scenario.
-func (s *Scenario) fits(c carrierDefinition) bool {
+// supportsCarrier says whether a carrier can be given the scenario.
+func (s *Scenario) supportsCarrier(c carrierDefinition) bool {
 	if s.workload() == idle {
 		return c.workload == configurationChanges
 	}
@@ -197,102 +197,102 @@
 	errs     []error
 }
 
-func (c *checker) no(field, format string, args ...any) {
+func (c *checker) reject(field, format string, args ...any) {
 	s := c.scenario
 	c.errs = append(c.errs, &FieldError{File: s.file, Line: lineOf(s.text, field), Field: field, Text: fmt.Sprintf(format, args...)})
 }
 
-func (c *checker) within(field string, x, least, most float64) {
-	if !(x >= least && x <= most) {
-		c.no(field, "%v is not within %v to %v", x, least, most)
+func (c *checker) requireRange(field string, value, minimum, maximum float64) {
+	if !(value >= minimum && value <= maximum) {
+		c.reject(field, "%v is not within %v to %v", value, minimum, maximum)
 	}
 }
 
-func (c *checker) whole() {
+func (c *checker) checkGeneral() {
 	s := c.scenario
 	if s.Name == "" {
-		c.no("name", "it is missing")
+		c.reject("name", "it is missing")
 	}
 	for _, n := range s.Relays {
 		if err := CheckSize(int(n)); err != nil {
-			c.no("relays", "%v", err)
+			c.reject("relays", "%v", err)
 		}
 	}
-	if !(s.LengthS > 0) || s.LengthS > maxLength {
-		c.no("length_s", "%v is not above 0, up to %v", s.LengthS, maxLength)
+	if !(s.LengthS > 0) || s.LengthS > maxLengthSeconds {
+		c.reject("length_s", "%v is not above 0, up to %v", s.LengthS, maxLengthSeconds)
 	}
-	c.within("warm_up_s", s.WarmUpS, 0, maxLength)
+	c.requireRange("warm_up_s", s.WarmUpS, 0, maxLengthSeconds)
 }
 
-func (c *checker) topology() {
+func (c *checker) checkTopology() {
 	t := c.scenario.Topology
-	c.within("topology.regions", float64(t.Regions), 1, 1000)
-	c.within("topology.zones", float64(t.Zones), float64(max(t.Regions, 1)), 10_000)
-	c.within("topology.loss", t.Loss, 0, 0.9)
+	c.requireRange("topology.regions", float64(t.Regions), 1, 1000)
+	c.requireRange("topology.zones", float64(t.Zones), float64(max(t.Regions, 1)), 10_000)
+	c.requireRange("topology.loss", t.Loss, 0, 0.9)
 	for _, r := range []struct {
 		field string
 		delay DelayRange
 	}{{"in_zone", t.InZone}, {"in_region", t.InRegion}, {"between_regions", t.BetweenRegions}} {
 		if r.delay.Min < 0 || r.delay.Max < r.delay.Min || r.delay.Max > time.Minute {
-			c.no("topology."+r.field, "from %v to %v is no range of delays", r.delay.Min, r.delay.Max)
+			c.reject("topology."+r.field, "from %v to %v is no range of delays", r.delay.Min, r.delay.Max)
 		}
 	}
 }
 
-func (c *checker) workloads() {
+func (c *checker) checkWorkloads() {
 	s := c.scenario
-	given := 0
+	workloads := 0
 	for _, set := range []bool{s.Changes != nil, s.Limits != nil, s.Outages != nil} {
 		if set {
-			given++
+			workloads++
 		}
 	}
-	if given > 1 {
-		c.no("name", "changes, limits and outages exclude each other")
+	if workloads > 1 {
+		c.reject("name", "changes, limits and outages exclude each other")
 	}
 	if m := s.Changes; m != nil {
-		c.within("changes.count", float64(m.Count), 1, maxChanges)
-		c.within("changes.at_s", m.AtS, 0, s.LengthS)
-		c.within("changes.every_s", m.EveryS, 0, maxLength)
-		c.within("changes.control_points", float64(m.ControlPoints), 0, 1000)
-		c.within("changes.standing", float64(m.Standing), 0, maxChanges)
-		c.within("changes.value_bytes", float64(m.ValueBytes), 0, maxValueBytes)
+		c.requireRange("changes.count", float64(m.Count), 1, maxChanges)
+		c.requireRange("changes.at_s", m.AtS, 0, s.LengthS)
+		c.requireRange("changes.every_s", m.EveryS, 0, maxLengthSeconds)
+		c.requireRange("changes.control_points", float64(m.ControlPoints), 0, 1000)
+		c.requireRange("changes.standing", float64(m.Standing), 0, maxChanges)
+		c.requireRange("changes.value_bytes", float64(m.ValueBytes), 0, maxValueBytes)
 		if last := m.AtS + m.EveryS*float64(m.Count-1); m.Count > 0 && last > s.LengthS {
-			c.no("changes.count", "the last change comes at %.1f s, after the end", last)
+			c.reject("changes.count", "the last change comes at %.1f s, after the end", last)
 		}
 	}
 	if m := s.Limits; m != nil {
-		c.within("limits.destinations", float64(m.Destinations), 1, 4096)
-		c.within("limits.limit_per_relay", m.LimitPerRelay, 0, 1e6)
-		c.within("limits.wanted_per_relay", m.WantedPerRelay, 0, 1e6)
-		c.within("limits.step_ms", m.StepMs, 0, 1000)
+		c.requireRange("limits.destinations", float64(m.Destinations), 1, 4096)
+		c.requireRange("limits.limit_per_relay", m.LimitPerRelay, 0, 1e6)
+		c.requireRange("limits.wanted_per_relay", m.WantedPerRelay, 0, 1e6)
+		c.requireRange("limits.step_ms", m.StepMs, 0, 1000)
 	}
 	if m := s.Outages; m != nil {
-		c.within("outages.destinations", float64(m.Destinations), 1, maxDestinations)
-		c.within("outages.down_share", m.DownShare, 0, 1)
-		c.within("outages.repeat_s", m.RepeatS, 0.1, maxLength)
-		c.within("outages.origins", float64(m.Origins), 1, 100)
+		c.requireRange("outages.destinations", float64(m.Destinations), 1, maxDestinations)
+		c.requireRange("outages.down_share", m.DownShare, 0, 1)
+		c.requireRange("outages.repeat_s", m.RepeatS, 0.1, maxLengthSeconds)
+		c.requireRange("outages.origins", float64(m.Origins), 1, 100)
 	}
 }
 
-func (c *checker) faults() {
+func (c *checker) checkFaults() {
 	s := c.scenario
 	if m := s.Restarts; m != nil {
-		c.within("restarts.share", m.Share, 0, 1)
-		c.within("restarts.from_s", m.FromS, 0, s.LengthS)
-		c.within("restarts.within_s", m.WithinS, 0, s.LengthS-m.FromS)
-		c.within("restarts.down_s", m.DownS, 0.001, maxLength)
+		c.requireRange("restarts.share", m.Share, 0, 1)
+		c.requireRange("restarts.from_s", m.FromS, 0, s.LengthS)
+		c.requireRange("restarts.within_s", m.WithinS, 0, s.LengthS-m.FromS)
+		c.requireRange("restarts.down_s", m.DownS, 0.001, maxLengthSeconds)
 	}
 	if m := s.ZoneLoss; m != nil {
-		c.within("zone_loss.at_s", m.AtS, 0, s.LengthS)
-		c.within("zone_loss.zone", float64(m.Zone), 0, float64(s.Topology.Zones-1))
-		c.within("zone_loss.learned_after_s", m.LearnedAfterS, 0, maxLength)
+		c.requireRange("zone_loss.at_s", m.AtS, 0, s.LengthS)
+		c.requireRange("zone_loss.zone", float64(m.Zone), 0, float64(s.Topology.Zones-1))
+		c.requireRange("zone_loss.learned_after_s", m.LearnedAfterS, 0, maxLengthSeconds)
 	}
 	if m := s.Reunion; m != nil {
-		c.within("reunion.at_s", m.AtS, 0, s.LengthS)
-		c.within("reunion.changes", float64(m.Changes), 0, maxChanges)
+		c.requireRange("reunion.at_s", m.AtS, 0, s.LengthS)
+		c.requireRange("reunion.changes", float64(m.Changes), 0, maxChanges)
 		if s.Topology.Regions < 2 {
-			c.no("reunion", "one region cannot be apart from another")
+			c.reject("reunion", "one region cannot be apart from another")
 		}
 	}
 }
@@ -301,12 +301,12 @@
 func lineOf(text, field string) int {
 	line, rest := 1, text
 	for _, name := range strings.Split(field, ".") {
-		at := regexp.MustCompile(`(?m)^[^#\n]*?\b` + regexp.QuoteMeta(name) + `\s*[:{]`).FindStringIndex(rest)
-		if at == nil {
+		match := regexp.MustCompile(`(?m)^[^#\n]*?\b` + regexp.QuoteMeta(name) + `\s*[:{]`).FindStringIndex(rest)
+		if match == nil {
 			return line
 		}
-		line += strings.Count(rest[:at[1]], "\n")
-		rest = rest[at[1]:]
+		line += strings.Count(rest[:match[1]], "\n")
+		rest = rest[match[1]:]
 	}
 	return line
 }
@@ -318,7 +318,7 @@
 	return time.Duration(s * float64(time.Second))
 }
 
-func millis(ms float64) time.Duration { return seconds(ms / 1000) }
+func millis(milliseconds float64) time.Duration { return seconds(milliseconds / 1000) }
 
 // Override returns the scenario with another length, and other numbers of changes and of destinations; 0 leaves them. More changes come
 // in the same time.
--- a/internal/lab/capacity/spread.go
+++ b/internal/lab/capacity/spread.go
@@ -12,20 +12,20 @@
 
 // What the program's settings say unless told otherwise, and what internal/fleet drives its parts with.
 const (
-	spreadExchange      = time.Second
-	spreadBytesPerS     = 4096
-	spreadPacketBytes   = 1200 + wire.Sealing
-	spreadAgree         = 2
-	spreadSweepInterval = 200 * time.Millisecond // the program looks each 100 ms
-	schedulingDelay     = 5 * time.Millisecond   // of a relay's own, that bounds allow for
+	spreadExchangeInterval = time.Second
+	spreadBytesPerSecond   = 4096
+	spreadPacketBytes      = 1200 + wire.Sealing
+	spreadQuorum           = 2
+	spreadSweepInterval    = 200 * time.Millisecond // the program looks each 100 ms
+	schedulingDelay        = 5 * time.Millisecond   // of a relay's own, that bounds allow for
 )
 
 // spreadCarrier carries changes as the program does today: a change is a ban that operators set at one relay.
 type spreadCarrier struct {
-	environment *Environment
-	announcers  []*verdicts.Announcer      // of the present processes, by relay
-	seeded      map[int]verdicts.Statement // by change
-	followed    map[int]int                // changes, by the destinations whose outages are followed
+	environment    *Environment
+	announcers     []*verdicts.Announcer      // of the present processes, by relay
+	seeded         map[int]verdicts.Statement // by change
+	trackedOutages map[int]int                // changes, by the destinations whose outages are followed
 }
 
 func newSpreadCarrier(e *Environment) (Carrier, error) {
@@ -35,7 +35,7 @@
 // Bound is that of internal/spread.
 func (c *spreadCarrier) Bound() time.Duration {
 	t := c.environment.Scenario.Topology
-	return spread.Bound(c.environment.Relays, t.MaxDelay()+schedulingDelay, t.Loss, spreadExchange)
+	return spread.Bound(c.environment.Relays, t.MaxDelay()+schedulingDelay, t.Loss, spreadExchangeInterval)
 }
 
 // Start begins a process. Of the one before it keeps what the program keeps: the bans that were set at this relay.
@@ -44,71 +44,71 @@
 }
 
 func (c *spreadCarrier) start(relay int, incarnation uint64, predecessor Node) (*spreadNode, error) {
-	n := &spreadNode{carrier: c, environment: c.environment, relay: relay, sizes: map[uint64]int{}}
+	n := &spreadNode{carrier: c, environment: c.environment, relay: relay, packetBytes: map[uint64]int{}}
 	n.store = verdicts.NewStore()
-	n.judge = verdicts.NewJudge(relayName(relay), spreadAgree, n.store)
+	n.judge = verdicts.NewJudge(relayName(relay), spreadQuorum, n.store)
 	n.announcer = verdicts.NewAnnouncer(relayName(relay), incarnation)
 	c.announcers[relay] = n.announcer
-	if before, ok := predecessor.(*spreadNode); ok {
-		n.bans = before.bans
+	if previous, ok := predecessor.(*spreadNode); ok {
+		n.bans = previous.bans
 		n.renewedAt = -verdicts.Ban.Life() / 3 // they are announced again at once
-		n.counted = before.counted
-		n.counted.OverBudget += before.spread.Counters().Short
+		n.earlierCounts = previous.earlierCounts
+		n.earlierCounts.OverBudget += previous.spread.Counters().Short
 	}
-	config := spread.Config{Self: relayName(relay), Exchange: spreadExchange, Bytes: spreadBytesPerS, Size: n.size, Packet: spreadPacketBytes,
+	config := spread.Config{Self: relayName(relay), Exchange: spreadExchangeInterval, Bytes: spreadBytesPerSecond, Size: n.packetSize, Packet: spreadPacketBytes,
 		Seed: c.environment.Seed ^ uint64(relay)<<20 ^ incarnation<<52}
 	var err error
 	n.spread, err = spread.New(config, 0, n.store, incarnation)
 	return n, err
 }
 
-// learned notes that a statement came to a relay.
-func (c *spreadCarrier) learned(relay int, s verdicts.Statement) {
+// recordStatement notes that a statement came to a relay.
+func (c *spreadCarrier) recordStatement(relay int, s verdicts.Statement) {
 	if s.Kind == verdicts.Ban {
-		c.environment.Learned(relay, s.Destination)
-	} else if change, ok := c.followed[s.Destination]; ok {
-		c.environment.Learned(relay, change)
+		c.environment.OnLearned(relay, s.Destination)
+	} else if change, ok := c.trackedOutages[s.Destination]; ok {
+		c.environment.OnLearned(relay, change)
 	}
 }
 
 // spreadNode drives the program's parts as internal/fleet does.
 type spreadNode struct {
-	carrier     *spreadCarrier
-	environment *Environment
-	relay       int
-	store       *verdicts.Store
-	judge       *verdicts.Judge
-	announcer   *verdicts.Announcer
-	spread      *spread.Spread
-	view        *View
-	bans        []int // changes that were made here
-	renewedAt   time.Duration
-	sweptAt     time.Duration
-	counted     Counts
-	sizes       map[uint64]int // of packets that were made in the present call, by their counts
-}
-
-// size notes what it is asked for, so that no packet is measured once more.
-func (n *spreadNode) size(p *spread.Packet) int {
+	carrier       *spreadCarrier
+	environment   *Environment
+	relay         int
+	store         *verdicts.Store
+	judge         *verdicts.Judge
+	announcer     *verdicts.Announcer
+	spread        *spread.Spread
+	view          *View
+	bans          []int // changes that were made here
+	renewedAt     time.Duration
+	sweptAt       time.Duration
+	earlierCounts Counts
+	packetBytes   map[uint64]int // of packets that were made in the present call, by their counts
+}
+
+// packetSize notes what it is asked for, so that no packet is measured once more.
+func (n *spreadNode) packetSize(p *spread.Packet) int {
 	bytes := wire.Size(p)
-	n.sizes[p.Count] = bytes
+	n.packetBytes[p.Count] = bytes
 	return bytes
 }
 
-func (n *spreadNode) messages(list []spread.Send) (messages []Message) {
-	for i := range list {
-		p := &list[i].Packet
-		messages = append(messages, Message{To: n.environment.relay(list[i].To), Bytes: n.sizes[p.Count], Body: p})
+func (n *spreadNode) toMessages(sends []spread.Send) (messages []Message) {
+	for i := range sends {
+		p := &sends[i].Packet
+		messages = append(messages, Message{To: n.environment.relayIndex(sends[i].To), Bytes: n.packetBytes[p.Count], Body: p})
 	}
-	clear(n.sizes)
+	clear(n.packetBytes)
 	return messages
 }
 
-// Members takes over who lives; what the dead said ends.
-func (n *spreadNode) Members(now time.Duration, view *View) []Message {
+// SetMembers takes over who lives; what the dead said ends.
+func (n *spreadNode) SetMembers(now time.Duration, view *View) []Message {
 	if n.view != nil {
-		for i, had := range n.view.Has {
-			if had && !view.Has[i] {
+		for i, had := range n.view.IsMember {
+			if had && !view.IsMember[i] {
 				n.judge.Forget(relayName(i))
 				n.judge.Expired(now, n.store.Forget(relayName(i)))
 			}
@@ -129,8 +129,8 @@
 	if !n.store.Merge(now, s) {
 		return nil, fmt.Errorf("change %d was not taken at its own relay", change)
 	}
-	n.environment.Learned(n.relay, change)
-	return n.messages(n.spread.Announce(now, []verdicts.Statement{s})), nil
+	n.environment.OnLearned(n.relay, change)
+	return n.toMessages(n.spread.Announce(now, []verdicts.Statement{s})), nil
 }
 
 // newBan words a change, as verdicts.Announcer.RenewBans renews it.
@@ -156,17 +156,17 @@
 
 // Receive takes a packet in.
 func (n *spreadNode) Receive(now time.Duration, _ int, body any) []Message {
-	news, own, out := n.spread.Receive(now, *body.(*spread.Packet))
-	for _, s := range own {
+	news, ownStatements, sends := n.spread.Receive(now, *body.(*spread.Packet))
+	for _, s := range ownStatements {
 		if n.announcer.Supersede(s.Version) {
 			n.spread.SetIncarnation(n.announcer.Incarnation())
 		}
 	}
 	for _, s := range news {
 		n.judge.Receive(now, s)
-		n.carrier.learned(n.relay, s)
+		n.carrier.recordStatement(n.relay, s)
 	}
-	return n.messages(out)
+	return n.toMessages(sends)
 }
 
 // Tick drops what has expired, renews bans, and compares stores.
@@ -176,7 +176,7 @@
 		n.judge.Expired(now, n.store.Sweep(now))
 	}
 	list := n.renewBans(now)
-	return n.messages(append(list, n.spread.Tick(now)...))
+	return n.toMessages(append(list, n.spread.Tick(now)...))
 }
 
 // renewBans announces all bans of this relay again, every third of their life.
@@ -197,9 +197,9 @@
 // Due is when the program's parts want to be called.
 func (n *spreadNode) Due() time.Duration { return n.spread.Due() }
 
-// Counts adds what internal/spread counted.
-func (n *spreadNode) Counts(to *Counts) {
+// AddCounts adds what internal/spread counted.
+func (n *spreadNode) AddCounts(to *Counts) {
 	c := n.spread.Counters()
-	to.OverBudget += n.counted.OverBudget + c.Short
+	to.OverBudget += n.earlierCounts.OverBudget + c.Short
 	to.Errors += c.Strangers
 }
--- a/internal/lab/capacity/topology.go
+++ b/internal/lab/capacity/topology.go
@@ -10,16 +10,16 @@
 
 // The topology that a scenario gets for what it leaves out: the operators' plan.
 const (
-	defaultRegions       = 7
-	defaultZones         = 17
-	defaultLoss          = 0.01
-	defaultInZoneMin     = 200 * time.Microsecond
-	defaultInZoneMax     = time.Millisecond
-	defaultInRegionMin   = 500 * time.Microsecond
-	defaultInRegionMax   = 2 * time.Millisecond
-	defaultBetweenMin    = 20 * time.Millisecond
-	defaultBetweenMax    = 120 * time.Millisecond
-	betweenRegionsJitter = 0.1 // of the range between regions, added to a pair's own delay
+	defaultRegions            = 7
+	defaultZones              = 17
+	defaultLoss               = 0.01
+	defaultInZoneMin          = 200 * time.Microsecond
+	defaultInZoneMax          = time.Millisecond
+	defaultInRegionMin        = 500 * time.Microsecond
+	defaultInRegionMax        = 2 * time.Millisecond
+	defaultBetweenMin         = 20 * time.Millisecond
+	defaultBetweenMax         = 120 * time.Millisecond
+	betweenRegionsJitterShare = 0.1 // of the range between regions, added to a pair's own delay
 )
 
 // DelayRange is a one-way delay, evenly drawn.
@@ -87,21 +87,21 @@
 
 // links draws what becomes of packets.
 type links struct {
-	topology Topology
-	rng      *rand.Rand
-	between  [][]time.Duration // the least delay of each pair of regions
+	topology  Topology
+	rng       *rand.Rand
+	minDelays [][]time.Duration // the least delay of each pair of regions
 }
 
 func newLinks(t Topology, rng *rand.Rand) *links {
-	l := &links{topology: t, rng: rng, between: make([][]time.Duration, t.Regions)}
-	for a := range l.between {
-		l.between[a] = make([]time.Duration, t.Regions)
+	l := &links{topology: t, rng: rng, minDelays: make([][]time.Duration, t.Regions)}
+	for a := range l.minDelays {
+		l.minDelays[a] = make([]time.Duration, t.Regions)
 	}
-	fixed := DelayRange{t.BetweenRegions.Min, t.BetweenRegions.Max - l.jitter()}
+	baseDelay := DelayRange{t.BetweenRegions.Min, t.BetweenRegions.Max - l.jitter()}
 	for a := range t.Regions {
 		for b := range a {
-			delay := fixed.draw(rng)
-			l.between[a][b], l.between[b][a] = delay, delay
+			delay := baseDelay.draw(rng)
+			l.minDelays[a][b], l.minDelays[b][a] = delay, delay
 		}
 	}
 	return l
@@ -109,11 +109,11 @@
 
 func (l *links) jitter() time.Duration {
 	r := l.topology.BetweenRegions
-	return time.Duration(betweenRegionsJitter * float64(r.Max-r.Min))
+	return time.Duration(betweenRegionsJitterShare * float64(r.Max-r.Min))
 }
 
-// pass draws whether a packet arrives, and after how long.
-func (l *links) pass(from, to int) (delay time.Duration, arrives bool) {
+// transmit draws whether a packet arrives, and after how long.
+func (l *links) transmit(from, to int) (delay time.Duration, arrives bool) {
 	t := l.topology
 	lost := l.rng.Float64() < t.Loss
 	fromRegion, toRegion := t.Region(from), t.Region(to)
@@ -123,7 +123,7 @@
 	case fromRegion == toRegion:
 		delay = t.InRegion.draw(l.rng)
 	default:
-		delay = l.between[fromRegion][toRegion] + time.Duration(l.rng.Float64()*float64(l.jitter()))
+		delay = l.minDelays[fromRegion][toRegion] + time.Duration(l.rng.Float64()*float64(l.jitter()))
 	}
 	return delay, !lost
 }
