--- a/example/capacity/scenarios.go
+++ b/example/capacity/scenarios.go
@@ -1,9 +1,9 @@
-// Package capacity holds the scenarios of `slatelab capacity`, as files and built into the laboratory.
+// Package capacity embeds the scenario files of `slatelab capacity`.
 package capacity
 
 import "embed"
 
-// Files are the scenarios in protobuf text format.
+// Files holds the scenarios in protobuf text format.
 //
 //go:embed *.textproto
 var Files embed.FS
--- a/internal/lab/capacity/arrivals.go
+++ b/internal/lab/capacity/arrivals.go
@@ -7,24 +7,25 @@
 	"slatemux/internal/lab/emulator"
 )
 
-// Marks of a relay that has no time of arrival for a change.
+// Values of a delay when a relay has no arrival time for a change.
 const (
 	notArrived   = time.Duration(-1)
-	alreadyKnown = time.Duration(-2) // it had the change before it was published to the rest
+	alreadyKnown = time.Duration(-2) // the relay had the change before the change was published to the other relays
 )
 
-// changeArrivals follows one change.
+// changeArrivals records when one change arrived at each relay.
 type changeArrivals struct {
 	published emulator.Time
-	delays    []time.Duration // by relay: from when it was published, or from the start of the relay's process if that was later
+	// delays are indexed by relay. A delay starts at the publication, or at the start of the relay's process if that is later.
+	delays []time.Duration
 }
 
-// arrivals follow all changes of a run.
+// arrivals records the arrival times of all changes of a run.
 type arrivals struct {
 	changes []*changeArrivals
 }
 
-// track begins to follow a change, which gets the next number.
+// track adds a change and returns its number.
 func (a *arrivals) track(now emulator.Time, relays int) int {
 	c := &changeArrivals{published: now, delays: make([]time.Duration, relays)}
 	for i := range c.delays {
@@ -34,7 +35,7 @@
 	return len(a.changes) - 1
 }
 
-// record notes that a relay, whose process began at a time, has a change.
+// record notes that a change has arrived at a relay. startedAt is the start of the relay's process. Only the first arrival counts.
 func (a *arrivals) record(now, startedAt emulator.Time, relay, change int) {
 	c := a.changes[change]
 	if c.delays[relay] == notArrived {
@@ -42,28 +43,29 @@
 	}
 }
 
-// Times are the 50th and 99th percentile and the maximum over changes, in seconds.
+// Times holds the 50th percentile, the 99th percentile and the maximum over all changes, in seconds.
 type Times struct {
 	P50 float64 `json:"p50"`
 	P99 float64 `json:"p99"`
 	Max float64 `json:"max"`
 }
 
-// Reach tells how changes came to the relays.
+// Reach summarizes how many relays the changes reached, and after which time.
 type Reach struct {
-	// Changes counts those that were to come to any relay.
+	// Changes is the number of changes that at least one relay was to receive.
 	Changes int `json:"changes"`
-	// Incomplete counts the changes that at least one live relay did not have in the end; Missing is the share of all pairs of
-	// a change and a live relay that were so.
+	// Incomplete is the number of changes that at least one live relay does not have at the end of the run. MissingShare is the
+	// share of all pairs of a change and a live relay in which the relay does not have the change.
 	Incomplete   int     `json:"incomplete"`
 	MissingShare float64 `json:"missing"`
-	// Until so many of the live relays had a change; of those changes that came to so many.
+	// ToHalf, To99 and ToAll are the times until a change reached half, 99 % and all of the live relays. A change counts only if it
+	// reached that many relays.
 	ToHalf Times `json:"to_half_s"`
 	To99   Times `json:"to_99_percent_s"`
 	ToAll  Times `json:"to_all_s"`
 }
 
-// summarize sums up over the relays that live at the end.
+// summarize returns the summary over the relays that are live at the end of the run.
 func (a *arrivals) summarize(live func(relay int) bool) Reach {
 	r := Reach{}
 	var toHalf, to99, toAll []time.Duration
@@ -103,7 +105,7 @@
 	return r
 }
 
-// rank is how many of n make up a share.
+// rank returns how many of n elements make up a share, rounded up. The result is at least 1.
 func rank(n int, share float64) int {
 	return min(max(int(share*float64(n)+0.999999), 1), n)
 }
--- a/internal/lab/capacity/capacity_test.go
+++ b/internal/lab/capacity/capacity_test.go
@@ -22,9 +22,9 @@
 	"slatemux/internal/spread"
 )
 
-// What the operators' plan allows each relay.
+// Limits of the operators' plan for each relay, and parameters of the tests.
 const (
-	planInForceSeconds = 7.0 // seconds until a change is in force everywhere
+	planInForceSeconds = 7.0 // from a change until it is in force at all relays
 	planBytesPerSecond = 2500.0
 	planPeakRatio      = 2.0
 	testSeed           = 7
@@ -54,7 +54,7 @@
 	return results
 }
 
-// withoutCostJSON is a result as text, without what differs from run to run.
+// withoutCostJSON returns a result as JSON without Cost, which differs between runs of the same job.
 func withoutCostJSON(t *testing.T, r *Result) string {
 	t.Helper()
 	copied := *r
@@ -66,6 +66,8 @@
 	return string(raw)
 }
 
+// TestSameSeedGivesSameResults guards against results that depend on anything but the job, such as the order of a map. Another seed must
+// give other results.
 func TestSameSeedGivesSameResults(t *testing.T) {
 	scenarios := []*Scenario{loadScenario(t, "restarts")}
 	for _, name := range []string{"limits-1", "outages"} {
@@ -90,19 +92,20 @@
 	first, again := runJobs(t, jobs...), runJobs(t, jobs...)
 	for i := range jobs {
 		if a, b := withoutCostJSON(t, first[i]), withoutCostJSON(t, again[i]); a != b {
-			t.Errorf("%s of %s differs:\n%s\n%s", first[i].Carrier, first[i].Scenario, a, b)
+			t.Errorf("%s of %s differs between two runs with the same seed:\n%s\n%s", first[i].Carrier, first[i].Scenario, a, b)
 		}
 		jobs[i].Seed++
 	}
 	other := runJobs(t, jobs...)
 	for i := range jobs {
 		if withoutCostJSON(t, first[i]) == withoutCostJSON(t, other[i]) {
-			t.Errorf("%s of %s: another seed has the same figures", first[i].Carrier, first[i].Scenario)
+			t.Errorf("%s of %s: another seed gives the same results", first[i].Carrier, first[i].Scenario)
 		}
 	}
 }
 
-// TestConfigsyncMeetsPlan plays every fault: all changes come to all live relays in time and in few bytes.
+// TestConfigsyncMeetsPlan runs configsync under every fault except a reunion. All changes must reach all live relays within the time and
+// the bytes of the plan.
 func TestConfigsyncMeetsPlan(t *testing.T) {
 	var jobs []Job
 	for _, name := range []string{"ordinary", "burst", "restarts", "zone-loss", "mass-restart", "standing"} {
@@ -110,13 +113,13 @@
 	}
 	for _, r := range runJobs(t, jobs...) {
 		if r.Reach.Changes == 0 || r.Reach.Incomplete > 0 || r.Reach.MissingShare > 0 {
-			t.Errorf("%s: %d of %d changes did not come to all", r.Scenario, r.Reach.Incomplete, r.Reach.Changes)
+			t.Errorf("%s: %d of %d changes did not reach all relays", r.Scenario, r.Reach.Incomplete, r.Reach.Changes)
 		}
 		if r.Reach.ToAll.P99 > planInForceSeconds {
-			t.Errorf("%s: a change was in force after %.2f s, not %v", r.Scenario, r.Reach.ToAll.P99, planInForceSeconds)
+			t.Errorf("%s: a change was in force after %.2f s, more than %v", r.Scenario, r.Reach.ToAll.P99, planInForceSeconds)
 		}
 		if r.Traffic.Sent.Busiest > planBytesPerSecond {
-			t.Errorf("%s: the busiest relay sends %.0f bytes a second, not %v", r.Scenario, r.Traffic.Sent.Busiest, planBytesPerSecond)
+			t.Errorf("%s: the busiest relay sends %.0f bytes per second, more than %v", r.Scenario, r.Traffic.Sent.Busiest, planBytesPerSecond)
 		}
 		if r.Counts.Errors > 0 {
 			t.Errorf("%s: %d errors", r.Scenario, r.Counts.Errors)
@@ -124,23 +127,24 @@
 	}
 }
 
-// TestReunionCausesNoTrafficPeak has two groups of regions meet after an hour.
+// TestReunionCausesNoTrafficPeak reconnects two groups of regions after a partition of one hour, in which both made changes. The peak rates
+// of the busiest relay must not be more than planPeakRatio times the peak rates of ordinary operation.
 func TestReunionCausesNoTrafficPeak(t *testing.T) {
 	r := runJobs(t, Job{Scenario: loadScenario(t, "ordinary"), Carrier: "configsync", Relays: testRelays, Seed: testSeed},
 		Job{Scenario: loadScenario(t, "reunion"), Carrier: "configsync", Relays: testRelays, Seed: testSeed})
 	ordinary, reunion := r[0], r[1]
 	if reunion.Reach.Incomplete > 0 {
-		t.Errorf("%d of %d changes did not come to all", reunion.Reach.Incomplete, reunion.Reach.Changes)
+		t.Errorf("%d of %d changes did not reach all relays", reunion.Reach.Incomplete, reunion.Reach.Changes)
 	}
 	for name, peak := range map[string][2]float64{"1 s": {ordinary.Traffic.Peak1s.Busiest, reunion.Traffic.Peak1s.Busiest},
 		"10 s": {ordinary.Traffic.Peak10s.Busiest, reunion.Traffic.Peak10s.Busiest}} {
 		if peak[1] > planPeakRatio*peak[0] {
-			t.Errorf("the busiest relay sends %.0f bytes a second in %s, %.2f times what it ordinarily does", peak[1], name, peak[1]/peak[0])
+			t.Errorf("the busiest relay sends %.0f bytes per second in %s, %.2f times the ordinary rate", peak[1], name, peak[1]/peak[0])
 		}
 	}
 }
 
-// TestSpreadCarriesBans plays today's carrier: it is to reach all where its bytes suffice.
+// TestSpreadCarriesBans checks that internal/spread delivers bans to all relays when its byte budget is sufficient.
 func TestSpreadCarriesBans(t *testing.T) {
 	var jobs []Job
 	for _, name := range []string{"ordinary", "burst", "restarts", "zone-loss", "mass-restart"} {
@@ -148,30 +152,33 @@
 	}
 	for _, r := range runJobs(t, jobs...) {
 		if r.Reach.Changes == 0 || r.Reach.Incomplete > 0 {
-			t.Errorf("%s: %d of %d changes did not come to all", r.Scenario, r.Reach.Incomplete, r.Reach.Changes)
+			t.Errorf("%s: %d of %d changes did not reach all relays", r.Scenario, r.Reach.Incomplete, r.Reach.Changes)
 		}
 		if r.Traffic.Sent.Mean > spreadBytesPerSecond || r.Traffic.Sent.Mean < 100 {
-			t.Errorf("%s: %.0f bytes a second are not what a relay may send", r.Scenario, r.Traffic.Sent.Mean)
+			t.Errorf("%s: %.0f bytes per second are outside the budget of a relay", r.Scenario, r.Traffic.Sent.Mean)
 		}
 	}
 }
 
+// TestLimitsAndOutages checks that the owner of the only destination is the busiest relay when limits are divided, and that outages which
+// begin during a run are tracked.
 func TestLimitsAndOutages(t *testing.T) {
 	limits := loadScenario(t, "limits-1")
 	outagesScenario, err := loadScenario(t, "outages").Override(12*time.Second, 0, 10_000)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := runJobs(t, Job{Scenario: limits, Carrier: "limits", Relays: testRelays, Seed: testSeed}, Job{Scenario: outagesScenario, Carrier: "verdicts", Relays: testRelays, Seed: testSeed})
+	r := runJobs(t, Job{Scenario: limits, Carrier: "limits", Relays: testRelays, Seed: testSeed},
+		Job{Scenario: outagesScenario, Carrier: "verdicts", Relays: testRelays, Seed: testSeed})
 	if l := r[0]; l.Leases == nil || l.Leases.LoanSeconds <= l.Leases.LeaseSeconds || l.Traffic.Sent.Busiest < 3*l.Traffic.Sent.Mean {
-		t.Errorf("one destination's owner should be far busier than others: %+v, %+v", l.Leases, l.Traffic.Sent)
+		t.Errorf("the owner of the only destination should send far more than the other relays: %+v, %+v", l.Leases, l.Traffic.Sent)
 	}
 	if v := r[1]; v.Reach.Changes < 50 || v.Reach.ToHalf.P50 <= 0 {
-		t.Errorf("outages were not followed: %+v", v.Reach)
+		t.Errorf("outages were not tracked: %+v", v.Reach)
 	}
 }
 
-// TestOutagesOverBudget has today's statements want more bytes than there are.
+// TestOutagesOverBudget checks that a run in which statements need more than the byte budget shows dropped packets and missing statements.
 func TestOutagesOverBudget(t *testing.T) {
 	s, err := loadScenario(t, "outages").Override(8*time.Second, 0, 0)
 	if err != nil {
@@ -179,10 +186,11 @@
 	}
 	r := runJobs(t, Job{Scenario: s, Carrier: "verdicts", Relays: 60, Seed: testSeed})[0]
 	if r.Counts.OverBudget == 0 || r.Reach.MissingShare < 0.2 {
-		t.Errorf("5,280 outages told each 15 s should not fit: %d packets dropped, %.2f missing", r.Counts.OverBudget, r.Reach.MissingShare)
+		t.Errorf("5,280 outages announced every 15 s should exceed the budget: %d packets dropped, %.2f missing", r.Counts.OverBudget, r.Reach.MissingShare)
 	}
 }
 
+// TestRunStopsWhenCancelled checks for each carrier that a run of 2,000 relays stops soon after its context is cancelled.
 func TestRunStopsWhenCancelled(t *testing.T) {
 	for _, carrier := range carriers {
 		name := map[workload]string{configurationChanges: "ordinary", dividedLimits: "limits-16", outages: "outages"}[carrier.workload]
@@ -192,10 +200,11 @@
 			cancelled = time.Now()
 			cancel()
 		})
-		err := NewPool(1, func(string) {}).Run(ctx, []Job{{Scenario: loadScenario(t, name), Carrier: carrier.name, Relays: 2000, Seed: testSeed}}, func(*Result) {})
+		err := NewPool(1, func(string) {}).Run(ctx, []Job{{Scenario: loadScenario(t, name), Carrier: carrier.name, Relays: 2000, Seed: testSeed}},
+			func(*Result) {})
 		stopTime := time.Since(cancelled)
 		if !errors.Is(err, context.Canceled) || !strings.Contains(err.Error(), "of virtual time") || stopTime > testMaxStopTime {
-			t.Errorf("%s stopped %v after it was told so: %v", carrier.name, stopTime, err)
+			t.Errorf("%s stopped %v after its cancellation: %v", carrier.name, stopTime, err)
 		}
 		cancel()
 	}
@@ -209,7 +218,7 @@
 	for _, c := range []struct{ old, new, want string }{
 		{"at_s: 1 every_s", "until: 3 every_s", "file:7: unknown field: until"},
 		{"length_s: 10", "length_s: ", "file:4: "},
-		{"relays: 10", "relays: 0", "file:2: relays: 0 relays"},
+		{"relays: 10", "relays: 0", "file:2: relays: 0 relays: at least 1"},
 		{"relays: 10", "relays: [10, 20000]", "file:2: relays: 20000 relays take about"},
 		{"length_s: 10", "length_s: 0", "file:3: length_s: "},
 		{"length_s: 10", "length_s: nan", "file:3: length_s: "},
@@ -227,14 +236,14 @@
 	} {
 		text := strings.Replace(good, c.old, c.new, 1)
 		if text == good {
-			t.Fatalf("%q is not there", c.old)
+			t.Fatalf("the scenario does not contain %q", c.old)
 		}
 		if _, err := Parse("file", []byte(text)); err == nil || !strings.HasPrefix(err.Error(), c.want) {
-			t.Errorf("%s\n%v, not %q", text, err, c.want)
+			t.Errorf("%s\nerror %v, want %q", text, err, c.want)
 		}
 	}
 	if _, err := Load("nowhere.textproto"); !errors.Is(err, fs.ErrNotExist) {
-		t.Errorf("a file that is not there: %v", err)
+		t.Errorf("Load of a missing file: %v", err)
 	}
 }
 
@@ -244,21 +253,21 @@
 		carriers []string
 		sizes    []int
 		want     string
-	}{{[]string{"pigeon"}, []int{10}, "carrier: \"pigeon\""}, {[]string{"spread"}, []int{0}, "relays: 0 relays are no fleet"},
+	}{{[]string{"pigeon"}, []int{10}, "carrier: \"pigeon\""}, {[]string{"spread"}, []int{0}, "relays: 0 relays: at least 1 is required"},
 		{[]string{"spread"}, []int{9000}, "relays: 9000 relays take about"}, {[]string{"limits"}, []int{10}, "no scenario suits"}} {
 		if _, err := Jobs(ordinary, c.carriers, c.sizes, 1); err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%v at %v: %v, not %q", c.carriers, c.sizes, err, c.want)
+			t.Errorf("carriers %v, sizes %v: error %v, want %q", c.carriers, c.sizes, err, c.want)
 		}
 	}
 	if _, err := ordinary[0].Override(0, -1, 0); err == nil {
-		t.Error("a negative number of changes is taken")
+		t.Error("Override accepts a negative number of changes")
 	}
 }
 
 func TestExamplesAreBuiltIn(t *testing.T) {
 	names := BuiltIn()
 	if len(names) < 11 {
-		t.Errorf("built in are only %v", names)
+		t.Errorf("missing built-in scenarios, found only %v", names)
 	}
 	for _, name := range names {
 		raw, err := files.Files.ReadFile(name + ".textproto")
@@ -290,7 +299,7 @@
 		}
 	}
 	if _, ok := FitLaw(sizes[:2], []float64{1, 2}); ok {
-		t.Error("two sizes make a law")
+		t.Error("FitLaw accepts two sizes")
 	}
 }
 
@@ -298,22 +307,22 @@
 	a := &arrivals{}
 	change := a.track(0, 4)
 	a.record(10, 0, 0, change)
-	a.record(30, 20, 1, change) // its process began at 20
+	a.record(30, 20, 1, change) // the process started at 20
 	a.record(40, 0, 2, change)
-	a.record(90, 0, 2, change) // once more
+	a.record(90, 0, 2, change) // a second arrival
 	r := a.summarize(func(relay int) bool { return relay != 3 })
 	second := float64(time.Second)
 	if r.Incomplete != 0 || r.ToAll.Max != 40/second || r.ToHalf.P50 != 10/second {
 		t.Errorf("%+v", r)
 	}
 	if r = a.summarize(func(int) bool { return true }); r.Incomplete != 1 || r.MissingShare != 0.25 || r.ToAll != (Times{}) {
-		t.Errorf("with one that lacks it: %+v", r)
+		t.Errorf("with a relay that does not have the change: %+v", r)
 	}
 }
 
 func TestPeakInAnyWindow(t *testing.T) {
 	m := newMeter(2, 0, 20*time.Second)
-	m.recordSent(15_500_000_000/10, 0, 700) // in two windows that begin at no full second
+	m.recordSent(15_500_000_000/10, 0, 700) // 1.55 s and 2.2 s: only a window that begins between full seconds contains both
 	m.recordSent(22_000_000_000/10, 0, 300)
 	m.recordSent(35_000_000_000/10, 1, 500)
 	got := m.traffic(func(int) bool { return true })
@@ -335,7 +344,7 @@
 	}
 	for _, want := range []string{"to all p50/p99/max", "1.00/2.00/3.00", "sent, mean (B/s)"} {
 		if !strings.Contains(table.String(), want) {
-			t.Errorf("no %q in\n%s", want, table.String())
+			t.Errorf("%q is missing in the table\n%s", want, table.String())
 		}
 	}
 	kinds := map[string]int{}
@@ -384,7 +393,7 @@
 		}
 	}
 	if share := float64(lost) / draws; math.Abs(share-topology.Loss) > 0.002 {
-		t.Errorf("%v of the packets were lost", share)
+		t.Errorf("the share of lost packets is %v", share)
 	}
 }
 
@@ -395,7 +404,7 @@
 	}
 }
 
-// BenchmarkVerification measures what a relay takes to verify one change, which the simulator leaves out.
+// BenchmarkVerification measures the verification of one change, which the simulator leaves out.
 func BenchmarkVerification(b *testing.B) {
 	public, private, err := ed25519.GenerateKey(nil)
 	if err != nil {
@@ -411,7 +420,8 @@
 	}
 }
 
-// BenchmarkPacket measures encoding and decoding of a packet with one change, of which the simulator counts about the encoding.
+// BenchmarkPacket measures the encoding and decoding of a packet with one change. The simulator's CPU time
+// includes approximately the encoding but not the decoding.
 func BenchmarkPacket(b *testing.B) {
 	change := configsync.Change{Source: "control-0", Sequence: 1, Revision: 1, Key: "endpoint/s-5be2a07c", Value: make([]byte, defaultValueBytes),
 		Signature: make([]byte, signatureBytes)}
@@ -428,7 +438,7 @@
 	}
 }
 
-// BenchmarkMembers measures what a relay of the planned fleet takes to hear of one change of members.
+// BenchmarkMembers measures the processing of one membership change at a relay of the planned fleet.
 func BenchmarkMembers(b *testing.B) {
 	const planned = 3900
 	view := newView(DefaultTopology(), planned, func(int) bool { return true })
--- a/internal/lab/capacity/carrier.go
+++ b/internal/lab/capacity/carrier.go
@@ -7,59 +7,59 @@
 	"slatemux/internal/configsync"
 )
 
-// Message is on its way from one relay to another.
+// Message is a message from one relay to another.
 type Message struct {
-	To    int
-	Bytes int // on the network, with all headers
-	Body  any // of the carrier's own
+	To    int // index of the receiving relay
+	Bytes int // size on the network, including all headers
+	Body  any // in a type that only the carrier knows
 }
 
-// Node is a process of one hollow relay. Times are since the process began.
+// Node is a process of one simplified relay. Its methods count time from the start of the process.
 type Node interface {
-	// Members replaces the set of live members.
+	// SetMembers replaces the set of live members.
 	SetMembers(now time.Duration, view *View) []Message
-	// Receive takes a message in.
+	// Receive processes a message from another relay.
 	Receive(now time.Duration, from int, body any) []Message
-	// Tick does what is due.
+	// Tick performs the work that is due.
 	Tick(now time.Duration) []Message
-	// Due is when Tick has something to do.
+	// Due returns the time at which Tick next has work.
 	Due() time.Duration
-	// Counts adds what the node counted.
+	// AddCounts adds the counters of the node to a total.
 	AddCounts(to *Counts)
 }
 
-// Publisher is a node that carries configuration changes.
+// Publisher is a node that distributes configuration changes.
 type Publisher interface {
 	Node
-	// Publish hands over a change that operators make at this relay.
+	// Publish submits a change that operators make at this relay.
 	Publish(now time.Duration, change int) ([]Message, error)
-	// Seed puts a change that was made at another relay earlier into this one's store, as if it had come by the network.
+	// Seed stores a change that was made earlier at the publisher, as if this relay had received the change from the network.
 	Seed(now time.Duration, change, publisher int) error
 }
 
-// Counts are what the nodes of a run counted over all of it, the warm-up included.
+// Counts holds the counters of all nodes over a whole run, including the warm-up.
 type Counts struct {
-	OverBudget int64 `json:"over_budget"` // sends dropped or put off for want of bytes
+	OverBudget int64 `json:"over_budget"` // messages dropped or delayed because the byte budget was spent
 	Retries    int64 `json:"retries"`
 	Abandoned  int64 `json:"abandoned"`
 	Repaired   int64 `json:"repaired"`
 	Duplicates int64 `json:"duplicates"`
-	Errors     int64 `json:"errors"` // of any kind that should not be
+	Errors     int64 `json:"errors"` // events that do not occur in correct operation
 }
 
-// Carrier starts the nodes of one run.
+// Carrier creates the nodes of one run.
 type Carrier interface {
-	// Start begins a relay's process; predecessor is the node of the process before, nil for the first one.
+	// Start creates the node of a new process of a relay. predecessor is the node of the relay's previous process, or nil.
 	Start(relay int, incarnation uint64, predecessor Node) (Node, error)
-	// Bound is the time within which the program says that all know a change; 0 where it says nothing.
+	// Bound returns the time within which the program promises that all relays know a change. It is 0 if there is no promise.
 	Bound() time.Duration
 }
 
-// View is who is a member, as far as some relays know. It is shared and not changed.
+// View is a membership list that several relays share. It is immutable.
 type View struct {
 	Names    []string
 	Members  []configsync.Member
-	IsMember []bool // by relay
+	IsMember []bool // indexed by relay
 }
 
 func newView(t Topology, relays int, isMember func(relay int) bool) *View {
@@ -75,23 +75,23 @@
 	return v
 }
 
-// Environment is what a carrier is given for a run.
+// Environment holds the parameters and the callbacks of a run that a carrier uses.
 type Environment struct {
 	Scenario *Scenario
 	Relays   int
 	Seed     uint64
-	// Learned is called when a relay has a change, or a statement that is followed.
+	// OnLearned is called when a relay learns a change, or a statement about an outage that is tracked.
 	OnLearned func(relay, change int)
-	// Now is the time since the start of the simulation.
+	// Now returns the time since the start of the simulation.
 	Now func() time.Duration
-	// Follow begins to follow a change that happens now, and returns its number.
+	// TrackChange starts to track a change that is published now, and returns the number of the change.
 	TrackChange func() int
 	indexByName map[string]int
 }
 
 func (e *Environment) relayIndex(name string) int { return e.indexByName[name] }
 
-// carrierDefinition describes a carrier.
+// carrierDefinition holds the name, the workload and the constructor of a carrier.
 type carrierDefinition struct {
 	name     string
 	workload workload
@@ -105,7 +105,7 @@
 	{"verdicts", outages, newOutageCarrier},
 }
 
-// CarrierNames are those that a run can have.
+// CarrierNames returns the names of all carriers.
 func CarrierNames() (names []string) {
 	for _, c := range carriers {
 		names = append(names, c.name)
@@ -119,5 +119,5 @@
 			return c, nil
 		}
 	}
-	return carrierDefinition{}, fmt.Errorf("carrier: %q is none of %v", name, CarrierNames())
+	return carrierDefinition{}, fmt.Errorf("carrier: %q is not one of %v", name, CarrierNames())
 }
--- a/internal/lab/capacity/configsync.go
+++ b/internal/lab/capacity/configsync.go
@@ -9,35 +9,35 @@
 	"slatemux/internal/spread"
 )
 
-// maxConfigurationEntries is how many entries a hollow relay's store holds.
+// maxConfigurationEntries is the capacity of a simplified relay's store.
 const maxConfigurationEntries = 1 << 20
 
 // signatureBytes is the length of an Ed25519 signature.
 const signatureBytes = 64
 
-// acceptAll is a verifier that trusts everyone: the cost of signatures is measured apart.
+// acceptAll is a verifier that accepts every change. BenchmarkVerification measures the cost of verification separately.
 type acceptAll struct{}
 
 func (acceptAll) Verify(*configsync.Change) error { return nil }
 
-// configsyncCarrier carries changes with internal/configsync.
+// configsyncCarrier distributes changes with internal/configsync.
 type configsyncCarrier struct {
 	environment *Environment
-	changeByKey map[string]int // of changes, by their keys
-	seeded      map[int]configsync.Change
+	changeByKey map[string]int            // change numbers
+	seeded      map[int]configsync.Change // by change number
 }
 
 func newConfigsyncCarrier(e *Environment) (Carrier, error) {
 	return &configsyncCarrier{environment: e, changeByKey: map[string]int{}, seeded: map[int]configsync.Change{}}, nil
 }
 
-// Bound is that of internal/configsync.
+// Bound returns the bound that internal/configsync promises.
 func (c *configsyncCarrier) Bound() time.Duration {
 	t := c.environment.Scenario.Topology
 	return configsync.Defaults().Bound(c.environment.Relays, t.MaxDelay()+schedulingDelay, t.Loss)
 }
 
-// Start begins a process. It keeps the store of the one before.
+// Start creates a node. The node keeps the store of the previous process.
 func (c *configsyncCarrier) Start(relay int, incarnation uint64, predecessor Node) (Node, error) {
 	n := &configsyncNode{carrier: c, relay: relay, incarnation: incarnation}
 	if previous, ok := predecessor.(*configsyncNode); ok {
@@ -55,19 +55,19 @@
 	return n, err
 }
 
-// configsyncNode is a process of a relay.
+// configsyncNode is a process of a relay that runs internal/configsync.
 type configsyncNode struct {
 	carrier       *configsyncCarrier
 	relay         int
 	store         *configsync.Store
 	replica       *configsync.Replica
-	earlierCounts Counts
+	earlierCounts Counts // of the relay's previous processes
 
 	incarnation uint64
 	packets     uint64
 }
 
-// toMessages are what the program would put into packets.
+// toMessages converts what the replica sends into messages of the size that the program's packets have.
 func (n *configsyncNode) toMessages(now time.Duration, sends []configsync.Send) (messages []Message) {
 	for i := range sends {
 		n.packets++
@@ -78,13 +78,13 @@
 	return messages
 }
 
-// SetMembers takes over who lives.
+// SetMembers replaces the members of the replica.
 func (n *configsyncNode) SetMembers(now time.Duration, view *View) []Message {
 	n.replica.Members(now, view.Members)
 	return nil
 }
 
-// newChange words a change as the control machine beside a relay would sign it.
+// newChange returns a change as the control machine at a relay would sign it.
 func (n *configsyncNode) newChange(change int) configsync.Change {
 	source := fmt.Sprintf("control-%02d", n.relay)
 	sequence, revision := n.store.Next(source)
@@ -94,17 +94,17 @@
 	return c
 }
 
-// Publish hands over a change.
+// Publish publishes a change at this relay.
 func (n *configsyncNode) Publish(now time.Duration, change int) ([]Message, error) {
-	list, err := n.replica.Publish(now, n.newChange(change))
+	sends, err := n.replica.Publish(now, n.newChange(change))
 	if err != nil {
 		return nil, err
 	}
 	n.carrier.environment.OnLearned(n.relay, change)
-	return n.toMessages(now, list), nil
+	return n.toMessages(now, sends), nil
 }
 
-// Seed has the store take a change that was made elsewhere, or here.
+// Seed applies a change that was made earlier at the publisher, which may be this relay.
 func (n *configsyncNode) Seed(_ time.Duration, change, publisher int) error {
 	c, ok := n.carrier.seeded[change]
 	if !ok {
@@ -116,26 +116,26 @@
 	return err
 }
 
-// Receive takes a message in.
+// Receive processes a message and reports the changes that it brings.
 func (n *configsyncNode) Receive(now time.Duration, from int, body any) []Message {
-	applied, list := n.replica.Receive(now, relayName(from), *body.(*configsync.Message))
+	applied, sends := n.replica.Receive(now, relayName(from), *body.(*configsync.Message))
 	for i := range applied {
 		if change, ok := n.carrier.changeByKey[applied[i].Key]; ok {
 			n.carrier.environment.OnLearned(n.relay, change)
 		}
 	}
-	return n.toMessages(now, list)
+	return n.toMessages(now, sends)
 }
 
-// Tick does what is due.
+// Tick performs the replica's periodic work.
 func (n *configsyncNode) Tick(now time.Duration) []Message {
 	return n.toMessages(now, n.replica.Tick(now))
 }
 
-// Due is when the replica wants to be called.
+// Due returns the time at which the replica next has work.
 func (n *configsyncNode) Due() time.Duration { return n.replica.Due() }
 
-// AddCounts adds what the replicas of this relay counted.
+// AddCounts adds the counters of all replicas that this relay has had.
 func (n *configsyncNode) AddCounts(to *Counts) {
 	c := n.replica.Counters()
 	to.OverBudget += n.earlierCounts.OverBudget + c.OverBudget
--- a/internal/lab/capacity/doc.go
+++ b/internal/lab/capacity/doc.go
@@ -1,7 +1,8 @@
-// Package capacity plays fleets of thousands of hollow relays in one process, in virtual time, to measure what a fleet's control
-// costs each relay and how soon all of them know a change. A hollow relay is the program's own code for one carrier (a means by
-// which control data travels) and nothing else of a relay. Links delay and lose packets by a model; membership is told by the
-// scenario, for memberlist itself is not played.
+// Package capacity simulates fleets of thousands of simplified relays in one process, in virtual time. It measures what the control
+// traffic of a fleet costs each relay, and how long a change takes to reach all relays. A carrier is a mechanism that transports
+// control data. A simplified relay runs the production code of one carrier and no other part of a relay. A model determines the
+// delay and the loss of packets on the links. The scenario determines the membership, because memberlist is not simulated.
 //
-// A run has one thread and is a function of its scenario, size, carrier and seed, but for processor time, wall time and heap.
+// A run uses one thread. Its results depend only on the scenario, the fleet size, the carrier and the seed, except for CPU time,
+// wall-clock time and heap size.
 package capacity
--- a/internal/lab/capacity/faults.go
+++ b/internal/lab/capacity/faults.go
@@ -6,7 +6,7 @@
 	"slatemux/internal/lab/emulator"
 )
 
-// scheduleEvents schedules what the scenario wants to happen.
+// scheduleEvents schedules the changes and the faults of the scenario.
 func (f *fleet) scheduleEvents() {
 	if f.scenario.Changes != nil {
 		f.scheduleChanges()
@@ -30,7 +30,8 @@
 	}
 }
 
-// controlPoint is the relay at which operators make the next change: one after another of those that live.
+// controlPoint returns the relay at which operators make the next change. The control points take turns, and relays that are down are
+// skipped. It returns nil if all control points are down.
 func (f *fleet) controlPoint() *relay {
 	points := min(int(f.scenario.Changes.ControlPoints), len(f.relays))
 	for range points {
@@ -43,7 +44,7 @@
 	return nil
 }
 
-// publish makes a change. Where no control point lives the operators try again a moment later.
+// publish makes a change at the next control point. If all control points are down, it retries after one time slice.
 func (f *fleet) publish() {
 	r := f.controlPoint()
 	if r == nil {
@@ -74,7 +75,7 @@
 func (f *fleet) scheduleZoneLoss() {
 	c := f.scenario.ZoneLoss
 	lost := func(i int) bool { return f.scenario.Topology.Zone(i) == int(c.Zone) }
-	rest := newView(f.scenario.Topology, len(f.relays), func(i int) bool { return !lost(i) })
+	remaining := newView(f.scenario.Topology, len(f.relays), func(i int) bool { return !lost(i) })
 	f.schedule(seconds(c.AtS), func() {
 		for i, r := range f.relays {
 			if lost(i) {
@@ -86,7 +87,7 @@
 	f.schedule(seconds(c.AtS)+seconds(c.LearnedAfterS), func() {
 		for _, r := range f.relays {
 			if !r.removed {
-				f.notifyMembers(r, rest)
+				f.notifyMembers(r, remaining)
 			}
 		}
 	})
@@ -96,7 +97,8 @@
 	c := f.scenario.Reunion
 	reunionAt := seconds(c.AtS)
 	f.schedule(0, func() {
-		f.seedChanges(int(c.Changes), f.measurementStart+emulator.Time(reunionAt), func(i int, publisher *relay) bool { return f.partitionOf(i) == f.partitionOf(publisher.index) })
+		f.seedChanges(int(c.Changes), f.measurementStart+emulator.Time(reunionAt),
+			func(i int, publisher *relay) bool { return f.partitionOf(i) == f.partitionOf(publisher.index) })
 	})
 	all := newView(f.scenario.Topology, len(f.relays), func(int) bool { return true })
 	f.schedule(reunionAt, func() {
@@ -107,7 +109,8 @@
 	})
 }
 
-// seedChanges puts changes of the time before into the stores of those relays that had them. They count as published, to the others, at a time.
+// seedChanges stores earlier changes at the relays for which hadChange returns true. For all other relays, the given time counts as the
+// publication of these changes.
 func (f *fleet) seedChanges(count int, published emulator.Time, hadChange func(relay int, publisher *relay) bool) {
 	for range count {
 		publisher := f.controlPoint()
--- a/internal/lab/capacity/fit.go
+++ b/internal/lab/capacity/fit.go
@@ -6,10 +6,10 @@
 	"slices"
 )
 
-// minFitSizes is how many sizes a fit needs.
+// minFitSizes is the minimum number of fleet sizes for a fit.
 const minFitSizes = 3
 
-// Fit is a law of a figure over the size N of the fleet.
+// Fit is a fitted function of a measured quantity over the fleet size N.
 type Fit struct {
 	Scenario string  `json:"scenario"`
 	Carrier  string  `json:"carrier"`
@@ -17,12 +17,12 @@
 	Law      string  `json:"law"`
 	A        float64 `json:"a"`
 	B        float64 `json:"b"`
-	// Residual is the root of the mean square of the relative errors.
+	// Residual is the root mean square of the relative errors.
 	Residual float64 `json:"residual"`
 	Sizes    []int   `json:"sizes"`
 }
 
-// law is a family of functions that are fitted by a straight line: of transformed values over a transformed size.
+// law is a family of functions of the fleet size. It becomes a straight line when the size and the values are transformed.
 type law struct {
 	name    string
 	x       func(n float64) float64
@@ -38,8 +38,8 @@
 	{"a + b * sqrt N", math.Sqrt, identity, identity},
 }
 
-// FitLaw fits all laws to a figure by least squares, and returns the one with the least residual; no where there are too few sizes,
-// or a value that is not above 0.
+// FitLaw fits all laws to a measured quantity by least squares and returns the fit with the smallest residual. It returns false if there
+// are fewer sizes than minFitSizes, or if a value is not above 0.
 func FitLaw(sizes []int, values []float64) (Fit, bool) {
 	best, found := Fit{Residual: math.Inf(1)}, false
 	if len(sizes) < minFitSizes || slices.Min(values) <= 0 {
@@ -58,7 +58,7 @@
 	return best, found
 }
 
-// leastSquares is the straight line of least squares.
+// leastSquares returns the intercept a and the slope b of the line that fits the transformed values best.
 func leastSquares(sizes []int, values []float64, l law) (a, b float64) {
 	var sumX, sumY, sumXX, sumXY float64
 	for i, n := range sizes {
@@ -80,12 +80,12 @@
 	return math.Sqrt(sum / float64(len(sizes)))
 }
 
-// String names the law with its parameters.
+// String returns the law with its parameters and the residual.
 func (f Fit) String() string {
 	return fmt.Sprintf("%s, a = %.4g, b = %.4g, residual %.1f %%", f.Law, f.A, f.B, 100*f.Residual)
 }
 
-// fittedQuantity is one that is fitted over sizes.
+// fittedQuantity is a measured quantity that is fitted over the fleet sizes.
 type fittedQuantity struct {
 	name string
 	of   func(r *Result) float64
@@ -104,7 +104,7 @@
 	{"heap (B/relay)", func(r *Result) float64 { return r.Cost.HeapBytesPerRelay }},
 }
 
-// Fits are the laws of all figures, of each scenario and carrier that was played at enough sizes.
+// Fits returns the fits of all quantities for each scenario and carrier with results for enough fleet sizes.
 func Fits(results []*Result) (fits []Fit) {
 	type key struct{ scenario, carrier string }
 	groups := map[key][]*Result{}
@@ -117,14 +117,14 @@
 		groups[k] = append(groups[k], r)
 	}
 	for _, k := range order {
-		for _, figure := range fittedQuantities {
+		for _, quantity := range fittedQuantities {
 			var sizes []int
 			var values []float64
 			for _, r := range groups[k] {
-				sizes, values = append(sizes, r.Relays), append(values, figure.of(r))
+				sizes, values = append(sizes, r.Relays), append(values, quantity.of(r))
 			}
 			if fit, ok := FitLaw(sizes, values); ok {
-				fit.Scenario, fit.Carrier, fit.Quantity = k.scenario, k.carrier, figure.name
+				fit.Scenario, fit.Carrier, fit.Quantity = k.scenario, k.carrier, quantity.name
 				fits = append(fits, fit)
 			}
 		}
--- a/internal/lab/capacity/fleet.go
+++ b/internal/lab/capacity/fleet.go
@@ -10,30 +10,30 @@
 )
 
 const (
-	// maxStartDelay is how long it takes until all processes of a fleet have begun.
+	// maxStartDelay is the maximum random delay of the first start of a relay.
 	maxStartDelay = time.Second
-	// maxMembershipDelay is how long it takes until all relays have heard of a change of members.
+	// maxMembershipDelay is the maximum random delay after which a relay learns of a membership change.
 	maxMembershipDelay = time.Second
-	// timeSlice is how much virtual time passes between two looks at the world outside.
+	// timeSlice is the virtual time between two checks for cancellation, pauses and progress reports.
 	timeSlice = 100 * time.Millisecond
-	// never is an instant that does not come.
+	// never is a time that is not reached.
 	never = emulator.Time(1<<63 - 1)
 )
 
-// relay is one of the fleet.
+// relay is a relay of the simulated fleet.
 type relay struct {
 	index      int
 	node       Node
-	startedAt  emulator.Time // of its process
-	generation int           // of its processes
+	startedAt  emulator.Time // start of the current process
+	generation int           // incremented at each start and stop of a process
 	down       bool
-	removed    bool // for good
+	removed    bool // down permanently
 	nextTick   emulator.Time
 	view       *View
-	cpuTime    time.Duration // processor time, in the carrier's code
+	cpuTime    time.Duration // CPU time of the carrier's code during the measured time
 }
 
-// fleet is a run that is going on.
+// fleet is the state of a run.
 type fleet struct {
 	ctx              context.Context
 	sim              *emulator.Sim
@@ -43,11 +43,11 @@
 	links            *links
 	meter            *meter
 	arrivals         *arrivals
-	faultRNG         *rand.Rand    // of the faults
-	measurementStart emulator.Time // of the measured time
-	partitioned      bool          // the two groups of regions
-	nextControlPoint int           // of the control points
-	cpuTime          time.Duration
+	faultRNG         *rand.Rand
+	measurementStart emulator.Time // end of the warm-up
+	partitioned      bool          // no packets pass between the two groups of regions
+	nextControlPoint int           // increases without limit; taken modulo the number of control points
+	cpuTime          time.Duration // CPU time of the carrier's code in the whole run
 	events           uint64
 	err              error
 }
@@ -74,7 +74,7 @@
 	return f, nil
 }
 
-// scheduleStarts has all processes begin, each knowing who is a member.
+// scheduleStarts schedules the first start of each relay at a random time. The relays know the members from the beginning.
 func (f *fleet) scheduleStarts() {
 	views := f.initialViews()
 	starts := f.sim.Stream("starts")
@@ -84,7 +84,7 @@
 	}
 }
 
-// initialViews are those of the two sides; of one where none is apart.
+// initialViews returns the membership views of the two partitions. Without a partition, both are the view of the whole fleet.
 func (f *fleet) initialViews() [2]*View {
 	t, n := f.scenario.Topology, len(f.relays)
 	if !f.partitioned {
@@ -94,7 +94,7 @@
 	return [2]*View{newView(t, n, func(i int) bool { return f.partitionOf(i) == 0 }), newView(t, n, func(i int) bool { return f.partitionOf(i) == 1 })}
 }
 
-// partitionOf is in which of the two groups of regions a relay stands.
+// partitionOf returns the number, 0 or 1, of the group of regions to which a relay belongs.
 func (f *fleet) partitionOf(relay int) int {
 	if f.scenario.Topology.Region(relay) < (f.scenario.Topology.Regions+1)/2 {
 		return 0
@@ -102,7 +102,7 @@
 	return 1
 }
 
-// schedule schedules something at a time from the beginning of the measured time.
+// schedule schedules an action at an offset from the start of the measured time. The offset is negative during the warm-up.
 func (f *fleet) schedule(offset time.Duration, action func()) {
 	f.sim.At(f.measurementStart+emulator.Time(offset), emulator.Any, func() {
 		if f.ctx.Err() == nil && f.err == nil {
@@ -111,8 +111,8 @@
 	})
 }
 
-// run plays until the end, or until its context ends. Progress is reported as how much of the virtual time is over; pause is called
-// before each slice.
+// run simulates until the end of the run or until the context is cancelled. It calls pause before each time slice and progress after
+// it, with the elapsed and the total virtual time.
 func (f *fleet) run(pause func(), progress func(elapsed, total time.Duration)) error {
 	total := f.scenario.WarmUp + f.scenario.Length
 	for now := timeSlice; ; now += timeSlice {
@@ -131,7 +131,7 @@
 	}
 }
 
-// startRelay starts a relay's process.
+// startRelay starts a process of a relay.
 func (f *fleet) startRelay(r *relay) {
 	r.generation++
 	r.startedAt = f.sim.Now()
@@ -144,14 +144,14 @@
 	f.runNode(r, func(now time.Duration) []Message { return r.node.SetMembers(now, r.view) })
 }
 
-// stopRelay stops it, now; what is under way to it is lost.
+// stopRelay stops the process of a relay immediately. Packets that are on their way to the relay are lost.
 func (f *fleet) stopRelay(r *relay) {
 	r.generation++
 	r.down = true
 	r.nextTick = never
 }
 
-// notifyMembers tells a relay of another view, within a while.
+// notifyMembers gives a relay a new membership view after a random delay.
 func (f *fleet) notifyMembers(r *relay, view *View) {
 	delay := time.Duration(f.faultRNG.Float64() * float64(maxMembershipDelay))
 	f.sim.After(delay, emulator.Any, func() {
@@ -162,7 +162,7 @@
 	})
 }
 
-// runNode runs the carrier's code at a relay, measures its processor time, and sends what comes of it.
+// runNode runs a step of the carrier's code at a relay, measures the CPU time, sends the returned messages and schedules the next tick.
 func (f *fleet) runNode(r *relay, step func(now time.Duration) []Message) {
 	before := threadCPUTime()
 	messages := step((f.sim.Now() - r.startedAt).Duration())
@@ -178,7 +178,7 @@
 	f.scheduleTick(r, r.startedAt+emulator.Time(max(due, 0)))
 }
 
-// scheduleTick has a relay look at what is due then, unless it will look earlier.
+// scheduleTick schedules a tick of a relay, unless an earlier tick is already scheduled.
 func (f *fleet) scheduleTick(r *relay, at emulator.Time) {
 	at = max(at, f.sim.Now()+emulator.Time(time.Millisecond))
 	if at >= r.nextTick {
@@ -191,7 +191,7 @@
 			return
 		}
 		r.nextTick = never
-		if due := r.startedAt + emulator.Time(r.node.Due()); due > f.sim.Now() { // it has been put off since
+		if due := r.startedAt + emulator.Time(r.node.Due()); due > f.sim.Now() { // the node has postponed its work
 			f.scheduleTick(r, due)
 			return
 		}
@@ -199,7 +199,7 @@
 	})
 }
 
-// send puts a message on its way.
+// send transmits a message. It is lost if the link drops it, or if the receiving relay is down or in the other partition.
 func (f *fleet) send(from *relay, m Message) {
 	f.meter.recordSent(f.sim.Now(), from.index, m.Bytes)
 	delay, arrives := f.links.transmit(from.index, m.To)
@@ -217,5 +217,5 @@
 	})
 }
 
-// isLive says whether a relay has a process that is not gone for good.
+// isLive reports whether a relay is not permanently down.
 func (f *fleet) isLive(relay int) bool { return !f.relays[relay].removed }
--- a/internal/lab/capacity/heap.go
+++ b/internal/lab/capacity/heap.go
@@ -2,10 +2,10 @@
 
 import "runtime/metrics"
 
-// heapMetric counts all objects that the collector has not taken away.
+// heapMetric is the total size of all heap objects that the garbage collector has not freed.
 const heapMetric = "/memory/classes/heap/objects:bytes"
 
-// heapInUse is the heap of this process, garbage that is not collected yet included.
+// heapInUse returns the heap size of this process in bytes, including garbage that is not collected yet.
 func heapInUse() uint64 {
 	sample := []metrics.Sample{{Name: heapMetric}}
 	metrics.Read(sample)
--- a/internal/lab/capacity/limits.go
+++ b/internal/lab/capacity/limits.go
@@ -11,20 +11,25 @@
 )
 
 const (
-	// reportedLimitProbability is the chance that the answers of a look at a relay tell the limit, where each relay is looked at every denseTick,
-	// as internal/lab/limits does.
-	reportedLimitProbability, referenceTick = 0.2, 10 * time.Millisecond
-	// reportedLimitSpread is by how much readings differ.
+	// reportedLimitProbability is the probability that the answers of a destination report the limit to a relay within one
+	// referenceTick. internal/lab/limits uses the same values.
+	reportedLimitProbability = 0.2
+	referenceTick            = 10 * time.Millisecond
+	// reportedLimitSpread is the maximum relative deviation of a reported limit from the true limit.
 	reportedLimitSpread = 0.01
-	// initialObservers is how many relays know the limits from the beginning.
+	// initialObservers is the number of relays that know the limits from the beginning.
 	initialObservers = 3
-	// warmUpLoans is how many loans the warm-up lasts at least, and measuredClaims how many rounds of claims are measured.
-	warmUpLoans, measuredHeartbeats = 2, 3
-	// demandLevel is the worth of all calls.
+	// warmUpLoans is the minimum length of the warm-up, in loan durations.
+	warmUpLoans = 2
+	// measuredHeartbeats is the minimum length of the measured time, in heartbeat intervals. A relay sends its claims once in each
+	// interval.
+	measuredHeartbeats = 3
+	// demandLevel is the worth level of all calls.
 	demandLevel = 1
 )
 
-// forSize returns the scenario for a fleet of a size: limits take the longer to be divided, the more relays there are.
+// forSize returns the scenario for a fleet of the given size. The division of limits takes longer in a larger fleet, so forSize extends
+// the warm-up and the measured time of a scenario with limits.
 func (s *Scenario) forSize(relays int) *Scenario {
 	if s.Limits == nil {
 		return s
@@ -36,28 +41,28 @@
 	return &sized
 }
 
-// limitsCarrier has relays divide limits as the program does today: each wants the same of all destinations.
+// limitsCarrier divides limits among the relays with internal/allowance. Each relay has the same demand for every destination.
 type limitsCarrier struct {
 	environment *Environment
 	config      allowance.Config
-	step        time.Duration
+	step        time.Duration // between two ticks of a node
 }
 
 func newLimitsCarrier(e *Environment) (Carrier, error) {
 	return &limitsCarrier{environment: e, config: allowance.DefaultConfig(e.Relays, spreadQuorum), step: millis(e.Scenario.Limits.StepMs)}, nil
 }
 
-// Bound is 0: nothing is to be known by all.
+// Bound returns 0, because the division of limits has no change that all relays must know.
 func (c *limitsCarrier) Bound() time.Duration { return 0 }
 
-// Config is that of a fleet of the run's size.
+// Config returns the allowance configuration for the fleet size of the run.
 func (c *limitsCarrier) Config() allowance.Config { return c.config }
 
-// Start begins a process.
+// Start creates a node. The node keeps nothing of the previous process.
 func (c *limitsCarrier) Start(relay int, incarnation uint64, _ Node) (Node, error) {
 	m := c.environment.Scenario.Limits
-	n := &limitsNode{carrier: c, relay: relay, rng: rand.New(rand.NewPCG(c.environment.Seed, uint64(relay))), limit: m.LimitPerRelay * float64(c.environment.Relays),
-		destinations: make([]destinationDemand, m.Destinations)}
+	n := &limitsNode{carrier: c, relay: relay, rng: rand.New(rand.NewPCG(c.environment.Seed, uint64(relay))),
+		limit: m.LimitPerRelay * float64(c.environment.Relays), destinations: make([]destinationDemand, m.Destinations)}
 	n.nextTick = time.Duration(n.rng.Float64() * float64(c.step))
 	n.lastTick = n.nextTick - c.step
 	var err error
@@ -65,26 +70,26 @@
 	return n, err
 }
 
-// limitsNode is a process of a relay: an allocator, and calls that want to be sent.
+// limitsNode is a process of a relay with an allocator and with calls that wait to be sent.
 type limitsNode struct {
 	carrier            *limitsCarrier
 	relay              int
 	allocator          *allowance.Allocator
 	rng                *rand.Rand
-	limit              float64
+	limit              float64 // of each destination, for the whole fleet
 	destinations       []destinationDemand
 	nextTick, lastTick time.Duration
 	packets            uint64
 }
 
-// destinationDemand is one that calls wait for.
+// destinationDemand holds a relay's allocation for one destination and its waiting calls.
 type destinationDemand struct {
 	allocation  allowance.Allocation
 	allocatedAt time.Duration
-	waiting     float64
+	waiting     float64 // number of calls
 }
 
-// SetMembers takes over who lives. The first relays know the limits from the beginning.
+// SetMembers replaces the members of the allocator. At the start, the first relays also learn the limits.
 func (n *limitsNode) SetMembers(now time.Duration, view *View) []Message {
 	n.allocator.SetMembers(now, view.Names)
 	if n.relay < initialObservers && now == 0 {
@@ -104,7 +109,7 @@
 	return messages
 }
 
-// Receive takes a claim or a grant in.
+// Receive processes a claim or a grant.
 func (n *limitsNode) Receive(now time.Duration, from int, body any) []Message {
 	p := body.(allowance.Message)
 	if p.Claim != nil {
@@ -115,7 +120,7 @@
 	return n.takeMessages(now)
 }
 
-// Tick lets calls arrive and go since the last look, and has the allocator do what is due.
+// Tick adds the calls that arrived since the last tick, sends the calls that the allocations allow, and runs the allocator.
 func (n *limitsNode) Tick(now time.Duration) []Message {
 	elapsed := now - n.lastTick
 	for d := range n.destinations {
@@ -129,7 +134,8 @@
 	return n.takeMessages(now)
 }
 
-// sendWaiting sends what may be sent of one destination's calls; a second of them waits at most.
+// sendWaiting sends as many calls to a destination as the allocation allows. At most the calls of one second wait; further calls are
+// dropped.
 func (n *limitsNode) sendWaiting(now, elapsed time.Duration, d int) {
 	x := &n.destinations[d]
 	wanted := n.carrier.environment.Scenario.Limits.WantedPerRelay
@@ -150,10 +156,10 @@
 	n.allocator.ReportDemand(now, d, arrived, waiting)
 }
 
-// Due is the next look.
+// Due returns the time of the next tick.
 func (n *limitsNode) Due() time.Duration { return n.nextTick }
 
-// AddCounts adds what the allocator counted.
+// AddCounts adds the counters of the allocator.
 func (n *limitsNode) AddCounts(to *Counts) {
 	c := n.allocator.Counters()
 	to.Errors += c.Strays + c.Foreign
--- a/internal/lab/capacity/meter.go
+++ b/internal/lab/capacity/meter.go
@@ -7,7 +7,7 @@
 	"slatemux/internal/lab/emulator"
 )
 
-// The finest span of which bytes are counted, and the windows in which peaks are looked for.
+// Bytes are counted in bins of this width. Peaks are the maxima over all windows of a short and a long duration.
 const (
 	binWidth        = 100 * time.Millisecond
 	shortWindow     = time.Second
@@ -17,25 +17,25 @@
 	p99Share        = 0.99
 )
 
-// meter counts what relays send and receive.
+// meter counts the bytes and packets that the relays send, and the bytes that they receive.
 type meter struct {
 	start    emulator.Time
 	bins     int
 	sent     [][]uint32 // bytes, by relay and bin
-	received [][]uint32
-	// packets sent, by relay
-	packets []int64
+	received [][]uint32 // bytes, by relay and bin
+	packets  []int64    // packets sent, by relay
 }
 
-func newMeter(relays int, from emulator.Time, length time.Duration) *meter {
-	m := &meter{start: from, bins: int((length + binWidth - 1) / binWidth), sent: make([][]uint32, relays), received: make([][]uint32, relays), packets: make([]int64, relays)}
+func newMeter(relays int, start emulator.Time, length time.Duration) *meter {
+	m := &meter{start: start, bins: int((length + binWidth - 1) / binWidth),
+		sent: make([][]uint32, relays), received: make([][]uint32, relays), packets: make([]int64, relays)}
 	for i := range relays {
 		m.sent[i], m.received[i] = make([]uint32, m.bins), make([]uint32, m.bins)
 	}
 	return m
 }
 
-// binAt is the present one; no where nothing is measured.
+// binAt returns the index of the bin of a time, and whether the time is within the measured time.
 func (m *meter) binAt(now emulator.Time) (int, bool) {
 	at := int((now - m.start).Duration() / binWidth)
 	return at, now >= m.start && at < m.bins
@@ -54,7 +54,7 @@
 	}
 }
 
-// Distribution is of a figure over the relays.
+// Distribution summarizes a quantity over the relays. Busiest is the maximum.
 type Distribution struct {
 	Mean    float64 `json:"mean"`
 	P99     float64 `json:"p99"`
@@ -73,13 +73,14 @@
 	return Distribution{Mean: sum / float64(len(list)), P99: list[rank(len(list), p99Share)-1], Busiest: list[len(list)-1]}
 }
 
-// Peak is the most in any window, in bytes a second: of any relay, and of the mean of all relays.
+// Peak is the maximum rate over all windows, in bytes per second. Busiest is the maximum of any relay, and Mean is the maximum of the
+// mean over all relays.
 type Peak struct {
 	Busiest float64 `json:"busiest"`
 	Mean    float64 `json:"mean"`
 }
 
-// Traffic is what the relays of a run sent and received.
+// Traffic summarizes the network traffic of the relays in a run.
 type Traffic struct {
 	Sent           Distribution `json:"sent_bytes_per_s"`
 	Received       Distribution `json:"received_bytes_per_s"`
@@ -89,7 +90,7 @@
 	PeakReceived1s Peak         `json:"peak_1s_received_bytes_per_s"`
 }
 
-// traffic sums up over the relays that are to count.
+// traffic summarizes the traffic of the relays that include selects.
 func (m *meter) traffic(include func(relay int) bool) Traffic {
 	lengthSeconds := float64(m.bins) * binWidth.Seconds()
 	var sent, received, packets []float64
@@ -100,8 +101,9 @@
 			packets = append(packets, float64(m.packets[relay])/lengthSeconds)
 		}
 	}
-	return Traffic{Sent: distributionOf(sent), Received: distributionOf(received), Packets: distributionOf(packets), Peak1s: m.peak(m.sent, shortWindowBins, include),
-		Peak10s: m.peak(m.sent, longWindowBins, include), PeakReceived1s: m.peak(m.received, shortWindowBins, include)}
+	return Traffic{Sent: distributionOf(sent), Received: distributionOf(received), Packets: distributionOf(packets),
+		Peak1s: m.peak(m.sent, shortWindowBins, include), Peak10s: m.peak(m.sent, longWindowBins, include),
+		PeakReceived1s: m.peak(m.received, shortWindowBins, include)}
 }
 
 func sumBins(bins []uint32) (sum int64) {
@@ -111,7 +113,7 @@
 	return sum
 }
 
-// peak looks through all windows of so many bins.
+// peak returns the maximum rates over all windows. The length of a window is given in bins.
 func (m *meter) peak(bins [][]uint32, window int, include func(relay int) bool) Peak {
 	window = min(window, m.bins)
 	windowSeconds := float64(window) * binWidth.Seconds()
--- a/internal/lab/capacity/outages.go
+++ b/internal/lab/capacity/outages.go
@@ -10,34 +10,35 @@
 	"slatemux/internal/verdicts"
 )
 
-// maxTrackedOutages is how many outages begin during the run and are followed to all relays; all others stand from its beginning.
+// maxTrackedOutages is the maximum number of outages that begin during the run. Their arrival at the relays is tracked. All other outages
+// exist from the beginning of the run.
 const maxTrackedOutages = 200
 
-// outageCarrier has relays announce outages of destinations, as the program does today.
+// outageCarrier distributes outages of destinations with internal/verdicts and internal/spread.
 type outageCarrier struct {
 	spreadCarrier
 	announcements  [][]announcement // by relay
 	repeatInterval time.Duration
 }
 
-// announcement is an outage that one relay announces.
+// announcement is an outage that one relay announces repeatedly.
 type announcement struct {
-	due         time.Duration // since the start of the simulation
+	due         time.Duration // next announcement, since the start of the simulation
 	destination int
 	tracked     bool
 }
 
-// announcementQueue is ordered by what is next.
+// announcementQueue is a heap of announcements, ordered by the time at which they are due.
 type announcementQueue []announcement
 
 func (q announcementQueue) Len() int           { return len(q) }
 func (q announcementQueue) Less(i, j int) bool { return q[i].due < q[j].due }
 func (q announcementQueue) Swap(i, j int)      { q[i], q[j] = q[j], q[i] }
 
-// Push adds a task.
+// Push adds an announcement.
 func (q *announcementQueue) Push(x any) { *q = append(*q, x.(announcement)) }
 
-// Pop takes the last one away.
+// Pop removes and returns the last announcement.
 func (q *announcementQueue) Pop() any {
 	old := *q
 	last := old[len(old)-1]
@@ -53,23 +54,23 @@
 	rng := rand.New(rand.NewPCG(e.Seed, 0x0074))
 	downDestinations := int(float64(m.Destinations) * m.DownShare)
 	for destination := range downDestinations {
-		follow := destination < min(maxTrackedOutages, downDestinations/2)
-		startsAt := time.Duration(rng.Float64() * float64(c.repeatInterval)) // one that stands is at some point of its repetition
-		if follow {
+		tracked := destination < min(maxTrackedOutages, downDestinations/2)
+		startsAt := time.Duration(rng.Float64() * float64(c.repeatInterval)) // an existing outage is at a random point of its interval
+		if tracked {
 			startsAt = e.Scenario.WarmUp + maxStartDelay + time.Duration(rng.Float64()*float64(e.Scenario.Length)/2)
 		}
 		for i, relay := range drawOrigins(rng, e.Relays, int(m.Origins)) {
-			task := announcement{due: startsAt, destination: destination, tracked: follow}
+			a := announcement{due: startsAt, destination: destination, tracked: tracked}
 			if i > 0 {
-				task.due += time.Duration(rng.Float64() * float64(c.repeatInterval))
+				a.due += time.Duration(rng.Float64() * float64(c.repeatInterval))
 			}
-			c.announcements[relay] = append(c.announcements[relay], task)
+			c.announcements[relay] = append(c.announcements[relay], a)
 		}
 	}
 	return c, nil
 }
 
-// drawOrigins draws different relays.
+// drawOrigins returns distinct relays that are chosen at random.
 func drawOrigins(rng *rand.Rand, relays, count int) (list []int) {
 	for len(list) < min(count, relays) {
 		if r := rng.IntN(relays); !slices.Contains(list, r) {
@@ -79,7 +80,7 @@
 	return list
 }
 
-// Start begins a process.
+// Start creates a node. The node keeps what a spreadNode keeps of the previous process.
 func (c *outageCarrier) Start(relay int, incarnation uint64, predecessor Node) (Node, error) {
 	var previous Node
 	if p, ok := predecessor.(*outageNode); ok {
@@ -94,15 +95,15 @@
 	return n, nil
 }
 
-// outageNode is a process of a relay that announces outages.
+// outageNode is a spreadNode that also announces outages.
 type outageNode struct {
 	*spreadNode
 	carrier   *outageCarrier
-	startedAt time.Duration
+	startedAt time.Duration // since the start of the simulation
 	queue     announcementQueue
 }
 
-// Tick announces what is due, beside all that a spreadNode does.
+// Tick announces the outages that are due, and runs the spreadNode if it has work.
 func (n *outageNode) Tick(now time.Duration) (messages []Message) {
 	for len(n.queue) > 0 && n.queue[0].due <= now+n.startedAt {
 		messages = append(messages, n.announceNext(now)...)
@@ -113,12 +114,12 @@
 	return messages
 }
 
-// announceNext announces the outage that is next, and puts it off by the repetition.
+// announceNext announces the first outage of the queue and schedules its repetition.
 func (n *outageNode) announceNext(now time.Duration) []Message {
-	task := &n.queue[0]
-	task.due += n.carrier.repeatInterval
-	destination := task.destination
-	if _, known := n.carrier.trackedOutages[destination]; task.tracked && !known {
+	next := &n.queue[0]
+	next.due += n.carrier.repeatInterval
+	destination := next.destination
+	if _, known := n.carrier.trackedOutages[destination]; next.tracked && !known {
 		n.carrier.trackedOutages[destination] = n.environment.TrackChange()
 	}
 	heap.Fix(&n.queue, 0)
@@ -130,7 +131,7 @@
 	return n.toMessages(n.spread.Announce(now, []verdicts.Statement{s}))
 }
 
-// Due is when something is to be announced, or the spreadNode has something to do.
+// Due returns the time of the next announcement or of the spreadNode's next work, whichever is earlier.
 func (n *outageNode) Due() time.Duration {
 	if len(n.queue) == 0 {
 		return n.spread.Due()
--- a/internal/lab/capacity/real/compare.go
+++ b/internal/lab/capacity/real/compare.go
@@ -12,22 +12,22 @@
 	"slatemux/internal/lab/capacity/capacityv1"
 )
 
-// The simulator's settings for a comparison.
+// Settings of the simulator for a comparison.
 const (
 	simulatedWarmUp     = 5 * time.Second
-	timeAfterLastChange = 15 * time.Second // time for the last change to come
+	timeAfterLastChange = 15 * time.Second // time for the last change to reach all relays
 	spreadCarrier       = "spread"
 	configsyncCarrier   = "configsync"
-	entryValueBytes     = 4 // of "down"
+	entryValueBytes     = 4 // length of "down"
 )
 
-// Model is what the simulator says of the fleet of a Config.
+// Model holds the simulator's results for the fleet of a Config.
 type Model struct {
 	IdleSpread, IdleConfiguration *capacity.Result
 	Bans, Entries                 *capacity.Result
 }
 
-// Simulate plays the same fleet in virtual time: all relays in one zone, with the links of the Config.
+// Simulate simulates the fleet of a Config in virtual time, with all relays in one zone and with the links of the Config.
 func Simulate(ctx context.Context, config Config) (*Model, error) {
 	m := &Model{}
 	millis := func(d time.Duration) float64 { return d.Seconds() * 1000 }
@@ -55,7 +55,7 @@
 	return m, nil
 }
 
-// WriteTable writes a comparison for a person.
+// WriteTable writes the comparison of the measurement with the simulation as a table.
 func WriteTable(w io.Writer, r *Result, m *Model) error {
 	t := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
 	fmt.Fprintf(t, "%d real relays\tmeasured\tsimulated\terror of the simulator\n", r.Relays)
@@ -88,7 +88,7 @@
 	return err
 }
 
-// timesToReach is, by change, when a share of the relays had it.
+// timesToReach returns the time until a share of the relays had the change, for each change.
 func timesToReach(changeTimes [][]float64, share float64) (list []float64) {
 	for _, change := range changeTimes {
 		sorted := slices.Sorted(slices.Values(change))
@@ -97,7 +97,7 @@
 	return list
 }
 
-// medianTime is that over the changes of when a share of the relays had one.
+// medianTime returns the median over all changes of the time until a share of the relays had the change.
 func medianTime(times [][]float64, share float64) float64 {
 	list := slices.Sorted(slices.Values(timesToReach(times, share)))
 	return list[(len(list)-1)/2]
--- a/internal/lab/capacity/real/real.go
+++ b/internal/lab/capacity/real/real.go
@@ -1,5 +1,6 @@
-// Package real measures the control of a fleet of real relays on loopback, to compare the simulator of internal/lab/capacity
-// with: idle traffic, what the fleet's part costs a relay's process, and how soon a change is in force everywhere.
+// Package real measures the control traffic of a fleet of real relays on loopback, and compares the simulator of internal/lab/capacity
+// with the measurement. It measures the idle traffic, the CPU time and memory of a relay with and without fleet membership, and the time
+// until a change is in force at all relays.
 package real
 
 import (
@@ -24,18 +25,18 @@
 )
 
 const (
-	// pollInterval is how often a relay is asked what it holds. A relay shows that each 100 ms, so a time is up to both later than
-	// the change itself.
+	// pollInterval is the time between two queries of a relay's state. The relay updates the queried state every 100 ms, so a measured
+	// time can be late by both intervals.
 	pollInterval = 20 * time.Millisecond
-	// refreshInterval is how often a relay shows what it holds.
+	// refreshInterval is the time between two updates of the state that a relay returns to queries.
 	refreshInterval = 100 * time.Millisecond
-	// MaxLag is how much later than the change a relay may be seen to have it.
+	// MaxLag is the maximum delay between the arrival of a change at a relay and its observation.
 	MaxLag = pollInterval + refreshInterval
-	// changeTimeout is how long a change is waited for.
+	// changeTimeout is the maximum time to wait until a relay has a change.
 	changeTimeout = 30 * time.Second
-	// settleTime is the time between the start and the first measurement.
+	// settleTime is the time between the start of the relays and the first measurement.
 	settleTime = 5 * time.Second
-	// controlPoints is at how many relays changes are made in turn.
+	// controlPoints is the number of relays at which changes are made in turn.
 	controlPoints     = 10
 	sourceName        = "control-0"
 	trustedKeysFile   = "trusted.keys"
@@ -45,54 +46,54 @@
 	configurationPath = "/ops/fleet/configuration"
 )
 
-// Config says what is run.
+// Config describes the fleet and the measurement.
 type Config struct {
-	Binary   string
+	Binary   string // path of the relay program
 	Relays   int
-	Changes  int           // of each kind
-	Interval time.Duration // between two changes
-	Idle     time.Duration // how long an idle fleet is measured
-	// Links between all relays.
+	Changes  int           // number of bans, and number of configuration entries
+	Interval time.Duration // time between two changes
+	Idle     time.Duration // duration of the measurement of the idle fleet
+	// Delay, Jitter and Loss apply to the links between all relays.
 	Delay, Jitter time.Duration
 	Loss          float64
 	Seed          uint64
-	// Baseline also measures a fleet whose relays have no part in it.
+	// Baseline also measures the same number of relays without fleet membership.
 	Baseline bool
 }
 
-// PerRelay is a figure over the relays.
+// PerRelay summarizes a quantity over the relays. Busiest is the maximum.
 type PerRelay struct {
 	Mean    float64 `json:"mean"`
 	Busiest float64 `json:"busiest"`
 }
 
-// Result is what was measured.
+// Result holds the measured values.
 type Result struct {
 	Relays int `json:"relays"`
-	// Idle bytes a second that a relay sends: of statements and limits, of configuration, and in all, memberlist's own included
-	// (without the headers of UDP and IP).
+	// Bytes per second that an idle relay sends: for statements and limits, for configuration, and in total. The total includes the
+	// traffic of memberlist. The headers of UDP and IP are not included.
 	SpreadBytesPerSecond        PerRelay `json:"idle_spread_bytes_per_s"`
 	ConfigurationBytesPerSecond PerRelay `json:"idle_configuration_bytes_per_s"`
 	SentBytesPerSecond          PerRelay `json:"idle_all_bytes_per_s"`
-	// What an idle process takes, with its part in the fleet and without.
+	// CPU time (as a share of a core) and memory of an idle process, with and without fleet membership.
 	CPUShare                  PerRelay `json:"processor_share"`
 	CPUShareWithoutFleet      PerRelay `json:"processor_share_without_fleet"`
 	ResidentBytes             PerRelay `json:"resident_bytes"`
 	ResidentBytesWithoutFleet PerRelay `json:"resident_bytes_without_fleet"`
-	// When each relay was seen to hold each change, in seconds after it was handed over, by change.
+	// Time from the submission of a change until a relay was seen to have it, in seconds, by change and relay.
 	BanSeconds   [][]float64 `json:"bans_s"`
 	EntrySeconds [][]float64 `json:"entries_s"`
 }
 
-// realFleet is one fleet.
+// realFleet is a fleet of real relays with the key that signs its configuration.
 type realFleet struct {
 	config  Config
 	fleet   *fleets.Fleet
 	private ed25519.PrivateKey
 }
 
-// Run measures fleets of real relays: one that replicates configuration, and the baseline where one is wanted. It ends with its
-// context, but for the start of the relays.
+// Run measures a fleet of real relays that replicates configuration, and then the baseline if the Config asks for one. Cancelling the
+// context stops the measurement, but not the start of the relays.
 func Run(ctx context.Context, dir string, config Config, note func(string)) (*Result, error) {
 	result := &Result{Relays: config.Relays}
 	if err := measure(ctx, filepath.Join(dir, "with"), config, note, true, result); err != nil {
@@ -113,7 +114,7 @@
 		return err
 	}
 	defer r.fleet.Close()
-	note(fmt.Sprintf("starting %d relays, part in the fleet: %v", config.Relays, inFleet))
+	note(fmt.Sprintf("starting %d relays, fleet membership: %v", config.Relays, inFleet))
 	if err := r.fleet.Start(); err != nil {
 		return err
 	}
@@ -123,11 +124,11 @@
 	if err := sleep(ctx, settleTime); err != nil {
 		return err
 	}
-	note(fmt.Sprintf("measuring them idle for %v", config.Idle))
+	note(fmt.Sprintf("measuring the idle relays for %v", config.Idle))
 	if err := r.measureIdle(ctx, inFleet, result); err != nil || !inFleet {
 		return err
 	}
-	note(fmt.Sprintf("%d bans and %d configuration entries, one each %v", config.Changes, config.Changes, config.Interval))
+	note(fmt.Sprintf("making changes: %d bans and %d configuration entries, one every %v", config.Changes, config.Changes, config.Interval))
 	if result.BanSeconds, err = r.measureChanges(ctx, r.banEndpoint, r.hasBan); err != nil {
 		return err
 	}
@@ -166,7 +167,7 @@
 		DelayMs: r.config.Delay.Seconds() * 1000, JitterMs: r.config.Jitter.Seconds() * 1000, Loss: r.config.Loss}}})
 }
 
-// relayUsage is what a relay has sent and used up to now.
+// relayUsage holds the totals of what a relay has sent and used since its start, and its current memory.
 type relayUsage struct {
 	spreadBytes, configurationBytes, sentBytes float64
 	cpuSeconds, residentBytes                  float64
@@ -188,13 +189,13 @@
 		usages[i].spreadBytes = float64(stats.Spread.SentBytes)
 		if c := stats.Configuration; c != nil {
 			usages[i].configurationBytes = float64(c.Counters.SentBytes)
-			usages[i].spreadBytes -= usages[i].configurationBytes // it goes through internal/spread, and is counted there as well
+			usages[i].spreadBytes -= usages[i].configurationBytes // internal/spread carries the configuration and counts its bytes too
 		}
 	}
 	return usages, nil
 }
 
-// measureIdle measures relays that have nothing to do.
+// measureIdle measures the traffic, the CPU time and the memory of idle relays.
 func (r *realFleet) measureIdle(ctx context.Context, inFleet bool, result *Result) error {
 	before, err := r.usages(inFleet)
 	if err != nil {
@@ -210,16 +211,16 @@
 	rate := func(quantity func(relayUsage) float64) PerRelay {
 		return perRelay(len(after), func(i int) float64 { return (quantity(after[i]) - quantity(before[i])) / r.config.Idle.Seconds() })
 	}
-	processor := rate(func(s relayUsage) float64 { return s.cpuSeconds })
-	resident := perRelay(len(after), func(i int) float64 { return after[i].residentBytes })
+	cpuShare := rate(func(u relayUsage) float64 { return u.cpuSeconds })
+	residentBytes := perRelay(len(after), func(i int) float64 { return after[i].residentBytes })
 	if !inFleet {
-		result.CPUShareWithoutFleet, result.ResidentBytesWithoutFleet = processor, resident
+		result.CPUShareWithoutFleet, result.ResidentBytesWithoutFleet = cpuShare, residentBytes
 		return nil
 	}
-	result.CPUShare, result.ResidentBytes = processor, resident
-	result.SpreadBytesPerSecond = rate(func(s relayUsage) float64 { return s.spreadBytes })
-	result.ConfigurationBytesPerSecond = rate(func(s relayUsage) float64 { return s.configurationBytes })
-	result.SentBytesPerSecond = rate(func(s relayUsage) float64 { return s.sentBytes })
+	result.CPUShare, result.ResidentBytes = cpuShare, residentBytes
+	result.SpreadBytesPerSecond = rate(func(u relayUsage) float64 { return u.spreadBytes })
+	result.ConfigurationBytesPerSecond = rate(func(u relayUsage) float64 { return u.configurationBytes })
+	result.SentBytesPerSecond = rate(func(u relayUsage) float64 { return u.sentBytes })
 	return nil
 }
 
@@ -232,8 +233,10 @@
 	return p
 }
 
-// measureChanges makes one change after another, and returns when each relay was seen to have each.
-func (r *realFleet) measureChanges(ctx context.Context, publish func(change int) error, has func(relay, change int) (bool, error)) (seen [][]float64, err error) {
+// measureChanges makes the changes one after another. It returns the time after which each relay was seen to have each change, in
+// seconds.
+func (r *realFleet) measureChanges(ctx context.Context, publish func(change int) error,
+	has func(relay, change int) (bool, error)) (seen [][]float64, err error) {
 	for change := range r.config.Changes {
 		publishedAt := time.Now()
 		waitForAll := r.startPolling(ctx, publishedAt, change, has)
@@ -252,8 +255,9 @@
 	return seen, nil
 }
 
-// startPolling begins to ask all relays for a change; what it returns waits until all have it.
-func (r *realFleet) startPolling(ctx context.Context, publishedAt time.Time, change int, has func(relay, change int) (bool, error)) func() ([]float64, error) {
+// startPolling starts to poll all relays for a change. The returned function waits until all relays have the change.
+func (r *realFleet) startPolling(ctx context.Context, publishedAt time.Time, change int,
+	has func(relay, change int) (bool, error)) func() ([]float64, error) {
 	times := make([]float64, r.config.Relays)
 	done := make(chan error, r.config.Relays)
 	for relay := range r.config.Relays {
@@ -266,7 +270,7 @@
 					return
 				}
 				if time.Since(publishedAt) > changeTimeout {
-					done <- fmt.Errorf("relay %d has not got it after %v: %w", relay, changeTimeout, errors.Join(err))
+					done <- fmt.Errorf("relay %d does not have the change after %v: %w", relay, changeTimeout, errors.Join(err))
 					return
 				}
 				if err := sleep(ctx, pollInterval); err != nil {
@@ -289,7 +293,7 @@
 
 func (r *realFleet) controlPoint(change int) int { return change % min(controlPoints, r.config.Relays) }
 
-// banEndpoint has operators take an endpoint down at one relay.
+// banEndpoint bans an endpoint at one relay, as an operator does.
 func (r *realFleet) banEndpoint(change int) error {
 	return r.fleet.Do(&labv1.Event{What: &labv1.Event_Operators{Operators: &labv1.Operators{Relay: fmt.Sprint("r", r.controlPoint(change)),
 		Endpoint: endpointName(change)}}})
@@ -303,7 +307,7 @@
 	return slices.ContainsFunc(list, func(v fleet.Verdict) bool { return v.Kind == "ban" && v.Member == endpointName(change) }), err
 }
 
-// publishEntry hands a signed entry to one relay.
+// publishEntry submits a signed configuration entry to one relay.
 func (r *realFleet) publishEntry(change int) error {
 	sequence := uint64(change + 1)
 	signed := configsync.Change{Source: sourceName, Sequence: sequence, Revision: sequence, Key: entryKey(change), Value: []byte("down")}
@@ -320,7 +324,7 @@
 	}
 	defer response.Body.Close()
 	if responseBody, _ := io.ReadAll(response.Body); response.StatusCode != http.StatusOK {
-		return fmt.Errorf("answered %d: %s", response.StatusCode, responseBody)
+		return fmt.Errorf("configuration change: HTTP status %d: %s", response.StatusCode, responseBody)
 	}
 	return nil
 }
--- a/internal/lab/capacity/real/real_test.go
+++ b/internal/lab/capacity/real/real_test.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	// maxRelativeError is by how much the simulator's idle bytes may be off in the few seconds of a test.
+	// maxRelativeError is the maximum deviation of the simulated from the measured idle byte rate in the few seconds of the test.
 	maxRelativeError = 0.35
-	// maxInForceSeconds is what the operators' plan allows.
+	// maxInForceSeconds is the time that the operators' plan allows until a change is in force at all relays.
 	maxInForceSeconds = 7.0
 )
 
-// TestSimulatorAgreesWithRealRelays runs a few relays on loopback, and the simulator at the same size.
+// TestSimulatorAgreesWithRealRelays compares a few real relays on loopback with the simulation of a fleet of the same size.
 func TestSimulatorAgreesWithRealRelays(t *testing.T) {
 	binary := filepath.Join(t.TempDir(), "slatemux")
 	if out, err := exec.Command("go", "build", "-o", binary, "../../../../cmd/slatemux").CombinedOutput(); err != nil {
@@ -36,16 +36,16 @@
 	for name, pair := range map[string][2]float64{"statements": {result.SpreadBytesPerSecond.Mean, model.IdleSpread.Traffic.Sent.Mean},
 		"configuration": {result.ConfigurationBytesPerSecond.Mean, model.IdleConfiguration.Traffic.Sent.Mean}} {
 		if !(math.Abs(pair[1]/pair[0]-1) <= maxRelativeError) {
-			t.Errorf("%s of an idle fleet: measured %.0f, simulated %.0f bytes a second", name, pair[0], pair[1])
+			t.Errorf("%s of an idle fleet: measured %.0f, simulated %.0f bytes per second", name, pair[0], pair[1])
 		}
 	}
 	for kind, times := range map[string][][]float64{"ban": result.BanSeconds, "configuration entry": result.EntrySeconds} {
 		if len(times) != config.Changes {
-			t.Errorf("%d %s changes were made, not %d", len(times), kind, config.Changes)
+			t.Errorf("%d %s changes were made, want %d", len(times), kind, config.Changes)
 		}
 		for _, last := range timesToReach(times, 1) {
 			if last > maxInForceSeconds {
-				t.Errorf("a %s came to all after %.2f s", kind, last)
+				t.Errorf("a %s reached all relays after %.2f s", kind, last)
 			}
 		}
 	}
--- a/internal/lab/capacity/result.go
+++ b/internal/lab/capacity/result.go
@@ -1,47 +1,48 @@
 package capacity
 
-// Result is what one run came to.
+// Result is the outcome of one run.
 type Result struct {
 	Scenario string `json:"scenario"`
 	Carrier  string `json:"carrier"`
 	Relays   int    `json:"relays"`
 	Seed     uint64 `json:"seed"`
 	Reach    Reach  `json:"reach"`
-	// Bound is the time within which the program says that all know a change; 0 where it says nothing.
+	// BoundSeconds is the time within which the program promises that all relays know a change. It is 0 if there is no promise.
 	BoundSeconds float64 `json:"bound_s,omitempty"`
 	Traffic      Traffic `json:"traffic"`
-	// Leases are the lengths that relays divide limits by.
+	// Leases is set only for runs in which the relays divide limits.
 	Leases *Leases `json:"leases,omitempty"`
 	Counts Counts  `json:"counts"`
 	Events uint64  `json:"events"`
 	Cost   Cost    `json:"cost"`
 }
 
-// Leases are the lengths by which relays of a fleet of a size divide limits.
+// Leases holds the intervals and durations with which the relays of a fleet of this size divide limits.
 type Leases struct {
 	ClaimSeconds float64 `json:"every_s"`
 	LeaseSeconds float64 `json:"lease_s"`
 	LoanSeconds  float64 `json:"loan_s"`
 }
 
-// Cost is what a run took of the machine. It differs from run to run.
+// Cost is what a run used of the machine. It differs between runs of the same job.
 type Cost struct {
-	// Processor is the share of a core that the carrier's code took for a relay, in virtual time.
+	// CPUShare is the CPU time of the carrier's code for a relay, divided by the virtual time: the share of a core.
 	CPUShare Distribution `json:"processor_share"`
-	// HeapPerRelay is what a relay's process holds in the end, in bytes.
+	// HeapBytesPerRelay is the mean heap size of a relay at the end of the run.
 	HeapBytesPerRelay float64 `json:"heap_bytes_per_relay"`
-	// PeakHeap is the highest of the whole process while this run went on, and of others beside it.
+	// PeakHeapBytes is the largest heap of this whole process during the run, including the runs that are executed in parallel.
 	PeakHeapBytes uint64  `json:"peak_heap_bytes"`
 	WallSeconds   float64 `json:"wall_s"`
-	// ThreadProcessor is the processor time of the run's thread, and Code the share of it that went to the carrier's code;
-	// the rest is the event loop.
+	// ThreadCPUSeconds is the CPU time of the run's thread. CodeShare is the share of the CPU time that the carrier's code used. The
+	// event loop used the rest.
 	ThreadCPUSeconds float64 `json:"thread_processor_s"`
 	CodeShare        float64 `json:"code_share"`
 }
 
-// result sums up a run that is over.
+// result summarizes a run that has ended. It leaves Cost empty.
 func (f *fleet) result(carrier string, seed uint64) *Result {
-	r := &Result{Scenario: f.scenario.Name, Carrier: carrier, Relays: len(f.relays), Seed: seed, BoundSeconds: f.carrier.Bound().Seconds(), Events: f.events}
+	r := &Result{Scenario: f.scenario.Name, Carrier: carrier, Relays: len(f.relays), Seed: seed,
+		BoundSeconds: f.carrier.Bound().Seconds(), Events: f.events}
 	r.Reach = f.arrivals.summarize(f.isLive)
 	r.Traffic = f.meter.traffic(f.isLive)
 	for _, x := range f.relays {
@@ -51,13 +52,15 @@
 	}
 	if c, ok := f.carrier.(*limitsCarrier); ok {
 		config := c.Config()
-		r.Leases = &Leases{ClaimSeconds: config.HeartbeatInterval.Seconds(), LeaseSeconds: config.LeaseDuration.Seconds(), LoanSeconds: config.LoanDuration.Seconds()}
+		r.Leases = &Leases{ClaimSeconds: config.HeartbeatInterval.Seconds(), LeaseSeconds: config.LeaseDuration.Seconds(),
+			LoanSeconds: config.LoanDuration.Seconds()}
 	}
 	return r
 }
 
-// cpuShares is the share of a core that relays took during the measured time: what the run's thread used in the calls of the
-// carrier's code. The collector's own threads are not in it, nor what a real relay takes for sockets, seals and timers.
+// cpuShares returns the share of a core that each relay used during the measured time. It includes only the CPU time that the run's
+// thread spent in the carrier's code. It includes neither the threads of the garbage collector nor the work of a real relay for
+// sockets, packet encryption and timers.
 func (f *fleet) cpuShares() Distribution {
 	var list []float64
 	for i, r := range f.relays {
--- a/internal/lab/capacity/run.go
+++ b/internal/lab/capacity/run.go
@@ -14,10 +14,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// progressInterval is how often progress is reported.
+// progressInterval is the minimum wall-clock time between two progress reports of a run.
 const progressInterval = 2 * time.Second
 
-// Job is one run.
+// Job describes one run.
 type Job struct {
 	Scenario *Scenario
 	Carrier  string
@@ -25,12 +25,13 @@
 	Seed     uint64
 }
 
-// String names the run.
+// String returns the scenario, the carrier and the fleet size.
 func (j Job) String() string {
 	return fmt.Sprintf("%s, %s, %d relays", j.Scenario.Name, j.Carrier, j.Relays)
 }
 
-// Jobs are all runs of scenarios with those carriers that suit them, at some sizes: those given, or the scenario's own.
+// Jobs returns one job for each combination of a scenario, a carrier that can run the scenario, and a fleet size. If no sizes are
+// given, the sizes of the scenario apply.
 func Jobs(scenarios []*Scenario, carrierNames []string, sizes []int, seed uint64) (jobs []Job, err error) {
 	for _, name := range carrierNames {
 		if _, err := findCarrier(name); err != nil {
@@ -59,25 +60,26 @@
 		}
 	}
 	if len(jobs) == 0 {
-		return nil, errors.New("capacity: no scenario suits any of the carriers, or there is no size")
+		return nil, errors.New("capacity: no scenario suits any of the carriers, or no fleet size is given")
 	}
 	return jobs, nil
 }
 
-// Pool plays runs side by side.
+// Pool executes runs in parallel.
 type Pool struct {
 	workers        int
 	reportProgress func(string)
-	// exclusive is held, by a run that measures its heap, against all others.
+	// heapLock is held for reading by each run. A run that measures its heap holds it for writing, so that all other runs pause.
 	heapLock sync.RWMutex
 }
 
-// NewPool returns one for so many runs at a time. Progress is reported to note from several goroutines.
+// NewPool returns a pool that executes up to the given number of runs at a time. Several goroutines call reportProgress.
 func NewPool(workers int, reportProgress func(string)) *Pool {
 	return &Pool{workers: max(workers, 1), reportProgress: reportProgress}
 }
 
-// Run plays runs, the largest first, and hands each result over as it comes, one at a time.
+// Run executes all jobs, the largest fleets first. It calls done once for each result, with one call at a time. The first error
+// cancels the remaining runs.
 func (p *Pool) Run(ctx context.Context, jobs []Job, done func(*Result)) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -113,7 +115,7 @@
 	return errors.Join(errs...)
 }
 
-// RunJob plays one run, on a thread of its own.
+// RunJob executes one run on its own operating system thread, so that the CPU time of the run can be measured.
 func (p *Pool) RunJob(ctx context.Context, job Job) (*Result, error) {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
@@ -136,7 +138,7 @@
 	err = f.run(p.awaitHeapMeasurement, func(elapsed, total time.Duration) {
 		if time.Since(reported) >= progressInterval {
 			reported = time.Now()
-			p.reportProgress(fmt.Sprintf("%v: %.1f of %.1f s", job, elapsed.Seconds(), total.Seconds()))
+			p.reportProgress(fmt.Sprintf("%v: %.1f of %.1f s of virtual time", job, elapsed.Seconds(), total.Seconds()))
 		}
 	})
 	if err != nil {
@@ -144,20 +146,22 @@
 	}
 	threadTime, wallTime := threadCPUTime()-cpuBefore, time.Since(started)
 	r := f.result(job.Carrier, job.Seed)
-	r.Cost = Cost{CPUShare: f.cpuShares(), WallSeconds: wallTime.Seconds(), ThreadCPUSeconds: threadTime.Seconds(), CodeShare: float64(f.cpuTime) / float64(max(threadTime, 1))}
+	r.Cost = Cost{CPUShare: f.cpuShares(), WallSeconds: wallTime.Seconds(), ThreadCPUSeconds: threadTime.Seconds(),
+		CodeShare: float64(f.cpuTime) / float64(max(threadTime, 1))}
 	r.Cost.HeapBytesPerRelay = p.measureHeap(&f) / float64(job.Relays)
 	r.Cost.PeakHeapBytes = peak.Load()
-	p.reportProgress(fmt.Sprintf("%v: over in %.1f s", job, time.Since(started).Seconds()))
+	p.reportProgress(fmt.Sprintf("%v: finished in %.1f s", job, time.Since(started).Seconds()))
 	return r, nil
 }
 
-// awaitHeapMeasurement lets a run that measures its heap go first.
+// awaitHeapMeasurement blocks while another run measures its heap.
 func (p *Pool) awaitHeapMeasurement() {
 	p.heapLock.RUnlock()
 	p.heapLock.RLock()
 }
 
-// measureHeap is what a fleet holds: the heap with it, less the heap without it, while no other run goes on. The fleet is gone then.
+// measureHeap returns the heap size of a fleet in bytes: the difference between the heap with and without the fleet, while all other
+// runs pause. It sets the fleet to nil.
 func (p *Pool) measureHeap(f **fleet) float64 {
 	p.heapLock.RUnlock()
 	p.heapLock.Lock()
@@ -177,10 +181,10 @@
 	return m.HeapAlloc
 }
 
-// heapSampleInterval is how often the heap is looked at for its peak.
+// heapSampleInterval is the time between two samples of the heap size.
 const heapSampleInterval = 100 * time.Millisecond
 
-// watchHeap keeps the peak of the heap until it is stopped.
+// watchHeap stores the largest sampled heap size in peak until stop is called.
 func watchHeap(peak *atomic.Uint64) (stop func()) {
 	stopped := make(chan struct{})
 	go func() {
@@ -198,7 +202,7 @@
 	return func() { close(stopped) }
 }
 
-// threadCPUTime is the processor time that this thread has had.
+// threadCPUTime returns the CPU time that the current thread has used.
 func threadCPUTime() time.Duration {
 	var ts unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_THREAD_CPUTIME_ID, &ts) != nil {
--- a/internal/lab/capacity/scenario.go
+++ b/internal/lab/capacity/scenario.go
@@ -22,7 +22,7 @@
 
 //go:generate protoc -I ../../../proto --go_out=../../.. --go_opt=module=slatemux ../../../proto/slatemux/lab/v1/capacity.proto
 
-// Bounds of scenarios.
+// Limits of the values in a scenario.
 const (
 	maxLengthSeconds = 3600.0
 	maxChanges       = 100_000
@@ -30,7 +30,7 @@
 	maxValueBytes    = 1 << 10
 )
 
-// Defaults of scenarios.
+// Default values of a scenario.
 const (
 	defaultWarmUp         = 5 * time.Second
 	defaultControlPoints  = 10
@@ -40,14 +40,14 @@
 	defaultStep           = 100 * time.Millisecond
 )
 
-// Memory that a run may take, and what it is estimated by.
+// Maximum memory of a run, and the values from which the memory of a run is estimated.
 const (
 	maxMemoryBytes    = 12 << 30
 	bytesPerRelay     = 64 << 10
-	bytesPerRelayPair = 300 // a name in each list of members, and what is kept of a peer that was heard
+	bytesPerRelayPair = 300 // a name in each member list, and the state that a relay keeps of each known peer
 )
 
-// workload is what a carrier is given to do.
+// workload is the kind of control data that a carrier transports in a run.
 type workload int
 
 const (
@@ -61,7 +61,7 @@
 	return [...]string{"nothing", "changes", "limits", "outages"}[w]
 }
 
-// Scenario is one that makes sense.
+// Scenario is a scenario that has passed Check, with its defaults filled in.
 type Scenario struct {
 	*capacityv1.CapacityScenario
 	Topology Topology
@@ -71,7 +71,7 @@
 	text     string
 }
 
-// FieldError says what is wrong with a field of a scenario.
+// FieldError describes an invalid field of a scenario.
 type FieldError struct {
 	File  string
 	Line  int
@@ -79,12 +79,12 @@
 	Text  string
 }
 
-// Error names the file, the line, the field and what is wrong with it.
+// Error returns the file, the line, the field and the reason.
 func (e *FieldError) Error() string {
 	return fmt.Sprintf("%s:%d: %s: %s", e.File, e.Line, e.Field, e.Text)
 }
 
-// BuiltIn are the names of the scenarios that need no file.
+// BuiltIn returns the names of the scenarios that are embedded in the program.
 func BuiltIn() (names []string) {
 	list, _ := fs.Glob(files.Files, "*.textproto") // the pattern is well formed
 	for _, file := range list {
@@ -93,7 +93,7 @@
 	return names
 }
 
-// Load reads a scenario: a built-in one by its name, or a file.
+// Load reads a scenario: a built-in scenario by its name, or a file by its path.
 func Load(name string) (*Scenario, error) {
 	if slices.Contains(BuiltIn(), name) {
 		file := name + ".textproto"
@@ -105,14 +105,14 @@
 	}
 	raw, err := os.ReadFile(name)
 	if err != nil {
-		return nil, fmt.Errorf("scenario: %q is no file, and none of %v: %w", name, BuiltIn(), err)
+		return nil, fmt.Errorf("scenario: cannot read file %q, and it is not one of the built-in scenarios %v: %w", name, BuiltIn(), err)
 	}
 	return Parse(name, raw)
 }
 
 var unmarshalError = regexp.MustCompile(`^proto:\s*(?:syntax error )?\(line (\d+):\d+\):\s*(.*)$`)
 
-// Parse reads a scenario's text.
+// Parse parses and checks a scenario in protobuf text format. The file name is used in error messages.
 func Parse(file string, raw []byte) (*Scenario, error) {
 	m := &capacityv1.CapacityScenario{}
 	if err := prototext.Unmarshal(raw, m); err != nil {
@@ -125,7 +125,8 @@
 	return Check(file, string(raw), m)
 }
 
-// Check returns a scenario whose fields make sense. The text, which may be empty, is what error lines are counted in.
+// Check validates a message and returns the scenario. The text is the source of the message; errors get their line numbers from it.
+// The text may be empty.
 func Check(file, text string, m *capacityv1.CapacityScenario) (*Scenario, error) {
 	s := &Scenario{CapacityScenario: m, Topology: topologyOf(m.Topology), Length: seconds(m.LengthS), WarmUp: seconds(m.WarmUpS), file: file, text: text}
 	if m.WarmUpS == 0 {
@@ -155,13 +156,13 @@
 	}
 }
 
-// CheckSize says what is wrong with a size of a fleet.
+// CheckSize returns an error if a fleet of this size cannot be simulated.
 func CheckSize(relays int) error {
 	if relays < 1 {
-		return fmt.Errorf("%d relays are no fleet", relays)
+		return fmt.Errorf("%d relays: at least 1 is required", relays)
 	}
 	if neededBytes := EstimateMemory(relays); neededBytes > maxMemoryBytes {
-		return fmt.Errorf("%d relays take about %.1f GB, more than %d GB", relays, float64(neededBytes)/(1<<30), maxMemoryBytes>>30)
+		return fmt.Errorf("%d relays take about %.1f GB of memory, more than the maximum of %d GB", relays, float64(neededBytes)/(1<<30), maxMemoryBytes>>30)
 	}
 	return nil
 }
@@ -178,7 +179,7 @@
 	return idle
 }
 
-// supportsCarrier says whether a carrier can be given the scenario.
+// supportsCarrier reports whether a carrier can run the scenario. The carriers of configuration changes also run idle scenarios.
 func (s *Scenario) supportsCarrier(c carrierDefinition) bool {
 	if s.workload() == idle {
 		return c.workload == configurationChanges
@@ -186,12 +187,12 @@
 	return s.workload() == c.workload
 }
 
-// EstimateMemory is about how many bytes a run of so many relays takes.
+// EstimateMemory returns the estimated memory of a run, in bytes.
 func EstimateMemory(relays int) int64 {
 	return int64(relays)*bytesPerRelay + int64(relays)*int64(relays)*bytesPerRelayPair
 }
 
-// checker collects what is wrong with a scenario.
+// checker collects the errors of a scenario.
 type checker struct {
 	scenario *Scenario
 	errs     []error
@@ -204,14 +205,14 @@
 
 func (c *checker) requireRange(field string, value, minimum, maximum float64) {
 	if !(value >= minimum && value <= maximum) {
-		c.reject(field, "%v is not within %v to %v", value, minimum, maximum)
+		c.reject(field, "%v is not between %v and %v", value, minimum, maximum)
 	}
 }
 
 func (c *checker) checkGeneral() {
 	s := c.scenario
 	if s.Name == "" {
-		c.reject("name", "it is missing")
+		c.reject("name", "the scenario has no name")
 	}
 	for _, n := range s.Relays {
 		if err := CheckSize(int(n)); err != nil {
@@ -219,7 +220,7 @@
 		}
 	}
 	if !(s.LengthS > 0) || s.LengthS > maxLengthSeconds {
-		c.reject("length_s", "%v is not above 0, up to %v", s.LengthS, maxLengthSeconds)
+		c.reject("length_s", "%v is not above 0 and at most %v", s.LengthS, maxLengthSeconds)
 	}
 	c.requireRange("warm_up_s", s.WarmUpS, 0, maxLengthSeconds)
 }
@@ -234,7 +235,7 @@
 		delay DelayRange
 	}{{"in_zone", t.InZone}, {"in_region", t.InRegion}, {"between_regions", t.BetweenRegions}} {
 		if r.delay.Min < 0 || r.delay.Max < r.delay.Min || r.delay.Max > time.Minute {
-			c.reject("topology."+r.field, "from %v to %v is no range of delays", r.delay.Min, r.delay.Max)
+			c.reject("topology."+r.field, "delay range %v to %v is invalid (0 <= min <= max <= 1 min)", r.delay.Min, r.delay.Max)
 		}
 	}
 }
@@ -248,7 +249,7 @@
 		}
 	}
 	if workloads > 1 {
-		c.reject("name", "changes, limits and outages exclude each other")
+		c.reject("name", "changes, limits and outages cannot be combined")
 	}
 	if m := s.Changes; m != nil {
 		c.requireRange("changes.count", float64(m.Count), 1, maxChanges)
@@ -258,7 +259,7 @@
 		c.requireRange("changes.standing", float64(m.Standing), 0, maxChanges)
 		c.requireRange("changes.value_bytes", float64(m.ValueBytes), 0, maxValueBytes)
 		if last := m.AtS + m.EveryS*float64(m.Count-1); m.Count > 0 && last > s.LengthS {
-			c.reject("changes.count", "the last change comes at %.1f s, after the end", last)
+			c.reject("changes.count", "the last change at %.1f s is after the end of the run", last)
 		}
 	}
 	if m := s.Limits; m != nil {
@@ -292,12 +293,13 @@
 		c.requireRange("reunion.at_s", m.AtS, 0, s.LengthS)
 		c.requireRange("reunion.changes", float64(m.Changes), 0, maxChanges)
 		if s.Topology.Regions < 2 {
-			c.reject("reunion", "one region cannot be apart from another")
+			c.reject("reunion", "a reunion needs at least two regions")
 		}
 	}
 }
 
-// lineOf is the line of a text in which a field begins, by its path; the line of its message, or 1, where it is not there.
+// lineOf returns the line of the text at which a field begins. The field is a dotted path. If the text does not contain the field,
+// lineOf returns the line of the innermost enclosing message that the text contains, or 1.
 func lineOf(text, field string) int {
 	line, rest := 1, text
 	for _, name := range strings.Split(field, ".") {
@@ -313,19 +315,19 @@
 
 func seconds(s float64) time.Duration {
 	if math.IsNaN(s) || math.Abs(s) > 1e9 {
-		return 0 // refused by Check
+		return 0 // Check rejects the value
 	}
 	return time.Duration(s * float64(time.Second))
 }
 
 func millis(milliseconds float64) time.Duration { return seconds(milliseconds / 1000) }
 
-// Override returns the scenario with another length, and other numbers of changes and of destinations; 0 leaves them. More changes come
-// in the same time.
+// Override returns a copy of the scenario with a different length, number of changes and number of destinations. A value of 0 keeps
+// the scenario's own value. The changes are spread over the same time as before, so that more changes follow each other faster.
 func (s *Scenario) Override(length time.Duration, changes, destinations int) (*Scenario, error) {
 	m, ok := proto.Clone(s.CapacityScenario).(*capacityv1.CapacityScenario)
 	if !ok {
-		return nil, errors.New("scenario: it cannot be copied")
+		return nil, errors.New("scenario: cloning the message failed")
 	}
 	if length != 0 {
 		m.LengthS = length.Seconds()
--- a/internal/lab/capacity/spread.go
+++ b/internal/lab/capacity/spread.go
@@ -10,35 +10,35 @@
 	"slatemux/internal/verdicts"
 )
 
-// What the program's settings say unless told otherwise, and what internal/fleet drives its parts with.
+// Default settings of the program, and the values with which internal/fleet runs its components.
 const (
 	spreadExchangeInterval = time.Second
 	spreadBytesPerSecond   = 4096
 	spreadPacketBytes      = 1200 + wire.Sealing
 	spreadQuorum           = 2
-	spreadSweepInterval    = 200 * time.Millisecond // the program looks each 100 ms
-	schedulingDelay        = 5 * time.Millisecond   // of a relay's own, that bounds allow for
+	spreadSweepInterval    = 200 * time.Millisecond // the program sweeps every 100 ms
+	schedulingDelay        = 5 * time.Millisecond   // a relay's own processing delay in the calculation of bounds
 )
 
-// spreadCarrier carries changes as the program does today: a change is a ban that operators set at one relay.
+// spreadCarrier distributes changes with internal/spread. A change is a ban that operators set at one relay.
 type spreadCarrier struct {
 	environment    *Environment
-	announcers     []*verdicts.Announcer      // of the present processes, by relay
-	seeded         map[int]verdicts.Statement // by change
-	trackedOutages map[int]int                // changes, by the destinations whose outages are followed
+	announcers     []*verdicts.Announcer      // of the current processes, by relay
+	seeded         map[int]verdicts.Statement // by change number
+	trackedOutages map[int]int                // change numbers, by destination
 }
 
 func newSpreadCarrier(e *Environment) (Carrier, error) {
 	return &spreadCarrier{environment: e, announcers: make([]*verdicts.Announcer, e.Relays), seeded: map[int]verdicts.Statement{}}, nil
 }
 
-// Bound is that of internal/spread.
+// Bound returns the bound that internal/spread promises.
 func (c *spreadCarrier) Bound() time.Duration {
 	t := c.environment.Scenario.Topology
 	return spread.Bound(c.environment.Relays, t.MaxDelay()+schedulingDelay, t.Loss, spreadExchangeInterval)
 }
 
-// Start begins a process. Of the one before it keeps what the program keeps: the bans that were set at this relay.
+// Start creates a node. Like the program, the node keeps the bans that were set at this relay in a previous process.
 func (c *spreadCarrier) Start(relay int, incarnation uint64, predecessor Node) (Node, error) {
 	return c.start(relay, incarnation, predecessor)
 }
@@ -51,18 +51,18 @@
 	c.announcers[relay] = n.announcer
 	if previous, ok := predecessor.(*spreadNode); ok {
 		n.bans = previous.bans
-		n.renewedAt = -verdicts.Ban.Life() / 3 // they are announced again at once
+		n.renewedAt = -verdicts.Ban.Life() / 3 // the bans are announced again at once
 		n.earlierCounts = previous.earlierCounts
 		n.earlierCounts.OverBudget += previous.spread.Counters().Short
 	}
-	config := spread.Config{Self: relayName(relay), Exchange: spreadExchangeInterval, Bytes: spreadBytesPerSecond, Size: n.packetSize, Packet: spreadPacketBytes,
-		Seed: c.environment.Seed ^ uint64(relay)<<20 ^ incarnation<<52}
+	config := spread.Config{Self: relayName(relay), Exchange: spreadExchangeInterval, Bytes: spreadBytesPerSecond, Size: n.packetSize,
+		Packet: spreadPacketBytes, Seed: c.environment.Seed ^ uint64(relay)<<20 ^ incarnation<<52}
 	var err error
 	n.spread, err = spread.New(config, 0, n.store, incarnation)
 	return n, err
 }
 
-// recordStatement notes that a statement came to a relay.
+// recordStatement notes that a relay has learned a statement.
 func (c *spreadCarrier) recordStatement(relay int, s verdicts.Statement) {
 	if s.Kind == verdicts.Ban {
 		c.environment.OnLearned(relay, s.Destination)
@@ -71,7 +71,7 @@
 	}
 }
 
-// spreadNode drives the program's parts as internal/fleet does.
+// spreadNode is a process of a relay. It runs the components of the program in the same way as internal/fleet.
 type spreadNode struct {
 	carrier       *spreadCarrier
 	environment   *Environment
@@ -81,14 +81,14 @@
 	announcer     *verdicts.Announcer
 	spread        *spread.Spread
 	view          *View
-	bans          []int // changes that were made here
+	bans          []int // numbers of the changes that were made at this relay
 	renewedAt     time.Duration
 	sweptAt       time.Duration
-	earlierCounts Counts
-	packetBytes   map[uint64]int // of packets that were made in the present call, by their counts
+	earlierCounts Counts         // of the relay's previous processes
+	packetBytes   map[uint64]int // sizes of the packets built in the current call, by Packet.Count
 }
 
-// packetSize notes what it is asked for, so that no packet is measured once more.
+// packetSize returns the size of a packet and stores it, so that toMessages does not calculate it again.
 func (n *spreadNode) packetSize(p *spread.Packet) int {
 	bytes := wire.Size(p)
 	n.packetBytes[p.Count] = bytes
@@ -104,7 +104,7 @@
 	return messages
 }
 
-// SetMembers takes over who lives; what the dead said ends.
+// SetMembers replaces the members, and drops the statements of relays that are no longer members.
 func (n *spreadNode) SetMembers(now time.Duration, view *View) []Message {
 	if n.view != nil {
 		for i, had := range n.view.IsMember {
@@ -122,25 +122,25 @@
 	return nil
 }
 
-// Publish sets a ban here.
+// Publish sets a ban at this relay.
 func (n *spreadNode) Publish(now time.Duration, change int) ([]Message, error) {
 	n.bans = append(n.bans, change)
 	s := n.newBan(change)
 	if !n.store.Merge(now, s) {
-		return nil, fmt.Errorf("change %d was not taken at its own relay", change)
+		return nil, fmt.Errorf("change %d was not stored at the relay that published it", change)
 	}
 	n.environment.OnLearned(n.relay, change)
 	return n.toMessages(n.spread.Announce(now, []verdicts.Statement{s})), nil
 }
 
-// newBan words a change, as verdicts.Announcer.RenewBans renews it.
+// newBan returns the ban of a change, as verdicts.Announcer.RenewBans renews it.
 func (n *spreadNode) newBan(change int) verdicts.Statement {
 	return n.announcer.Ban(change, changedEndpoint(change), true)
 }
 
 func changedEndpoint(change int) string { return fmt.Sprintf("s-%08x", uint32(change)*2654435761) }
 
-// Seed has the store take a change that was made elsewhere, or here.
+// Seed stores a ban that was set earlier at the publisher, which may be this relay.
 func (n *spreadNode) Seed(now time.Duration, change, publisher int) error {
 	if publisher == n.relay {
 		n.bans = append(n.bans, change)
@@ -154,50 +154,50 @@
 	return nil
 }
 
-// Receive takes a packet in.
+// Receive processes a packet and records the statements that it brings.
 func (n *spreadNode) Receive(now time.Duration, _ int, body any) []Message {
-	news, ownStatements, sends := n.spread.Receive(now, *body.(*spread.Packet))
+	newStatements, ownStatements, sends := n.spread.Receive(now, *body.(*spread.Packet))
 	for _, s := range ownStatements {
 		if n.announcer.Supersede(s.Version) {
 			n.spread.SetIncarnation(n.announcer.Incarnation())
 		}
 	}
-	for _, s := range news {
+	for _, s := range newStatements {
 		n.judge.Receive(now, s)
 		n.carrier.recordStatement(n.relay, s)
 	}
 	return n.toMessages(sends)
 }
 
-// Tick drops what has expired, renews bans, and compares stores.
+// Tick drops expired statements, renews bans, and runs the anti-entropy exchanges.
 func (n *spreadNode) Tick(now time.Duration) []Message {
 	if now-n.sweptAt >= spreadSweepInterval {
 		n.sweptAt = now
 		n.judge.Expired(now, n.store.Sweep(now))
 	}
-	list := n.renewBans(now)
-	return n.toMessages(append(list, n.spread.Tick(now)...))
+	sends := n.renewBans(now)
+	return n.toMessages(append(sends, n.spread.Tick(now)...))
 }
 
-// renewBans announces all bans of this relay again, every third of their life.
+// renewBans announces all bans of this relay again each time a third of their lifetime has passed.
 func (n *spreadNode) renewBans(now time.Duration) []spread.Send {
 	if now-n.renewedAt < verdicts.Ban.Life()/3 {
 		return nil
 	}
 	n.renewedAt = now
-	var list []verdicts.Statement
+	var statements []verdicts.Statement
 	for _, change := range n.bans {
 		if s := n.newBan(change); n.store.Merge(now, s) {
-			list = append(list, s)
+			statements = append(statements, s)
 		}
 	}
-	return slices.Clone(n.spread.Announce(now, list))
+	return slices.Clone(n.spread.Announce(now, statements))
 }
 
-// Due is when the program's parts want to be called.
+// Due returns the time at which internal/spread next has work.
 func (n *spreadNode) Due() time.Duration { return n.spread.Due() }
 
-// AddCounts adds what internal/spread counted.
+// AddCounts adds the counters of internal/spread.
 func (n *spreadNode) AddCounts(to *Counts) {
 	c := n.spread.Counters()
 	to.OverBudget += n.earlierCounts.OverBudget + c.Short
--- a/internal/lab/capacity/topology.go
+++ b/internal/lab/capacity/topology.go
@@ -8,7 +8,7 @@
 	"slatemux/internal/lab/capacity/capacityv1"
 )
 
-// The topology that a scenario gets for what it leaves out: the operators' plan.
+// Default values for fields that a scenario's topology leaves out. They describe the fleet that the operators plan.
 const (
 	defaultRegions            = 7
 	defaultZones              = 17
@@ -19,24 +19,24 @@
 	defaultInRegionMax        = 2 * time.Millisecond
 	defaultBetweenMin         = 20 * time.Millisecond
 	defaultBetweenMax         = 120 * time.Millisecond
-	betweenRegionsJitterShare = 0.1 // of the range between regions, added to a pair's own delay
+	betweenRegionsJitterShare = 0.1 // share of the delay range between regions, added at random to the fixed delay of a pair of regions
 )
 
-// DelayRange is a one-way delay, evenly drawn.
+// DelayRange is a range of one-way delays, from which delays are drawn uniformly.
 type DelayRange struct{ Min, Max time.Duration }
 
 func (r DelayRange) draw(rng *rand.Rand) time.Duration {
 	return r.Min + time.Duration(rng.Float64()*float64(r.Max-r.Min))
 }
 
-// Topology says where relays stand and what the links between them do.
+// Topology describes the regions and zones of the relays, and the delay and loss of the links.
 type Topology struct {
 	Regions, Zones                   int
 	InZone, InRegion, BetweenRegions DelayRange
 	Loss                             float64
 }
 
-// DefaultTopology is the operators' plan.
+// DefaultTopology returns the topology of the fleet that the operators plan.
 func DefaultTopology() Topology {
 	return Topology{Regions: defaultRegions, Zones: defaultZones, Loss: defaultLoss,
 		InZone:         DelayRange{defaultInZoneMin, defaultInZoneMax},
@@ -44,7 +44,7 @@
 		BetweenRegions: DelayRange{defaultBetweenMin, defaultBetweenMax}}
 }
 
-// topologyOf fills what a scenario leaves out.
+// topologyOf returns the topology of a scenario, with defaults for the fields that the scenario leaves out.
 func topologyOf(m *capacityv1.Topology) Topology {
 	t := DefaultTopology()
 	if m == nil {
@@ -67,13 +67,13 @@
 	return t
 }
 
-// Zone is that of a relay: they are dealt evenly.
+// Zone returns the zone of a relay. The relays are distributed evenly over the zones.
 func (t Topology) Zone(relay int) int { return relay % t.Zones }
 
-// Region is that of a relay.
+// Region returns the region of a relay. The zones are distributed evenly over the regions.
 func (t Topology) Region(relay int) int { return t.Zone(relay) % t.Regions }
 
-// MaxDelay is the longest one-way delay of any link.
+// MaxDelay returns the longest one-way delay of any link.
 func (t Topology) MaxDelay() time.Duration {
 	if t.Regions > 1 {
 		return t.BetweenRegions.Max
@@ -85,11 +85,11 @@
 func zoneName(zone int) string   { return fmt.Sprintf("zone-%02d", zone) }
 func regionName(r int) string    { return fmt.Sprintf("region-%d", r) }
 
-// links draws what becomes of packets.
+// links determines the delay and the loss of each packet at random.
 type links struct {
 	topology  Topology
 	rng       *rand.Rand
-	minDelays [][]time.Duration // the least delay of each pair of regions
+	minDelays [][]time.Duration // the minimum delay of each pair of regions
 }
 
 func newLinks(t Topology, rng *rand.Rand) *links {
@@ -112,7 +112,7 @@
 	return time.Duration(betweenRegionsJitterShare * float64(r.Max-r.Min))
 }
 
-// transmit draws whether a packet arrives, and after how long.
+// transmit returns the delay of a packet, and whether the packet arrives.
 func (l *links) transmit(from, to int) (delay time.Duration, arrives bool) {
 	t := l.topology
 	lost := l.rng.Float64() < t.Loss
