--- a/internal/lab/capacity/slopes/destinations.go
+++ b/internal/lab/capacity/slopes/destinations.go
@@ -17,7 +17,7 @@
 	if err != nil {
 		return nil, err
 	}
-	store, err := journal.Open(folder, journalRoom)
+	store, err := journal.Open(folder, maxJournalBytes)
 	if err != nil {
 		_ = os.RemoveAll(folder)
 		return nil, err
@@ -40,57 +40,57 @@
 	return err
 }
 
-// measureListed measures a relay that knows its destinations, takes the list once more, one change in it, and then a message to
+// measureListHandling measures a relay that knows its destinations, takes the list once more, one change in it, and then a message to
 // each. Others is the heap of what the program keeps of the list beside the relay.
-func measureListed(ctx context.Context, plan RelayPlan, news traffic.PoolNews, others float64, record recordFunc) error {
+func measureListHandling(ctx context.Context, plan RelayPlan, poolUpdate traffic.PoolNews, otherHeap float64, record recordFunc) error {
 	store, err := openJournal(plan.Directory)
 	if err != nil {
 		return err
 	}
 	defer store.Close()
 	before := heapBytes()
-	run, err := startRelay(relayInputs{news: news, store: store, seed: plan.Seed, noDown: true})
+	run, err := startRelay(relayInputs{poolUpdate: poolUpdate, store: store, seed: plan.Seed, allUp: true})
 	if err != nil {
 		return err
 	}
 	defer run.close()
-	listed := heapBytes() - before
-	wholeTook, err := run.stepOf(ctx, func() { run.relay.PoolChanged(news) })
+	listedBytes := heapBytes() - before
+	listStepTime, err := run.measureStep(ctx, func() { run.relay.PoolChanged(poolUpdate) })
 	if err != nil {
 		return err
 	}
-	one := traffic.PoolNews{Seq: news.Seq + 1, Members: news.Members[len(news.Members)-1:]}
-	changeTook, err := run.stepOf(ctx, func() { run.relay.PoolChanged(one) })
+	change := traffic.PoolNews{Seq: poolUpdate.Seq + 1, Members: poolUpdate.Members[len(poolUpdate.Members)-1:]}
+	changeStepTime, err := run.measureStep(ctx, func() { run.relay.PoolChanged(change) })
 	if err != nil {
 		return err
 	}
-	refused, err := run.callEach(ctx)
+	refused, err := run.deliverToEach(ctx)
 	if err != nil {
 		return err
 	}
-	called := heapBytes() - before
-	runtime.KeepAlive(news)
-	return recordAll(record, []measured{{listedHeap, listed}, {listedAllHeap, listed + others}, {calledHeap, called},
-		{startCPU, milliseconds(run.startTime)}, {listStep, milliseconds(wholeTook)}, {changeStep, microseconds(changeTook)},
-		{calledRefused, float64(refused) / float64(run.destinations)}})
+	deliveredBytes := heapBytes() - before
+	runtime.KeepAlive(poolUpdate)
+	return recordAll(record, []quantityValue{{relayHeap, listedBytes}, {totalHeap, listedBytes + otherHeap}, {deliveredHeap, deliveredBytes},
+		{firstStepTime, milliseconds(run.firstStepCPU)}, {listStep, milliseconds(listStepTime)}, {changeStep, microseconds(changeStepTime)},
+		{deliveredRefusedShare, float64(refused) / float64(run.destinations)}})
 }
 
-// callEach delivers a message to each destination. What is refused is handed in once more, as clients do; it returns how many were.
-func (run *relayRun) callEach(ctx context.Context) (refused int, err error) {
+// deliverToEach delivers a message to each destination. What is refused is handed in once more, as clients do; it returns how many were.
+func (run *relayRun) deliverToEach(ctx context.Context) (refused int, err error) {
 	const batch = 1000
 	for first := 0; first < run.destinations; first += batch {
-		var open []int
+		var remaining []int
 		for destination := first; destination < min(first+batch, run.destinations); destination++ {
-			open = append(open, destination)
+			remaining = append(remaining, destination)
 		}
-		for len(open) > 0 {
+		for len(remaining) > 0 {
 			if ctx.Err() != nil {
 				return refused, ctx.Err()
 			}
-			open = run.handIn(open)
-			refused += len(open)
+			remaining = run.submit(remaining)
+			refused += len(remaining)
 		}
-		if err := run.untilEmpty(ctx); err != nil {
+		if err := run.waitUntilNoneOpen(ctx); err != nil {
 			return refused, err
 		}
 	}
@@ -100,12 +100,12 @@
 	return refused, nil
 }
 
-// handIn hands in a message for each destination and returns those whose message was refused.
-func (run *relayRun) handIn(destinations []int) (refused []int) {
+// submit hands in a message for each destination and returns those whose message was refused.
+func (run *relayRun) submit(destinations []int) (refused []int) {
 	body, now := make([]byte, bodyBytes), time.Now()
 	answers := make([]<-chan traffic.Answer, len(destinations))
 	for i, destination := range destinations {
-		answers[i] = run.relay.Put(transaction(int(run.next.Add(1)), destination, now.Add(messageDeadline), body), now)
+		answers[i] = run.relay.Put(newTransaction(int(run.lastMessage.Add(1)), destination, now.Add(messageDeadline), body), now)
 	}
 	for i, answer := range answers {
 		if a := <-answer; a.Verdict != traffic.Accepted {
@@ -115,10 +115,10 @@
 	return refused
 }
 
-// untilEmpty waits until all that was handed in is over.
-func (run *relayRun) untilEmpty(ctx context.Context) error {
+// waitUntilNoneOpen waits until all that was handed in is over.
+func (run *relayRun) waitUntilNoneOpen(ctx context.Context) error {
 	for {
-		if c := run.relay.Counters(); c.HandedIn == run.next.Load() && c.Open == 0 {
+		if c := run.relay.Counters(); c.HandedIn == run.lastMessage.Load() && c.Open == 0 {
 			return nil
 		}
 		if err := sleep(ctx, time.Millisecond); err != nil {
@@ -127,45 +127,45 @@
 	}
 }
 
-// measureLoaded measures a relay that holds one message, one that takes its part of the planned events, and one that is handed
+// measureLoadedRelay measures a relay that holds one message, one that takes its part of the planned events, and one that is handed
 // all that it can take.
-func measureLoaded(ctx context.Context, plan RelayPlan, news traffic.PoolNews, record recordFunc) error {
+func measureLoadedRelay(ctx context.Context, plan RelayPlan, poolUpdate traffic.PoolNews, record recordFunc) error {
 	store, err := openJournal(plan.Directory)
 	if err != nil {
 		return err
 	}
 	defer store.Close()
-	waiting := []traffic.Open{{Transaction: transaction(1, 0, time.Now().Add(messageDeadline), make([]byte, bodyBytes))}}
-	run, err := startRelay(relayInputs{news: news, store: store, seed: plan.Seed, held: 1, open: waiting, after: callTakes})
+	queued := []traffic.Open{{Transaction: newTransaction(1, 0, time.Now().Add(messageDeadline), make([]byte, bodyBytes))}}
+	run, err := startRelay(relayInputs{poolUpdate: poolUpdate, store: store, seed: plan.Seed, backlogMessages: 1, openMessages: queued, answerDelay: answerDelay})
 	if err != nil {
 		return err
 	}
 	defer run.close()
-	share, _, err := run.watch(ctx, plan.Span)
+	share, _, err := run.observeIdle(ctx, plan.Span)
 	if err != nil {
 		return err
 	}
-	if err := record(waitingShare, share); err != nil {
+	if err := record(oneQueuedShare, share); err != nil {
 		return err
 	}
 	if err := run.recordLoad(ctx, plan.Span, record); err != nil {
 		return err
 	}
-	run.flows.answerAtOnce()
+	run.flows.answerImmediately()
 	return run.recordSaturation(ctx, plan.Span, record)
 }
 
-// watch lets the relay be and returns the share of a core that its steps took, and their times.
-func (run *relayRun) watch(ctx context.Context, span time.Duration) (float64, []time.Duration, error) {
+// observeIdle lets the relay be and returns the share of a core that its steps took, and their times.
+func (run *relayRun) observeIdle(ctx context.Context, span time.Duration) (float64, []time.Duration, error) {
 	if err := sleep(ctx, span/4); err != nil { // the calls of the start end
 		return 0, nil, err
 	}
-	run.meter.take()
+	run.steps.take()
 	begun := time.Now()
 	if err := sleep(ctx, span); err != nil {
 		return 0, nil, err
 	}
-	steps, _ := run.meter.take()
+	steps, _ := run.steps.take()
 	return float64(sum(steps)) / float64(time.Since(begun)), steps, nil
 }
 
@@ -178,23 +178,23 @@
 
 // recordLoad records what the planned rate of events does.
 func (run *relayRun) recordLoad(ctx context.Context, span time.Duration, record recordFunc) error {
-	result, err := run.load(ctx, eventsPerSecond, span)
+	result, err := run.applyLoad(ctx, eventsPerSecond, span)
 	if err != nil {
 		return err
 	}
-	took := float64(result.took)
-	return recordAll(record, []measured{{loadShare, float64(sum(result.steps)) / took}, {loadProcess, float64(result.process) / took},
-		{loadLongest, milliseconds(quantile(result.steps, 1))}, {loadMedian, milliseconds(quantile(result.verdicts, 0.5))}, {load99, milliseconds(quantile(result.verdicts, 0.99))},
-		{loadUnanswered, float64(result.unanswered) / float64(max(result.offered, 1))}})
+	elapsed := float64(result.elapsed)
+	return recordAll(record, []quantityValue{{loadStepShare, float64(sum(result.stepTimes)) / elapsed}, {loadProcessShare, float64(result.processCPU) / elapsed},
+		{loadStepLongest, milliseconds(quantile(result.stepTimes, 1))}, {loadAnswerMedian, milliseconds(quantile(result.answerTimes, 0.5))}, {loadAnswer99, milliseconds(quantile(result.answerTimes, 0.99))},
+		{loadUnansweredShare, float64(result.unanswered) / float64(max(result.offered, 1))}})
 }
 
 // recordSaturation records how many events a second of a core's time is enough for.
 func (run *relayRun) recordSaturation(ctx context.Context, span time.Duration, record recordFunc) error {
-	result, err := run.saturate(ctx, saturation, span)
+	result, err := run.saturate(ctx, saturationMessages, span)
 	if err != nil {
 		return err
 	}
 	events := float64(result.delivered)
-	return recordAll(record, []measured{{saturatedEvents, events / sum(result.steps).Seconds()}, {saturatedModule, events / result.module.Seconds()},
-		{saturatedAll, events / result.process.Seconds()}})
+	return recordAll(record, []quantityValue{{saturatedStepEvents, events / sum(result.stepTimes).Seconds()}, {saturatedModuleEvents, events / result.moduleCPU.Seconds()},
+		{saturatedProcessEvents, events / result.processCPU.Seconds()}})
 }
--- a/internal/lab/capacity/slopes/fit.go
+++ b/internal/lab/capacity/slopes/fit.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// LeastSizes is how many different sizes a fit needs.
-const LeastSizes = 4
+// MinSizes is how many different sizes a fit needs.
+const MinSizes = 4
 
 // Form is the shape of a curve a + b g(N).
 type Form int
@@ -21,10 +21,10 @@
 	formCount
 )
 
-var formNames = [formCount]string{"a + b N", "a + b log2 N", "a + b sqrt N", "constant"}
+var formFormulas = [formCount]string{"a + b N", "a + b log2 N", "a + b sqrt N", "constant"}
 
 // String writes the form as a formula.
-func (f Form) String() string { return formNames[f] }
+func (f Form) String() string { return formFormulas[f] }
 
 // MarshalText writes the form as a formula.
 func (f Form) MarshalText() ([]byte, error) { return []byte(f.String()), nil }
@@ -53,7 +53,7 @@
 	Slope      float64 `json:"b"`
 	SlopeError float64 `json:"b_standard_error"`
 	// Residual is the root of the mean square of what the curve misses, as a share of the points' mean.
-	Residual float64 `json:"relative_residual"`
+	RelativeResidual float64 `json:"relative_residual"`
 	// Exponent is the slope of the points on doubly logarithmic paper, over the larger half of the sizes: near 1 the cost grows as
 	// the size, above 1 faster, and then no form here holds beyond the largest size.
 	Exponent float64 `json:"exponent"`
@@ -63,8 +63,8 @@
 // At is the curve's value at a size.
 func (f Fit) At(size float64) float64 { return f.Intercept + f.Slope*f.Form.transform(size) }
 
-// significance is how many standard errors a slope must differ from nought by, or the cost counts as constant.
-const significance = 2
+// significantErrors is how many standard errors a slope must differ from nought by, or the cost counts as constant.
+const significantErrors = 2
 
 // BestFit fits each form by least squares and returns the one with the least residual, or the mean where that one's slope may as well
 // be nought.
@@ -74,14 +74,14 @@
 	}
 	best := fitForm(Linear, points)
 	for form := Logarithmic; form < Constant; form++ {
-		if fit := fitForm(form, points); fit.Residual < best.Residual {
+		if fit := fitForm(form, points); fit.RelativeResidual < best.RelativeResidual {
 			best = fit
 		}
 	}
-	if math.Abs(best.Slope) <= significance*best.SlopeError {
+	if math.Abs(best.Slope) <= significantErrors*best.SlopeError {
 		best = fitConstant(points)
 	}
-	best.Exponent = exponent(points)
+	best.Exponent = growthExponent(points)
 	return best, nil
 }
 
@@ -96,8 +96,8 @@
 		}
 		sizes[p.Size] = true
 	}
-	if len(sizes) < LeastSizes {
-		return fmt.Errorf("slopes: a fit needs %d different sizes and has %d", LeastSizes, len(sizes))
+	if len(sizes) < MinSizes {
+		return fmt.Errorf("slopes: a fit needs %d different sizes and has %d", MinSizes, len(sizes))
 	}
 	return nil
 }
@@ -118,14 +118,14 @@
 	}
 	fit := Fit{Form: form, Slope: sumXY / sumXX, Points: len(points)}
 	fit.Intercept = meanY - fit.Slope*meanX
-	var missed float64
+	var squaredErrors float64
 	for _, p := range points {
 		d := p.Value - fit.At(float64(p.Size))
-		missed += d * d
+		squaredErrors += d * d
 	}
-	fit.SlopeError = math.Sqrt(missed / (n - 2) / sumXX)
+	fit.SlopeError = math.Sqrt(squaredErrors / (n - 2) / sumXX)
 	if meanY != 0 {
-		fit.Residual = math.Sqrt(missed/n) / math.Abs(meanY)
+		fit.RelativeResidual = math.Sqrt(squaredErrors/n) / math.Abs(meanY)
 	}
 	return fit
 }
@@ -137,19 +137,19 @@
 	for _, p := range points {
 		fit.Intercept += p.Value / n
 	}
-	var missed float64
+	var squaredErrors float64
 	for _, p := range points {
-		missed += (p.Value - fit.Intercept) * (p.Value - fit.Intercept)
+		squaredErrors += (p.Value - fit.Intercept) * (p.Value - fit.Intercept)
 	}
 	if fit.Intercept != 0 {
-		fit.Residual = math.Sqrt(missed/n) / math.Abs(fit.Intercept)
+		fit.RelativeResidual = math.Sqrt(squaredErrors/n) / math.Abs(fit.Intercept)
 	}
 	return fit
 }
 
-// exponent is the least-squares slope of log value over log size, over the larger half of the points; 0 where a value is not
+// growthExponent is the least-squares slope of log value over log size, over the larger half of the points; 0 where a value is not
 // positive or there is one size alone.
-func exponent(points []Point) float64 {
+func growthExponent(points []Point) float64 {
 	middle := medianSize(points)
 	var n, sumX, sumY, sumXX, sumXY float64
 	for _, p := range points {
--- a/internal/lab/capacity/slopes/fit_test.go
+++ b/internal/lab/capacity/slopes/fit_test.go
@@ -40,8 +40,8 @@
 	}
 }
 
-// TestFitOfConstant wants a cost that does not grow to be called constant, and extended as its mean.
-func TestFitOfConstant(t *testing.T) {
+// TestFitConstant wants a cost that does not grow to be called constant, and extended as its mean.
+func TestFitConstant(t *testing.T) {
 	fit, err := BestFit(points(0.05, func(float64) float64 { return 400 }))
 	if err != nil {
 		t.Fatal(err)
@@ -51,8 +51,8 @@
 	}
 }
 
-// TestExponent wants growth that is faster than the size to be seen, for no form fits it.
-func TestExponent(t *testing.T) {
+// TestFitExponent wants growth that is faster than the size to be seen, for no form fits it.
+func TestFitExponent(t *testing.T) {
 	fit, err := BestFit(points(0, func(n float64) float64 { return n * n }))
 	if err != nil {
 		t.Fatal(err)
@@ -62,8 +62,8 @@
 	}
 }
 
-// TestFitRefuses wants an error where a fit would say nothing.
-func TestFitRefuses(t *testing.T) {
+// TestFitRejectsUnusablePoints wants an error where a fit would say nothing.
+func TestFitRejectsUnusablePoints(t *testing.T) {
 	good := points(0, func(n float64) float64 { return n })
 	for name, list := range map[string][]Point{
 		"too few sizes": good[:3],
--- /dev/null
+++ b/internal/lab/capacity/slopes/fleetnodes.go
@@ -0,0 +1,201 @@
+package slopes
+
+import (
+	"context"
+	"encoding/base64"
+	"fmt"
+	"net"
+	"net/netip"
+	"os"
+	"path/filepath"
+	"sync"
+	"time"
+
+	"slatemux/internal/fleet"
+	"slatemux/internal/traffic"
+)
+
+// Quantities of the program's whole part in a fleet: membership, comparison of statements, and what it does about a change.
+var (
+	fleetIdleBytes     = Quantity{Name: "whole fleet part, idle: bytes sent and received", Unit: "bytes/s", Budget: bytesPerSecondBudget}
+	fleetIdleCPU       = Quantity{Name: "whole fleet part, idle: processor", Unit: "share of a core", Budget: cpuShareBudget}
+	fleetJoinMeanBytes = Quantity{Name: "whole fleet part, one joins: bytes beyond idle, mean", Unit: "bytes"}
+	fleetJoinMaxBytes  = Quantity{Name: "whole fleet part, one joins: bytes beyond idle, busiest", Unit: "bytes"}
+)
+
+const (
+	// fleetExchangeInterval, fleetBytes and fleetAgree are the defaults of docs/operate-fleet.md.
+	fleetExchangeInterval, fleetBytesPerSecond, fleetQuorum = time.Second, 4096, 2
+	// fleetJoinTimeout is how long all may take to know each other.
+	fleetJoinTimeout = time.Minute
+	// keyFileMode is that of a key file.
+	keyFileMode = 0o600
+)
+
+// noopRelay is a relay that does nothing about what its fleet says.
+type noopRelay struct{}
+
+// Restrain does nothing.
+func (noopRelay) Restrain([]traffic.Restraint) {}
+
+// Allow does nothing.
+func (noopRelay) Allow([]traffic.Allowance) {}
+
+// Bar does nothing.
+func (noopRelay) Bar([]traffic.Bar) {}
+
+// fleetRun is a number of the program's own fleet parts on loopback sockets.
+type fleetRun struct {
+	folder    string
+	size      int
+	addresses []netip.AddrPort
+	nodes     []*fleet.Fleet
+	running   sync.WaitGroup
+}
+
+// measureFleets measures the program's fleet parts at some sizes: while nothing happens, and for as long again after one more joins.
+func measureFleets(ctx context.Context, plan MembershipPlan, recorder *Recorder, progress func(string)) error {
+	for _, size := range plan.Fleets {
+		progress(fmt.Sprintf("%d whole fleet parts on loopback", size))
+		if err := measureFleet(ctx, plan, size, recorder); err != nil {
+			return fmt.Errorf("slopes: %d fleet parts: %w", size, err)
+		}
+	}
+	return nil
+}
+
+func measureFleet(parent context.Context, plan MembershipPlan, size int, recorder *Recorder) error {
+	folder, err := os.MkdirTemp("", "slatelab-fleet")
+	if err != nil {
+		return err
+	}
+	defer os.RemoveAll(folder)
+	ctx, stop := context.WithCancel(parent)
+	run := &fleetRun{folder: folder, size: size}
+	defer run.running.Wait()
+	defer stop()
+	if err := run.writeKey(); err != nil {
+		return err
+	}
+	for n := range size {
+		if err := run.start(ctx, n); err != nil {
+			return err
+		}
+	}
+	if err := run.waitUntilKnown(ctx); err != nil {
+		return err
+	}
+	if err := sleep(ctx, plan.Settle); err != nil {
+		return err
+	}
+	idleTransferred, cpuShare, err := run.measureTraffic(ctx, plan.Idle)
+	if err != nil {
+		return err
+	}
+	perSecond := mean(idleTransferred) / plan.Idle.Seconds()
+	if err := run.start(ctx, size); err != nil {
+		return err
+	}
+	joinTransferred, _, err := run.measureTraffic(ctx, plan.Idle)
+	if err != nil {
+		return err
+	}
+	expectedBytes := mean(idleTransferred)
+	return recordAll(func(q Quantity, value float64) error { return recorder.record(Relays, size, q, value) },
+		[]quantityValue{{fleetIdleBytes, perSecond}, {fleetIdleCPU, cpuShare / float64(size)}, {fleetJoinMeanBytes, mean(joinTransferred) - expectedBytes},
+			{fleetJoinMaxBytes, quantile(joinTransferred, 1) - expectedBytes}})
+}
+
+// writeKey writes the one key of the fleet.
+func (run *fleetRun) writeKey() error {
+	text := base64.StdEncoding.EncodeToString(make([]byte, keyBytes)) + "\n"
+	return os.WriteFile(run.keyFile(), []byte(text), keyFileMode)
+}
+
+func (run *fleetRun) keyFile() string { return filepath.Join(run.folder, "key") }
+
+// start begins a part, which joins the first ones.
+func (run *fleetRun) start(ctx context.Context, number int) error {
+	address, err := freePort()
+	if err != nil {
+		return err
+	}
+	stateDir := filepath.Join(run.folder, relayName(number))
+	if err := os.Mkdir(stateDir, keyFileMode|0o100); err != nil {
+		return err
+	}
+	config := fleet.Config{
+		Name:             fleetLabel,
+		Self:             relayName(number),
+		Bind:             address,
+		Join:             run.addresses[:min(len(run.addresses), seedMembers)],
+		KeyFile:          run.keyFile(),
+		StateDir:         stateDir,
+		Seed:             uint64(number),
+		Quorum:           fleetQuorum,
+		ExchangeInterval: fleetExchangeInterval,
+		BytesPerSecond:   fleetBytesPerSecond,
+		DivideLimits:     true,
+		Relays:           run.size,
+	}
+	node, err := fleet.New(config, noopRelay{})
+	if err != nil {
+		return err
+	}
+	run.addresses, run.nodes = append(run.addresses, address), append(run.nodes, node)
+	run.running.Go(func() { node.Run(ctx) })
+	return nil
+}
+
+// freePort finds a port of the loopback address that is free for TCP and, as a rule, for UDP.
+func freePort() (netip.AddrPort, error) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		return netip.AddrPort{}, err
+	}
+	defer listener.Close()
+	return netip.ParseAddrPort(listener.Addr().String())
+}
+
+// waitUntilKnown waits until each part knows all.
+func (run *fleetRun) waitUntilKnown(ctx context.Context) error {
+	for start := time.Now(); ; {
+		known := 0
+		for _, node := range run.nodes {
+			known += node.Figures().Members
+		}
+		if known == len(run.nodes)*len(run.nodes) {
+			return nil
+		}
+		if time.Since(start) > fleetJoinTimeout {
+			return fmt.Errorf("%d of %d members are known after %v", known, len(run.nodes)*len(run.nodes), fleetJoinTimeout)
+		}
+		if err := sleep(ctx, pollInterval); err != nil {
+			return err
+		}
+	}
+}
+
+// measureTraffic returns the bytes of each of the first parts over a span, and the share of a core that the process took.
+func (run *fleetRun) measureTraffic(ctx context.Context, span time.Duration) ([]float64, float64, error) {
+	bytesBefore, cpuBefore, start := run.transferredBytes(), processCPUTime(), time.Now()
+	if err := sleep(ctx, span); err != nil {
+		return nil, 0, err
+	}
+	share := float64(processCPUTime()-cpuBefore) / float64(time.Since(start))
+	transferred := run.transferredBytes()
+	for i := range transferred {
+		transferred[i] -= bytesBefore[i]
+	}
+	return transferred, share, nil
+}
+
+// transferredBytes are those that the first parts have sent and received.
+func (run *fleetRun) transferredBytes() []float64 {
+	var list []float64
+	for _, node := range run.nodes[:run.size] {
+		figures := node.Figures()
+		list = append(list, float64(figures.SentBytes+figures.ReceivedBytes))
+	}
+	return list
+}
--- a/internal/lab/capacity/slopes/harness.go
+++ b/internal/lab/capacity/slopes/harness.go
@@ -14,28 +14,28 @@
 	"slatemux/internal/traffic"
 )
 
-// callTakes is the time that a destination takes to answer.
-const callTakes = 20 * time.Millisecond
+// answerDelay is the time that a destination takes to answer.
+const answerDelay = 20 * time.Millisecond
 
 // stepMeter notes the processor time of each of the relay's steps. Stepped is called at the beginning of each, on the relay's thread,
 // so that a step's time is known when the next begins.
 type stepMeter struct {
-	mu     sync.Mutex
-	begun  bool
-	last   time.Duration
-	steps  []time.Duration
-	module time.Duration // all steps of the module
+	mu         sync.Mutex
+	started    bool
+	stepStart  time.Duration
+	stepTimes  []time.Duration
+	moduleTime time.Duration // all steps of the module
 }
 
 // Stepped is called at the beginning of a step.
 func (m *stepMeter) Stepped(_, _ time.Time) {
-	now := threadTime()
+	now := threadCPUTime()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.begun {
-		m.steps = append(m.steps, now-m.last)
+	if m.started {
+		m.stepTimes = append(m.stepTimes, now-m.stepStart)
 	}
-	m.begun, m.last = true, now
+	m.started, m.stepStart = true, now
 }
 
 // HandedIn is told of each message.
@@ -43,137 +43,137 @@
 
 // Section runs a step of the module.
 func (m *stepMeter) Section(f func()) {
-	begun := threadTime()
+	start := threadCPUTime()
 	f()
-	took := threadTime() - begun
+	elapsed := threadCPUTime() - start
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.module += took
+	m.moduleTime += elapsed
 }
 
 // take returns the steps that have ended since it was last called, and the module's time in them.
-func (m *stepMeter) take() (steps []time.Duration, module time.Duration) {
+func (m *stepMeter) take() (stepTimes []time.Duration, moduleTime time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	steps, module = m.steps, m.module
-	m.steps, m.module = nil, 0
-	return steps, module
+	stepTimes, moduleTime = m.stepTimes, m.moduleTime
+	m.stepTimes, m.moduleTime = nil, 0
+	return stepTimes, moduleTime
 }
 
-// answeringFlows stand for the network: members that are down accept no connection, all others answer after a time.
-type answeringFlows struct {
-	down      map[string]bool
-	after     atomic.Int64 // nanoseconds; 0: at once
-	ended     func(traffic.FlowEnd)
-	delivered atomic.Int64
+// fakeFlows stand for the network: members that are down accept no connection, all others answer after a time.
+type fakeFlows struct {
+	down       map[string]bool
+	delayNanos atomic.Int64 // nanoseconds; 0: at once
+	onEnd      func(traffic.FlowEnd)
+	delivered  atomic.Int64
 }
 
 // Start answers a flow.
-func (f *answeringFlows) Start(begun traffic.Flow) {
-	after := time.Duration(f.after.Load())
-	for _, one := range begun.All() {
-		end := traffic.FlowEnd{ID: one.ID, Attempt: one.Attempt, Member: begun.Member, Status: traffic.Delivered, Took: after}
+func (f *fakeFlows) Start(started traffic.Flow) {
+	delay := time.Duration(f.delayNanos.Load())
+	for _, transaction := range started.All() {
+		end := traffic.FlowEnd{ID: transaction.ID, Attempt: transaction.Attempt, Member: started.Member, Status: traffic.Delivered, Took: delay}
 		switch {
-		case f.down[begun.Member]:
+		case f.down[started.Member]:
 			end.Status = traffic.NotConnected
-			f.ended(end)
-		case after == 0:
+			f.onEnd(end)
+		case delay == 0:
 			f.delivered.Add(1)
-			f.ended(end)
+			f.onEnd(end)
 		default:
 			f.delivered.Add(1)
-			time.AfterFunc(after, func() { f.ended(end) })
+			time.AfterFunc(delay, func() { f.onEnd(end) })
 		}
 	}
 }
 
-// answerAtOnce has answers take no time from now on.
-func (f *answeringFlows) answerAtOnce() { f.after.Store(0) }
+// answerImmediately has answers take no time from now on.
+func (f *fakeFlows) answerImmediately() { f.delayNanos.Store(0) }
 
 // Cancel has no effect: an answer is under way.
-func (f *answeringFlows) Cancel(string, int) {}
+func (f *fakeFlows) Cancel(string, int) {}
 
 // Pool needs no members.
-func (f *answeringFlows) Pool(traffic.PoolNews) {}
+func (f *fakeFlows) Pool(traffic.PoolNews) {}
 
 // Send takes a notice that nobody reads.
-func (f *answeringFlows) Send(traffic.Notice) {}
+func (f *fakeFlows) Send(traffic.Notice) {}
 
 // relayRun is a relay that runs in this process, with flows that answer without a socket.
 type relayRun struct {
 	relay        *relay.Relay
-	meter        *stepMeter
-	flows        *answeringFlows
+	steps        *stepMeter
+	flows        *fakeFlows
 	destinations int
 	down         int
-	startTime    time.Duration // processor time of the first step
-	next         atomic.Int64  // number of the newest message
-	stop         context.CancelFunc
+	firstStepCPU time.Duration // processor time of the first step
+	lastMessage  atomic.Int64  // number of the newest message
+	cancel       context.CancelFunc
 	stopped      chan struct{}
 }
 
 // relayInputs is what a relay starts with.
 type relayInputs struct {
-	news   traffic.PoolNews
-	held   int
-	open   []traffic.Open
-	store  relay.Store
-	after  time.Duration // that answers take
-	seed   int64
-	noDown bool // all destinations answer
+	poolUpdate      traffic.PoolNews
+	backlogMessages int
+	openMessages    []traffic.Open
+	store           relay.Store
+	answerDelay     time.Duration // that answers take
+	seed            int64
+	allUp           bool // all destinations answer
 }
 
 // startRelay takes the first step and begins to run.
 func startRelay(in relayInputs) (*relayRun, error) {
-	run := &relayRun{meter: &stepMeter{}, destinations: len(in.news.Members), stopped: make(chan struct{})}
-	run.flows = &answeringFlows{down: map[string]bool{}}
-	run.flows.after.Store(int64(in.after))
-	if !in.noDown {
+	run := &relayRun{steps: &stepMeter{}, destinations: len(in.poolUpdate.Members), stopped: make(chan struct{})}
+	run.flows = &fakeFlows{down: map[string]bool{}}
+	run.flows.delayNanos.Store(int64(in.answerDelay))
+	if !in.allUp {
 		run.down = downDestinations(run.destinations)
 	}
 	for i := range run.down {
 		run.flows.down[memberName(i)] = true
 	}
-	made, err := relay.New(relay.Config{Meters: run.meter, Settings: moduleSettings(run.destinations, in.held), Seed: in.seed, MostBytes: 1 << 40,
+	measuredRelay, err := relay.New(relay.Config{Meters: run.steps, Settings: moduleSettings(run.destinations, in.backlogMessages), Seed: in.seed, MostBytes: 1 << 40,
 		Store: in.store, Flows: run.flows, Notices: run.flows})
 	if err != nil {
 		return nil, err
 	}
-	run.relay, run.flows.ended = made, made.FlowEnded
-	run.next.Store(int64(in.held))
-	run.startTime = onThread(func() { made.Start(in.news, nil, in.open, nil) })
+	run.relay, run.flows.onEnd = measuredRelay, measuredRelay.FlowEnded
+	run.lastMessage.Store(int64(in.backlogMessages))
+	run.firstStepCPU = measureThreadCPU(func() { measuredRelay.Start(in.poolUpdate, nil, in.openMessages, nil) })
 	ctx, stop := context.WithCancel(context.Background())
-	run.stop = stop
+	run.cancel = stop
 	go func() {
 		runtime.LockOSThread() // the meter reads this thread's processor time
 		defer runtime.UnlockOSThread()
 		defer close(run.stopped)
-		made.Run(ctx)
+		measuredRelay.Run(ctx)
 	}()
 	return run, nil
 }
 
 func (run *relayRun) close() {
-	run.stop()
+	run.cancel()
 	<-run.stopped
 }
 
-// stepOf returns the processor time of the step that takes in what post hands the relay. Nothing else may be going on.
-func (run *relayRun) stepOf(ctx context.Context, post func()) (time.Duration, error) {
-	if err := run.awaitStep(ctx); err != nil { // ends the first one
+// measureStep returns the processor time of the step that takes in what post hands the relay. Nothing else may be going on.
+func (run *relayRun) measureStep(ctx context.Context, submit func()) (time.Duration, error) {
+	if err := run.flushSteps(ctx); err != nil { // ends the first one
 		return 0, err
 	}
-	run.meter.take()
-	post()
-	if err := run.awaitStep(ctx); err != nil {
+	run.steps.take()
+	submit()
+	if err := run.flushSteps(ctx); err != nil {
 		return 0, err
 	}
-	steps, _ := run.meter.take()
+	steps, _ := run.steps.take()
 	return quantile(steps, 1), nil
 }
 
-// awaitStep has the relay take two more steps, and so ends the measuring of all that began before.
-func (run *relayRun) awaitStep(ctx context.Context) error {
+// flushSteps has the relay take two more steps, and so ends the measuring of all that began before.
+func (run *relayRun) flushSteps(ctx context.Context) error {
 	for range 2 {
 		before := run.relay.Counters().Steps
 		run.relay.NoticesAnswered(nil)
@@ -203,34 +203,34 @@
 
 // loadResult is what a relay did under a load.
 type loadResult struct {
-	offered    int
-	accepted   int
-	delivered  int64
-	took       time.Duration
-	process    time.Duration   // processor time of the whole process, the load included
-	module     time.Duration   // of them, the module's
-	steps      []time.Duration // processor time of each
-	verdicts   []time.Duration // from hand-in to its answer
-	unanswered int
+	offered     int
+	accepted    int
+	delivered   int64
+	elapsed     time.Duration
+	processCPU  time.Duration   // processor time of the whole process, the load included
+	moduleCPU   time.Duration   // of them, the module's
+	stepTimes   []time.Duration // processor time of each
+	answerTimes []time.Duration // from hand-in to its answer
+	unanswered  int
 }
 
-// load hands messages in at a rate for a while, for destinations that are up, and waits for the last answers.
-func (run *relayRun) load(ctx context.Context, rate float64, span time.Duration) (loadResult, error) {
+// applyLoad hands messages in at a rate for a while, for destinations that are up, and waits for the last answers.
+func (run *relayRun) applyLoad(ctx context.Context, rate float64, span time.Duration) (loadResult, error) {
 	body := make([]byte, bodyBytes)
-	random := rand.New(rand.NewPCG(uint64(run.next.Load()), 1))
-	run.meter.take()
-	delivered, cpu, begun := run.flows.delivered.Load(), processTime(), time.Now()
+	random := rand.New(rand.NewPCG(uint64(run.lastMessage.Load()), 1))
+	run.steps.take()
+	deliveredBefore, cpuBefore, start := run.flows.delivered.Load(), processCPUTime(), time.Now()
 	var result loadResult
 	var waiting sync.WaitGroup
 	var mu sync.Mutex
-	for time.Since(begun) < span {
+	for time.Since(start) < span {
 		if err := sleep(ctx, 5*time.Millisecond); err != nil {
 			return result, err
 		}
 		now := time.Now()
-		for due := int(rate * now.Sub(begun).Seconds()); result.offered < due; result.offered++ {
+		for due := int(rate * now.Sub(start).Seconds()); result.offered < due; result.offered++ {
 			destination := min(run.down+random.IntN(max(run.destinations-run.down, 1)), run.destinations-1)
-			answer := run.relay.Put(transaction(int(run.next.Add(1)), destination, now.Add(messageDeadline), body), now)
+			answer := run.relay.Put(newTransaction(int(run.lastMessage.Add(1)), destination, now.Add(messageDeadline), body), now)
 			waiting.Go(func() {
 				select {
 				case a := <-answer:
@@ -239,7 +239,7 @@
 					if a.Verdict == traffic.Accepted {
 						result.accepted++
 					}
-					result.verdicts = append(result.verdicts, time.Since(now))
+					result.answerTimes = append(result.answerTimes, time.Since(now))
 				case <-time.After(2 * time.Second):
 					mu.Lock()
 					defer mu.Unlock()
@@ -249,47 +249,47 @@
 			})
 		}
 	}
-	result.took, result.process = time.Since(begun), processTime()-cpu
+	result.elapsed, result.processCPU = time.Since(start), processCPUTime()-cpuBefore
 	waiting.Wait()
-	result.delivered = run.flows.delivered.Load() - delivered
-	result.steps, result.module = run.meter.take()
+	result.delivered = run.flows.delivered.Load() - deliveredBefore
+	result.stepTimes, result.moduleCPU = run.steps.take()
 	return result, ctx.Err()
 }
 
 // saturate keeps a number of messages under way and returns what the relay did meanwhile.
-func (run *relayRun) saturate(ctx context.Context, underway int, span time.Duration) (loadResult, error) {
+func (run *relayRun) saturate(ctx context.Context, inFlight int, span time.Duration) (loadResult, error) {
 	body := make([]byte, bodyBytes)
-	run.meter.take()
-	delivered, cpu, begun := run.flows.delivered.Load(), processTime(), time.Now()
+	run.steps.take()
+	deliveredBefore, cpuBefore, start := run.flows.delivered.Load(), processCPUTime(), time.Now()
 	var result loadResult
-	batch := make([]<-chan traffic.Answer, underway)
-	for time.Since(begun) < span {
+	batch := make([]<-chan traffic.Answer, inFlight)
+	for time.Since(start) < span {
 		if ctx.Err() != nil {
 			return result, ctx.Err()
 		}
 		now := time.Now()
 		for i := range batch {
-			n := int(run.next.Add(1))
-			batch[i] = run.relay.Put(transaction(n, run.down+n%max(run.destinations-run.down, 1), now.Add(messageDeadline), body), now)
+			n := int(run.lastMessage.Add(1))
+			batch[i] = run.relay.Put(newTransaction(n, run.down+n%max(run.destinations-run.down, 1), now.Add(messageDeadline), body), now)
 		}
 		for _, answer := range batch {
 			if a := <-answer; a.Verdict == traffic.Accepted {
 				result.accepted++
 			}
 		}
-		result.offered += underway
+		result.offered += inFlight
 	}
-	result.took, result.process = time.Since(begun), processTime()-cpu
-	result.delivered = run.flows.delivered.Load() - delivered
-	result.steps, result.module = run.meter.take()
+	result.elapsed, result.processCPU = time.Since(start), processCPUTime()-cpuBefore
+	result.delivered = run.flows.delivered.Load() - deliveredBefore
+	result.stepTimes, result.moduleCPU = run.steps.take()
 	return result, nil
 }
 
-// newFlows makes the program's own flows, which keep figures of each member; they open no connection until a flow starts.
-func newFlows() (*flow.Manager, error) {
-	file := gateway.Default()
-	keep := file.Conns.Keep
-	keep.Most, keep.IdleMost, keep.Seed = 256, 5*time.Second, 1
-	return flow.New(flow.Config{Gate: file.TLS.Gate, ConnectWithin: time.Second, MostFlows: 256, Conns: keep, HeldMost: file.Conns.HeldMost,
-		StuckAfter: file.Conns.StuckAfter}, func(traffic.FlowEnd) {})
+// newFlowManager makes the program's own flows, which keep figures of each member; they open no connection until a flow starts.
+func newFlowManager() (*flow.Manager, error) {
+	defaults := gateway.Default()
+	connSettings := defaults.Conns.Keep
+	connSettings.Most, connSettings.IdleMost, connSettings.Seed = 256, 5*time.Second, 1
+	return flow.New(flow.Config{Gate: defaults.TLS.Gate, ConnectWithin: time.Second, MostFlows: 256, Conns: connSettings, HeldMost: defaults.Conns.HeldMost,
+		StuckAfter: defaults.Conns.StuckAfter}, func(traffic.FlowEnd) {})
 }
--- a/internal/lab/capacity/slopes/list.go
+++ b/internal/lab/capacity/slopes/list.go
@@ -9,7 +9,7 @@
 )
 
 // encodeList writes the entries of the destinations from first to before last as discovery does.
-func encodeList(seq int64, whole bool, first, last int) ([]byte, error) {
+func encodeList(seq int64, full bool, first, last int) ([]byte, error) {
 	hosts := make([]pool.Host, 0, last-first)
 	for i := first; i < last; i++ {
 		hosts = append(hosts, pool.Host{Host: memberName(i), Dial: memberAddress(i), Site: zoneName, Class: kindName, Block: &i, Health: "active", Share: 100})
@@ -18,38 +18,38 @@
 		Seq   int64       `json:"seq"`
 		Whole bool        `json:"whole"`
 		Hosts []pool.Host `json:"hosts"`
-	}{seq, whole, hosts})
+	}{seq, full, hosts})
 }
 
 // measureList measures a whole list on the wire and in memory, and a change in it. It returns the list and the heap that it takes
 // with the book that is kept of it.
 func measureList(size int, record recordFunc) (list pool.List, heap float64, err error) {
-	whole, err := encodeList(1, true, 0, size)
+	fullList, err := encodeList(1, true, 0, size)
 	if err != nil {
 		return list, 0, err
 	}
-	change, err := encodeList(2, false, size-1, size)
+	listChange, err := encodeList(2, false, size-1, size)
 	if err != nil {
 		return list, 0, err
 	}
 	book := pool.NewBook(pool.List{})
 	before := heapBytes()
-	took := onThread(func() { list, err = takeList(book, whole) })
+	parseTime := measureThreadCPU(func() { list, err = applyList(book, fullList) })
 	if err != nil {
 		return list, 0, err
 	}
 	heap = heapBytes() - before
-	changeTook := onThread(func() { _, err = takeList(book, change) })
+	changeParseTime := measureThreadCPU(func() { _, err = applyList(book, listChange) })
 	if err != nil {
 		return list, 0, err
 	}
-	runtime.KeepAlive(whole) // it was there before and is not counted
-	return list, heap, recordAll(record, []measured{{listBytes, float64(len(whole))}, {listParse, milliseconds(took)}, {bookHeap, heap},
-		{changeBytes, float64(len(change))}, {changeParse, microseconds(changeTook)}})
+	runtime.KeepAlive(fullList) // it was there before and is not counted
+	return list, heap, recordAll(record, []quantityValue{{listBytes, float64(len(fullList))}, {listParse, milliseconds(parseTime)}, {bookHeap, heap},
+		{changeBytes, float64(len(listChange))}, {changeParse, microseconds(changeParseTime)}})
 }
 
-// takeList does what the watcher does with an answer's body.
-func takeList(book *pool.Book, raw []byte) (pool.List, error) {
+// applyList does what the watcher does with an answer's body.
+func applyList(book *pool.Book, raw []byte) (pool.List, error) {
 	list, err := pool.Parse(raw)
 	if err != nil {
 		return list, err
@@ -58,13 +58,13 @@
 	return list, err
 }
 
-// measured is the value of a quantity.
-type measured struct {
+// quantityValue is the value of a quantity.
+type quantityValue struct {
 	quantity Quantity
 	value    float64
 }
 
-func recordAll(record recordFunc, values []measured) error {
+func recordAll(record recordFunc, values []quantityValue) error {
 	for _, v := range values {
 		if err := record(v.quantity, v.value); err != nil {
 			return err
@@ -74,15 +74,15 @@
 }
 
 // measureFlows returns the heap that the flows take for members without a connection.
-func measureFlows(news traffic.PoolNews, record recordFunc) (float64, error) {
+func measureFlows(poolUpdate traffic.PoolNews, record recordFunc) (float64, error) {
 	before := heapBytes()
-	flows, err := newFlows()
+	flows, err := newFlowManager()
 	if err != nil {
 		return 0, err
 	}
 	defer flows.Close()
-	flows.Pool(news)
+	flows.Pool(poolUpdate)
 	heap := heapBytes() - before
-	runtime.KeepAlive(news)
+	runtime.KeepAlive(poolUpdate)
 	return heap, record(flowsHeap, heap)
 }
--- a/internal/lab/capacity/slopes/measurement.go
+++ b/internal/lab/capacity/slopes/measurement.go
@@ -14,19 +14,19 @@
 
 // The axes.
 const (
-	Destinations Axis = "destinations"
-	Held         Axis = "held messages"
-	Relays       Axis = "relays"
+	Destinations   Axis = "destinations"
+	QueuedMessages Axis = "held messages"
+	Relays         Axis = "relays"
 )
 
-// planned are the sizes that the operators plan for, of one relay and of the whole.
-var planned = map[Axis]float64{Destinations: 330_000, Held: 11_800_000, Relays: 3_900}
+// plannedSizes are the sizes that the operators plan for, of one relay and of the whole.
+var plannedSizes = map[Axis]float64{Destinations: 330_000, QueuedMessages: 11_800_000, Relays: 3_900}
 
 // Budgets of one relay's control work.
 const (
-	budgetCPUShare       = 0.017 // of a core
-	budgetMemory         = 32e6  // bytes
-	budgetBytesPerSecond = 5e3
+	cpuShareBudget       = 0.017 // of a core
+	memoryBytesBudget    = 32e6  // bytes
+	bytesPerSecondBudget = 5e3
 )
 
 // Quantity names a cost and its unit. Budget is the most that it may be at the planned size; 0 for none.
@@ -48,17 +48,17 @@
 
 // Projection is a fit of a quantity and what it comes to at the planned size.
 type Projection struct {
-	Axis     Axis    `json:"axis"`
-	Quantity string  `json:"quantity"`
-	Unit     string  `json:"unit"`
-	Fit      Fit     `json:"fit"`
-	Planned  float64 `json:"planned_size"`
+	Axis        Axis    `json:"axis"`
+	Quantity    string  `json:"quantity"`
+	Unit        string  `json:"unit"`
+	Fit         Fit     `json:"fit"`
+	PlannedSize float64 `json:"planned_size"`
 	// Stretch is the planned size divided by the largest that was measured.
-	Stretch float64 `json:"extrapolation_factor"`
-	Value   float64 `json:"value_at_planned_size"`
-	Budget  float64 `json:"budget,omitempty"`
+	ExtrapolationFactor float64 `json:"extrapolation_factor"`
+	PlannedValue        float64 `json:"value_at_planned_size"`
+	Budget              float64 `json:"budget,omitempty"`
 	// OverBudget is the value divided by the budget.
-	OverBudget float64 `json:"value_over_budget,omitempty"`
+	BudgetRatio float64 `json:"value_over_budget,omitempty"`
 }
 
 // Recorder collects measurements and writes each as a line of JSON as soon as it is made.
@@ -85,15 +85,15 @@
 	points      []Point
 }
 
-func (r *Recorder) series() []*series {
+func (r *Recorder) allSeries() []*series {
 	var list []*series
 	for _, m := range r.measurements {
-		at := slices.IndexFunc(list, func(s *series) bool { return s.Axis == m.Axis && s.Quantity == m.Quantity })
-		if at < 0 {
-			at = len(list)
+		index := slices.IndexFunc(list, func(s *series) bool { return s.Axis == m.Axis && s.Quantity == m.Quantity })
+		if index < 0 {
+			index = len(list)
 			list = append(list, &series{Measurement: m})
 		}
-		list[at].points = append(list[at].points, Point{m.Size, m.Value})
+		list[index].points = append(list[index].points, Point{m.Size, m.Value})
 	}
 	return list
 }
@@ -101,20 +101,20 @@
 // Project fits each quantity and extends the fit to the planned size. Quantities with too few sizes are left out.
 func (r *Recorder) Project() []Projection {
 	var list []Projection
-	for _, s := range r.series() {
+	for _, s := range r.allSeries() {
 		fit, err := BestFit(s.points)
 		if err != nil {
 			continue
 		}
 		largest := slices.MaxFunc(s.points, func(a, b Point) int { return cmp.Compare(a.Size, b.Size) })
-		p := Projection{Axis: s.Axis, Quantity: s.Quantity, Unit: s.Unit, Fit: fit, Planned: planned[s.Axis], Budget: s.budget}
-		p.Stretch = p.Planned / float64(largest.Size)
-		p.Value = fit.At(p.Planned)
-		if p.Stretch <= 1 { // the planned size was measured
-			p.Value = largest.Value
+		p := Projection{Axis: s.Axis, Quantity: s.Quantity, Unit: s.Unit, Fit: fit, PlannedSize: plannedSizes[s.Axis], Budget: s.budget}
+		p.ExtrapolationFactor = p.PlannedSize / float64(largest.Size)
+		p.PlannedValue = fit.At(p.PlannedSize)
+		if p.ExtrapolationFactor <= 1 { // the planned size was measured
+			p.PlannedValue = largest.Value
 		}
 		if p.Budget > 0 {
-			p.OverBudget = p.Value / p.Budget
+			p.BudgetRatio = p.PlannedValue / p.Budget
 		}
 		list = append(list, p)
 	}
@@ -137,7 +137,7 @@
 }
 
 func (r *Recorder) writeMeasurements(w io.Writer) error {
-	for _, axis := range []Axis{Destinations, Held, Relays} {
+	for _, axis := range []Axis{Destinations, QueuedMessages, Relays} {
 		var sizes []int
 		for _, m := range r.measurements {
 			if m.Axis == axis && !slices.Contains(sizes, m.Size) {
@@ -154,9 +154,9 @@
 			fmt.Fprintf(t, "\t%d", size)
 		}
 		fmt.Fprintln(t)
-		for _, s := range r.series() {
+		for _, s := range r.allSeries() {
 			if s.Axis == axis {
-				writeRow(t, s, sizes)
+				writeSeriesRow(t, s, sizes)
 			}
 		}
 		if err := t.Flush(); err != nil {
@@ -166,15 +166,15 @@
 	return nil
 }
 
-func writeRow(w io.Writer, s *series, sizes []int) {
+func writeSeriesRow(w io.Writer, s *series, sizes []int) {
 	fmt.Fprintf(w, "%s\t%s", s.Quantity, s.Unit)
 	for _, size := range sizes {
-		at := slices.IndexFunc(s.points, func(p Point) bool { return p.Size == size })
-		if at < 0 {
+		index := slices.IndexFunc(s.points, func(p Point) bool { return p.Size == size })
+		if index < 0 {
 			fmt.Fprint(w, "\t-")
 			continue
 		}
-		fmt.Fprintf(w, "\t%s", figure(s.points[at].Value))
+		fmt.Fprintf(w, "\t%s", formatNumber(s.points[index].Value))
 	}
 	fmt.Fprintln(w)
 }
@@ -183,18 +183,18 @@
 	t := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(t, "\nfit\tunit\tform\ta\tb\terror of b\tresidual\texponent\tat\tvalue\textrapolated by\tbudget\tover budget")
 	for _, p := range list {
-		budget, over := "-", "-"
+		budget, ratio := "-", "-"
 		if p.Budget > 0 {
-			budget, over = figure(p.Budget), fmt.Sprintf("%.2f", p.OverBudget)
+			budget, ratio = formatNumber(p.Budget), fmt.Sprintf("%.2f", p.BudgetRatio)
 		}
-		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%s\t%.1f %%\t%.2f\t%.0f %s\t%s\t%.1f\t%s\t%s\n", p.Quantity, p.Unit, p.Fit.Form, figure(p.Fit.Intercept), figure(p.Fit.Slope),
-			figure(p.Fit.SlopeError), 100*p.Fit.Residual, p.Fit.Exponent, p.Planned, p.Axis, figure(p.Value), max(p.Stretch, 1), budget, over)
+		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%s\t%.1f %%\t%.2f\t%.0f %s\t%s\t%.1f\t%s\t%s\n", p.Quantity, p.Unit, p.Fit.Form, formatNumber(p.Fit.Intercept), formatNumber(p.Fit.Slope),
+			formatNumber(p.Fit.SlopeError), 100*p.Fit.RelativeResidual, p.Fit.Exponent, p.PlannedSize, p.Axis, formatNumber(p.PlannedValue), max(p.ExtrapolationFactor, 1), budget, ratio)
 	}
 	return t.Flush()
 }
 
-// figure writes four significant digits, without an exponent.
-func figure(v float64) string {
+// formatNumber writes four significant digits, without an exponent.
+func formatNumber(v float64) string {
 	switch magnitude := max(v, -v); {
 	case magnitude == 0:
 		return "0"
--- a/internal/lab/capacity/slopes/member.go
+++ b/internal/lab/capacity/slopes/member.go
@@ -19,8 +19,8 @@
 )
 
 const (
-	// regions and zones are those of the plan.
-	regions, zones = 7, 17
+	// regionCount and zones are those of the plan.
+	regionCount, zoneCount = 7, 17
 	// fleetLabel is the name of the fleet.
 	fleetLabel = "production"
 	// keyBytes is the length of the sealing key, as internal/fleet wants it.
@@ -29,14 +29,16 @@
 
 // memberConfig is the configuration that internal/fleet gives memberlist.
 func memberConfig() *memberlist.Config {
-	c := memberlist.DefaultLANConfig()
-	fleet.TuneMemberlist(c)
-	c.Logger = log.New(io.Discard, "", 0)
-	return c
+	config := memberlist.DefaultLANConfig()
+	fleet.TuneMemberlist(config)
+	config.Logger = log.New(io.Discard, "", 0)
+	return config
 }
 
 // relayName is the name of a relay with its region and zone.
-func relayName(n int) string { return fmt.Sprintf("relay-r%d-z%02d-%04d", n%regions, n%zones, n) }
+func relayName(n int) string {
+	return fmt.Sprintf("relay-r%d-z%02d-%04d", n%regionCount, n%zoneCount, n)
+}
 
 // relayAddress is where it is reached.
 func relayAddress(n int) netip.AddrPort {
@@ -45,12 +47,12 @@
 
 // The times of internal/fleet's part that keeps a relay a member .
 const (
-	// joinFirst to joinMost is the pause between two tries to find others.
-	joinFirst, joinMost = 250 * time.Millisecond, 8 * time.Second
-	// rejoinEvery is the pause between two tries to reach somebody who is no member at present.
-	rejoinEvery = 10 * time.Second
-	// seeds is how many members all are told to join: the first ones.
-	seeds = 3
+	// minJoinPause to joinMost is the pause between two tries to find others.
+	minJoinPause, maxJoinPause = 250 * time.Millisecond, 8 * time.Second
+	// rejoinInterval is the pause between two tries to reach somebody who is no member at present.
+	rejoinInterval = 10 * time.Second
+	// seedMembers is how many members all are told to join: the first ones.
+	seedMembers = 3
 )
 
 // member is one relay's part in the membership.
@@ -62,51 +64,51 @@
 	stopOnce  sync.Once
 }
 
-// belong keeps a member one until ctx ends or it stops, as Fleet.belong does: it tries to join until it knows another, and then now and
+// stayJoined keeps a member one until ctx ends or it stops, as Fleet.belong does: it tries to join until it knows another, and then now and
 // then one of the seeds or of the dead that it does not know to live.
-func (m *member) belong(ctx context.Context) {
-	for pause := joinFirst; ; {
-		wait := rejoinEvery
+func (m *member) stayJoined(ctx context.Context) {
+	for pause := minJoinPause; ; {
+		wait := rejoinInterval
 		if m.list.NumMembers() < 2 {
-			wait, pause = pause, min(2*pause, joinMost)
+			wait, pause = pause, min(2*pause, maxJoinPause)
 		}
 		if m.transport.wait(time.Duration((0.5+rand.Float64())*float64(wait)), nil) != nil || ctx.Err() != nil {
 			return
 		}
-		if address := m.absent(); address != "" {
+		if address := m.missingAddress(); address != "" {
 			_, _ = m.list.Join([]string{address}) // it is tried again
 		}
 	}
 }
 
-// absent picks an address at which no live member is known.
-func (m *member) absent() string {
-	here := map[string]bool{m.list.LocalNode().Address(): true}
+// missingAddress picks an address at which no live member is known.
+func (m *member) missingAddress() string {
+	live := map[string]bool{m.list.LocalNode().Address(): true}
 	for _, n := range m.list.Members() {
-		here[n.Address()] = true
+		live[n.Address()] = true
 	}
-	var away []string
-	for seed := range seeds {
-		if address := relayAddress(seed).String(); !here[address] {
-			away = append(away, address)
+	var missing []string
+	for seed := range seedMembers {
+		if address := relayAddress(seed).String(); !live[address] {
+			missing = append(missing, address)
 		}
 	}
 	for _, address := range m.delegate.deadAddresses() {
-		if !here[address] {
-			away = append(away, address)
+		if !live[address] {
+			missing = append(missing, address)
 		}
 	}
-	if len(away) == 0 {
+	if len(missing) == 0 {
 		return ""
 	}
-	return away[rand.IntN(len(away))]
+	return missing[rand.IntN(len(missing))]
 }
 
 // group is all members of one measurement.
 type group struct {
 	network *Network
-	ring    *memberlist.Keyring
-	watch   *watch
+	keyring *memberlist.Keyring
+	changes *changeWatch
 	tune    func(*memberlist.Config) // changes of the configuration; nil for none
 }
 
@@ -116,24 +118,24 @@
 	if err != nil {
 		return nil, err
 	}
-	return &group{network: network, ring: ring, watch: &watch{}}, nil
+	return &group{network: network, keyring: ring, changes: &changeWatch{}}, nil
 }
 
 // start creates a member that knows nobody yet.
 func (g *group) start(number int) (*member, error) {
-	c := memberConfig()
+	config := memberConfig()
 	address := relayAddress(number)
 	m := &member{number: number, transport: g.network.NewTransport(address)}
-	c.Name, c.Label, c.Keyring, c.Transport = relayName(number), fleetLabel, g.ring, m.transport
-	c.BindAddr, c.BindPort = address.Addr().String(), int(address.Port())
-	c.AdvertiseAddr, c.AdvertisePort = c.BindAddr, c.BindPort
-	d := &delegate{watch: g.watch, started: time.Now(), dead: map[string]string{}}
-	m.delegate = d
-	c.Delegate, c.Events, c.Ping, c.Conflict = d, d, d, d
+	config.Name, config.Label, config.Keyring, config.Transport = relayName(number), fleetLabel, g.keyring, m.transport
+	config.BindAddr, config.BindPort = address.Addr().String(), int(address.Port())
+	config.AdvertiseAddr, config.AdvertisePort = config.BindAddr, config.BindPort
+	events := &delegate{changes: g.changes, started: time.Now(), deadAddress: map[string]string{}}
+	m.delegate = events
+	config.Delegate, config.Events, config.Ping, config.Conflict = events, events, events, events
 	if g.tune != nil {
-		g.tune(c)
+		g.tune(config)
 	}
-	list, err := memberlist.Create(c)
+	list, err := memberlist.Create(config)
 	if err != nil {
 		_ = m.transport.Shutdown()
 		return nil, fmt.Errorf("slopes: member %d: %w", number, err)
@@ -150,17 +152,17 @@
 // delegate is the part of internal/fleet's delegate that costs bytes: it has no state of its own to exchange, and tells its start and
 // its age with the answer to a probe.
 type delegate struct {
-	watch   *watch
+	changes *changeWatch
 	started time.Time
 
-	mu   sync.Mutex
-	dead map[string]string // addresses by name
+	mu          sync.Mutex
+	deadAddress map[string]string // addresses by name
 }
 
 func (d *delegate) deadAddresses() []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return slices.Collect(maps.Values(d.dead))
+	return slices.Collect(maps.Values(d.deadAddress))
 }
 
 func (d *delegate) NodeMeta(int) []byte             { return nil }
@@ -174,16 +176,16 @@
 
 func (d *delegate) NotifyJoin(n *memberlist.Node) {
 	d.mu.Lock()
-	delete(d.dead, n.Name)
+	delete(d.deadAddress, n.Name)
 	d.mu.Unlock()
-	d.watch.seen(joined, n.Name)
+	d.changes.observe(memberJoined, n.Name)
 }
 
 func (d *delegate) NotifyLeave(n *memberlist.Node) {
 	d.mu.Lock()
-	d.dead[n.Name] = n.Address()
+	d.deadAddress[n.Name] = n.Address()
 	d.mu.Unlock()
-	d.watch.seen(left, n.Name)
+	d.changes.observe(memberLeft, n.Name)
 }
 
 func (d *delegate) NotifyPingComplete(*memberlist.Node, time.Duration, []byte) {}
@@ -193,49 +195,49 @@
 	return binary.AppendUvarint(b, uint64(time.Since(d.started)/time.Microsecond))
 }
 
-// change is what a member learns of another.
-type change int
+// membershipChange is what a member learns of another.
+type membershipChange int
 
 const (
-	joined change = iota
-	left
+	memberJoined membershipChange = iota
+	memberLeft
 )
 
-// watch notes when members learn of the subjects of an experiment.
-type watch struct {
-	mu       sync.Mutex
-	kind     change
-	subjects map[string]bool
-	begun    time.Time
-	times    []time.Duration
-	others   int // changes of the same kind that concern no subject
+// changeWatch notes when members learn of the subjects of an experiment.
+type changeWatch struct {
+	mu           sync.Mutex
+	awaited      membershipChange
+	subjects     map[string]bool
+	begun        time.Time
+	times        []time.Duration
+	otherChanges int // changes of the same kind that concern no subject
 }
 
 // begin starts an experiment.
-func (w *watch) begin(kind change, subjects ...string) {
+func (w *changeWatch) begin(kind membershipChange, subjects ...string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.kind, w.subjects, w.begun, w.times, w.others = kind, map[string]bool{}, time.Now(), nil, 0
+	w.awaited, w.subjects, w.begun, w.times, w.otherChanges = kind, map[string]bool{}, time.Now(), nil, 0
 	for _, s := range subjects {
 		w.subjects[s] = true
 	}
 }
 
-func (w *watch) seen(kind change, name string) {
+func (w *changeWatch) observe(kind membershipChange, name string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	switch {
-	case w.subjects == nil || kind != w.kind:
+	case w.subjects == nil || kind != w.awaited:
 	case w.subjects[name]:
 		w.times = append(w.times, time.Since(w.begun))
 	default:
-		w.others++
+		w.otherChanges++
 	}
 }
 
-// result returns the times so far, and how many other changes of the kind there were.
-func (w *watch) result() ([]time.Duration, int) {
+// results returns the times so far, and how many other changes of the kind there were.
+func (w *changeWatch) results() ([]time.Duration, int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return append([]time.Duration(nil), w.times...), w.others
+	return append([]time.Duration(nil), w.times...), w.otherChanges
 }
--- a/internal/lab/capacity/slopes/network.go
+++ b/internal/lab/capacity/slopes/network.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	// packetQueue is how many packets a member's socket holds; what comes while it is full is lost, as in a system's buffer.
-	packetQueue = 256
+	// packetQueueLength is how many packets a member's socket holds; what comes while it is full is lost, as in a system's buffer.
+	packetQueueLength = 256
 	// memberPort is the port of each member.
 	memberPort = 7946
 )
@@ -27,9 +27,9 @@
 	delay time.Duration // one way; each packet takes between half and one and a half of it
 	loss  float64       // share of packets
 	// streamMost is how many bytes a stream may bring.
-	streamMost int
+	maxStreamBytes int
 	// streamsMost is how many streams that came a member may have open.
-	streamsMost int64
+	maxStreams int64
 
 	mu         sync.RWMutex
 	transports map[string]*Transport
@@ -37,7 +37,7 @@
 
 // NewNetwork returns one without members, with internal/fleet's bound on streams.
 func NewNetwork(delay time.Duration, loss float64) *Network {
-	return &Network{delay: delay, loss: loss, streamMost: streamBytesMost, streamsMost: streamsAtOnceMost, transports: map[string]*Transport{}}
+	return &Network{delay: delay, loss: loss, maxStreamBytes: maxStreamBytes, maxStreams: maxConcurrentStreams, transports: map[string]*Transport{}}
 }
 
 // Traffic counts what passed a member's transport.
@@ -45,10 +45,10 @@
 	PacketsSent, PacketsReceived         int64
 	PacketBytesSent, PacketBytesReceived int64
 	StreamBytesSent, StreamBytesReceived int64
-	StreamsOpened, StreamsTurned         int64 // streams opened here; streams that came and were turned away
-	StreamsTooLong                       int64 // streams that were cut at the bound
-	LongestStream                        int64 // most bytes that one stream brought
-	PacketsOverrun                       int64 // packets that found the queue full
+	StreamsOpened, StreamsRefused        int64 // streams opened here; streams that came and were turned away
+	StreamsTruncated                     int64 // streams that were cut at the bound
+	LongestStreamBytes                   int64 // most bytes that one stream brought
+	PacketsDropped                       int64 // packets that found the queue full
 }
 
 // Bytes are all bytes, sent and received.
@@ -68,22 +68,22 @@
 	t.StreamBytesSent -= before.StreamBytesSent
 	t.StreamBytesReceived -= before.StreamBytesReceived
 	t.StreamsOpened -= before.StreamsOpened
-	t.StreamsTurned -= before.StreamsTurned
-	t.StreamsTooLong -= before.StreamsTooLong
-	t.PacketsOverrun -= before.PacketsOverrun
+	t.StreamsRefused -= before.StreamsRefused
+	t.StreamsTruncated -= before.StreamsTruncated
+	t.PacketsDropped -= before.PacketsDropped
 	return t
 }
 
 // Transport is one member's end of a Network, with the bounds of internal/fleet's transport on streams.
 type Transport struct {
-	network *Network
-	address netip.AddrPort
-	packets chan *memberlist.Packet
-	streams chan net.Conn
-	closed  chan struct{}
-	once    sync.Once
-	off     atomic.Bool
-	open    atomic.Int64 // streams that came and are open
+	network      *Network
+	address      netip.AddrPort
+	packets      chan *memberlist.Packet
+	streams      chan net.Conn
+	closed       chan struct{}
+	once         sync.Once
+	failed       atomic.Bool
+	openIncoming atomic.Int64 // streams that came and are open
 
 	mu      sync.Mutex
 	traffic Traffic
@@ -93,15 +93,15 @@
 
 // NewTransport adds a member's transport. An address is used once at a time.
 func (n *Network) NewTransport(address netip.AddrPort) *Transport {
-	t := &Transport{network: n, address: address, packets: make(chan *memberlist.Packet, packetQueue), streams: make(chan net.Conn), closed: make(chan struct{})}
+	t := &Transport{network: n, address: address, packets: make(chan *memberlist.Packet, packetQueueLength), streams: make(chan net.Conn), closed: make(chan struct{})}
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.transports[address.String()] = t
 	return t
 }
 
-// CutOff has the member fail as a machine does: nothing passes any more, and nobody is told.
-func (t *Transport) CutOff() { t.off.Store(true) }
+// Fail has the member fail as a machine does: nothing passes any more, and nobody is told.
+func (t *Transport) Fail() { t.failed.Store(true) }
 
 // Traffic returns what has passed.
 func (t *Transport) Traffic() Traffic {
@@ -110,7 +110,7 @@
 	return t.traffic
 }
 
-func (t *Transport) counting(f func(*Traffic)) {
+func (t *Transport) updateTraffic(f func(*Traffic)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	f(&t.traffic)
@@ -121,14 +121,14 @@
 	n.mu.RLock()
 	defer n.mu.RUnlock()
 	t := n.transports[address]
-	if t == nil || t.off.Load() {
+	if t == nil || t.failed.Load() {
 		return nil
 	}
 	return t
 }
 
-// latency is the time that one packet takes.
-func (n *Network) latency() time.Duration {
+// packetLatency is the time that one packet takes.
+func (n *Network) packetLatency() time.Duration {
 	return time.Duration(float64(n.delay) * (0.5 + rand.Float64()))
 }
 
@@ -140,36 +140,36 @@
 // WriteTo sends a packet.
 func (t *Transport) WriteTo(b []byte, address string) (time.Time, error) {
 	now := time.Now()
-	if t.off.Load() {
+	if t.failed.Load() {
 		return now, nil
 	}
-	t.counting(func(c *Traffic) {
+	t.updateTraffic(func(c *Traffic) {
 		c.PacketsSent++
 		c.PacketBytesSent += int64(len(b))
 	})
-	to := t.network.peer(address)
-	if to == nil || rand.Float64() < t.network.loss {
+	peer := t.network.peer(address)
+	if peer == nil || rand.Float64() < t.network.loss {
 		return now, nil
 	}
 	from := net.UDPAddrFromAddrPort(t.address)
-	body := append([]byte(nil), b...)
-	time.AfterFunc(t.network.latency(), func() { to.receive(&memberlist.Packet{Buf: body, From: from, Timestamp: time.Now()}) })
+	packetBytes := append([]byte(nil), b...)
+	time.AfterFunc(t.network.packetLatency(), func() { peer.receive(&memberlist.Packet{Buf: packetBytes, From: from, Timestamp: time.Now()}) })
 	return now, nil
 }
 
 // receive queues a packet that has arrived.
-func (t *Transport) receive(p *memberlist.Packet) {
-	if t.off.Load() {
+func (t *Transport) receive(packet *memberlist.Packet) {
+	if t.failed.Load() {
 		return
 	}
 	select {
-	case t.packets <- p:
-		t.counting(func(c *Traffic) {
+	case t.packets <- packet:
+		t.updateTraffic(func(c *Traffic) {
 			c.PacketsReceived++
-			c.PacketBytesReceived += int64(len(p.Buf))
+			c.PacketBytesReceived += int64(len(packet.Buf))
 		})
 	default:
-		t.counting(func(c *Traffic) { c.PacketsOverrun++ })
+		t.updateTraffic(func(c *Traffic) { c.PacketsDropped++ })
 	}
 }
 
@@ -181,32 +181,32 @@
 // PacketCh holds the packets that have arrived.
 func (t *Transport) PacketCh() <-chan *memberlist.Packet { return t.packets }
 
-var errTurnedAway = errors.New("slopes: the stream was turned away")
+var errStreamRefused = errors.New("slopes: the stream was turned away")
 
 // DialTimeout opens a stream. A member that was cut off does not answer at all.
 func (t *Transport) DialTimeout(address string, timeout time.Duration) (net.Conn, error) {
-	to := t.network.peer(address)
-	if to == nil || t.off.Load() {
+	peer := t.network.peer(address)
+	if peer == nil || t.failed.Load() {
 		return nil, t.wait(timeout, fmt.Errorf("slopes: %s does not answer", address))
 	}
-	if err := t.wait(2*t.network.latency(), nil); err != nil {
+	if err := t.wait(2*t.network.packetLatency(), nil); err != nil {
 		return nil, err
 	}
-	t.counting(func(c *Traffic) { c.StreamsOpened++ })
-	if to.open.Add(1) > t.network.streamsMost {
-		to.open.Add(-1)
-		to.counting(func(c *Traffic) { c.StreamsTurned++ })
-		return nil, errTurnedAway
+	t.updateTraffic(func(c *Traffic) { c.StreamsOpened++ })
+	if peer.openIncoming.Add(1) > t.network.maxStreams {
+		peer.openIncoming.Add(-1)
+		peer.updateTraffic(func(c *Traffic) { c.StreamsRefused++ })
+		return nil, errStreamRefused
 	}
-	here, there := net.Pipe()
+	local, remote := net.Pipe()
 	select {
-	case to.streams <- &stream{Conn: there, transport: to, left: t.network.streamMost, came: true}:
-		return &stream{Conn: here, transport: t, left: t.network.streamMost}, nil
-	case <-to.closed:
-		to.open.Add(-1)
+	case peer.streams <- &stream{Conn: remote, transport: peer, remainingBytes: t.network.maxStreamBytes, incoming: true}:
+		return &stream{Conn: local, transport: t, remainingBytes: t.network.maxStreamBytes}, nil
+	case <-peer.closed:
+		peer.openIncoming.Add(-1)
 		return nil, fmt.Errorf("slopes: %s is closed", address)
 	case <-time.After(timeout):
-		to.open.Add(-1)
+		peer.openIncoming.Add(-1)
 		return nil, fmt.Errorf("slopes: %s does not answer", address)
 	}
 }
@@ -233,7 +233,7 @@
 
 // Shutdown closes the transport.
 func (t *Transport) Shutdown() error {
-	t.CutOff()
+	t.Fail()
 	t.once.Do(func() { close(t.closed) })
 	return nil
 }
@@ -241,42 +241,42 @@
 // stream counts what passes, and ends where more comes than internal/fleet takes.
 type stream struct {
 	net.Conn
-	transport *Transport
-	left      int
-	came      bool
-	once      sync.Once
+	transport      *Transport
+	remainingBytes int
+	incoming       bool
+	once           sync.Once
 }
 
 // Read reads up to the bound.
 func (s *stream) Read(b []byte) (int, error) {
-	if s.left <= 0 {
-		s.transport.counting(func(c *Traffic) { c.StreamsTooLong++ })
+	if s.remainingBytes <= 0 {
+		s.transport.updateTraffic(func(c *Traffic) { c.StreamsTruncated++ })
 		return 0, io.ErrUnexpectedEOF
 	}
-	n, err := s.Conn.Read(b[:min(len(b), s.left)])
-	s.left -= n
-	s.transport.counting(func(c *Traffic) {
+	n, err := s.Conn.Read(b[:min(len(b), s.remainingBytes)])
+	s.remainingBytes -= n
+	s.transport.updateTraffic(func(c *Traffic) {
 		c.StreamBytesReceived += int64(n)
-		c.LongestStream = max(c.LongestStream, int64(s.transport.network.streamMost-s.left))
+		c.LongestStreamBytes = max(c.LongestStreamBytes, int64(s.transport.network.maxStreamBytes-s.remainingBytes))
 	})
 	return n, err
 }
 
 // Write sends bytes.
 func (s *stream) Write(b []byte) (int, error) {
-	if s.transport.off.Load() {
+	if s.transport.failed.Load() {
 		return 0, net.ErrClosed
 	}
 	n, err := s.Conn.Write(b)
-	s.transport.counting(func(c *Traffic) { c.StreamBytesSent += int64(n) })
+	s.transport.updateTraffic(func(c *Traffic) { c.StreamBytesSent += int64(n) })
 	return n, err
 }
 
 // Close closes the stream.
 func (s *stream) Close() error {
 	s.once.Do(func() {
-		if s.came {
-			s.transport.open.Add(-1)
+		if s.incoming {
+			s.transport.openIncoming.Add(-1)
 		}
 	})
 	return s.Conn.Close()
--- a/internal/lab/capacity/slopes/relay.go
+++ b/internal/lab/capacity/slopes/relay.go
@@ -24,53 +24,53 @@
 
 // Quantities along the number of destinations.
 var (
-	listBytes       = Quantity{Name: "discovery list, whole", Unit: "bytes", Budget: discoveryListMost}
-	listParse       = Quantity{Name: "discovery list, parse and compare", Unit: "ms CPU"}
-	listStep        = Quantity{Name: "discovery list, relay step", Unit: "ms CPU"}
-	changeBytes     = Quantity{Name: "change of one member", Unit: "bytes"}
-	changeParse     = Quantity{Name: "change of one, parse and compare", Unit: "us CPU"}
-	changeStep      = Quantity{Name: "change of one, relay step", Unit: "us CPU"}
-	bookHeap        = Quantity{Name: "heap, known list and its book", Unit: "bytes"}
-	flowsHeap       = Quantity{Name: "heap, flows, listed", Unit: "bytes"}
-	listedHeap      = Quantity{Name: "heap, relay, listed", Unit: "bytes"}
-	listedAllHeap   = Quantity{Name: "heap, all, listed", Unit: "bytes", Budget: budgetMemory}
-	calledHeap      = Quantity{Name: "heap, relay, a message to each", Unit: "bytes"}
-	calledRefused   = Quantity{Name: "a message to each: refused at first", Unit: "share"}
-	startCPU        = Quantity{Name: "first step", Unit: "ms CPU"}
-	waitingShare    = Quantity{Name: "one message held, no arrivals", Unit: "share of a core", Budget: budgetCPUShare}
-	loadShare       = Quantity{Name: "relay steps at 564 events/s", Unit: "share of a core"}
-	loadProcess     = Quantity{Name: "process at 564 events/s, load included", Unit: "share of a core"}
-	loadMedian      = Quantity{Name: "answer to a hand-in at 564/s, median", Unit: "ms"}
-	load99          = Quantity{Name: "answer to a hand-in at 564/s, 99 %", Unit: "ms"}
-	loadLongest     = Quantity{Name: "relay step at 564 events/s, longest", Unit: "ms CPU"}
-	loadUnanswered  = Quantity{Name: "hand-ins without an answer in 2 s", Unit: "share"}
-	saturatedEvents = Quantity{Name: "events for a core-second of relay steps", Unit: "events"}
-	saturatedModule = Quantity{Name: "events for a core-second of the module", Unit: "events"}
-	saturatedAll    = Quantity{Name: "events for a core-second of the process", Unit: "events"}
+	listBytes              = Quantity{Name: "discovery list, whole", Unit: "bytes", Budget: maxDiscoveryListBytes}
+	listParse              = Quantity{Name: "discovery list, parse and compare", Unit: "ms CPU"}
+	listStep               = Quantity{Name: "discovery list, relay step", Unit: "ms CPU"}
+	changeBytes            = Quantity{Name: "change of one member", Unit: "bytes"}
+	changeParse            = Quantity{Name: "change of one, parse and compare", Unit: "us CPU"}
+	changeStep             = Quantity{Name: "change of one, relay step", Unit: "us CPU"}
+	bookHeap               = Quantity{Name: "heap, known list and its book", Unit: "bytes"}
+	flowsHeap              = Quantity{Name: "heap, flows, listed", Unit: "bytes"}
+	relayHeap              = Quantity{Name: "heap, relay, listed", Unit: "bytes"}
+	totalHeap              = Quantity{Name: "heap, all, listed", Unit: "bytes", Budget: memoryBytesBudget}
+	deliveredHeap          = Quantity{Name: "heap, relay, a message to each", Unit: "bytes"}
+	deliveredRefusedShare  = Quantity{Name: "a message to each: refused at first", Unit: "share"}
+	firstStepTime          = Quantity{Name: "first step", Unit: "ms CPU"}
+	oneQueuedShare         = Quantity{Name: "one message held, no arrivals", Unit: "share of a core", Budget: cpuShareBudget}
+	loadStepShare          = Quantity{Name: "relay steps at 564 events/s", Unit: "share of a core"}
+	loadProcessShare       = Quantity{Name: "process at 564 events/s, load included", Unit: "share of a core"}
+	loadAnswerMedian       = Quantity{Name: "answer to a hand-in at 564/s, median", Unit: "ms"}
+	loadAnswer99           = Quantity{Name: "answer to a hand-in at 564/s, 99 %", Unit: "ms"}
+	loadStepLongest        = Quantity{Name: "relay step at 564 events/s, longest", Unit: "ms CPU"}
+	loadUnansweredShare    = Quantity{Name: "hand-ins without an answer in 2 s", Unit: "share"}
+	saturatedStepEvents    = Quantity{Name: "events for a core-second of relay steps", Unit: "events"}
+	saturatedModuleEvents  = Quantity{Name: "events for a core-second of the module", Unit: "events"}
+	saturatedProcessEvents = Quantity{Name: "events for a core-second of the process", Unit: "events"}
 )
 
 // Quantities along the number of held messages.
 var (
-	journalBytes   = Quantity{Name: "journal, whole", Unit: "bytes"}
-	journalEach    = Quantity{Name: "journal, each message", Unit: "bytes"}
-	journalWrite   = Quantity{Name: "journal, writing each message", Unit: "us CPU"}
-	journalReplay  = Quantity{Name: "restart, journal replay", Unit: "ms CPU"}
-	restartAll     = Quantity{Name: "restart, replay and first step", Unit: "ms CPU"}
-	restartElapsed = Quantity{Name: "restart, elapsed until ready", Unit: "ms"}
-	heldHeap       = Quantity{Name: "heap, journal and relay", Unit: "bytes"}
-	holdingShare   = Quantity{Name: "held, no arrivals", Unit: "share of a core"}
-	holdingStep99  = Quantity{Name: "held, relay step, 99 %", Unit: "ms CPU"}
-	holdingKept    = Quantity{Name: "held, still held at the end", Unit: "share"}
-	holdingLongest = Quantity{Name: "held, relay step, longest", Unit: "ms CPU"}
+	journalBytes        = Quantity{Name: "journal, whole", Unit: "bytes"}
+	journalMessageBytes = Quantity{Name: "journal, each message", Unit: "bytes"}
+	journalMessageWrite = Quantity{Name: "journal, writing each message", Unit: "us CPU"}
+	journalReplay       = Quantity{Name: "restart, journal replay", Unit: "ms CPU"}
+	restartCPU          = Quantity{Name: "restart, replay and first step", Unit: "ms CPU"}
+	restartElapsed      = Quantity{Name: "restart, elapsed until ready", Unit: "ms"}
+	backlogHeap         = Quantity{Name: "heap, journal and relay", Unit: "bytes"}
+	backlogIdleShare    = Quantity{Name: "held, no arrivals", Unit: "share of a core"}
+	backlogStep99       = Quantity{Name: "held, relay step, 99 %", Unit: "ms CPU"}
+	backlogKeptShare    = Quantity{Name: "held, still held at the end", Unit: "share"}
+	backlogStepLongest  = Quantity{Name: "held, relay step, longest", Unit: "ms CPU"}
 )
 
 const (
-	// journalRoom is the folder's limit: far over what any size here takes.
-	journalRoom = 16 << 30
-	// journalBatch is how many messages one write takes on.
-	journalBatch = 100
-	// saturation is how many messages are under way where the relay is to be busy all the time.
-	saturation = 2000
+	// maxJournalBytes is the folder's limit: far over what any size here takes.
+	maxJournalBytes = 16 << 30
+	// journalBatchMessages is how many messages one write takes on.
+	journalBatchMessages = 100
+	// saturationMessages is how many messages are under way where the relay is to be busy all the time.
+	saturationMessages = 2000
 )
 
 // Check says what makes no sense.
@@ -91,36 +91,36 @@
 
 // checkSizes wants enough different sizes of 1 and more.
 func checkSizes(name string, sizes []int) error {
-	different := map[int]bool{}
+	seen := map[int]bool{}
 	for _, size := range sizes {
 		if size < 1 {
 			return fmt.Errorf("slopes: %s: a size of %d makes no sense", name, size)
 		}
-		if different[size] {
+		if seen[size] {
 			return fmt.Errorf("slopes: %s: size %d is there twice", name, size)
 		}
-		different[size] = true
+		seen[size] = true
 	}
-	if len(different) < LeastSizes {
-		return fmt.Errorf("slopes: %s: %d sizes are too few for a fit, which needs %d", name, len(different), LeastSizes)
+	if len(seen) < MinSizes {
+		return fmt.Errorf("slopes: %s: %d sizes are too few for a fit, which needs %d", name, len(seen), MinSizes)
 	}
 	return nil
 }
 
 // MeasureRelay measures one relay along both axes. It tells progress what it is about to do.
-func MeasureRelay(ctx context.Context, plan RelayPlan, to *Recorder, progress func(string)) error {
+func MeasureRelay(ctx context.Context, plan RelayPlan, recorder *Recorder, progress func(string)) error {
 	if err := plan.Check(); err != nil {
 		return err
 	}
 	for _, size := range plan.Destinations {
 		progress(fmt.Sprintf("%d destinations", size))
-		if err := measureDestinations(ctx, plan, size, to); err != nil {
+		if err := measureDestinations(ctx, plan, size, recorder); err != nil {
 			return fmt.Errorf("slopes: %d destinations: %w", size, err)
 		}
 	}
 	for _, size := range plan.Held {
 		progress(fmt.Sprintf("%d messages held over %d destinations", size, plan.HeldOver))
-		if err := measureHeld(ctx, plan, size, to); err != nil {
+		if err := measureBacklog(ctx, plan, size, recorder); err != nil {
 			return fmt.Errorf("slopes: %d messages held: %w", size, err)
 		}
 	}
@@ -131,8 +131,8 @@
 type recordFunc func(Quantity, float64) error
 
 // measureDestinations measures a relay whose list has a number of destinations.
-func measureDestinations(ctx context.Context, plan RelayPlan, size int, to *Recorder) error {
-	record := func(q Quantity, value float64) error { return to.record(Destinations, size, q, value) }
+func measureDestinations(ctx context.Context, plan RelayPlan, size int, recorder *Recorder) error {
+	record := func(q Quantity, value float64) error { return recorder.record(Destinations, size, q, value) }
 	list, bookBytes, err := measureList(size, record)
 	if err != nil {
 		return err
@@ -141,15 +141,15 @@
 	if err != nil {
 		return err
 	}
-	if err := measureListed(ctx, plan, list.News(), bookBytes+flowsBytes, record); err != nil {
+	if err := measureListHandling(ctx, plan, list.News(), bookBytes+flowsBytes, record); err != nil {
 		return err
 	}
-	if err := measureLoaded(ctx, plan, list.News(), record); err != nil {
+	if err := measureLoadedRelay(ctx, plan, list.News(), record); err != nil {
 		return err
 	}
 	steps, err := measureModuleSteps(ctx, size, plan.Held[0], uint64(plan.Seed))
 	if err != nil {
 		return err
 	}
-	return recordModuleSteps(to, Destinations, size, fmt.Sprintf(", %d held", plan.Held[0]), steps)
+	return recordModuleSteps(recorder, Destinations, size, fmt.Sprintf(", %d held", plan.Held[0]), steps)
 }
--- a/internal/lab/capacity/slopes/settings.go
+++ b/internal/lab/capacity/slopes/settings.go
@@ -17,10 +17,10 @@
 	className = "event"
 	kindName  = "partner"
 	zoneName  = "zone-1"
-	// callsBeside is how many calls may be out beside those to destinations that are down.
-	callsBeside = 4096
-	// openBeside is how many messages may be open beside the backlog.
-	openBeside = 1 << 20
+	// extraCalls is how many calls may be out beside those to destinations that are down.
+	extraCalls = 4096
+	// extraOpenMessages is how many messages may be open beside the backlog.
+	extraOpenMessages = 1 << 20
 	// messageDeadline is long enough for a backlog of 11.8 million at 564 messages a second.
 	messageDeadline = 24 * time.Hour
 )
@@ -32,8 +32,8 @@
 		Classes: []dispatch.Class{{Name: className, Effect: dispatch.Keyed, Memory: 15 * time.Second, Aim: messageDeadline / 2,
 			Deadline: messageDeadline, Worth: 1, LateWorth: 0.5}},
 		Kinds: []dispatch.Kind{{Name: kindName}}, Zones: []dispatch.Zone{{Name: zoneName}}, Zone: zoneName,
-		Peers: int(planned[Relays]), Resolution: 5 * time.Millisecond,
-		MaxCalls: 2*downDestinations(destinations) + callsBeside, MaxOpen: 2*held + openBeside, MaxAttempts: 8,
+		Peers: int(plannedSizes[Relays]), Resolution: 5 * time.Millisecond,
+		MaxCalls: 2*downDestinations(destinations) + extraCalls, MaxOpen: 2*held + extraOpenMessages, MaxAttempts: 8,
 		ConnectTimeout: time.Second, KeepAlive: 5 * time.Second, CallsPerConn: 1, MaxRetryAfter: 3 * time.Second,
 		RetryAfter: true, Cancel: true, Weights: dispatch.Rough, LateByHalves: true, OverShareWorth: 0.1,
 		Safety: dispatch.Safety{StartCapacity: 0.23, Cold: 13 * time.Second, FallMultiple: 1.5, TipAfter: 1500 * time.Millisecond,
@@ -55,7 +55,7 @@
 // messageID is the name of a message.
 func messageID(n int) string { return fmt.Sprintf("%016x", n) }
 
-// transaction is a message for a destination.
-func transaction(n, destination int, deadline time.Time, body []byte) traffic.Transaction {
+// newTransaction is a message for a destination.
+func newTransaction(n, destination int, deadline time.Time, body []byte) traffic.Transaction {
 	return traffic.Transaction{ID: messageID(n), Class: className, Key: messageID(n), Destination: destination, Deadline: deadline, Body: body}
 }
--- a/internal/lab/capacity/slopes/slopes_test.go
+++ b/internal/lab/capacity/slopes/slopes_test.go
@@ -15,8 +15,8 @@
 	"slatemux/internal/dispatch"
 )
 
-// checkFigures wants a finite figure of each quantity at each size, and a fit of each.
-func checkFigures(t *testing.T, r *Recorder, axis Axis, sizes []int, quantities ...Quantity) {
+// checkQuantities wants a finite figure of each quantity at each size, and a fit of each.
+func checkQuantities(t *testing.T, r *Recorder, axis Axis, sizes []int, quantities ...Quantity) {
 	t.Helper()
 	for _, m := range r.Measurements() {
 		if math.IsNaN(m.Value) || math.IsInf(m.Value, 0) {
@@ -39,8 +39,8 @@
 	}
 }
 
-// projection is that of a quantity.
-func projection(t *testing.T, r *Recorder, axis Axis, q Quantity) Projection {
+// projectionOf is that of a quantity.
+func projectionOf(t *testing.T, r *Recorder, axis Axis, q Quantity) Projection {
 	t.Helper()
 	for _, p := range r.Project() {
 		if p.Axis == axis && p.Quantity == q.Name {
@@ -51,30 +51,30 @@
 	return Projection{}
 }
 
-func nothing(string) {}
+func ignoreProgress(string) {}
 
-// TestRelay measures a small relay: all figures are there, and those that must grow as the size do so.
-func TestRelay(t *testing.T) {
+// TestMeasureRelay measures a small relay: all figures are there, and those that must grow as the size do so.
+func TestMeasureRelay(t *testing.T) {
 	plan := RelayPlan{Destinations: []int{40, 80, 160, 320}, Held: []int{50, 100, 200, 400}, HeldOver: 40, Span: 120 * time.Millisecond, Seed: 1,
 		Directory: t.TempDir()}
 	var lines, tables bytes.Buffer
 	r := NewRecorder(&lines)
-	if err := MeasureRelay(t.Context(), plan, r, nothing); err != nil {
+	if err := MeasureRelay(t.Context(), plan, r, ignoreProgress); err != nil {
 		t.Fatal(err)
 	}
-	checkFigures(t, r, Destinations, plan.Destinations, listBytes, listParse, listStep, changeBytes, changeParse, changeStep, bookHeap, flowsHeap, listedHeap,
-		listedAllHeap, calledHeap, startCPU, waitingShare, loadShare, loadProcess, loadLongest, loadMedian, load99, loadUnanswered, saturatedEvents, saturatedModule,
-		saturatedAll)
-	checkFigures(t, r, Held, plan.Held, stepMedian, step99, stepLongest, journalBytes, journalEach, journalWrite, journalReplay, restartAll, restartElapsed,
-		heldHeap, holdingShare, holdingStep99, holdingLongest, holdingKept)
-	if p := projection(t, r, Destinations, listBytes); p.Fit.Form != Linear || p.Fit.Slope < 100 || p.Fit.Slope > 200 {
+	checkQuantities(t, r, Destinations, plan.Destinations, listBytes, listParse, listStep, changeBytes, changeParse, changeStep, bookHeap, flowsHeap, relayHeap,
+		totalHeap, deliveredHeap, firstStepTime, oneQueuedShare, loadStepShare, loadProcessShare, loadStepLongest, loadAnswerMedian, loadAnswer99, loadUnansweredShare, saturatedStepEvents, saturatedModuleEvents,
+		saturatedProcessEvents)
+	checkQuantities(t, r, QueuedMessages, plan.Held, stepMedian, step99, stepLongest, journalBytes, journalMessageBytes, journalMessageWrite, journalReplay, restartCPU, restartElapsed,
+		backlogHeap, backlogIdleShare, backlogStep99, backlogStepLongest, backlogKeptShare)
+	if p := projectionOf(t, r, Destinations, listBytes); p.Fit.Form != Linear || p.Fit.Slope < 100 || p.Fit.Slope > 200 {
 		t.Errorf("the list grows by %+v", p.Fit)
 	}
-	if p := projection(t, r, Held, journalBytes); p.Fit.Form != Linear || p.Fit.Slope < bodyBytes {
+	if p := projectionOf(t, r, QueuedMessages, journalBytes); p.Fit.Form != Linear || p.Fit.Slope < bodyBytes {
 		t.Errorf("the journal grows by %+v", p.Fit)
 	}
-	if p := projection(t, r, Destinations, saturatedEvents); p.Value <= 0 {
-		t.Errorf("%v events a second", p.Value)
+	if p := projectionOf(t, r, Destinations, saturatedStepEvents); p.PlannedValue <= 0 {
+		t.Errorf("%v events a second", p.PlannedValue)
 	}
 	if err := r.WriteReport(&lines, &tables); err != nil {
 		t.Fatal(err)
@@ -103,24 +103,24 @@
 	}
 }
 
-// TestBacklogStays wants what is measured as held to be held, and what arrives beside it to be delivered.
-func TestBacklogStays(t *testing.T) {
+// TestModuleLoadKeepsBacklog wants what is measured as held to be held, and what arrives beside it to be delivered.
+func TestModuleLoadKeepsBacklog(t *testing.T) {
 	const destinations, held, steps = 100, 500, 100
-	l, err := newModuleLoad(destinations, held, 1)
+	load, err := newModuleLoad(destinations, held, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for range steps {
-		l.step(l.arrival())
+		load.step(load.nextEvents())
 	}
-	if l.ended > 0 {
-		t.Errorf("%d messages were refused or given up", l.ended)
+	if load.undelivered > 0 {
+		t.Errorf("%d messages were refused or given up", load.undelivered)
 	}
-	if len(l.calls) == 0 {
+	if len(load.attempts) == 0 {
 		t.Error("no destination that is down was tried")
 	}
 	delivered := 0
-	for _, a := range l.answers {
+	for _, a := range load.answers {
 		if o, ok := a.(dispatch.Outcome); ok && o.Status == dispatch.OK {
 			delivered++
 		}
@@ -130,21 +130,21 @@
 	}
 }
 
-// TestMembership measures a small fleet: all figures are there, and an exchange grows as the members.
-func TestMembership(t *testing.T) {
+// TestMeasureMembership measures a small fleet: all figures are there, and an exchange grows as the members.
+func TestMeasureMembership(t *testing.T) {
 	plan := MembershipPlan{Relays: []int{17, 18, 19, 20}, FullStates: []int{10, 20, 40, 80}, Start: 50 * time.Millisecond,
 		Idle: 100 * time.Millisecond, Patience: 300 * time.Millisecond,
 		Delay: time.Millisecond}
 	var lines, tables bytes.Buffer
 	r := NewRecorder(&lines)
-	if err := MeasureMembership(t.Context(), plan, r, nothing); err != nil {
+	if err := MeasureMembership(t.Context(), plan, r, ignoreProgress); err != nil {
 		t.Fatal(err)
 	}
-	checkFigures(t, r, Relays, plan.Relays, startAll, startKnown, startBytes, startBusiest, startPeak, startTurned, startCPUEach, heapEach, idleBytes,
-		idleBytes99, idleBytesMost, idlePacketPart, idlePackets, idlePackets99, idlePacketMost, idleCPU, idleFalse, idleHealth, idleLate, startLate, joinBytes, joinAll, deathMedian, deathAll,
-		zoneMedian, zoneAll, zoneKnown, zoneFalse, zoneBytes)
-	checkFigures(t, r, Relays, plan.FullStates, fullStateBytes, fullStateEach, fullStateCPU, fullStateHeap, fullStatePeriod)
-	if p := projection(t, r, Relays, fullStateBytes); p.Fit.Form != Linear || p.Fit.Slope < 50 || p.Fit.Slope > 200 {
+	checkQuantities(t, r, Relays, plan.Relays, startConvergence, startKnownShare, startMeanBytes, startMaxBytes, startPeakRate, startRefusedStreams, startMemberCPU, memberHeap, idleMeanBytes,
+		idleBytes99, idleMaxBytes, idleMeanPacketBytes, idleMeanPackets, idlePackets99, idleMaxPackets, idleCPU, idleFalseDeaths, idleHealthScore, idleTimerLateness, startTimerLateness, joinBytes, joinConvergence, failureMedian, failureConvergence,
+		zoneFailureMedian, zoneFailureConvergence, zoneFailureKnownShare, zoneFailureFalseDeaths, zoneFailureMeanBytes)
+	checkQuantities(t, r, Relays, plan.FullStates, fullStateBytes, fullStateMemberBytes, fullStateCPU, fullStateHeap, fullStateBytesPerSecond)
+	if p := projectionOf(t, r, Relays, fullStateBytes); p.Fit.Form != Linear || p.Fit.Slope < 50 || p.Fit.Slope > 200 {
 		t.Errorf("an exchange grows by %+v", p.Fit)
 	}
 	if err := r.WriteReport(&lines, &tables); err != nil {
@@ -153,21 +153,21 @@
 	checkOutput(t, lines.Bytes(), tables.String(), "relays", "over budget")
 }
 
-// TestFleets measures a few of the program's whole fleet parts: all figures are there, and something was sent.
-func TestFleets(t *testing.T) {
+// TestMeasureFleets measures a few of the program's whole fleet parts: all figures are there, and something was sent.
+func TestMeasureFleets(t *testing.T) {
 	plan := MembershipPlan{Fleets: []int{3, 6}, Idle: 500 * time.Millisecond}
 	r := NewRecorder(io.Discard)
-	if err := measureFleets(t.Context(), plan, r, nothing); err != nil {
+	if err := measureFleets(t.Context(), plan, r, ignoreProgress); err != nil {
 		t.Fatal(err)
 	}
 	sent := 0.0
-	for _, q := range []Quantity{fleetIdle, fleetIdleCPU, fleetChange, fleetChangeMost} {
+	for _, q := range []Quantity{fleetIdleBytes, fleetIdleCPU, fleetJoinMeanBytes, fleetJoinMaxBytes} {
 		var found []int
 		for _, m := range r.Measurements() {
 			if m.Quantity == q.Name && !math.IsNaN(m.Value) && !math.IsInf(m.Value, 0) {
 				found = append(found, m.Size)
 			}
-			if m.Quantity == fleetIdle.Name {
+			if m.Quantity == fleetIdleBytes.Name {
 				sent += m.Value
 			}
 		}
@@ -180,8 +180,8 @@
 	}
 }
 
-// TestPlansAreChecked wants sizes that make no sense to be told, each by its name.
-func TestPlansAreChecked(t *testing.T) {
+// TestPlanChecks wants sizes that make no sense to be told, each by its name.
+func TestPlanChecks(t *testing.T) {
 	good := []int{17, 18, 19, 20}
 	for name, check := range map[string]error{
 		"destinations: a size of 0":   (&RelayPlan{Destinations: []int{0, 1, 2, 3}, Held: good, HeldOver: 1, Span: time.Second}).Check(),
@@ -202,25 +202,25 @@
 	}
 }
 
-// TestInterrupted wants measurements to end soon after their context does.
-func TestInterrupted(t *testing.T) {
+// TestMeasurementsStopWithContext wants measurements to end soon after their context does.
+func TestMeasurementsStopWithContext(t *testing.T) {
 	sizes := []int{17, 18, 19, 20}
 	for name, measure := range map[string]func(context.Context) error{
 		"relay": func(ctx context.Context) error {
 			plan := RelayPlan{Destinations: sizes, Held: sizes, HeldOver: 20, Span: time.Minute, Directory: t.TempDir()}
-			return MeasureRelay(ctx, plan, NewRecorder(io.Discard), nothing)
+			return MeasureRelay(ctx, plan, NewRecorder(io.Discard), ignoreProgress)
 		},
 		"membership": func(ctx context.Context) error {
 			plan := MembershipPlan{Relays: sizes, Idle: time.Minute, Patience: time.Minute}
-			return MeasureMembership(ctx, plan, NewRecorder(io.Discard), nothing)
+			return MeasureMembership(ctx, plan, NewRecorder(io.Discard), ignoreProgress)
 		},
 	} {
 		ctx, cancel := context.WithTimeout(t.Context(), 200*time.Millisecond)
-		begun := time.Now()
+		start := time.Now()
 		err := measure(ctx)
 		cancel()
-		if took := time.Since(begun); !errors.Is(err, context.DeadlineExceeded) || took > time.Second {
-			t.Errorf("%s: ended after %v with %v", name, took, err)
+		if elapsed := time.Since(start); !errors.Is(err, context.DeadlineExceeded) || elapsed > time.Second {
+			t.Errorf("%s: ended after %v with %v", name, elapsed, err)
 		}
 	}
 }
