--- a/internal/lab/capacity/slopes/backlog.go
+++ b/internal/lab/capacity/slopes/backlog.go
@@ -10,7 +10,7 @@
 	"slatemux/internal/traffic"
 )
 
-// measureBacklog measures a relay that starts with a backlog for the destinations that are down.
+// measureBacklog measures the module and a restarted relay with a backlog: messages that are queued for the destinations that are down.
 func measureBacklog(ctx context.Context, plan RelayPlan, size int, recorder *Recorder) error {
 	record := func(q Quantity, value float64) error { return recorder.record(QueuedMessages, size, q, value) }
 	steps, err := measureModuleSteps(ctx, plan.HeldOver, size, uint64(plan.Seed))
@@ -31,7 +31,7 @@
 	return measureRestart(ctx, plan, folder, size, record)
 }
 
-// writeBacklogJournal writes a journal that owes a number of messages, as a relay does that takes them on.
+// writeBacklogJournal writes a journal with a number of accepted and undelivered messages, as a relay does when it accepts messages.
 func writeBacklogJournal(ctx context.Context, folder string, messages, down int, record recordFunc) error {
 	store, err := journal.Open(folder, maxJournalBytes)
 	if err != nil {
@@ -45,8 +45,8 @@
 			return ctx.Err()
 		}
 		var changes []traffic.Change
-		for n := first; n < min(first+journalBatchMessages, messages); n++ {
-			changes = append(changes, traffic.Taken{Transaction: newTransaction(n+1, n%down, deadline, body)})
+		for number := first; number < min(first+journalBatchMessages, messages); number++ {
+			changes = append(changes, traffic.Taken{Transaction: newTransaction(number+1, number%down, deadline, body)})
 		}
 		writeTime += measureThreadCPU(func() { err = store.Commit(changes) })
 		if err != nil {
@@ -54,11 +54,12 @@
 		}
 	}
 	journalSize, _, _ := store.Stats()
-	return recordAll(record, []quantityValue{{journalBytes, float64(journalSize)}, {journalMessageBytes, float64(journalSize) / float64(messages)},
+	return recordAll(record, []quantityValue{{journalBytes, float64(journalSize)},
+		{journalMessageBytes, float64(journalSize) / float64(messages)},
 		{journalMessageWrite, microseconds(writeTime) / float64(messages)}})
 }
 
-// measureRestart measures a start with the journal of a folder, and the relay that comes of it.
+// measureRestart measures the start of a relay from the journal in folder, and then the running relay.
 func measureRestart(ctx context.Context, plan RelayPlan, folder string, messages int, record recordFunc) error {
 	raw, err := encodeList(1, true, 0, plan.HeldOver)
 	if err != nil {
@@ -77,7 +78,8 @@
 	}
 	defer store.Close()
 	openMessages, _ := store.Owed()
-	run, err := startRelay(relayInputs{poolUpdate: poolUpdate, backlogMessages: messages, openMessages: openMessages, store: store, answerDelay: answerDelay, seed: plan.Seed})
+	run, err := startRelay(relayInputs{poolUpdate: poolUpdate, backlogMessages: messages, openMessages: openMessages, store: store,
+		answerDelay: answerDelay, seed: plan.Seed})
 	if err != nil {
 		return err
 	}
--- a/internal/lab/capacity/slopes/destinations.go
+++ b/internal/lab/capacity/slopes/destinations.go
@@ -11,7 +11,7 @@
 	"slatemux/internal/traffic"
 )
 
-// openJournal opens a journal in a folder of its own. Close removes it.
+// openJournal opens a journal in a new temporary folder under parent. Close removes the folder.
 func openJournal(parent string) (*temporaryJournal, error) {
 	folder, err := os.MkdirTemp(parent, "capacity-journal")
 	if err != nil {
@@ -25,7 +25,7 @@
 	return &temporaryJournal{Journal: store, folder: folder}, nil
 }
 
-// temporaryJournal is a journal whose folder ends with it.
+// temporaryJournal is a journal that removes its folder on Close.
 type temporaryJournal struct {
 	*journal.Journal
 	folder string
@@ -33,28 +33,28 @@
 
 // Close closes the journal and removes its folder.
 func (j *temporaryJournal) Close() error {
-	err := j.Journal.Close()
-	if removed := os.RemoveAll(j.folder); err == nil {
-		err = removed
+	closeErr := j.Journal.Close()
+	if removeErr := os.RemoveAll(j.folder); closeErr == nil {
+		closeErr = removeErr
 	}
-	return err
+	return closeErr
 }
 
-// measureListHandling measures a relay that knows its destinations, takes the list once more, one change in it, and then a message to
-// each. Others is the heap of what the program keeps of the list beside the relay.
+// measureListHandling measures a relay that starts with a full list, receives the same list again and then a change of one member, and
+// delivers a message to each destination. otherHeap is the heap of the program's other copies of the list: the book and the flow manager.
 func measureListHandling(ctx context.Context, plan RelayPlan, poolUpdate traffic.PoolNews, otherHeap float64, record recordFunc) error {
 	store, err := openJournal(plan.Directory)
 	if err != nil {
 		return err
 	}
 	defer store.Close()
-	before := heapBytes()
+	heapBefore := heapBytes()
 	run, err := startRelay(relayInputs{poolUpdate: poolUpdate, store: store, seed: plan.Seed, allUp: true})
 	if err != nil {
 		return err
 	}
 	defer run.close()
-	listedBytes := heapBytes() - before
+	listedBytes := heapBytes() - heapBefore
 	listStepTime, err := run.measureStep(ctx, func() { run.relay.PoolChanged(poolUpdate) })
 	if err != nil {
 		return err
@@ -68,14 +68,15 @@
 	if err != nil {
 		return err
 	}
-	deliveredBytes := heapBytes() - before
+	deliveredBytes := heapBytes() - heapBefore
 	runtime.KeepAlive(poolUpdate)
 	return recordAll(record, []quantityValue{{relayHeap, listedBytes}, {totalHeap, listedBytes + otherHeap}, {deliveredHeap, deliveredBytes},
 		{firstStepTime, milliseconds(run.firstStepCPU)}, {listStep, milliseconds(listStepTime)}, {changeStep, microseconds(changeStepTime)},
 		{deliveredRefusedShare, float64(refused) / float64(run.destinations)}})
 }
 
-// deliverToEach delivers a message to each destination. What is refused is handed in once more, as clients do; it returns how many were.
+// deliverToEach delivers a message to each destination. It submits refused messages again, as clients do, and returns the number of
+// refusals.
 func (run *relayRun) deliverToEach(ctx context.Context) (refused int, err error) {
 	const batch = 1000
 	for first := 0; first < run.destinations; first += batch {
@@ -95,12 +96,12 @@
 		}
 	}
 	if delivered := run.flows.delivered.Load(); delivered != int64(run.destinations) {
-		return refused, fmt.Errorf("%d of %d destinations had a message", delivered, run.destinations)
+		return refused, fmt.Errorf("messages were delivered to %d of %d destinations", delivered, run.destinations)
 	}
 	return refused, nil
 }
 
-// submit hands in a message for each destination and returns those whose message was refused.
+// submit submits a message for each destination and returns the destinations whose message was refused.
 func (run *relayRun) submit(destinations []int) (refused []int) {
 	body, now := make([]byte, bodyBytes), time.Now()
 	answers := make([]<-chan traffic.Answer, len(destinations))
@@ -115,7 +116,7 @@
 	return refused
 }
 
-// waitUntilNoneOpen waits until all that was handed in is over.
+// waitUntilNoneOpen waits until no submitted message is open.
 func (run *relayRun) waitUntilNoneOpen(ctx context.Context) error {
 	for {
 		if c := run.relay.Counters(); c.HandedIn == run.lastMessage.Load() && c.Open == 0 {
@@ -127,8 +128,8 @@
 	}
 }
 
-// measureLoadedRelay measures a relay that holds one message, one that takes its part of the planned events, and one that is handed
-// all that it can take.
+// measureLoadedRelay measures a relay in three states: with one queued message and no arrivals, at its share of the planned event rate, and
+// saturated.
 func measureLoadedRelay(ctx context.Context, plan RelayPlan, poolUpdate traffic.PoolNews, record recordFunc) error {
 	store, err := openJournal(plan.Directory)
 	if err != nil {
@@ -136,7 +137,8 @@
 	}
 	defer store.Close()
 	queued := []traffic.Open{{Transaction: newTransaction(1, 0, time.Now().Add(messageDeadline), make([]byte, bodyBytes))}}
-	run, err := startRelay(relayInputs{poolUpdate: poolUpdate, store: store, seed: plan.Seed, backlogMessages: 1, openMessages: queued, answerDelay: answerDelay})
+	run, err := startRelay(relayInputs{poolUpdate: poolUpdate, store: store, seed: plan.Seed, backlogMessages: 1, openMessages: queued,
+		answerDelay: answerDelay})
 	if err != nil {
 		return err
 	}
@@ -155,18 +157,18 @@
 	return run.recordSaturation(ctx, plan.Span, record)
 }
 
-// observeIdle lets the relay be and returns the share of a core that its steps took, and their times.
+// observeIdle sends nothing to the relay for a span. It returns the share of a core that the relay's steps took, and the time of each step.
 func (run *relayRun) observeIdle(ctx context.Context, span time.Duration) (float64, []time.Duration, error) {
-	if err := sleep(ctx, span/4); err != nil { // the calls of the start end
+	if err := sleep(ctx, span/4); err != nil { // until the calls of the start have ended
 		return 0, nil, err
 	}
-	run.steps.take()
-	begun := time.Now()
+	run.meter.take()
+	start := time.Now()
 	if err := sleep(ctx, span); err != nil {
 		return 0, nil, err
 	}
-	steps, _ := run.steps.take()
-	return float64(sum(steps)) / float64(time.Since(begun)), steps, nil
+	steps, _ := run.meter.take()
+	return float64(sum(steps)) / float64(time.Since(start)), steps, nil
 }
 
 func sum(list []time.Duration) (total time.Duration) {
@@ -176,25 +178,29 @@
 	return total
 }
 
-// recordLoad records what the planned rate of events does.
+// recordLoad records the costs at the planned event rate.
 func (run *relayRun) recordLoad(ctx context.Context, span time.Duration, record recordFunc) error {
 	result, err := run.applyLoad(ctx, eventsPerSecond, span)
 	if err != nil {
 		return err
 	}
 	elapsed := float64(result.elapsed)
-	return recordAll(record, []quantityValue{{loadStepShare, float64(sum(result.stepTimes)) / elapsed}, {loadProcessShare, float64(result.processCPU) / elapsed},
-		{loadStepLongest, milliseconds(quantile(result.stepTimes, 1))}, {loadAnswerMedian, milliseconds(quantile(result.answerTimes, 0.5))}, {loadAnswer99, milliseconds(quantile(result.answerTimes, 0.99))},
+	return recordAll(record, []quantityValue{{loadStepShare, float64(sum(result.stepTimes)) / elapsed},
+		{loadProcessShare, float64(result.processCPU) / elapsed},
+		{loadStepLongest, milliseconds(quantile(result.stepTimes, 1))},
+		{loadAnswerMedian, milliseconds(quantile(result.answerTimes, 0.5))},
+		{loadAnswer99, milliseconds(quantile(result.answerTimes, 0.99))},
 		{loadUnansweredShare, float64(result.unanswered) / float64(max(result.offered, 1))}})
 }
 
-// recordSaturation records how many events a second of a core's time is enough for.
+// recordSaturation records how many events one second of processor time is sufficient for.
 func (run *relayRun) recordSaturation(ctx context.Context, span time.Duration, record recordFunc) error {
 	result, err := run.saturate(ctx, saturationMessages, span)
 	if err != nil {
 		return err
 	}
 	events := float64(result.delivered)
-	return recordAll(record, []quantityValue{{saturatedStepEvents, events / sum(result.stepTimes).Seconds()}, {saturatedModuleEvents, events / result.moduleCPU.Seconds()},
+	return recordAll(record, []quantityValue{{saturatedStepEvents, events / sum(result.stepTimes).Seconds()},
+		{saturatedModuleEvents, events / result.moduleCPU.Seconds()},
 		{saturatedProcessEvents, events / result.processCPU.Seconds()}})
 }
--- a/internal/lab/capacity/slopes/fit.go
+++ b/internal/lab/capacity/slopes/fit.go
@@ -6,27 +6,27 @@
 	"slices"
 )
 
-// MinSizes is how many different sizes a fit needs.
+// MinSizes is the minimum number of different sizes for a fit.
 const MinSizes = 4
 
 // Form is the shape of a curve a + b g(N).
 type Form int
 
-// The forms that are tried.
+// The forms of a fit.
 const (
 	Linear      Form = iota // g(N) = N
 	Logarithmic             // g(N) = log2 N
 	SquareRoot              // g(N) = sqrt N
-	Constant                // the mean: no form's slope is told apart from nought
+	Constant                // the mean; used when the slope does not differ significantly from zero
 	formCount
 )
 
 var formFormulas = [formCount]string{"a + b N", "a + b log2 N", "a + b sqrt N", "constant"}
 
-// String writes the form as a formula.
+// String returns the form as a formula.
 func (f Form) String() string { return formFormulas[f] }
 
-// MarshalText writes the form as a formula.
+// MarshalText encodes the form as a formula.
 func (f Form) MarshalText() ([]byte, error) { return []byte(f.String()), nil }
 
 func (f Form) transform(size float64) float64 {
@@ -40,34 +40,34 @@
 	}
 }
 
-// Point is a cost at a size.
+// Point is the value of a cost at one size.
 type Point struct {
 	Size  int
 	Value float64
 }
 
-// Fit is the curve with the least residual through some points.
+// Fit is a curve through the points of one quantity.
 type Fit struct {
 	Form       Form    `json:"form"`
 	Intercept  float64 `json:"a"`
 	Slope      float64 `json:"b"`
 	SlopeError float64 `json:"b_standard_error"`
-	// Residual is the root of the mean square of what the curve misses, as a share of the points' mean.
+	// RelativeResidual is the root mean square of the residuals, divided by the mean of the points.
 	RelativeResidual float64 `json:"relative_residual"`
-	// Exponent is the slope of the points on doubly logarithmic paper, over the larger half of the sizes: near 1 the cost grows as
-	// the size, above 1 faster, and then no form here holds beyond the largest size.
+	// Exponent is the slope of log value over log size for the larger half of the sizes. Near 1, the cost grows in proportion to the
+	// size. Above 1, the cost grows faster, and no form is valid beyond the largest measured size.
 	Exponent float64 `json:"exponent"`
 	Points   int     `json:"points"`
 }
 
-// At is the curve's value at a size.
+// At returns the value of the curve at a size.
 func (f Fit) At(size float64) float64 { return f.Intercept + f.Slope*f.Form.transform(size) }
 
-// significantErrors is how many standard errors a slope must differ from nought by, or the cost counts as constant.
+// significantErrors is the number of standard errors by which a slope must differ from zero. Otherwise, the cost counts as constant.
 const significantErrors = 2
 
-// BestFit fits each form by least squares and returns the one with the least residual, or the mean where that one's slope may as well
-// be nought.
+// BestFit fits each form by least squares and returns the fit with the smallest residual. It returns the mean if the slope of that fit does
+// not differ significantly from zero.
 func BestFit(points []Point) (Fit, error) {
 	if err := checkPoints(points); err != nil {
 		return Fit{}, err
@@ -85,11 +85,12 @@
 	return best, nil
 }
 
+// checkPoints returns an error if the points have too few sizes, a size below 1, or a value that is not finite.
 func checkPoints(points []Point) error {
 	sizes := map[int]bool{}
 	for _, p := range points {
 		if p.Size < 1 {
-			return fmt.Errorf("slopes: a size of %d cannot be fitted", p.Size)
+			return fmt.Errorf("slopes: cannot fit a size of %d", p.Size)
 		}
 		if math.IsNaN(p.Value) || math.IsInf(p.Value, 0) {
 			return fmt.Errorf("slopes: the value at size %d is not finite", p.Size)
@@ -97,12 +98,12 @@
 		sizes[p.Size] = true
 	}
 	if len(sizes) < MinSizes {
-		return fmt.Errorf("slopes: a fit needs %d different sizes and has %d", MinSizes, len(sizes))
+		return fmt.Errorf("slopes: a fit needs at least %d different sizes, but has %d", MinSizes, len(sizes))
 	}
 	return nil
 }
 
-// fitForm is the ordinary least-squares line through the points, over the form's transform of their sizes.
+// fitForm returns the ordinary least-squares line through the points, with sizes transformed by the form.
 func fitForm(form Form, points []Point) Fit {
 	n := float64(len(points))
 	var meanX, meanY float64
@@ -130,7 +131,7 @@
 	return fit
 }
 
-// fitConstant is the mean of the points.
+// fitConstant returns the mean of the points as a fit.
 func fitConstant(points []Point) Fit {
 	n := float64(len(points))
 	fit := Fit{Form: Constant, Points: len(points)}
@@ -147,8 +148,8 @@
 	return fit
 }
 
-// growthExponent is the least-squares slope of log value over log size, over the larger half of the points; 0 where a value is not
-// positive or there is one size alone.
+// growthExponent returns the least-squares slope of log value over log size for the points from the median size on. It returns 0 if one of
+// these values is not positive, or if all these points have the same size.
 func growthExponent(points []Point) float64 {
 	middle := medianSize(points)
 	var n, sumX, sumY, sumXX, sumXY float64
@@ -170,6 +171,7 @@
 	return (n*sumXY - sumX*sumY) / spread
 }
 
+// medianSize returns the median of the sizes, or the lower one of the two in the middle.
 func medianSize(points []Point) int {
 	sizes := make([]int, 0, len(points))
 	for _, p := range points {
--- a/internal/lab/capacity/slopes/fit_test.go
+++ b/internal/lab/capacity/slopes/fit_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// points are values of a curve at sizes of a plan, each off by a share that alternates.
+// points returns the values of a curve at several sizes. The noise is a share of the value whose sign alternates.
 func points(noise float64, curve func(float64) float64) []Point {
 	var list []Point
 	for i, size := range []int{50, 100, 200, 400, 800} {
@@ -15,7 +15,7 @@
 	return list
 }
 
-// TestFitRecoversSlope wants each form recognized and its slope recovered, without noise and with a little.
+// TestFitRecoversSlope guards against a fit that picks the wrong form or slope, for points without noise and with a little noise.
 func TestFitRecoversSlope(t *testing.T) {
 	for form, curve := range map[Form]func(float64) float64{
 		Linear:      func(n float64) float64 { return 100 + 7*n },
@@ -28,7 +28,7 @@
 				t.Fatal(err)
 			}
 			if fit.Form != form {
-				t.Errorf("%v with noise %v is taken for %v", form, noise, fit.Form)
+				t.Errorf("%v with noise %v was identified as %v", form, noise, fit.Form)
 			}
 			if allowed := math.Max(3*fit.SlopeError, 1e-9); math.Abs(fit.Slope-7) > allowed {
 				t.Errorf("%v with noise %v: slope %v, error %v", form, noise, fit.Slope, fit.SlopeError)
@@ -40,7 +40,7 @@
 	}
 }
 
-// TestFitConstant wants a cost that does not grow to be called constant, and extended as its mean.
+// TestFitConstant guards against a slope that is fitted to noise: a cost that does not grow must be extrapolated as its mean.
 func TestFitConstant(t *testing.T) {
 	fit, err := BestFit(points(0.05, func(float64) float64 { return 400 }))
 	if err != nil {
@@ -51,7 +51,7 @@
 	}
 }
 
-// TestFitExponent wants growth that is faster than the size to be seen, for no form fits it.
+// TestFitExponent guards against quadratic growth that goes unnoticed, because no form of a fit matches it. The exponent must show it.
 func TestFitExponent(t *testing.T) {
 	fit, err := BestFit(points(0, func(n float64) float64 { return n * n }))
 	if err != nil {
@@ -62,7 +62,7 @@
 	}
 }
 
-// TestFitRejectsUnusablePoints wants an error where a fit would say nothing.
+// TestFitRejectsUnusablePoints checks that BestFit returns an error for points that determine no curve.
 func TestFitRejectsUnusablePoints(t *testing.T) {
 	good := points(0, func(n float64) float64 { return n })
 	for name, list := range map[string][]Point{
--- a/internal/lab/capacity/slopes/fleetnodes.go
+++ b/internal/lab/capacity/slopes/fleetnodes.go
@@ -15,7 +15,7 @@
 	"slatemux/internal/traffic"
 )
 
-// Quantities of the program's whole part in a fleet: membership, comparison of statements, and what it does about a change.
+// Quantities of a complete fleet node: membership, anti-entropy of statements, and the reaction to changes.
 var (
 	fleetIdleBytes     = Quantity{Name: "whole fleet part, idle: bytes sent and received", Unit: "bytes/s", Budget: bytesPerSecondBudget}
 	fleetIdleCPU       = Quantity{Name: "whole fleet part, idle: processor", Unit: "share of a core", Budget: cpuShareBudget}
@@ -24,27 +24,29 @@
 )
 
 const (
-	// fleetExchangeInterval, fleetBytes and fleetAgree are the defaults of docs/operate-fleet.md.
-	fleetExchangeInterval, fleetBytesPerSecond, fleetQuorum = time.Second, 4096, 2
-	// fleetJoinTimeout is how long all may take to know each other.
+	// The next three are the defaults of docs/operate-fleet.md.
+	fleetExchangeInterval = time.Second
+	fleetBytesPerSecond   = 4096
+	fleetQuorum           = 2
+	// fleetJoinTimeout is the maximum time until all nodes know each other.
 	fleetJoinTimeout = time.Minute
-	// keyFileMode is that of a key file.
+	// keyFileMode is the file mode of a key file.
 	keyFileMode = 0o600
 )
 
-// noopRelay is a relay that does nothing about what its fleet says.
+// noopRelay is a relay that ignores what its fleet node reports.
 type noopRelay struct{}
 
-// Restrain does nothing.
+// Restrain ignores restraints.
 func (noopRelay) Restrain([]traffic.Restraint) {}
 
-// Allow does nothing.
+// Allow ignores allowances.
 func (noopRelay) Allow([]traffic.Allowance) {}
 
-// Bar does nothing.
+// Bar ignores bars.
 func (noopRelay) Bar([]traffic.Bar) {}
 
-// fleetRun is a number of the program's own fleet parts on loopback sockets.
+// fleetRun holds the fleet nodes of one measurement. Each node is the complete internal/fleet of one relay, on a loopback socket.
 type fleetRun struct {
 	folder    string
 	size      int
@@ -53,12 +55,13 @@
 	running   sync.WaitGroup
 }
 
-// measureFleets measures the program's fleet parts at some sizes: while nothing happens, and for as long again after one more joins.
+// measureFleets measures fleet nodes at each size of the plan: while the fleet is idle, and for the same time after one more node has
+// joined.
 func measureFleets(ctx context.Context, plan MembershipPlan, recorder *Recorder, progress func(string)) error {
 	for _, size := range plan.Fleets {
 		progress(fmt.Sprintf("%d whole fleet parts on loopback", size))
 		if err := measureFleet(ctx, plan, size, recorder); err != nil {
-			return fmt.Errorf("slopes: %d fleet parts: %w", size, err)
+			return fmt.Errorf("slopes: %d fleet nodes: %w", size, err)
 		}
 	}
 	return nil
@@ -102,11 +105,12 @@
 	}
 	expectedBytes := mean(idleTransferred)
 	return recordAll(func(q Quantity, value float64) error { return recorder.record(Relays, size, q, value) },
-		[]quantityValue{{fleetIdleBytes, perSecond}, {fleetIdleCPU, cpuShare / float64(size)}, {fleetJoinMeanBytes, mean(joinTransferred) - expectedBytes},
+		[]quantityValue{{fleetIdleBytes, perSecond}, {fleetIdleCPU, cpuShare / float64(size)},
+			{fleetJoinMeanBytes, mean(joinTransferred) - expectedBytes},
 			{fleetJoinMaxBytes, quantile(joinTransferred, 1) - expectedBytes}})
 }
 
-// writeKey writes the one key of the fleet.
+// writeKey writes the key file that all nodes share.
 func (run *fleetRun) writeKey() error {
 	text := base64.StdEncoding.EncodeToString(make([]byte, keyBytes)) + "\n"
 	return os.WriteFile(run.keyFile(), []byte(text), keyFileMode)
@@ -114,7 +118,7 @@
 
 func (run *fleetRun) keyFile() string { return filepath.Join(run.folder, "key") }
 
-// start begins a part, which joins the first ones.
+// start starts a node that joins the first nodes.
 func (run *fleetRun) start(ctx context.Context, number int) error {
 	address, err := freePort()
 	if err != nil {
@@ -147,7 +151,7 @@
 	return nil
 }
 
-// freePort finds a port of the loopback address that is free for TCP and, as a rule, for UDP.
+// freePort returns a loopback port that is free for TCP and, as a rule, for UDP.
 func freePort() (netip.AddrPort, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -157,7 +161,7 @@
 	return netip.ParseAddrPort(listener.Addr().String())
 }
 
-// waitUntilKnown waits until each part knows all.
+// waitUntilKnown waits until each node knows all nodes.
 func (run *fleetRun) waitUntilKnown(ctx context.Context) error {
 	for start := time.Now(); ; {
 		known := 0
@@ -168,7 +172,7 @@
 			return nil
 		}
 		if time.Since(start) > fleetJoinTimeout {
-			return fmt.Errorf("%d of %d members are known after %v", known, len(run.nodes)*len(run.nodes), fleetJoinTimeout)
+			return fmt.Errorf("%d of %d pairs of nodes know each other after %v", known, len(run.nodes)*len(run.nodes), fleetJoinTimeout)
 		}
 		if err := sleep(ctx, pollInterval); err != nil {
 			return err
@@ -176,7 +180,8 @@
 	}
 }
 
-// measureTraffic returns the bytes of each of the first parts over a span, and the share of a core that the process took.
+// measureTraffic returns the bytes that each of the first run.size nodes transfers in a span, and the share of a core that the process
+// uses.
 func (run *fleetRun) measureTraffic(ctx context.Context, span time.Duration) ([]float64, float64, error) {
 	bytesBefore, cpuBefore, start := run.transferredBytes(), processCPUTime(), time.Now()
 	if err := sleep(ctx, span); err != nil {
@@ -190,7 +195,7 @@
 	return transferred, share, nil
 }
 
-// transferredBytes are those that the first parts have sent and received.
+// transferredBytes returns the bytes sent and received so far by each of the first run.size nodes.
 func (run *fleetRun) transferredBytes() []float64 {
 	var list []float64
 	for _, node := range run.nodes[:run.size] {
--- a/internal/lab/capacity/slopes/fullstate.go
+++ b/internal/lab/capacity/slopes/fullstate.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Quantities of a full exchange of two members that know all others.
+// Quantities of a full-state exchange (push/pull) between two members that know all others.
 var (
 	fullStateBytes          = Quantity{Name: "full exchange: one direction", Unit: "bytes", Budget: maxStreamBytes}
 	fullStateMemberBytes    = Quantity{Name: "full exchange: bytes of each known member", Unit: "bytes"}
@@ -17,14 +17,14 @@
 )
 
 const (
-	// membersPerCollector is how many members one collector gathers.
+	// membersPerCollector is the number of members that one collector learns of.
 	membersPerCollector = 64
-	// reservedMembers is how many numbers are kept for the two members that exchange.
+	// reservedMembers is how many member numbers are reserved for the two members that exchange their states.
 	reservedMembers = 2
 )
 
-// measureFullStates measures the exchange of full states between two members that know so many. Only those two know all: the others
-// told a collector, which told them, and have ended.
+// measureFullStates measures the exchange of full states between two members, for each number of known members in the plan. Only these two
+// members know all others. The others exist only for a short time: each joins a collector, which passes its list on to the two members.
 func measureFullStates(ctx context.Context, plan MembershipPlan, recorder *Recorder, progress func(string)) error {
 	for _, size := range plan.FullStates {
 		progress(fmt.Sprintf("full exchange of %d relays", size))
@@ -37,13 +37,14 @@
 
 func measureFullState(ctx context.Context, size int, heapPause time.Duration, recorder *Recorder) error {
 	network := NewNetwork(0, 0)
-	network.maxStreamBytes, network.maxStreams = 64*maxStreamBytes, 2*membersPerCollector // so that a state over the bound is measured, too
+	// These limits exceed the program's, so that larger states are measured as well.
+	network.maxStreamBytes, network.maxStreams = 64*maxStreamBytes, 2*membersPerCollector
 	g, err := newGroup(network)
 	if err != nil {
 		return err
 	}
 	g.tune = disableBackgroundWork
-	before, err := settledHeapBytes(ctx, heapPause)
+	heapBefore, err := settledHeapBytes(ctx, heapPause)
 	if err != nil {
 		return err
 	}
@@ -52,14 +53,14 @@
 		return err
 	}
 	defer first.stop()
-	heap := heapBytes() - before
+	heap := heapBytes() - heapBefore
 	second, err := g.startKnowingAll(ctx, 1, size)
 	if err != nil {
 		return err
 	}
 	defer second.stop()
 	secondAddress := []string{relayAddress(1).String()}
-	if _, err := first.list.Join(secondAddress); err != nil { // they learn of each other
+	if _, err := first.list.Join(secondAddress); err != nil { // the two members learn of each other
 		return err
 	}
 	for second.list.NumMembers() < size {
@@ -74,17 +75,18 @@
 	cpuUsed := processCPUTime() - cpuBefore
 	bytes := float64(first.transport.Traffic().Minus(trafficBefore).StreamBytesSent)
 	if known := first.list.NumMembers(); known != size {
-		return fmt.Errorf("%d members are known", known)
+		return fmt.Errorf("the first member knows %d members", known)
 	}
 	record := func(q Quantity, value float64) error { return recorder.record(Relays, size, q, value) }
-	// Each member begins an exchange once a period and is asked for one as often, and either moves both states.
+	// A member starts one exchange per interval and is the target of one on average. Each exchange transfers both states.
 	period := pushPullInterval(size).Seconds()
-	return recordAll(record, []quantityValue{{fullStateBytes, bytes}, {fullStateMemberBytes, bytes / float64(size)}, {fullStateCPU, milliseconds(cpuUsed)},
+	return recordAll(record, []quantityValue{{fullStateBytes, bytes}, {fullStateMemberBytes, bytes / float64(size)},
+		{fullStateCPU, milliseconds(cpuUsed)},
 		{fullStateHeap, heap}, {fullStateBytesPerSecond, 4 * bytes / period}})
 }
 
-// startKnowingAll returns a member of a number under reserved that knows all from reserved to before size. Collectors gather them: each is one
-// of them, is joined by the next ones, and is then asked for what it knows.
+// startKnowingAll starts a member that knows all members from reservedMembers to size-1. number must be below reservedMembers. The member
+// learns of the others from collectors: a collector is one of the members of its range and is joined by the others of the range.
 func (g *group) startKnowingAll(ctx context.Context, number, size int) (*member, error) {
 	m, err := g.start(number)
 	if err != nil {
@@ -103,7 +105,7 @@
 	return m, nil
 }
 
-// collectMembers has a member learn of those from begin to before end, who are all over when it returns.
+// collectMembers lets member m learn of the members from begin to end-1. All of them have stopped when it returns.
 func (g *group) collectMembers(ctx context.Context, m *member, begin, end int) error {
 	collector, err := g.start(begin)
 	if err != nil {
@@ -122,7 +124,7 @@
 			return err
 		}
 	}
-	for collector.list.NumMembers() < end-begin { // it merges what a member told behind its answer to it
+	for collector.list.NumMembers() < end-begin { // the collector answers before it merges the state of the member that joined
 		if err := sleep(ctx, time.Millisecond); err != nil {
 			return err
 		}
@@ -131,7 +133,8 @@
 	return err
 }
 
-// pushPullInterval is the time between two exchanges that a member begins, as memberlist stretches it with the number of members.
+// pushPullInterval returns the time between two full-state exchanges that a member starts. memberlist scales it with the number of
+// members.
 func pushPullInterval(size int) time.Duration {
 	const unscaledMembers = 32
 	interval := memberConfig().PushPullInterval
--- a/internal/lab/capacity/slopes/harness.go
+++ b/internal/lab/capacity/slopes/harness.go
@@ -14,20 +14,20 @@
 	"slatemux/internal/traffic"
 )
 
-// answerDelay is the time that a destination takes to answer.
+// answerDelay is how long a destination takes to answer a call.
 const answerDelay = 20 * time.Millisecond
 
-// stepMeter notes the processor time of each of the relay's steps. Stepped is called at the beginning of each, on the relay's thread,
-// so that a step's time is known when the next begins.
+// stepMeter measures the processor time of the relay's steps. The relay calls Stepped on its own thread at the beginning of each step, so
+// the time of a step is known only when the next step begins.
 type stepMeter struct {
 	mu         sync.Mutex
 	started    bool
 	stepStart  time.Duration
 	stepTimes  []time.Duration
-	moduleTime time.Duration // all steps of the module
+	moduleTime time.Duration // total of the module's steps
 }
 
-// Stepped is called at the beginning of a step.
+// Stepped ends the measurement of the previous step and begins that of the next one.
 func (m *stepMeter) Stepped(_, _ time.Time) {
 	now := threadCPUTime()
 	m.mu.Lock()
@@ -38,10 +38,10 @@
 	m.started, m.stepStart = true, now
 }
 
-// HandedIn is told of each message.
+// HandedIn ignores the age of a submission.
 func (m *stepMeter) HandedIn(time.Duration) {}
 
-// Section runs a step of the module.
+// Section runs a step of the module and adds its processor time to moduleTime.
 func (m *stepMeter) Section(f func()) {
 	start := threadCPUTime()
 	f()
@@ -51,7 +51,7 @@
 	m.moduleTime += elapsed
 }
 
-// take returns the steps that have ended since it was last called, and the module's time in them.
+// take returns the steps that have ended since the last call of take, and the module's processor time in that period.
 func (m *stepMeter) take() (stepTimes []time.Duration, moduleTime time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -60,21 +60,21 @@
 	return stepTimes, moduleTime
 }
 
-// fakeFlows stand for the network: members that are down accept no connection, all others answer after a time.
+// fakeFlows replaces the network. Members that are down refuse connections; all others answer after a delay.
 type fakeFlows struct {
-	down       map[string]bool
-	delayNanos atomic.Int64 // nanoseconds; 0: at once
-	onEnd      func(traffic.FlowEnd)
-	delivered  atomic.Int64
+	downMembers map[string]bool
+	delayNanos  atomic.Int64 // 0: answer at once
+	onEnd       func(traffic.FlowEnd)
+	delivered   atomic.Int64
 }
 
-// Start answers a flow.
+// Start ends each attempt of a flow: with NotConnected if the member is down, otherwise with Delivered.
 func (f *fakeFlows) Start(started traffic.Flow) {
 	delay := time.Duration(f.delayNanos.Load())
 	for _, transaction := range started.All() {
 		end := traffic.FlowEnd{ID: transaction.ID, Attempt: transaction.Attempt, Member: started.Member, Status: traffic.Delivered, Took: delay}
 		switch {
-		case f.down[started.Member]:
+		case f.downMembers[started.Member]:
 			end.Status = traffic.NotConnected
 			f.onEnd(end)
 		case delay == 0:
@@ -87,54 +87,55 @@
 	}
 }
 
-// answerImmediately has answers take no time from now on.
+// answerImmediately sets the delay of later answers to zero.
 func (f *fakeFlows) answerImmediately() { f.delayNanos.Store(0) }
 
-// Cancel has no effect: an answer is under way.
+// Cancel has no effect, because the answer is already scheduled.
 func (f *fakeFlows) Cancel(string, int) {}
 
-// Pool needs no members.
+// Pool ignores the pool, because no connection is opened.
 func (f *fakeFlows) Pool(traffic.PoolNews) {}
 
-// Send takes a notice that nobody reads.
+// Send discards a notice.
 func (f *fakeFlows) Send(traffic.Notice) {}
 
-// relayRun is a relay that runs in this process, with flows that answer without a socket.
+// relayRun is a relay that runs in this process with fakeFlows instead of sockets.
 type relayRun struct {
 	relay        *relay.Relay
-	steps        *stepMeter
+	meter        *stepMeter
 	flows        *fakeFlows
 	destinations int
-	down         int
+	downCount    int
 	firstStepCPU time.Duration // processor time of the first step
 	lastMessage  atomic.Int64  // number of the newest message
 	cancel       context.CancelFunc
 	stopped      chan struct{}
 }
 
-// relayInputs is what a relay starts with.
+// relayInputs is the state that a relay starts with, and how destinations answer.
 type relayInputs struct {
 	poolUpdate      traffic.PoolNews
 	backlogMessages int
 	openMessages    []traffic.Open
 	store           relay.Store
-	answerDelay     time.Duration // that answers take
+	answerDelay     time.Duration // how long a destination takes to answer
 	seed            int64
-	allUp           bool // all destinations answer
+	allUp           bool // no destination is down
 }
 
-// startRelay takes the first step and begins to run.
+// startRelay creates a relay, runs its first step, and then runs the relay on a thread of its own.
 func startRelay(in relayInputs) (*relayRun, error) {
-	run := &relayRun{steps: &stepMeter{}, destinations: len(in.poolUpdate.Members), stopped: make(chan struct{})}
-	run.flows = &fakeFlows{down: map[string]bool{}}
+	run := &relayRun{meter: &stepMeter{}, destinations: len(in.poolUpdate.Members), stopped: make(chan struct{})}
+	run.flows = &fakeFlows{downMembers: map[string]bool{}}
 	run.flows.delayNanos.Store(int64(in.answerDelay))
 	if !in.allUp {
-		run.down = downDestinations(run.destinations)
+		run.downCount = downDestinations(run.destinations)
 	}
-	for i := range run.down {
-		run.flows.down[memberName(i)] = true
+	for i := range run.downCount {
+		run.flows.downMembers[memberName(i)] = true
 	}
-	measuredRelay, err := relay.New(relay.Config{Meters: run.steps, Settings: moduleSettings(run.destinations, in.backlogMessages), Seed: in.seed, MostBytes: 1 << 40,
+	measuredRelay, err := relay.New(relay.Config{Meters: run.meter, Settings: moduleSettings(run.destinations, in.backlogMessages),
+		Seed: in.seed, MostBytes: 1 << 40,
 		Store: in.store, Flows: run.flows, Notices: run.flows})
 	if err != nil {
 		return nil, err
@@ -145,7 +146,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	run.cancel = stop
 	go func() {
-		runtime.LockOSThread() // the meter reads this thread's processor time
+		runtime.LockOSThread() // the meter reads the processor time of this thread
 		defer runtime.UnlockOSThread()
 		defer close(run.stopped)
 		measuredRelay.Run(ctx)
@@ -158,38 +159,38 @@
 	<-run.stopped
 }
 
-// measureStep returns the processor time of the step that takes in what post hands the relay. Nothing else may be going on.
+// measureStep returns the processor time of the step that processes what submit passes to the relay. The relay must be idle otherwise.
 func (run *relayRun) measureStep(ctx context.Context, submit func()) (time.Duration, error) {
-	if err := run.flushSteps(ctx); err != nil { // ends the first one
+	if err := run.flushSteps(ctx); err != nil { // ends the measurement of the first step
 		return 0, err
 	}
-	run.steps.take()
+	run.meter.take()
 	submit()
 	if err := run.flushSteps(ctx); err != nil {
 		return 0, err
 	}
-	steps, _ := run.steps.take()
+	steps, _ := run.meter.take()
 	return quantile(steps, 1), nil
 }
 
-// flushSteps has the relay take two more steps, and so ends the measuring of all that began before.
+// flushSteps makes the relay take two more steps, which ends the measurement of all steps that began before.
 func (run *relayRun) flushSteps(ctx context.Context) error {
 	for range 2 {
-		before := run.relay.Counters().Steps
+		stepsBefore := run.relay.Counters().Steps
 		run.relay.NoticesAnswered(nil)
-		for run.relay.Counters().Steps == before {
+		for run.relay.Counters().Steps == stepsBefore {
 			if err := sleep(ctx, time.Millisecond); err != nil {
 				return err
 			}
 		}
-		if err := sleep(ctx, 10*time.Millisecond); err != nil { // the module's least time between steps is 5 ms
+		if err := sleep(ctx, 10*time.Millisecond); err != nil { // the module's minimum time between steps is 5 ms
 			return err
 		}
 	}
 	return nil
 }
 
-// sleep waits, or returns the context's error.
+// sleep waits for a duration, or until ctx ends. It returns the error of ctx.
 func sleep(ctx context.Context, d time.Duration) error {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -201,27 +202,27 @@
 	}
 }
 
-// loadResult is what a relay did under a load.
+// loadResult is the outcome of a load on a relay.
 type loadResult struct {
 	offered     int
 	accepted    int
 	delivered   int64
 	elapsed     time.Duration
-	processCPU  time.Duration   // processor time of the whole process, the load included
-	moduleCPU   time.Duration   // of them, the module's
-	stepTimes   []time.Duration // processor time of each
-	answerTimes []time.Duration // from hand-in to its answer
+	processCPU  time.Duration   // processor time of the whole process, including the load generator
+	moduleCPU   time.Duration   // the module's part of processCPU
+	stepTimes   []time.Duration // processor time of each step
+	answerTimes []time.Duration // from submission to its answer
 	unanswered  int
 }
 
-// applyLoad hands messages in at a rate for a while, for destinations that are up, and waits for the last answers.
+// applyLoad submits messages at a rate for a span, to destinations that are up. It then waits for the remaining answers.
 func (run *relayRun) applyLoad(ctx context.Context, rate float64, span time.Duration) (loadResult, error) {
 	body := make([]byte, bodyBytes)
 	random := rand.New(rand.NewPCG(uint64(run.lastMessage.Load()), 1))
-	run.steps.take()
+	run.meter.take()
 	deliveredBefore, cpuBefore, start := run.flows.delivered.Load(), processCPUTime(), time.Now()
 	var result loadResult
-	var waiting sync.WaitGroup
+	var pendingAnswers sync.WaitGroup
 	var mu sync.Mutex
 	for time.Since(start) < span {
 		if err := sleep(ctx, 5*time.Millisecond); err != nil {
@@ -229,9 +230,9 @@
 		}
 		now := time.Now()
 		for due := int(rate * now.Sub(start).Seconds()); result.offered < due; result.offered++ {
-			destination := min(run.down+random.IntN(max(run.destinations-run.down, 1)), run.destinations-1)
+			destination := min(run.downCount+random.IntN(max(run.destinations-run.downCount, 1)), run.destinations-1)
 			answer := run.relay.Put(newTransaction(int(run.lastMessage.Add(1)), destination, now.Add(messageDeadline), body), now)
-			waiting.Go(func() {
+			pendingAnswers.Go(func() {
 				select {
 				case a := <-answer:
 					mu.Lock()
@@ -250,16 +251,17 @@
 		}
 	}
 	result.elapsed, result.processCPU = time.Since(start), processCPUTime()-cpuBefore
-	waiting.Wait()
+	pendingAnswers.Wait()
 	result.delivered = run.flows.delivered.Load() - deliveredBefore
-	result.stepTimes, result.moduleCPU = run.steps.take()
+	result.stepTimes, result.moduleCPU = run.meter.take()
 	return result, ctx.Err()
 }
 
-// saturate keeps a number of messages under way and returns what the relay did meanwhile.
+// saturate submits batches of inFlight messages for a span. It submits the next batch as soon as the relay has answered all submissions of
+// the previous one.
 func (run *relayRun) saturate(ctx context.Context, inFlight int, span time.Duration) (loadResult, error) {
 	body := make([]byte, bodyBytes)
-	run.steps.take()
+	run.meter.take()
 	deliveredBefore, cpuBefore, start := run.flows.delivered.Load(), processCPUTime(), time.Now()
 	var result loadResult
 	batch := make([]<-chan traffic.Answer, inFlight)
@@ -269,8 +271,9 @@
 		}
 		now := time.Now()
 		for i := range batch {
-			n := int(run.lastMessage.Add(1))
-			batch[i] = run.relay.Put(newTransaction(n, run.down+n%max(run.destinations-run.down, 1), now.Add(messageDeadline), body), now)
+			number := int(run.lastMessage.Add(1))
+			batch[i] = run.relay.Put(newTransaction(number, run.downCount+number%max(run.destinations-run.downCount, 1),
+				now.Add(messageDeadline), body), now)
 		}
 		for _, answer := range batch {
 			if a := <-answer; a.Verdict == traffic.Accepted {
@@ -281,15 +284,16 @@
 	}
 	result.elapsed, result.processCPU = time.Since(start), processCPUTime()-cpuBefore
 	result.delivered = run.flows.delivered.Load() - deliveredBefore
-	result.stepTimes, result.moduleCPU = run.steps.take()
+	result.stepTimes, result.moduleCPU = run.meter.take()
 	return result, nil
 }
 
-// newFlowManager makes the program's own flows, which keep figures of each member; they open no connection until a flow starts.
+// newFlowManager returns the program's own flow manager, which keeps counters for each member. It opens no connection until a flow starts.
 func newFlowManager() (*flow.Manager, error) {
 	defaults := gateway.Default()
 	connSettings := defaults.Conns.Keep
 	connSettings.Most, connSettings.IdleMost, connSettings.Seed = 256, 5*time.Second, 1
-	return flow.New(flow.Config{Gate: defaults.TLS.Gate, ConnectWithin: time.Second, MostFlows: 256, Conns: connSettings, HeldMost: defaults.Conns.HeldMost,
+	return flow.New(flow.Config{Gate: defaults.TLS.Gate, ConnectWithin: time.Second, MostFlows: 256, Conns: connSettings,
+		HeldMost:   defaults.Conns.HeldMost,
 		StuckAfter: defaults.Conns.StuckAfter}, func(traffic.FlowEnd) {})
 }
--- a/internal/lab/capacity/slopes/list.go
+++ b/internal/lab/capacity/slopes/list.go
@@ -8,11 +8,12 @@
 	"slatemux/internal/traffic"
 )
 
-// encodeList writes the entries of the destinations from first to before last as discovery does.
+// encodeList returns a discovery answer with the entries of the destinations from first to last-1.
 func encodeList(seq int64, full bool, first, last int) ([]byte, error) {
 	hosts := make([]pool.Host, 0, last-first)
 	for i := first; i < last; i++ {
-		hosts = append(hosts, pool.Host{Host: memberName(i), Dial: memberAddress(i), Site: zoneName, Class: kindName, Block: &i, Health: "active", Share: 100})
+		hosts = append(hosts, pool.Host{Host: memberName(i), Dial: memberAddress(i), Site: zoneName, Class: kindName, Block: &i,
+			Health: "active", Share: 100})
 	}
 	return json.Marshal(struct {
 		Seq   int64       `json:"seq"`
@@ -21,8 +22,8 @@
 	}{seq, full, hosts})
 }
 
-// measureList measures a whole list on the wire and in memory, and a change in it. It returns the list and the heap that it takes
-// with the book that is kept of it.
+// measureList measures the size and the parse time of a full list and of a change of one member. It returns the parsed list and the heap
+// bytes of the list and its book.
 func measureList(size int, record recordFunc) (list pool.List, heap float64, err error) {
 	fullList, err := encodeList(1, true, 0, size)
 	if err != nil {
@@ -33,22 +34,23 @@
 		return list, 0, err
 	}
 	book := pool.NewBook(pool.List{})
-	before := heapBytes()
+	heapBefore := heapBytes()
 	parseTime := measureThreadCPU(func() { list, err = applyList(book, fullList) })
 	if err != nil {
 		return list, 0, err
 	}
-	heap = heapBytes() - before
+	heap = heapBytes() - heapBefore
 	changeParseTime := measureThreadCPU(func() { _, err = applyList(book, listChange) })
 	if err != nil {
 		return list, 0, err
 	}
-	runtime.KeepAlive(fullList) // it was there before and is not counted
-	return list, heap, recordAll(record, []quantityValue{{listBytes, float64(len(fullList))}, {listParse, milliseconds(parseTime)}, {bookHeap, heap},
+	runtime.KeepAlive(fullList) // allocated before the first heap reading, so it must not be freed before the second
+	return list, heap, recordAll(record, []quantityValue{{listBytes, float64(len(fullList))},
+		{listParse, milliseconds(parseTime)}, {bookHeap, heap},
 		{changeBytes, float64(len(listChange))}, {changeParse, microseconds(changeParseTime)}})
 }
 
-// applyList does what the watcher does with an answer's body.
+// applyList parses the body of a discovery answer and applies it to the book, as the pool watcher does.
 func applyList(book *pool.Book, raw []byte) (pool.List, error) {
 	list, err := pool.Parse(raw)
 	if err != nil {
@@ -58,12 +60,13 @@
 	return list, err
 }
 
-// quantityValue is the value of a quantity.
+// quantityValue is a measured value of a quantity.
 type quantityValue struct {
 	quantity Quantity
 	value    float64
 }
 
+// recordAll records the values in sequence and stops at the first error.
 func recordAll(record recordFunc, values []quantityValue) error {
 	for _, v := range values {
 		if err := record(v.quantity, v.value); err != nil {
@@ -73,16 +76,16 @@
 	return nil
 }
 
-// measureFlows returns the heap that the flows take for members without a connection.
+// measureFlows returns the heap bytes of a flow manager that knows the pool members but has no connections.
 func measureFlows(poolUpdate traffic.PoolNews, record recordFunc) (float64, error) {
-	before := heapBytes()
+	heapBefore := heapBytes()
 	flows, err := newFlowManager()
 	if err != nil {
 		return 0, err
 	}
 	defer flows.Close()
 	flows.Pool(poolUpdate)
-	heap := heapBytes() - before
+	heap := heapBytes() - heapBefore
 	runtime.KeepAlive(poolUpdate)
 	return heap, record(flowsHeap, heap)
 }
--- a/internal/lab/capacity/slopes/measurement.go
+++ b/internal/lab/capacity/slopes/measurement.go
@@ -9,34 +9,35 @@
 	"text/tabwriter"
 )
 
-// Axis is what a size counts.
+// Axis names what a size counts.
 type Axis string
 
-// The axes.
+// The axes along which sizes vary.
 const (
 	Destinations   Axis = "destinations"
 	QueuedMessages Axis = "held messages"
 	Relays         Axis = "relays"
 )
 
-// plannedSizes are the sizes that the operators plan for, of one relay and of the whole.
+// plannedSizes are the sizes that the operators plan for. Destinations and queued messages are those of one relay; relays are those of the
+// whole fleet.
 var plannedSizes = map[Axis]float64{Destinations: 330_000, QueuedMessages: 11_800_000, Relays: 3_900}
 
-// Budgets of one relay's control work.
+// Budgets for the control work of one relay.
 const (
-	cpuShareBudget       = 0.017 // of a core
+	cpuShareBudget       = 0.017 // share of a core
 	memoryBytesBudget    = 32e6  // bytes
 	bytesPerSecondBudget = 5e3
 )
 
-// Quantity names a cost and its unit. Budget is the most that it may be at the planned size; 0 for none.
+// Quantity names a cost and its unit. Budget is the maximum at the planned size, or 0 if there is none.
 type Quantity struct {
 	Name   string
 	Unit   string
 	Budget float64
 }
 
-// Measurement is one measured cost at a size.
+// Measurement is the measured value of a quantity at one size.
 type Measurement struct {
 	Axis     Axis    `json:"axis"`
 	Size     int     `json:"size"`
@@ -46,22 +47,22 @@
 	budget   float64
 }
 
-// Projection is a fit of a quantity and what it comes to at the planned size.
+// Projection is the fit of a quantity and its value at the planned size.
 type Projection struct {
 	Axis        Axis    `json:"axis"`
 	Quantity    string  `json:"quantity"`
 	Unit        string  `json:"unit"`
 	Fit         Fit     `json:"fit"`
 	PlannedSize float64 `json:"planned_size"`
-	// Stretch is the planned size divided by the largest that was measured.
+	// ExtrapolationFactor is the planned size divided by the largest measured size.
 	ExtrapolationFactor float64 `json:"extrapolation_factor"`
 	PlannedValue        float64 `json:"value_at_planned_size"`
 	Budget              float64 `json:"budget,omitempty"`
-	// OverBudget is the value divided by the budget.
+	// BudgetRatio is PlannedValue divided by Budget.
 	BudgetRatio float64 `json:"value_over_budget,omitempty"`
 }
 
-// Recorder collects measurements and writes each as a line of JSON as soon as it is made.
+// Recorder collects measurements. It writes each one as a JSON line as soon as it is recorded.
 type Recorder struct {
 	lines        io.Writer
 	measurements []Measurement
@@ -70,7 +71,7 @@
 // NewRecorder returns a Recorder that writes JSON lines to w.
 func NewRecorder(w io.Writer) *Recorder { return &Recorder{lines: w} }
 
-// Measurements are all that were recorded.
+// Measurements returns all recorded measurements.
 func (r *Recorder) Measurements() []Measurement { return r.measurements }
 
 func (r *Recorder) record(axis Axis, size int, quantity Quantity, value float64) error {
@@ -79,12 +80,13 @@
 	return json.NewEncoder(r.lines).Encode(m)
 }
 
-// series is the measurements of one quantity along one axis.
+// series holds the measurements of one quantity along one axis.
 type series struct {
-	Measurement // the first of them
+	Measurement // the first measurement; it identifies the series
 	points      []Point
 }
 
+// allSeries groups the measurements by axis and quantity, in the order of their first measurements.
 func (r *Recorder) allSeries() []*series {
 	var list []*series
 	for _, m := range r.measurements {
@@ -98,7 +100,8 @@
 	return list
 }
 
-// Project fits each quantity and extends the fit to the planned size. Quantities with too few sizes are left out.
+// Project fits each quantity and extrapolates it to the planned size. It omits quantities that BestFit rejects, such as those with fewer
+// than MinSizes sizes.
 func (r *Recorder) Project() []Projection {
 	var list []Projection
 	for _, s := range r.allSeries() {
@@ -107,21 +110,22 @@
 			continue
 		}
 		largest := slices.MaxFunc(s.points, func(a, b Point) int { return cmp.Compare(a.Size, b.Size) })
-		p := Projection{Axis: s.Axis, Quantity: s.Quantity, Unit: s.Unit, Fit: fit, PlannedSize: plannedSizes[s.Axis], Budget: s.budget}
-		p.ExtrapolationFactor = p.PlannedSize / float64(largest.Size)
-		p.PlannedValue = fit.At(p.PlannedSize)
-		if p.ExtrapolationFactor <= 1 { // the planned size was measured
-			p.PlannedValue = largest.Value
+		projection := Projection{Axis: s.Axis, Quantity: s.Quantity, Unit: s.Unit, Fit: fit, PlannedSize: plannedSizes[s.Axis],
+			Budget: s.budget}
+		projection.ExtrapolationFactor = projection.PlannedSize / float64(largest.Size)
+		projection.PlannedValue = fit.At(projection.PlannedSize)
+		if projection.ExtrapolationFactor <= 1 { // the planned size or a larger one was measured
+			projection.PlannedValue = largest.Value
 		}
-		if p.Budget > 0 {
-			p.BudgetRatio = p.PlannedValue / p.Budget
+		if projection.Budget > 0 {
+			projection.BudgetRatio = projection.PlannedValue / projection.Budget
 		}
-		list = append(list, p)
+		list = append(list, projection)
 	}
 	return list
 }
 
-// WriteReport writes the projections as lines of JSON, and all as tables.
+// WriteReport writes the projections as JSON lines to lines, and the measurements and projections as tables to tables.
 func (r *Recorder) WriteReport(lines, tables io.Writer) error {
 	projections := r.Project()
 	encoder := json.NewEncoder(lines)
@@ -148,24 +152,25 @@
 			continue
 		}
 		slices.Sort(sizes)
-		t := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
-		fmt.Fprintf(t, "\n%s\tunit", axis)
+		table := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
+		fmt.Fprintf(table, "\n%s\tunit", axis)
 		for _, size := range sizes {
-			fmt.Fprintf(t, "\t%d", size)
+			fmt.Fprintf(table, "\t%d", size)
 		}
-		fmt.Fprintln(t)
+		fmt.Fprintln(table)
 		for _, s := range r.allSeries() {
 			if s.Axis == axis {
-				writeSeriesRow(t, s, sizes)
+				writeSeriesRow(table, s, sizes)
 			}
 		}
-		if err := t.Flush(); err != nil {
+		if err := table.Flush(); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
+// writeSeriesRow writes a table row with the value of a series at each size, or - where a size was not measured.
 func writeSeriesRow(w io.Writer, s *series, sizes []int) {
 	fmt.Fprintf(w, "%s\t%s", s.Quantity, s.Unit)
 	for _, size := range sizes {
@@ -180,20 +185,23 @@
 }
 
 func writeProjections(w io.Writer, list []Projection) error {
-	t := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
-	fmt.Fprintln(t, "\nfit\tunit\tform\ta\tb\terror of b\tresidual\texponent\tat\tvalue\textrapolated by\tbudget\tover budget")
-	for _, p := range list {
+	table := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
+	fmt.Fprintln(table, "\nfit\tunit\tform\ta\tb\terror of b\tresidual\texponent\tat\tvalue\textrapolated by\tbudget\tover budget")
+	for _, projection := range list {
 		budget, ratio := "-", "-"
-		if p.Budget > 0 {
-			budget, ratio = formatNumber(p.Budget), fmt.Sprintf("%.2f", p.BudgetRatio)
+		if projection.Budget > 0 {
+			budget, ratio = formatNumber(projection.Budget), fmt.Sprintf("%.2f", projection.BudgetRatio)
 		}
-		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%s\t%.1f %%\t%.2f\t%.0f %s\t%s\t%.1f\t%s\t%s\n", p.Quantity, p.Unit, p.Fit.Form, formatNumber(p.Fit.Intercept), formatNumber(p.Fit.Slope),
-			formatNumber(p.Fit.SlopeError), 100*p.Fit.RelativeResidual, p.Fit.Exponent, p.PlannedSize, p.Axis, formatNumber(p.PlannedValue), max(p.ExtrapolationFactor, 1), budget, ratio)
+		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\t%s\t%.1f %%\t%.2f\t%.0f %s\t%s\t%.1f\t%s\t%s\n", projection.Quantity, projection.Unit,
+			projection.Fit.Form, formatNumber(projection.Fit.Intercept), formatNumber(projection.Fit.Slope),
+			formatNumber(projection.Fit.SlopeError), 100*projection.Fit.RelativeResidual, projection.Fit.Exponent, projection.PlannedSize,
+			projection.Axis, formatNumber(projection.PlannedValue), max(projection.ExtrapolationFactor, 1), budget, ratio)
 	}
-	return t.Flush()
+	return table.Flush()
 }
 
-// formatNumber writes four significant digits, without an exponent.
+// formatNumber formats a number of 1000 or more as an integer, one below 0.01 with an exponent and three significant digits, and
+// others with four significant digits.
 func formatNumber(v float64) string {
 	switch magnitude := max(v, -v); {
 	case magnitude == 0:
--- a/internal/lab/capacity/slopes/member.go
+++ b/internal/lab/capacity/slopes/member.go
@@ -19,15 +19,17 @@
 )
 
 const (
-	// regionCount and zones are those of the plan.
-	regionCount, zoneCount = 7, 17
+	// regionCount is the number of regions that the operators plan for.
+	regionCount = 7
+	// zoneCount is the number of zones that the operators plan for.
+	zoneCount = 17
 	// fleetLabel is the name of the fleet.
 	fleetLabel = "production"
-	// keyBytes is the length of the sealing key, as internal/fleet wants it.
+	// keyBytes is the length of the encryption key that internal/fleet requires.
 	keyBytes = 32
 )
 
-// memberConfig is the configuration that internal/fleet gives memberlist.
+// memberConfig returns memberlist's configuration as internal/fleet sets it.
 func memberConfig() *memberlist.Config {
 	config := memberlist.DefaultLANConfig()
 	fleet.TuneMemberlist(config)
@@ -35,27 +37,29 @@
 	return config
 }
 
-// relayName is the name of a relay with its region and zone.
-func relayName(n int) string {
-	return fmt.Sprintf("relay-r%d-z%02d-%04d", n%regionCount, n%zoneCount, n)
+// relayName returns the name of a relay, which contains its region and zone.
+func relayName(number int) string {
+	return fmt.Sprintf("relay-r%d-z%02d-%04d", number%regionCount, number%zoneCount, number)
 }
 
-// relayAddress is where it is reached.
-func relayAddress(n int) netip.AddrPort {
-	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(n >> 16), byte(n >> 8), byte(n)}), memberPort)
+// relayAddress returns the address of a relay.
+func relayAddress(number int) netip.AddrPort {
+	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(number >> 16), byte(number >> 8), byte(number)}), memberPort)
 }
 
-// The times of internal/fleet's part that keeps a relay a member .
+// Times of Fleet.maintainMembership in internal/fleet, and the number of seed members.
 const (
-	// minJoinPause to joinMost is the pause between two tries to find others.
-	minJoinPause, maxJoinPause = 250 * time.Millisecond, 8 * time.Second
-	// rejoinInterval is the pause between two tries to reach somebody who is no member at present.
+	// minJoinPause is the pause after the first try to join. The pause doubles with each further try up to maxJoinPause.
+	minJoinPause = 250 * time.Millisecond
+	// maxJoinPause bounds the pause between two tries to join.
+	maxJoinPause = 8 * time.Second
+	// rejoinInterval is the mean time between two tries to reach an address where no live member is known.
 	rejoinInterval = 10 * time.Second
-	// seedMembers is how many members all are told to join: the first ones.
+	// seedMembers is the number of members that every member is configured to join. They are the first ones.
 	seedMembers = 3
 )
 
-// member is one relay's part in the membership.
+// member is the membership of one relay.
 type member struct {
 	number    int
 	list      *memberlist.Memberlist
@@ -64,9 +68,9 @@
 	stopOnce  sync.Once
 }
 
-// stayJoined keeps a member one until ctx ends or it stops, as Fleet.belong does: it tries to join until it knows another, and then now and
-// then one of the seeds or of the dead that it does not know to live.
-func (m *member) stayJoined(ctx context.Context) {
+// maintainMembership keeps m a member until ctx ends or m stops, as Fleet.maintainMembership does. It tries to join until m knows another
+// member. From then on, it tries addresses of seeds and dead members where no live member is known, at intervals.
+func (m *member) maintainMembership(ctx context.Context) {
 	for pause := minJoinPause; ; {
 		wait := rejoinInterval
 		if m.list.NumMembers() < 2 {
@@ -75,14 +79,14 @@
 		if m.transport.wait(time.Duration((0.5+rand.Float64())*float64(wait)), nil) != nil || ctx.Err() != nil {
 			return
 		}
-		if address := m.missingAddress(); address != "" {
-			_, _ = m.list.Join([]string{address}) // it is tried again
+		if address := m.pickMissingAddress(); address != "" {
+			_, _ = m.list.Join([]string{address}) // a failure is ignored: the address remains missing and can be picked again
 		}
 	}
 }
 
-// missingAddress picks an address at which no live member is known.
-func (m *member) missingAddress() string {
+// pickMissingAddress returns a random address of a seed or dead member where no live member is known, or "" if there is none.
+func (m *member) pickMissingAddress() string {
 	live := map[string]bool{m.list.LocalNode().Address(): true}
 	for _, n := range m.list.Members() {
 		live[n.Address()] = true
@@ -104,12 +108,12 @@
 	return missing[rand.IntN(len(missing))]
 }
 
-// group is all members of one measurement.
+// group holds what the members of one measurement share: network, encryption key and change watch.
 type group struct {
 	network *Network
 	keyring *memberlist.Keyring
 	changes *changeWatch
-	tune    func(*memberlist.Config) // changes of the configuration; nil for none
+	tune    func(*memberlist.Config) // changes the configuration of a member; nil for no changes
 }
 
 func newGroup(network *Network) (*group, error) {
@@ -121,7 +125,7 @@
 	return &group{network: network, keyring: ring, changes: &changeWatch{}}, nil
 }
 
-// start creates a member that knows nobody yet.
+// start creates a member that knows no other member.
 func (g *group) start(number int) (*member, error) {
 	config := memberConfig()
 	address := relayAddress(number)
@@ -144,19 +148,19 @@
 	return m, nil
 }
 
-// stop ends a member without a farewell.
+// stop ends a member without announcing that it leaves.
 func (m *member) stop() {
 	m.stopOnce.Do(func() { _ = m.list.Shutdown() })
 }
 
-// delegate is the part of internal/fleet's delegate that costs bytes: it has no state of its own to exchange, and tells its start and
-// its age with the answer to a probe.
+// delegate reproduces the part of internal/fleet's delegate that causes traffic. It has no state of its own to exchange. The answer to a
+// probe carries a start number and the age of the member.
 type delegate struct {
 	changes *changeWatch
 	started time.Time
 
 	mu          sync.Mutex
-	deadAddress map[string]string // addresses by name
+	deadAddress map[string]string // by member name
 }
 
 func (d *delegate) deadAddresses() []string {
@@ -195,7 +199,7 @@
 	return binary.AppendUvarint(b, uint64(time.Since(d.started)/time.Microsecond))
 }
 
-// membershipChange is what a member learns of another.
+// membershipChange is the kind of change that a member learns of.
 type membershipChange int
 
 const (
@@ -203,39 +207,41 @@
 	memberLeft
 )
 
-// changeWatch notes when members learn of the subjects of an experiment.
+// changeWatch records when members learn of an awaited change of certain members, the subjects of an experiment.
 type changeWatch struct {
 	mu           sync.Mutex
 	awaited      membershipChange
 	subjects     map[string]bool
-	begun        time.Time
+	started      time.Time
 	times        []time.Duration
-	otherChanges int // changes of the same kind that concern no subject
+	otherChanges int // changes of the awaited kind that concern no subject
 }
 
-// begin starts an experiment.
+// begin starts an experiment and discards the results of the previous one.
 func (w *changeWatch) begin(kind membershipChange, subjects ...string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.awaited, w.subjects, w.begun, w.times, w.otherChanges = kind, map[string]bool{}, time.Now(), nil, 0
+	w.awaited, w.subjects, w.started, w.times, w.otherChanges = kind, map[string]bool{}, time.Now(), nil, 0
 	for _, s := range subjects {
 		w.subjects[s] = true
 	}
 }
 
+// observe records that a member has learned of a change of the named member.
 func (w *changeWatch) observe(kind membershipChange, name string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	switch {
 	case w.subjects == nil || kind != w.awaited:
 	case w.subjects[name]:
-		w.times = append(w.times, time.Since(w.begun))
+		w.times = append(w.times, time.Since(w.started))
 	default:
 		w.otherChanges++
 	}
 }
 
-// results returns the times so far, and how many other changes of the kind there were.
+// results returns how long after the start of the experiment each member learned of each subject, and the number of other changes of the
+// same kind.
 func (w *changeWatch) results() ([]time.Duration, int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/lab/capacity/slopes/membership.go
+++ b/internal/lab/capacity/slopes/membership.go
@@ -11,24 +11,25 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// MembershipPlan says what is measured of the membership.
+// MembershipPlan defines the measurements of the membership.
 type MembershipPlan struct {
 	Relays           []int         // numbers of members
-	Idle             time.Duration // how long members are watched while nothing happens
-	Start            time.Duration // time over which all members start
-	Settle           time.Duration // rest before that
-	HeapPollInterval time.Duration // between two looks at the heap, until it falls no more
-	Patience         time.Duration // how long a change may take until all know of it
-	Delay            time.Duration // of packets, one way
-	Loss             float64       // share of packets
-	FullStates       []int         // numbers of members whose full exchange is measured
-	Fleets           []int         // numbers of the program's own fleet parts, on loopback sockets; none for no such measurement
+	Idle             time.Duration // duration of the idle measurement
+	Start            time.Duration // span over which the starts of the members are spread
+	Settle           time.Duration // pause between the convergence of the start and the idle measurement
+	HeapPollInterval time.Duration // time between two readings of the heap, until it stops falling
+	Patience         time.Duration // maximum time that a change may take to reach all members
+	Delay            time.Duration // mean one-way delay of a packet
+	Loss             float64       // share of packets that are lost
+	FullStates       []int         // numbers of members whose full-state exchange is measured
+	Fleets           []int         // numbers of complete fleet nodes on loopback sockets; empty to skip this measurement
 }
 
-// DefaultMembership is the plan of the command line, without its sizes.
-var DefaultMembership = MembershipPlan{Start: 2 * time.Second, Idle: 30 * time.Second, Settle: 10 * time.Second, HeapPollInterval: time.Second, Patience: 90 * time.Second, Delay: time.Millisecond, Loss: 0.001}
+// DefaultMembership is the default plan of the command line, without sizes.
+var DefaultMembership = MembershipPlan{Start: 2 * time.Second, Idle: 30 * time.Second, Settle: 10 * time.Second,
+	HeapPollInterval: time.Second, Patience: 90 * time.Second, Delay: time.Millisecond, Loss: 0.001}
 
-// Quantities along the number of relays. Bytes are without the headers of UDP and TCP.
+// Quantities along the number of relays. Byte counts exclude the headers of UDP and TCP.
 var (
 	startConvergence       = Quantity{Name: "all start at once: until all know all", Unit: "s"}
 	startKnownShare        = Quantity{Name: "all start at once: members known at the end", Unit: "share"}
@@ -61,10 +62,10 @@
 	zoneFailureMeanBytes   = Quantity{Name: "death of a zone: bytes, mean", Unit: "bytes/s"}
 )
 
-// pollInterval is how often the state of an experiment is looked at.
+// pollInterval is the time between two checks whether an experiment has ended.
 const pollInterval = 100 * time.Millisecond
 
-// Check says what makes no sense.
+// Check returns an error if a setting of the plan is invalid.
 func (p *MembershipPlan) Check() error {
 	if err := checkSizes("relays", p.Relays); err != nil {
 		return err
@@ -76,12 +77,12 @@
 	}
 	for _, n := range p.FullStates {
 		if n <= reservedMembers {
-			return fmt.Errorf("slopes: a full state of %d relays makes no sense", n)
+			return fmt.Errorf("slopes: a full state of %d relays is too small", n)
 		}
 	}
 	for _, n := range p.Fleets {
 		if n < seedMembers {
-			return fmt.Errorf("slopes: %d fleet parts are fewer than the %d that are joined", n, seedMembers)
+			return fmt.Errorf("slopes: %d fleet nodes are fewer than the %d seed members", n, seedMembers)
 		}
 	}
 	if p.Loss < 0 || p.Loss > 0.9 || p.Delay < 0 || p.Idle <= 0 || p.Start < 0 || p.Settle < 0 || p.HeapPollInterval < 0 || p.Patience <= 0 {
@@ -90,7 +91,7 @@
 	return nil
 }
 
-// MeasureMembership measures the membership at each number of relays. It tells progress what it is about to do.
+// MeasureMembership measures the membership at each number of relays. It calls progress before each experiment.
 func MeasureMembership(ctx context.Context, plan MembershipPlan, recorder *Recorder, progress func(string)) error {
 	if err := plan.Check(); err != nil {
 		return err
@@ -107,14 +108,14 @@
 	return measureFullStates(ctx, plan, recorder, progress)
 }
 
-// membershipRun is the measurement of one size.
+// membershipRun holds the members and results of the experiments at one size.
 type membershipRun struct {
 	plan      MembershipPlan
 	size      int
 	recorder  *Recorder
 	progress  func(string)
 	group     *group
-	rejoining sync.WaitGroup // what keeps each member one
+	rejoining sync.WaitGroup // goroutines that run maintainMembership
 
 	mu      sync.Mutex
 	members []*member
@@ -128,6 +129,7 @@
 	run.progress(fmt.Sprintf("%d relays: %s", run.size, text))
 }
 
+// measure runs the experiments of one size in sequence.
 func (run *membershipRun) measure(ctx context.Context) error {
 	group, err := newGroup(NewNetwork(run.plan.Delay, run.plan.Loss))
 	if err != nil {
@@ -135,11 +137,12 @@
 	}
 	run.group = group
 	defer run.stopAll()
-	before, err := settledHeapBytes(ctx, run.plan.HeapPollInterval)
+	heapBefore, err := settledHeapBytes(ctx, run.plan.HeapPollInterval)
 	if err != nil {
 		return err
 	}
-	for _, experiment := range []func(context.Context) error{run.startMembers, func(ctx context.Context) error { return run.measureIdle(ctx, before) },
+	for _, experiment := range []func(context.Context) error{run.startMembers,
+		func(ctx context.Context) error { return run.measureIdle(ctx, heapBefore) },
 		run.measureJoin, run.measureMemberFailure, run.measureZoneFailure} {
 		if err := experiment(ctx); err != nil {
 			return err
@@ -148,7 +151,7 @@
 	return nil
 }
 
-// startMembers starts all members at random times within a short span.
+// startMembers starts all members at random times within plan.Start and measures the time and traffic until all know all.
 func (run *membershipRun) startMembers(ctx context.Context) error {
 	run.reportProgress(fmt.Sprintf("all start within %v", run.plan.Start))
 	start, cpuBefore, timers := time.Now(), processCPUTime(), watchTimerLateness(ctx)
@@ -166,7 +169,7 @@
 			run.mu.Lock()
 			run.members = append(run.members, m)
 			run.mu.Unlock()
-			m.stayJoined(ctx)
+			m.maintainMembership(ctx)
 		})
 	}
 	knownShare, elapsed, peakRate := run.waitForConvergence(ctx, start)
@@ -185,12 +188,14 @@
 		refused += traffic.StreamsRefused
 	}
 	cpuUsed := processCPUTime() - cpuBefore
-	return run.recordAll([]quantityValue{{startConvergence, elapsed.Seconds()}, {startKnownShare, knownShare}, {startMeanBytes, mean(bytes)}, {startMaxBytes, quantile(bytes, 1)},
-		{startPeakRate, peakRate}, {startRefusedStreams, float64(refused)}, {startMemberCPU, milliseconds(cpuUsed) / float64(run.size)}, {startTimerLateness, milliseconds(timers.finish())}})
+	return run.recordAll([]quantityValue{{startConvergence, elapsed.Seconds()}, {startKnownShare, knownShare},
+		{startMeanBytes, mean(bytes)}, {startMaxBytes, quantile(bytes, 1)},
+		{startPeakRate, peakRate}, {startRefusedStreams, float64(refused)},
+		{startMemberCPU, milliseconds(cpuUsed) / float64(run.size)}, {startTimerLateness, milliseconds(timers.finish())}})
 }
 
-// waitForConvergence waits until each member knows all. It returns the share that is known, the time, and the most bytes that any member
-// sent and received in a second.
+// waitForConvergence waits until each member knows all members, or for plan.Patience at most. It returns the share of pairs that know each
+// other, the elapsed time, and the highest rate of any member in bytes a second, sent and received.
 func (run *membershipRun) waitForConvergence(ctx context.Context, start time.Time) (knownShare float64, elapsed time.Duration, peakRate float64) {
 	secondStart, bytesBefore := start, map[*Transport]int64{}
 	for time.Since(start) < run.plan.Patience && sleep(ctx, pollInterval) == nil {
@@ -216,13 +221,14 @@
 	return knownShare, elapsed, peakRate
 }
 
-// runningMembers is the members that run.
+// runningMembers returns a copy of the list of running members.
 func (run *membershipRun) runningMembers() []*member {
 	run.mu.Lock()
 	defer run.mu.Unlock()
 	return append([]*member(nil), run.members...)
 }
 
+// traffic returns the traffic of each running member.
 func (run *membershipRun) traffic() []Traffic {
 	var list []Traffic
 	for _, m := range run.runningMembers() {
@@ -231,7 +237,7 @@
 	return list
 }
 
-// measureIdle measures what members cost while nothing happens.
+// measureIdle measures the costs of members while the membership does not change.
 func (run *membershipRun) measureIdle(ctx context.Context, heapBefore float64) error {
 	run.reportProgress("settling")
 	if err := sleep(ctx, run.plan.Settle); err != nil {
@@ -259,16 +265,18 @@
 		packets = append(packets, float64(difference.Packets())/elapsedSeconds)
 		packetBytes = append(packetBytes, float64(difference.PacketBytesSent+difference.PacketBytesReceived)/elapsedSeconds)
 	}
-	return run.recordAll([]quantityValue{{memberHeap, heap / float64(run.size)}, {idleMeanBytes, mean(bytes)}, {idleBytes99, quantile(bytes, 0.99)},
-		{idleMaxBytes, quantile(bytes, 1)}, {idleMeanPacketBytes, mean(packetBytes)}, {idleMeanPackets, mean(packets)}, {idlePackets99, quantile(packets, 0.99)},
+	return run.recordAll([]quantityValue{{memberHeap, heap / float64(run.size)}, {idleMeanBytes, mean(bytes)},
+		{idleBytes99, quantile(bytes, 0.99)},
+		{idleMaxBytes, quantile(bytes, 1)}, {idleMeanPacketBytes, mean(packetBytes)}, {idleMeanPackets, mean(packets)},
+		{idlePackets99, quantile(packets, 0.99)},
 		{idleMaxPackets, quantile(packets, 1)}, {idleCPU, cpuUsed.Seconds() / elapsedSeconds / float64(run.size)},
 		{idleFalseDeaths, float64(falseDeaths)}, {idleHealthScore, health}, {idleTimerLateness, milliseconds(timerDelay)}})
 }
 
-// measureJoin has one more member join.
+// measureJoin starts one more member and measures how long the others take to learn of it.
 func (run *membershipRun) measureJoin(ctx context.Context) error {
 	run.reportProgress("one joins")
-	others := run.runningMembers()
+	existing := run.runningMembers()
 	newcomer, err := run.group.start(run.size)
 	if err != nil {
 		return err
@@ -276,25 +284,25 @@
 	run.mu.Lock()
 	run.members = append(run.members, newcomer)
 	run.mu.Unlock()
-	run.rejoining.Go(func() { newcomer.stayJoined(ctx) })
+	run.rejoining.Go(func() { newcomer.maintainMembership(ctx) })
 	run.group.changes.begin(memberJoined, relayName(run.size))
 	if _, err := newcomer.list.Join([]string{relayAddress(0).String()}); err != nil {
 		return err
 	}
 	bytes := float64(newcomer.transport.Traffic().Bytes())
-	times, _, err := run.awaitChanges(ctx, len(others))
+	times, _, err := run.awaitChanges(ctx, len(existing))
 	if err != nil {
 		return err
 	}
 	return run.recordAll([]quantityValue{{joinBytes, bytes}, {joinConvergence, quantile(times, 1).Seconds()}})
 }
 
-// awaitChanges waits until an experiment has so many times, or the patience is over.
+// awaitChanges waits until count observations of the awaited change are recorded, or for plan.Patience at most.
 func (run *membershipRun) awaitChanges(ctx context.Context, count int) ([]time.Duration, int, error) {
 	for start := time.Now(); ; {
-		times, others := run.group.changes.results()
+		times, otherChanges := run.group.changes.results()
 		if len(times) >= count || time.Since(start) > run.plan.Patience {
-			return times, others, nil
+			return times, otherChanges, nil
 		}
 		if err := sleep(ctx, pollInterval); err != nil {
 			return nil, 0, err
@@ -302,7 +310,7 @@
 	}
 }
 
-// measureMemberFailure has the machine of one member fail.
+// measureMemberFailure lets the machine of one member fail and measures how long the others take to detect the failure.
 func (run *membershipRun) measureMemberFailure(ctx context.Context) error {
 	run.reportProgress("one fails")
 	failed := run.removeMembers(func(m *member) bool { return m.number == run.size })
@@ -315,10 +323,10 @@
 	return run.recordAll([]quantityValue{{failureMedian, quantile(times, 0.5).Seconds()}, {failureConvergence, quantile(times, 1).Seconds()}})
 }
 
-// measureZoneFailure has all machines of a zone fail at one moment.
+// measureZoneFailure lets all machines of a zone fail at the same moment and measures how long the others take to detect the failures.
 func (run *membershipRun) measureZoneFailure(ctx context.Context) error {
 	run.reportProgress("a zone fails")
-	const failedZone = zoneCount - 1 // no seed is in it
+	const failedZone = zoneCount - 1 // no seed is in this zone
 	failed := run.removeMembers(func(m *member) bool { return m.number%zoneCount == failedZone })
 	var names []string
 	for _, m := range failed {
@@ -328,7 +336,7 @@
 	run.group.changes.begin(memberLeft, names...)
 	failAll(failed)
 	expected := len(failed) * len(run.runningMembers())
-	times, others, err := run.awaitChanges(ctx, expected)
+	times, falseDeaths, err := run.awaitChanges(ctx, expected)
 	if err != nil {
 		return err
 	}
@@ -337,11 +345,13 @@
 	for i, t := range run.traffic() {
 		bytes = append(bytes, float64(t.Minus(trafficBefore[i]).Bytes())/elapsedSeconds)
 	}
-	return run.recordAll([]quantityValue{{zoneFailureMedian, quantile(times, 0.5).Seconds()}, {zoneFailureConvergence, quantile(times, 1).Seconds()},
-		{zoneFailureKnownShare, float64(len(times)) / float64(max(expected, 1))}, {zoneFailureFalseDeaths, float64(others)}, {zoneFailureMeanBytes, mean(bytes)}})
+	return run.recordAll([]quantityValue{{zoneFailureMedian, quantile(times, 0.5).Seconds()},
+		{zoneFailureConvergence, quantile(times, 1).Seconds()},
+		{zoneFailureKnownShare, float64(len(times)) / float64(max(expected, 1))},
+		{zoneFailureFalseDeaths, float64(falseDeaths)}, {zoneFailureMeanBytes, mean(bytes)}})
 }
 
-// removeMembers takes members off the list of those that run.
+// removeMembers removes the matching members from the running ones and returns them.
 func (run *membershipRun) removeMembers(matches func(*member) bool) []*member {
 	run.mu.Lock()
 	defer run.mu.Unlock()
@@ -357,27 +367,28 @@
 	return removed
 }
 
-// failAll cuts all off first, so that they fail at one moment.
+// failAll cuts off all members before it stops any, so that all fail at the same moment.
 func failAll(members []*member) {
 	for _, m := range members {
-		m.transport.Fail()
+		m.transport.SimulateFailure()
 	}
 	for _, m := range members {
 		m.stop()
 	}
 }
 
-// stopAll ends all members and what keeps them.
+// stopAll stops all members and waits for the goroutines that maintain their membership.
 func (run *membershipRun) stopAll() {
 	failAll(run.runningMembers())
 	run.rejoining.Wait()
-	failAll(run.runningMembers()) // those that were just starting
+	failAll(run.runningMembers()) // members that were just starting
 }
 
 func (run *membershipRun) recordAll(values []quantityValue) error {
 	return recordAll(run.record, values)
 }
 
+// mean returns the mean of the list, or 0 for an empty list.
 func mean(list []float64) float64 {
 	total := 0.0
 	for _, v := range list {
@@ -386,7 +397,7 @@
 	return total / float64(max(len(list), 1))
 }
 
-// disableBackgroundWork keeps a member from doing anything by itself.
+// disableBackgroundWork turns off all periodic work of a member: probes, gossip and full-state exchanges.
 func disableBackgroundWork(c *memberlist.Config) {
 	c.ProbeInterval, c.GossipInterval, c.PushPullInterval = 0, 0, 0
 }
--- a/internal/lab/capacity/slopes/module.go
+++ b/internal/lab/capacity/slopes/module.go
@@ -9,7 +9,7 @@
 	"slatemux/internal/dispatch"
 )
 
-// Quantities of one step of the module.
+// Quantities of one step of the decision module.
 var (
 	stepMedian  = Quantity{Name: "module step, median", Unit: "us"}
 	step99      = Quantity{Name: "module step, 99 %", Unit: "us"}
@@ -17,37 +17,37 @@
 )
 
 const (
-	// measuredSteps are how many steps are measured at one size.
+	// measuredSteps is the number of steps that are measured at one size.
 	measuredSteps = 300
-	// warmUpSteps are taken before: the destinations that are down are found to be.
+	// warmUpSteps is the number of steps before the measurement. In these steps, the module detects the destinations that are down.
 	warmUpSteps = 40
-	// stepInterval is the virtual time from one step to the next.
+	// stepInterval is the virtual time between two steps.
 	stepInterval = 5 * time.Millisecond
-	// callLatency is that of a call in virtual time.
+	// callLatency is the latency of a call in virtual time.
 	callLatency = 20 * time.Millisecond
 )
 
-// moduleLoad drives the decision module alone, in virtual time: a backlog on the destinations that are down, and one arrival for
-// another and the answers to the calls of the step before in each step.
+// moduleLoad runs the decision module alone, in virtual time. A backlog is queued for the destinations that are down. Each step receives
+// one message for a destination that is up, and the answers to the calls of the previous step.
 type moduleLoad struct {
 	sender       *dispatch.Sender
 	random       *rand.Rand
 	now          time.Duration
 	destinations int
-	down         map[string]bool // members
-	lastMessage  int             // number of the next message
-	attempts     map[string]int  // attempts of messages that are open
+	downMembers  map[string]bool // by member name
+	lastMessage  int             // number of the newest message
+	attempts     map[string]int  // number of attempts of each open message, by message ID
 	undelivered  int             // messages that the module refused or gave up
 	answers      []dispatch.Event
 }
 
-// newModuleLoad lists the destinations and hands in the backlog.
-func newModuleLoad(destinations, held int, seed uint64) (*moduleLoad, error) {
-	sender, err := dispatch.New(moduleSettings(destinations, held), int64(seed))
+// newModuleLoad passes the list of destinations and the backlog to the module in its first step.
+func newModuleLoad(destinations, backlog int, seed uint64) (*moduleLoad, error) {
+	sender, err := dispatch.New(moduleSettings(destinations, backlog), int64(seed))
 	if err != nil {
 		return nil, err
 	}
-	l := &moduleLoad{sender: sender, random: rand.New(rand.NewPCG(seed, 0)), destinations: destinations, down: map[string]bool{}, attempts: map[string]int{}}
+	l := &moduleLoad{sender: sender, random: rand.New(rand.NewPCG(seed, 0)), destinations: destinations, downMembers: map[string]bool{}, attempts: map[string]int{}}
 	list := dispatch.Members{Whole: true}
 	for i := range destinations {
 		list.Endpoints = append(list.Endpoints, dispatch.Endpoint{ID: memberName(i), Zone: zoneName, Kind: kindName, Destination: i, Weight: 100})
@@ -55,22 +55,24 @@
 	events := []dispatch.Event{list}
 	down := downDestinations(destinations)
 	for i := range down {
-		l.down[memberName(i)] = true
+		l.downMembers[memberName(i)] = true
 	}
-	for i := range held {
+	for i := range backlog {
 		events = append(events, l.newRequest(i%down))
 	}
 	l.step(events)
 	return l, nil
 }
 
+// newRequest returns the next message, for a destination, with a random deadline.
 func (l *moduleLoad) newRequest(destination int) dispatch.Request {
 	l.lastMessage++
-	timeLeft := messageDeadline - time.Duration(l.random.Int64N(int64(messageDeadline/2))) // the backlog's deadlines lie before and behind
+	// Some deadlines of the backlog are earlier than that of a new message, and some are later.
+	timeLeft := messageDeadline - time.Duration(l.random.Int64N(int64(messageDeadline/2)))
 	return dispatch.Request{ID: messageID(l.lastMessage), Destination: destination, Class: className, TimeLeft: timeLeft, Size: bodyBytes}
 }
 
-// step takes one step, returns the processor time that the module took, and prepares the answers to its calls.
+// step runs one step, returns the processor time of the module, and prepares the answers to the calls that the module started.
 func (l *moduleLoad) step(events []dispatch.Event) time.Duration {
 	l.now += stepInterval
 	var actions []dispatch.Action
@@ -89,10 +91,11 @@
 	return elapsed
 }
 
+// outcomeOf returns the answer to a call: a failed connection if the member is down, otherwise a delivery.
 func (l *moduleLoad) outcomeOf(send dispatch.Send) dispatch.Outcome {
 	outcome := dispatch.Outcome{ID: send.ID, Attempt: l.attempts[send.ID], Endpoint: send.Endpoint, Status: dispatch.OK, Latency: callLatency}
 	l.attempts[send.ID]++
-	if l.down[send.Endpoint] {
+	if l.downMembers[send.Endpoint] {
 		outcome.Status = dispatch.ConnectFailed
 	} else {
 		outcome.Settled = true
@@ -101,18 +104,18 @@
 	return outcome
 }
 
-// nextEvents is the events of a usual step: the answers that are due and one message for a destination that is up.
+// nextEvents returns the events of the next step: the answers to earlier calls, and one message for a destination that is up.
 func (l *moduleLoad) nextEvents() []dispatch.Event {
-	down := len(l.down)
+	down := len(l.downMembers)
 	destination := down + l.random.IntN(max(l.destinations-down, 1))
 	return append(append([]dispatch.Event(nil), l.answers...), l.newRequest(min(destination, l.destinations-1)))
 }
 
-// measureModuleSteps measures steps with a number of messages held over a number of destinations.
-func measureModuleSteps(ctx context.Context, destinations, held int, seed uint64) ([]time.Duration, error) {
+// measureModuleSteps returns the processor times of module steps with a backlog of messages, for a number of destinations.
+func measureModuleSteps(ctx context.Context, destinations, backlog int, seed uint64) ([]time.Duration, error) {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
-	l, err := newModuleLoad(destinations, held, seed)
+	load, err := newModuleLoad(destinations, backlog, seed)
 	if err != nil {
 		return nil, err
 	}
@@ -121,7 +124,7 @@
 		if ctx.Err() != nil {
 			return nil, ctx.Err()
 		}
-		stepTime := l.step(l.nextEvents())
+		stepTime := load.step(load.nextEvents())
 		if i >= warmUpSteps {
 			steps = append(steps, stepTime)
 		}
@@ -129,7 +132,7 @@
 	return steps, nil
 }
 
-// recordModuleSteps records the figures of steps at a size.
+// recordModuleSteps records the median, the 99th percentile and the maximum of the step times at a size.
 func recordModuleSteps(r *Recorder, axis Axis, size int, suffix string, steps []time.Duration) error {
 	for _, q := range []struct {
 		quantity Quantity
--- a/internal/lab/capacity/slopes/network.go
+++ b/internal/lab/capacity/slopes/network.go
@@ -15,51 +15,52 @@
 )
 
 const (
-	// packetQueueLength is how many packets a member's socket holds; what comes while it is full is lost, as in a system's buffer.
+	// packetQueueLength is the capacity of a member's receive buffer in packets. Packets that arrive while the buffer is full are lost, as
+	// with a socket buffer of the operating system.
 	packetQueueLength = 256
-	// memberPort is the port of each member.
+	// memberPort is the port of every member.
 	memberPort = 7946
 )
 
-// Network carries packets and streams between members in one process. Packets take a time and may be lost; a member that was cut
-// off neither sends nor receives, as a machine that failed.
+// Network carries packets and streams between members in one process. Packets are delayed and may be lost. A failed member neither sends
+// nor receives, like a machine that has failed.
 type Network struct {
-	delay time.Duration // one way; each packet takes between half and one and a half of it
-	loss  float64       // share of packets
-	// streamMost is how many bytes a stream may bring.
+	delay time.Duration // mean one-way delay; the delay of a packet is between 0.5 and 1.5 times the mean
+	loss  float64       // share of packets that are lost
+	// maxStreamBytes is the maximum number of bytes that a member reads from a stream.
 	maxStreamBytes int
-	// streamsMost is how many streams that came a member may have open.
+	// maxStreams is the maximum number of open incoming streams per member.
 	maxStreams int64
 
 	mu         sync.RWMutex
 	transports map[string]*Transport
 }
 
-// NewNetwork returns one without members, with internal/fleet's bound on streams.
+// NewNetwork returns a network without members, with the limits of internal/fleet on streams.
 func NewNetwork(delay time.Duration, loss float64) *Network {
 	return &Network{delay: delay, loss: loss, maxStreamBytes: maxStreamBytes, maxStreams: maxConcurrentStreams, transports: map[string]*Transport{}}
 }
 
-// Traffic counts what passed a member's transport.
+// Traffic counts what a member's transport has sent, received and rejected.
 type Traffic struct {
 	PacketsSent, PacketsReceived         int64
 	PacketBytesSent, PacketBytesReceived int64
 	StreamBytesSent, StreamBytesReceived int64
-	StreamsOpened, StreamsRefused        int64 // streams opened here; streams that came and were turned away
-	StreamsTruncated                     int64 // streams that were cut at the bound
-	LongestStreamBytes                   int64 // most bytes that one stream brought
-	PacketsDropped                       int64 // packets that found the queue full
+	StreamsOpened, StreamsRefused        int64 // streams opened by this member; incoming streams that were refused
+	StreamsTruncated                     int64 // streams that were cut off at maxStreamBytes
+	LongestStreamBytes                   int64 // maximum number of bytes received on one stream
+	PacketsDropped                       int64 // packets that arrived while the queue was full
 }
 
-// Bytes are all bytes, sent and received.
+// Bytes returns the number of all bytes, sent and received.
 func (t Traffic) Bytes() int64 {
 	return t.PacketBytesSent + t.PacketBytesReceived + t.StreamBytesSent + t.StreamBytesReceived
 }
 
-// Packets are all packets, sent and received.
+// Packets returns the number of all packets, sent and received.
 func (t Traffic) Packets() int64 { return t.PacketsSent + t.PacketsReceived }
 
-// Minus is the traffic since an earlier count. The longest stream is that of all time.
+// Minus returns the traffic since an earlier count. LongestStreamBytes remains the maximum over the whole time.
 func (t Traffic) Minus(before Traffic) Traffic {
 	t.PacketsSent -= before.PacketsSent
 	t.PacketsReceived -= before.PacketsReceived
@@ -74,7 +75,7 @@
 	return t
 }
 
-// Transport is one member's end of a Network, with the bounds of internal/fleet's transport on streams.
+// Transport is the transport of one member on a Network. It limits streams as the transport of internal/fleet does.
 type Transport struct {
 	network      *Network
 	address      netip.AddrPort
@@ -83,7 +84,7 @@
 	closed       chan struct{}
 	once         sync.Once
 	failed       atomic.Bool
-	openIncoming atomic.Int64 // streams that came and are open
+	openIncoming atomic.Int64 // incoming streams that are open
 
 	mu      sync.Mutex
 	traffic Traffic
@@ -91,7 +92,7 @@
 
 var _ memberlist.NodeAwareTransport = (*Transport)(nil)
 
-// NewTransport adds a member's transport. An address is used once at a time.
+// NewTransport adds a transport for a member. Each address may be in use only once at a time.
 func (n *Network) NewTransport(address netip.AddrPort) *Transport {
 	t := &Transport{network: n, address: address, packets: make(chan *memberlist.Packet, packetQueueLength), streams: make(chan net.Conn), closed: make(chan struct{})}
 	n.mu.Lock()
@@ -100,23 +101,24 @@
 	return t
 }
 
-// Fail has the member fail as a machine does: nothing passes any more, and nobody is told.
-func (t *Transport) Fail() { t.failed.Store(true) }
+// SimulateFailure simulates the failure of the member's machine: nothing is sent or received any more, and peers are not notified.
+func (t *Transport) SimulateFailure() { t.failed.Store(true) }
 
-// Traffic returns what has passed.
+// Traffic returns the traffic so far.
 func (t *Transport) Traffic() Traffic {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.traffic
 }
 
+// updateTraffic calls f with the counters, under the lock.
 func (t *Transport) updateTraffic(f func(*Traffic)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	f(&t.traffic)
 }
 
-// peer is the transport at an address; nil where none is or it was cut off.
+// peer returns the transport at an address, or nil if there is none or it has failed.
 func (n *Network) peer(address string) *Transport {
 	n.mu.RLock()
 	defer n.mu.RUnlock()
@@ -127,37 +129,37 @@
 	return t
 }
 
-// packetLatency is the time that one packet takes.
+// packetLatency returns a random latency for one packet.
 func (n *Network) packetLatency() time.Duration {
 	return time.Duration(float64(n.delay) * (0.5 + rand.Float64()))
 }
 
-// FinalAdvertiseAddr is the member's address.
+// FinalAdvertiseAddr returns the address of the member.
 func (t *Transport) FinalAdvertiseAddr(string, int) (net.IP, int, error) {
 	return t.address.Addr().AsSlice(), int(t.address.Port()), nil
 }
 
-// WriteTo sends a packet.
-func (t *Transport) WriteTo(b []byte, address string) (time.Time, error) {
+// WriteTo sends a packet to an address.
+func (t *Transport) WriteTo(data []byte, address string) (time.Time, error) {
 	now := time.Now()
 	if t.failed.Load() {
 		return now, nil
 	}
 	t.updateTraffic(func(c *Traffic) {
 		c.PacketsSent++
-		c.PacketBytesSent += int64(len(b))
+		c.PacketBytesSent += int64(len(data))
 	})
 	peer := t.network.peer(address)
 	if peer == nil || rand.Float64() < t.network.loss {
 		return now, nil
 	}
 	from := net.UDPAddrFromAddrPort(t.address)
-	packetBytes := append([]byte(nil), b...)
+	packetBytes := append([]byte(nil), data...)
 	time.AfterFunc(t.network.packetLatency(), func() { peer.receive(&memberlist.Packet{Buf: packetBytes, From: from, Timestamp: time.Now()}) })
 	return now, nil
 }
 
-// receive queues a packet that has arrived.
+// receive queues a packet that has arrived, or drops it if the queue is full.
 func (t *Transport) receive(packet *memberlist.Packet) {
 	if t.failed.Load() {
 		return
@@ -173,17 +175,17 @@
 	}
 }
 
-// WriteToAddress sends a packet.
+// WriteToAddress sends a packet to an address.
 func (t *Transport) WriteToAddress(b []byte, a memberlist.Address) (time.Time, error) {
 	return t.WriteTo(b, a.Addr)
 }
 
-// PacketCh holds the packets that have arrived.
+// PacketCh returns the channel of received packets.
 func (t *Transport) PacketCh() <-chan *memberlist.Packet { return t.packets }
 
-var errStreamRefused = errors.New("slopes: the stream was turned away")
+var errStreamRefused = errors.New("slopes: stream refused: too many open streams")
 
-// DialTimeout opens a stream. A member that was cut off does not answer at all.
+// DialTimeout opens a stream. A failed member does not respond, so the call takes the whole timeout.
 func (t *Transport) DialTimeout(address string, timeout time.Duration) (net.Conn, error) {
 	peer := t.network.peer(address)
 	if peer == nil || t.failed.Load() {
@@ -211,7 +213,7 @@
 	}
 }
 
-// wait sleeps for a time, less where the transport is closed, and returns err.
+// wait sleeps for d and returns err. It returns net.ErrClosed as soon as the transport is closed.
 func (t *Transport) wait(d time.Duration, err error) error {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -223,22 +225,22 @@
 	}
 }
 
-// DialAddressTimeout opens a stream.
+// DialAddressTimeout opens a stream to an address.
 func (t *Transport) DialAddressTimeout(a memberlist.Address, timeout time.Duration) (net.Conn, error) {
 	return t.DialTimeout(a.Addr, timeout)
 }
 
-// StreamCh holds the streams that have come.
+// StreamCh returns the channel of incoming streams.
 func (t *Transport) StreamCh() <-chan net.Conn { return t.streams }
 
-// Shutdown closes the transport.
+// Shutdown fails the member and closes the transport.
 func (t *Transport) Shutdown() error {
-	t.Fail()
+	t.SimulateFailure()
 	t.once.Do(func() { close(t.closed) })
 	return nil
 }
 
-// stream counts what passes, and ends where more comes than internal/fleet takes.
+// stream counts the bytes of a connection. Reads fail once a stream exceeds the limit of internal/fleet.
 type stream struct {
 	net.Conn
 	transport      *Transport
@@ -247,7 +249,7 @@
 	once           sync.Once
 }
 
-// Read reads up to the bound.
+// Read reads at most the remaining bytes of the limit.
 func (s *stream) Read(b []byte) (int, error) {
 	if s.remainingBytes <= 0 {
 		s.transport.updateTraffic(func(c *Traffic) { c.StreamsTruncated++ })
@@ -262,7 +264,7 @@
 	return n, err
 }
 
-// Write sends bytes.
+// Write sends bytes, unless the member has failed.
 func (s *stream) Write(b []byte) (int, error) {
 	if s.transport.failed.Load() {
 		return 0, net.ErrClosed
@@ -272,7 +274,7 @@
 	return n, err
 }
 
-// Close closes the stream.
+// Close closes the stream and releases its place among the incoming streams.
 func (s *stream) Close() error {
 	s.once.Do(func() {
 		if s.incoming {
--- a/internal/lab/capacity/slopes/network_test.go
+++ b/internal/lab/capacity/slopes/network_test.go
@@ -8,7 +8,7 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// TestNetworkCountsTraffic wants bytes counted at both ends, and nothing to pass a member that was cut off.
+// TestNetworkCountsTraffic checks that bytes are counted on both sides, and that a failed member receives no packet and does not answer.
 func TestNetworkCountsTraffic(t *testing.T) {
 	network := NewNetwork(0, 0)
 	a, b := network.NewTransport(relayAddress(0)), network.NewTransport(relayAddress(1))
@@ -21,13 +21,13 @@
 	if sent, received := a.Traffic(), b.Traffic(); sent.PacketBytesSent != 5 || sent.PacketsSent != 1 || received.PacketBytesReceived != 5 || received.Packets() != 1 {
 		t.Errorf("%+v, %+v", sent, received)
 	}
-	b.Fail()
+	b.SimulateFailure()
 	if _, err := a.WriteTo([]byte("6"), relayAddress(1).String()); err != nil {
 		t.Fatal(err)
 	}
 	start := time.Now()
 	if _, err := a.DialTimeout(relayAddress(1).String(), 50*time.Millisecond); err == nil || time.Since(start) < 50*time.Millisecond {
-		t.Errorf("a member that was cut off answers: %v", err)
+		t.Errorf("dialing a failed member ended too early or without an error: %v", err)
 	}
 	if received := b.Traffic(); received.PacketsReceived != 1 {
 		t.Errorf("%+v", received)
@@ -40,12 +40,12 @@
 	case p := <-transport.PacketCh():
 		return p
 	case <-time.After(time.Second):
-		t.Fatal("no packet came")
+		t.Fatal("no packet received")
 		return nil
 	}
 }
 
-// TestNetworkLosesPackets wants the share of packets lost that was asked for.
+// TestNetworkLosesPackets checks that about the configured share of packets is lost.
 func TestNetworkLosesPackets(t *testing.T) {
 	const packets, loss = 200, 0.5
 	network := NewNetwork(0, loss)
@@ -57,11 +57,12 @@
 	}
 	time.Sleep(100 * time.Millisecond)
 	if received := b.Traffic().PacketsReceived; received < packets/4 || received > 3*packets/4 {
-		t.Errorf("%d of %d came", received, packets)
+		t.Errorf("received %d of %d packets", received, packets)
 	}
 }
 
-// TestNetworkBoundsStreams wants a stream cut where internal/fleet cuts it, and streams turned away that are too many.
+// TestNetworkBoundsStreams checks that streams are cut off at the limit of internal/fleet, and that a stream over the maximum number of
+// open streams is refused.
 func TestNetworkBoundsStreams(t *testing.T) {
 	network := NewNetwork(0, 0)
 	a, b := network.NewTransport(relayAddress(0)), network.NewTransport(relayAddress(1))
@@ -69,7 +70,7 @@
 		go func() {
 			remote := <-b.StreamCh()
 			if i > 0 {
-				return // it stays open
+				return // the stream stays open
 			}
 			_, _ = remote.Write(make([]byte, maxStreamBytes+1))
 		}()
@@ -81,13 +82,13 @@
 			continue
 		}
 		if n, err := io.Copy(io.Discard, local); n != maxStreamBytes || err == nil {
-			t.Errorf("%d bytes came, then %v", n, err)
+			t.Errorf("read %d bytes, then %v", n, err)
 		}
 	}
 	if _, err := a.DialTimeout(relayAddress(1).String(), time.Second); err == nil {
-		t.Error("one stream too many was taken")
+		t.Error("a stream over the limit was accepted")
 	}
 	if refused, truncated := b.Traffic().StreamsRefused, a.Traffic().StreamsTruncated; refused != 1 || truncated != 1 {
-		t.Errorf("%d turned away, %d too long", refused, truncated)
+		t.Errorf("%d streams refused, %d truncated", refused, truncated)
 	}
 }
--- a/internal/lab/capacity/slopes/process.go
+++ b/internal/lab/capacity/slopes/process.go
@@ -9,7 +9,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// processCPUTime is the processor time of this process so far, user and system. It is what other processes on the machine change least.
+// processCPUTime returns the user and system processor time of this process so far. Other processes on the
+// machine affect it less than any other reading.
 func processCPUTime() time.Duration {
 	var usage unix.Rusage
 	if err := unix.Getrusage(unix.RUSAGE_SELF, &usage); err != nil {
@@ -18,7 +19,7 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// threadCPUTime is the processor time of the calling thread so far. Its goroutine must be locked to the thread.
+// threadCPUTime returns the processor time of the calling thread so far. The goroutine must be locked to the thread.
 func threadCPUTime() time.Duration {
 	var now unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_THREAD_CPUTIME_ID, &now); err != nil {
@@ -27,7 +28,7 @@
 	return time.Duration(now.Nano())
 }
 
-// measureThreadCPU runs f with its goroutine locked to a thread and returns the processor time of that thread.
+// measureThreadCPU runs f with its goroutine locked to a thread and returns the processor time that the thread used.
 func measureThreadCPU(f func()) time.Duration {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
@@ -36,22 +37,22 @@
 	return threadCPUTime() - start
 }
 
-// heapBytes is what the heap holds that is still in use.
+// heapBytes returns the bytes of the heap that are still in use.
 func heapBytes() float64 {
 	runtime.GC()
-	runtime.GC() // the second frees what the first one's finalizers held
+	runtime.GC() // frees what the finalizers of the first collection released
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	return float64(m.HeapAlloc)
 }
 
-// settledHeapBytes is the heap once it falls no more from one look to the next: timers of what was measured before hold some of it for
-// seconds.
+// settledHeapBytes returns the heap once it stops falling from one reading to the next. Timers of earlier measurements keep a part of the
+// heap in use for seconds.
 func settledHeapBytes(ctx context.Context, pause time.Duration) (float64, error) {
 	const (
-		maxChecks      = 30   // looks
-		toleranceShare = 0.01 // of the heap
-		minFallBytes   = 1e6  // bytes that a fall is told by at least
+		maxChecks      = 30   // maximum number of readings
+		toleranceShare = 0.01 // share of the heap
+		minFallBytes   = 1e6  // a smaller fall counts as none
 	)
 	heap := heapBytes()
 	for range maxChecks {
@@ -67,7 +68,7 @@
 	return heap, nil
 }
 
-// quantile is the value under which the share q of a list lies. It sorts the list.
+// quantile returns the value below which the share rank of the list lies. It sorts the list.
 func quantile[T ~int64 | ~float64](list []T, rank float64) T {
 	if len(list) == 0 {
 		return 0
@@ -80,17 +81,18 @@
 
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// latenessInterval is how often the lateness of timers is looked at.
+// latenessInterval is the time between two measurements of the lateness of timers.
 const latenessInterval = 5 * time.Millisecond
 
-// timerLateness watches how late this process's timers fire. Members that share a process that is short of processor time miss each
-// other's answers, and what they cost then is the laboratory's doing: far under the half second that a probe waits, it is not.
+// timerLateness measures how late the timers of this process fire. In a CPU-starved process, members miss each other's answers, and the
+// resulting costs are an artifact of the measurement. The results are sound while the lateness is far below the half second that a probe
+// waits for its answer.
 type timerLateness struct {
 	stop chan struct{}
 	done chan []time.Duration
 }
 
-// watchTimerLateness watches until end is called or ctx ends.
+// watchTimerLateness measures until finish is called or ctx ends.
 func watchTimerLateness(ctx context.Context) *timerLateness {
 	l := &timerLateness{stop: make(chan struct{}), done: make(chan []time.Duration, 1)}
 	go func() {
@@ -112,7 +114,7 @@
 	return l
 }
 
-// finish ends the watch and returns what 99 % of the timers were late by at most.
+// finish ends the measurement and returns the 99th percentile (99 %) of the lateness.
 func (l *timerLateness) finish() time.Duration {
 	close(l.stop)
 	return quantile(<-l.done, 0.99)
--- a/internal/lab/capacity/slopes/relay.go
+++ b/internal/lab/capacity/slopes/relay.go
@@ -6,20 +6,20 @@
 	"time"
 )
 
-// eventsPerSecond is what one relay takes of 2.2 million events a second over 3,900 relays.
+// eventsPerSecond is the share of one relay in 2.2 million events a second over 3,900 relays.
 const eventsPerSecond = 564
 
-// RelayPlan says what is measured of one relay.
+// RelayPlan defines the measurements of one relay.
 type RelayPlan struct {
-	Destinations []int         // sizes of the list
-	Held         []int         // sizes of the backlog
-	HeldOver     int           // destinations of the list while the backlog varies
-	Span         time.Duration // of each measurement in real time
+	Destinations []int         // sizes of the discovery list
+	Held         []int         // sizes of the backlog, in messages
+	HeldOver     int           // destinations in the list while the size of the backlog varies
+	Span         time.Duration // duration of each measurement in real time
 	Seed         int64
-	Directory    string // for journals; they are removed
+	Directory    string // parent folder of the temporary journals
 }
 
-// DefaultSpan is how long a relay is watched at each size.
+// DefaultSpan is the default duration of each measurement of a relay in real time.
 const DefaultSpan = 3 * time.Second
 
 // Quantities along the number of destinations.
@@ -49,7 +49,7 @@
 	saturatedProcessEvents = Quantity{Name: "events for a core-second of the process", Unit: "events"}
 )
 
-// Quantities along the number of held messages.
+// Quantities along the number of queued messages.
 var (
 	journalBytes        = Quantity{Name: "journal, whole", Unit: "bytes"}
 	journalMessageBytes = Quantity{Name: "journal, each message", Unit: "bytes"}
@@ -65,15 +65,15 @@
 )
 
 const (
-	// maxJournalBytes is the folder's limit: far over what any size here takes.
+	// maxJournalBytes is the size limit of the journal folder, far above what any measured size needs.
 	maxJournalBytes = 16 << 30
-	// journalBatchMessages is how many messages one write takes on.
+	// journalBatchMessages is the number of messages in one commit of the journal.
 	journalBatchMessages = 100
-	// saturationMessages is how many messages are under way where the relay is to be busy all the time.
+	// saturationMessages is the number of messages in flight that keeps the relay busy all the time.
 	saturationMessages = 2000
 )
 
-// Check says what makes no sense.
+// Check returns an error if a setting of the plan is invalid.
 func (p *RelayPlan) Check() error {
 	for name, sizes := range map[string][]int{"destinations": p.Destinations, "held": p.Held} {
 		if err := checkSizes(name, sizes); err != nil {
@@ -81,33 +81,33 @@
 		}
 	}
 	if p.HeldOver < 1 {
-		return fmt.Errorf("slopes: %d destinations for the backlog make no sense", p.HeldOver)
+		return fmt.Errorf("slopes: %d destinations for the backlog are too few", p.HeldOver)
 	}
 	if p.Span <= 0 {
-		return fmt.Errorf("slopes: a span of %v makes no sense", p.Span)
+		return fmt.Errorf("slopes: a span of %v is not positive", p.Span)
 	}
 	return nil
 }
 
-// checkSizes wants enough different sizes of 1 and more.
+// checkSizes returns an error unless the sizes are positive, different and sufficient in number for a fit.
 func checkSizes(name string, sizes []int) error {
 	seen := map[int]bool{}
 	for _, size := range sizes {
 		if size < 1 {
-			return fmt.Errorf("slopes: %s: a size of %d makes no sense", name, size)
+			return fmt.Errorf("slopes: %s: a size of %d is not positive", name, size)
 		}
 		if seen[size] {
-			return fmt.Errorf("slopes: %s: size %d is there twice", name, size)
+			return fmt.Errorf("slopes: %s: size %d is listed twice", name, size)
 		}
 		seen[size] = true
 	}
 	if len(seen) < MinSizes {
-		return fmt.Errorf("slopes: %s: %d sizes are too few for a fit, which needs %d", name, len(seen), MinSizes)
+		return fmt.Errorf("slopes: %s: %d sizes are too few for a fit, which needs at least %d", name, len(seen), MinSizes)
 	}
 	return nil
 }
 
-// MeasureRelay measures one relay along both axes. It tells progress what it is about to do.
+// MeasureRelay measures one relay along both axes, destinations and queued messages. It calls progress before each size.
 func MeasureRelay(ctx context.Context, plan RelayPlan, recorder *Recorder, progress func(string)) error {
 	if err := plan.Check(); err != nil {
 		return err
@@ -121,16 +121,16 @@
 	for _, size := range plan.Held {
 		progress(fmt.Sprintf("%d messages held over %d destinations", size, plan.HeldOver))
 		if err := measureBacklog(ctx, plan, size, recorder); err != nil {
-			return fmt.Errorf("slopes: %d messages held: %w", size, err)
+			return fmt.Errorf("slopes: backlog of %d messages: %w", size, err)
 		}
 	}
 	return nil
 }
 
-// recordFunc records a value at the size that is being measured.
+// recordFunc records a value of a quantity at the current size.
 type recordFunc func(Quantity, float64) error
 
-// measureDestinations measures a relay whose list has a number of destinations.
+// measureDestinations measures a relay with size destinations in its list.
 func measureDestinations(ctx context.Context, plan RelayPlan, size int, recorder *Recorder) error {
 	record := func(q Quantity, value float64) error { return recorder.record(Destinations, size, q, value) }
 	list, bookBytes, err := measureList(size, record)
--- a/internal/lab/capacity/slopes/slopes_test.go
+++ b/internal/lab/capacity/slopes/slopes_test.go
@@ -15,7 +15,7 @@
 	"slatemux/internal/dispatch"
 )
 
-// checkQuantities wants a finite figure of each quantity at each size, and a fit of each.
+// checkQuantities checks that each quantity has a finite value at each size, and a fit.
 func checkQuantities(t *testing.T, r *Recorder, axis Axis, sizes []int, quantities ...Quantity) {
 	t.Helper()
 	for _, m := range r.Measurements() {
@@ -39,7 +39,7 @@
 	}
 }
 
-// projectionOf is that of a quantity.
+// projectionOf returns the projection of a quantity.
 func projectionOf(t *testing.T, r *Recorder, axis Axis, q Quantity) Projection {
 	t.Helper()
 	for _, p := range r.Project() {
@@ -53,7 +53,8 @@
 
 func ignoreProgress(string) {}
 
-// TestMeasureRelay measures a small relay: all figures are there, and those that must grow as the size do so.
+// TestMeasureRelay checks that the measurement of a small relay records all quantities, and that list and journal grow linearly with the
+// size.
 func TestMeasureRelay(t *testing.T) {
 	plan := RelayPlan{Destinations: []int{40, 80, 160, 320}, Held: []int{50, 100, 200, 400}, HeldOver: 40, Span: 120 * time.Millisecond, Seed: 1,
 		Directory: t.TempDir()}
@@ -62,16 +63,17 @@
 	if err := MeasureRelay(t.Context(), plan, r, ignoreProgress); err != nil {
 		t.Fatal(err)
 	}
-	checkQuantities(t, r, Destinations, plan.Destinations, listBytes, listParse, listStep, changeBytes, changeParse, changeStep, bookHeap, flowsHeap, relayHeap,
-		totalHeap, deliveredHeap, firstStepTime, oneQueuedShare, loadStepShare, loadProcessShare, loadStepLongest, loadAnswerMedian, loadAnswer99, loadUnansweredShare, saturatedStepEvents, saturatedModuleEvents,
-		saturatedProcessEvents)
-	checkQuantities(t, r, QueuedMessages, plan.Held, stepMedian, step99, stepLongest, journalBytes, journalMessageBytes, journalMessageWrite, journalReplay, restartCPU, restartElapsed,
-		backlogHeap, backlogIdleShare, backlogStep99, backlogStepLongest, backlogKeptShare)
+	checkQuantities(t, r, Destinations, plan.Destinations, listBytes, listParse, listStep, changeBytes, changeParse, changeStep, bookHeap,
+		flowsHeap, relayHeap, totalHeap, deliveredHeap, firstStepTime, oneQueuedShare, loadStepShare, loadProcessShare, loadStepLongest,
+		loadAnswerMedian, loadAnswer99, loadUnansweredShare, saturatedStepEvents, saturatedModuleEvents, saturatedProcessEvents)
+	checkQuantities(t, r, QueuedMessages, plan.Held, stepMedian, step99, stepLongest, journalBytes, journalMessageBytes,
+		journalMessageWrite, journalReplay, restartCPU, restartElapsed, backlogHeap, backlogIdleShare, backlogStep99, backlogStepLongest,
+		backlogKeptShare)
 	if p := projectionOf(t, r, Destinations, listBytes); p.Fit.Form != Linear || p.Fit.Slope < 100 || p.Fit.Slope > 200 {
-		t.Errorf("the list grows by %+v", p.Fit)
+		t.Errorf("unexpected growth of the list: %+v", p.Fit)
 	}
 	if p := projectionOf(t, r, QueuedMessages, journalBytes); p.Fit.Form != Linear || p.Fit.Slope < bodyBytes {
-		t.Errorf("the journal grows by %+v", p.Fit)
+		t.Errorf("unexpected growth of the journal: %+v", p.Fit)
 	}
 	if p := projectionOf(t, r, Destinations, saturatedStepEvents); p.PlannedValue <= 0 {
 		t.Errorf("%v events a second", p.PlannedValue)
@@ -85,7 +87,7 @@
 	checkOutput(t, lines.Bytes(), tables.String(), "held messages", "needed over allowed")
 }
 
-// checkOutput wants each line to be JSON and the tables to hold some texts.
+// checkOutput checks that each line is JSON and that the tables contain some texts.
 func checkOutput(t *testing.T, lines []byte, tables string, texts ...string) {
 	t.Helper()
 	for d := json.NewDecoder(bytes.NewReader(lines)); ; {
@@ -98,15 +100,16 @@
 	}
 	for _, text := range texts {
 		if !strings.Contains(tables, text) {
-			t.Errorf("the tables have no %q", text)
+			t.Errorf("the tables do not contain %q", text)
 		}
 	}
 }
 
-// TestModuleLoadKeepsBacklog wants what is measured as held to be held, and what arrives beside it to be delivered.
+// TestModuleLoadKeepsBacklog guards against a measurement of an empty backlog: queued messages must stay queued, and messages for
+// destinations that are up must be delivered.
 func TestModuleLoadKeepsBacklog(t *testing.T) {
-	const destinations, held, steps = 100, 500, 100
-	load, err := newModuleLoad(destinations, held, 1)
+	const destinations, backlog, steps = 100, 500, 100
+	load, err := newModuleLoad(destinations, backlog, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -114,10 +117,10 @@
 		load.step(load.nextEvents())
 	}
 	if load.undelivered > 0 {
-		t.Errorf("%d messages were refused or given up", load.undelivered)
+		t.Errorf("the module refused or gave up %d messages", load.undelivered)
 	}
 	if len(load.attempts) == 0 {
-		t.Error("no destination that is down was tried")
+		t.Error("the module called no destination that is down")
 	}
 	delivered := 0
 	for _, a := range load.answers {
@@ -126,11 +129,12 @@
 		}
 	}
 	if delivered == 0 {
-		t.Error("what arrived last was not sent")
+		t.Error("no message for a destination that is up was delivered")
 	}
 }
 
-// TestMeasureMembership measures a small fleet: all figures are there, and an exchange grows as the members.
+// TestMeasureMembership checks that the measurement of a small fleet records all quantities, and that a full-state exchange grows linearly
+// with the number of members.
 func TestMeasureMembership(t *testing.T) {
 	plan := MembershipPlan{Relays: []int{17, 18, 19, 20}, FullStates: []int{10, 20, 40, 80}, Start: 50 * time.Millisecond,
 		Idle: 100 * time.Millisecond, Patience: 300 * time.Millisecond,
@@ -140,12 +144,14 @@
 	if err := MeasureMembership(t.Context(), plan, r, ignoreProgress); err != nil {
 		t.Fatal(err)
 	}
-	checkQuantities(t, r, Relays, plan.Relays, startConvergence, startKnownShare, startMeanBytes, startMaxBytes, startPeakRate, startRefusedStreams, startMemberCPU, memberHeap, idleMeanBytes,
-		idleBytes99, idleMaxBytes, idleMeanPacketBytes, idleMeanPackets, idlePackets99, idleMaxPackets, idleCPU, idleFalseDeaths, idleHealthScore, idleTimerLateness, startTimerLateness, joinBytes, joinConvergence, failureMedian, failureConvergence,
+	checkQuantities(t, r, Relays, plan.Relays, startConvergence, startKnownShare, startMeanBytes, startMaxBytes, startPeakRate,
+		startRefusedStreams, startMemberCPU, memberHeap, idleMeanBytes,
+		idleBytes99, idleMaxBytes, idleMeanPacketBytes, idleMeanPackets, idlePackets99, idleMaxPackets, idleCPU, idleFalseDeaths,
+		idleHealthScore, idleTimerLateness, startTimerLateness, joinBytes, joinConvergence, failureMedian, failureConvergence,
 		zoneFailureMedian, zoneFailureConvergence, zoneFailureKnownShare, zoneFailureFalseDeaths, zoneFailureMeanBytes)
 	checkQuantities(t, r, Relays, plan.FullStates, fullStateBytes, fullStateMemberBytes, fullStateCPU, fullStateHeap, fullStateBytesPerSecond)
 	if p := projectionOf(t, r, Relays, fullStateBytes); p.Fit.Form != Linear || p.Fit.Slope < 50 || p.Fit.Slope > 200 {
-		t.Errorf("an exchange grows by %+v", p.Fit)
+		t.Errorf("unexpected growth of an exchange: %+v", p.Fit)
 	}
 	if err := r.WriteReport(&lines, &tables); err != nil {
 		t.Fatal(err)
@@ -153,7 +159,7 @@
 	checkOutput(t, lines.Bytes(), tables.String(), "relays", "over budget")
 }
 
-// TestMeasureFleets measures a few of the program's whole fleet parts: all figures are there, and something was sent.
+// TestMeasureFleets checks that the measurement of a few complete fleet nodes records all quantities, and that the nodes sent something.
 func TestMeasureFleets(t *testing.T) {
 	plan := MembershipPlan{Fleets: []int{3, 6}, Idle: 500 * time.Millisecond}
 	r := NewRecorder(io.Discard)
@@ -180,7 +186,7 @@
 	}
 }
 
-// TestPlanChecks wants sizes that make no sense to be told, each by its name.
+// TestPlanChecks checks that the error for an invalid plan names the invalid setting.
 func TestPlanChecks(t *testing.T) {
 	good := []int{17, 18, 19, 20}
 	for name, check := range map[string]error{
@@ -202,7 +208,7 @@
 	}
 }
 
-// TestMeasurementsStopWithContext wants measurements to end soon after their context does.
+// TestMeasurementsStopWithContext checks that a measurement ends within a second of the end of its context.
 func TestMeasurementsStopWithContext(t *testing.T) {
 	sizes := []int{17, 18, 19, 20}
 	for name, measure := range map[string]func(context.Context) error{
--- a/internal/lab/capacity/slopes/source_test.go
+++ b/internal/lab/capacity/slopes/source_test.go
@@ -9,24 +9,25 @@
 	"testing"
 )
 
-// sourceFile is a parsed file of the program.
+// sourceFile is a parsed source file of the program.
 type sourceFile struct {
 	t       *testing.T
 	fileSet *token.FileSet
 	syntax  *ast.File
 }
 
+// parseSource parses a file under internal.
 func parseSource(t *testing.T, path string) *sourceFile {
 	t.Helper()
-	files := token.NewFileSet()
-	file, err := parser.ParseFile(files, "../../../"+path, nil, 0)
+	fileSet := token.NewFileSet()
+	syntax, err := parser.ParseFile(fileSet, "../../../"+path, nil, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &sourceFile{t, files, file}
+	return &sourceFile{t, fileSet, syntax}
 }
 
-// expressionText is the source of an expression.
+// expressionText returns the source text of an expression.
 func (s *sourceFile) expressionText(x ast.Expr) string {
 	s.t.Helper()
 	var b bytes.Buffer
@@ -36,7 +37,7 @@
 	return b.String()
 }
 
-// constantValue is the expression that a constant is declared with; empty where there is none.
+// constantValue returns the source text of a constant's value, or "" if the file declares no such constant.
 func (s *sourceFile) constantValue(name string) (found string) {
 	s.t.Helper()
 	ast.Inspect(s.syntax, func(n ast.Node) bool {
@@ -52,7 +53,8 @@
 	return found
 }
 
-// TestBoundsMatchProgram compares the constants that are repeated here with those of the program.
+// TestBoundsMatchProgram guards against stale copies: other packages do not export some constants that this package repeats. The test
+// fails when such a constant changes in the source of its package, or when the copy differs.
 func TestBoundsMatchProgram(t *testing.T) {
 	for _, constant := range []struct {
 		file, name, expression string
@@ -64,7 +66,7 @@
 		{"allowance/claims.go", "maxClaimed", "24", maxDestinationsPerClaim, 24},
 		{"verdicts/judge.go", "maxTracked", "8192", maxJudgedDestinations, 8192},
 		{"fleet/limits.go", "maxReadings", "16384", maxLimitReadings, 16384},
-		{"fleet/members.go", "maxListed", "4096", maxDepartedRelays, 4096},
+		{"fleet/members.go", "maxListed", "4096", maxListedRelays, 4096},
 		{"fleet/transport.go", "maxStream", "512 << 10", maxStreamBytes, 512 << 10},
 		{"fleet/transport.go", "maxStreams", "8", maxConcurrentStreams, 8},
 		{"journal/journal.go", "liveShare", "0.4", journalLiveShare, 0.4},
@@ -73,10 +75,10 @@
 		{"fleet/membership.go", "rejoinInterval", "10 * time.Second", rejoinInterval.Seconds(), 10},
 	} {
 		if expression := parseSource(t, constant.file).constantValue(constant.name); expression != constant.expression {
-			t.Errorf("%s in internal/%s is %q, and was %q: change what depends on it here", constant.name, constant.file, expression, constant.expression)
+			t.Errorf("%s in internal/%s is %q, but this package was written for %q: adapt the copy here", constant.name, constant.file, expression, constant.expression)
 		}
 		if constant.copied != constant.want {
-			t.Errorf("%s is %v here and %v in the program", constant.name, constant.copied, constant.want)
+			t.Errorf("%s is copied as %v, but is %v in the program", constant.name, constant.copied, constant.want)
 		}
 	}
 }
