--- a/internal/lab/capacity/slopes/fullstate.go
+++ b/internal/lab/capacity/slopes/fullstate.go
@@ -35,7 +35,7 @@
 	return nil
 }
 
-func measureFullState(ctx context.Context, size int, heapPause time.Duration, recorder *Recorder) error {
+func measureFullState(ctx context.Context, size int, heapPollInterval time.Duration, recorder *Recorder) error {
 	network := NewNetwork(0, 0)
 	// These limits exceed the program's, so that larger states are measured as well.
 	network.maxStreamBytes, network.maxStreams = 64*maxStreamBytes, 2*membersPerCollector
@@ -44,7 +44,7 @@
 		return err
 	}
 	g.tune = disableBackgroundWork
-	heapBefore, err := settledHeapBytes(ctx, heapPause)
+	heapBefore, err := settledHeapBytes(ctx, heapPollInterval)
 	if err != nil {
 		return err
 	}
@@ -79,10 +79,10 @@
 	}
 	record := func(q Quantity, value float64) error { return recorder.record(Relays, size, q, value) }
 	// A member starts one exchange per interval and is the target of one on average. Each exchange transfers both states.
-	period := pushPullInterval(size).Seconds()
+	intervalSeconds := pushPullInterval(size).Seconds()
 	return recordAll(record, []quantityValue{{fullStateBytes, bytes}, {fullStateMemberBytes, bytes / float64(size)},
 		{fullStateCPU, milliseconds(cpuUsed)},
-		{fullStateHeap, heap}, {fullStateBytesPerSecond, 4 * bytes / period}})
+		{fullStateHeap, heap}, {fullStateBytesPerSecond, 4 * bytes / intervalSeconds}})
 }
 
 // startKnowingAll starts a member that knows all members from reservedMembers to size-1. number must be below reservedMembers. The member
--- a/internal/lab/capacity/slopes/harness.go
+++ b/internal/lab/capacity/slopes/harness.go
@@ -143,8 +143,8 @@
 	run.relay, run.flows.onEnd = measuredRelay, measuredRelay.FlowEnded
 	run.lastMessage.Store(int64(in.backlogMessages))
 	run.firstStepCPU = measureThreadCPU(func() { measuredRelay.Start(in.poolUpdate, nil, in.openMessages, nil) })
-	ctx, stop := context.WithCancel(context.Background())
-	run.cancel = stop
+	ctx, cancel := context.WithCancel(context.Background())
+	run.cancel = cancel
 	go func() {
 		runtime.LockOSThread() // the meter reads the processor time of this thread
 		defer runtime.UnlockOSThread()
--- a/internal/lab/capacity/slopes/member.go
+++ b/internal/lab/capacity/slopes/member.go
@@ -118,11 +118,11 @@
 
 func newGroup(network *Network) (*group, error) {
 	key := make([]byte, keyBytes)
-	ring, err := memberlist.NewKeyring([][]byte{key}, key)
+	keyring, err := memberlist.NewKeyring([][]byte{key}, key)
 	if err != nil {
 		return nil, err
 	}
-	return &group{network: network, keyring: ring, changes: &changeWatch{}}, nil
+	return &group{network: network, keyring: keyring, changes: &changeWatch{}}, nil
 }
 
 // start creates a member that knows no other member.
@@ -163,12 +163,15 @@
 	deadAddress map[string]string // by member name
 }
 
+// deadAddresses returns the addresses of the members that left or died.
 func (d *delegate) deadAddresses() []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return slices.Collect(maps.Values(d.deadAddress))
 }
 
+// The next methods do nothing: members have no metadata, messages or state.
+
 func (d *delegate) NodeMeta(int) []byte             { return nil }
 func (d *delegate) NotifyMsg([]byte)                {}
 func (d *delegate) GetBroadcasts(_, _ int) [][]byte { return nil }
@@ -178,6 +181,7 @@
 
 func (d *delegate) NotifyConflict(_, _ *memberlist.Node) {}
 
+// NotifyJoin records that this member has learned of a live member.
 func (d *delegate) NotifyJoin(n *memberlist.Node) {
 	d.mu.Lock()
 	delete(d.deadAddress, n.Name)
@@ -185,6 +189,7 @@
 	d.changes.observe(memberJoined, n.Name)
 }
 
+// NotifyLeave records that this member has learned that a member left or died.
 func (d *delegate) NotifyLeave(n *memberlist.Node) {
 	d.mu.Lock()
 	d.deadAddress[n.Name] = n.Address()
@@ -192,8 +197,10 @@
 	d.changes.observe(memberLeft, n.Name)
 }
 
+// NotifyPingComplete ignores the payload of a probe's answer.
 func (d *delegate) NotifyPingComplete(*memberlist.Node, time.Duration, []byte) {}
 
+// AckPayload returns the payload of the answer to a probe.
 func (d *delegate) AckPayload() []byte {
 	b := binary.AppendUvarint(make([]byte, 0, 2*binary.MaxVarintLen64), 1)
 	return binary.AppendUvarint(b, uint64(time.Since(d.started)/time.Microsecond))
--- a/internal/lab/capacity/slopes/membership.go
+++ b/internal/lab/capacity/slopes/membership.go
@@ -108,7 +108,7 @@
 	return measureFullStates(ctx, plan, recorder, progress)
 }
 
-// membershipRun holds the members and results of the experiments at one size.
+// membershipRun holds the members of the experiments at one size.
 type membershipRun struct {
 	plan      MembershipPlan
 	size      int
@@ -197,7 +197,7 @@
 // waitForConvergence waits until each member knows all members, or for plan.Patience at most. It returns the share of pairs that know each
 // other, the elapsed time, and the highest rate of any member in bytes a second, sent and received.
 func (run *membershipRun) waitForConvergence(ctx context.Context, start time.Time) (knownShare float64, elapsed time.Duration, peakRate float64) {
-	secondStart, bytesBefore := start, map[*Transport]int64{}
+	windowStart, bytesBefore := start, map[*Transport]int64{}
 	for time.Since(start) < run.plan.Patience && sleep(ctx, pollInterval) == nil {
 		members := run.runningMembers()
 		knownMembers := 0
@@ -206,11 +206,11 @@
 		}
 		knownShare, elapsed = float64(knownMembers)/float64(run.size*run.size), time.Since(start)
 		done := knownShare >= 1
-		if elapsed := time.Since(secondStart); elapsed >= time.Second || done {
-			secondStart = time.Now()
+		if window := time.Since(windowStart); window >= time.Second || done {
+			windowStart = time.Now()
 			for _, m := range members {
 				bytes := m.transport.Traffic().Bytes()
-				peakRate = max(peakRate, float64(bytes-bytesBefore[m.transport])/max(elapsed.Seconds(), 1))
+				peakRate = max(peakRate, float64(bytes-bytesBefore[m.transport])/max(window.Seconds(), 1))
 				bytesBefore[m.transport] = bytes
 			}
 		}
