--- a/cmd/slatemux/cli.go
+++ b/cmd/slatemux/cli.go
@@ -213,7 +213,7 @@
 	fmt.Fprintf(t, "known pool members\t%d\n", len(cfg.known.Hosts))
 	most := cfg.caps()
 	fmt.Fprintf(t, "memory, bytes\t%d, of them %d for open messages, collector's limit %d\n", cfg.memory, most.openBytes, most.heap)
-	fmt.Fprintf(t, "descriptors\t%d: %d clients, %d to pool members\n", cfg.sockets, most.clients.Clients, most.members)
+	fmt.Fprintf(t, "descriptors\t%d: %d clients, %d to pool members\n", cfg.sockets, most.clients.MaxConns, most.members)
 	for _, k := range cfg.settings.Classes {
 		fmt.Fprintf(t, "class %s\tworth %v, aim %v, deadline %v\n", k.Name, k.Worth, k.Aim, k.Deadline)
 	}
@@ -234,7 +234,7 @@
 	}
 	if c := replication(&cfg); c != nil {
 		fmt.Fprintf(t, "fleet configuration\ton: keys in %s, region %q, zone %q, an exchange each %v, %.0f bytes a second, of them %.0f of repairs, %d entries\n",
-			c.TrustedKeyFile, c.Region, c.Zone, c.Replication.Exchange, c.Replication.BytesPerSecond, c.Replication.RepairBytesPerSecond, c.MaxEntries)
+			c.TrustedKeyFile, c.Region, c.Zone, c.Replication.ExchangeInterval, c.Replication.BytesPerSecond, c.Replication.RepairBytesPerSecond, c.MaxEntries)
 	} else {
 		fmt.Fprintf(t, "fleet configuration\toff\n")
 	}
--- a/cmd/slatemux/config.go
+++ b/cmd/slatemux/config.go
@@ -135,7 +135,7 @@
 			return c, fmt.Errorf("known: %w", err)
 		}
 	}
-	c.known.Whole = true
+	c.known.Full = true
 	return c, nil
 }
 
@@ -166,7 +166,7 @@
 	const copies = 2 // while it is compacted there are two of it
 	return caps{heap: c.memory / 2, openBytes: c.memory / 8, disk: c.disk - learned - copies*configuration, learned: learned, configuration: configuration, flows: min(c.settings.MaxCalls, n/4),
 		members: n / 4,
-		clients: front.Limits{Clients: n / 2, Used: n / 4, Buffered: c.memory / 8}}
+		clients: front.Limits{MaxConns: n / 2, MaxUsedConns: n / 4, MaxBufferedBytes: c.memory / 8}}
 }
 
 // configurationFile is the bound of the file that keeps the fleet's configuration: what its entries take, and a sixteenth of the
@@ -194,15 +194,15 @@
 }
 
 // terms are what the settings say of discovery.
-func (c *config) terms() pool.Terms {
-	return pool.Terms{Pushed: !c.settings.OnRequest, Peers: c.settings.Peers, Grace: c.settings.Safety.DrainGrace, Asked: c.settings.Safety.AskEvery}
+func (c *config) terms() pool.DiscoveryConfig {
+	return pool.DiscoveryConfig{Pushed: !c.settings.WatchRequired, Peers: c.settings.Peers, DrainGrace: c.settings.Safety.DrainGrace, NotifiedAfter: c.settings.Safety.NotifyInterval}
 }
 
 // control is what the overload controller works with: the gateway's figures, with the classes and tenants of the
 // platform's settings.
 func (c *config) control() overload.Config {
 	o := c.gateway.Overload.Control
-	o.OverShare, o.LateByHalves, o.OpenMost = c.settings.OverShareWorth, c.settings.LateByHalves, c.settings.MaxOpen
+	o.OverShareFactor, o.LateByHalves, o.MaxOpen = c.settings.OverShareWorth, c.settings.LateByHalves, c.settings.MaxOpen
 	o.Seed = uint64(c.seed)
 	for _, k := range c.settings.Classes {
 		o.Classes = append(o.Classes, overload.Class{Name: k.Name, Worth: k.Worth, LateWorth: k.LateWorth, Aim: k.Aim,
@@ -213,7 +213,7 @@
 	}
 	// A platform whose clients honour no wait is told none that is longer than it says.
 	if most := c.settings.MaxRetryAfter; most > 0 {
-		o.RetryMost = max(most, o.RetryLeast)
+		o.MaxRetryIn = max(most, o.MinRetryIn)
 	}
 	return o
 }
--- a/cmd/slatemux/desk.go
+++ b/cmd/slatemux/desk.go
@@ -31,7 +31,7 @@
 	if !d.ready.Load() {
 		return ops.Stats{Success: map[string]int64{}, Overload: map[string]int64{}, Error: map[string]int64{}}
 	}
-	f := d.relay.Figures()
+	f := d.relay.Stats()
 	overload := map[string]int64{}
 	for class, n := range f.Overload {
 		overload[class] += n
@@ -49,8 +49,8 @@
 	return s
 }
 
-// Fleet answers what this relay knows of its fleet.
-func (d *opsDesk) Fleet(what string) any {
+// FleetState answers what this relay knows of its fleet.
+func (d *opsDesk) FleetState(what string) any {
 	if !d.ready.Load() || d.fleet == nil {
 		return nil
 	}
@@ -81,15 +81,15 @@
 	if !d.ready.Load() {
 		return errNotReady
 	}
-	if !d.relay.Known(id) && !d.bans.Banned()[id] {
-		return ops.ErrUnknown
+	if !d.relay.HasMember(id) && !d.bans.Banned()[id] {
+		return ops.ErrUnknownEndpoint
 	}
 	set, err := d.bans.Set(id, down)
 	if err != nil {
 		return err
 	}
 	select {
-	case <-d.relay.Ban(set):
+	case <-d.relay.SetBans(set):
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
@@ -106,7 +106,7 @@
 			return
 		case <-tick.C:
 			if set, changed := d.bans.Changed(); changed {
-				d.relay.Ban(set)
+				d.relay.SetBans(set)
 			}
 		}
 	}
--- a/cmd/slatemux/fleet.go
+++ b/cmd/slatemux/fleet.go
@@ -24,9 +24,9 @@
 // told hands the fleet's word to the relay, which is made after the relay's part in the fleet.
 type told func() *relay.Relay
 
-func (t told) Restrain(list []traffic.Restraint) { t().Restrain(list) }
-func (t told) Allow(list []traffic.Allowance)    { t().Allow(list) }
-func (t told) Bar(bars []traffic.Bar)            { t().Bar(bars) }
+func (t told) ApplyRestraints(list []traffic.Restraint) { t().ApplyRestraints(list) }
+func (t told) SetAllowances(list []traffic.Allowance)   { t().SetAllowances(list) }
+func (t told) SetExclusions(bars []traffic.Exclusion)   { t().SetExclusions(bars) }
 
 // join makes the relay's part in its fleet; nil where there is none.
 func join(cfg *config, r told) (*fleet.Fleet, error) {
@@ -154,13 +154,13 @@
 		if s.AgeMS >= 0 {
 			read = fmt.Sprintf("%.1f s ago", s.AgeMS/1000)
 		}
-		if s.Own {
+		if s.OwnShare {
 			use += " (its own)"
 		}
 		if s.Lenders > 0 {
-			lent, dealt, spare = fmt.Sprint(s.Lenders), fmt.Sprintf("%.1f", s.Dealt), fmt.Sprintf("%.1f", max(s.Spare, 0))
+			lent, dealt, spare = fmt.Sprint(s.Lenders), fmt.Sprintf("%.1f", s.GrantedRate), fmt.Sprintf("%.1f", max(s.UngrantedRate, 0))
 		}
-		fmt.Fprintf(w, "%d\t%.1f\t%s\t%s\t%.1f\t%s\t%.1f s\t%s\t%s\t%s\t%.0f\n", s.Destination, s.Limit, read, s.Owner, s.Wants, use, s.LeftMS/1000, lent,
+		fmt.Fprintf(w, "%d\t%.1f\t%s\t%s\t%.1f\t%s\t%.1f s\t%s\t%s\t%s\t%.0f\n", s.Destination, s.Limit, read, s.Owner, s.Demand, use, s.LeftMS/1000, lent,
 			dealt, spare, s.Bound)
 	}
 	return nil
--- a/cmd/slatemux/main.go
+++ b/cmd/slatemux/main.go
@@ -106,8 +106,8 @@
 	var admission front.Admission // a nil interface where nothing is governed
 	if own := cfg.gateway.Overload; own.Enabled {
 		gov, err = governor.New(governor.Config{Control: cfg.control(), Tick: own.Tick, Brownout: own.Brownout,
-			Step: cfg.settings.Resolution, Memory: cfg.memory, Meters: meters,
-			Quiet: func(on bool) { quiet(on, cfg.gateway.Log.Level) }})
+			StepInterval: cfg.settings.Resolution, MemoryLimit: cfg.memory, Meters: meters,
+			SuppressLogs: func(on bool) { quiet(on, cfg.gateway.Log.Level) }})
 		if err != nil {
 			return err
 		}
@@ -115,7 +115,7 @@
 	}
 
 	var secured *secure.Manager
-	var overTLS flow.Secure // a nil interface where all is plain
+	var overTLS flow.TLSConnector // a nil interface where all is plain
 	if len(cfg.gateway.TLS.Policies) > 0 {
 		if secured, err = secure.New(cfg.gateway.TLS.Policies); err != nil {
 			return err
@@ -126,17 +126,17 @@
 		if gov == nil {
 			return 0
 		}
-		return gov.State().Reading.Busy
+		return gov.State().Reading.BusyShare
 	}
 
-	var shared flow.Waits // a nil interface where none are shared
+	var shared flow.RetryAfterWaits // a nil interface where none are shared
 	if table, err := retryafter.Open(os.TempDir()); err != nil {
 		slog.Warn("told waits not shared with a successor", "err", err)
 	} else {
 		defer table.Close()
 		shared = table
 	}
-	var inTurn relay.Turns // as well
+	var inTurn relay.KeyOrder // as well
 	if keepsOrder(&cfg.settings) {
 		if table, err := keyorder.Open(os.TempDir(), fmt.Sprint(os.Getpid(), cfg.began.UnixNano())); err != nil {
 			slog.Warn("the order of keys is not shared with a successor", "err", err)
@@ -156,33 +156,33 @@
 		amongFlows, amongRelays = part, part
 	}
 	keep := cfg.gateway.Conns.Keep
-	keep.Most, keep.IdleMost, keep.Seed = most.members, cfg.settings.KeepAlive, uint64(cfg.seed)
+	keep.MaxConns, keep.MaxIdle, keep.Seed = most.members, cfg.settings.KeepAlive, uint64(cfg.seed)
 	var names flow.Resolver // a nil interface where none are looked up
 	if cfg.gateway.Conns.LookUpNames {
 		names = net.DefaultResolver
 	}
-	flows, err := flow.New(flow.Config{Names: names, Secure: overTLS, Gate: cfg.gateway.TLS.Gate, Busy: busy, ConnectWithin: cfg.settings.ConnectTimeout,
-		MostFlows: most.flows, Settle: settle, Conns: keep, HeldMost: cfg.gateway.Conns.HeldMost, StuckAfter: cfg.gateway.Conns.StuckAfter,
-		OwnDelay: meters.Wait, Shared: shared, Fleet: amongFlows}, func(end traffic.FlowEnd) { r.FlowEnded(end) })
+	flows, err := flow.New(flow.Config{Resolver: names, TLS: overTLS, HandshakeGate: cfg.gateway.TLS.Gate, ProgramLoad: busy, ConnectTimeout: cfg.settings.ConnectTimeout,
+		MaxCalls: most.flows, SettleTime: settle, Conns: keep, MaxConnWait: cfg.gateway.Conns.HeldMost, UnackedTimeout: cfg.gateway.Conns.StuckAfter,
+		LocalDelay: meters.ProbeWait, SharedWaits: shared, Fleet: amongFlows}, func(end traffic.FlowEnd) { r.FlowEnded(end) })
 	if err != nil {
 		return err
 	}
 	defer flows.Close() // before the journal lets go, which is deferred earlier
-	var ahead relay.Ahead
-	if keep.Ahead {
+	var ahead relay.Preconnector
+	if keep.Preconnect {
 		ahead = flows
 	}
 	learned := limitstore.Open(cfg.state, most.learned, time.Now())
 	notices := notice.New(discovery, func(ids []string) { r.NoticesAnswered(ids) })
-	r, err = relay.New(relay.Config{Meters: meters, Settings: cfg.settings, Seed: cfg.seed, MostBytes: most.openBytes, Store: store,
-		Flows: flows, Notices: notices, Ahead: ahead, Lessons: learned, Heir: store, Fleet: amongRelays, Turns: inTurn, Banned: bans})
+	r, err = relay.New(relay.Config{Meters: meters, Settings: cfg.settings, Seed: cfg.seed, MaxOpenBytes: most.openBytes, Store: store,
+		Flows: flows, Notices: notices, Preconnector: ahead, LimitRecorder: learned, Recoverer: store, Fleet: amongRelays, KeyOrder: inTurn, Banned: bans})
 	if err != nil {
 		return err
 	}
-	cfg.known.Log()
+	cfg.known.LogInvalid()
 	news := cfg.known.News()
-	flows.Pool(news)
-	open, owed := store.Owed()
+	flows.UpdatePool(news)
+	open, owed := store.Pending()
 	slog.Info("started", "discovery", cfg.discovery, "members", len(news.Members), "recovered", len(open), "notices", len(owed),
 		"limits", len(learned.Limits()))
 	before := time.Now()
@@ -196,7 +196,7 @@
 	parts.Go(func() { notices.Run(ctx) })
 	parts.Go(func() { flows.Sweep(ctx) })
 	parts.Go(func() { learned.Run(ctx) })
-	watch := pool.NewWatcher(discovery, pool.NewPace(cfg.terms(), cfg.seed), cfg.known, cfg.began, r)
+	watch := pool.NewWatcher(discovery, pool.NewCallSchedule(cfg.terms(), cfg.seed), cfg.known, cfg.began, r)
 	parts.Go(func() { watch.Run(ctx) })
 	apart, leave := context.WithCancel(ctx)
 	defer leave()
@@ -211,7 +211,7 @@
 		return err
 	}
 	if gov != nil {
-		meters.Probe(ctx)
+		meters.StartProbes(ctx)
 		parts.Go(func() { gov.Run(ctx, r, server, flows) })
 	}
 	if secured != nil && cfg.gateway.TLS.Watch {
@@ -250,19 +250,19 @@
 			return
 		}
 		reloads++
-		moved := newer.written != cfg.written && discovery.Move(newer.written)
+		moved := newer.written != cfg.written && discovery.Set(newer.written)
 		if c := newer.caps(); c != most {
 			most = c
 			debug.SetMemoryLimit(c.heap)
-			store.Limit(c.disk)
-			r.Limit(c.openBytes)
-			flows.Limit(c.flows, c.members)
+			store.SetLimit(c.disk)
+			r.SetMemoryLimit(c.openBytes)
+			flows.SetLimits(c.flows, c.members)
 			if gov != nil {
-				gov.Limit(newer.memory)
+				gov.SetMemoryLimit(newer.memory)
 			}
-			server.Limit(c.clients)
+			server.SetLimits(c.clients)
 		}
-		at, _ := discovery.Now()
+		at, _ := discovery.Current()
 		slog.Info("configuration read again", "discovery", at, "moved", moved, "restart_for", cfg.fixed(&newer))
 		cfg.written = newer.written
 	}
@@ -274,7 +274,7 @@
 		}
 		if secured != nil {
 			gate, waiting := flows.Handshakes()
-			slog.Log(ctx, level, "tls counters", "why", why, "tls", secured.Counters(), "asked", gate.Asked, "begun", gate.Begun, "carried", gate.Carried,
+			slog.Log(ctx, level, "tls counters", "why", why, "tls", secured.Counters(), "asked", gate.Requested, "begun", gate.Started, "carried", gate.Reused,
 				"out_of_time", gate.Expired, "waiting", waiting)
 		}
 		if part != nil {
@@ -299,10 +299,10 @@
 			report("interval")
 		case <-in.conns:
 			level := max(slog.LevelInfo, min(logLevel.Level(), slog.LevelWarn))
-			for _, s := range flows.Connections() {
+			for _, s := range flows.EndpointStates() {
 				slog.Log(ctx, level, "member's connections", "state", s)
 			}
-			slog.Log(ctx, level, "idle at their ends", "connections", flows.Ends())
+			slog.Log(ctx, level, "idle at their ends", "connections", flows.IdleTimes())
 		case <-in.reload:
 			apply()
 		case sig := <-in.end:
@@ -325,11 +325,11 @@
 			served = nil
 		}
 	}
-	server.End()
+	server.Shutdown()
 	stopStepping()
 	cancel()
 	parts.Wait()
-	server.Drained(time.Now().Add(answerWithin))
+	server.WaitDrained(time.Now().Add(answerWithin))
 	report("exit")
 	return nil
 }
--- a/cmd/slatemux/main_test.go
+++ b/cmd/slatemux/main_test.go
@@ -228,8 +228,8 @@
 		cfg := config{sockets: sockets, memory: 32e6}
 		cfg.settings.MaxCalls = 38
 		c := cfg.caps()
-		if all := c.clients.Clients + c.clients.Clients/4 + c.members + spare; all > sockets ||
-			sockets > 64 && c.clients.Clients < sockets/3 || c.clients.Used >= sockets/3 || c.flows < 1 || c.flows > c.members {
+		if all := c.clients.MaxConns + c.clients.MaxConns/4 + c.members + spare; all > sockets ||
+			sockets > 64 && c.clients.MaxConns < sockets/3 || c.clients.MaxUsedConns >= sockets/3 || c.flows < 1 || c.flows > c.members {
 			t.Errorf("%d descriptors: %+v, %d at most", sockets, c, all)
 		}
 	}
--- a/internal/gateway/configuration.go
+++ b/internal/gateway/configuration.go
@@ -42,12 +42,12 @@
 	set := func(to *float64) func(float64) { return func(x float64) { *to = x } }
 	whole := func(to *int) func(float64) { return func(x float64) { *to = int(x) } }
 	errs := numbers("fleet.configuration", []number{
-		{"exchange_ms", p.ExchangeMs, 100, 60_000, millis(&r.Exchange)},
+		{"exchange_ms", p.ExchangeMs, 100, 60_000, millis(&r.ExchangeInterval)},
 		{"bytes_per_s", p.BytesPerS, 2400, 1e9, set(&r.BytesPerSecond)},
 		{"repair_bytes_per_s", p.RepairBytesPerS, 64, 1e9, set(&r.RepairBytesPerSecond)},
 		{"fan_out", float(p.FanOut), 2, 64, whole(&r.FanOut)},
 		{"ack_timeout_ms", p.AckTimeoutMs, 10, 10_000, millis(&r.AckTimeout)},
-		{"attempts", float(p.Attempts), 1, 16, whole(&r.Attempts)},
+		{"attempts", float(p.Attempts), 1, 16, whole(&r.MaxAttempts)},
 		{"max_entries", float(p.MaxEntries), 1, 100_000, whole(&c.MaxEntries)},
 	})
 	if len(errs) == 0 && r.RepairBytesPerSecond > r.BytesPerSecond {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -57,7 +57,7 @@
 type TLS struct {
 	Policies tlspolicy.Table
 	Watch    bool
-	Gate     tlspolicy.GateConfig
+	Gate     tlspolicy.HandshakeConfig
 }
 
 // Overload holds the settings of the program's own overload.
@@ -88,7 +88,7 @@
 // Default is the configuration without a file.
 func Default() Config {
 	return Config{Overload: Overload{Brownout: true, Tick: 50 * time.Millisecond, Control: overload.Defaults()},
-		Log: Log{LinesPerSecond: 5}, TLS: TLS{Watch: true, Gate: tlspolicy.GateDefaults()}, Conns: Conns{Keep: conns.Defaults(), HeldMost: 250 * time.Millisecond},
+		Log: Log{LinesPerSecond: 5}, TLS: TLS{Watch: true, Gate: tlspolicy.DefaultHandshakeConfig()}, Conns: Conns{Keep: conns.Defaults(), HeldMost: 250 * time.Millisecond},
 		Fleet: Fleet{Agree: 2, Exchange: time.Second, Bytes: 4096, DivideLimits: true, Configuration: defaultConfiguration()}}
 }
 
@@ -151,13 +151,13 @@
 		{"target_busy", p.TargetBusy, 0.1, 1, set(&c.TargetBusy)},
 		{"target_delay_ms", p.TargetDelayMs, 1, 300, millis(&c.TargetDelay)},
 		{"tick_ms", p.TickMs, 20, 500, millis(&o.Tick)},
-		{"confirm_ticks", float(p.ConfirmTicks), 1, 100, whole(&c.Confirm)},
-		{"least_rate", p.LeastRate, 0, 1e6, set(&c.LeastRate)},
-		{"class_floor", p.ClassFloor, 0, 0.2, set(&c.Floor)},
-		{"body_work_bytes", float(p.BodyWorkBytes), 64, 1e9, whole(&c.BodyWork)},
+		{"confirm_ticks", float(p.ConfirmTicks), 1, 100, whole(&c.ConfirmTicks)},
+		{"least_rate", p.LeastRate, 0, 1e6, set(&c.MinRate)},
+		{"class_floor", p.ClassFloor, 0, 0.2, set(&c.ClassFloor)},
+		{"body_work_bytes", float(p.BodyWorkBytes), 64, 1e9, whole(&c.BodyWorkBytes)},
 		{"refusal_share", p.RefusalShare, 0.01, 0.9, set(&c.RefusalShare)},
-		{"most_pace_ms", p.MostPaceMs, 0, 300, millis(&c.MostPace)},
-		{"retry_least_ms", p.RetryLeastMs, 1, 60_000, millis(&c.RetryLeast)},
+		{"most_pace_ms", p.MostPaceMs, 0, 300, millis(&c.MaxReadPause)},
+		{"retry_least_ms", p.RetryLeastMs, 1, 60_000, millis(&c.MinRetryIn)},
 		{"memory_high", p.MemoryHigh, 0.1, 1, set(&c.MemoryHigh)},
 		{"memory_full", p.MemoryFull, 0.1, 1, set(&c.MemoryFull)},
 	})
@@ -193,11 +193,11 @@
 	span := func(to *time.Duration, unit time.Duration) func(float64) {
 		return func(x float64) { *to = time.Duration(x * float64(unit)) }
 	}
-	c.Keep.Ahead, c.LookUpNames = p.GetAhead(), p.GetLookUpNames()
+	c.Keep.Preconnect, c.LookUpNames = p.GetAhead(), p.GetLookUpNames()
 	list := []number{
 		{"max_age_s", p.MaxAgeS, 1, 1e6, span(&c.Keep.MaxAge, time.Second)},
-		{"keep_s", p.KeepS, 0.1, 3600, span(&c.Keep.Keep, time.Second)},
-		{"stale_share", p.StaleShare, 1e-5, 0.5, func(x float64) { c.Keep.StaleMost = x }},
+		{"keep_s", p.KeepS, 0.1, 3600, span(&c.Keep.PeakHalfLife, time.Second)},
+		{"stale_share", p.StaleShare, 1e-5, 0.5, func(x float64) { c.Keep.MaxStaleShare = x }},
 		{"open_price", p.OpenPrice, 1e-4, 1, func(x float64) { c.Keep.OpenPrice = x * c.Keep.LossPrice }},
 		{"held_most_ms", p.HeldMostMs, 1, 10_000, span(&c.HeldMost, time.Millisecond)},
 		{"stuck_after_ms", p.StuckAfterMs, 100, 60_000, span(&c.StuckAfter, time.Millisecond)},
@@ -239,9 +239,9 @@
 		h = &gatewayv1.Handshakes{}
 	}
 	return errors.Join(append(errs, numbers("tls.handshakes", []number{
-		{"core_share", h.CoreShare, 0.01, 1, func(x float64) { t.Gate.Share = x }},
-		{"least_per_second", h.LeastPerSecond, 0.1, 10_000, func(x float64) { t.Gate.Least = x }},
-		{"per_member", float(h.PerMember), 1, 1000, func(x float64) { t.Gate.PerEndpoint = int(x) }},
+		{"core_share", h.CoreShare, 0.01, 1, func(x float64) { t.Gate.CoreShare = x }},
+		{"least_per_second", h.LeastPerSecond, 0.1, 10_000, func(x float64) { t.Gate.MinPerSecond = x }},
+		{"per_member", float(h.PerMember), 1, 1000, func(x float64) { t.Gate.MaxPerEndpoint = int(x) }},
 	})...)...)
 }
 
--- a/internal/lab/capacity/configsync.go
+++ b/internal/lab/capacity/configsync.go
@@ -34,7 +34,7 @@
 // Bound is that of internal/configsync.
 func (c *configsyncCarrier) Bound() time.Duration {
 	t := c.environment.Scenario.Topology
-	return configsync.Defaults().Bound(c.environment.Relays, t.MaxDelay()+schedulingDelay, t.Loss)
+	return configsync.Defaults().PropagationBound(c.environment.Relays, t.MaxDelay()+schedulingDelay, t.Loss)
 }
 
 // Start begins a process. It keeps the store of the one before.
@@ -48,7 +48,7 @@
 	}
 	config := configsync.Defaults()
 	config.Self = relayName(relay)
-	config.Size = wire.ConfigurationSize(config.Self)
+	config.MessageBytes = wire.ConfigurationSize(config.Self)
 	config.Seed = c.environment.Seed ^ uint64(relay)<<20 ^ incarnation<<52
 	var err error
 	n.replica, err = configsync.NewReplica(config, 0, n.store)
@@ -68,11 +68,11 @@
 }
 
 // messages are what the program would put into packets.
-func (n *configsyncNode) messages(now time.Duration, list []configsync.Send) (messages []Message) {
+func (n *configsyncNode) messages(now time.Duration, list []configsync.OutgoingMessage) (messages []Message) {
 	for i := range list {
 		n.packets++
 		m := &list[i].Message
-		packet := &spread.Packet{From: relayName(n.relay), Incarnation: n.incarnation, Uptime: now, Count: n.packets, Configuration: m}
+		packet := &spread.Packet{From: relayName(n.relay), Incarnation: n.incarnation, Uptime: now, Sequence: n.packets, Configuration: m}
 		messages = append(messages, Message{To: n.carrier.environment.relay(list[i].To), Bytes: wire.Size(packet), Body: m})
 	}
 	return messages
@@ -80,14 +80,14 @@
 
 // Members takes over who lives.
 func (n *configsyncNode) Members(now time.Duration, view *View) []Message {
-	n.replica.Members(now, view.Members)
+	n.replica.SetMembers(now, view.Members)
 	return nil
 }
 
 // make words a change as the control machine beside a relay would sign it.
 func (n *configsyncNode) make(change int) configsync.Change {
 	source := fmt.Sprintf("control-%02d", n.relay)
-	sequence, revision := n.store.Next(source)
+	sequence, revision := n.store.NextNumbers(source)
 	c := configsync.Change{Source: source, Sequence: sequence, Revision: revision, Key: "endpoint/" + changedEndpoint(change),
 		Value: make([]byte, n.carrier.environment.Scenario.Changes.ValueBytes), Signature: make([]byte, signatureBytes)}
 	n.carrier.numbers[c.Key] = change
@@ -133,7 +133,7 @@
 }
 
 // Due is when the replica wants to be called.
-func (n *configsyncNode) Due() time.Duration { return n.replica.Due() }
+func (n *configsyncNode) Due() time.Duration { return n.replica.NextTick() }
 
 // Counts adds what the replicas of this relay counted.
 func (n *configsyncNode) Counts(to *Counts) {
@@ -143,5 +143,5 @@
 	to.Abandoned += n.counted.Abandoned + c.Abandoned
 	to.Repaired += n.counted.Repaired + c.Repaired
 	to.Duplicates += n.counted.Duplicates + c.Duplicates
-	to.Errors += n.counted.Errors + c.Untrusted + c.Invalid + c.Diverged + c.Full
+	to.Errors += n.counted.Errors + c.Untrusted + c.Invalid + c.Diverged + c.StoreFull
 }
--- a/internal/lab/capacity/limits.go
+++ b/internal/lab/capacity/limits.go
@@ -98,7 +98,7 @@
 func (n *limitsNode) messages(now time.Duration) (messages []Message) {
 	for _, p := range n.allocator.TakeMessages() {
 		n.packets++
-		packet := &spread.Packet{From: relayName(n.relay), Incarnation: 1, Uptime: now, Count: n.packets, Claim: p.Claim, Grant: p.Grant}
+		packet := &spread.Packet{From: relayName(n.relay), Incarnation: 1, Uptime: now, Sequence: n.packets, Claim: p.Claim, Grant: p.Grant}
 		messages = append(messages, Message{To: n.carrier.environment.relay(p.To), Bytes: wire.Size(packet), Body: p})
 	}
 	return messages
@@ -144,7 +144,7 @@
 			n.allocator.ObserveLimit(now, d, n.limit*(1+readSpread*(2*n.rng.Float64()-1)))
 		}
 	}
-	var arrived, waiting [allowance.Levels]int
+	var arrived, waiting [allowance.PriorityLevels]int
 	arrived[limitsLevel] = int(now.Seconds()*wanted) - int((now-span).Seconds()*wanted)
 	waiting[limitsLevel] = int(x.waiting)
 	n.allocator.ReportDemand(now, d, arrived, waiting)
@@ -156,6 +156,6 @@
 // Counts adds what the allocator counted.
 func (n *limitsNode) Counts(to *Counts) {
 	c := n.allocator.Counters()
-	to.Errors += c.Strays + c.Foreign
-	to.Retries += c.Avoided
+	to.Errors += c.Rejected + c.ForeignDestinations
+	to.Retries += c.OwnersAvoided
 }
--- a/internal/lab/capacity/slopes/bounds.go
+++ b/internal/lab/capacity/slopes/bounds.go
@@ -60,7 +60,7 @@
 		{Name: "destinations judged, maxTracked", Unit: "destinations", Allowed: judgedMost, Needed: destinations, AtEdge: "the older half is dropped"},
 		{Name: "statements of one relay, MaxPerOrigin", Unit: "statements", Allowed: verdicts.MaxPerOrigin, Needed: down, AtEdge: "the least important give way"},
 		{Name: "statements of a packet, MaxNews", Unit: "statements", Allowed: wire.MaxNews, Needed: down, AtEdge: "further packets"},
-		{Name: "destinations that one round of claims tells of", Unit: "destinations", Allowed: claimedMost * allowance.Shards, Needed: destinations, AtEdge: "the rest at a later claim"},
+		{Name: "destinations that one round of claims tells of", Unit: "destinations", Allowed: claimedMost * allowance.ShardCount, Needed: destinations, AtEdge: "the rest at a later claim"},
 		{Name: "members that have left and are remembered", Unit: "members", Allowed: membersGoneMost, Needed: down, AtEdge: "the oldest is forgotten"},
 		{Name: "connections to members, a quarter of sockets 1,024", Unit: "connections", Allowed: exampleSockets * memberSocketsShare, Needed: destinations, AtEdge: "idle ones give way"},
 		{Name: "relays that are gone and still listed, maxListed", Unit: "relays", Allowed: relaysGoneMost, Needed: planned[Relays], AtEdge: "the gone are forgotten"},
--- a/internal/lab/capacity/slopes/destinations.go
+++ b/internal/lab/capacity/slopes/destinations.go
@@ -42,7 +42,7 @@
 
 // measureListed measures a relay that knows its destinations, takes the list once more, one change in it, and then a message to
 // each. Others is the heap of what the program keeps of the list beside the relay.
-func measureListed(ctx context.Context, plan RelayPlan, news traffic.PoolNews, others float64, record recordFunc) error {
+func measureListed(ctx context.Context, plan RelayPlan, news traffic.PoolUpdate, others float64, record recordFunc) error {
 	store, err := openJournal(plan.Directory)
 	if err != nil {
 		return err
@@ -59,7 +59,7 @@
 	if err != nil {
 		return err
 	}
-	one := traffic.PoolNews{Seq: news.Seq + 1, Members: news.Members[len(news.Members)-1:]}
+	one := traffic.PoolUpdate{Version: news.Version + 1, Members: news.Members[len(news.Members)-1:]}
 	changeTook, err := run.stepOf(ctx, func() { run.relay.PoolChanged(one) })
 	if err != nil {
 		return err
@@ -105,7 +105,7 @@
 	body, now := make([]byte, bodyBytes), time.Now()
 	answers := make([]<-chan traffic.Answer, len(destinations))
 	for i, destination := range destinations {
-		answers[i] = run.relay.Put(transaction(int(run.next.Add(1)), destination, now.Add(messageDeadline), body), now)
+		answers[i] = run.relay.Submit(transaction(int(run.next.Add(1)), destination, now.Add(messageDeadline), body), now)
 	}
 	for i, answer := range answers {
 		if a := <-answer; a.Verdict != traffic.Accepted {
@@ -118,7 +118,7 @@
 // untilEmpty waits until all that was handed in is over.
 func (run *relayRun) untilEmpty(ctx context.Context) error {
 	for {
-		if c := run.relay.Counters(); c.HandedIn == run.next.Load() && c.Open == 0 {
+		if c := run.relay.Counters(); c.Submitted == run.next.Load() && c.Open == 0 {
 			return nil
 		}
 		if err := sleep(ctx, time.Millisecond); err != nil {
@@ -129,7 +129,7 @@
 
 // measureLoaded measures a relay that holds one message, one that takes its part of the planned events, and one that is handed
 // all that it can take.
-func measureLoaded(ctx context.Context, plan RelayPlan, news traffic.PoolNews, record recordFunc) error {
+func measureLoaded(ctx context.Context, plan RelayPlan, news traffic.PoolUpdate, record recordFunc) error {
 	store, err := openJournal(plan.Directory)
 	if err != nil {
 		return err
--- a/internal/lab/capacity/slopes/harness.go
+++ b/internal/lab/capacity/slopes/harness.go
@@ -27,8 +27,8 @@
 	module time.Duration // all steps of the module
 }
 
-// Stepped is called at the beginning of a step.
-func (m *stepMeter) Stepped(_, _ time.Time) {
+// RecordStep is called at the beginning of a step.
+func (m *stepMeter) RecordStep(_, _ time.Time) {
 	now := threadTime()
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -38,11 +38,11 @@
 	m.begun, m.last = true, now
 }
 
-// HandedIn is told of each message.
-func (m *stepMeter) HandedIn(time.Duration) {}
+// RecordSubmission is told of each message.
+func (m *stepMeter) RecordSubmission(time.Duration) {}
 
-// Section runs a step of the module.
-func (m *stepMeter) Section(f func()) {
+// RunSection runs a step of the module.
+func (m *stepMeter) RunSection(f func()) {
 	begun := threadTime()
 	f()
 	took := threadTime() - begun
@@ -72,7 +72,7 @@
 func (f *answeringFlows) Start(begun traffic.Flow) {
 	after := time.Duration(f.after.Load())
 	for _, one := range begun.All() {
-		end := traffic.FlowEnd{ID: one.ID, Attempt: one.Attempt, Member: begun.Member, Status: traffic.Delivered, Took: after}
+		end := traffic.FlowEnd{ID: one.ID, Attempt: one.Attempt, Member: begun.Member, Status: traffic.Delivered, Latency: after}
 		switch {
 		case f.down[begun.Member]:
 			end.Status = traffic.NotConnected
@@ -93,8 +93,8 @@
 // Cancel has no effect: an answer is under way.
 func (f *answeringFlows) Cancel(string, int) {}
 
-// Pool needs no members.
-func (f *answeringFlows) Pool(traffic.PoolNews) {}
+// UpdatePool needs no members.
+func (f *answeringFlows) UpdatePool(traffic.PoolUpdate) {}
 
 // Send takes a notice that nobody reads.
 func (f *answeringFlows) Send(traffic.Notice) {}
@@ -114,7 +114,7 @@
 
 // relayInputs is what a relay starts with.
 type relayInputs struct {
-	news   traffic.PoolNews
+	news   traffic.PoolUpdate
 	held   int
 	open   []traffic.Open
 	store  relay.Store
@@ -134,7 +134,7 @@
 	for i := range run.down {
 		run.flows.down[memberName(i)] = true
 	}
-	made, err := relay.New(relay.Config{Meters: run.meter, Settings: moduleSettings(run.destinations, in.held), Seed: in.seed, MostBytes: 1 << 40,
+	made, err := relay.New(relay.Config{Meters: run.meter, Settings: moduleSettings(run.destinations, in.held), Seed: in.seed, MaxOpenBytes: 1 << 40,
 		Store: in.store, Flows: run.flows, Notices: run.flows})
 	if err != nil {
 		return nil, err
@@ -230,7 +230,7 @@
 		now := time.Now()
 		for due := int(rate * now.Sub(begun).Seconds()); result.offered < due; result.offered++ {
 			destination := min(run.down+random.IntN(max(run.destinations-run.down, 1)), run.destinations-1)
-			answer := run.relay.Put(transaction(int(run.next.Add(1)), destination, now.Add(messageDeadline), body), now)
+			answer := run.relay.Submit(transaction(int(run.next.Add(1)), destination, now.Add(messageDeadline), body), now)
 			waiting.Go(func() {
 				select {
 				case a := <-answer:
@@ -270,7 +270,7 @@
 		now := time.Now()
 		for i := range batch {
 			n := int(run.next.Add(1))
-			batch[i] = run.relay.Put(transaction(n, run.down+n%max(run.destinations-run.down, 1), now.Add(messageDeadline), body), now)
+			batch[i] = run.relay.Submit(transaction(n, run.down+n%max(run.destinations-run.down, 1), now.Add(messageDeadline), body), now)
 		}
 		for _, answer := range batch {
 			if a := <-answer; a.Verdict == traffic.Accepted {
@@ -289,7 +289,7 @@
 func newFlows() (*flow.Manager, error) {
 	file := gateway.Default()
 	keep := file.Conns.Keep
-	keep.Most, keep.IdleMost, keep.Seed = 256, 5*time.Second, 1
-	return flow.New(flow.Config{Gate: file.TLS.Gate, ConnectWithin: time.Second, MostFlows: 256, Conns: keep, HeldMost: file.Conns.HeldMost,
-		StuckAfter: file.Conns.StuckAfter}, func(traffic.FlowEnd) {})
+	keep.MaxConns, keep.MaxIdle, keep.Seed = 256, 5*time.Second, 1
+	return flow.New(flow.Config{HandshakeGate: file.TLS.Gate, ConnectTimeout: time.Second, MaxCalls: 256, Conns: keep, MaxConnWait: file.Conns.HeldMost,
+		UnackedTimeout: file.Conns.StuckAfter}, func(traffic.FlowEnd) {})
 }
--- a/internal/lab/capacity/slopes/held.go
+++ b/internal/lab/capacity/slopes/held.go
@@ -46,7 +46,7 @@
 		}
 		var changes []traffic.Change
 		for n := first; n < min(first+journalBatch, held); n++ {
-			changes = append(changes, traffic.Taken{Transaction: transaction(n+1, n%down, deadline, body)})
+			changes = append(changes, traffic.TransactionAccepted{Transaction: transaction(n+1, n%down, deadline, body)})
 		}
 		took += onThread(func() { err = store.Commit(changes) })
 		if err != nil {
@@ -76,7 +76,7 @@
 		return err
 	}
 	defer store.Close()
-	open, _ := store.Owed()
+	open, _ := store.Pending()
 	run, err := startRelay(relayInputs{news: news, held: held, open: open, store: store, after: callTakes, seed: plan.Seed})
 	if err != nil {
 		return err
--- a/internal/lab/capacity/slopes/list.go
+++ b/internal/lab/capacity/slopes/list.go
@@ -32,7 +32,7 @@
 	if err != nil {
 		return list, 0, err
 	}
-	book := pool.NewBook(pool.List{})
+	book := pool.NewMemberList(pool.List{})
 	before := heapBytes()
 	took := onThread(func() { list, err = takeList(book, whole) })
 	if err != nil {
@@ -49,12 +49,12 @@
 }
 
 // takeList does what the watcher does with an answer's body.
-func takeList(book *pool.Book, raw []byte) (pool.List, error) {
+func takeList(book *pool.MemberList, raw []byte) (pool.List, error) {
 	list, err := pool.Parse(raw)
 	if err != nil {
 		return list, err
 	}
-	_, err = book.Take(list, false)
+	_, err = book.Apply(list, false)
 	return list, err
 }
 
@@ -74,14 +74,14 @@
 }
 
 // measureFlows returns the heap that the flows take for members without a connection.
-func measureFlows(news traffic.PoolNews, record recordFunc) (float64, error) {
+func measureFlows(news traffic.PoolUpdate, record recordFunc) (float64, error) {
 	before := heapBytes()
 	flows, err := newFlows()
 	if err != nil {
 		return 0, err
 	}
 	defer flows.Close()
-	flows.Pool(news)
+	flows.UpdatePool(news)
 	heap := heapBytes() - before
 	runtime.KeepAlive(news)
 	return heap, record(flowsHeap, heap)
--- a/internal/lab/capacity/slopes/module.go
+++ b/internal/lab/capacity/slopes/module.go
@@ -48,7 +48,7 @@
 		return nil, err
 	}
 	l := &moduleLoad{sender: sender, random: rand.New(rand.NewPCG(seed, 0)), destinations: destinations, down: map[string]bool{}, calls: map[string]int{}}
-	list := dispatch.Members{Whole: true}
+	list := dispatch.MembershipUpdate{Full: true}
 	for i := range destinations {
 		list.Endpoints = append(list.Endpoints, dispatch.Endpoint{ID: memberName(i), Zone: zoneName, Kind: kindName, Destination: i, Weight: 100})
 	}
@@ -67,7 +67,7 @@
 func (l *moduleLoad) request(destination int) dispatch.Request {
 	l.next++
 	left := messageDeadline - time.Duration(l.random.Int64N(int64(messageDeadline/2))) // the backlog's deadlines lie before and behind
-	return dispatch.Request{ID: messageID(l.next), Destination: destination, Class: className, TimeLeft: left, Size: bodyBytes}
+	return dispatch.Request{ID: messageID(l.next), Destination: destination, Class: className, TimeLeft: left, SizeBytes: bodyBytes}
 }
 
 // step takes one step, returns the processor time that the module took, and prepares the answers to its calls.
@@ -95,7 +95,7 @@
 	if l.down[send.Endpoint] {
 		outcome.Status = dispatch.ConnectFailed
 	} else {
-		outcome.Settled = true
+		outcome.Closed = true
 		delete(l.calls, send.ID)
 	}
 	return outcome
--- a/internal/lab/capacity/slopes/program.go
+++ b/internal/lab/capacity/slopes/program.go
@@ -35,14 +35,14 @@
 // deafRelay is a relay that does nothing about what its fleet says.
 type deafRelay struct{}
 
-// Restrain does nothing.
-func (deafRelay) Restrain([]traffic.Restraint) {}
+// ApplyRestraints does nothing.
+func (deafRelay) ApplyRestraints([]traffic.Restraint) {}
 
-// Allow does nothing.
-func (deafRelay) Allow([]traffic.Allowance) {}
+// SetAllowances does nothing.
+func (deafRelay) SetAllowances([]traffic.Allowance) {}
 
-// Bar does nothing.
-func (deafRelay) Bar([]traffic.Bar) {}
+// SetExclusions does nothing.
+func (deafRelay) SetExclusions([]traffic.Exclusion) {}
 
 // fleetRun is a number of the program's own fleet parts on loopback sockets.
 type fleetRun struct {
--- a/internal/lab/capacity/spread.go
+++ b/internal/lab/capacity/spread.go
@@ -51,11 +51,11 @@
 	c.announcers[relay] = n.announcer
 	if before, ok := predecessor.(*spreadNode); ok {
 		n.bans = before.bans
-		n.renewedAt = -verdicts.Ban.Life() / 3 // they are announced again at once
+		n.renewedAt = -verdicts.Ban.MaxLifetime() / 3 // they are announced again at once
 		n.counted = before.counted
-		n.counted.OverBudget += before.spread.Counters().Short
+		n.counted.OverBudget += before.spread.Counters().Unsent
 	}
-	config := spread.Config{Self: relayName(relay), Exchange: spreadExchange, Bytes: spreadBytesPerS, Size: n.size, Packet: spreadPacketBytes,
+	config := spread.Config{Self: relayName(relay), ExchangeInterval: spreadExchange, BytesPerSecond: spreadBytesPerS, PacketBytes: n.size, MaxPacketBytes: spreadPacketBytes,
 		Seed: c.environment.Seed ^ uint64(relay)<<20 ^ incarnation<<52}
 	var err error
 	n.spread, err = spread.New(config, 0, n.store, incarnation)
@@ -91,14 +91,14 @@
 // size notes what it is asked for, so that no packet is measured once more.
 func (n *spreadNode) size(p *spread.Packet) int {
 	bytes := wire.Size(p)
-	n.sizes[p.Count] = bytes
+	n.sizes[p.Sequence] = bytes
 	return bytes
 }
 
-func (n *spreadNode) messages(list []spread.Send) (messages []Message) {
+func (n *spreadNode) messages(list []spread.OutgoingPacket) (messages []Message) {
 	for i := range list {
 		p := &list[i].Packet
-		messages = append(messages, Message{To: n.environment.relay(list[i].To), Bytes: n.sizes[p.Count], Body: p})
+		messages = append(messages, Message{To: n.environment.relay(list[i].To), Bytes: n.sizes[p.Sequence], Body: p})
 	}
 	clear(n.sizes)
 	return messages
@@ -180,8 +180,8 @@
 }
 
 // renewBans announces all bans of this relay again, every third of their life.
-func (n *spreadNode) renewBans(now time.Duration) []spread.Send {
-	if now-n.renewedAt < verdicts.Ban.Life()/3 {
+func (n *spreadNode) renewBans(now time.Duration) []spread.OutgoingPacket {
+	if now-n.renewedAt < verdicts.Ban.MaxLifetime()/3 {
 		return nil
 	}
 	n.renewedAt = now
@@ -200,6 +200,6 @@
 // Counts adds what internal/spread counted.
 func (n *spreadNode) Counts(to *Counts) {
 	c := n.spread.Counters()
-	to.OverBudget += n.counted.OverBudget + c.Short
-	to.Errors += c.Strangers
+	to.OverBudget += n.counted.OverBudget + c.Unsent
+	to.Errors += c.UnknownSenders
 }
