--- a/internal/relay/order_test.go
+++ b/internal/relay/order_test.go
@@ -108,7 +108,7 @@
 	put("a", "k1", 20*time.Second)
 	put("b", "k1", 20*time.Second)
 	put("c", "k2", 20*time.Second)
-	if got := w.takeCalls(); len(w.flows) != 1 || w.lastFlow().ID != "c" || strings.Count(got, "Taken") != 3 {
+	if got := w.takeCalls(); len(w.flows) != 1 || w.lastFlow().ID != "c" || strings.Count(got, "TransactionAccepted") != 3 {
 		t.Fatalf("calls %s, started flows %+v", got, w.flows)
 	}
 	step := func() {
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -80,7 +80,7 @@
 	if a := submit(t, r, now, transaction("a", "slot", now.Add(5*time.Second))); a.Verdict != traffic.Accepted {
 		t.Fatalf("answer %+v", a)
 	}
-	if got := w.takeCalls(); got != "Taken, FlowBegun, start" {
+	if got := w.takeCalls(); got != "TransactionAccepted, FlowStarted, start" {
 		t.Errorf("calls for a submission: %s", got)
 	}
 	if a := submit(t, r, now, transaction("a", "slot", now.Add(5*time.Second))); a.Verdict != traffic.Accepted || w.takeCalls() != "" {
@@ -324,7 +324,7 @@
 	r.NoticesAnswered([]string{"z"})
 	answer := r.Submit(transaction("b", "slot", now.Add(5*time.Second)), now)
 	r.stop()
-	if got := w.takeCalls(); got != "Ended, Answered" {
+	if got := w.takeCalls(); got != "Ended, NoticeAnswered" {
 		t.Error(got)
 	}
 	if a := <-answer; a.Verdict != traffic.Busy {
