--- a/cmd/slatelab/capacity.go
+++ b/cmd/slatelab/capacity.go
@@ -17,10 +17,10 @@
 const (
 	formatTable = "table"
 	formatJSON  = "json"
-	// mostWorkers bounds the runs side by side.
-	mostWorkers = 64
-	// softMemoryLimit has the collector work harder before a run takes more than the 12 GB that it may.
-	softMemoryLimit = 11 << 30
+	// maxWorkers bounds the runs side by side.
+	maxWorkers = 64
+	// softMemoryLimitBytes has the collector work harder before a run takes more than the 12 GB that it may.
+	softMemoryLimitBytes = 11 << 30
 )
 
 // capacityOptions are the command's flags.
@@ -35,7 +35,7 @@
 	length       time.Duration
 	changes      int
 	destinations int
-	real         int
+	realRelays   int
 	binary       string
 }
 
@@ -73,7 +73,7 @@
 	flags.DurationVar(&o.length, "length", 0, "measured virtual time, instead of the scenario's")
 	flags.IntVar(&o.changes, "changes", 0, "number of changes, instead of the scenario's")
 	flags.IntVar(&o.destinations, "destinations", 0, "number of destinations, instead of the scenario's")
-	flags.IntVar(&o.real, "real", 0, "start so many real relays instead, and compare the simulator with them")
+	flags.IntVar(&o.realRelays, "real", 0, "start so many real relays instead, and compare the simulator with them")
 	flags.StringVar(&o.binary, "binary", "bin/slatemux", "the relay that --real starts")
 	c.AddCommand(capacitySlopesCommands()...)
 	return c
@@ -83,13 +83,13 @@
 	if o.format != formatTable && o.format != formatJSON {
 		return fmt.Errorf("--format: %q is neither %s nor %s", o.format, formatTable, formatJSON)
 	}
-	if o.workers < 1 || o.workers > mostWorkers {
-		return fmt.Errorf("--workers: %d is not within 1 to %d", o.workers, mostWorkers)
+	if o.workers < 1 || o.workers > maxWorkers {
+		return fmt.Errorf("--workers: %d is not within 1 to %d", o.workers, maxWorkers)
 	}
-	if o.real != 0 {
-		return o.compareWithReal(cmd)
+	if o.realRelays != 0 {
+		return o.compareWithRealRelays(cmd)
 	}
-	scenarios, err := o.load()
+	scenarios, err := o.loadScenarios()
 	if err != nil {
 		return err
 	}
@@ -97,16 +97,16 @@
 	if err != nil {
 		return err
 	}
-	debug.SetMemoryLimit(softMemoryLimit)
-	results, err := o.play(cmd, jobs)
+	debug.SetMemoryLimit(softMemoryLimitBytes)
+	results, err := o.runJobs(cmd, jobs)
 	capacity.Sort(results)
-	if reportErr := o.report(cmd.OutOrStdout(), results); err == nil {
+	if reportErr := o.writeResults(cmd.OutOrStdout(), results); err == nil {
 		err = reportErr
 	}
 	return err
 }
 
-func (o *capacityOptions) load() (scenarios []*capacity.Scenario, err error) {
+func (o *capacityOptions) loadScenarios() (scenarios []*capacity.Scenario, err error) {
 	for _, name := range o.scenarios {
 		s, err := capacity.Load(name)
 		if err != nil {
@@ -120,20 +120,20 @@
 	return scenarios, nil
 }
 
-// play returns the results that there are, also with an error.
-func (o *capacityOptions) play(cmd *cobra.Command, jobs []capacity.Job) (results []*capacity.Result, err error) {
-	began := time.Now()
+// runJobs returns the results that there are, also with an error.
+func (o *capacityOptions) runJobs(cmd *cobra.Command, jobs []capacity.Job) (results []*capacity.Result, err error) {
+	started := time.Now()
 	var mu sync.Mutex
-	note := func(line string) {
+	progress := func(line string) {
 		mu.Lock()
 		defer mu.Unlock()
-		fmt.Fprintf(cmd.ErrOrStderr(), "%7.1f s  %s\n", time.Since(began).Seconds(), line)
+		fmt.Fprintf(cmd.ErrOrStderr(), "%7.1f s  %s\n", time.Since(started).Seconds(), line)
 	}
-	err = capacity.NewPool(o.workers, note).Run(cmd.Context(), jobs, func(r *capacity.Result) { results = append(results, r) })
+	err = capacity.NewPool(o.workers, progress).Run(cmd.Context(), jobs, func(r *capacity.Result) { results = append(results, r) })
 	return results, err
 }
 
-func (o *capacityOptions) report(w io.Writer, results []*capacity.Result) error {
+func (o *capacityOptions) writeResults(w io.Writer, results []*capacity.Result) error {
 	if o.jsonFile != "" {
 		if err := writeJSONFile(o.jsonFile, results); err != nil {
 			return err
--- a/cmd/slatelab/capacity_slopes.go
+++ b/cmd/slatelab/capacity_slopes.go
@@ -14,36 +14,36 @@
 	"slatemux/internal/lab/capacity/slopes"
 )
 
-// slopesCores bounds the cores that a measurement uses, for the machine is shared.
-const slopesCores = 3
+// defaultSlopesCores bounds the cores that a measurement uses, for the machine is shared.
+const defaultSlopesCores = 3
 
-// stopWithin is how long an interrupted measurement has to end by itself; what has not is left behind.
-const stopWithin = 700 * time.Millisecond
+// stopTimeout is how long an interrupted measurement has to end by itself; what has not is left behind.
+const stopTimeout = 700 * time.Millisecond
 
 // capacitySlopesCommands are the commands that measure how costs grow with their size.
 func capacitySlopesCommands() []*cobra.Command {
 	return []*cobra.Command{relaySlopesCommand(), membershipSlopesCommand()}
 }
 
-// slopesOutput are the flags that all of them have.
-type slopesOutput struct {
-	cores int
-	lines string
+// slopesOptions are the flags that all of them have.
+type slopesOptions struct {
+	cores    int
+	jsonFile string
 }
 
-func (o *slopesOutput) flags(c *cobra.Command) {
-	c.Flags().IntVar(&o.cores, "cores", slopesCores, "cores that the measurement may use")
-	c.Flags().StringVar(&o.lines, "json", "", "file for the measurements and fits as lines of JSON; without it they go before the tables")
+func (o *slopesOptions) addFlags(c *cobra.Command) {
+	c.Flags().IntVar(&o.cores, "cores", defaultSlopesCores, "cores that the measurement may use")
+	c.Flags().StringVar(&o.jsonFile, "json", "", "file for the measurements and fits as lines of JSON; without it they go before the tables")
 }
 
 // measurement records into the Recorder and says what it does.
 type measurement func(ctx context.Context, to *slopes.Recorder, progress func(string)) error
 
-// report writes what was recorded, as lines of JSON and as tables.
-type report func(from *slopes.Recorder, lines, tables io.Writer) error
+// reportWriter writes what was recorded, as lines of JSON and as tables.
+type reportWriter func(from *slopes.Recorder, lines, tables io.Writer) error
 
 // run has a measurement made, and then reports written. An interrupted one is an error: its lines are those of what was measured.
-func (o *slopesOutput) run(cmd *cobra.Command, measure measurement, reports ...report) error {
+func (o *slopesOptions) run(cmd *cobra.Command, measure measurement, reports ...reportWriter) error {
 	if o.cores < 1 {
 		return fmt.Errorf("%s: %d cores make no sense", cmd.Name(), o.cores)
 	}
@@ -51,8 +51,8 @@
 	defer slog.SetDefault(slog.Default())
 	slog.SetDefault(slog.New(slog.DiscardHandler)) // what the measured relay logs is not asked for
 	var lines io.Writer = cmd.OutOrStdout()
-	if o.lines != "" {
-		file, err := os.Create(o.lines)
+	if o.jsonFile != "" {
+		file, err := os.Create(o.jsonFile)
 		if err != nil {
 			return err
 		}
@@ -60,15 +60,15 @@
 		lines = file
 	}
 	recorder := slopes.NewRecorder(lines)
-	begun := time.Now()
+	started := time.Now()
 	progress := func(text string) {
-		fmt.Fprintf(cmd.ErrOrStderr(), "%7.1fs %s\n", time.Since(begun).Seconds(), text)
+		fmt.Fprintf(cmd.ErrOrStderr(), "%7.1fs %s\n", time.Since(started).Seconds(), text)
 	}
 	ctx := cmd.Context()
-	ended := make(chan error, 1)
-	go func() { ended <- measure(ctx, recorder, progress) }()
+	done := make(chan error, 1)
+	go func() { done <- measure(ctx, recorder, progress) }()
 	select {
-	case err := <-ended:
+	case err := <-done:
 		if err != nil {
 			return err
 		}
@@ -81,14 +81,14 @@
 	case <-ctx.Done():
 	}
 	select {
-	case <-ended:
-	case <-time.After(stopWithin):
+	case <-done:
+	case <-time.After(stopTimeout):
 	}
 	return fmt.Errorf("interrupted: the measurement is not complete: %w", ctx.Err())
 }
 
 func relaySlopesCommand() *cobra.Command {
-	var output slopesOutput
+	var options slopesOptions
 	plan := slopes.RelayPlan{Span: slopes.DefaultSpan}
 	c := &cobra.Command{
 		Use:   "relay",
@@ -103,16 +103,16 @@
 			if err := plan.Check(); err != nil {
 				return err
 			}
-			folder, err := os.MkdirTemp("", "slatelab-capacity")
+			dir, err := os.MkdirTemp("", "slatelab-capacity")
 			if err != nil {
 				return err
 			}
-			defer os.RemoveAll(folder)
-			plan.Directory = folder
-			measure := func(ctx context.Context, to *slopes.Recorder, progress func(string)) error {
-				return slopes.MeasureRelay(ctx, plan, to, progress)
+			defer os.RemoveAll(dir)
+			plan.Directory = dir
+			measure := func(ctx context.Context, recorder *slopes.Recorder, progress func(string)) error {
+				return slopes.MeasureRelay(ctx, plan, recorder, progress)
 			}
-			return output.run(cmd, measure, (*slopes.Recorder).WriteReport, (*slopes.Recorder).WriteBounds)
+			return options.run(cmd, measure, (*slopes.Recorder).WriteReport, (*slopes.Recorder).WriteBounds)
 		},
 	}
 	c.Flags().IntSliceVar(&plan.Destinations, "destinations", []int{1000, 3000, 10_000, 30_000, 100_000, 330_000}, "sizes of discovery's list")
@@ -120,12 +120,12 @@
 	c.Flags().IntVar(&plan.HeldOver, "held-over", 10_000, "destinations while the held messages vary")
 	c.Flags().DurationVar(&plan.Span, "span", slopes.DefaultSpan, "how long each measurement in real time takes")
 	c.Flags().Int64Var(&plan.Seed, "seed", 1, "seed of the module's chance")
-	output.flags(c)
+	options.addFlags(c)
 	return c
 }
 
 func membershipSlopesCommand() *cobra.Command {
-	var output slopesOutput
+	var options slopesOptions
 	plan := slopes.DefaultMembership
 	c := &cobra.Command{
 		Use:   "membership",
@@ -139,10 +139,10 @@
 			if err := plan.Check(); err != nil {
 				return err
 			}
-			measure := func(ctx context.Context, to *slopes.Recorder, progress func(string)) error {
-				return slopes.MeasureMembership(ctx, plan, to, progress)
+			measure := func(ctx context.Context, recorder *slopes.Recorder, progress func(string)) error {
+				return slopes.MeasureMembership(ctx, plan, recorder, progress)
 			}
-			return output.run(cmd, measure, (*slopes.Recorder).WriteReport)
+			return options.run(cmd, measure, (*slopes.Recorder).WriteReport)
 		},
 	}
 	c.Flags().IntSliceVar(&plan.Relays, "relays", []int{50, 100, 200, 400, 800}, "numbers of members")
@@ -154,6 +154,6 @@
 	c.Flags().DurationVar(&plan.Patience, "patience", plan.Patience, "how long a change may take until all know of it")
 	c.Flags().DurationVar(&plan.Delay, "delay", plan.Delay, "mean time of a packet, one way")
 	c.Flags().Float64Var(&plan.Loss, "loss", plan.Loss, "share of packets that are lost")
-	output.flags(c)
+	options.addFlags(c)
 	return c
 }
--- a/cmd/slatelab/capacity_slopes_test.go
+++ b/cmd/slatelab/capacity_slopes_test.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// runSlopes runs a command of slatelab and returns what it wrote.
-func runSlopes(ctx context.Context, args ...string) (string, error) {
+// runCommand runs a command of slatelab and returns what it wrote.
+func runCommand(ctx context.Context, args ...string) (string, error) {
 	var out, progress bytes.Buffer
-	root := command()
+	root := rootCommand()
 	root.SetArgs(args)
 	root.SetOut(&out)
 	root.SetErr(&progress)
@@ -19,8 +19,8 @@
 	return out.String(), err
 }
 
-// TestSlopesRefuse wants flags and sizes that make no sense to be told.
-func TestSlopesRefuse(t *testing.T) {
+// TestSlopesRejectInvalidArguments wants flags and sizes that make no sense to be told.
+func TestSlopesRejectInvalidArguments(t *testing.T) {
 	for _, c := range []struct{ args, want string }{
 		{"capacity relay --destinations 0,1,2,3", "a size of 0"},
 		{"capacity relay --held 0,1,2,3", "a size of 0"},
@@ -34,15 +34,15 @@
 		{"capacity membership --loss 2", "makes no sense"},
 		{"capacity membership --nonsense 1", "unknown flag"},
 	} {
-		if _, err := runSlopes(t.Context(), strings.Fields(c.args)...); err == nil || !strings.Contains(err.Error(), c.want) {
+		if _, err := runCommand(t.Context(), strings.Fields(c.args)...); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: want an error with %q, got %v", c.args, c.want, err)
 		}
 	}
 }
 
-// TestSlopesOfRelay runs the command at small sizes.
-func TestSlopesOfRelay(t *testing.T) {
-	out, err := runSlopes(t.Context(), "capacity", "relay", "--destinations", "20,40,60,80", "--held", "20,40,60,80", "--held-over", "20", "--span", "20ms")
+// TestRelaySlopesOutput runs the command at small sizes.
+func TestRelaySlopesOutput(t *testing.T) {
+	out, err := runCommand(t.Context(), "capacity", "relay", "--destinations", "20,40,60,80", "--held", "20,40,60,80", "--held-over", "20", "--span", "20ms")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -53,8 +53,8 @@
 	}
 }
 
-// TestSlopesInterrupted wants both commands to end within a second of an interrupt.
-func TestSlopesInterrupted(t *testing.T) {
+// TestSlopesStopOnInterrupt wants both commands to end within a second of an interrupt.
+func TestSlopesStopOnInterrupt(t *testing.T) {
 	for _, name := range []string{"relay", "membership"} {
 		ctx, cancel := context.WithCancel(t.Context())
 		interrupted := make(chan time.Time, 1)
@@ -62,7 +62,7 @@
 			interrupted <- time.Now()
 			cancel()
 		})
-		_, err := runSlopes(ctx, "capacity", name)
+		_, err := runCommand(ctx, "capacity", name)
 		if took := time.Since(<-interrupted); err == nil || !strings.Contains(err.Error(), "interrupted") || took > time.Second {
 			t.Errorf("%s: ended %v after the interrupt with %v", name, took, err)
 		}
--- a/cmd/slatelab/fleet_test.go
+++ b/cmd/slatelab/fleet_counters_test.go
@@ -9,7 +9,7 @@
 )
 
 // Counters are summed over relays, by time, and a restart does not count backwards.
-func TestFleetCounters(t *testing.T) {
+func TestFleetCountersSumRelaysAndRestarts(t *testing.T) {
 	dir := t.TempDir()
 	for name, text := range map[string]string{
 		"a.log": "0.01 time=2026-12-01T12:00:00.1Z level=INFO msg=started relay=a\n" +
--- a/cmd/slatelab/faults.go
+++ b/cmd/slatelab/fleet_faults.go
@@ -13,7 +13,7 @@
 // faultsCommand plays a scenario of many real relays with faults between them.
 func faultsCommand() *cobra.Command {
 	var binary string
-	var alone, quiet, tries bool
+	var withoutFleet, quiet, showConnections bool
 	var relays int
 	var seed uint64
 	c := &cobra.Command{
@@ -26,18 +26,18 @@
 		Example: "  slatelab fleet-faults example/faults/outage.textproto --binary bin/slatemux",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			sc, err := fleets.Load(args[0])
+			scenario, err := fleets.Load(args[0])
 			if err != nil {
 				return err
 			}
 			if relays > 0 {
-				sc.Relays = int32(relays)
+				scenario.Relays = int32(relays)
 			}
-			if sc.WithoutFleet = min(sc.WithoutFleet, sc.Relays); alone {
-				sc.WithoutFleet = sc.Relays
+			if scenario.WithoutFleet = min(scenario.WithoutFleet, scenario.Relays); withoutFleet {
+				scenario.WithoutFleet = scenario.Relays
 			}
 			if seed > 0 {
-				sc.Seed = seed
+				scenario.Seed = seed
 			}
 			dir, err := os.MkdirTemp("", "fleet-faults")
 			if err != nil {
@@ -45,7 +45,7 @@
 			}
 			defer os.RemoveAll(dir)
 			out := cmd.OutOrStdout()
-			f, err := fleets.Put(dir, binary, sc, func(line string) {
+			fleet, err := fleets.Put(dir, binary, scenario, func(line string) {
 				if !quiet {
 					fmt.Fprintln(out, line)
 				}
@@ -53,57 +53,57 @@
 			if err != nil {
 				return err
 			}
-			defer f.Close()
-			if err := f.Start(); err != nil {
+			defer fleet.Close()
+			if err := fleet.Start(); err != nil {
 				return err
 			}
-			fmt.Fprintf(out, "%s: %d relays serve, %d of them in the fleet\n", sc.Name, sc.Relays, sc.Relays-sc.WithoutFleet)
-			over := make(chan struct{})
-			told := make(chan struct{})
+			fmt.Fprintf(out, "%s: %d relays serve, %d of them in the fleet\n", scenario.Name, scenario.Relays, scenario.Relays-scenario.WithoutFleet)
+			finished := make(chan struct{})
+			printerDone := make(chan struct{})
 			go func() {
-				defer close(told)
+				defer close(printerDone)
 				tick := time.NewTicker(time.Second)
 				defer tick.Stop()
 				for {
 					select {
-					case <-over:
+					case <-finished:
 						return
 					case <-tick.C:
-						if !quiet && !f.Began.IsZero() {
-							f.Beliefs(out)
+						if !quiet && !fleet.Began.IsZero() {
+							fleet.Beliefs(out)
 						}
 					}
 				}
 			}()
-			err = f.Play(cmd.Context())
-			close(over)
-			<-told
+			err = fleet.Play(cmd.Context())
+			close(finished)
+			<-printerDone
 			if err != nil {
 				return err
 			}
-			if err := f.Settle(time.Now().Add(60 * time.Second)); err != nil {
+			if err := fleet.Settle(time.Now().Add(60 * time.Second)); err != nil {
 				return err
 			}
-			r := f.Judge()
-			if err := r.Print(out); err != nil {
+			report := fleet.Judge()
+			if err := report.Print(out); err != nil {
 				return err
 			}
-			if tries {
-				for _, p := range sc.Partner {
+			if showConnections {
+				for _, p := range scenario.Partner {
 					fmt.Fprintf(out, "connections to %s, by relay and quarter of a second:\n", p.Name)
-					r.Tried(out, p, 0, sc.LengthS)
+					report.Tried(out, p, 0, scenario.LengthS)
 				}
 			}
-			if n := len(r.Verdict.Breaches); n > 0 {
+			if n := len(report.Verdict.Breaches); n > 0 {
 				return fmt.Errorf("%d rules broken", n)
 			}
 			return nil
 		},
 	}
 	c.Flags().StringVar(&binary, "binary", "bin/slatemux", "the relay that is run")
-	c.Flags().BoolVar(&alone, "alone", false, "run every relay without its fleet part, to compare")
+	c.Flags().BoolVar(&withoutFleet, "alone", false, "run every relay without its fleet part, to compare")
 	c.Flags().BoolVar(&quiet, "quiet", false, "print the report alone")
-	c.Flags().BoolVar(&tries, "tries", false, "also print the connections that relays asked for, on a time line")
+	c.Flags().BoolVar(&showConnections, "tries", false, "also print the connections that relays asked for, on a time line")
 	c.Flags().IntVar(&relays, "relays", 0, "how many relays, instead of the scenario's")
 	c.Flags().Uint64Var(&seed, "seed", 0, "the seed, instead of the scenario's")
 	return c
--- a/cmd/slatelab/main.go
+++ b/cmd/slatelab/main.go
@@ -19,13 +19,13 @@
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	if err := command().ExecuteContext(ctx); err != nil {
+	if err := rootCommand().ExecuteContext(ctx); err != nil {
 		fmt.Fprintln(os.Stderr, "slatelab:", err)
 		os.Exit(1)
 	}
 }
 
-func command() *cobra.Command {
+func rootCommand() *cobra.Command {
 	root := &cobra.Command{
 		Use:   "slatelab",
 		Short: "The laboratory of slatemux",
@@ -54,21 +54,21 @@
 // burnCommand takes a processor from whatever shares it with.
 func burnCommand() *cobra.Command {
 	var cpu int
-	var span time.Duration
+	var duration time.Duration
 	c := &cobra.Command{
 		Use:   "burn",
 		Short: "Keep one processor busy for a while",
 		Args:  cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
-			if span <= 0 || span > 10*time.Minute {
-				return fmt.Errorf("burn: %v is not within 0 to 10 minutes", span)
+			if duration <= 0 || duration > 10*time.Minute {
+				return fmt.Errorf("burn: %v is not within 0 to 10 minutes", duration)
 			}
 			runtime.GOMAXPROCS(1)
 			if err := lab.Keep([]int{cpu}); err != nil {
 				return err
 			}
 			x := 0
-			for until := time.Now().Add(span); time.Now().Before(until); {
+			for until := time.Now().Add(duration); time.Now().Before(until); {
 				for i := range 100_000 {
 					x ^= i
 				}
@@ -78,24 +78,24 @@
 		},
 	}
 	c.Flags().IntVar(&cpu, "cpu", 0, "processor")
-	c.Flags().DurationVar(&span, "for", time.Second, "how long, 10 minutes at most")
+	c.Flags().DurationVar(&duration, "for", time.Second, "how long, 10 minutes at most")
 	return c
 }
 
 // idleCommand compares what two programs take while nothing happens.
 func idleCommand() *cobra.Command {
-	var binary, versus, gateway string
-	var span time.Duration
+	var binary, otherBinary, gatewayPath string
+	var duration time.Duration
 	c := &cobra.Command{
 		Use:   "idle",
 		Short: "Measure the memory and processor time of an idle relay, side by side with another build",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			text, err := readGateway(gateway)
+			gatewayConfig, err := readGatewayConfig(gatewayPath)
 			if err != nil {
 				return err
 			}
-			for _, run := range []struct{ name, binary, gateway string }{{"versus", versus, ""}, {"without file", binary, ""}, {"with file", binary, text}} {
+			for _, run := range []struct{ name, binary, gateway string }{{"versus", otherBinary, ""}, {"without file", binary, ""}, {"with file", binary, gatewayConfig}} {
 				if run.binary == "" {
 					continue
 				}
@@ -103,34 +103,34 @@
 				if err != nil {
 					return err
 				}
-				d, err := lab.Put(dir, place(1, 32, 20*time.Millisecond))
+				deployment, err := lab.Put(dir, deploymentConfig(1, 32, 20*time.Millisecond))
 				if err != nil {
 					return err
 				}
-				p, err := d.Relay(run.binary, []int{0}, run.gateway)
+				relay, err := deployment.Relay(run.binary, []int{0}, run.gateway)
 				if err != nil {
 					return err
 				}
-				before := p.Usage()
-				time.Sleep(span)
-				after := p.Usage()
+				before := relay.Usage()
+				time.Sleep(duration)
+				after := relay.Usage()
 				fmt.Fprintf(cmd.OutOrStdout(), "%-13s RSS %5.1f MB, processor %.2f%% of a core over %v\n", run.name, float64(after.RSS)/1e6,
-					100*float64(after.CPU-before.CPU)/float64(span), span)
-				p.Kill()
-				d.Close()
+					100*float64(after.CPU-before.CPU)/float64(duration), duration)
+				relay.Kill()
+				deployment.Close()
 				_ = os.RemoveAll(dir)
 			}
 			return nil
 		},
 	}
 	c.Flags().StringVar(&binary, "binary", "bin/slatemux", "the relay")
-	c.Flags().StringVar(&versus, "versus", "", "another build of it")
-	c.Flags().StringVar(&gateway, "config", "deploy/gateway.textproto", "the gateway's settings")
-	c.Flags().DurationVar(&span, "for", 10*time.Second, "how long")
+	c.Flags().StringVar(&otherBinary, "versus", "", "another build of it")
+	c.Flags().StringVar(&gatewayPath, "config", "deploy/gateway.textproto", "the gateway's settings")
+	c.Flags().DurationVar(&duration, "for", 10*time.Second, "how long")
 	return c
 }
 
-func readGateway(path string) (string, error) {
+func readGatewayConfig(path string) (string, error) {
 	if path == "" {
 		return "", nil
 	}
--- a/cmd/slatelab/tls.go
+++ b/cmd/slatelab/tls.go
@@ -28,7 +28,7 @@
 func caCommand() *cobra.Command {
 	var dir, kind string
 	var names []string
-	var span time.Duration
+	var validity time.Duration
 	c := &cobra.Command{
 		Use:   "ca",
 		Short: "Make a test authority, a server's and a client's certificate in a folder",
@@ -51,7 +51,7 @@
 				name string
 				leaf ca.Leaf
 			}{{"server", ca.Leaf{Names: names}}, {"client", ca.Leaf{Names: []string{"relay"}, Client: true}}} {
-				l.leaf.Kind, l.leaf.NotAfter = ca.Kind(kind), time.Now().Add(span)
+				l.leaf.Kind, l.leaf.NotAfter = ca.Kind(kind), time.Now().Add(validity)
 				pair, err := root.Issue(l.leaf)
 				if err != nil {
 					return err
@@ -60,25 +60,25 @@
 					return err
 				}
 			}
-			cmd.Printf("%s: root.pem, server.pem, server.key for %v, client.pem, client.key; valid for %v\n", dir, names, span)
+			cmd.Printf("%s: root.pem, server.pem, server.key for %v, client.pem, client.key; valid for %v\n", dir, names, validity)
 			return nil
 		},
 	}
 	c.Flags().StringVar(&dir, "dir", "bin/ca", "folder")
 	c.Flags().StringVar(&kind, "kind", string(ca.P256), "rsa2048, p256 or ed25519")
 	c.Flags().StringSliceVar(&names, "name", []string{"127.0.0.1"}, "names of the server")
-	c.Flags().DurationVar(&span, "for", 24*time.Hour, "how long they are valid")
+	c.Flags().DurationVar(&validity, "for", 24*time.Hour, "how long they are valid")
 	return c
 }
 
 type tlsFlags struct {
-	binary, gateway string
-	n               int
-	span            time.Duration
-	rate            float64
-	cpu, conns      int
-	storm           bool
-	changes         int
+	binary, gatewayPath   string
+	handshakeCount        int
+	runDuration           time.Duration
+	messagesPerSecond     float64
+	cpu, stormConnections int
+	skipCost              bool
+	fileChanges           int
 }
 
 func tlsCommand() *cobra.Command {
@@ -92,9 +92,9 @@
 			for _, part := range []struct {
 				on  bool
 				run func() error
-			}{{f.n > 0, func() error { return f.handshakes(w) }}, {f.rate > 0 && !f.storm, func() error { return f.steady(cmd.Context(), w) }},
-				{f.rate > 0, func() error { return f.storms(cmd.Context(), w) }},
-				{f.changes > 0, func() error { return f.renewals(cmd.Context(), w) }}} {
+			}{{f.handshakeCount > 0, func() error { return f.measureHandshakes(w) }}, {f.messagesPerSecond > 0 && !f.skipCost, func() error { return f.compareMessageCost(cmd.Context(), w) }},
+				{f.messagesPerSecond > 0, func() error { return f.compareStorms(cmd.Context(), w) }},
+				{f.fileChanges > 0, func() error { return f.renewCertificates(cmd.Context(), w) }}} {
 				if part.on {
 					if err := part.run(); err != nil {
 						return err
@@ -106,23 +106,23 @@
 	}
 	fs := c.Flags()
 	fs.StringVar(&f.binary, "binary", "bin/slatemux", "the relay")
-	fs.StringVar(&f.gateway, "config", "deploy/gateway.textproto", "the gateway's settings, to which policies are added")
-	fs.IntVar(&f.n, "handshakes", 400, "handshakes of each kind; 0 for none")
-	fs.IntVar(&f.changes, "changes", 1000, "changes of files under load; 0 for none")
-	fs.BoolVar(&f.storm, "storm", false, "leave the cost per message out")
-	fs.DurationVar(&f.span, "for", 5*time.Second, "length of a run")
-	fs.Float64Var(&f.rate, "rate", 3000, "messages a second in the runs")
+	fs.StringVar(&f.gatewayPath, "config", "deploy/gateway.textproto", "the gateway's settings, to which policies are added")
+	fs.IntVar(&f.handshakeCount, "handshakes", 400, "handshakes of each kind; 0 for none")
+	fs.IntVar(&f.fileChanges, "changes", 1000, "changes of files under load; 0 for none")
+	fs.BoolVar(&f.skipCost, "storm", false, "leave the cost per message out")
+	fs.DurationVar(&f.runDuration, "for", 5*time.Second, "length of a run")
+	fs.Float64Var(&f.messagesPerSecond, "rate", 3000, "messages a second in the runs")
 	fs.IntVar(&f.cpu, "cpu", 0, "the relay's processor")
-	fs.IntVar(&f.conns, "connections", 500, "connections that the storm is to lose")
+	fs.IntVar(&f.stormConnections, "connections", 500, "connections that the storm is to lose")
 	return c
 }
 
-// handshakes measures connecting from one thread, by that thread's processor time.
-func (f *tlsFlags) handshakes(w io.Writer) error {
-	fmt.Fprintf(w, "Connecting to a server on loopback, %d times each, one after another:\n\n", f.n)
+// measureHandshakes measures connecting from one thread, by that thread's processor time.
+func (f *tlsFlags) measureHandshakes(w io.Writer) error {
+	fmt.Fprintf(w, "Connecting to a server on loopback, %d times each, one after another:\n\n", f.handshakeCount)
 	fmt.Fprintln(w, "| key | version | handshake | delay p50 ms | p99 ms | processor p50 ms | resumed |")
 	fmt.Fprintln(w, "|---|---|---|---|---|---|---|")
-	if err := f.connects(w, "none", 0, false, nil, nil); err != nil {
+	if err := f.measureConnects(w, "none", 0, false, nil, nil); err != nil {
 		return err
 	}
 	for _, kind := range ca.Kinds {
@@ -136,7 +136,7 @@
 		}
 		for _, version := range []uint16{tls.VersionTLS12, tls.VersionTLS13} {
 			for _, resume := range []bool{false, true} {
-				if err := f.connects(w, string(kind), version, resume, root, leaf); err != nil {
+				if err := f.measureConnects(w, string(kind), version, resume, root, leaf); err != nil {
 					return err
 				}
 			}
@@ -146,12 +146,12 @@
 	return nil
 }
 
-func (f *tlsFlags) connects(w io.Writer, kind string, version uint16, resume bool, root, leaf *ca.Pair) error {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+func (f *tlsFlags) measureConnects(w io.Writer, kind string, version uint16, allowResumption bool, root, leaf *ca.Pair) error {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return err
 	}
-	defer ln.Close()
+	defer listener.Close()
 	var server *tls.Config
 	client := &tls.Config{ServerName: "127.0.0.1", MaxVersion: version}
 	if leaf != nil {
@@ -159,12 +159,12 @@
 		client.RootCAs = x509.NewCertPool()
 		client.RootCAs.AddCert(root.Cert)
 	}
-	if resume {
+	if allowResumption {
 		client.ClientSessionCache = tls.NewLRUClientSessionCache(1)
 	}
 	go func() {
 		for {
-			nc, err := ln.Accept()
+			nc, err := listener.Accept()
 			if err != nil {
 				return
 			}
@@ -180,11 +180,11 @@
 	}()
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
-	var delays, used []time.Duration
+	var delays, cpuTimes []time.Duration
 	resumed := 0
-	for i := range f.n + 1 {
-		from, cpu := time.Now(), threadTime()
-		nc, err := net.Dial("tcp", ln.Addr().String())
+	for i := range f.handshakeCount + 1 {
+		started, cpuBefore := time.Now(), threadCPUTime()
+		nc, err := net.Dial("tcp", listener.Addr().String())
 		if err != nil {
 			return err
 		}
@@ -198,91 +198,91 @@
 			}
 			nc = c
 		}
-		took, spent := time.Since(from), threadTime()-cpu
+		delay, cpuTime := time.Since(started), threadCPUTime()-cpuBefore
 		if _, err := io.ReadFull(nc, make([]byte, 1)); err != nil { // and the tickets before it
 			return err
 		}
 		nc.Close()
 		if i > 0 { // the first has nothing to resume
-			delays, used = append(delays, took), append(used, spent)
+			delays, cpuTimes = append(delays, delay), append(cpuTimes, cpuTime)
 		}
 	}
 	slices.Sort(delays)
-	slices.Sort(used)
+	slices.Sort(cpuTimes)
 	name, how := "TCP alone", "-"
 	if leaf != nil {
-		name, how = tls.VersionName(version), map[bool]string{false: "full", true: "resumed"}[resume]
+		name, how = tls.VersionName(version), map[bool]string{false: "full", true: "resumed"}[allowResumption]
 	}
 	fmt.Fprintf(w, "| %s | %s | %s | %.2f | %.2f | %.2f | %.1f%% |\n", kind, name, how, millis(ledger.At(delays, 0.5)), millis(ledger.At(delays, 0.99)),
-		millis(ledger.At(used, 0.5)), 100*float64(resumed)/float64(f.n))
+		millis(ledger.At(cpuTimes, 0.5)), 100*float64(resumed)/float64(f.handshakeCount))
 	return nil
 }
 
 func millis(d time.Duration) float64 { return float64(d) / 1e6 }
 
-func threadTime() time.Duration {
+func threadCPUTime() time.Duration {
 	var ts unix.Timespec
 	_ = unix.ClockGettime(unix.CLOCK_THREAD_CPUTIME_ID, &ts)
 	return time.Duration(ts.Nano())
 }
 
-// bank is a place whose partners speak TLS, or not, with what the relay's settings need for it.
-func (f *tlsFlags) bank(dir string, secure bool, life []partner.Phase, latency time.Duration) (lab.Place, string, error) {
-	p := place(4, 512, latency)
-	text, err := readGateway(f.gateway)
-	if err != nil || !secure {
-		return p, text, err
+// prepareDeployment is a place whose partners speak TLS, or not, with what the relay's settings need for it.
+func (f *tlsFlags) prepareDeployment(dir string, useTLS bool, life []partner.Phase, latency time.Duration) (lab.Place, string, error) {
+	config := deploymentConfig(4, 512, latency)
+	gatewayConfig, err := readGatewayConfig(f.gatewayPath)
+	if err != nil || !useTLS {
+		return config, gatewayConfig, err
 	}
 	root, err := ca.Root("root", ca.P256)
 	if err != nil {
-		return p, "", err
+		return config, "", err
 	}
 	leaf, err := root.Issue(ca.Leaf{Names: []string{"127.0.0.1"}})
 	if err != nil {
-		return p, "", err
+		return config, "", err
 	}
 	if err := ca.Write(filepath.Join(dir, "root.pem"), root.PEM(), 0o644); err != nil {
-		return p, "", err
+		return config, "", err
 	}
-	for i := range p.Partners {
-		p.Partners[i].TLS = &tls.Config{Certificates: []tls.Certificate{leaf.TLS()}}
+	for i := range config.Partners {
+		config.Partners[i].TLS = &tls.Config{Certificates: []tls.Certificate{leaf.TLS()}}
 		if life != nil {
-			p.Partners[i].Life = life
+			config.Partners[i].Life = life
 		}
 	}
-	return p, text, nil
+	return config, gatewayConfig, nil
 }
 
-// run puts a deployment up and runs a load on it. during is called when the load begins.
-func (f *tlsFlags) run(ctx context.Context, secure bool, life []partner.Phase, latency time.Duration, handshakes string, steps []load.Step,
-	during func(*lab.Deployment)) (d *lab.Deployment, relay *lab.Process, cpu time.Duration, err error) {
-	dir, err := scratch()
+// runLoad puts a deployment up and runs a load on it. during is called when the load begins.
+func (f *tlsFlags) runLoad(ctx context.Context, useTLS bool, life []partner.Phase, latency time.Duration, handshakeSettings string, steps []load.Step,
+	onLoadStart func(*lab.Deployment)) (deployment *lab.Deployment, relay *lab.Process, cpu time.Duration, err error) {
+	dir, err := scratchDir()
 	if err != nil {
 		return nil, nil, 0, err
 	}
 	defer os.RemoveAll(dir)
-	p, text, err := f.bank(dir, secure, life, latency)
+	config, gatewayConfig, err := f.prepareDeployment(dir, useTLS, life, latency)
 	if err != nil {
 		return nil, nil, 0, err
 	}
-	if secure {
-		text += fmt.Sprintf("\ntls { policy { name: \"bank\" root_file: %q sessions: 64 } %s }\n", filepath.Join(dir, "root.pem"), handshakes)
+	if useTLS {
+		gatewayConfig += fmt.Sprintf("\ntls { policy { name: \"bank\" root_file: %q sessions: 64 } %s }\n", filepath.Join(dir, "root.pem"), handshakeSettings)
 	}
-	if d, err = lab.Put(dir, p); err != nil {
+	if deployment, err = lab.Put(dir, config); err != nil {
 		return nil, nil, 0, err
 	}
-	defer d.Close()
-	if relay, err = d.Relay(f.binary, []int{f.cpu}, text); err != nil {
+	defer deployment.Close()
+	if relay, err = deployment.Relay(f.binary, []int{f.cpu}, gatewayConfig); err != nil {
 		return nil, nil, 0, err
 	}
 	defer relay.Kill()
-	if during != nil {
-		go during(d)
+	if onLoadStart != nil {
+		go onLoadStart(deployment)
 	}
-	from := relay.Usage()
-	err = d.Load(ctx, load.Config{Clients: 300, Patience: 400 * time.Millisecond, Streams: streams(p, 200), Steps: steps, Dests: dests(p), Seed: 11,
+	before := relay.Usage()
+	err = deployment.Load(ctx, load.Config{Clients: 300, Patience: 400 * time.Millisecond, Streams: messageStreams(config, 200), Steps: steps, Dests: destinationNumbers(config), Seed: 11,
 		Poisson: true})
-	cpu = relay.Usage().CPU - from.CPU
+	cpu = relay.Usage().CPU - before.CPU
 	if err == nil {
 		err = ctx.Err()
 	}
@@ -292,45 +292,45 @@
 	if err := relay.Settled(time.Now().Add(40 * time.Second)); err != nil {
 		return nil, nil, 0, err
 	}
-	return d, relay, cpu, nil
+	return deployment, relay, cpu, nil
 }
 
-// steady compares the relay's processor time per message over TLS and plain, in turn.
-func (f *tlsFlags) steady(ctx context.Context, w io.Writer) error {
-	fmt.Fprintf(w, "The relay on one core at %.0f messages a second on warm connections:\n\n", f.rate)
+// compareMessageCost compares the relay's processor time per message over TLS and plain, in turn.
+func (f *tlsFlags) compareMessageCost(ctx context.Context, w io.Writer) error {
+	fmt.Fprintf(w, "The relay on one core at %.0f messages a second on warm connections:\n\n", f.messagesPerSecond)
 	fmt.Fprintln(w, "| connections | delivered | processor per message µs | breaches |")
 	fmt.Fprintln(w, "|---|---|---|---|")
-	for _, secure := range []bool{false, true, false, true} {
-		d, _, cpu, err := f.run(ctx, secure, nil, 20*time.Millisecond, "", []load.Step{{For: f.span, Rate: f.rate}}, nil)
+	for _, useTLS := range []bool{false, true, false, true} {
+		deployment, _, cpu, err := f.runLoad(ctx, useTLS, nil, 20*time.Millisecond, "", []load.Step{{For: f.runDuration, Rate: f.messagesPerSecond}}, nil)
 		if err != nil {
 			return err
 		}
-		v := d.Judge(time.Now().Add(time.Hour))
-		n := 0
-		for _, c := range v.Classes {
-			n += c.Delivered
+		verdict := deployment.Judge(time.Now().Add(time.Hour))
+		delivered := 0
+		for _, c := range verdict.Classes {
+			delivered += c.Delivered
 		}
-		fmt.Fprintf(w, "| %s | %d | %.1f | %d |\n", map[bool]string{false: "plain", true: "TLS 1.3"}[secure], n, float64(cpu.Microseconds())/float64(max(n, 1)), len(v.Breaches))
+		fmt.Fprintf(w, "| %s | %d | %.1f | %d |\n", map[bool]string{false: "plain", true: "TLS 1.3"}[useTLS], delivered, float64(cpu.Microseconds())/float64(max(delivered, 1)), len(verdict.Breaches))
 	}
 	fmt.Fprintln(w)
 	return nil
 }
 
-// storms loses all connections at once, under load, with and without admission of handshakes.
-func (f *tlsFlags) storms(ctx context.Context, w io.Writer) error {
-	latency := time.Duration(float64(f.conns) / f.rate * float64(time.Second))
-	fmt.Fprintf(w, "About %d connections over TLS (calls of %v) ended at once by servers that stay up; the load goes on:\n\n", f.conns, latency.Round(time.Millisecond))
+// compareStorms loses all connections at once, under load, with and without admission of handshakes.
+func (f *tlsFlags) compareStorms(ctx context.Context, w io.Writer) error {
+	latency := time.Duration(float64(f.stormConnections) / f.messagesPerSecond * float64(time.Second))
+	fmt.Fprintf(w, "About %d connections over TLS (calls of %v) ended at once by servers that stay up; the load goes on:\n\n", f.stormConnections, latency.Round(time.Millisecond))
 	fmt.Fprintln(w, "| admission | handshakes full / resumed after it | goodput back at 90% after | lowest goodput in 100 ms | loop p99 / most ms | not connected | not delivered in aim | breaches |")
 	fmt.Fprintln(w, "|---|---|---|---|---|---|---|---|")
-	const warm = 6 * time.Second
+	const warmUp = 6 * time.Second
 	for _, admission := range []bool{false, true, false, true} {
-		text := "handshakes { core_share: 1 least_per_second: 10000 per_member: 1000 }"
+		handshakeSettings := "handshakes { core_share: 1 least_per_second: 10000 per_member: 1000 }"
 		if admission {
-			text = ""
+			handshakeSettings = ""
 		}
-		var lost time.Time
-		var full, resumed int64
-		sums := func(d *lab.Deployment) (full, resumed int64) {
+		var disconnectedAt time.Time
+		var fullBefore, resumedBefore int64
+		countHandshakes := func(d *lab.Deployment) (full, resumed int64) {
 			for _, p := range d.Partners {
 				a, b := p.Handshakes()
 				full, resumed = full+a, resumed+b
@@ -338,12 +338,12 @@
 			return full, resumed
 		}
 		done := make(chan struct{})
-		d, relay, _, err := f.run(ctx, true, []partner.Phase{{Latency: partner.Latency{Mean: latency}, Rate: 2 * f.rate}}, latency, text, []load.Step{{For: 2 * time.Second, Rate: f.rate / 2}, {For: warm + f.span, Rate: f.rate}},
+		deployment, relay, _, err := f.runLoad(ctx, true, []partner.Phase{{Latency: partner.Latency{Mean: latency}, Rate: 2 * f.messagesPerSecond}}, latency, handshakeSettings, []load.Step{{For: 2 * time.Second, Rate: f.messagesPerSecond / 2}, {For: warmUp + f.runDuration, Rate: f.messagesPerSecond}},
 			func(d *lab.Deployment) {
 				defer close(done)
-				time.Sleep(2*time.Second + warm)
-				full, resumed = sums(d)
-				lost = time.Now()
+				time.Sleep(2*time.Second + warmUp)
+				fullBefore, resumedBefore = countHandshakes(d)
+				disconnectedAt = time.Now()
 				for _, p := range d.Partners {
 					p.Recycle()
 				}
@@ -352,18 +352,18 @@
 			return err
 		}
 		<-done
-		allFull, allResumed := sums(d)
+		allFull, allResumed := countHandshakes(deployment)
 		line, _ := relay.Line("counters")
-		v := d.Judge(time.Now().Add(time.Hour))
+		verdict := deployment.Judge(time.Now().Add(time.Hour))
 		offered, inAim := 0, 0
-		for _, c := range v.Classes {
+		for _, c := range verdict.Classes {
 			offered, inAim = offered+c.Offered, inAim+c.InAim
 		}
-		after, lowest := back(d.Ledger.Delivered(lost, 100*time.Millisecond), f.rate)
-		fmt.Fprintf(w, "| %s | %d / %d | %s | %.0f%% | %.0f / %.0f | %.0f | %.1f%% | %d |\n", map[bool]string{false: "off", true: "on"}[admission], allFull-full, allResumed-resumed,
+		after, lowest := goodputRecovery(deployment.Ledger.Delivered(disconnectedAt, 100*time.Millisecond), f.messagesPerSecond)
+		fmt.Fprintf(w, "| %s | %d / %d | %s | %.0f%% | %.0f / %.0f | %.0f | %.1f%% | %d |\n", map[bool]string{false: "off", true: "on"}[admission], allFull-fullBefore, allResumed-resumedBefore,
 			after, lowest, lab.Field(line, "vitals", "loop_delay", "p99")/1e6,
-			lab.Field(line, "vitals", "loop_delay", "most")/1e6, lab.Field(line, "relay", "not_connected"), 100*float64(offered-inAim)/float64(max(offered, 1)), len(v.Breaches))
-		for i, b := range v.Breaches {
+			lab.Field(line, "vitals", "loop_delay", "most")/1e6, lab.Field(line, "relay", "not_connected"), 100*float64(offered-inAim)/float64(max(offered, 1)), len(verdict.Breaches))
+		for i, b := range verdict.Breaches {
 			if i < 3 {
 				fmt.Fprintf(w, "breach: %s: %s\n", b.Rule, b.Text)
 			}
@@ -372,11 +372,11 @@
 	return nil
 }
 
-// renewals changes roots and the client's pair over and over under load, each time with a SIGHUP: servers ask for a
+// renewCertificates changes roots and the client's pair over and over under load, each time with a SIGHUP: servers ask for a
 // certificate of ours, and a message that is lost or doubled shows in the verdict.
-func (f *tlsFlags) renewals(ctx context.Context, w io.Writer) error {
-	const rate, gap = 200, 20 * time.Millisecond
-	dir, err := scratch()
+func (f *tlsFlags) renewCertificates(ctx context.Context, w io.Writer) error {
+	const rate, interval = 200, 20 * time.Millisecond
+	dir, err := scratchDir()
 	if err != nil {
 		return err
 	}
@@ -395,17 +395,17 @@
 	}
 	pool := x509.NewCertPool()
 	pool.AddCert(root.Cert)
-	p := place(4, 512, 20*time.Millisecond)
-	for i := range p.Partners {
-		p.Partners[i].TLS = &tls.Config{Certificates: []tls.Certificate{leaf.TLS()}, ClientAuth: tls.RequireAndVerifyClientCert, ClientCAs: pool}
+	config := deploymentConfig(4, 512, 20*time.Millisecond)
+	for i := range config.Partners {
+		config.Partners[i].TLS = &tls.Config{Certificates: []tls.Certificate{leaf.TLS()}, ClientAuth: tls.RequireAndVerifyClientCert, ClientCAs: pool}
 	}
 	file := func(name string) string { return filepath.Join(dir, name) }
 	renew := func(i int) error {
-		text := root.PEM()
+		roots := root.PEM()
 		if i%2 == 1 {
-			text = append(text, next.PEM()...)
+			roots = append(roots, next.PEM()...)
 		}
-		if err := ca.Write(file("root.pem"), text, 0o644); err != nil {
+		if err := ca.Write(file("root.pem"), roots, 0o644); err != nil {
 			return err
 		}
 		pair, err := root.Issue(ca.Leaf{Names: []string{fmt.Sprint("relay ", i)}, Client: true})
@@ -417,16 +417,16 @@
 	if err := renew(0); err != nil {
 		return err
 	}
-	d, err := lab.Put(dir, p)
+	deployment, err := lab.Put(dir, config)
 	if err != nil {
 		return err
 	}
-	defer d.Close()
-	text, err := readGateway(f.gateway)
+	defer deployment.Close()
+	gatewayConfig, err := readGatewayConfig(f.gatewayPath)
 	if err != nil {
 		return err
 	}
-	relay, err := d.Relay(f.binary, []int{f.cpu}, text+fmt.Sprintf(`
+	relay, err := deployment.Relay(f.binary, []int{f.cpu}, gatewayConfig+fmt.Sprintf(`
 tls { policy { name: "bank" root_file: %q client_certificate: %q client_key: %q } }`, file("root.pem"), file("client.pem"), file("client.key")))
 	if err != nil {
 		return err
@@ -434,8 +434,8 @@
 	defer relay.Kill()
 	renewed := make(chan error, 1)
 	go func() {
-		for i := 1; i <= f.changes && ctx.Err() == nil; i++ {
-			time.Sleep(gap)
+		for i := 1; i <= f.fileChanges && ctx.Err() == nil; i++ {
+			time.Sleep(interval)
 			if err := renew(i); err != nil {
 				renewed <- err
 				return
@@ -444,9 +444,9 @@
 		}
 		renewed <- nil
 	}()
-	span := time.Duration(f.changes)*gap*6/5 + time.Second
-	if err := d.Load(ctx, load.Config{Clients: 300, Patience: 400 * time.Millisecond, Streams: streams(p, 200), Steps: []load.Step{{For: span, Rate: rate}},
-		Dests: dests(p), Seed: 11}); err != nil {
+	duration := time.Duration(f.fileChanges)*interval*6/5 + time.Second
+	if err := deployment.Load(ctx, load.Config{Clients: 300, Patience: 400 * time.Millisecond, Streams: messageStreams(config, 200), Steps: []load.Step{{For: duration, Rate: rate}},
+		Dests: destinationNumbers(config), Seed: 11}); err != nil {
 		return err
 	}
 	if err := <-renewed; err != nil {
@@ -457,19 +457,19 @@
 	}
 	line, _ := relay.Line("tls counters")
 	full, resumed := int64(0), int64(0)
-	for _, s := range d.Partners {
+	for _, s := range deployment.Partners {
 		a, b := s.Handshakes()
 		full, resumed = full+a, resumed+b
 	}
-	d.Close()
-	v := d.Judge(time.Now().Add(time.Hour))
-	taken, delivered := 0, 0
-	for _, c := range v.Classes {
-		taken, delivered = taken+c.Accepted, delivered+c.Delivered
+	deployment.Close()
+	verdict := deployment.Judge(time.Now().Add(time.Hour))
+	accepted, delivered := 0, 0
+	for _, c := range verdict.Classes {
+		accepted, delivered = accepted+c.Accepted, delivered+c.Delivered
 	}
 	fmt.Fprintf(w, "\n%d changes of roots and client's pair in %v under %d messages a second: %.0f were seen, %.0f found half done;\n%d messages taken on, %d delivered, %d handshakes in full, %d resumed, %d breaches\n",
-		f.changes, span, rate, lab.Field(line, "tls", "reloads"), lab.Field(line, "tls", "bad_reloads"), taken, delivered, full, resumed, len(v.Breaches))
-	for i, b := range v.Breaches {
+		f.fileChanges, duration, rate, lab.Field(line, "tls", "reloads"), lab.Field(line, "tls", "bad_reloads"), accepted, delivered, full, resumed, len(verdict.Breaches))
+	for i, b := range verdict.Breaches {
 		if i < 3 {
 			fmt.Fprintf(w, "breach: %s: %s\n", b.Rule, b.Text)
 		}
@@ -477,19 +477,19 @@
 	return nil
 }
 
-// back is when deliveries, counted by tenths of a second, are at nine tenths of the rate for good half a second, and how
+// goodputRecovery is when deliveries, counted by tenths of a second, are at nine tenths of the rate for good half a second, and how
 // low they were before, as a share of the rate.
-func back(byTenth []int, rate float64) (after string, lowest float64) {
-	lowest = 100
-	for i := range byTenth {
-		half := 0
-		for _, n := range byTenth[i:min(i+5, len(byTenth))] {
-			half += n
+func goodputRecovery(deliveredPerTenth []int, messagesPerSecond float64) (after string, lowestPercent float64) {
+	lowestPercent = 100
+	for i := range deliveredPerTenth {
+		halfSecondSum := 0
+		for _, n := range deliveredPerTenth[i:min(i+5, len(deliveredPerTenth))] {
+			halfSecondSum += n
 		}
-		if i > 0 && float64(half) >= 0.9*rate/2 {
-			return (time.Duration(i) * 100 * time.Millisecond).String(), lowest
+		if i > 0 && float64(halfSecondSum) >= 0.9*messagesPerSecond/2 {
+			return (time.Duration(i) * 100 * time.Millisecond).String(), lowestPercent
 		}
-		lowest = min(lowest, 100*float64(byTenth[i])/(rate/10))
+		lowestPercent = min(lowestPercent, 100*float64(deliveredPerTenth[i])/(messagesPerSecond/10))
 	}
-	return "not in the run", lowest
+	return "not in the run", lowestPercent
 }
--- a/cmd/slatelab/toy.go
+++ b/cmd/slatelab/toy.go
@@ -26,26 +26,26 @@
 until interrupted. The endpoints take a quarter of a second a call, and turn a body of "refuse" away with a wait.`,
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			l := &ledger.Ledger{}
+			events := &ledger.Ledger{}
 			var hosts []platform.Host
 			for _, name := range []string{"toy-a", "toy-b"} {
-				s, err := partner.Start(partner.Config{Name: name, Dest: 7, Addr: "127.0.0.1:0", Ledger: l, Refuse: "refuse",
+				server, err := partner.Start(partner.Config{Name: name, Dest: 7, Addr: "127.0.0.1:0", Ledger: events, Refuse: "refuse",
 					Life:   []partner.Phase{{Latency: partner.Latency{Mean: 250 * time.Millisecond}, Wait: 500 * time.Millisecond}},
 					Report: "x0=0.9,x1=20",
 					OnCall: func(c ledger.Call) { cmd.Printf("%s: %016x answered %d\n", c.Member, c.ID, c.Status) }})
 				if err != nil {
 					return err
 				}
-				defer s.Close()
-				hosts = append(hosts, platform.Host{Host: name, Dial: s.Addr(), Site: "here", Class: "partner", Block: 7, Health: "active", Share: 20})
+				defer server.Close()
+				hosts = append(hosts, platform.Host{Host: name, Dial: server.Addr(), Site: "here", Class: "partner", Block: 7, Health: "active", Share: 20})
 			}
-			p, err := platform.Start(addr, l, hosts)
+			discovery, err := platform.Start(addr, events, hosts)
 			if err != nil {
 				return err
 			}
-			defer p.Close()
-			p.OnNotice(func(n ledger.Notice) { cmd.Printf("notice: %016x %s, again in %v\n", n.ID, n.Outcome, n.RetryIn) })
-			cmd.Printf("discovery and platform at %s\n", p.Addr())
+			defer discovery.Close()
+			discovery.OnNotice(func(n ledger.Notice) { cmd.Printf("notice: %016x %s, again in %v\n", n.ID, n.Outcome, n.RetryIn) })
+			cmd.Printf("discovery and platform at %s\n", discovery.Addr())
 			<-cmd.Context().Done()
 			return nil
 		},
@@ -57,31 +57,31 @@
 // putCommand hands one message in.
 func putCommand() *cobra.Command {
 	var addr, class, tenant string
-	var left time.Duration
-	var dest int
+	var timeLeft time.Duration
+	var destination int
 	c := &cobra.Command{
 		Use:     "put BODY",
 		Short:   "Hand one message to a relay and print its answer",
 		Example: `  slatelab put "one set of winter tyres"` + "\n" + `  slatelab put --class slot-status --left 2s refuse`,
 		Args:    cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			nc, err := net.Dial("tcp", addr)
+			conn, err := net.Dial("tcp", addr)
 			if err != nil {
 				return err
 			}
-			defer nc.Close()
-			raw := make([]byte, 8)
-			_, _ = rand.Read(raw) // it never fails
-			id := hex.EncodeToString(raw)
-			text := "*5\r\n"
-			for _, arg := range []string{"MSG.PUT", "0", id, fmt.Sprintf("c=%s,t=%s,d=%d,k=%s,dest=%d", class, tenant, left.Milliseconds(), id, dest), args[0]} {
-				text += fmt.Sprintf("$%d\r\n%s\r\n", len(arg), arg)
+			defer conn.Close()
+			idBytes := make([]byte, 8)
+			_, _ = rand.Read(idBytes) // it never fails
+			id := hex.EncodeToString(idBytes)
+			request := "*5\r\n"
+			for _, arg := range []string{"MSG.PUT", "0", id, fmt.Sprintf("c=%s,t=%s,d=%d,k=%s,dest=%d", class, tenant, timeLeft.Milliseconds(), id, destination), args[0]} {
+				request += fmt.Sprintf("$%d\r\n%s\r\n", len(arg), arg)
 			}
-			if _, err := nc.Write([]byte(text)); err != nil {
+			if _, err := conn.Write([]byte(request)); err != nil {
 				return err
 			}
-			_ = nc.SetReadDeadline(time.Now().Add(5 * time.Second))
-			line, err := bufio.NewReader(nc).ReadString('\n')
+			_ = conn.SetReadDeadline(time.Now().Add(5 * time.Second))
+			line, err := bufio.NewReader(conn).ReadString('\n')
 			fmt.Fprintln(cmd.OutOrStdout(), id, strings.TrimSpace(line))
 			return err
 		},
@@ -89,7 +89,7 @@
 	c.Flags().StringVar(&addr, "to", "127.0.0.1:6379", "the relay")
 	c.Flags().StringVar(&class, "class", "order-payment", "class of the message")
 	c.Flags().StringVar(&tenant, "tenant", "acme", "its tenant")
-	c.Flags().DurationVar(&left, "left", 28*time.Second, "how long it may take")
-	c.Flags().IntVar(&dest, "dest", 7, "number of its destination")
+	c.Flags().DurationVar(&timeLeft, "left", 28*time.Second, "how long it may take")
+	c.Flags().IntVar(&destination, "dest", 7, "number of its destination")
 	return c
 }
