--- a/cmd/slatelab/capacity.go
+++ b/cmd/slatelab/capacity.go
@@ -15,15 +15,16 @@
 )
 
 const (
+	// formatTable and formatJSON are the values of --format.
 	formatTable = "table"
 	formatJSON  = "json"
-	// maxWorkers bounds the runs side by side.
+	// maxWorkers is the maximum number of runs in parallel.
 	maxWorkers = 64
-	// softMemoryLimitBytes has the collector work harder before a run takes more than the 12 GB that it may.
+	// softMemoryLimitBytes is below the 12 GB that a run may use: the garbage collector works harder before a run exceeds them.
 	softMemoryLimitBytes = 11 << 30
 )
 
-// capacityOptions are the command's flags.
+// capacityOptions holds the values of the command's flags.
 type capacityOptions struct {
 	relays       []int
 	seed         uint64
@@ -39,23 +40,24 @@
 	binary       string
 }
 
-// capacityCommand plays fleets of thousands of hollow relays.
+// capacityCommand simulates the control of fleets of up to thousands of relays in virtual time, or compares the
+// simulation with real relays.
 func capacityCommand() *cobra.Command {
 	var o capacityOptions
 	c := &cobra.Command{
 		Use:   "capacity",
-		Short: "Measure what a fleet's control costs at up to thousands of relays, in virtual time",
-		Long: `Play fleets of hollow relays in virtual time, and measure how soon all relays know a configuration change, and what the control of
-the fleet costs each relay in bytes, packets, processor time and memory. A hollow relay is the program's own code for one carrier:
+		Short: "Measure the cost of the control of a fleet of up to thousands of relays, in virtual time",
+		Long: `Simulate fleets of relays in virtual time. Measure how soon all relays know a configuration change, and what the control of the
+fleet costs each relay in bytes, packets, processor time and memory. A simulated relay runs the relay's own code for one carrier:
 
-  spread      a change is a ban that operators set at one relay, carried by internal/spread and internal/verdicts
-  configsync  a change is carried by internal/configsync
-  limits      the limits of destinations are divided by internal/allowance
-  verdicts    outages of destinations are told by internal/spread and internal/verdicts
+  spread      a change is a ban that operators set at one relay; internal/spread and internal/verdicts carry the change
+  configsync  internal/configsync carries a change
+  limits      internal/allowance divides the limits of destinations
+  verdicts    internal/spread and internal/verdicts report outages of destinations
 
-Links are modelled: regions, zones, delays and loss are the scenario's. Who is a member is told to relays by the scenario;
-memberlist, by which real relays find it out, is not played, and neither its bytes nor its processor time are in the figures.
-With --real, as many real relays run on loopback addresses instead, idle and with changes, and the simulator is compared with them.
+Links are modelled: the scenario gives regions, zones, delays and loss. The scenario also tells the relays the members of the fleet.
+Real relays find the members through memberlist, which is not simulated: the results contain neither its bytes nor its processor time.
+With --real, the given number of real relays runs on loopback addresses instead, idle and with changes, and is compared with the simulator.
 Scenarios are built in (` + strings.Join(capacity.BuiltIn(), ", ") + `)
 or files in protobuf text format (proto/slatemux/lab/v1/capacity.proto, example/capacity). Progress goes to standard error.`,
 		Example: "  slatelab capacity --relays 100,300,1000,3900 --scenario ordinary,burst --carrier spread,configsync",
@@ -64,21 +66,22 @@
 	}
 	flags := c.Flags()
 	flags.IntSliceVar(&o.relays, "relays", nil, "sizes of the fleet, instead of the scenario's")
-	flags.Uint64Var(&o.seed, "seed", 1, "seed of all chances")
+	flags.Uint64Var(&o.seed, "seed", 1, "seed of all random numbers")
 	flags.StringSliceVar(&o.scenarios, "scenario", []string{"ordinary"}, "names of built-in scenarios, or files")
-	flags.StringSliceVar(&o.carriers, "carrier", capacity.CarrierNames(), "carriers; a scenario is played with those that suit it")
-	flags.IntVar(&o.workers, "workers", 3, "runs side by side; each takes one core and some of another")
-	flags.StringVar(&o.jsonFile, "json", "", "file to which the results are also written, as lines of JSON")
-	flags.StringVar(&o.format, "format", formatTable, "of standard output: table or json")
+	flags.StringSliceVar(&o.carriers, "carrier", capacity.CarrierNames(), "carriers; a scenario runs with those that it supports")
+	flags.IntVar(&o.workers, "workers", 3, "runs in parallel; each uses one core and a part of another")
+	flags.StringVar(&o.jsonFile, "json", "", "file for the results as lines of JSON, in addition to standard output")
+	flags.StringVar(&o.format, "format", formatTable, "format of standard output: table or json")
 	flags.DurationVar(&o.length, "length", 0, "measured virtual time, instead of the scenario's")
 	flags.IntVar(&o.changes, "changes", 0, "number of changes, instead of the scenario's")
 	flags.IntVar(&o.destinations, "destinations", 0, "number of destinations, instead of the scenario's")
-	flags.IntVar(&o.realRelays, "real", 0, "start so many real relays instead, and compare the simulator with them")
-	flags.StringVar(&o.binary, "binary", "bin/slatemux", "the relay that --real starts")
+	flags.IntVar(&o.realRelays, "real", 0, "number of real relays to start instead, and to compare the simulator with")
+	flags.StringVar(&o.binary, "binary", "bin/slatemux", "relay program that --real starts")
 	c.AddCommand(capacitySlopesCommands()...)
 	return c
 }
 
+// run checks the flags, runs the chosen scenarios or real relays, and writes the results.
 func (o *capacityOptions) run(cmd *cobra.Command) error {
 	if o.format != formatTable && o.format != formatJSON {
 		return fmt.Errorf("--format: %q is neither %s nor %s", o.format, formatTable, formatJSON)
@@ -106,6 +109,7 @@
 	return err
 }
 
+// loadScenarios loads the chosen scenarios and applies the flags that override their values.
 func (o *capacityOptions) loadScenarios() (scenarios []*capacity.Scenario, err error) {
 	for _, name := range o.scenarios {
 		s, err := capacity.Load(name)
@@ -120,7 +124,7 @@
 	return scenarios, nil
 }
 
-// runJobs returns the results that there are, also with an error.
+// runJobs runs the jobs in parallel. If one fails, runJobs returns the results so far together with the error.
 func (o *capacityOptions) runJobs(cmd *cobra.Command, jobs []capacity.Job) (results []*capacity.Result, err error) {
 	started := time.Now()
 	var mu sync.Mutex
@@ -133,6 +137,7 @@
 	return results, err
 }
 
+// writeResults writes the results to standard output, and with --json also to a file.
 func (o *capacityOptions) writeResults(w io.Writer, results []*capacity.Result) error {
 	if o.jsonFile != "" {
 		if err := writeJSONFile(o.jsonFile, results); err != nil {
@@ -145,6 +150,7 @@
 	return capacity.WriteTable(w, results)
 }
 
+// writeJSONFile writes the results to a new file as lines of JSON.
 func writeJSONFile(path string, results []*capacity.Result) error {
 	file, err := os.Create(path)
 	if err != nil {
--- a/cmd/slatelab/capacity_real.go
+++ b/cmd/slatelab/capacity_real.go
@@ -11,25 +11,27 @@
 	"slatemux/internal/lab/capacity/real"
 )
 
-// How many real relays may be started, and what is done with them.
+// The number of real relays that --real accepts, and the run that they make.
 const (
-	minRealRelays       = 3
-	maxRealRelays       = 200
-	realChangeCount     = 10
-	realChangeInterval  = 2 * time.Second
+	minRealRelays = 3
+	maxRealRelays = 200
+	// realChangeCount is the number of bans in the run, and also the number of configuration entries.
+	realChangeCount    = 10
+	realChangeInterval = 2 * time.Second
+	// realIdleDuration is the time for which the relays are measured without changes.
 	realIdleDuration    = 20 * time.Second
 	realLinkDelay       = 10 * time.Millisecond
 	realLinkJitter      = 2 * time.Millisecond
 	realPacketLossShare = 0.01
 )
 
-// realComparison is what --format json and --json write of real relays.
+// realComparison is the output of --format json and --json for real relays.
 type realComparison struct {
 	Measured  *real.Result `json:"measured"`
 	Simulated *real.Model  `json:"simulated"`
 }
 
-// compareWithRealRelays starts real relays, and simulates the same fleet.
+// compareWithRealRelays runs real relays, simulates the same fleet, and writes both results.
 func (o *capacityOptions) compareWithRealRelays(cmd *cobra.Command) error {
 	if o.realRelays < minRealRelays || o.realRelays > maxRealRelays {
 		return fmt.Errorf("--real: %d is not within %d to %d", o.realRelays, minRealRelays, maxRealRelays)
--- a/cmd/slatelab/capacity_slopes.go
+++ b/cmd/slatelab/capacity_slopes.go
@@ -14,42 +14,45 @@
 	"slatemux/internal/lab/capacity/slopes"
 )
 
-// defaultSlopesCores bounds the cores that a measurement uses, for the machine is shared.
+// defaultSlopesCores is the default limit on the cores that a measurement uses, because the machine is shared with other work.
 const defaultSlopesCores = 3
 
-// stopTimeout is how long an interrupted measurement has to end by itself; what has not is left behind.
+// stopTimeout is how long the command waits for an interrupted measurement to end. After that the command returns
+// while the measurement still runs.
 const stopTimeout = 700 * time.Millisecond
 
-// capacitySlopesCommands are the commands that measure how costs grow with their size.
+// capacitySlopesCommands returns the commands that measure how costs grow with size.
 func capacitySlopesCommands() []*cobra.Command {
 	return []*cobra.Command{relaySlopesCommand(), membershipSlopesCommand()}
 }
 
-// slopesOptions are the flags that all of them have.
+// slopesOptions holds the values of the flags that all capacitySlopesCommands share.
 type slopesOptions struct {
 	cores    int
 	jsonFile string
 }
 
+// addFlags defines the shared flags on a command.
 func (o *slopesOptions) addFlags(c *cobra.Command) {
-	c.Flags().IntVar(&o.cores, "cores", defaultSlopesCores, "cores that the measurement may use")
-	c.Flags().StringVar(&o.jsonFile, "json", "", "file for the measurements and fits as lines of JSON; without it they go before the tables")
+	c.Flags().IntVar(&o.cores, "cores", defaultSlopesCores, "maximum number of cores that the measurement uses")
+	c.Flags().StringVar(&o.jsonFile, "json", "", "file for the measurements and fits as lines of JSON; without a file they are printed before the tables")
 }
 
-// measurement records into the Recorder and says what it does.
-type measurement func(ctx context.Context, to *slopes.Recorder, progress func(string)) error
+// measurement makes one kind of measurement, records the results and reports its progress.
+type measurement func(ctx context.Context, recorder *slopes.Recorder, progress func(string)) error
 
-// reportWriter writes what was recorded, as lines of JSON and as tables.
-type reportWriter func(from *slopes.Recorder, lines, tables io.Writer) error
+// reportWriter writes the recorded results as lines of JSON and as tables.
+type reportWriter func(recorder *slopes.Recorder, lines, tables io.Writer) error
 
-// run has a measurement made, and then reports written. An interrupted one is an error: its lines are those of what was measured.
+// run makes a measurement and then writes the reports. An interrupted measurement returns an error and no report; the lines of JSON that
+// were written until then stay.
 func (o *slopesOptions) run(cmd *cobra.Command, measure measurement, reports ...reportWriter) error {
 	if o.cores < 1 {
-		return fmt.Errorf("%s: %d cores make no sense", cmd.Name(), o.cores)
+		return fmt.Errorf("%s: --cores: %d cores are fewer than 1", cmd.Name(), o.cores)
 	}
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(o.cores))
 	defer slog.SetDefault(slog.Default())
-	slog.SetDefault(slog.New(slog.DiscardHandler)) // what the measured relay logs is not asked for
+	slog.SetDefault(slog.New(slog.DiscardHandler)) // the log of the measured relay is not part of the output
 	var lines io.Writer = cmd.OutOrStdout()
 	if o.jsonFile != "" {
 		file, err := os.Create(o.jsonFile)
@@ -84,19 +87,20 @@
 	case <-done:
 	case <-time.After(stopTimeout):
 	}
-	return fmt.Errorf("interrupted: the measurement is not complete: %w", ctx.Err())
+	return fmt.Errorf("measurement interrupted before its end: %w", ctx.Err())
 }
 
+// relaySlopesCommand measures one relay at growing numbers of destinations and of queued messages.
 func relaySlopesCommand() *cobra.Command {
 	var options slopesOptions
 	plan := slopes.RelayPlan{Span: slopes.DefaultSpan}
 	c := &cobra.Command{
 		Use:   "relay",
-		Short: "Measure what one relay costs, by the number of destinations and of held messages",
-		Long: `Measure memory, processor time, journal and restart of one relay in this process, without sockets: against the number of
-destinations that discovery lists, and against the number of messages held for destinations that are down. A curve is fitted to
-each cost and extended to the planned sizes. Processor time is that of the process or of the relay's thread, so that other
-work on the machine counts as little as possible.`,
+		Short: "Measure the costs of one relay by the number of destinations and of queued messages",
+		Long: `Measure memory, processor time, journal and restart of one relay in this process, without sockets. The sizes that vary are the
+number of destinations in discovery's list and the number of messages queued for destinations that are down. A curve is fitted to
+each cost and extrapolated to the planned sizes. Processor time is that of the process or of the relay's thread, so that other
+work on the machine has as little influence as possible.`,
 		Example: "  slatelab capacity relay --destinations 1000,3000,10000,30000 --held 1000,3000,10000,30000 --seed 1",
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
@@ -116,23 +120,24 @@
 		},
 	}
 	c.Flags().IntSliceVar(&plan.Destinations, "destinations", []int{1000, 3000, 10_000, 30_000, 100_000, 330_000}, "sizes of discovery's list")
-	c.Flags().IntSliceVar(&plan.Held, "held", []int{1000, 3000, 10_000, 30_000, 100_000}, "numbers of held messages")
-	c.Flags().IntVar(&plan.HeldOver, "held-over", 10_000, "destinations while the held messages vary")
-	c.Flags().DurationVar(&plan.Span, "span", slopes.DefaultSpan, "how long each measurement in real time takes")
-	c.Flags().Int64Var(&plan.Seed, "seed", 1, "seed of the module's chance")
+	c.Flags().IntSliceVar(&plan.Held, "held", []int{1000, 3000, 10_000, 30_000, 100_000}, "numbers of queued messages")
+	c.Flags().IntVar(&plan.HeldOver, "held-over", 10_000, "number of destinations while the number of queued messages varies")
+	c.Flags().DurationVar(&plan.Span, "span", slopes.DefaultSpan, "duration of each measurement in real time")
+	c.Flags().Int64Var(&plan.Seed, "seed", 1, "seed of the decision module's random numbers")
 	options.addFlags(c)
 	return c
 }
 
+// membershipSlopesCommand measures the membership protocol at growing numbers of relays.
 func membershipSlopesCommand() *cobra.Command {
 	var options slopesOptions
 	plan := slopes.DefaultMembership
 	c := &cobra.Command{
 		Use:   "membership",
-		Short: "Measure what the membership of many relays costs, by their number",
-		Long: `Run many members of the relays' membership in this process, over a network in memory, in real time and with the configuration
-that the program gives memberlist: all start at once, rest, one joins, one fails, a zone fails. Bytes are those of packets and
-streams without the headers of UDP and TCP. A curve is fitted to each cost and extended to the planned number.`,
+		Short: "Measure the costs of the membership protocol by the number of relays",
+		Long: `Run many memberlist members in this process, over a network in memory, in real time, with the relay's memberlist configuration.
+All members start together and are idle for a while; then one joins, one fails, and a zone fails. Bytes are those of packets and
+streams without UDP and TCP headers. A curve is fitted to each cost and extrapolated to the planned number.`,
 		Example: "  slatelab capacity membership --relays 50,100,200,400",
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
@@ -146,14 +151,14 @@
 		},
 	}
 	c.Flags().IntSliceVar(&plan.Relays, "relays", []int{50, 100, 200, 400, 800}, "numbers of members")
-	c.Flags().IntSliceVar(&plan.FullStates, "full-states", []int{50, 100, 200, 400, 800, 1600, 3900}, "numbers of members whose full exchange is measured")
-	c.Flags().IntSliceVar(&plan.Fleets, "fleets", nil, "numbers of the program's whole fleet parts that are run on loopback sockets, too")
-	c.Flags().DurationVar(&plan.Idle, "idle", plan.Idle, "how long members are watched while nothing happens")
-	c.Flags().DurationVar(&plan.Start, "start", plan.Start, "time over which all members start")
-	c.Flags().DurationVar(&plan.Settle, "settle", plan.Settle, "rest before that")
-	c.Flags().DurationVar(&plan.Patience, "patience", plan.Patience, "how long a change may take until all know of it")
-	c.Flags().DurationVar(&plan.Delay, "delay", plan.Delay, "mean time of a packet, one way")
-	c.Flags().Float64Var(&plan.Loss, "loss", plan.Loss, "share of packets that are lost")
+	c.Flags().IntSliceVar(&plan.FullStates, "full-states", []int{50, 100, 200, 400, 800, 1600, 3900}, "numbers of members at which one exchange of full states is measured")
+	c.Flags().IntSliceVar(&plan.Fleets, "fleets", nil, "numbers of relays whose complete fleet part also runs on loopback sockets; none by default")
+	c.Flags().DurationVar(&plan.Idle, "idle", plan.Idle, "duration of the measurement of idle members")
+	c.Flags().DurationVar(&plan.Start, "start", plan.Start, "time within which all members start")
+	c.Flags().DurationVar(&plan.Settle, "settle", plan.Settle, "pause before the idle members are measured")
+	c.Flags().DurationVar(&plan.Patience, "patience", plan.Patience, "maximum time until all members know of a change")
+	c.Flags().DurationVar(&plan.Delay, "delay", plan.Delay, "mean one-way delay of a packet")
+	c.Flags().Float64Var(&plan.Loss, "loss", plan.Loss, "share of packets that are lost, 0 to 0.9")
 	options.addFlags(c)
 	return c
 }
--- a/cmd/slatelab/capacity_slopes_test.go
+++ b/cmd/slatelab/capacity_slopes_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// runCommand runs a command of slatelab and returns what it wrote.
+// runCommand runs a command of slatelab and returns its standard output.
 func runCommand(ctx context.Context, args ...string) (string, error) {
 	var out, progress bytes.Buffer
 	root := rootCommand()
@@ -19,7 +19,8 @@
 	return out.String(), err
 }
 
-// TestSlopesRejectInvalidArguments wants flags and sizes that make no sense to be told.
+// TestSlopesRejectInvalidArguments checks that unknown flags and impossible sizes are rejected with an error that names the problem,
+// before a measurement starts.
 func TestSlopesRejectInvalidArguments(t *testing.T) {
 	for _, c := range []struct{ args, want string }{
 		{"capacity relay --destinations 0,1,2,3", "a size of 0"},
@@ -40,7 +41,7 @@
 	}
 }
 
-// TestRelaySlopesOutput runs the command at small sizes.
+// TestRelaySlopesOutput runs the command at small sizes and checks that measurements, extrapolations and bounds are printed.
 func TestRelaySlopesOutput(t *testing.T) {
 	out, err := runCommand(t.Context(), "capacity", "relay", "--destinations", "20,40,60,80", "--held", "20,40,60,80", "--held-over", "20", "--span", "20ms")
 	if err != nil {
@@ -53,7 +54,8 @@
 	}
 }
 
-// TestSlopesStopOnInterrupt wants both commands to end within a second of an interrupt.
+// TestSlopesStopOnInterrupt checks that both commands end within one second of an interrupt that comes while a
+// measurement runs.
 func TestSlopesStopOnInterrupt(t *testing.T) {
 	for _, name := range []string{"relay", "membership"} {
 		ctx, cancel := context.WithCancel(t.Context())
--- a/cmd/slatelab/connections.go
+++ b/cmd/slatelab/connections.go
@@ -28,44 +28,51 @@
 	"slatemux/internal/traffic"
 )
 
-// maxIdle is what all pools are told that servers let a connection idle; callMost is the time that a call has.
-const maxIdle, callTimeout = 5 * time.Second, 600 * time.Millisecond
+const (
+	// maxIdle is the time for which servers keep an idle connection, as configured in all pools.
+	maxIdle = 5 * time.Second
+	// callTimeout is the time from the start of a call to its deadline.
+	callTimeout = 600 * time.Millisecond
+)
 
+// connectionsCommand compares the relay's connection pool with two other pools.
 func connectionsCommand() *cobra.Command {
 	var duration time.Duration
 	var callsPerSecond float64
 	var serverNames []string
 	c := &cobra.Command{
 		Use:   "connections",
-		Short: "Compare the keeper of connections with a newest-first pool and with net/http's",
-		Long: `Run the same calls through three pools, one after another: the relay's own, one that uses the newest idle connection
-and closes it at nine tenths of a fixed limit, and net/http.Transport with that limit. Servers keep connections as scripts
-say: steadily, or dropping idle ones unseen after a time that changes twice, and so on. Calls come in bursts behind gaps,
-and each burst begins with a clump. Reported are the calls that failed, the connections opened per thousand calls, the
-latency of a clump's first call beside all others', the connections held, and the processor time per call, servers included.`,
+		Short: "Compare the relay's connection pool with a newest-first pool and with that of net/http",
+		Long: `Run the same calls through three pools, one after another: the relay's own pool ("keeper"), a pool that uses the newest idle
+connection and closes a connection that was idle for nine tenths of a fixed limit, and net/http.Transport with that limit. Each
+server follows a script: it keeps connections, or drops idle connections without notice after a time that changes twice, and so on.
+Calls come in bursts with gaps between them, and each burst begins with a batch of simultaneous calls. The table shows the failed
+calls, the connections opened per thousand calls, the latency of the first call of a batch and of the calls after the batch,
+the open connections, and the processor time per call, servers included.`,
 		Example: "  slatelab connections --for 40s",
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if duration < time.Second || callsPerSecond < 1 || callsPerSecond > 5000 {
-				return fmt.Errorf("connections: --for %v or --rate %v makes no sense", duration, callsPerSecond)
+				return fmt.Errorf("connections: --for %v is below 1s, or --rate %v is not within 1 to 5000", duration, callsPerSecond)
 			}
 			slog.SetLogLoggerLevel(slog.LevelError)
 			return compareConnections(cmd.Context(), cmd.OutOrStdout(), duration, callsPerSecond, serverNames)
 		},
 	}
-	c.Flags().DurationVar(&duration, "for", 40*time.Second, "how long each pool runs")
-	c.Flags().Float64Var(&callsPerSecond, "rate", 900, "calls a second to each server during a burst")
-	c.Flags().StringSliceVar(&serverNames, "server", nil, "these servers alone")
+	c.Flags().DurationVar(&duration, "for", 40*time.Second, "duration of each pool's run")
+	c.Flags().Float64Var(&callsPerSecond, "rate", 900, "calls per second to each server during a burst")
+	c.Flags().StringSliceVar(&serverNames, "server", nil, "names of the servers to use; all by default")
 	return c
 }
 
-// connectionPool makes one call by the deadline; an error is a call without a 200.
+// connectionPool makes calls over connections that it reuses.
 type connectionPool interface {
+	// call makes one call before the deadline. It returns an error unless the answer has status 200.
 	call(ctx context.Context, addr string, body []byte, deadline time.Time) error
 	close()
 }
 
-// serverScripts are the servers: what each does in each third of the time.
+// serverScripts returns the names of the servers, and each server's behavior in the three thirds of a run.
 func serverScripts() (names []string, all map[string][3]scripted.Script) {
 	const service, connect = 5 * time.Millisecond, 10 * time.Millisecond
 	with := func(change func(*scripted.Script)) scripted.Script {
@@ -93,21 +100,23 @@
 	}
 }
 
-// serverResult is what came of one pool's calls to one server.
+// serverResult holds the results of one pool's calls to one server.
 type serverResult struct {
-	mu                      sync.Mutex
-	calls, failed           int64
-	firstMillis, warmMillis []float64 // milliseconds: a clump's first call, and all that come neither there nor in a clump
-	meanHeld                float64   // connections, mean
-	serverCounters          scripted.Counters
+	mu             sync.Mutex
+	calls, failed  int64
+	firstMillis    []float64 // latencies of the first call of each batch, except the first batch of the run
+	warmMillis     []float64 // latencies of the calls after a batch
+	meanHeld       float64   // mean number of open connections at the start of a burst
+	serverCounters scripted.Counters
 }
 
+// compareConnections runs the pools one after another against the selected servers, or all, and prints a table.
 func compareConnections(ctx context.Context, out io.Writer, duration time.Duration, callsPerSecond float64, selected []string) error {
 	names, all := serverScripts()
 	if len(selected) > 0 {
 		for _, name := range selected {
 			if _, ok := all[name]; !ok {
-				return fmt.Errorf("connections: there is no server %q; there are %s", name, strings.Join(names, ", "))
+				return fmt.Errorf("connections: server %q does not exist; the servers are %s", name, strings.Join(names, ", "))
 			}
 		}
 		names = selected
@@ -145,8 +154,9 @@
 		for _, name := range names {
 			result := results[name]
 			calls, failed = calls+result.calls, failed+result.failed
-			fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%.3f\t%.1f\t%.1f\t%.1f\t%.1f\t%d\t\n", candidate.name, name, result.calls, result.failed, 100*float64(result.failed)/float64(max(result.calls, 1)),
-				1000*float64(result.serverCounters.Accepted)/float64(max(result.calls, 1)), p99(result.firstMillis), p99(result.warmMillis), result.meanHeld, result.serverCounters.Most)
+			fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%.3f\t%.1f\t%.1f\t%.1f\t%.1f\t%d\t\n", candidate.name, name, result.calls, result.failed,
+				100*float64(result.failed)/float64(max(result.calls, 1)), 1000*float64(result.serverCounters.Accepted)/float64(max(result.calls, 1)),
+				p99(result.firstMillis), p99(result.warmMillis), result.meanHeld, result.serverCounters.Most)
 			servers[name].Stop()
 		}
 		fmt.Fprintf(w, "%s\tall\t%d\t%d\t%.3f\t\t\t\t\t%.1f us/call\t\n", candidate.name, calls, failed, 100*float64(failed)/float64(max(calls, 1)),
@@ -163,12 +173,14 @@
 	return w.Flush()
 }
 
+// processCPUTime returns the user and system time that this process has used.
 func processCPUTime() time.Duration {
 	var u unix.Rusage
 	_ = unix.Getrusage(unix.RUSAGE_SELF, &u)
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
+// p99 sorts the list and returns its 99th percentile, or NaN for an empty list.
 func p99(list []float64) float64 {
 	if len(list) == 0 {
 		return math.NaN()
@@ -177,30 +189,32 @@
 	return list[min(len(list)*99/100, len(list)-1)]
 }
 
-// runCalls makes one server's calls: bursts behind gaps of 5 ms to 1.5 s, evenly by their logarithm, each led by a clump.
-func (t *serverResult) runCalls(ctx context.Context, pool connectionPool, server *scripted.Server, script [3]scripted.Script, duration time.Duration, callsPerSecond float64, seed uint64) {
+// runCalls makes the calls to one server. Gaps of 5 ms to 1.5 s, with evenly distributed logarithms, separate the bursts. Each burst
+// begins with a batch of simultaneous calls.
+func (t *serverResult) runCalls(ctx context.Context, pool connectionPool, server *scripted.Server, script [3]scripted.Script, duration time.Duration,
+	callsPerSecond float64, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 3))
 	body := make([]byte, 200)
 	if script[0].End == scripted.Vanish {
-		body = make([]byte, 16<<10) // more than the server's kernel takes unread
+		body = make([]byte, 16<<10) // more than the receive buffer of a server that no longer reads can hold
 	}
 	batch := 10
 	if script[0].Cap > 0 {
-		batch, callsPerSecond = script[0].Cap, min(callsPerSecond/3, 400) // half of what it can take
+		batch, callsPerSecond = script[0].Cap, min(callsPerSecond/3, 400) // half of the server's capacity
 	}
 	var calls sync.WaitGroup
 	call := func(latencies *[]float64) {
 		calls.Go(func() {
 			started := time.Now()
 			err := pool.call(ctx, server.Addr(), body, started.Add(callTimeout))
-			millis := float64(time.Since(started).Microseconds()) / 1000
+			latencyMillis := float64(time.Since(started).Microseconds()) / 1000
 			t.mu.Lock()
 			defer t.mu.Unlock()
 			t.calls++
 			if err != nil {
 				t.failed++
 			} else if latencies != nil {
-				*latencies = append(*latencies, millis)
+				*latencies = append(*latencies, latencyMillis)
 			}
 		})
 	}
@@ -216,7 +230,7 @@
 		heldSum += float64(server.Open())
 		samples++
 		if samples == 1 {
-			call(nil) // nothing can be known before the very first
+			call(nil) // not measured: before the first call of all, no pool knows anything about the server
 		} else {
 			call(&t.firstMillis)
 		}
@@ -234,14 +248,14 @@
 	t.meanHeld, t.serverCounters = heldSum/float64(max(samples, 1)), server.Counters()
 }
 
-// relayPool is the relay's own.
+// relayPool makes calls through the relay's own flow manager and connection pool.
 type relayPool struct {
 	manager     *flow.Manager
-	pendingEnds sync.Map // of id: chan traffic.FlowEnd
+	pendingEnds sync.Map // channel (chan traffic.FlowEnd) of each pending flow, by flow ID
 	lastID      atomic.Int64
 	stop        context.CancelFunc
-	namesByAddr map[string]string // name by address
-	states      []conns.State
+	namesByAddr map[string]string
+	states      []conns.State // of the connections when the pool was closed
 }
 
 func newRelayPool(addrs map[string]string) (connectionPool, error) {
@@ -249,9 +263,10 @@
 	cfg := conns.Defaults()
 	cfg.Most, cfg.IdleMost, cfg.Ahead = 500, maxIdle, true
 	var err error
-	pool.manager, err = flow.New(flow.Config{ConnectWithin: time.Second, MostFlows: 10_000, Conns: cfg, StuckAfter: 300 * time.Millisecond}, func(e traffic.FlowEnd) {
-		end, _ := pool.pendingEnds.LoadAndDelete(e.ID)
-		end.(chan traffic.FlowEnd) <- e
+	pool.manager, err = flow.New(flow.Config{ConnectWithin: time.Second, MostFlows: 10_000, Conns: cfg,
+		StuckAfter: 300 * time.Millisecond}, func(flowEnd traffic.FlowEnd) {
+		end, _ := pool.pendingEnds.LoadAndDelete(flowEnd.ID)
+		end.(chan traffic.FlowEnd) <- flowEnd
 	})
 	if err != nil {
 		return nil, err
@@ -273,9 +288,11 @@
 		end := make(chan traffic.FlowEnd, 1)
 		id := fmt.Sprint(k.lastID.Add(1))
 		k.pendingEnds.Store(id, end)
-		k.manager.Start(traffic.Flow{ID: id, Member: k.namesByAddr[addr], Group: traffic.Group{Member: addr}, Body: body, Begun: time.Now(), Deadline: deadline})
+		k.manager.Start(traffic.Flow{ID: id, Member: k.namesByAddr[addr], Group: traffic.Group{Member: addr}, Body: body, Begun: time.Now(),
+			Deadline: deadline})
 		result := <-end
-		if result.Status == traffic.Unsent && time.Now().Before(deadline) { // held back, and not sent: the decision module would send it again
+		if result.Status == traffic.Unsent && time.Now().Before(deadline) {
+			// The flow manager did not send the call; the relay's decision module would retry it.
 			continue
 		}
 		if result.Status != traffic.Delivered {
@@ -291,7 +308,8 @@
 	k.manager.FreeIdle(true)
 }
 
-// httpTransport is net/http's. A call bears no Idempotency-Key, so that it does not go out again by itself once it may have run.
+// httpTransport makes calls through net/http.Transport. Calls have no Idempotency-Key header: with one, net/http would retry a call on its
+// own although the server may already have run it.
 type httpTransport struct{ t *http.Transport }
 
 func newHTTPTransport(map[string]string) (connectionPool, error) {
@@ -315,28 +333,32 @@
 
 func (t *httpTransport) close() { t.t.CloseIdleConnections() }
 
-// newestFirstPool is a pool that uses the newest idle connection, and closes one at nine tenths of a fixed limit, as the relay did.
+// newestFirstPool uses the newest idle connection and closes a connection that was idle for nine tenths of maxIdle, as the relay's former
+// pool did.
 type newestFirstPool struct {
 	mu   sync.Mutex
 	idle map[string][]*newestFirstConn
 }
 
+// newestFirstConn is one connection with at most one pending call.
 type newestFirstConn struct {
 	nc        net.Conn
 	idleSince time.Time
 	calls     chan *newestFirstCall
-	closed    chan struct{}
+	closed    chan struct{} // closed when the reader has ended
 }
 
+// newestFirstCall is one call that waits for its response.
 type newestFirstCall struct {
 	resp     http1.Response
-	complete chan bool
+	complete chan bool // whether the response arrived in full
 }
 
 func newNewestFirstPool(map[string]string) (connectionPool, error) {
 	return &newestFirstPool{idle: map[string][]*newestFirstConn{}}, nil
 }
 
+// takeIdle returns the newest usable idle connection to addr, or nil, and closes the expired ones that it passes.
 func (p *newestFirstPool) takeIdle(addr string) *newestFirstConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -375,7 +397,7 @@
 	complete := false
 	select {
 	case complete = <-call.complete:
-	case <-c.closed: // its reader may have ended before it saw the call
+	case <-c.closed: // the reader may have ended before it received the call, or just after it reported the call's end
 		select {
 		case complete = <-call.complete:
 		default:
@@ -392,6 +414,7 @@
 	return nil
 }
 
+// readResponses reads until the connection ends, and reports the end of each call. Data without a pending call also ends the reader.
 func (c *newestFirstConn) readResponses() {
 	defer close(c.closed)
 	buf := make([]byte, 4096)
--- a/cmd/slatelab/fleet_counters.go
+++ b/cmd/slatelab/fleet_counters.go
@@ -15,29 +15,30 @@
 	"github.com/spf13/cobra"
 )
 
-// defaultFleetCounters is what shows a herd: what comes in, how calls end, what is opened, and calls for the list.
+// defaultFleetCounters are the counters that show many relays acting at the same time (thundering herd): submitted messages, how flows
+// end, opened connections, and requests for discovery's list.
 var defaultFleetCounters = []string{"relay.handed_in", "relay.taken_on", "relay.refused", "relay.handed_back", "relay.flows", "relay.delivered",
 	"relay.turned_away", "relay.not_connected", "relay.broken", "relay.out_of_time", "connections.opened", "connections.failed", "pool.asked",
 	"pool.refused", "pool.entries", "notices.again"}
 
-// fleetCommand sums the counters of many relays on one time line.
+// fleetCommand sums the counters of many relays by interval of time.
 func fleetCommand() *cobra.Command {
 	var counters []string
 	var interval time.Duration
 	c := &cobra.Command{
 		Use:   "fleet FOLDER",
-		Short: "Sum the counters in the logs of many relays, by time",
-		Long: `Read the logs (*.log) of relays that ran with --counters-every, as text, and print by how much each counter of the whole
-fleet grew in each span of time. A restart begins the counters of its relay anew. What stands in front of a line is passed over.`,
+		Short: "Sum the counters in the logs of many relays by time",
+		Long: `Read the logs (*.log, in text format) of relays that ran with --counters-every, and print the increase of each counter over the
+whole fleet for each interval of time. After a restart, the counters of a relay begin at 0 again. Text before a log line is ignored.`,
 		Example: "  slatelab fleet logs --span 1s --counters relay.flows,relay.turned_away,pool.asked",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if interval <= 0 {
-				return fmt.Errorf("fleet: a span of %v", interval)
+				return fmt.Errorf("fleet: --span %v is not above 0", interval)
 			}
 			logs, err := filepath.Glob(filepath.Join(args[0], "*.log"))
 			if err != nil || len(logs) == 0 {
-				return fmt.Errorf("fleet: no *.log in %s", args[0])
+				return fmt.Errorf("fleet: there is no *.log file in %s", args[0])
 			}
 			increases := counterIncreases{interval: interval, byInterval: map[int64]map[string]int64{}}
 			for _, path := range logs {
@@ -52,23 +53,25 @@
 				}
 			}
 			if len(increases.byInterval) == 0 {
-				return fmt.Errorf("fleet: no counters in %d logs: the relays need --counters-every", len(logs))
+				return fmt.Errorf("fleet: %d log files contain no counters: start the relays with --counters-every", len(logs))
 			}
 			return increases.writeTable(cmd.OutOrStdout(), counters)
 		},
 	}
 	c.Flags().StringSliceVar(&counters, "counters", defaultFleetCounters, "which counters")
-	c.Flags().DurationVar(&interval, "span", time.Second, "length of a row")
+	c.Flags().DurationVar(&interval, "span", time.Second, "interval of time that one row covers")
 	return c
 }
 
-// counterIncreases is what counters grew by, by span of time and name.
+// counterIncreases holds the increases of counters over all relays, by interval of time and by counter name.
 type counterIncreases struct {
-	interval   time.Duration
+	interval time.Duration
+	// byInterval has as its first key the time since 1970 divided by the interval.
 	byInterval map[int64]map[string]int64
 }
 
-// addLog takes one relay's log in.
+// addLog adds the counter increases in one relay's log. A line "started" resets the last values, because the counters of a restarted
+// relay begin at 0.
 func (f *counterIncreases) addLog(log io.Reader) error {
 	lastValues := map[string]int64{}
 	lines := bufio.NewScanner(log)
@@ -105,7 +108,7 @@
 	return lines.Err()
 }
 
-// writeTable writes a row for each span, from the first with counters on.
+// writeTable writes one row for each interval that has counters. Times count from the first such interval.
 func (f *counterIncreases) writeTable(w io.Writer, names []string) error {
 	var rows []int64
 	for row := range f.byInterval {
--- a/cmd/slatelab/fleet_counters_test.go
+++ b/cmd/slatelab/fleet_counters_test.go
@@ -8,7 +8,8 @@
 	"testing"
 )
 
-// Counters are summed over relays, by time, and a restart does not count backwards.
+// TestFleetCountersSumRelaysAndRestarts checks that counters are summed over relays by time. A restart resets a relay's counters to 0;
+// the lower values after a restart must not count as negative increases.
 func TestFleetCountersSumRelaysAndRestarts(t *testing.T) {
 	dir := t.TempDir()
 	for name, text := range map[string]string{
@@ -36,10 +37,10 @@
 	if want := "from relay.flows pool.asked 0s 15 4 1s 4 0 2s 2 1"; err != nil || got != want {
 		t.Errorf("%q, %v, want %q", got, err, want)
 	}
-	if _, err := run(t.TempDir()); err == nil || !strings.Contains(err.Error(), "no *.log") {
-		t.Errorf("an empty folder: %v", err)
+	if _, err := run(t.TempDir()); err == nil || !strings.Contains(err.Error(), "no *.log file in") {
+		t.Errorf("a folder without logs: %v", err)
 	}
 	if _, err := run(dir, "--span", "0s"); err == nil {
-		t.Error("a span of nought")
+		t.Error("a span of 0 is accepted")
 	}
 }
--- a/cmd/slatelab/fleet_faults.go
+++ b/cmd/slatelab/fleet_faults.go
@@ -10,7 +10,7 @@
 	"slatemux/internal/lab/fleets"
 )
 
-// faultsCommand plays a scenario of many real relays with faults between them.
+// faultsCommand runs a scenario of many real relays with faults on the links between processes.
 func faultsCommand() *cobra.Command {
 	var binary string
 	var withoutFleet, quiet, showConnections bool
@@ -18,11 +18,11 @@
 	var seed uint64
 	c := &cobra.Command{
 		Use:   "fleet-faults SCENARIO",
-		Short: "Run a fleet of real relays with faults on the links between them",
-		Long: `Start the relays of a scenario (protobuf text format, proto/slatemux/lab/v1/fleet.proto) round stand-in partners, with a
-fault injector on every link between processes, let its timeline of faults happen under its load, and judge every message
-over the whole fleet. Each second a line tells what relays hold of each other's word, beside what is so. Exit code 1 if a
-rule was broken. Nothing leaves the loopback addresses.`,
+		Short: "Run a fleet of real relays with faults on the links between processes",
+		Long: `Start the relays of a scenario (protobuf text format, proto/slatemux/lab/v1/fleet.proto) together with stand-in partners and a
+fault injector on every link between processes. Run the scenario's timeline of faults under the scenario's load, then check
+the outcome of every message over the whole fleet. Once per second, a line compares what relays report about each partner
+with the partner's actual state. The exit code is 1 if a rule is broken. All traffic stays on loopback addresses.`,
 		Example: "  slatelab fleet-faults example/faults/outage.textproto --binary bin/slatemux",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -95,16 +95,16 @@
 				}
 			}
 			if n := len(report.Verdict.Breaches); n > 0 {
-				return fmt.Errorf("%d rules broken", n)
+				return fmt.Errorf("fleet-faults: %d rules are broken", n)
 			}
 			return nil
 		},
 	}
-	c.Flags().StringVar(&binary, "binary", "bin/slatemux", "the relay that is run")
-	c.Flags().BoolVar(&withoutFleet, "alone", false, "run every relay without its fleet part, to compare")
-	c.Flags().BoolVar(&quiet, "quiet", false, "print the report alone")
-	c.Flags().BoolVar(&showConnections, "tries", false, "also print the connections that relays asked for, on a time line")
-	c.Flags().IntVar(&relays, "relays", 0, "how many relays, instead of the scenario's")
-	c.Flags().Uint64Var(&seed, "seed", 0, "the seed, instead of the scenario's")
+	c.Flags().StringVar(&binary, "binary", "bin/slatemux", "relay program to run")
+	c.Flags().BoolVar(&withoutFleet, "alone", false, "run every relay without its fleet part, for comparison")
+	c.Flags().BoolVar(&quiet, "quiet", false, "print only the report")
+	c.Flags().BoolVar(&showConnections, "tries", false, "also print the number of connections that each relay asked for, by quarter of a second")
+	c.Flags().IntVar(&relays, "relays", 0, "number of relays, instead of the scenario's; 0 to keep it")
+	c.Flags().Uint64Var(&seed, "seed", 0, "seed, instead of the scenario's; 0 to keep it")
 	return c
 }
--- a/cmd/slatelab/fleet_limits.go
+++ b/cmd/slatelab/fleet_limits.go
@@ -14,53 +14,54 @@
 )
 
 const (
-	// limitCallsPerSecondPerRelay is the destination's limit, in calls a second of each relay of the fleet.
+	// limitCallsPerSecondPerRelay is the destination's limit in calls per second for each relay of the fleet.
 	limitCallsPerSecondPerRelay = 4
-	// measuredDuration is how long the relays are measured.
+	// measuredDuration is the virtual time for which the relays are measured.
 	measuredDuration = 10 * time.Second
 	// callLevel is the priority level of all calls.
 	callLevel = 1
 )
 
-// limitsCommand simulates the division of a limit among many relays in virtual time.
+// limitsCommand simulates in virtual time how the limit of a destination is divided among many relays.
 func limitsCommand() *cobra.Command {
 	var relays []int
 	var lossShare float64
 	var seeds int
 	c := &cobra.Command{
 		Use:   "fleet-limits",
-		Short: "Play the dividing of a partner's limit among many relays in virtual time",
-		Long: `Divide a limit of four calls a second and relay among relays whose load is even, or half of it at one of them, or at a tenth of them
-alone. The allocators are the program's, the links and the loads are modelled. The table tells how much of the limit or of the demand is
-used (and would be with even shares), what the loaded relay and the others get of what they have, the most that was in force at once,
-the use in the second after the first when the limit has doubled, and what it costs.`,
+		Short: "Simulate how the limit of a partner is divided among many relays, in virtual time",
+		Long: `Divide a limit of four calls per second per relay among the relays of a fleet. The load is even, or half of it is at one relay, or
+all of it is at a tenth of the relays. The allocators are the relay's own code; links and loads are modelled. The table shows
+which share of the limit or of the demand is used (and would be used with even shares), which share of their load the first relay and
+the other relays serve, the highest sum of rates in force at once, the share that is used from 1 s to 2 s after the limit has
+doubled, and the cost in bytes and processor time.`,
 		Example: "  slatelab fleet-limits --relays 60,300 --seeds 2",
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if lossShare < 0 || lossShare > 0.9 || seeds < 1 || seeds > 100 || slices.Min(relays) < 3 {
-				return fmt.Errorf("fleet-limits: a loss of %v, %d seeds or fewer than 3 relays make no sense", lossShare, seeds)
+				return fmt.Errorf("fleet-limits: --loss %v is not within 0 to 0.9, or --seeds %d is not within 1 to 100, or --relays has a size below 3", lossShare, seeds)
 			}
 			return limitsTable(cmd.OutOrStdout(), relays, lossShare, seeds)
 		},
 	}
 	c.Flags().IntSliceVar(&relays, "relays", []int{8, 60, 300, 1000}, "sizes of the fleet")
-	c.Flags().Float64Var(&lossShare, "loss", 0.01, "share of packets between relays that are lost")
-	c.Flags().IntVar(&seeds, "seeds", 2, "runs of each")
+	c.Flags().Float64Var(&lossShare, "loss", 0.01, "share of packets between relays that are lost, 0 to 0.9")
+	c.Flags().IntVar(&seeds, "seeds", 2, "runs, each with another seed, for each row of the table")
 	return c
 }
 
-// limitsLoad is how the load is distributed over the relays.
+// limitsLoad describes how the load is distributed over the relays.
 type limitsLoad struct {
 	name string
-	// total is the load of all relays, as a share of the limit.
+	// totalShare is the load of all relays together, as a share of the limit.
 	totalShare float64
-	// hot is the first relay's share of the load.
+	// firstRelayShare is the first relay's share of the load.
 	firstRelayShare float64
-	// loaded is the share of the other relays that have the rest.
+	// loadedShare is the share of the relays that have load. The loaded relays other than the first divide the rest of the load evenly.
 	loadedShare float64
 }
 
-// limitsLoads are the loads of a fleet of so many relays.
+// limitsLoads returns the loads that are simulated for a fleet of the given number of relays.
 func limitsLoads(relays int) []limitsLoad {
 	n := float64(relays)
 	return []limitsLoad{
@@ -71,7 +72,7 @@
 	}
 }
 
-// rates returns the load of each relay, in calls a second.
+// rates returns the load of each relay in calls per second, by the relay's index.
 func (l *limitsLoad) rates(relays int) func(relay int) float64 {
 	load := l.totalShare * limitCallsPerSecondPerRelay * float64(relays)
 	others := max(int(l.loadedShare*float64(relays))-1, 1)
@@ -87,20 +88,20 @@
 	}
 }
 
-// limitsResult is the result of one run, or the sum or maximum over several.
+// limitsResult holds the results of one run, or the sums or maxima over several runs.
 type limitsResult struct {
-	utilization              float64 // calls made, as a share of what could be made
-	evenShareUtilization     float64 // the same, if each relay kept to its own share
-	firstRelayServedShare    float64 // calls of the first relay, as a share of its load
-	otherRelaysServedShare   float64 // calls of the other relays, as a share of theirs
-	maxRateShare             float64 // highest sum of rates, as a share of the limit
-	utilizationAfterIncrease float64 // used, in the second after the first when the limit has doubled
-	meanBytesPerSecond       float64 // sent by a relay in a second
-	maxBytesPerSecond        float64 // sent by the busiest relay in a second
+	utilization              float64 // calls made, as a share of the calls that limit and demand allow
+	evenShareUtilization     float64 // utilization if each relay used only an even share of the limit
+	firstRelayServedShare    float64 // calls that the first relay makes, as a share of its load
+	otherRelaysServedShare   float64 // calls that the other relays make, as a share of their load
+	maxRateShare             float64 // highest sum of the relays' rates in force at once, as a share of the limit
+	utilizationAfterIncrease float64 // utilization from 1 s to 2 s after the limit has doubled
+	meanBytesPerSecond       float64 // sent by a relay in a second, mean over the relays
+	maxBytesPerSecond        float64 // sent in a second by the relay that sends most
 	coreShare                float64 // processor time of a relay, as a share of a core
 }
 
-// add adds a run.
+// add adds the results of a run.
 func (r *limitsResult) add(run limitsResult) {
 	r.utilization += run.utilization
 	r.evenShareUtilization += run.evenShareUtilization
@@ -113,7 +114,7 @@
 	r.coreShare += run.coreShare
 }
 
-// limitsTable prints a row for each size of the fleet and each load.
+// limitsTable prints one row for each size of the fleet and each load.
 func limitsTable(w io.Writer, sizes []int, lossShare float64, seeds int) error {
 	t := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(t, "relays\tload\tused\teven shares\tfirst relay\tothers\tin force\tafter a rise\tbytes/s, mean\tmost\tof a core")
@@ -132,7 +133,7 @@
 	return nil
 }
 
-// limitsRuns adds up a run of each seed.
+// limitsRuns makes one run for each seed and adds up the results.
 func limitsRuns(relays int, load *limitsLoad, lossShare float64, seeds int) (sum limitsResult, err error) {
 	for seed := range uint64(seeds) {
 		run, err := limitsRun(relays, lossShare, seed, load.rates(relays))
@@ -144,6 +145,7 @@
 	return sum, nil
 }
 
+// printLimitsRow prints the mean of the sums over the runs, and the maxima.
 func printLimitsRow(w io.Writer, relays int, load string, sum *limitsResult, runs float64) {
 	fmt.Fprintf(w, "%d\t%s\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.0f\t%.0f\t%.2f %%\n",
 		relays,
@@ -159,7 +161,7 @@
 		100*sum.coreShare/runs)
 }
 
-// limitsRun simulates one fleet under one load, given in calls a second by relay.
+// limitsRun simulates one fleet under one load; load returns the calls per second of a relay.
 func limitsRun(relays int, lossShare float64, seed uint64, load func(relay int) float64) (r limitsResult, err error) {
 	limit := limitCallsPerSecondPerRelay * float64(relays)
 	s, err := limits.New(relays, limit, seed)
@@ -187,7 +189,8 @@
 	return r, nil
 }
 
-// measure runs a simulation that is at work, of which so many calls a second are possible.
+// measure runs a simulation that has warmed up and records the results. possible is the rate, in calls per
+// second, that limit and demand allow.
 func (r *limitsResult) measure(s *limits.Simulation, possible float64, load func(relay int) float64) {
 	relays := len(s.Allocators)
 	seconds := measuredDuration.Seconds()
--- a/cmd/slatelab/fleet_scale.go
+++ b/cmd/slatelab/fleet_scale.go
@@ -18,36 +18,38 @@
 	"slatemux/internal/spread"
 )
 
-// scaleCommand plays large fleets in virtual time, with the relays' talk and without.
+// scaleCommand simulates large fleets in virtual time, with and without gossip among the relays.
 func scaleCommand() *cobra.Command {
 	var relays []int
 	var lossShare float64
 	var seeds int
 	c := &cobra.Command{
 		Use:   "fleet-scale",
-		Short: "Play large fleets in virtual time, with and without talk among the relays",
-		Long: `Play days of an emulated fleet: ten destinations with limits, two messages a second and relay, half of what the
-limits allow more than is asked for; one destination is down for five seconds and comes back cold, one is asked for more than it
-takes. The relays' decisions are the program's, the links are modelled. The table tells how long a statement takes to all,
-what the talk costs, and what it changes.`,
+		Short: "Simulate large fleets in virtual time, with and without gossip among the relays",
+		Long: `Run an emulated fleet: ten destinations with limits, and two messages per second per relay. The limits exceed the demand by half,
+except that one destination gets more demand than its limit. Another destination is down for five seconds and then serves with reduced
+capacity for a while. The relays' decisions are made by the relay's own code; links are modelled. The table shows how long a
+statement takes to reach the relays, what gossip costs, and how gossip changes the calls and the worth of the delivered messages.`,
 		Example: "  slatelab fleet-scale --relays 30,300 --seeds 2",
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if lossShare < 0 || lossShare > 0.9 || seeds < 1 || seeds > 100 {
-				return fmt.Errorf("fleet-scale: a loss of %v or %d seeds make no sense", lossShare, seeds)
+				return fmt.Errorf("fleet-scale: --loss %v is not within 0 to 0.9, or --seeds %d is not within 1 to 100", lossShare, seeds)
 			}
 			return scaleTable(cmd.OutOrStdout(), relays, lossShare, seeds)
 		},
 	}
 	c.Flags().IntSliceVar(&relays, "relays", []int{30, 300, 1000}, "sizes of the fleet")
-	c.Flags().Float64Var(&lossShare, "loss", 0.01, "share of packets between relays that are lost")
-	c.Flags().IntVar(&seeds, "seeds", 2, "days of each size")
+	c.Flags().Float64Var(&lossShare, "loss", 0.01, "share of packets between relays that are lost, 0 to 0.9")
+	c.Flags().IntVar(&seeds, "seeds", 2, "runs, each with another seed, for each row of the table")
 	return c
 }
 
+// scaleExchangeInterval is the time between two gossip exchanges of a relay.
 const scaleExchangeInterval = time.Second
 
-// scaleDay is one day of a size.
+// scaleDay returns one run of a fleet of the given number of relays. Destination 0 is down from second 8 to second 13 and has reduced
+// capacity afterwards; the limit of destination 1 is below its demand. A nil fleet means no gossip.
 func scaleDay(relays int, seed uint64, fleet *workload.Fleet) workload.Day {
 	settings := dispatch.Settings{
 		Classes: []dispatch.Class{{Name: "slot", Effect: dispatch.Safe, Aim: time.Second, Deadline: 5 * time.Second, Worth: 1, LateWorth: 0.1}},
@@ -55,15 +57,16 @@
 		MaxCalls: 30, MaxOpen: 400, MaxAttempts: 8, ConnectTimeout: time.Second, KeepAlive: 5 * time.Second, CallsPerConn: 1,
 		MaxRetryAfter: 3 * time.Second, RetryAfter: true, Cancel: true, Weights: dispatch.Rough, LateByHalves: true,
 		Safety: dispatch.Safety{StartCapacity: 0.23, Cold: 13 * time.Second, FallMultiple: 1.5, TipAfter: 1500 * time.Millisecond}}
-	day := workload.Day{Seed: seed, Relays: relays, Settings: settings, Length: 30 * time.Second, Class: "slot", TimeLeft: 5 * time.Second, Fleet: fleet, Reports: true}
+	day := workload.Day{Seed: seed, Relays: relays, Settings: settings, Length: 30 * time.Second, Class: "slot", TimeLeft: 5 * time.Second,
+		Fleet: fleet, Reports: true}
 	for i := range 10 {
 		demand := float64(relays) * 2 / 10
 		limit := demand * 1.5
 		destination := workload.Destination{Servers: relays, Work: 40 * time.Millisecond, Rate: demand}
 		switch i {
 		case 0:
-			destination.Health = servermodel.Health{Spells: []servermodel.Spell{{From: emulator.Time(8 * time.Second), To: emulator.Time(13 * time.Second), State: servermodel.Down}}, StartShare: 0.23,
-				Cold: 13 * time.Second}
+			destination.Health = servermodel.Health{Spells: []servermodel.Spell{{From: emulator.Time(8 * time.Second), To: emulator.Time(13 * time.Second),
+				State: servermodel.Down}}, StartShare: 0.23, Cold: 13 * time.Second}
 		case 1:
 			limit = demand * 0.8
 		}
@@ -73,6 +76,7 @@
 	return day
 }
 
+// scaleTable prints one row for each size of the fleet, with and without gossip. Sums are means over the seeds.
 func scaleTable(w io.Writer, sizes []int, lossShare float64, seeds int) error {
 	t := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
 	fmt.Fprintf(t, "relays\ttalk\tknown to all but 1%%\tto half\tbound\tbytes a second and relay\tworth\tcalls in the outage\tin the 2 s after\trefused\n")
@@ -112,7 +116,8 @@
 			slices.Sort(spreadTimes)
 			p99, p50, bound := "-", "-", "-"
 			if len(spreadTimes) > 0 {
-				p99, p50 = spreadTimes[len(spreadTimes)*99/100].Round(time.Millisecond).String(), spreadTimes[len(spreadTimes)/2].Round(time.Millisecond).String()
+				p99, p50 = spreadTimes[len(spreadTimes)*99/100].Round(time.Millisecond).String(),
+					spreadTimes[len(spreadTimes)/2].Round(time.Millisecond).String()
 				bound = spread.Bound(relays, links.Delay+links.Jitter, lossShare, scaleExchangeInterval).Round(time.Millisecond).String()
 			}
 			fmt.Fprintf(t, "%d\t%v\t%s\t%s\t%s\t%.0f\t%.3f\t%.0f\t%.0f\t%.0f\n", relays, gossipEnabled, p99, p50, bound, bytesPerSecond, worth, callsInOutage, callsAfterOutage, refusedCalls)
--- a/cmd/slatelab/main.go
+++ b/cmd/slatelab/main.go
@@ -1,5 +1,5 @@
-// Command slatelab is the laboratory: it puts deployments up on loopback, runs loads and failures against a
-// relay, and reports what came of every message. The serving program links none of it.
+// Command slatelab is the laboratory of slatemux. It starts deployments of stand-ins on loopback addresses, runs loads and
+// failures against a relay, and reports the outcome of every message. The relay program links none of this code.
 package main
 
 import (
@@ -25,12 +25,13 @@
 	}
 }
 
+// rootCommand returns the command slatelab with all its subcommands.
 func rootCommand() *cobra.Command {
 	root := &cobra.Command{
 		Use:   "slatelab",
 		Short: "The laboratory of slatemux",
-		Long: `slatelab puts up partners, discovery, platform and clients on loopback addresses, runs a relay among them,
-and reports what came of every message. Everything that it starts it also ends.`,
+		Long: `slatelab starts stand-in partners, discovery, platform and clients on loopback addresses, runs a relay among them,
+and reports the outcome of every message. slatelab also ends every process that it starts.`,
 		SilenceErrors: true, SilenceUsage: true,
 	}
 	root.AddCommand(
@@ -51,17 +52,17 @@
 	return root
 }
 
-// burnCommand takes a processor from whatever shares it with.
+// burnCommand runs a busy loop on one processor, so that a relay on the same processor is CPU-starved.
 func burnCommand() *cobra.Command {
 	var cpu int
 	var duration time.Duration
 	c := &cobra.Command{
 		Use:   "burn",
-		Short: "Keep one processor busy for a while",
+		Short: "Keep one processor busy for a limited time",
 		Args:  cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			if duration <= 0 || duration > 10*time.Minute {
-				return fmt.Errorf("burn: %v is not within 0 to 10 minutes", duration)
+				return fmt.Errorf("burn: --for %v is not above 0 and at most 10 minutes", duration)
 			}
 			runtime.GOMAXPROCS(1)
 			if err := lab.Keep([]int{cpu}); err != nil {
@@ -78,11 +79,12 @@
 		},
 	}
 	c.Flags().IntVar(&cpu, "cpu", 0, "processor")
-	c.Flags().DurationVar(&duration, "for", time.Second, "how long, 10 minutes at most")
+	c.Flags().DurationVar(&duration, "for", time.Second, "duration, at most 10 minutes")
 	return c
 }
 
-// idleCommand compares what two programs take while nothing happens.
+// idleCommand measures idle relays one after another: another build, this build without the gateway's settings, and this build
+// with them.
 func idleCommand() *cobra.Command {
 	var binary, otherBinary, gatewayPath string
 	var duration time.Duration
@@ -95,7 +97,11 @@
 			if err != nil {
 				return err
 			}
-			for _, run := range []struct{ name, binary, gateway string }{{"versus", otherBinary, ""}, {"without file", binary, ""}, {"with file", binary, gatewayConfig}} {
+			for _, run := range []struct{ name, binary, gateway string }{
+				{"versus", otherBinary, ""},
+				{"without file", binary, ""},
+				{"with file", binary, gatewayConfig},
+			} {
 				if run.binary == "" {
 					continue
 				}
@@ -124,12 +130,13 @@
 		},
 	}
 	c.Flags().StringVar(&binary, "binary", "bin/slatemux", "the relay")
-	c.Flags().StringVar(&otherBinary, "versus", "", "another build of it")
-	c.Flags().StringVar(&gatewayPath, "config", "deploy/gateway.textproto", "the gateway's settings")
+	c.Flags().StringVar(&otherBinary, "versus", "", "another build of the relay to compare with; empty for none")
+	c.Flags().StringVar(&gatewayPath, "config", "deploy/gateway.textproto", "file with the gateway's settings; empty for none")
 	c.Flags().DurationVar(&duration, "for", 10*time.Second, "how long")
 	return c
 }
 
+// readGatewayConfig returns the contents of the gateway's settings file, or nothing if path is empty.
 func readGatewayConfig(path string) (string, error) {
 	if path == "" {
 		return "", nil
--- a/cmd/slatelab/overload.go
+++ b/cmd/slatelab/overload.go
@@ -19,7 +19,8 @@
 	"slatemux/internal/lab/partner"
 )
 
-// deploymentConfig is a deployment whose partners bear any load, so that the relay alone is what may fall short.
+// deploymentConfig returns the configuration of a deployment whose partners accept any load, so that only the relay can be the bottleneck.
+// Each destination has two partners, which answer after the given mean latency.
 func deploymentConfig(destinations int, memoryMB float64, latency time.Duration) lab.Place {
 	p := lab.Place{Classes: lab.Usual(), Tenants: []lab.Tenant{{Name: "saburtalo", Share: 0.45}, {Name: "rustavi", Share: 0.33},
 		{Name: "kutaisi", Share: 0.22}}, MemoryMB: memoryMB, DiskMB: 256, Sockets: 12_000, MaxOpen: 20_000, MaxCalls: 2_000,
@@ -33,7 +34,8 @@
 	return p
 }
 
-// messageStreams are the two classes of the place, over its tenants.
+// messageStreams returns the load's streams: one for each class and tenant, with 0.6 of the messages in the first class and
+// 0.4 in the second.
 func messageStreams(p lab.Place, bodyBytes int) (list []load.Stream) {
 	for i, share := range []float64{0.6, 0.4} {
 		for _, t := range p.Tenants {
@@ -43,7 +45,7 @@
 	return list
 }
 
-// overloadFlags are those of the experiment.
+// overloadFlags holds the values of the command's flags.
 type overloadFlags struct {
 	binary, gatewayPath, outputDir string
 	capacityPerSecond              float64
@@ -55,48 +57,50 @@
 	debug                          bool
 }
 
-// overloadRun is one run of the experiment.
+// overloadRun holds the parameters and the results of one run.
 type overloadRun struct {
 	factor                   float64
 	starved, overloadControl bool
 	rate                     float64
 	duration                 time.Duration
 	verdict                  ledger.Verdict
-	coresUsed                float64 // cores used
+	coresUsed                float64 // mean number of processor cores that the relay used
 	maxRSSBytes              int64
-	loopDelays               [4]time.Duration // p50, p99, p99.9, most
+	loopDelays               [4]time.Duration // delay of the relay's event loop: p50, p99, p99.9, maximum
 	openAtEnd                bool
 }
 
+// overloadCommand measures a relay under overload, with and without the overload control.
 func overloadCommand() *cobra.Command {
 	var f overloadFlags
 	c := &cobra.Command{
 		Use:   "overload",
-		Short: "Load a relay beyond what its core carries, with and without the overload control",
-		Long: `Put a relay on one processor, find what it carries, and hand in multiples of that, each once without the
-gateway's settings and once with them, in turn. With --starved, busy loops share the relay's processor.
-Writes a table, and with --out also runs.csv. The relay needs a processor to itself; so does nothing else.`,
+		Short: "Load a relay beyond the capacity of its core, with and without the overload control",
+		Long: `Pin a relay to one processor, measure its capacity, and submit multiples of that capacity: each multiple once without
+the gateway's settings and once with them. For the multiples of --starved, busy loops share the relay's processor. Print a
+table, and with --out also write runs.csv. The relay needs a processor that nothing else uses; the rest can share the others.`,
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error { return f.run(cmd.Context(), cmd.OutOrStdout()) },
 	}
 	fs := c.Flags()
 	fs.StringVar(&f.binary, "binary", "bin/slatemux", "the relay")
-	fs.StringVar(&f.gatewayPath, "config", "deploy/gateway.textproto", "the gateway's settings of the runs with control")
-	fs.StringVar(&f.outputDir, "out", "", "folder for runs.csv and the logs of the relays")
-	fs.Float64Var(&f.capacityPerSecond, "capacity", 0, "what one core carries, a second; 0 to measure it first")
-	fs.Float64SliceVar(&f.factors, "factors", []float64{1, 2, 4, 10}, "multiples of the capacity")
-	fs.Float64SliceVar(&f.starvedFactors, "starved", []float64{0.5}, "multiples of the capacity to run with starved processor; 0 for none")
-	fs.DurationVar(&f.runDuration, "for", 8*time.Second, "length of a run")
+	fs.StringVar(&f.gatewayPath, "config", "deploy/gateway.textproto", "file with the gateway's settings for the runs with overload control")
+	fs.StringVar(&f.outputDir, "out", "", "folder for runs.csv and the logs of the relays; empty for none")
+	fs.Float64Var(&f.capacityPerSecond, "capacity", 0, "messages per second that one core can serve; 0 to measure this capacity first")
+	fs.Float64SliceVar(&f.factors, "factors", []float64{1, 2, 4, 10}, "multiples of the capacity to submit")
+	fs.Float64SliceVar(&f.starvedFactors, "starved", []float64{0.5}, "multiples of the capacity to submit to a CPU-starved relay; 0 for none")
+	fs.DurationVar(&f.runDuration, "for", 8*time.Second, "duration of a run")
 	fs.IntVar(&f.clients, "clients", 300, "client connections")
-	fs.IntVar(&f.burners, "burners", 3, "busy loops on the relay's processor, in starved runs")
-	fs.IntVar(&f.cpu, "cpu", 0, "the relay's processor; the laboratory keeps to the others")
-	fs.IntVar(&f.bodyBytes, "body", 200, "bytes of a body")
-	fs.IntVar(&f.maxRetries, "retries", 0, "times that a refused message is handed in again")
-	fs.Float64Var(&f.memoryMB, "memory", 512, "the relay's memory limit, MB")
-	fs.BoolVar(&f.debug, "debug", false, "have the relays log each decision; with --out")
+	fs.IntVar(&f.burners, "burners", 3, "number of busy loops on the relay's processor in CPU-starved runs")
+	fs.IntVar(&f.cpu, "cpu", 0, "number of the relay's processor; slatelab runs on the others")
+	fs.IntVar(&f.bodyBytes, "body", 200, "size of a message body in bytes")
+	fs.IntVar(&f.maxRetries, "retries", 0, "maximum number of times that a refused message is submitted again")
+	fs.Float64Var(&f.memoryMB, "memory", 512, "memory limit of the relay in MB")
+	fs.BoolVar(&f.debug, "debug", false, "make the relays log each decision; use with --out")
 	return c
 }
 
+// run measures the capacity unless the flags give it, runs every multiple with and without overload control, and reports the runs.
 func (f *overloadFlags) run(ctx context.Context, w io.Writer) error {
 	gatewayConfig, err := readGatewayConfig(f.gatewayPath)
 	if err != nil {
@@ -109,7 +113,7 @@
 		}
 	}
 	if len(otherCPUs) == 0 {
-		return fmt.Errorf("overload: the relay needs a processor to itself, and there is one in all")
+		return fmt.Errorf("overload: the relay needs a processor of its own, but this machine has only one")
 	}
 	if err := lab.Keep(otherCPUs); err != nil {
 		return err
@@ -146,8 +150,8 @@
 	return writeCSV(f.outputDir, runs)
 }
 
-// measureCapacity finds what one core carries: the highest of a row of rates, a quarter apart, of which nearly all is delivered
-// within its aim, without control.
+// measureCapacity finds the capacity of one core without overload control: the highest of a series of rates, each a quarter above the
+// one before, at which at least 97 % of the messages are delivered within their aim.
 func (f *overloadFlags) measureCapacity(ctx context.Context, w io.Writer) error {
 	for rate := 4000.0; rate < 200_000; rate *= 1.25 {
 		f.capacityPerSecond = rate
@@ -168,7 +172,7 @@
 	return nil
 }
 
-// runOnce runs one load against a fresh deployment.
+// runOnce runs one load against a new deployment.
 func (f *overloadFlags) runOnce(ctx context.Context, factor, rate float64, starved bool, gatewayConfig string) (overloadRun, error) {
 	run := overloadRun{factor: factor, rate: rate, starved: starved, overloadControl: gatewayConfig != "", duration: f.runDuration}
 	dir, err := scratchDir()
@@ -191,7 +195,8 @@
 		return run, err
 	}
 	defer relay.Kill()
-	// The module opens a partner's window call by call; the load jumps once it is open.
+	// The decision module raises the number of calls allowed to a partner call by call. The load rises to the full rate after this time,
+	// when the window is open.
 	const warmUp = 5 * time.Second
 	if starved {
 		for range f.burners {
@@ -228,9 +233,9 @@
 	if err != nil {
 		return run, err
 	}
-	time.Sleep(500 * time.Millisecond) // what is out may end
+	time.Sleep(500 * time.Millisecond) // time for outstanding calls to end
 	if err := relay.End(time.Now().Add(10 * time.Second)); err != nil {
-		return run, fmt.Errorf("the relay: %w\n%s", err, relay.Log())
+		return run, fmt.Errorf("relay did not end as expected: %w\n%s", err, relay.Log())
 	}
 	deployment.Close()
 	if f.outputDir != "" {
@@ -253,12 +258,13 @@
 	rules.From, rules.To = begin, begin.Add(f.runDuration)
 	end := time.Now()
 	if !run.openAtEnd {
-		end = end.Add(time.Hour) // nothing is open any more: what has no end has lost it
+		end = end.Add(time.Hour) // no message is open any more, so a message without an outcome counts as lost
 	}
 	run.verdict = deployment.Ledger.Judge(rules, end)
 	return run, nil
 }
 
+// destinationNumbers returns the destinations of a deployment, each once.
 func destinationNumbers(p lab.Place) (list []int) {
 	seen := map[int]bool{}
 	for _, c := range p.Partners {
@@ -270,7 +276,7 @@
 	return list
 }
 
-// scratchDir is a folder in memory where there is one: the relay's journal must not wait for a disk.
+// scratchDir makes a temporary folder, in /dev/shm (memory) where possible, so that the relay's journal does not wait for a disk.
 func scratchDir() (string, error) {
 	if dir, err := os.MkdirTemp("/dev/shm", "slatelab"); err == nil {
 		return dir, nil
@@ -278,13 +284,16 @@
 	return os.MkdirTemp("", "slatelab")
 }
 
+// printTableHead prints the head of a Markdown table.
 func printTableHead(w io.Writer) {
 	fmt.Fprintln(w, "| load | core | control | class | offered/s | +OK/s | -BUSY/s | no answer/s | in aim/s | worth/s | +OK p50/p99 ms | -BUSY p50/p99 ms from sending | loop p50/p99/p99.9 ms | core used | RSS MB | breaches |")
 	fmt.Fprintln(w, "|---|---|---|---|---|---|---|---|---|---|---|---|---|---|---|---|")
 }
 
+// formatMillis returns a duration in milliseconds with one decimal.
 func formatMillis(d time.Duration) string { return strconv.FormatFloat(float64(d)/1e6, 'f', 1, 64) }
 
+// print prints one table row for each class, and the first breaches of rules.
 func (r *overloadRun) print(w io.Writer) {
 	core := "its own"
 	if r.starved {
@@ -297,13 +306,14 @@
 	for i, c := range r.verdict.Classes {
 		seconds := r.duration.Seconds()
 		perSecond := func(n int) string { return strconv.FormatFloat(float64(n)/seconds, 'f', 0, 64) }
-		leadingColumns, trailingColumns := fmt.Sprintf("| %gx | %s | %s ", r.factor, core, control), fmt.Sprintf("| %s / %s / %s | %.2f | %.0f | %d |", formatMillis(r.loopDelays[0]),
-			formatMillis(r.loopDelays[1]), formatMillis(r.loopDelays[2]), r.coresUsed, float64(r.maxRSSBytes)/1e6, len(r.verdict.Breaches))
+		leadingColumns, trailingColumns := fmt.Sprintf("| %gx | %s | %s ", r.factor, core, control), fmt.Sprintf("| %s / %s / %s | %.2f | %.0f | %d |",
+			formatMillis(r.loopDelays[0]), formatMillis(r.loopDelays[1]), formatMillis(r.loopDelays[2]), r.coresUsed, float64(r.maxRSSBytes)/1e6, len(r.verdict.Breaches))
 		if i > 0 {
 			leadingColumns, trailingColumns = "| | | ", "| | | | |"
 		}
-		fmt.Fprintf(w, "%s| %s | %s | %s | %s | %s | %s | %.0f | %s / %s | %s / %s %s\n", leadingColumns, c.Class, perSecond(c.Offered), perSecond(c.Accepted), perSecond(c.Refused),
-			perSecond(c.NoAnswer+c.Unsent+c.Failed), perSecond(c.InAim), c.Worth/seconds, formatMillis(ledger.At(c.ToAccept, 0.5)), formatMillis(ledger.At(c.ToAccept, 0.99)),
+		fmt.Fprintf(w, "%s| %s | %s | %s | %s | %s | %s | %.0f | %s / %s | %s / %s %s\n", leadingColumns, c.Class,
+			perSecond(c.Offered), perSecond(c.Accepted), perSecond(c.Refused), perSecond(c.NoAnswer+c.Unsent+c.Failed), perSecond(c.InAim),
+			c.Worth/seconds, formatMillis(ledger.At(c.ToAccept, 0.5)), formatMillis(ledger.At(c.ToAccept, 0.99)),
 			formatMillis(ledger.At(c.RefuseFromSent, 0.5)), formatMillis(ledger.At(c.RefuseFromSent, 0.99)), trailingColumns)
 	}
 	for i, b := range r.verdict.Breaches {
@@ -317,7 +327,7 @@
 	}
 }
 
-// writeCSV writes the rows for other tools.
+// writeCSV writes runs.csv, with one line for each run and class.
 func writeCSV(dir string, runs []overloadRun) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
@@ -333,9 +343,11 @@
 		for _, c := range r.verdict.Classes {
 			formatNumber := func(x float64) string { return strconv.FormatFloat(x, 'g', 6, 64) }
 			seconds := r.duration.Seconds()
-			_ = w.Write([]string{formatNumber(r.factor), strconv.FormatBool(r.starved), strconv.FormatBool(r.overloadControl), c.Class, formatNumber(float64(c.Offered) / seconds),
-				formatNumber(float64(c.Accepted) / seconds), formatNumber(float64(c.Refused) / seconds), formatNumber(float64(c.NoAnswer+c.Unsent+c.Failed) / seconds), formatNumber(float64(c.InAim) / seconds),
-				formatNumber(c.Worth / seconds), formatMillis(r.loopDelays[0]), formatMillis(r.loopDelays[1]), formatMillis(r.loopDelays[2]), formatNumber(r.coresUsed), strconv.FormatInt(r.maxRSSBytes, 10),
+			_ = w.Write([]string{formatNumber(r.factor), strconv.FormatBool(r.starved), strconv.FormatBool(r.overloadControl), c.Class,
+				formatNumber(float64(c.Offered) / seconds), formatNumber(float64(c.Accepted) / seconds), formatNumber(float64(c.Refused) / seconds),
+				formatNumber(float64(c.NoAnswer+c.Unsent+c.Failed) / seconds), formatNumber(float64(c.InAim) / seconds), formatNumber(c.Worth / seconds),
+				formatMillis(r.loopDelays[0]), formatMillis(r.loopDelays[1]), formatMillis(r.loopDelays[2]), formatNumber(r.coresUsed),
+				strconv.FormatInt(r.maxRSSBytes, 10),
 				strconv.Itoa(len(r.verdict.Breaches))})
 		}
 	}
--- a/cmd/slatelab/tls.go
+++ b/cmd/slatelab/tls.go
@@ -24,16 +24,16 @@
 	"slatemux/internal/lab/partner"
 )
 
-// caCommand makes an authority and certificates to try things with.
+// caCommand makes a certificate authority and certificates for tests.
 func caCommand() *cobra.Command {
 	var dir, kind string
 	var names []string
 	var validity time.Duration
 	c := &cobra.Command{
 		Use:   "ca",
-		Short: "Make a test authority, a server's and a client's certificate in a folder",
-		Long: `Write root.pem, server.pem, server.key, client.pem and client.key. Called again in the same folder it renews server's
-and client's under a new root, as a renewal would: each file by a rename. For tests alone.`,
+		Short: "Make a test authority, a server certificate and a client certificate in a folder",
+		Long: `Write root.pem, server.pem, server.key, client.pem and client.key. A second call in the same folder replaces the root and both
+certificates as a renewal would: each file is replaced by a rename. Use the results only for tests.`,
 		Example: "  slatelab ca --dir bin/ca --name pay.example.org --for 1h",
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
@@ -65,12 +65,13 @@
 		},
 	}
 	c.Flags().StringVar(&dir, "dir", "bin/ca", "folder")
-	c.Flags().StringVar(&kind, "kind", string(ca.P256), "rsa2048, p256 or ed25519")
-	c.Flags().StringSliceVar(&names, "name", []string{"127.0.0.1"}, "names of the server")
-	c.Flags().DurationVar(&validity, "for", 24*time.Hour, "how long they are valid")
+	c.Flags().StringVar(&kind, "kind", string(ca.P256), "kind of the keys: rsa2048, p256 or ed25519")
+	c.Flags().StringSliceVar(&names, "name", []string{"127.0.0.1"}, "names and addresses in the server certificate")
+	c.Flags().DurationVar(&validity, "for", 24*time.Hour, "validity of the certificates")
 	return c
 }
 
+// tlsFlags holds the values of the command's flags.
 type tlsFlags struct {
 	binary, gatewayPath   string
 	handshakeCount        int
@@ -81,20 +82,24 @@
 	fileChanges           int
 }
 
+// tlsCommand measures what TLS costs the relay, and what happens to messages during mass disconnections and certificate renewals.
 func tlsCommand() *cobra.Command {
 	var f tlsFlags
 	c := &cobra.Command{
 		Use:   "tls",
-		Short: "Measure handshakes, the cost of TLS per message, and a storm of handshakes after an outage",
+		Short: "Measure handshakes, the cost of TLS per message, and a storm of handshakes after all connections are lost",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			w := cmd.OutOrStdout()
 			for _, part := range []struct {
 				on  bool
 				run func() error
-			}{{f.handshakeCount > 0, func() error { return f.measureHandshakes(w) }}, {f.messagesPerSecond > 0 && !f.skipCost, func() error { return f.compareMessageCost(cmd.Context(), w) }},
+			}{
+				{f.handshakeCount > 0, func() error { return f.measureHandshakes(w) }},
+				{f.messagesPerSecond > 0 && !f.skipCost, func() error { return f.compareMessageCost(cmd.Context(), w) }},
 				{f.messagesPerSecond > 0, func() error { return f.compareStorms(cmd.Context(), w) }},
-				{f.fileChanges > 0, func() error { return f.renewCertificates(cmd.Context(), w) }}} {
+				{f.fileChanges > 0, func() error { return f.renewCertificates(cmd.Context(), w) }},
+			} {
 				if part.on {
 					if err := part.run(); err != nil {
 						return err
@@ -106,18 +111,18 @@
 	}
 	fs := c.Flags()
 	fs.StringVar(&f.binary, "binary", "bin/slatemux", "the relay")
-	fs.StringVar(&f.gatewayPath, "config", "deploy/gateway.textproto", "the gateway's settings, to which policies are added")
-	fs.IntVar(&f.handshakeCount, "handshakes", 400, "handshakes of each kind; 0 for none")
-	fs.IntVar(&f.fileChanges, "changes", 1000, "changes of files under load; 0 for none")
-	fs.BoolVar(&f.skipCost, "storm", false, "leave the cost per message out")
-	fs.DurationVar(&f.runDuration, "for", 5*time.Second, "length of a run")
-	fs.Float64Var(&f.messagesPerSecond, "rate", 3000, "messages a second in the runs")
-	fs.IntVar(&f.cpu, "cpu", 0, "the relay's processor")
-	fs.IntVar(&f.stormConnections, "connections", 500, "connections that the storm is to lose")
+	fs.StringVar(&f.gatewayPath, "config", "deploy/gateway.textproto", "file with the gateway's settings, to which TLS policies are added")
+	fs.IntVar(&f.handshakeCount, "handshakes", 400, "number of handshakes of each kind; 0 to skip this part")
+	fs.IntVar(&f.fileChanges, "changes", 1000, "number of renewals of certificate files under load; 0 to skip this part")
+	fs.BoolVar(&f.skipCost, "storm", false, "skip the cost per message")
+	fs.DurationVar(&f.runDuration, "for", 5*time.Second, "duration of a run")
+	fs.Float64Var(&f.messagesPerSecond, "rate", 3000, "messages per second in the runs; 0 to skip the cost per message and the storm")
+	fs.IntVar(&f.cpu, "cpu", 0, "number of the relay's processor")
+	fs.IntVar(&f.stormConnections, "connections", 500, "approximate number of connections that are lost at once")
 	return c
 }
 
-// measureHandshakes measures connecting from one thread, by that thread's processor time.
+// measureHandshakes measures the time and this thread's processor time of connecting, for each kind of key, TLS version and handshake.
 func (f *tlsFlags) measureHandshakes(w io.Writer) error {
 	fmt.Fprintf(w, "Connecting to a server on loopback, %d times each, one after another:\n\n", f.handshakeCount)
 	fmt.Fprintln(w, "| key | version | handshake | delay p50 ms | p99 ms | processor p50 ms | resumed |")
@@ -146,6 +151,7 @@
 	return nil
 }
 
+// measureConnects connects repeatedly to one server and prints a table row. With no certificate (leaf is nil) it uses TCP without TLS.
 func (f *tlsFlags) measureConnects(w io.Writer, kind string, version uint16, allowResumption bool, root, leaf *ca.Pair) error {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -199,11 +205,11 @@
 			nc = c
 		}
 		delay, cpuTime := time.Since(started), threadCPUTime()-cpuBefore
-		if _, err := io.ReadFull(nc, make([]byte, 1)); err != nil { // and the tickets before it
+		if _, err := io.ReadFull(nc, make([]byte, 1)); err != nil { // the session tickets come before this byte
 			return err
 		}
 		nc.Close()
-		if i > 0 { // the first has nothing to resume
+		if i > 0 { // not counted: the first connection has no session to resume
 			delays, cpuTimes = append(delays, delay), append(cpuTimes, cpuTime)
 		}
 	}
@@ -218,15 +224,18 @@
 	return nil
 }
 
+// millis returns a duration in milliseconds.
 func millis(d time.Duration) float64 { return float64(d) / 1e6 }
 
+// threadCPUTime returns the processor time that the calling thread has used.
 func threadCPUTime() time.Duration {
 	var ts unix.Timespec
 	_ = unix.ClockGettime(unix.CLOCK_THREAD_CPUTIME_ID, &ts)
 	return time.Duration(ts.Nano())
 }
 
-// prepareDeployment is a place whose partners speak TLS, or not, with what the relay's settings need for it.
+// prepareDeployment returns a deployment's configuration and the gateway's settings. With useTLS, the partners use TLS with a new
+// certificate, follow the phases in life if there are any, and their root certificate is written to dir.
 func (f *tlsFlags) prepareDeployment(dir string, useTLS bool, life []partner.Phase, latency time.Duration) (lab.Place, string, error) {
 	config := deploymentConfig(4, 512, latency)
 	gatewayConfig, err := readGatewayConfig(f.gatewayPath)
@@ -253,9 +262,10 @@
 	return config, gatewayConfig, nil
 }
 
-// runLoad puts a deployment up and runs a load on it. during is called when the load begins.
-func (f *tlsFlags) runLoad(ctx context.Context, useTLS bool, life []partner.Phase, latency time.Duration, handshakeSettings string, steps []load.Step,
-	onLoadStart func(*lab.Deployment)) (deployment *lab.Deployment, relay *lab.Process, cpu time.Duration, err error) {
+// runLoad starts a deployment, runs a load on it, and waits until the relay has no open message and no pending notice. onLoadStart,
+// if there is one, is called in a goroutine when the load begins. cpu is the processor time that the relay used during the load.
+func (f *tlsFlags) runLoad(ctx context.Context, useTLS bool, life []partner.Phase, latency time.Duration, handshakeSettings string,
+	steps []load.Step, onLoadStart func(*lab.Deployment)) (deployment *lab.Deployment, relay *lab.Process, cpu time.Duration, err error) {
 	dir, err := scratchDir()
 	if err != nil {
 		return nil, nil, 0, err
@@ -280,8 +290,8 @@
 		go onLoadStart(deployment)
 	}
 	before := relay.Usage()
-	err = deployment.Load(ctx, load.Config{Clients: 300, Patience: 400 * time.Millisecond, Streams: messageStreams(config, 200), Steps: steps, Dests: destinationNumbers(config), Seed: 11,
-		Poisson: true})
+	err = deployment.Load(ctx, load.Config{Clients: 300, Patience: 400 * time.Millisecond, Streams: messageStreams(config, 200), Steps: steps,
+		Dests: destinationNumbers(config), Seed: 11, Poisson: true})
 	cpu = relay.Usage().CPU - before.CPU
 	if err == nil {
 		err = ctx.Err()
@@ -295,7 +305,7 @@
 	return deployment, relay, cpu, nil
 }
 
-// compareMessageCost compares the relay's processor time per message over TLS and plain, in turn.
+// compareMessageCost compares the relay's processor time per message without TLS and with TLS, in alternating runs.
 func (f *tlsFlags) compareMessageCost(ctx context.Context, w io.Writer) error {
 	fmt.Fprintf(w, "The relay on one core at %.0f messages a second on warm connections:\n\n", f.messagesPerSecond)
 	fmt.Fprintln(w, "| connections | delivered | processor per message µs | breaches |")
@@ -310,16 +320,19 @@
 		for _, c := range verdict.Classes {
 			delivered += c.Delivered
 		}
-		fmt.Fprintf(w, "| %s | %d | %.1f | %d |\n", map[bool]string{false: "plain", true: "TLS 1.3"}[useTLS], delivered, float64(cpu.Microseconds())/float64(max(delivered, 1)), len(verdict.Breaches))
+		fmt.Fprintf(w, "| %s | %d | %.1f | %d |\n", map[bool]string{false: "plain", true: "TLS 1.3"}[useTLS], delivered,
+			float64(cpu.Microseconds())/float64(max(delivered, 1)), len(verdict.Breaches))
 	}
 	fmt.Fprintln(w)
 	return nil
 }
 
-// compareStorms loses all connections at once, under load, with and without admission of handshakes.
+// compareStorms closes all connections at once under load, with and without the relay's admission control of handshakes, and measures how
+// deliveries recover.
 func (f *tlsFlags) compareStorms(ctx context.Context, w io.Writer) error {
 	latency := time.Duration(float64(f.stormConnections) / f.messagesPerSecond * float64(time.Second))
-	fmt.Fprintf(w, "About %d connections over TLS (calls of %v) ended at once by servers that stay up; the load goes on:\n\n", f.stormConnections, latency.Round(time.Millisecond))
+	fmt.Fprintf(w, "About %d connections over TLS (calls of %v) ended at once by servers that stay up; the load goes on:\n\n",
+		f.stormConnections, latency.Round(time.Millisecond))
 	fmt.Fprintln(w, "| admission | handshakes full / resumed after it | goodput back at 90% after | lowest goodput in 100 ms | loop p99 / most ms | not connected | not delivered in aim | breaches |")
 	fmt.Fprintln(w, "|---|---|---|---|---|---|---|---|")
 	const warmUp = 6 * time.Second
@@ -338,7 +351,9 @@
 			return full, resumed
 		}
 		done := make(chan struct{})
-		deployment, relay, _, err := f.runLoad(ctx, true, []partner.Phase{{Latency: partner.Latency{Mean: latency}, Rate: 2 * f.messagesPerSecond}}, latency, handshakeSettings, []load.Step{{For: 2 * time.Second, Rate: f.messagesPerSecond / 2}, {For: warmUp + f.runDuration, Rate: f.messagesPerSecond}},
+		deployment, relay, _, err := f.runLoad(ctx, true, []partner.Phase{{Latency: partner.Latency{Mean: latency}, Rate: 2 * f.messagesPerSecond}},
+			latency, handshakeSettings,
+			[]load.Step{{For: 2 * time.Second, Rate: f.messagesPerSecond / 2}, {For: warmUp + f.runDuration, Rate: f.messagesPerSecond}},
 			func(d *lab.Deployment) {
 				defer close(done)
 				time.Sleep(2*time.Second + warmUp)
@@ -360,9 +375,11 @@
 			offered, inAim = offered+c.Offered, inAim+c.InAim
 		}
 		after, lowest := goodputRecovery(deployment.Ledger.Delivered(disconnectedAt, 100*time.Millisecond), f.messagesPerSecond)
-		fmt.Fprintf(w, "| %s | %d / %d | %s | %.0f%% | %.0f / %.0f | %.0f | %.1f%% | %d |\n", map[bool]string{false: "off", true: "on"}[admission], allFull-fullBefore, allResumed-resumedBefore,
+		fmt.Fprintf(w, "| %s | %d / %d | %s | %.0f%% | %.0f / %.0f | %.0f | %.1f%% | %d |\n", map[bool]string{false: "off", true: "on"}[admission],
+			allFull-fullBefore, allResumed-resumedBefore,
 			after, lowest, lab.Field(line, "vitals", "loop_delay", "p99")/1e6,
-			lab.Field(line, "vitals", "loop_delay", "most")/1e6, lab.Field(line, "relay", "not_connected"), 100*float64(offered-inAim)/float64(max(offered, 1)), len(verdict.Breaches))
+			lab.Field(line, "vitals", "loop_delay", "most")/1e6, lab.Field(line, "relay", "not_connected"),
+			100*float64(offered-inAim)/float64(max(offered, 1)), len(verdict.Breaches))
 		for i, b := range verdict.Breaches {
 			if i < 3 {
 				fmt.Fprintf(w, "breach: %s: %s\n", b.Rule, b.Text)
@@ -372,8 +389,8 @@
 	return nil
 }
 
-// renewCertificates changes roots and the client's pair over and over under load, each time with a SIGHUP: servers ask for a
-// certificate of ours, and a message that is lost or doubled shows in the verdict.
+// renewCertificates repeatedly replaces the files of root certificates and of the relay's client certificate under load and
+// sends SIGHUP each time. The servers require a client certificate. The verdict contains a breach if a message is lost or delivered twice.
 func (f *tlsFlags) renewCertificates(ctx context.Context, w io.Writer) error {
 	const rate, interval = 200, 20 * time.Millisecond
 	dir, err := scratchDir()
@@ -477,8 +494,8 @@
 	return nil
 }
 
-// goodputRecovery is when deliveries, counted by tenths of a second, are at nine tenths of the rate for good half a second, and how
-// low they were before, as a share of the rate.
+// goodputRecovery returns the time after which deliveries, counted by tenths of a second, reach nine tenths of the rate over half a second.
+// lowestPercent is the lowest count before that time, as a percentage of the rate.
 func goodputRecovery(deliveredPerTenth []int, messagesPerSecond float64) (after string, lowestPercent float64) {
 	lowestPercent = 100
 	for i := range deliveredPerTenth {
--- a/cmd/slatelab/toy.go
+++ b/cmd/slatelab/toy.go
@@ -16,14 +16,14 @@
 	"slatemux/internal/lab/platform"
 )
 
-// toyCommand serves what stands around one relay, to try it by hand: example/README.md.
+// toyCommand serves the stand-ins that one relay needs, so that a user can try the relay by hand as example/README.md describes.
 func toyCommand() *cobra.Command {
 	var addr string
 	c := &cobra.Command{
 		Use:   "toy",
-		Short: "Stand for discovery, the platform and two endpoints of partner 7, to try a relay by hand",
+		Short: "Stand in for discovery, the platform and two endpoints of partner 7, to try a relay by hand",
 		Long: `Serve discovery and the platform at the address that example/config.json names, and two endpoints of partner 7,
-until interrupted. The endpoints take a quarter of a second a call, and turn a body of "refuse" away with a wait.`,
+until interrupted. The endpoints take a quarter of a second per call, and refuse a call with the body "refuse" with a retry-after.`,
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			events := &ledger.Ledger{}
@@ -50,18 +50,18 @@
 			return nil
 		},
 	}
-	c.Flags().StringVar(&addr, "listen", "127.0.0.1:8500", "address of discovery and the platform")
+	c.Flags().StringVar(&addr, "listen", "127.0.0.1:8500", "address on which discovery and the platform listen")
 	return c
 }
 
-// putCommand hands one message in.
+// putCommand submits one message to a relay.
 func putCommand() *cobra.Command {
 	var addr, class, tenant string
 	var timeLeft time.Duration
 	var destination int
 	c := &cobra.Command{
 		Use:     "put BODY",
-		Short:   "Hand one message to a relay and print its answer",
+		Short:   "Submit one message to a relay and print the answer",
 		Example: `  slatelab put "one set of winter tyres"` + "\n" + `  slatelab put --class slot-status --left 2s refuse`,
 		Args:    cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -71,7 +71,7 @@
 			}
 			defer conn.Close()
 			idBytes := make([]byte, 8)
-			_, _ = rand.Read(idBytes) // it never fails
+			_, _ = rand.Read(idBytes) // crypto/rand.Read never fails
 			id := hex.EncodeToString(idBytes)
 			request := "*5\r\n"
 			for _, arg := range []string{"MSG.PUT", "0", id, fmt.Sprintf("c=%s,t=%s,d=%d,k=%s,dest=%d", class, tenant, timeLeft.Milliseconds(), id, destination), args[0]} {
@@ -89,7 +89,7 @@
 	c.Flags().StringVar(&addr, "to", "127.0.0.1:6379", "the relay")
 	c.Flags().StringVar(&class, "class", "order-payment", "class of the message")
 	c.Flags().StringVar(&tenant, "tenant", "acme", "its tenant")
-	c.Flags().DurationVar(&timeLeft, "left", 28*time.Second, "how long it may take")
-	c.Flags().IntVar(&destination, "dest", 7, "number of its destination")
+	c.Flags().DurationVar(&timeLeft, "left", 28*time.Second, "time left until the deadline of the message")
+	c.Flags().IntVar(&destination, "dest", 7, "number of the destination")
 	return c
 }
