--- a/internal/lab/capacity/slopes/network.go
+++ b/internal/lab/capacity/slopes/network.go
@@ -15,51 +15,52 @@
 )
 
 const (
-	// packetQueue is how many packets a member's socket holds; what comes while it is full is lost, as in a system's buffer.
-	packetQueue = 256
-	// memberPort is the port of each member.
+	// packetQueueLength is the capacity of a member's receive buffer in packets. Packets that arrive while the buffer is full are lost, as
+	// with a socket buffer of the operating system.
+	packetQueueLength = 256
+	// memberPort is the port of every member.
 	memberPort = 7946
 )
 
-// Network carries packets and streams between members in one process. Packets take a time and may be lost; a member that was cut
-// off neither sends nor receives, as a machine that failed.
+// Network carries packets and streams between members in one process. Packets are delayed and may be lost. A failed member neither sends
+// nor receives, like a machine that has failed.
 type Network struct {
-	delay time.Duration // one way; each packet takes between half and one and a half of it
-	loss  float64       // share of packets
-	// streamMost is how many bytes a stream may bring.
-	streamMost int
-	// streamsMost is how many streams that came a member may have open.
-	streamsMost int64
+	delay time.Duration // mean one-way delay; the delay of a packet is between 0.5 and 1.5 times the mean
+	loss  float64       // share of packets that are lost
+	// maxStreamBytes is the maximum number of bytes that a member reads from a stream.
+	maxStreamBytes int
+	// maxStreams is the maximum number of open incoming streams per member.
+	maxStreams int64
 
 	mu         sync.RWMutex
 	transports map[string]*Transport
 }
 
-// NewNetwork returns one without members, with internal/fleet's bound on streams.
+// NewNetwork returns a network without members, with the limits of internal/fleet on streams.
 func NewNetwork(delay time.Duration, loss float64) *Network {
-	return &Network{delay: delay, loss: loss, streamMost: streamBytesMost, streamsMost: streamsAtOnceMost, transports: map[string]*Transport{}}
+	return &Network{delay: delay, loss: loss, maxStreamBytes: maxStreamBytes, maxStreams: maxConcurrentStreams, transports: map[string]*Transport{}}
 }
 
-// Traffic counts what passed a member's transport.
+// Traffic counts what a member's transport has sent, received and rejected.
 type Traffic struct {
 	PacketsSent, PacketsReceived         int64
 	PacketBytesSent, PacketBytesReceived int64
 	StreamBytesSent, StreamBytesReceived int64
-	StreamsOpened, StreamsTurned         int64 // streams opened here; streams that came and were turned away
-	StreamsTooLong                       int64 // streams that were cut at the bound
-	LongestStream                        int64 // most bytes that one stream brought
-	PacketsOverrun                       int64 // packets that found the queue full
+	StreamsOpened, StreamsRefused        int64 // streams opened by this member; incoming streams that were refused
+	StreamsTruncated                     int64 // streams that were cut off at maxStreamBytes
+	LongestStreamBytes                   int64 // maximum number of bytes received on one stream
+	PacketsDropped                       int64 // packets that arrived while the queue was full
 }
 
-// Bytes are all bytes, sent and received.
+// Bytes returns the number of all bytes, sent and received.
 func (t Traffic) Bytes() int64 {
 	return t.PacketBytesSent + t.PacketBytesReceived + t.StreamBytesSent + t.StreamBytesReceived
 }
 
-// Packets are all packets, sent and received.
+// Packets returns the number of all packets, sent and received.
 func (t Traffic) Packets() int64 { return t.PacketsSent + t.PacketsReceived }
 
-// Minus is the traffic since an earlier count. The longest stream is that of all time.
+// Minus returns the traffic since an earlier count. LongestStreamBytes remains the maximum over the whole time.
 func (t Traffic) Minus(before Traffic) Traffic {
 	t.PacketsSent -= before.PacketsSent
 	t.PacketsReceived -= before.PacketsReceived
@@ -68,22 +69,22 @@
 	t.StreamBytesSent -= before.StreamBytesSent
 	t.StreamBytesReceived -= before.StreamBytesReceived
 	t.StreamsOpened -= before.StreamsOpened
-	t.StreamsTurned -= before.StreamsTurned
-	t.StreamsTooLong -= before.StreamsTooLong
-	t.PacketsOverrun -= before.PacketsOverrun
+	t.StreamsRefused -= before.StreamsRefused
+	t.StreamsTruncated -= before.StreamsTruncated
+	t.PacketsDropped -= before.PacketsDropped
 	return t
 }
 
-// Transport is one member's end of a Network, with the bounds of internal/fleet's transport on streams.
+// Transport is the transport of one member on a Network. It limits streams as the transport of internal/fleet does.
 type Transport struct {
-	network *Network
-	address netip.AddrPort
-	packets chan *memberlist.Packet
-	streams chan net.Conn
-	closed  chan struct{}
-	once    sync.Once
-	off     atomic.Bool
-	open    atomic.Int64 // streams that came and are open
+	network      *Network
+	address      netip.AddrPort
+	packets      chan *memberlist.Packet
+	streams      chan net.Conn
+	closed       chan struct{}
+	once         sync.Once
+	failed       atomic.Bool
+	openIncoming atomic.Int64 // incoming streams that are open
 
 	mu      sync.Mutex
 	traffic Traffic
@@ -91,127 +92,128 @@
 
 var _ memberlist.NodeAwareTransport = (*Transport)(nil)
 
-// NewTransport adds a member's transport. An address is used once at a time.
+// NewTransport adds a transport for a member. Each address may be in use only once at a time.
 func (n *Network) NewTransport(address netip.AddrPort) *Transport {
-	t := &Transport{network: n, address: address, packets: make(chan *memberlist.Packet, packetQueue), streams: make(chan net.Conn), closed: make(chan struct{})}
+	t := &Transport{network: n, address: address, packets: make(chan *memberlist.Packet, packetQueueLength), streams: make(chan net.Conn), closed: make(chan struct{})}
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.transports[address.String()] = t
 	return t
 }
 
-// CutOff has the member fail as a machine does: nothing passes any more, and nobody is told.
-func (t *Transport) CutOff() { t.off.Store(true) }
+// SimulateFailure simulates the failure of the member's machine: nothing is sent or received any more, and peers are not notified.
+func (t *Transport) SimulateFailure() { t.failed.Store(true) }
 
-// Traffic returns what has passed.
+// Traffic returns the traffic so far.
 func (t *Transport) Traffic() Traffic {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.traffic
 }
 
-func (t *Transport) counting(f func(*Traffic)) {
+// updateTraffic calls f with the counters, under the lock.
+func (t *Transport) updateTraffic(f func(*Traffic)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	f(&t.traffic)
 }
 
-// peer is the transport at an address; nil where none is or it was cut off.
+// peer returns the transport at an address, or nil if there is none or it has failed.
 func (n *Network) peer(address string) *Transport {
 	n.mu.RLock()
 	defer n.mu.RUnlock()
 	t := n.transports[address]
-	if t == nil || t.off.Load() {
+	if t == nil || t.failed.Load() {
 		return nil
 	}
 	return t
 }
 
-// latency is the time that one packet takes.
-func (n *Network) latency() time.Duration {
+// packetLatency returns a random latency for one packet.
+func (n *Network) packetLatency() time.Duration {
 	return time.Duration(float64(n.delay) * (0.5 + rand.Float64()))
 }
 
-// FinalAdvertiseAddr is the member's address.
+// FinalAdvertiseAddr returns the address of the member.
 func (t *Transport) FinalAdvertiseAddr(string, int) (net.IP, int, error) {
 	return t.address.Addr().AsSlice(), int(t.address.Port()), nil
 }
 
-// WriteTo sends a packet.
-func (t *Transport) WriteTo(b []byte, address string) (time.Time, error) {
+// WriteTo sends a packet to an address.
+func (t *Transport) WriteTo(data []byte, address string) (time.Time, error) {
 	now := time.Now()
-	if t.off.Load() {
+	if t.failed.Load() {
 		return now, nil
 	}
-	t.counting(func(c *Traffic) {
+	t.updateTraffic(func(c *Traffic) {
 		c.PacketsSent++
-		c.PacketBytesSent += int64(len(b))
+		c.PacketBytesSent += int64(len(data))
 	})
-	to := t.network.peer(address)
-	if to == nil || rand.Float64() < t.network.loss {
+	peer := t.network.peer(address)
+	if peer == nil || rand.Float64() < t.network.loss {
 		return now, nil
 	}
 	from := net.UDPAddrFromAddrPort(t.address)
-	body := append([]byte(nil), b...)
-	time.AfterFunc(t.network.latency(), func() { to.receive(&memberlist.Packet{Buf: body, From: from, Timestamp: time.Now()}) })
+	packetBytes := append([]byte(nil), data...)
+	time.AfterFunc(t.network.packetLatency(), func() { peer.receive(&memberlist.Packet{Buf: packetBytes, From: from, Timestamp: time.Now()}) })
 	return now, nil
 }
 
-// receive queues a packet that has arrived.
-func (t *Transport) receive(p *memberlist.Packet) {
-	if t.off.Load() {
+// receive queues a packet that has arrived, or drops it if the queue is full.
+func (t *Transport) receive(packet *memberlist.Packet) {
+	if t.failed.Load() {
 		return
 	}
 	select {
-	case t.packets <- p:
-		t.counting(func(c *Traffic) {
+	case t.packets <- packet:
+		t.updateTraffic(func(c *Traffic) {
 			c.PacketsReceived++
-			c.PacketBytesReceived += int64(len(p.Buf))
+			c.PacketBytesReceived += int64(len(packet.Buf))
 		})
 	default:
-		t.counting(func(c *Traffic) { c.PacketsOverrun++ })
+		t.updateTraffic(func(c *Traffic) { c.PacketsDropped++ })
 	}
 }
 
-// WriteToAddress sends a packet.
+// WriteToAddress sends a packet to an address.
 func (t *Transport) WriteToAddress(b []byte, a memberlist.Address) (time.Time, error) {
 	return t.WriteTo(b, a.Addr)
 }
 
-// PacketCh holds the packets that have arrived.
+// PacketCh returns the channel of received packets.
 func (t *Transport) PacketCh() <-chan *memberlist.Packet { return t.packets }
 
-var errTurnedAway = errors.New("slopes: the stream was turned away")
+var errStreamRefused = errors.New("slopes: stream refused: too many open streams")
 
-// DialTimeout opens a stream. A member that was cut off does not answer at all.
+// DialTimeout opens a stream. A failed member does not respond, so the call takes the whole timeout.
 func (t *Transport) DialTimeout(address string, timeout time.Duration) (net.Conn, error) {
-	to := t.network.peer(address)
-	if to == nil || t.off.Load() {
+	peer := t.network.peer(address)
+	if peer == nil || t.failed.Load() {
 		return nil, t.wait(timeout, fmt.Errorf("slopes: %s does not answer", address))
 	}
-	if err := t.wait(2*t.network.latency(), nil); err != nil {
+	if err := t.wait(2*t.network.packetLatency(), nil); err != nil {
 		return nil, err
 	}
-	t.counting(func(c *Traffic) { c.StreamsOpened++ })
-	if to.open.Add(1) > t.network.streamsMost {
-		to.open.Add(-1)
-		to.counting(func(c *Traffic) { c.StreamsTurned++ })
-		return nil, errTurnedAway
+	t.updateTraffic(func(c *Traffic) { c.StreamsOpened++ })
+	if peer.openIncoming.Add(1) > t.network.maxStreams {
+		peer.openIncoming.Add(-1)
+		peer.updateTraffic(func(c *Traffic) { c.StreamsRefused++ })
+		return nil, errStreamRefused
 	}
-	here, there := net.Pipe()
+	local, remote := net.Pipe()
 	select {
-	case to.streams <- &stream{Conn: there, transport: to, left: t.network.streamMost, came: true}:
-		return &stream{Conn: here, transport: t, left: t.network.streamMost}, nil
-	case <-to.closed:
-		to.open.Add(-1)
+	case peer.streams <- &stream{Conn: remote, transport: peer, remainingBytes: t.network.maxStreamBytes, incoming: true}:
+		return &stream{Conn: local, transport: t, remainingBytes: t.network.maxStreamBytes}, nil
+	case <-peer.closed:
+		peer.openIncoming.Add(-1)
 		return nil, fmt.Errorf("slopes: %s is closed", address)
 	case <-time.After(timeout):
-		to.open.Add(-1)
+		peer.openIncoming.Add(-1)
 		return nil, fmt.Errorf("slopes: %s does not answer", address)
 	}
 }
 
-// wait sleeps for a time, less where the transport is closed, and returns err.
+// wait sleeps for d and returns err. It returns net.ErrClosed as soon as the transport is closed.
 func (t *Transport) wait(d time.Duration, err error) error {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -223,60 +225,60 @@
 	}
 }
 
-// DialAddressTimeout opens a stream.
+// DialAddressTimeout opens a stream to an address.
 func (t *Transport) DialAddressTimeout(a memberlist.Address, timeout time.Duration) (net.Conn, error) {
 	return t.DialTimeout(a.Addr, timeout)
 }
 
-// StreamCh holds the streams that have come.
+// StreamCh returns the channel of incoming streams.
 func (t *Transport) StreamCh() <-chan net.Conn { return t.streams }
 
-// Shutdown closes the transport.
+// Shutdown fails the member and closes the transport.
 func (t *Transport) Shutdown() error {
-	t.CutOff()
+	t.SimulateFailure()
 	t.once.Do(func() { close(t.closed) })
 	return nil
 }
 
-// stream counts what passes, and ends where more comes than internal/fleet takes.
+// stream counts the bytes of a connection. Reads fail once a stream exceeds the limit of internal/fleet.
 type stream struct {
 	net.Conn
-	transport *Transport
-	left      int
-	came      bool
-	once      sync.Once
+	transport      *Transport
+	remainingBytes int
+	incoming       bool
+	once           sync.Once
 }
 
-// Read reads up to the bound.
+// Read reads at most the remaining bytes of the limit.
 func (s *stream) Read(b []byte) (int, error) {
-	if s.left <= 0 {
-		s.transport.counting(func(c *Traffic) { c.StreamsTooLong++ })
+	if s.remainingBytes <= 0 {
+		s.transport.updateTraffic(func(c *Traffic) { c.StreamsTruncated++ })
 		return 0, io.ErrUnexpectedEOF
 	}
-	n, err := s.Conn.Read(b[:min(len(b), s.left)])
-	s.left -= n
-	s.transport.counting(func(c *Traffic) {
+	n, err := s.Conn.Read(b[:min(len(b), s.remainingBytes)])
+	s.remainingBytes -= n
+	s.transport.updateTraffic(func(c *Traffic) {
 		c.StreamBytesReceived += int64(n)
-		c.LongestStream = max(c.LongestStream, int64(s.transport.network.streamMost-s.left))
+		c.LongestStreamBytes = max(c.LongestStreamBytes, int64(s.transport.network.maxStreamBytes-s.remainingBytes))
 	})
 	return n, err
 }
 
-// Write sends bytes.
+// Write sends bytes, unless the member has failed.
 func (s *stream) Write(b []byte) (int, error) {
-	if s.transport.off.Load() {
+	if s.transport.failed.Load() {
 		return 0, net.ErrClosed
 	}
 	n, err := s.Conn.Write(b)
-	s.transport.counting(func(c *Traffic) { c.StreamBytesSent += int64(n) })
+	s.transport.updateTraffic(func(c *Traffic) { c.StreamBytesSent += int64(n) })
 	return n, err
 }
 
-// Close closes the stream.
+// Close closes the stream and releases its place among the incoming streams.
 func (s *stream) Close() error {
 	s.once.Do(func() {
-		if s.came {
-			s.transport.open.Add(-1)
+		if s.incoming {
+			s.transport.openIncoming.Add(-1)
 		}
 	})
 	return s.Conn.Close()
