--- a/cmd/slatelab/connections.go
+++ b/cmd/slatelab/connections.go
@@ -255,28 +255,28 @@
 	lastID      atomic.Int64
 	stop        context.CancelFunc
 	namesByAddr map[string]string
-	states      []conns.State // of the connections when the pool was closed
+	states      []conns.EndpointState // of the connections when the pool was closed
 }
 
 func newRelayPool(addrs map[string]string) (connectionPool, error) {
 	pool := &relayPool{namesByAddr: map[string]string{}}
 	cfg := conns.Defaults()
-	cfg.Most, cfg.IdleMost, cfg.Ahead = 500, maxIdle, true
+	cfg.MaxConns, cfg.MaxIdle, cfg.Preconnect = 500, maxIdle, true
 	var err error
-	pool.manager, err = flow.New(flow.Config{ConnectWithin: time.Second, MostFlows: 10_000, Conns: cfg,
-		StuckAfter: 300 * time.Millisecond}, func(flowEnd traffic.FlowEnd) {
+	pool.manager, err = flow.New(flow.Config{ConnectTimeout: time.Second, MaxCalls: 10_000, Conns: cfg,
+		UnackedTimeout: 300 * time.Millisecond}, func(flowEnd traffic.FlowEnd) {
 		end, _ := pool.pendingEnds.LoadAndDelete(flowEnd.ID)
 		end.(chan traffic.FlowEnd) <- flowEnd
 	})
 	if err != nil {
 		return nil, err
 	}
-	list := traffic.PoolNews{Whole: true}
+	list := traffic.PoolUpdate{Full: true}
 	for name, addr := range addrs {
 		pool.namesByAddr[addr] = name
-		list.Members = append(list.Members, traffic.Member{Host: name, Dial: addr, Destination: len(list.Members)})
+		list.Members = append(list.Members, traffic.Member{Host: name, Address: addr, Destination: len(list.Members)})
 	}
-	pool.manager.Pool(list)
+	pool.manager.UpdatePool(list)
 	ctx, stop := context.WithCancel(context.Background())
 	pool.stop = stop
 	go pool.manager.Sweep(ctx)
@@ -288,7 +288,7 @@
 		end := make(chan traffic.FlowEnd, 1)
 		id := fmt.Sprint(k.lastID.Add(1))
 		k.pendingEnds.Store(id, end)
-		k.manager.Start(traffic.Flow{ID: id, Member: k.namesByAddr[addr], Group: traffic.Group{Member: addr}, Body: body, Begun: time.Now(),
+		k.manager.Start(traffic.Flow{ID: id, Member: k.namesByAddr[addr], Group: traffic.Group{Member: addr}, Body: body, StartedAt: time.Now(),
 			Deadline: deadline})
 		result := <-end
 		if result.Status == traffic.Unsent && time.Now().Before(deadline) {
@@ -303,9 +303,9 @@
 }
 
 func (k *relayPool) close() {
-	k.states = k.manager.Connections()
+	k.states = k.manager.EndpointStates()
 	k.stop()
-	k.manager.FreeIdle(true)
+	k.manager.SetCloseIdle(true)
 }
 
 // httpTransport makes calls through net/http.Transport. Calls have no Idempotency-Key header: with one, net/http would retry a call on its
--- a/cmd/slatelab/fleet_limits.go
+++ b/cmd/slatelab/fleet_limits.go
@@ -169,7 +169,7 @@
 		return r, err
 	}
 	s.PacketLoss = lossShare
-	s.Load = func(relay int) (rates [allowance.Levels]float64) {
+	s.Load = func(relay int) (rates [allowance.PriorityLevels]float64) {
 		rates[callLevel] = load(relay)
 		return rates
 	}
