--- a/internal/dispatch/sender.go
+++ b/internal/dispatch/sender.go
@@ -285,7 +285,7 @@
 		d.shared.estimate(s.now)
 		d.shared.grant, d.shared.grantUntil = ev.Rate, s.now+ev.For
 	case e == nil || ev.Kind == ReportedOutage && e.lastAnswered >= from:
-	case ev.Kind == ReportedOutage: // senders take turns, a gap after a failed trial, so that all hear of each one
+	case ev.Kind == ReportedOutage: // senders take turns, a gap after a failed trial, so all hear of each one
 		if !e.outage {
 			e.outage, e.ramping, e.reportedOnly, e.outageSince = true, false, true, from
 		}
--- a/internal/overload/overload.go
+++ b/internal/overload/overload.go
@@ -78,15 +78,15 @@
 	case c.TargetDelay <= 0:
 		return fmt.Errorf("overload: TargetDelay is %v, not positive", c.TargetDelay)
 	case c.ConfirmTicks < 1:
-		return fmt.Errorf("overload: Confirm is %d, less than 1", c.ConfirmTicks)
+		return fmt.Errorf("overload: ConfirmTicks is %d, less than 1", c.ConfirmTicks)
 	case !within(c.ClassFloor*float64(len(c.Classes)), 0, 0.5):
-		return fmt.Errorf("overload: Floor of %v for each of %d classes is not within 0 to half of the capacity", c.ClassFloor, len(c.Classes))
+		return fmt.Errorf("overload: ClassFloor of %v for each of %d classes is not within 0 to half of the capacity", c.ClassFloor, len(c.Classes))
 	case c.BodyWorkBytes < 1:
-		return fmt.Errorf("overload: BodyWork is %d, less than 1", c.BodyWorkBytes)
+		return fmt.Errorf("overload: BodyWorkBytes is %d, less than 1", c.BodyWorkBytes)
 	case !within(c.RefusalShare, 0.01, 0.9):
 		return fmt.Errorf("overload: RefusalShare is %v, not within 0.01..0.9", c.RefusalShare)
 	case c.MinRetryIn <= 0 || c.MaxRetryIn < c.MinRetryIn:
-		return fmt.Errorf("overload: RetryLeast %v is not positive or exceeds RetryMost %v", c.MinRetryIn, c.MaxRetryIn)
+		return fmt.Errorf("overload: MinRetryIn %v is not positive or exceeds MaxRetryIn %v", c.MinRetryIn, c.MaxRetryIn)
 	case !(c.MemoryHigh > 0 && c.MemoryHigh < c.MemoryFull && c.MemoryFull <= 1):
 		return fmt.Errorf("overload: MemoryHigh %v and MemoryFull %v are not in order within 0..1", c.MemoryHigh, c.MemoryFull)
 	case c.MaxBodyBytesAtFull < 1 || c.MaxBodyBytes < c.MaxBodyBytesAtFull:
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -208,7 +208,7 @@
 	if a := submit(t, r, now, tr); a.Verdict != traffic.Accepted {
 		t.Errorf("the same message again: answer %+v", a)
 	}
-	if got := w.takeCalls(); strings.Contains(got, "Taken") || strings.Contains(got, "start") || r.counters.ReusedID != 1 {
+	if got := w.takeCalls(); strings.Contains(got, "TransactionAccepted") || strings.Contains(got, "start") || r.counters.ReusedID != 1 {
 		t.Errorf("calls %s, reused ids counted %d", got, r.counters.ReusedID)
 	}
 }
@@ -234,7 +234,7 @@
 	}
 	got := w.takeCalls()
 	if strings.Count(got, fmt.Sprint("notice ", traffic.GivenUp)) != 1 ||
-		strings.Count(got, fmt.Sprint("notice ", traffic.Returned)) != 2 || strings.Contains(got, "Taken") {
+		strings.Count(got, fmt.Sprint("notice ", traffic.Returned)) != 2 || strings.Contains(got, "TransactionAccepted") {
 		t.Error(got)
 	}
 	if c := r.Counters(); c.Recovered != 4 || c.Open != 1 {
