--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -16,7 +16,7 @@
 	"slatemux/internal/tlspolicy"
 )
 
-const whole = `
+const allFieldsText = `
 overload {
   enabled: true
   target_busy: 0.8
@@ -36,15 +36,15 @@
 log { format: JSON level: WARN lines_per_second: 9 }
 `
 
-func TestEveryFieldIsTaken(t *testing.T) {
-	c, err := Parse("f", []byte(whole))
+func TestOverloadAndLogFields(t *testing.T) {
+	c, err := Parse("f", []byte(allFieldsText))
 	if err != nil {
 		t.Fatal(err)
 	}
 	o := c.Overload.Control
 	if !c.Overload.Enabled || c.Overload.Brownout || c.Overload.Tick != 20*time.Millisecond || o.TargetBusy != 0.8 ||
-		o.TargetDelay != 12500*time.Microsecond || o.Confirm != 2 || o.LeastRate != 10 || o.Floor != 0.05 || o.BodyWork != 4096 ||
-		o.RefusalShare != 0.3 || o.MostPace != 50*time.Millisecond || o.RetryLeast != 100*time.Millisecond || o.MemoryHigh != 0.7 ||
+		o.TargetDelay != 12500*time.Microsecond || o.ConfirmTicks != 2 || o.MinRate != 10 || o.ClassFloor != 0.05 || o.BodyWorkBytes != 4096 ||
+		o.RefusalShare != 0.3 || o.MaxReadPause != 50*time.Millisecond || o.MinRetryIn != 100*time.Millisecond || o.MemoryHigh != 0.7 ||
 		o.MemoryFull != 0.9 {
 		t.Errorf("%+v", c.Overload)
 	}
@@ -53,7 +53,7 @@
 	}
 }
 
-const secured = `
+const tlsText = `
 tls {
   policy { name: "in" host: "10.*" plain: true }
   policy {
@@ -67,27 +67,27 @@
 }
 `
 
-func TestPolicies(t *testing.T) {
-	c, err := Parse("f", []byte(secured))
+func TestTLSFields(t *testing.T) {
+	c, err := Parse("f", []byte(tlsText))
 	if err != nil {
 		t.Fatal(err)
 	}
 	want := tlspolicy.Table{{Name: "in", Hosts: "10.*", Plain: true, MinVersion: tls.VersionTLS12, Sessions: 16}, {Name: "bank", Destinations: []int{7, 9},
 		Hosts: "*.bank.example.org", ServerName: "pay.bank.example.org", RootFiles: []string{"a.pem"}, RootDirs: []string{"roots"}, SystemRoots: true,
 		MinVersion: tls.VersionTLS13, Pins: []tlspolicy.Pin{{}, {1}}, Certificate: "c.pem", Key: "c.key", Sessions: 3}}
-	if !reflect.DeepEqual(c.TLS.Policies, want) || c.TLS.Watch || c.TLS.Gate.Share != 0.5 || c.TLS.Gate.Least != 9 || c.TLS.Gate.PerEndpoint != 4 {
+	if !reflect.DeepEqual(c.TLS.Policies, want) || c.TLS.WatchFiles || c.TLS.Gate.CoreShare != 0.5 || c.TLS.Gate.MinPerSecond != 9 || c.TLS.Gate.MaxPerEndpoint != 4 {
 		t.Errorf("%+v", c.TLS)
 	}
 }
 
-func TestConnections(t *testing.T) {
+func TestConnectionFields(t *testing.T) {
 	c, err := Parse("f", []byte("connections { max_age_s: 0 keep_s: 2.5 ahead: true stale_share: 0.01 open_price: 0.5 held_most_ms: 7 stuck_after_ms: 500 "+
 		"look_up_names: true }"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	want := Default().Conns
-	want.Keep.MaxAge, want.Keep.Keep, want.Keep.Ahead, want.Keep.StaleMost, want.Keep.OpenPrice = 0, 2500*time.Millisecond, true, 0.01, 0.5
+	want.Keep.MaxAge, want.Keep.PeakHalfLife, want.Keep.Preconnect, want.Keep.MaxStaleShare, want.Keep.OpenPrice = 0, 2500*time.Millisecond, true, 0.01, 0.5
 	want.HeldMost, want.StuckAfter, want.LookUpNames = 7*time.Millisecond, 500*time.Millisecond, true
 	if c.Conns != want {
 		t.Errorf("%+v, want %+v", c.Conns, want)
@@ -100,7 +100,7 @@
 	}
 }
 
-// Without a file, and with an empty one, everything is as it was before there was one.
+// Without a file, and with an empty file, each setting has its default.
 func TestDefaults(t *testing.T) {
 	c, err := Load("")
 	if err != nil || c.Overload.Enabled || c.Log.LinesPerSecond != 5 || c.Log.Format != Auto || c.Log.Level != slog.LevelInfo {
@@ -111,23 +111,23 @@
 		t.Errorf("%+v, %v", empty, err)
 	}
 	if _, err := Load(filepath.Join(t.TempDir(), "none")); err == nil {
-		t.Error("a file that is not there was read")
+		t.Error("loading a missing file succeeded")
 	}
 }
 
-// The file in the repository is read, and what it switches on is on.
+// The deployed settings file is valid and enables overload control.
 func TestDeployedFile(t *testing.T) {
 	c, err := Load("../../deploy/gateway.textproto")
 	if err != nil || !c.Overload.Enabled {
 		t.Errorf("%+v, %v", c, err)
 	}
-	if c.Fleet.Enabled { // relays of the platform may not talk to each other
-		t.Error("the deployed file switches the fleet on")
+	if c.Fleet.Enabled { // the platform does not allow relays to communicate with each other
+		t.Error("the deployed file enables the fleet")
 	}
 }
 
-// A bad file is one line that names the file and the place or the field.
-func TestBadFiles(t *testing.T) {
+// The error for an invalid file is one line that names the file, and the position or the field.
+func TestInvalidFiles(t *testing.T) {
 	for text, wants := range map[string][]string{
 		"overload {\n  enable: true\n}":                                   {"gw:", "(line 2:3)", "unknown field", "enable"},
 		"overload { enabled: 3.5 }":                                       {"gw:", "line 1"},
@@ -152,7 +152,7 @@
 	} {
 		_, err := Parse("gw", []byte(text))
 		if err == nil {
-			t.Errorf("%q was taken", text)
+			t.Errorf("%q was accepted", text)
 			continue
 		}
 		for _, want := range wants {
@@ -163,8 +163,9 @@
 	}
 }
 
-// A value that makes no sense is told with its file, line and field, also of the second of several, in any way of writing.
-func TestErrorsNameTheLine(t *testing.T) {
+// The error for an invalid value names its file, line and field, in every notation of the text format and also for the second of several
+// occurrences.
+func TestErrorsNameLineAndField(t *testing.T) {
 	for text, want := range map[string]string{
 		"overload {\n # target_busy: 9\n target_busy: 7\n}":                                                                      "gw:3: overload.target_busy: ",
 		"log { format: TEXT } fleet {\n\n bind: 'here' }":                                                                        "gw:3: fleet.bind: ",
@@ -179,31 +180,31 @@
 		}
 	}
 	c, err := Parse("gw", []byte(`fleet { enabled: true name: "tbilisi" bind: "127.0.0.1:7946" join: "127.0.0.1:7947" key_file: "k" }`))
-	if f := c.Fleet; err != nil || !f.Enabled || f.Bind.Port() != 7946 || len(f.Join) != 1 || f.Agree != 2 || f.Exchange != time.Second {
+	if f := c.Fleet; err != nil || !f.Enabled || f.Bind.Port() != 7946 || len(f.Join) != 1 || f.Quorum != 2 || f.ExchangeInterval != time.Second {
 		t.Errorf("%+v, %v", f, err)
 	}
 }
 
-func TestGarbageIsSurvived(t *testing.T) {
+func TestParseSurvivesGarbage(t *testing.T) {
 	proptest.Check(t, func(t *rapid.T) {
-		text := proptest.Garbage(t, []byte(whole))
+		text := proptest.Malformed(t, []byte(allFieldsText))
 		if c, err := Parse("f", text); err == nil {
 			if err := c.Overload.Control.Check(); err != nil && !strings.Contains(err.Error(), "Classes") {
-				t.Fatalf("%q was taken and makes no sense: %v", text, err)
+				t.Fatalf("%q was accepted, but the overload settings are invalid: %v", text, err)
 			}
 		}
 	})
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(whole))
-	f.Add([]byte(secured))
+	f.Add([]byte(allFieldsText))
+	f.Add([]byte(tlsText))
 	if raw, err := os.ReadFile("../../deploy/gateway.textproto"); err == nil {
 		f.Add(raw)
 	}
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		if c, err := Parse("f", raw); err == nil && c.Overload.Tick < 20*time.Millisecond {
-			t.Errorf("a tick of %v", c.Overload.Tick)
+			t.Errorf("a tick of %v was accepted", c.Overload.Tick)
 		}
 	})
 }
