--- a/internal/allowance/messages.go
+++ b/internal/allowance/messages.go
@@ -28,7 +28,7 @@
 	Shard int
 	// Sequence increases with each claim of the relay, whatever owner the claim goes to.
 	Sequence uint64
-	// LastGrant is the sequence number of the newest grant that the relay has received from this owner; 0 for none.
+	// LastGrantSequence is the sequence number of the newest grant that the relay has received from this owner; 0 for none.
 	LastGrantSequence uint64
 	// LoanDuration is how long the relay lends its shares of the shard's limits to the owner; 0 if it does not lend them.
 	LoanDuration time.Duration
@@ -43,7 +43,7 @@
 	ClaimRequested bool
 	// Sequence increases with each grant of the owner, also across restarts.
 	Sequence uint64
-	// LastClaim is the sequence number of the newest claim that the owner has received from the relay; 0 for none.
+	// LastClaimSequence is the sequence number of the newest claim that the owner has received from the relay; 0 for none.
 	LastClaimSequence uint64
 	LeaseDuration     time.Duration
 	Shares            []Share
--- a/internal/configsync/config.go
+++ b/internal/configsync/config.go
@@ -57,28 +57,28 @@
 type Config struct {
 	// Self is the relay's name, unique in the fleet.
 	Self string
-	// Exchange is the mean interval between two anti-entropy exchanges.
+	// ExchangeInterval is the mean interval between two anti-entropy exchanges.
 	ExchangeInterval time.Duration
 	// AckTimeout is how long a push waits for its acknowledgement before another member of its scope is tried.
 	AckTimeout time.Duration
-	// Attempts is the maximum number of members of one scope that are tried.
+	// MaxAttempts is the maximum number of members of one scope that are tried.
 	MaxAttempts int
 	// FanOut is the number of parts into which a relay divides its scope.
 	FanOut int
-	// BytesPerSecond limits everything that this relay sends, as measured by Size.
+	// BytesPerSecond limits everything that this relay sends, as measured by MessageBytes.
 	BytesPerSecond float64
 	// RepairBytesPerSecond limits the share of BytesPerSecond that deltas may use. It prevents a traffic storm when two parts
 	// of a fleet reunite.
 	RepairBytesPerSecond float64
 	// MaxPacketBytes is the maximum size of a packet.
 	MaxPacketBytes int
-	// Size returns the bytes that a message takes on the network, including all headers.
+	// MessageBytes returns the bytes that a message takes on the network, including all headers.
 	MessageBytes func(*Message) int
 	// Seed initializes the random number generator.
 	Seed uint64
 }
 
-// Defaults returns the parameters that the relay uses unless its settings override them. Self, Size and Seed are unset.
+// Defaults returns the parameters that the relay uses unless its settings override them. Self, MessageBytes and Seed are unset.
 func Defaults() Config {
 	return Config{
 		ExchangeInterval:     defaultExchangeInterval,
@@ -117,7 +117,7 @@
 // independent loss probability of each packet. The bound holds as long as the byte budgets are not used up. If every packet is
 // lost, no bound exists.
 //
-//	Bound = batchInterval + depth*delay + retries*AckTimeout + exchanges*(1+jitter)*Exchange + 3*delay
+//	PropagationBound = batchInterval + depth*delay + retries*AckTimeout + exchanges*(1+jitter)*ExchangeInterval + 3*delay
 //
 // depth is the number of hops of the tree. A holder of n other members hands each of FanOut parts to one of the part's members,
 // which has ceil(n/FanOut)-1 others left. Half of the miss probability goes to each of two events:
@@ -125,10 +125,10 @@
 // First, a path needs more retries than the bound includes. Each attempt of a hop is lost with probability p and then needs one
 // retry. A path of depth hops with k retries follows one of C(depth+k-1, k) patterns. The probability of k or more retries is
 // therefore about C(depth+k-1, k)*p^k on one path. With as many paths as members, retries is the largest k for which
-// members*C(depth+k-1, k)*p^k exceeds half of the miss probability. The tree allows at most depth*(Attempts-1) retries.
+// members*C(depth+k-1, k)*p^k exceeds half of the miss probability. The tree allows at most depth*(MaxAttempts-1) retries.
 //
 // Second, a relay that the tree missed is not repaired within the number of exchanges. The tree misses a relay with probability
-// m = 1-(1-p^Attempts)^depth, because all attempts of one hop on its path are lost. An exchange that the relay begins fails with
+// m = 1-(1-p^MaxAttempts)^depth, because all attempts of one hop on its path are lost. An exchange that the relay begins fails with
 // probability r = 1-(1-m)*(1-p)^2, because the tree missed its peer as well or one of the two packets was lost. exchanges is the
 // smallest n of at least 1 with members*m*r^n <= 1/2000. Exchanges that other relays begin with the missed relay are not
 // counted. The last 3*delay covers the packets of the successful exchange. The bound does not include a repair that is postponed
--- a/internal/configsync/message.go
+++ b/internal/configsync/message.go
@@ -52,7 +52,7 @@
 
 // Exchange is one message of an anti-entropy exchange.
 type Exchange struct {
-	// Reply asks the receiver to answer with its own version vector.
+	// WantsReply asks the receiver to answer with its own version vector.
 	WantsReply bool
 	// Versions is the sender's version vector. An answer without a vector compares nothing. An answer with a vector names every
 	// source that the receiver's vector named, if necessary with version 0.
--- a/internal/configsync/push.go
+++ b/internal/configsync/push.go
@@ -72,7 +72,7 @@
 	}
 	r.counters.OverBudget++
 	if len(r.postponed) < maxPostponedPushes {
-		// Without the additional byte, rounding could leave Tick with too few bytes at the time that Due returned.
+		// Without the additional byte, rounding could leave Tick with too few bytes at the time that NextTick returned.
 		neededBytes := pushBytes + r.ackReserveBytes() + 1
 		r.postponed = append(r.postponed, postponedPush{changes: changes, scope: scope, neededBytes: neededBytes})
 	}
--- a/internal/configsync/replica.go
+++ b/internal/configsync/replica.go
@@ -90,7 +90,7 @@
 	r.SetMembership(now, NewMembership(members))
 }
 
-// SetMembership replaces the set of live members like Members does. Replicas of one process can share the prepared set, which
+// SetMembership replaces the set of live members like SetMembers does. Replicas of one process can share the prepared set, which
 // saves preparing it for each of them.
 func (r *Replica) SetMembership(now time.Duration, membership *Membership) {
 	wasAlone := r.countOthers() == 0
--- a/internal/discoveryaddr/discoveryaddr.go
+++ b/internal/discoveryaddr/discoveryaddr.go
@@ -15,7 +15,7 @@
 	endCurrent context.CancelFunc
 }
 
-// New returns a Place with the initial address addr.
+// New returns an Address with the initial address addr.
 func New(addr string) *Address {
 	p := &Address{addr: addr}
 	p.current, p.endCurrent = context.WithCancel(context.Background())
--- a/internal/dispatch/sender.go
+++ b/internal/dispatch/sender.go
@@ -56,7 +56,7 @@
 	maxTieBreak         = 1e-3
 	shedThreshold       = 0.85            // share of the hold cap above which queued messages are shed
 	maxDestinationShare = 0.7             // share of the call slots that one destination may hold
-	largeMessageBytes   = 4096.0          // doubles a message's weight in shedding when HoldCap.Heavy is 1
+	largeMessageBytes   = 4096.0          // doubles a message's weight in shedding if HoldCap.SizeWeight is 1
 	watchRetryPause     = 2 * time.Second // before a broken subscription is requested again
 	logInterval         = time.Second     // least time between two log lines
 )
@@ -86,7 +86,7 @@
 	rng                    *rand.Rand // spreads actions that many senders would take at the same moment
 	startRNG               *rand.Rand // spreads the first choices and first calls of many senders
 	holdCap                int        // messages that may be held at present
-	sizeWeight             float64    // HoldCap.Heavy: how much the size of a message counts in shedding
+	sizeWeight             float64    // HoldCap.SizeWeight: how much the size of a message counts in shedding
 }
 
 // message is a request that has not ended or that has an attempt out.
@@ -644,7 +644,7 @@
 	e.limiter.ownTrial = e.limiter.nextTrial
 }
 
-// withoutRecentSuccess reports rare calls and no success within TipAfter: a second failure would come late.
+// withoutRecentSuccess reports rare calls and no success in OverloadFor: a second failure would come late.
 func (s *Sender) withoutRecentSuccess(e *endpoint) bool {
 	return s.now-e.limiter.lastSuccess > s.cfg.Safety.OverloadFor && e.limiter.sparseness() > 0
 }
--- a/internal/dispatch/sender_test.go
+++ b/internal/dispatch/sender_test.go
@@ -1208,7 +1208,7 @@
 }
 
 // An endpoint that returns from maintenance by operators is cold, since it was restarted, and ramps up. An endpoint that only
-// discovery lists again, without Cold, does not.
+// discovery lists again, without Restarted, does not.
 func TestColdAfterMaintenance(t *testing.T) {
 	for _, cold := range []bool{true, false} {
 		s := newSender(t, testSettings(), ep("e", 1))
--- a/internal/dispatch/shed_test.go
+++ b/internal/dispatch/shed_test.go
@@ -75,7 +75,7 @@
 	})
 }
 
-// A lower hold cap refuses queued messages, never one that may have run or has an attempt out. With Heavy, large messages go
+// A lower hold cap refuses queued messages, never one that may have run or has an attempt out. With SizeWeight, large messages go
 // first. A cap above Settings.MaxOpen counts as MaxOpen.
 func TestHoldCap(t *testing.T) {
 	set := testSettings()
--- a/internal/dispatch/types.go
+++ b/internal/dispatch/types.go
@@ -11,12 +11,12 @@
 // Duties of the caller:
 //
 //   - now never decreases from one Step to the next, and all times share one origin;
-//   - every [Send] is answered by exactly one [Outcome], including a send that could not start ([Moot]);
+//   - every [Send] is answered by exactly one [Outcome], including a send that could not start ([NotSent]);
 //   - every requested [Wake] leads to a Step at or after its time, with or without events;
 //   - only one goroutine at a time calls Step;
 //   - each message is submitted once, under an ID that is not used again.
 //
-// In return each [Request] ends exactly once: by an Outcome marked Settled, by a [Refuse] or by a [Fail]. After a Refuse the
+// In return each [Request] ends exactly once: by an Outcome marked Closed, by a [Refuse] or by a [Fail]. After a Refuse the
 // client may submit the message again without harm. A Fail makes no such promise.
 //
 // All decisions are in sender.go. This file holds the exported types.
@@ -34,7 +34,7 @@
 // The effects of a class of messages.
 const (
 	Safe   Effect = iota // may be repeated at any time
-	Keyed                // the destination drops repeats for Class.Memory
+	Keyed                // the destination drops repeats for Class.DedupTTL
 	Unsafe               // must never take effect twice
 )
 
@@ -89,7 +89,7 @@
 	OverloadFor           time.Duration // ... during this time push a cold destination into an outage again
 	OrderPause            time.Duration // pause of a key after an attempt that may still be running
 	DrainGrace            time.Duration // for this long after notice of its drain, an endpoint may still get new calls
-	NotifyInterval        time.Duration // OnRequest: a sender that has not asked for this long counts as notified
+	NotifyInterval        time.Duration // WatchRequired: a sender that has not asked for this long counts as notified
 }
 
 // Prices are the costs of one call that count in the choice between endpoints.
@@ -199,11 +199,11 @@
 	Restarted   bool    // listed again after maintenance by operators, so it was restarted
 }
 
-// Event is something that happened: [Members], [MembersLost], [Recalled], [Told], [Request], [Outcome], [Hangup], [HoldCap],
-// [Woken] or [ProbeResult].
+// Event is something that happened: [MembershipUpdate], [MembershipLost], [RestoredLimit], [FleetReport], [Request], [Outcome],
+// [Withdrawal], [HoldCap], [WakeDue] or [ProbeResult].
 type Event interface{ event() }
 
-// MembershipUpdate brings list entries: all of them when Whole, otherwise the changed ones.
+// MembershipUpdate brings list entries: all of them when Full, otherwise the changed ones.
 type MembershipUpdate struct {
 	Full      bool
 	Endpoints []Endpoint
@@ -220,11 +220,11 @@
 // send by itself, and does not override what this sender has found out itself.
 type FleetReport struct {
 	Kind        FleetReportKind
-	Destination int           // ToldWait: all its endpoints, or only the named one
-	Endpoint    string        // ToldOut, ToldBack and ToldNothing: the endpoint that is out or back
-	For         time.Duration // ToldWait: no call starts there for this long; 0 ends the earlier wait. ToldShare: how long the grant holds
-	Rate        float64       // ToldShare: calls a second; replaces this sender's own estimate and nothing else
-	Age         time.Duration // ToldOut: time since the outage began; ToldBack: time since the recovery began
+	Destination int           // ReportedWait: all its endpoints, or only the named one
+	Endpoint    string        // ReportedOutage, ReportedRecovery and ReportLapsed: the endpoint that is out or back
+	For         time.Duration // ReportedWait: no call starts there for this long; 0 ends the earlier wait. GrantedShare: validity of the grant
+	Rate        float64       // GrantedShare: calls a second; replaces this sender's own estimate and nothing else
+	Age         time.Duration // ReportedOutage: time since the outage began; ReportedRecovery: time since the recovery began
 }
 
 // FleetReportKind is the kind of a report from the fleet.
@@ -252,7 +252,7 @@
 	Key         int64 // with HasKey: the subject of the message, in classes ordered by key
 	HasKey      bool
 	TimeLeft    time.Duration
-	SizeBytes   int           // bytes of memory to hold the message; HoldCap.Heavy gives them weight
+	SizeBytes   int           // bytes of memory to hold the message; HoldCap.SizeWeight gives them weight
 	Attempts    int           // earlier sends; the next attempt has this number
 	MayHaveRun  bool          // an earlier attempt may have taken effect
 	FirstSent   time.Duration // with MayHaveRun: when the first attempt that may have run was sent; may lie before the origin
@@ -265,8 +265,8 @@
 	Endpoint   string
 	Status     Status
 	Closed     bool          // the message is closed, by this outcome or earlier
-	RetryAfter time.Duration // with Full: the destination's retry-after time; 0 for none
-	NoSlot     bool          // with Moot: no slot was free
+	RetryAfter time.Duration // with Refused: the destination's retry-after time; 0 for none
+	NoSlot     bool          // with NotSent: no slot was free
 	Latency    time.Duration // since the send
 	Report     *LimitReport  // nil if there was none
 }
@@ -275,7 +275,7 @@
 type Withdrawal struct{ ID string }
 
 // HoldCap sets how many messages may be held from now on, at most Settings.MaxOpen, when its caller is short of a resource.
-// Messages above the cap are refused in the order of shedding. With Heavy above 0, larger messages are refused sooner.
+// Messages above the cap are refused in the order of shedding. With SizeWeight above 0, larger messages are refused sooner.
 type HoldCap struct {
 	MaxMessages int
 	SizeWeight  float64
@@ -306,7 +306,7 @@
 // Action is something for the caller to do: [Send], [Cancel], [Refuse], [Fail], [Wake], [Probe], [Watch] or [Log].
 type Action interface{ action() }
 
-// Send starts an attempt. With a TimeOut of 0 the attempt may run until the deadline of the message.
+// Send starts an attempt. With a Timeout of 0 the attempt may run until the deadline of the message.
 type Send struct {
 	ID       string
 	Endpoint string
--- a/internal/flow/connections.go
+++ b/internal/flow/connections.go
@@ -87,7 +87,7 @@
 	}
 }
 
-// requestConn requests a connection through decide, which is conns.Pool.Call or Again.
+// requestConn requests a connection through decide, which is conns.Pool.Call or RetryCall.
 func (g *Manager) requestConn(host string, decide func(time.Duration, string) (conns.Verdict, conns.ID, []conns.Eviction)) lease {
 	for {
 		verdict, id, evicted := decide(g.now(), host)
--- a/internal/flow/dial.go
+++ b/internal/flow/dial.go
@@ -23,7 +23,7 @@
 const unusedAddressTTL = time.Hour
 
 // dialer opens connections. An endpoint may have several addresses: a comma-separated list, or a host name if there is a Resolver. They
-// are then tried as conns.Race says (Happy Eyeballs).
+// are then tried as conns.Attempts says (Happy Eyeballs).
 type dialer struct {
 	resolver Resolver // nil: package net resolves single names, and names in lists are not resolved
 	origin   time.Time
--- a/internal/flow/flow.go
+++ b/internal/flow/flow.go
@@ -21,27 +21,27 @@
 	SettleTime     time.Duration // minimum time between an answer and the next call on the same connection
 	Conns          conns.Config  // how many connections are kept, and which are used
 
-	// HeldMost bounds how long a flow waits for a connection while no new one may be opened; 0 means 250 ms. A flow that waits longer
+	// MaxConnWait bounds how long a flow waits for a connection while no new one may be opened; 0 means 250 ms. A flow that waits longer
 	// ends unsent, and the decision module may send the message to another member.
 	MaxConnWait time.Duration
-	// StuckAfter is how long the peer of a reused connection may leave written bytes unacknowledged before the connection is closed;
+	// UnackedTimeout is how long the peer of a reused connection may leave written bytes unacknowledged before the connection is closed;
 	// 0 disables the check.
 	UnackedTimeout time.Duration
 
-	// Names resolves the host names of members, whose addresses are then tried as conns.Race says. With nil, package net resolves
+	// Resolver resolves the host names of members, whose addresses are then tried as conns.Attempts says. With nil, package net resolves
 	// names.
 	Resolver Resolver
 
-	// Secure makes the TLS connections to members that require TLS; nil if no member does.
+	// TLS makes the TLS connections to members that require TLS; nil if no member does.
 	TLS TLSConnector
-	// Gate configures the admission of TLS handshakes.
+	// HandshakeGate configures the admission of TLS handshakes.
 	HandshakeGate tlspolicy.HandshakeConfig
-	// Busy returns the load of this program, 0 to 1. A high load slows down handshakes. Nil means that the load is unknown.
+	// ProgramLoad returns the load of this program, 0 to 1. A high load slows down handshakes. Nil means that the load is unknown.
 	ProgramLoad func() float64
 
-	// OwnDelay returns how long received data currently waits until this program handles it; nil if that is unknown.
+	// LocalDelay returns how long received data currently waits until this program handles it; nil if that is unknown.
 	LocalDelay func() time.Duration
-	// Shared holds the retry-after waits of all processes of this relay. The waits of the other process of a handover bind this
+	// SharedWaits holds the retry-after waits of all processes of this relay. The waits of the other process of a handover bind this
 	// process too. Nil means that no waits are shared.
 	SharedWaits RetryAfterWaits
 	// Fleet learns the end of each flow and is consulted before a call is written; nil for a relay without a fleet.
@@ -50,7 +50,7 @@
 
 // RetryAfterWaits holds the retry-after waits that the two processes of a handover share.
 type RetryAfterWaits interface {
-	// Tell records that no call of the group may be written before until.
+	// Record records that no call of the group may be written before until.
 	Record(group traffic.Group, until time.Time)
 	// Until returns the end of the current wait of the group, or the zero time if the group has none.
 	Until(group traffic.Group, now time.Time) time.Time
@@ -66,12 +66,12 @@
 
 // TLSConnector decides which members require TLS, and makes the TLS connections.
 type TLSConnector interface {
-	// Wants reports whether connections to the member use TLS.
+	// UsesTLS reports whether connections to the member use TLS.
 	UsesTLS(member *traffic.Member) bool
-	// Client performs the TLS handshake on a new connection until ctx ends, and closes the connection if the handshake fails. It
+	// Handshake performs the TLS handshake on a new connection until ctx ends, and closes the connection if the handshake fails. It
 	// returns the processor time of the handshake, or 0 if that is unknown.
 	Handshake(ctx context.Context, nc net.Conn, member *traffic.Member) (net.Conn, time.Duration, error)
-	// Fresh reports whether an idle connection may carry another call.
+	// Reusable reports whether an idle connection may carry another call.
 	Reusable(nc net.Conn) bool
 }
 
@@ -141,15 +141,15 @@
 }
 
 // UpdatePool applies an update of the pool. A flow to a leaving member ends unsent unless its first byte is already written.
-func (g *Manager) UpdatePool(news traffic.PoolUpdate) {
+func (g *Manager) UpdatePool(update traffic.PoolUpdate) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if news.Full {
+	if update.Full {
 		for _, m := range g.members {
 			m.available = false
 		}
 	}
-	for _, row := range news.Members {
+	for _, row := range update.Members {
 		m := g.members[row.Host]
 		if m == nil {
 			m = &member{}
@@ -255,7 +255,7 @@
 	return g.conns.EndpointStates()
 }
 
-// flowEnd returns the end of the flow. Took leaves out the time that the flow waited inside this program, because the pool member did
+// flowEnd returns the end of the flow. Latency leaves out the time that the flow waited inside this program, because the pool member did
 // not cause it: a CPU-starved relay would otherwise consider its members slow, send them fewer calls and queue more messages.
 func (r *activeFlow) flowEnd(status traffic.FlowStatus) traffic.FlowEnd {
 	return traffic.FlowEnd{ID: r.ID, Attempt: r.Attempt, Member: r.Member, Status: status,
--- a/internal/flow/handshake_queue.go
+++ b/internal/flow/handshake_queue.go
@@ -8,8 +8,8 @@
 	"slatemux/internal/tlspolicy"
 )
 
-// handshakeQueue makes flows wait for new TLS connections as tlspolicy.Gate decides. A waiting flow gets permission to start a handshake,
-// or a connection to its member that became idle in the meantime.
+// handshakeQueue makes flows wait for new TLS connections as tlspolicy.HandshakeGate decides. A waiting flow gets permission to start a
+// handshake, or a connection to its member that became idle in the meantime.
 type handshakeQueue struct {
 	programLoad func() float64 // load of this program; nil if unknown
 
@@ -27,8 +27,8 @@
 	c        *conn
 }
 
-func newHandshakeQueue(cfg tlspolicy.HandshakeConfig, busy func() float64) *handshakeQueue {
-	return &handshakeQueue{programLoad: busy, gate: tlspolicy.NewHandshakeGate(cfg), origin: time.Now(), waiters: map[uint64]chan grant{}}
+func newHandshakeQueue(cfg tlspolicy.HandshakeConfig, programLoad func() float64) *handshakeQueue {
+	return &handshakeQueue{programLoad: programLoad, gate: tlspolicy.NewHandshakeGate(cfg), origin: time.Now(), waiters: map[uint64]chan grant{}}
 }
 
 // wait waits for a grant until the deadline or the end of ctx. An admitted handshake must be ended with handshakeDone. A granted
--- a/internal/flow/http1/http1.go
+++ b/internal/flow/http1/http1.go
@@ -198,7 +198,7 @@
 		if r.remaining, r.state = int64(n), chunkData; n == 0 {
 			r.state = trailer
 		}
-		r.headBytes = 0 // MaxHead bounds one head, not the sum of all chunk size lines
+		r.headBytes = 0 // MaxHeadBytes bounds one head, not the sum of all chunk size lines
 	case chunkEnd:
 		if line != "" {
 			return errors.New("http1: chunk data exceeds the chunk size")
--- a/internal/flow/tls_test.go
+++ b/internal/flow/tls_test.go
@@ -232,12 +232,12 @@
 	}
 }
 
-// failingSecure is a Secure whose handshakes fail.
-type failingSecure struct{}
+// failingTLS is a TLSConnector whose handshakes fail.
+type failingTLS struct{}
 
-func (failingSecure) UsesTLS(*traffic.Member) bool { return true }
-func (failingSecure) Reusable(net.Conn) bool       { return true }
-func (failingSecure) Handshake(_ context.Context, nc net.Conn, _ *traffic.Member) (net.Conn, time.Duration, error) {
+func (failingTLS) UsesTLS(*traffic.Member) bool { return true }
+func (failingTLS) Reusable(net.Conn) bool       { return true }
+func (failingTLS) Handshake(_ context.Context, nc net.Conn, _ *traffic.Member) (net.Conn, time.Duration, error) {
 	nc.Close()
 	return nil, 0, errors.New("no")
 }
@@ -245,7 +245,7 @@
 // A failed handshake ends the flow as not connected, and releases its connection and its flow entry.
 func TestFailedHandshake(t *testing.T) {
 	r := newHarness(t)
-	r.manager.cfg.TLS, r.manager.handshakes = failingSecure{}, newHandshakeQueue(gateConfig, nil)
+	r.manager.cfg.TLS, r.manager.handshakes = failingTLS{}, newHandshakeQueue(gateConfig, nil)
 	for i := range 5 {
 		r.startFlow(fmt.Sprint(i))
 		r.expectEnd(fmt.Sprint(i), traffic.NotConnected)
--- a/internal/front/admission_test.go
+++ b/internal/front/admission_test.go
@@ -112,9 +112,9 @@
 	readPause    time.Duration
 }
 
-func (g *sizeLimiter) Admit(h overload.Submission) overload.Decision {
+func (g *sizeLimiter) Admit(submission overload.Submission) overload.Decision {
 	g.decisions.Add(1)
-	return overload.Decision{Refused: h.BodyBytes > g.maxBodyBytes, RetryIn: 70 * time.Millisecond}
+	return overload.Decision{Refused: submission.BodyBytes > g.maxBodyBytes, RetryIn: 70 * time.Millisecond}
 }
 func (g *sizeLimiter) ReadPause() time.Duration { return g.readPause }
 
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -28,7 +28,7 @@
 	Submit(t traffic.Transaction, received time.Time) <-chan traffic.Answer
 }
 
-// Admission decides on submissions before they reach the relay. Pace returns how long reading from a connection pauses after a
+// Admission decides on submissions before they reach the relay. ReadPause returns how long reading from a connection pauses after a
 // refusal.
 type Admission interface {
 	Admit(overload.Submission) overload.Decision
@@ -55,12 +55,12 @@
 
 	mu            sync.Mutex
 	limits        Limits
-	reservedBytes int64 // by large commands; bounded by Limits.Buffered
+	reservedBytes int64 // by large commands; bounded by Limits.MaxBufferedBytes
 	conns         map[*client]bool
 	shedBy        map[string]*atomic.Int64 // by class: submissions that overload control refused after their command was read
 
 	draining         atomic.Bool
-	refuseUnfinished atomic.Bool  // set by End: unfinished commands are refused
+	refuseUnfinished atomic.Bool  // set by Shutdown: unfinished commands are refused
 	lingering        atomic.Int64 // connections whose sending side is shut and whose remaining input is discarded
 	closeIdle        atomic.Bool  // idle connections are closed early, since memory is short
 
@@ -173,9 +173,9 @@
 }
 
 // refuse answers a submission that is not admitted. Reading from its connection then pauses if admission asks for that.
-func (s *Server) refuse(conn redcon.Conn, c *client, r overload.Decision) {
+func (s *Server) refuse(conn redcon.Conn, c *client, decision overload.Decision) {
 	s.shed.Add(1)
-	writeAnswer(conn, traffic.Answer{Verdict: traffic.Busy, RetryIn: r.RetryIn})
+	writeAnswer(conn, traffic.Answer{Verdict: traffic.Busy, RetryIn: decision.RetryIn})
 	if c != nil {
 		if c.readPause = s.admission.ReadPause(); c.readPause > 0 {
 			s.pausedReads.Add(1)
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -294,7 +294,7 @@
 	}
 }
 
-// Clients that send one command and keep the connection must not use up the file descriptors for clients. Above the limit Used, a
+// Clients that send one command and keep the connection must not use up the file descriptors for clients. Above the limit MaxUsedConns, a
 // connection that has only sent PING is evicted first, then the one that has been idle longest.
 func TestIdleClientsAreEvictedAboveUsedLimit(t *testing.T) {
 	s := startServer(t, 100, traffic.Answer{})
--- a/internal/governor/governor.go
+++ b/internal/governor/governor.go
@@ -20,28 +20,28 @@
 type Meters interface {
 	// Read returns the measurements since the previous call.
 	Read(now time.Time) vitals.Reading
-	// Ping starts a probe that measures how long a reader waits for the processor. The next reading contains the result.
+	// SendProbe starts a probe that measures how long a reader waits for the processor. The next reading contains the result.
 	SendProbe()
 }
 
 // Relay holds the open messages and processes them in steps.
 type Relay interface {
-	// Squeeze limits the number of open messages, and their bytes to the share openBytesScale of the usual limit. sizeWeight is
+	// LimitOpen limits the number of open messages, and their bytes to the share openBytesScale of the usual limit. sizeWeight is
 	// the weight of a message's size in the choice of the messages to return.
 	LimitOpen(messages int, sizeWeight, openBytesScale float64)
-	// Stretch sets the shortest time between two steps.
+	// SetStepInterval sets the shortest time between two steps.
 	SetStepInterval(minInterval time.Duration)
 	// Load returns the current load of the relay.
 	Load() relay.Load
 }
 
-// Idler holds idle connections. While FreeIdle is on, it closes them.
+// Idler holds idle connections. After SetCloseIdle(true) it closes them.
 type Idler interface{ SetCloseIdle(on bool) }
 
 // Front serves the clients.
 type Front interface {
 	Idler
-	// Handing returns the number of client connections that currently carry submissions.
+	// ConnectionCount returns the number of client connections that currently carry submissions.
 	ConnectionCount() int
 }
 
@@ -123,7 +123,7 @@
 func (g *Governor) SetMemoryLimit(memoryLimit int64) { g.memoryLimit.Store(memoryLimit) }
 
 // Admit decides on a submission. It is safe for concurrent use.
-func (g *Governor) Admit(h overload.Submission) overload.Decision {
+func (g *Governor) Admit(submission overload.Submission) overload.Decision {
 	now := time.Since(g.origin)
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -134,7 +134,7 @@
 		default:
 		}
 	}
-	return g.controller.Admit(now, h)
+	return g.controller.Admit(now, submission)
 }
 
 // ReadPause returns how long a connection is not read after a refusal.
@@ -169,7 +169,7 @@
 	s := overload.Sample{BusyShare: r.BusyShare, OpenBytesShare: load.Bytes, Open: load.Open, Waiting: load.Waiting, Clients: g.front.ConnectionCount(),
 		Ended: int(load.Ended - g.endedMessages), SchedulingShare: r.SectionCores / r.Cores, Delay: max(r.SubmissionAge-g.applied.stepInterval, 0)}
 	g.endedMessages = load.Ended
-	// The step interval is subtracted from Age because a submission waits up to that long for its step without any queue. The
+	// The step interval is subtracted from SubmissionAge because a submission waits up to that long for its step without any queue. The
 	// probe waits only for the processor, so nothing is subtracted from it.
 	s.Delay = max(s.Delay, r.ProbeWait)
 	if limit := g.memoryLimit.Load(); limit > 0 {
--- a/internal/governor/governor_test.go
+++ b/internal/governor/governor_test.go
@@ -34,7 +34,7 @@
 	parts.calls = append(parts.calls, fmt.Sprint("free ", on))
 }
 func (parts *fakeParts) LimitOpen(messages int, sizeWeight, scale float64) {
-	parts.calls = append(parts.calls, fmt.Sprintf("squeeze %d %v %.2f", messages, sizeWeight > 0, scale))
+	parts.calls = append(parts.calls, fmt.Sprintf("limit open %d %v %.2f", messages, sizeWeight > 0, scale))
 }
 
 // takeCalls returns the recorded calls and clears them.
@@ -100,7 +100,7 @@
 	if !parts.quiet {
 		t.Error("log lines below warnings are not suppressed")
 	}
-	if got := parts.takeCalls(); !strings.Contains(got, "step 20ms") || !strings.Contains(got, "squeeze") || g.gcPercent != relaxedGCPercent {
+	if got := parts.takeCalls(); !strings.Contains(got, "step 20ms") || !strings.Contains(got, "limit open") || g.gcPercent != relaxedGCPercent {
 		t.Errorf("far behind: calls %q, garbage collection target %d", got, g.gcPercent)
 	}
 }
@@ -110,7 +110,7 @@
 	g, parts := newTestGovernor(t)
 	parts.reading.RSSBytes = 900
 	runTicks(g, parts, 1, 1)
-	if got := parts.takeCalls(); !strings.Contains(got, "squeeze 100 true 0.50, free true, free true") {
+	if got := parts.takeCalls(); !strings.Contains(got, "limit open 100 true 0.50, free true, free true") {
 		t.Errorf("calls %q", got)
 	}
 	runTicks(g, parts, 3, 1)
@@ -119,7 +119,7 @@
 	}
 	g.SetMemoryLimit(10_000)
 	runTicks(g, parts, 1, 1)
-	if got := parts.takeCalls(); !strings.Contains(got, "squeeze 100 false 1.00, free false, free false") {
+	if got := parts.takeCalls(); !strings.Contains(got, "limit open 100 false 1.00, free false, free false") {
 		t.Errorf("with more memory: calls %q", got)
 	}
 }
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -101,7 +101,7 @@
 		return nil, nil, err
 	}
 	if err := j.compact(); err != nil {
-		for _, o := range orphans { // unlock the files; the next call of Adopt reads them again
+		for _, o := range orphans { // unlock the files; the next call of Recover reads them again
 			o.file.Close()
 		}
 		return nil, nil, err
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -125,7 +125,7 @@
 	})
 }
 
-// Old and new file together must never exceed the limit of the folder. Once Room has accepted a transaction, the records of its
+// Old and new file together must never exceed the limit of the folder. Once HasRoom has accepted a transaction, the records of its
 // flows and of its end must always fit.
 func TestFolderStaysUnderLimit(t *testing.T) {
 	const limit = 200_000
--- a/internal/lab/capacity/slopes/source_test.go
+++ b/internal/lab/capacity/slopes/source_test.go
@@ -59,7 +59,7 @@
 		here, want       float64
 	}{
 		{"pool/watch.go", "maxList", "4 << 20", discoveryListMost, 4 << 20},
-		{"pool/book.go", "maxGone", "2048", membersGoneMost, 2048},
+		{"pool/member_list.go", "maxGone", "2048", membersGoneMost, 2048},
 		{"allowance/allocator.go", "maxDestinations", "16384", dividedMost, 16384},
 		{"allowance/claims.go", "maxClaimed", "24", claimedMost, 24},
 		{"verdicts/judge.go", "maxTracked", "8192", judgedMost, 8192},
--- a/internal/notice/notice.go
+++ b/internal/notice/notice.go
@@ -27,7 +27,7 @@
 
 // Sender delivers notices in order.
 type Sender struct {
-	place    *discoveryaddr.Address
+	platform *discoveryaddr.Address
 	answered func(ids []string)
 
 	mu       sync.Mutex
@@ -60,8 +60,8 @@
 }
 
 // New returns a Sender to the platform, whose address may change. answered is called with the ids of notices that need no retry.
-func New(at *discoveryaddr.Address, answered func(ids []string)) *Sender {
-	return &Sender{place: at, answered: answered, wake: make(chan struct{}, 1)}
+func New(platform *discoveryaddr.Address, answered func(ids []string)) *Sender {
+	return &Sender{platform: platform, answered: answered, wake: make(chan struct{}, 1)}
 }
 
 // Send queues a notice. It does not block.
@@ -149,7 +149,7 @@
 		s.closeConn()
 	}
 	if s.conn == nil {
-		s.addr, s.placeCtx = s.place.Current()
+		s.addr, s.placeCtx = s.platform.Current()
 		ctx, cancel := context.WithCancel(ctx)
 		defer cancel()
 		defer context.AfterFunc(s.placeCtx, cancel)()
--- a/internal/ops/ops.go
+++ b/internal/ops/ops.go
@@ -43,7 +43,7 @@
 	Ready() bool
 	// Stats returns the current counters.
 	Stats() Stats
-	// Fleet returns a part of the fleet's state by name: members or verdicts. It returns nil if the relay takes part in no fleet
+	// FleetState returns a part of the fleet's state by name: members or verdicts. It returns nil if the relay takes part in no fleet
 	// or the name is unknown.
 	FleetState(what string) any
 	// Configure submits a signed change of the fleet's configuration as JSON. It returns once this relay has stored and applied
--- a/internal/overload/overload.go
+++ b/internal/overload/overload.go
@@ -59,7 +59,7 @@
 }
 
 // Defaults returns the values that a relay uses where its configuration file sets none. The caller adds Classes, Tenants
-// and OpenMost.
+// and MaxOpen.
 func Defaults() Config {
 	return Config{TargetBusy: 0.92, TargetDelay: 25 * time.Millisecond, ConfirmTicks: 3, MinRate: 50, ClassFloor: 0.02,
 		BodyWorkBytes: 16 << 10, RefusalShare: 0.25, MaxReadPause: 100 * time.Millisecond,
@@ -295,15 +295,15 @@
 }
 
 // Admit decides on a submission.
-func (c *Controller) Admit(now time.Duration, h Submission) Decision {
+func (c *Controller) Admit(now time.Duration, submission Submission) Decision {
 	c.counters.Offered++
-	class, tenant := c.classes[h.Class], c.tenantState(h.Tenant)
-	work := c.work(h.BodyBytes)
-	level := c.level(class, tenant, h, work)
+	class, tenant := c.classes[submission.Class], c.tenantState(submission.Tenant)
+	work := c.work(submission.BodyBytes)
+	level := c.level(class, tenant, submission, work)
 	c.offeredByLevel[level] += work
 	tenant.offeredWork += work
 	c.totalOfferedWork += work
-	if h.BodyBytes > c.actions.MaxBodyBytes {
+	if submission.BodyBytes > c.actions.MaxBodyBytes {
 		c.counters.RefusedBySize++
 		c.window.refusedWork += work
 		c.window.refusedCount++
@@ -350,11 +350,11 @@
 func (c *Controller) work(size int) float64 { return 1 + float64(size)/float64(c.cfg.BodyWorkBytes) }
 
 // level ranks a submission by worth per unit of work on a logarithmic scale. A submission beyond its tenant's share
-// ranks lower by the factor OverShare, and can still use capacity that other tenants leave free.
-func (c *Controller) level(class *classState, tenant *tenantState, h Submission, work float64) int {
+// ranks lower by the factor OverShareFactor, and can still use capacity that other tenants leave free.
+func (c *Controller) level(class *classState, tenant *tenantState, submission Submission, work float64) int {
 	worth := 1.0
 	if class != nil {
-		worth = c.worth(class, h.TimeLeft)
+		worth = c.worth(class, submission.TimeLeft)
 	}
 	if c.actions.Shedding && c.exceedsTenantShare(tenant) {
 		worth *= c.cfg.OverShareFactor
--- a/internal/pool/pace.go
+++ b/internal/pool/call_schedule.go
@@ -31,7 +31,7 @@
 // to earlier calls. The constants below are chosen so that on each path the sum of three times stays below that: the rest of a call
 // that brings nothing, the pause after it, and the call that brings the change.
 type CallSchedule struct {
-	terms       DiscoveryConfig
+	config      DiscoveryConfig
 	startSpread time.Duration // first calls of the fleet are spread over this time
 	failures    int           // number in a row
 	rng         *rand.Rand
@@ -85,18 +85,18 @@
 	_ = uint64(maxNotifyDelay - (watchHold + maxAgentWait + transferTimeout + maxAgentWait + maxAgentWait + transferTimeout))
 )
 
-// NewCallSchedule returns the pace of one relay. Each relay needs its own seed.
-func NewCallSchedule(terms DiscoveryConfig, seed int64) *CallSchedule {
-	startSpread := min(time.Duration(min(max(terms.Peers, 1), 1000)-1)*callInterval, maxStartSpread)
-	if terms.NotifiedAfter > 0 { // otherwise the relay counts as notified of everything listed at its start before it has called
-		startSpread = min(startSpread, terms.NotifiedAfter/2)
+// NewCallSchedule returns the call schedule of one relay. Each relay needs its own seed.
+func NewCallSchedule(config DiscoveryConfig, seed int64) *CallSchedule {
+	startSpread := min(time.Duration(min(max(config.Peers, 1), 1000)-1)*callInterval, maxStartSpread)
+	if config.NotifiedAfter > 0 { // otherwise the relay counts as notified of everything listed at its start before it has called
+		startSpread = min(startSpread, config.NotifiedAfter/2)
 	}
-	return &CallSchedule{terms: terms, startSpread: startSpread, rng: rand.New(rand.NewPCG(uint64(seed), 5))}
+	return &CallSchedule{config: config, startSpread: startSpread, rng: rand.New(rand.NewPCG(uint64(seed), 5))}
 }
 
 // StartDelay returns the delay before the first call.
 func (p *CallSchedule) StartDelay() time.Duration {
-	if p.terms.Pushed {
+	if p.config.Pushed {
 		return 0
 	}
 	return p.randomUpTo(p.startSpread)
@@ -105,7 +105,7 @@
 // MoveDelay returns the delay before the first call after discovery has moved to another address.
 func (p *CallSchedule) MoveDelay() time.Duration {
 	p.failures = 0
-	if p.terms.Pushed {
+	if p.config.Pushed {
 		return 0
 	}
 	return p.randomUpTo(min(p.startSpread, maxMoveSpread))
@@ -119,8 +119,8 @@
 // span is shorter.
 func (p *CallSchedule) RetryDelay(watch bool) time.Duration {
 	firstSpan, maxSpan := min(max(p.startSpread, minRetrySpan), maxFirstRetrySpan), maxRetrySpan
-	if p.terms.Pushed {
-		firstSpan, maxSpan = minAgentWait, max(min(p.terms.DrainGrace/agentRetryDivisor, maxAgentWait), minAgentWait)
+	if p.config.Pushed {
+		firstSpan, maxSpan = minAgentWait, max(min(p.config.DrainGrace/agentRetryDivisor, maxAgentWait), minAgentWait)
 	} else if watch && p.failures == 0 {
 		firstSpan = min(firstSpan, maxSilentRetrySpan)
 	}
@@ -133,7 +133,7 @@
 // start, which has no check before it, ends before the known list expires.
 func (p *CallSchedule) WatchTimeouts(first bool) (hold, timeout time.Duration) {
 	switch {
-	case p.terms.Pushed:
+	case p.config.Pushed:
 		return watchHold, p.agentTimeout()
 	case first:
 		return min(watchHold, maxNotifyDelay-p.startSpread), answerTimeout
@@ -143,12 +143,12 @@
 
 // NeedsCheck reports whether a relay makes a check before it begins a watch. Without a check, nobody knows whether the list is fresh
 // or discovery is reachable. At a start with polling there is none, since discovery has to answer the whole fleet.
-func (p *CallSchedule) NeedsCheck() bool { return p.terms.Pushed || p.failures > 0 }
+func (p *CallSchedule) NeedsCheck() bool { return p.config.Pushed || p.failures > 0 }
 
 // CheckTimeout returns the timeout of a call that asks for an answer at once. It doubles after failures, since discovery may be slow
 // and not down.
 func (p *CallSchedule) CheckTimeout() (timeout time.Duration) {
-	if p.terms.Pushed {
+	if p.config.Pushed {
 		return p.agentTimeout()
 	}
 	return answerTimeout << min(p.failures/2, 1)
@@ -156,7 +156,7 @@
 
 // agentTimeout grows with failures, since an agent may be slow and not down, up to a bound within the grace period.
 func (p *CallSchedule) agentTimeout() time.Duration {
-	timeout := min(p.terms.DrainGrace/agentTimeoutDivisor, maxAgentWait)
+	timeout := min(p.config.DrainGrace/agentTimeoutDivisor, maxAgentWait)
 	return max(min(timeout<<min(p.failures/2, 1), 2*maxAgentWait), minAgentWait)
 }
 
@@ -164,9 +164,9 @@
 // last known to be fresh. The relay counts as notified of what an agent has from the first moment on. The rest of the grace period
 // is for flows in progress.
 func (p *CallSchedule) MaxUnconfirmed() (start, later time.Duration) {
-	later = maxNotifyDelay + p.terms.DrainGrace*3/4
-	if p.terms.Pushed {
-		return p.terms.DrainGrace * 3 / 4, later
+	later = maxNotifyDelay + p.config.DrainGrace*3/4
+	if p.config.Pushed {
+		return p.config.DrainGrace * 3 / 4, later
 	}
 	return later, later
 }
--- a/internal/pool/pace_test.go
+++ b/internal/pool/call_schedule_test.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// askedTerms returns settings for polling, pushedTerms for an agent.
-func askedTerms(peers int) DiscoveryConfig {
+// askedConfig returns settings for polling, pushedConfig for an agent.
+func askedConfig(peers int) DiscoveryConfig {
 	return DiscoveryConfig{Peers: peers, DrainGrace: 500 * time.Millisecond, NotifiedAfter: 10 * time.Second}
 }
 
-func pushedTerms(peers int, grace time.Duration) DiscoveryConfig {
+func pushedConfig(peers int, grace time.Duration) DiscoveryConfig {
 	return DiscoveryConfig{Pushed: true, Peers: peers, DrainGrace: grace}
 }
 
@@ -95,7 +95,7 @@
 	for seed := range int64(20) {
 		var fleet []caller
 		for i := range int64(80) {
-			fleet = append(fleet, NewCallSchedule(askedTerms(80), seed*100+i))
+			fleet = append(fleet, NewCallSchedule(askedConfig(80), seed*100+i))
 		}
 		last, calls, peak := simulateCalls(d, fleet)
 		if last > 20*time.Second || calls > 160 || peak > 12 {
@@ -106,11 +106,11 @@
 
 // A single relay, or one of three, calls at once or after a short delay.
 func TestSmallFleetCallsSoon(t *testing.T) {
-	if p := NewCallSchedule(askedTerms(1), 1); p.StartDelay() != 0 || p.MoveDelay() != 0 {
+	if p := NewCallSchedule(askedConfig(1), 1); p.StartDelay() != 0 || p.MoveDelay() != 0 {
 		t.Error("a single relay waits for others")
 	}
 	for seed := range int64(100) {
-		p := NewCallSchedule(askedTerms(3), seed)
+		p := NewCallSchedule(askedConfig(3), seed)
 		if s, f := p.StartDelay(), p.RetryDelay(false); s > 100*time.Millisecond || f > 100*time.Millisecond {
 			t.Fatalf("one of three pauses for %v and %v", s, f)
 		}
@@ -119,7 +119,7 @@
 
 // Retry delays grow with each failure in a row up to a bound, differ between relays, and start over after an answer.
 func TestRetryDelaysGrow(t *testing.T) {
-	a, b := NewCallSchedule(askedTerms(80), 1), NewCallSchedule(askedTerms(80), 2)
+	a, b := NewCallSchedule(askedConfig(80), 1), NewCallSchedule(askedConfig(80), 2)
 	same, most := 0, time.Duration(0)
 	for range 30 {
 		x, y := a.RetryDelay(false), b.RetryDelay(false)
@@ -137,7 +137,7 @@
 	if p := a.RetryDelay(false); p > maxStartSpread {
 		t.Errorf("after an answer, the first pause is %v", p)
 	}
-	if NewCallSchedule(askedTerms(-3), 1).StartDelay() != 0 || NewCallSchedule(askedTerms(1<<40), 1).StartDelay() > maxStartSpread {
+	if NewCallSchedule(askedConfig(-3), 1).StartDelay() != 0 || NewCallSchedule(askedConfig(1<<40), 1).StartDelay() > maxStartSpread {
 		t.Error("wrong delay for a fleet of an absurd size")
 	}
 }
@@ -145,10 +145,10 @@
 // A relay counts as notified of what its agent has even if it does not ask. At a start, after a move and after any number of
 // failures, the next call must be made well within the grace period of each deployment, in a fleet of any size. A silent watch must
 // be detected, and the next call made, before the relay counts as notified of what the watch missed.
-func TestPacePushed(t *testing.T) {
+func TestCallSchedulePushed(t *testing.T) {
 	for _, grace := range []time.Duration{500 * time.Millisecond, time.Second, 2 * time.Second, 5 * time.Second} {
 		for _, peers := range []int{1, 3, 350, 1024, 5000} {
-			p := NewCallSchedule(pushedTerms(peers, grace), int64(peers))
+			p := NewCallSchedule(pushedConfig(peers, grace), int64(peers))
 			if p.StartDelay() != 0 || p.MoveDelay() != 0 {
 				t.Errorf("of %d, grace %v: pauses before the first call", peers, grace)
 			}
@@ -175,18 +175,18 @@
 
 // With polling, a silent watch is replaced before the relay counts as notified of what it missed. At a start, the relay calls before
 // the settings count it as notified.
-func TestPaceAsked(t *testing.T) {
+func TestCallScheduleAsked(t *testing.T) {
 	for seed := range int64(50) {
-		p := NewCallSchedule(askedTerms(1024), seed)
+		p := NewCallSchedule(askedConfig(1024), seed)
 		hold, timeout := p.WatchTimeouts(false)
 		if at := hold + timeout + p.RetryDelay(true); at > hold+2*time.Second-timeout/2 {
 			t.Fatalf("a silent watch is replaced %v after its start", at)
 		}
-		terms := askedTerms(1024)
-		if terms.NotifiedAfter = time.Second; NewCallSchedule(terms, seed).StartDelay() > time.Second/2 {
+		config := askedConfig(1024)
+		if config.NotifiedAfter = time.Second; NewCallSchedule(config, seed).StartDelay() > time.Second/2 {
 			t.Fatal("the first call comes too late")
 		}
-		if start, later := p.MaxUnconfirmed(); start != later || start <= maxNotifyDelay || start >= maxNotifyDelay+terms.DrainGrace {
+		if start, later := p.MaxUnconfirmed(); start != later || start <= maxNotifyDelay || start >= maxNotifyDelay+config.DrainGrace {
 			t.Fatalf("a list that is not known to be fresh is used for %v after the start and %v later", start, later)
 		}
 	}
@@ -198,19 +198,19 @@
 // TestRefusedListExpires).
 func TestWorstDelayOfEachPath(t *testing.T) {
 	for _, peers := range []int{1, 3, 80, 350, 1024} {
-		for _, terms := range []DiscoveryConfig{askedTerms(peers), pushedTerms(peers, 500*time.Millisecond), pushedTerms(peers, 5*time.Second)} {
+		for _, config := range []DiscoveryConfig{askedConfig(peers), pushedConfig(peers, 500*time.Millisecond), pushedConfig(peers, 5*time.Second)} {
 			longest := map[string]time.Duration{}
 			for seed := range int64(300) {
 				record := func(path string, d time.Duration) { longest[path] = max(longest[path], d) }
 				call := func(p *CallSchedule) time.Duration { return p.CheckTimeout() + transferTimeout }
-				p := NewCallSchedule(terms, seed)
+				p := NewCallSchedule(config, seed)
 				firstHold, _ := p.WatchTimeouts(true)
 				record("start", p.StartDelay()+call(p))
 				record("start without news", p.StartDelay()+firstHold)
-				p = NewCallSchedule(terms, seed)
+				p = NewCallSchedule(config, seed)
 				p.RetryDelay(false)
 				record("move", p.MoveDelay()+call(p)+p.RetryDelay(false)+call(p))
-				p = NewCallSchedule(terms, seed)
+				p = NewCallSchedule(config, seed)
 				hold, timeout := p.WatchTimeouts(false)
 				record("watch", hold+timeout+transferTimeout+p.RetryDelay(true)+call(p))
 				for range 40 {
@@ -219,7 +219,7 @@
 			}
 			for path, d := range longest {
 				if d > maxNotifyDelay {
-					t.Errorf("%+v, %s: received %v later", terms, path, d)
+					t.Errorf("%+v, %s: received %v later", config, path, d)
 				}
 			}
 		}
@@ -234,7 +234,7 @@
 	}} {
 		in := map[int]int{}
 		for i := range int64(350) {
-			in[int(pause(NewCallSchedule(askedTerms(350), i))/(100*time.Millisecond))]++
+			in[int(pause(NewCallSchedule(askedConfig(350), i))/(100*time.Millisecond))]++
 		}
 		for at, n := range in {
 			if n > 60 {
--- a/internal/pool/book.go
+++ b/internal/pool/member_list.go
@@ -8,7 +8,7 @@
 
 // MemberList holds the known members and decides what of an answer from discovery applies. A drain stays until discovery withdraws it: by
 // a newer version than the one that announced it, or for a member that has started since. An answer that is older than the known
-// list, or of another kind than requested, changes nothing. Book uses no socket and no clock.
+// list, or of another kind than requested, changes nothing. MemberList uses no socket and no clock.
 type MemberList struct {
 	seq          int64
 	wantFull     bool // the next call asks for the full list
@@ -30,7 +30,7 @@
 // maxGone bounds the remembered members that have left. A late list may still name those of some releases.
 const maxGone = 2048
 
-// NewMemberList returns a Book that starts from a known list.
+// NewMemberList returns a MemberList that starts from a known list.
 func NewMemberList(known List) *MemberList {
 	b := &MemberList{seq: known.Seq, invalidSeq: -1, hosts: make(map[string]entry, len(known.Hosts)), departed: map[string]entry{}}
 	for _, h := range known.Hosts {
--- a/internal/pool/book_test.go
+++ b/internal/pool/member_list_test.go
@@ -18,14 +18,14 @@
 	return l
 }
 
-// memberHealth is the list of members as a receiver of the book's news keeps it.
+// memberHealth is the list of members as a receiver of the MemberList's updates keeps it.
 type memberHealth map[string]traffic.Health
 
-func (s memberHealth) apply(news traffic.PoolUpdate) {
-	if news.Full {
+func (s memberHealth) apply(update traffic.PoolUpdate) {
+	if update.Full {
 		clear(s)
 	}
-	for _, m := range news.Members {
+	for _, m := range update.Members {
 		if s[m.Host] = m.Health; m.Health == traffic.Left {
 			delete(s, m.Host)
 		}
@@ -33,7 +33,7 @@
 }
 
 // Each case applies answers one after another to a list at version 10 in which b is leaving.
-func TestBookTake(t *testing.T) {
+func TestMemberListApply(t *testing.T) {
 	const moves = "moves"
 	type step struct {
 		answer    string
@@ -67,10 +67,10 @@
 		for i, step := range steps {
 			if step.answer == moves {
 				b.SourceChanged()
-			} else if news, err := b.Apply(parse(t, step.answer), step.askedFull); (err != nil) != step.wantErr {
+			} else if update, err := b.Apply(parse(t, step.answer), step.askedFull); (err != nil) != step.wantErr {
 				t.Errorf("%s, step %d: %v", what, i, err)
 			} else if err == nil {
-				s.apply(news)
+				s.apply(update)
 			}
 			if at, here := s["b"]; here != (step.b != traffic.Left) || here && at != step.b {
 				t.Errorf("%s, step %d: b is %v (%v)", what, i, at, here)
@@ -82,9 +82,9 @@
 	}
 }
 
-// No answer that is not a newer version of the list may bring a leaving member back, and a receiver of the news must know the same
-// members as the book.
-func TestBookKeepsDrains(t *testing.T) {
+// No answer that is not a newer version of the list may bring a leaving member back, and a receiver of the updates must know the same
+// members as the MemberList.
+func TestMemberListKeepsDrains(t *testing.T) {
 	proptest.Check(t, func(t *rapid.T) {
 		known, err := Parse([]byte(listJSON(10, true, entryJSON("a", "active"), entryJSON("b", "leaving"), entryJSON("c", "leaving"))))
 		if err != nil {
@@ -109,18 +109,18 @@
 				continue
 			}
 			from := b.Seq()
-			news, err := b.Apply(l, b.WantFull())
+			update, err := b.Apply(l, b.WantFull())
 			if err != nil {
 				continue
 			}
-			s.apply(news)
+			s.apply(update)
 			for _, host := range []string{"b", "c"} {
 				if at, here := s[host]; here && at == traffic.Active && l.Seq <= from {
 					t.Fatalf("%s is active again by version %d after %d", host, l.Seq, from)
 				}
 			}
 			if len(s) != len(b.hosts) {
-				t.Fatalf("the receiver of the news has members %v, the book has %d", s, len(b.hosts))
+				t.Fatalf("the receiver of the updates has members %v, the member list has %d", s, len(b.hosts))
 			}
 		}
 	})
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -1,5 +1,5 @@
 // Package pool follows discovery's list of pool members. It starts from the list in the configuration, watches for changes, and
-// begins a new watch when discovery is silent. Pace decides when it calls, and Book what of an answer applies.
+// begins a new watch when discovery is silent. CallSchedule decides when it calls, and MemberList what of an answer applies.
 package pool
 
 import (
@@ -121,11 +121,11 @@
 
 // News converts a list to the form that the relay and the flows use.
 func (l *List) News() traffic.PoolUpdate {
-	news := traffic.PoolUpdate{Version: l.Seq, Full: l.Full, Members: make([]traffic.Member, 0, len(l.Hosts))}
+	update := traffic.PoolUpdate{Version: l.Seq, Full: l.Full, Members: make([]traffic.Member, 0, len(l.Hosts))}
 	for i := range l.Hosts {
-		news.Members = append(news.Members, l.Hosts[i].member())
+		update.Members = append(update.Members, l.Hosts[i].member())
 	}
-	return news
+	return update
 }
 
 func (h *Host) member() traffic.Member {
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -31,8 +31,8 @@
 	}
 	want := traffic.Member{Host: "s-5b", Address: "127.0.0.1:1", Zone: "a", Kind: "m2", Destination: 3,
 		Health: traffic.Leaving, Weight: 1.5}
-	if news := l.News(); l.Seq != 41 || !news.Full || len(news.Members) != 1 || news.Members[0] != want {
-		t.Errorf("%+v", news)
+	if update := l.News(); l.Seq != 41 || !update.Full || len(update.Members) != 1 || update.Members[0] != want {
+		t.Errorf("%+v", update)
 	}
 	for _, invalid := range []string{entryJSON("a", "odd"), entryJSON("", "active"), `{"host":"a","health":"active","dial":"127.0.0.1:1"}`,
 		`{"host":"a","health":"active","dial":"127.0.0.1","block":1}`, `{"host":"a","health":"active","dial":":0","block":1}`,
--- a/internal/pool/watch.go
+++ b/internal/pool/watch.go
@@ -45,9 +45,9 @@
 
 // Watcher follows the list. Its connection stays open between calls as long as discovery allows it.
 type Watcher struct {
-	place        *discoveryaddr.Address
-	pace         *CallSchedule
-	book         *MemberList
+	discovery    *discoveryaddr.Address
+	schedule     *CallSchedule
+	members      *MemberList
 	listener     Listener
 	processStart time.Time
 	conn         net.Conn
@@ -67,15 +67,15 @@
 // Listener receives the changes of the pool. Its methods must not block.
 type Listener interface {
 	PoolChanged(traffic.PoolUpdate)
-	// PoolDoubted says that the known list has expired: discovery has not confirmed it, and the relay already counts as notified of
+	// PoolUnconfirmed says that the known list has expired: discovery has not confirmed it, and the relay already counts as notified of
 	// later changes. The next PoolChanged ends this state.
 	PoolUnconfirmed()
 }
 
 // NewWatcher returns a Watcher that continues from the known list and passes each change to the listener. The process started at
 // since.
-func NewWatcher(at *discoveryaddr.Address, pace *CallSchedule, known List, since time.Time, to Listener) *Watcher {
-	return &Watcher{place: at, pace: pace, book: NewMemberList(known), processStart: since, listener: to}
+func NewWatcher(discovery *discoveryaddr.Address, schedule *CallSchedule, known List, since time.Time, to Listener) *Watcher {
+	return &Watcher{discovery: discovery, schedule: schedule, members: NewMemberList(known), processStart: since, listener: to}
 }
 
 // Counters returns the counters.
@@ -94,15 +94,15 @@
 // Run watches until ctx ends. When discovery moves, the watch moves as well and begins with the full list, since the versions of the
 // new address need not continue the old ones.
 func (w *Watcher) Run(ctx context.Context) {
-	allowed, _ := w.pace.MaxUnconfirmed()
+	allowed, _ := w.schedule.MaxUnconfirmed()
 	w.mu.Lock()
 	w.freshAt, w.expiryTimer = w.processStart, time.AfterFunc(time.Until(w.processStart.Add(allowed)), w.checkFreshness)
 	w.mu.Unlock()
 	defer w.expiryTimer.Stop()
-	pause := w.pace.StartDelay()
+	pause := w.schedule.StartDelay()
 	w.lastAnswer = time.Now()
 	for failures := 0; ctx.Err() == nil; {
-		addr, placeCtx := w.place.Current()
+		addr, placeCtx := w.discovery.Current()
 		followCtx, cancel := context.WithCancel(ctx)
 		stopCancel := context.AfterFunc(placeCtx, cancel)
 		lastAnswer := w.lastAnswer
@@ -113,12 +113,12 @@
 		if placeCtx.Err() != nil {
 			slog.Info("watch moves", "from", addr)
 			w.closeConn()
-			w.book.SourceChanged()
-			pause = w.pace.MoveDelay()
+			w.members.SourceChanged()
+			pause = w.schedule.MoveDelay()
 		} else if ctx.Err() == nil {
-			pause = w.pace.RetryDelay(w.lastWasWatch)
+			pause = w.schedule.RetryDelay(w.lastWasWatch)
 			if failures++; bits.OnesCount(uint(failures)) == 1 { // log at failures 1, 2, 4, and so on, since an agent is called often
-				slog.Warn("watch broken", "addr", addr, "seq", w.book.Seq(), "err", err, "pause", pause, "in_a_row", failures)
+				slog.Warn("watch broken", "addr", addr, "seq", w.members.Seq(), "err", err, "pause", pause, "in_a_row", failures)
 			}
 		}
 		stopCancel()
@@ -131,7 +131,7 @@
 func (w *Watcher) checkFreshness() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	allowed, later := w.pace.MaxUnconfirmed()
+	allowed, later := w.schedule.MaxUnconfirmed()
 	if w.everAnswered {
 		allowed = later
 	}
@@ -149,11 +149,11 @@
 func (w *Watcher) setFresh(at time.Time, answered bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if !answered && !w.everAnswered && w.pace.terms.Pushed || !at.After(w.freshAt) {
+	if !answered && !w.everAnswered && w.schedule.config.Pushed || !at.After(w.freshAt) {
 		return
 	}
 	w.freshAt = at
-	if _, later := w.pace.MaxUnconfirmed(); w.confirmed || !w.everAnswered {
+	if _, later := w.schedule.MaxUnconfirmed(); w.confirmed || !w.everAnswered {
 		w.expiryTimer.Reset(time.Until(at.Add(later)))
 	}
 }
@@ -171,12 +171,12 @@
 		}
 	}
 	w.newWatch = true
-	for check := w.pace.NeedsCheck(); ; check = false {
-		begin, seq := time.Now(), w.book.Seq()
+	for check := w.schedule.NeedsCheck(); ; check = false {
+		begin, seq := time.Now(), w.members.Seq()
 		if err := w.call(ctx, addr, check); err != nil {
 			return fmt.Errorf("pool: %w", err)
 		}
-		if !check && w.book.Seq() == seq && time.Since(begin) < minWatchTime { // discovery did not hold the watch; avoid a flood of calls
+		if !check && w.members.Seq() == seq && time.Since(begin) < minWatchTime { // discovery did not hold the watch; avoid a flood of calls
 			select {
 			case <-ctx.Done():
 				return ctx.Err()
@@ -189,14 +189,14 @@
 // call makes one call and passes its answer on. A check, or a call for the full list, is answered at once; a watch may wait.
 func (w *Watcher) call(ctx context.Context, addr string, check bool) error {
 	now := time.Now()
-	hold, timeout := w.pace.WatchTimeouts(!check && w.newWatch)
-	full, target := w.book.WantFull(), "/discovery/hosts"
+	hold, timeout := w.schedule.WatchTimeouts(!check && w.newWatch)
+	full, target := w.members.WantFull(), "/discovery/hosts"
 	w.lastWasWatch = !check && !full
 	if !w.lastWasWatch {
-		hold, timeout = time.Millisecond, w.pace.CheckTimeout() // discovery might take 0 for its default hold
+		hold, timeout = time.Millisecond, w.schedule.CheckTimeout() // discovery might take 0 for its default hold
 	}
 	if !full {
-		target += "?from=" + strconv.FormatInt(w.book.Seq(), 10) + "&hold_ms=" + strconv.FormatInt(hold.Milliseconds(), 10)
+		target += "?from=" + strconv.FormatInt(w.members.Seq(), 10) + "&hold_ms=" + strconv.FormatInt(hold.Milliseconds(), 10)
 	}
 	if w.conn != nil && w.addr != addr {
 		w.closeConn()
@@ -243,9 +243,9 @@
 	if ctx.Err() != nil { // discovery has moved, so the old address no longer counts
 		return ctx.Err()
 	}
-	var news traffic.PoolUpdate
+	var update traffic.PoolUpdate
 	if err == nil {
-		news, err = w.book.Apply(list, full)
+		update, err = w.members.Apply(list, full)
 	}
 	if err != nil {
 		w.closeConn() // later answers on this connection are unreliable as well
@@ -253,12 +253,12 @@
 		return err
 	}
 	list.LogInvalid()
-	w.pace.Answered()
+	w.schedule.Answered()
 	at := time.Now()
 	w.updateCounters(func(c *Counters) {
-		if news.Full {
+		if update.Full {
 			c.FullLists++
-		} else if len(news.Members) > 0 {
+		} else if len(update.Members) > 0 {
 			c.Changes++
 		}
 		c.Entries += int64(len(list.Hosts))
@@ -270,10 +270,10 @@
 	defer w.mu.Unlock()
 	first := !w.confirmed
 	w.everAnswered = true
-	_, later := w.pace.MaxUnconfirmed()
+	_, later := w.schedule.MaxUnconfirmed()
 	w.expiryTimer.Reset(time.Until(w.freshAt.Add(later)))
-	if w.confirmed = true; first || news.Full || len(news.Members) > 0 { // an empty change confirms the known list
-		w.listener.PoolChanged(news)
+	if w.confirmed = true; first || update.Full || len(update.Members) > 0 { // an empty change confirms the known list
+		w.listener.PoolChanged(update)
 	}
 	return nil
 }
--- a/internal/pool/watch_test.go
+++ b/internal/pool/watch_test.go
@@ -48,27 +48,27 @@
 
 // recorder is a Listener that records its calls.
 type recorder struct {
-	news    chan traffic.PoolUpdate
+	updates chan traffic.PoolUpdate
 	expired chan time.Time
 }
 
 func (h recorder) PoolChanged(n traffic.PoolUpdate) {
 	select {
-	case h.news <- n:
+	case h.updates <- n:
 	default:
 	}
 }
 
 func (h recorder) PoolUnconfirmed() { h.expired <- time.Now() }
 
-// startWatcher follows the list at a place until the test ends, from a known list at version 41 in which b is active.
-func startWatcher(t *testing.T, at *discoveryaddr.Address, terms DiscoveryConfig) (*Watcher, recorder) {
+// startWatcher follows the list at an address until the test ends, from a known list at version 41 in which b is active.
+func startWatcher(t *testing.T, discovery *discoveryaddr.Address, config DiscoveryConfig) (*Watcher, recorder) {
 	known, err := Parse([]byte(listJSON(41, true, entryJSON("a", "active"), entryJSON("b", "active"))))
 	if err != nil {
 		t.Fatal(err)
 	}
 	h := recorder{make(chan traffic.PoolUpdate, 100), make(chan time.Time, 1)}
-	w := NewWatcher(at, NewCallSchedule(terms, 1), known, time.Now(), h)
+	w := NewWatcher(discovery, NewCallSchedule(config, 1), known, time.Now(), h)
 	ctx, cancel := context.WithCancel(context.Background())
 	over := make(chan struct{})
 	go func() {
@@ -88,7 +88,7 @@
 	from := time.Now()
 	for {
 		select {
-		case n := <-h.news:
+		case n := <-h.updates:
 			for _, m := range n.Members {
 				if m.Host == "b" && m.Health == traffic.Leaving {
 					return time.Since(from)
@@ -130,7 +130,7 @@
 				}
 				return holdWatch(req, drainedList)
 			})
-			_, h := startWatcher(t, discoveryaddr.New(at), pushedTerms(350, grace))
+			_, h := startWatcher(t, discoveryaddr.New(at), pushedConfig(350, grace))
 			if took := h.waitForDrain(t); took > grace {
 				t.Errorf("the drain is received after %v", took)
 			}
@@ -145,8 +145,8 @@
 		return holdWatch(req, listJSON(3, true, entryJSON("a", "active"), entryJSON("b", "leaving")))
 	})
 	at := discoveryaddr.New(from)
-	_, h := startWatcher(t, at, pushedTerms(350, 500*time.Millisecond))
-	<-h.news // the first answer
+	_, h := startWatcher(t, at, pushedConfig(350, 500*time.Millisecond))
+	<-h.updates // the first answer
 	at.Set(to)
 	if took := h.waitForDrain(t); took > 300*time.Millisecond {
 		t.Errorf("the drain is received after %v", took)
@@ -156,7 +156,7 @@
 // A silent watch: the relay counts as notified of what it misses 2 s after its hold, and must receive it before that.
 func TestSilentWatchIsReplaced(t *testing.T) {
 	t.Parallel()
-	for what, terms := range map[string]DiscoveryConfig{"pushed": pushedTerms(350, 500*time.Millisecond), "asked": askedTerms(350)} {
+	for what, config := range map[string]DiscoveryConfig{"pushed": pushedConfig(350, 500*time.Millisecond), "asked": askedConfig(350)} {
 		t.Run(what, func(t *testing.T) {
 			t.Parallel()
 			var hold time.Duration
@@ -176,7 +176,7 @@
 				}
 				return drainedList
 			})
-			_, h := startWatcher(t, discoveryaddr.New(at), terms)
+			_, h := startWatcher(t, discoveryaddr.New(at), config)
 			from := <-began
 			h.waitForDrain(t)
 			if took := time.Since(from); took > hold+2*time.Second {
@@ -199,7 +199,7 @@
 		return holdWatch(req, drainedList)
 	})
 	began := time.Now()
-	_, h := startWatcher(t, discoveryaddr.New(at), pushedTerms(350, grace))
+	_, h := startWatcher(t, discoveryaddr.New(at), pushedConfig(350, grace))
 	if after := (<-h.expired).Sub(began); after < grace/2 || after > grace*9/10 {
 		t.Errorf("the known list expires after %v", after)
 	}
@@ -209,8 +209,8 @@
 	}
 	// An answer confirms the list, also if it has no changes.
 	at = startScripted(t, func(_ int, req *http.Request) string { return holdWatch(req, listJSON(41, false)) })
-	_, h = startWatcher(t, discoveryaddr.New(at), pushedTerms(350, 100*time.Millisecond))
-	if n := <-h.news; n.Full || len(n.Members) != 0 {
+	_, h = startWatcher(t, discoveryaddr.New(at), pushedConfig(350, 100*time.Millisecond))
+	if n := <-h.updates; n.Full || len(n.Members) != 0 {
 		t.Errorf("%+v", n)
 	}
 	select {
@@ -230,13 +230,13 @@
 		}
 		return listJSON(41+n, false, entryJSON(fmt.Sprint("h", 41+n), "active"))
 	})
-	_, h := startWatcher(t, discoveryaddr.New(at), askedTerms(1))
+	_, h := startWatcher(t, discoveryaddr.New(at), askedConfig(1))
 	for _, seq := range []string{"41", "42", "42", "44"} {
 		if got := <-calls; got != seq {
 			t.Errorf("asked from %s, want %s", got, seq)
 		}
 	}
-	if n := <-h.news; n.Full || len(n.Members) != 1 || n.Members[0].Host != "h42" {
+	if n := <-h.updates; n.Full || len(n.Members) != 1 || n.Members[0].Host != "h42" {
 		t.Errorf("%+v", n)
 	}
 }
@@ -249,7 +249,7 @@
 		t.Run(what, func(t *testing.T) {
 			t.Parallel()
 			at := startScripted(t, func(int, *http.Request) string { return text })
-			w, _ := startWatcher(t, discoveryaddr.New(at), pushedTerms(1, 5*time.Second))
+			w, _ := startWatcher(t, discoveryaddr.New(at), pushedConfig(1, 5*time.Second))
 			time.Sleep(time.Second) // the test counts the calls of one second
 			if n := w.Counters().Calls; n < 2 || n > 20 {
 				t.Errorf("%d calls in a second", n)
@@ -289,7 +289,7 @@
 			}()
 		}
 	}()
-	_, h := startWatcher(t, discoveryaddr.New(ln.Addr().String()), pushedTerms(1, 2*time.Second))
+	_, h := startWatcher(t, discoveryaddr.New(ln.Addr().String()), pushedConfig(1, 2*time.Second))
 	if took := h.waitForDrain(t); took > 2*time.Second {
 		t.Errorf("received after %v", took)
 	}
@@ -318,7 +318,7 @@
 				}
 				return drainedList
 			})
-			_, h := startWatcher(t, discoveryaddr.New(at), askedTerms(350))
+			_, h := startWatcher(t, discoveryaddr.New(at), askedConfig(350))
 			h.waitForDrain(t)
 			if took := time.Since(<-had); took > maxNotifyDelay {
 				t.Errorf("received %v after discovery had it", took)
@@ -363,9 +363,9 @@
 				at = ln.Addr().String()
 				ln.Close()
 			}
-			_, h := startWatcher(t, discoveryaddr.New(at), askedTerms(3))
+			_, h := startWatcher(t, discoveryaddr.New(at), askedConfig(3))
 			if what != "gone" {
-				<-h.news
+				<-h.updates
 			}
 			answering.Store(false)
 			from := time.Now()
@@ -375,7 +375,7 @@
 					t.Errorf("expired after %v", took)
 				}
 				answering.Store(true)
-				<-h.news // an answer without changes confirms the list
+				<-h.updates // an answer without changes confirms the list
 			case <-time.After(maxNotifyDelay + time.Second):
 				if expires {
 					t.Error("the known list has not expired")
--- a/internal/relay/ban_test.go
+++ b/internal/relay/ban_test.go
@@ -8,7 +8,7 @@
 )
 
 // A banned member gets no new transactions, whatever the pool says. After the ban is lifted, the member gets transactions again, and
-// the flows are notified. The figures count the relay's results by class.
+// the flows are notified. The statistics count the relay's results by class.
 func TestBanAndStats(t *testing.T) {
 	r, w, now := startRelay(t)
 	w.takeCalls()
@@ -34,7 +34,7 @@
 	r.step(now, nil)
 	f := r.Stats()
 	if f.Success["slot"] != 5 || f.Dispatches != 5 || f.Members != 2 || f.Banned != 1 || f.Concurrent != 0 {
-		t.Fatalf("figures %+v", f)
+		t.Fatalf("statistics %+v", f)
 	}
 	if r.HasMember("m1") != true || r.HasMember("nobody") {
 		t.Fatal("Known: want m1 only")
--- a/internal/relay/fleet.go
+++ b/internal/relay/fleet.go
@@ -26,7 +26,7 @@
 func (r *Relay) ApplyRestraints(list []traffic.Restraint) { r.post(list) }
 
 // SetExclusions sets the members that get no new transactions because of reports of other relays, from the next step on.
-func (r *Relay) SetExclusions(bars []traffic.Exclusion) { r.post(bars) }
+func (r *Relay) SetExclusions(exclusions []traffic.Exclusion) { r.post(exclusions) }
 
 // SetAllowances sets this relay's shares of destination limits, from the next step on.
 func (r *Relay) SetAllowances(list []traffic.Allowance) { r.post(list) }
--- a/internal/relay/open_limits_test.go
+++ b/internal/relay/open_limits_test.go
@@ -90,7 +90,7 @@
 func (m *fakeMeters) RecordSubmission(age time.Duration) { m.ages = append(m.ages, age) }
 func (m *fakeMeters) RunSection(f func())                { m.sections++; f() }
 
-// The module runs inside Meters.Section once a step, and the age of each submission is recorded.
+// The module runs inside Meters.RunSection once a step, and the age of each submission is recorded.
 func TestMetersRecordSteps(t *testing.T) {
 	r, _, now := startRelay(t)
 	m := &fakeMeters{}
--- a/internal/relay/order_test.go
+++ b/internal/relay/order_test.go
@@ -69,13 +69,13 @@
 	}
 }
 
-// fakeTurns is a table in which another process holds the earlier transactions that the test sets.
-type fakeTurns struct {
+// fakeKeyOrder is a table in which another process holds the earlier transactions that the test sets.
+type fakeKeyOrder struct {
 	waits       map[string]bool
 	taken, done []string
 }
 
-func (x *fakeTurns) TakeTicket(key, id string, _, _ time.Time) uint64 {
+func (x *fakeKeyOrder) TakeTicket(key, id string, _, _ time.Time) uint64 {
 	x.taken = append(x.taken, key+" "+id)
 	if id == "left" { // left by a process that has ended
 		return 1
@@ -83,16 +83,16 @@
 	return uint64(len(x.taken) + 1)
 }
 
-func (x *fakeTurns) MustWait(key, id string, _ time.Time) bool { return x.waits[id] }
-func (x *fakeTurns) Release(key, id string)                    { x.done = append(x.done, key+" "+id) }
+func (x *fakeKeyOrder) MustWait(key, id string, _ time.Time) bool { return x.waits[id] }
+func (x *fakeKeyOrder) Release(key, id string)                    { x.done = append(x.done, key+" "+id) }
 
 // While another process holds an earlier transaction of a key, later ones are accepted, journaled and answered, but not sent. Each
 // is sent when no earlier one is left, and ends at its deadline otherwise.
 func TestWaitsForOtherProcess(t *testing.T) {
-	w, turns := &fakeIO{}, &fakeTurns{waits: map[string]bool{"a": true, "d": true}}
+	w, keyOrder := &fakeIO{}, &fakeKeyOrder{waits: map[string]bool{"a": true, "d": true}}
 	set := testSettings()
 	set.Classes[0].OrderedByKey = true
-	r, err := New(Config{Settings: set, MaxOpenBytes: 1 << 20, Store: w, Flows: w, Notices: w, KeyOrder: turns})
+	r, err := New(Config{Settings: set, MaxOpenBytes: 1 << 20, Store: w, Flows: w, Notices: w, KeyOrder: keyOrder})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -119,15 +119,15 @@
 	if len(w.flows) != 1 || len(r.awaitingTurn) != 2 {
 		t.Fatalf("started flows %+v, %d transactions wait", w.flows, len(r.awaitingTurn))
 	}
-	turns.waits["a"] = false
+	keyOrder.waits["a"] = false
 	step()
 	if len(w.flows) != 2 || w.lastFlow().ID != "a" || len(r.awaitingTurn) != 0 {
 		t.Fatalf("after the earlier transaction ended: started flows %+v, %d transactions wait", w.flows, len(r.awaitingTurn))
 	}
 	r.FlowEnded(traffic.FlowEnd{ID: "a", Member: w.lastFlow().Member, Status: traffic.Delivered, Latency: time.Millisecond})
 	step()
-	if w.lastFlow().ID != "b" || len(turns.done) != 1 || turns.done[0] != "k1 a" {
-		t.Errorf("after the end of a: started flow %+v, released %v", w.lastFlow(), turns.done)
+	if w.lastFlow().ID != "b" || len(keyOrder.done) != 1 || keyOrder.done[0] != "k1 a" {
+		t.Errorf("after the end of a: started flow %+v, released %v", w.lastFlow(), keyOrder.done)
 	}
 	for _, f := range w.flows {
 		if f.ID != "a" {
@@ -136,10 +136,10 @@
 	}
 	step()
 	// A recovered transaction goes before newer ones of this process that have waited for it.
-	turns.waits["e"] = true
+	keyOrder.waits["e"] = true
 	put("e", "k4", 20*time.Second)
 	before := len(w.flows)
-	turns.waits["e"] = false
+	keyOrder.waits["e"] = false
 	left := transaction("left", set.Classes[0].Name, now.Add(20*time.Second))
 	left.OrderKey = "k4"
 	r.decide(now, r.offerWaiting(now, r.recoverState([]traffic.Open{{Transaction: left}}, nil, now, nil)), nil)
@@ -157,8 +157,8 @@
 		t.Errorf("pending notices %v", r.noticePending)
 	}
 	step()
-	if turns.done[len(turns.done)-1] != "k3 d" {
-		t.Errorf("released %v", turns.done)
+	if keyOrder.done[len(keyOrder.done)-1] != "k3 d" {
+		t.Errorf("released %v", keyOrder.done)
 	}
 }
 
@@ -166,30 +166,30 @@
 // later.
 func TestRecoveredNoticeBlocksKey(t *testing.T) {
 	for _, atStart := range []bool{true, false} {
-		w, turns := &fakeIO{}, &fakeTurns{}
+		w, keyOrder := &fakeIO{}, &fakeKeyOrder{}
 		set := testSettings()
 		set.Classes[0].OrderedByKey = true
-		r, err := New(Config{Settings: set, MaxOpenBytes: 1 << 20, Store: w, Flows: w, Notices: w, KeyOrder: turns})
+		r, err := New(Config{Settings: set, MaxOpenBytes: 1 << 20, Store: w, Flows: w, Notices: w, KeyOrder: keyOrder})
 		if err != nil {
 			t.Fatal(err)
 		}
 		next := transaction("b", set.Classes[0].Name, r.epoch.Add(20*time.Second))
 		next.OrderKey = "k1"
-		open, owed := []traffic.Open{{Transaction: next}}, []traffic.Notice{{ID: "a", Outcome: traffic.GivenUp, OrderKey: "k1"}}
+		open, pending := []traffic.Open{{Transaction: next}}, []traffic.Notice{{ID: "a", Outcome: traffic.GivenUp, OrderKey: "k1"}}
 		now := r.epoch.Add(10 * time.Millisecond)
 		if atStart {
-			r.Start(initialPool, nil, open, owed)
+			r.Start(initialPool, nil, open, pending)
 		} else {
 			r.Start(initialPool, nil, nil, nil)
-			r.decide(now, r.recoverState(open, owed, now, nil), nil)
+			r.decide(now, r.recoverState(open, pending, now, nil), nil)
 		}
 		if len(w.flows) != 0 || len(r.blockedFlows["k1"]) != 1 {
 			t.Errorf("at the start %v: started flows %+v", atStart, w.flows)
 		}
 		r.NoticesAnswered([]string{"a"})
 		r.step(now.Add(10*time.Millisecond), takeBatch(r))
-		if len(w.flows) != 1 || w.lastFlow().ID != "b" || len(turns.done) != 1 {
-			t.Errorf("at the start %v, after the answer: started flows %+v, released %v", atStart, w.flows, turns.done)
+		if len(w.flows) != 1 || w.lastFlow().ID != "b" || len(keyOrder.done) != 1 {
+			t.Errorf("at the start %v, after the answer: started flows %+v, released %v", atStart, w.flows, keyOrder.done)
 		}
 	}
 }
--- a/internal/relay/pool_view.go
+++ b/internal/relay/pool_view.go
@@ -22,11 +22,11 @@
 	return poolView{members: map[string]traffic.Member{}, goneSince: map[int]time.Time{}}
 }
 
-func (r *poolView) update(news traffic.PoolUpdate, now time.Time) {
-	if news.Full {
+func (r *poolView) update(update traffic.PoolUpdate, now time.Time) {
+	if update.Full {
 		clear(r.members)
 	}
-	for _, m := range news.Members {
+	for _, m := range update.Members {
 		if m.Health == traffic.Left {
 			delete(r.members, m.Host)
 		} else {
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -30,7 +30,7 @@
 type Store interface {
 	// Commit writes the changes of one step. After an error, none of them counts as written.
 	Commit([]traffic.Change) error
-	// Room reports whether the store has room for a transaction of that many bytes.
+	// HasRoom reports whether the store has room for a transaction of that many bytes.
 	HasRoom(bytes int64) bool
 }
 
@@ -47,16 +47,16 @@
 	Expect(destination, transactions int)
 }
 
-// expectInterval is the time between two notifications of Ahead.
+// expectInterval is the time between two notifications of the Preconnector.
 const expectInterval = 250 * time.Millisecond
 
-// LimitRecorder records learned limits of destinations for the next process. Learn does not block.
+// LimitRecorder records learned limits of destinations for the next process. Record does not block.
 type LimitRecorder interface {
 	Record(destination int, limit float64, at time.Time)
 }
 
 // Recoverer recovers the open transactions and unanswered notices of processes that shared the state folder and have ended, such as a
-// predecessor after a handover. Adopt may block briefly: it reads a small folder.
+// predecessor after a handover. Recover may block briefly: it reads a small folder.
 type Recoverer interface {
 	Recover() ([]traffic.Open, []traffic.Notice, error)
 }
@@ -68,7 +68,7 @@
 // Notices tells the platform how undelivered transactions ended. Each Send leads to the id in a call of Relay.NoticesAnswered.
 type Notices interface{ Send(traffic.Notice) }
 
-// Meters measures the steps. Section runs f and records the time that f took.
+// Meters measures the steps. RunSection runs f and records the time that f took.
 type Meters interface {
 	RecordStep(due, began time.Time)
 	RecordSubmission(age time.Duration)
@@ -146,11 +146,11 @@
 	noticePending    map[string]string         // ids of transactions of an ordered class whose notice has no answer yet, and their keys
 	blockedFlows     map[string][]traffic.Flow // by key: flows that wait for the answers to such notices
 	waiting          map[int]int               // transactions without a flow, by destination; an entry of 0 is removed at the next notification
-	lastExpect       time.Time                 // time of the last notification of Ahead
+	lastExpect       time.Time                 // time of the last notification of the Preconnector
 	activeFlows      int                       // number of flows that have not ended
 	ended            int64                     // number of accepted transactions that are over
 	learnedLimits    map[int]float64           // limits learned by an earlier process, for destinations that no list has named yet
-	lastRecovery     time.Time                 // time of the last call of Heir.Adopt
+	lastRecovery     time.Time                 // time of the last call of Recoverer.Recover
 	bans             map[string]bool           // members that operators banned on this relay
 	excluded         map[string]bool           // members that other relays exclude, and whether operators banned them there
 	unconfirmed      map[string]bool           // members of a list that is no longer valid; usually nil
@@ -238,7 +238,7 @@
 	r.publishKnownMembers()
 	r.learnedLimits = maps.Clone(limits)
 	r.reportPool(known.Version)
-	events := append([]dispatch.Event{r.members(known)}, r.recalledLimits(known)...)
+	events := append([]dispatch.Event{r.members(known)}, r.restoredLimits(known)...)
 	r.decide(now, r.recoverState(open, notices, now, events), nil)
 }
 
@@ -285,7 +285,7 @@
 	return o
 }
 
-// recoverPredecessor calls Heir.Adopt every recoveryInterval.
+// recoverPredecessor calls Recoverer.Recover every recoveryInterval.
 func (r *Relay) recoverPredecessor(now time.Time, events []dispatch.Event) []dispatch.Event {
 	if r.cfg.Recoverer == nil || now.Sub(r.lastRecovery) < recoveryInterval {
 		return events
@@ -341,7 +341,7 @@
 func (r *Relay) FlowEnded(f traffic.FlowEnd) { r.post(f) }
 
 // PoolChanged passes a change of the pool to the next step.
-func (r *Relay) PoolChanged(news traffic.PoolUpdate) { r.post(news) }
+func (r *Relay) PoolChanged(update traffic.PoolUpdate) { r.post(update) }
 
 // PoolUnconfirmed marks the known list as no longer valid: nothing is sent to its members until the pool changes.
 func (r *Relay) PoolUnconfirmed() { r.post(poolUnconfirmed{}) }
@@ -512,7 +512,7 @@
 			}
 			r.cfg.Flows.UpdatePool(r.overlay(in, r.blocked))
 			r.reportPool(in.Version)
-			events = append(append(events, r.members(in)), r.recalledLimits(in)...)
+			events = append(append(events, r.members(in)), r.restoredLimits(in)...)
 			r.publishKnownMembers()
 		case poolUnconfirmed:
 			r.unconfirmed = map[string]bool{}
@@ -747,7 +747,7 @@
 	r.mu.Unlock()
 }
 
-// announceWaiting notifies Ahead of the number of waiting transactions every expectInterval.
+// announceWaiting notifies the Preconnector of the number of waiting transactions every expectInterval.
 func (r *Relay) announceWaiting(now time.Time) {
 	if now.Sub(r.lastExpect) < expectInterval {
 		return
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -170,12 +170,12 @@
 	if a := submit(t, r, now, odd); a.Verdict != traffic.Busy {
 		t.Errorf("before the first update from discovery: answer %+v", a)
 	}
-	news := func(after time.Duration, health traffic.Health) {
+	postUpdate := func(after time.Duration, health traffic.Health) {
 		r.PoolChanged(traffic.PoolUpdate{Members: []traffic.Member{{Host: "m1", Kind: "partner", Destination: 7,
 			Health: health}, {Host: "m2", Kind: "partner", Destination: 7, Health: health}}})
 		r.step(now.Add(after), takeBatch(r))
 	}
-	news(0, traffic.Left)
+	postUpdate(0, traffic.Left)
 	if a := submit(t, r, now, odd); a.Verdict != traffic.Failed || len(r.pool.members) > 0 {
 		t.Errorf("not in the pool: answer %+v, members kept %v", a, r.pool.members)
 	}
@@ -185,7 +185,7 @@
 	if a := submit(t, r, now.Add(2*goneRetention), transaction("c", "slot", now.Add(3*goneRetention))); a.Verdict != traffic.Failed {
 		t.Errorf("last member left long ago: answer %+v", a)
 	}
-	news(2*goneRetention, traffic.Left)
+	postUpdate(2*goneRetention, traffic.Left)
 	if len(r.pool.goneSince) > 0 || r.counters.UnknownDestination != 3 {
 		t.Errorf("destinations kept %v, unlisted submissions counted %d", r.pool.goneSince, r.counters.UnknownDestination)
 	}
@@ -343,11 +343,11 @@
 	r, _, _ := startRelay(t)
 	limits := map[int]float64{3: 25, 7: 50}
 	r.Start(initialPool, limits, nil, nil)
-	news := traffic.PoolUpdate{Members: []traffic.Member{{Host: "b", Destination: 3}, {Host: "c", Destination: 3}, {Host: "m1", Destination: 7}}}
-	if got := r.recalledLimits(news); len(got) != 1 || got[0] != (dispatch.RestoredLimit{Destination: 3, Limit: 25}) {
+	update := traffic.PoolUpdate{Members: []traffic.Member{{Host: "b", Destination: 3}, {Host: "c", Destination: 3}, {Host: "m1", Destination: 7}}}
+	if got := r.restoredLimits(update); len(got) != 1 || got[0] != (dispatch.RestoredLimit{Destination: 3, Limit: 25}) {
 		t.Errorf("first list: events %v", got)
 	}
-	if got := r.recalledLimits(news); len(got) != 0 || len(limits) != 2 {
+	if got := r.restoredLimits(update); len(got) != 0 || len(limits) != 2 {
 		t.Errorf("second list: events %v", got)
 	}
 }
--- a/internal/relay/stats.go
+++ b/internal/relay/stats.go
@@ -63,7 +63,7 @@
 		Members: len(r.pool.members), Banned: banned, Avoided: r.sender.EndpointsInOutage()}
 }
 
-// statsInterval is the time between two copies for the admin endpoint, whose figures may be half a second old.
+// statsInterval is the time between two copies for the admin endpoint, whose counters may be half a second old.
 const statsInterval = 100 * time.Millisecond
 
 // HasMember reports whether the pool has the member, after the latest step.
@@ -116,28 +116,28 @@
 	for id := range r.unconfirmed {
 		blocked[id] = true
 	}
-	ev, news := dispatch.MembershipUpdate{}, traffic.PoolUpdate{}
+	ev, update := dispatch.MembershipUpdate{}, traffic.PoolUpdate{}
 	for _, id := range slices.Sorted(maps.Keys(r.pool.members)) {
 		if m := r.pool.members[id]; blocked[id] != r.blocked[id] {
 			changed := r.endpoint(m, blocked)
 			changed.Restarted = !blocked[id] && cold(id)
 			ev.Endpoints = append(ev.Endpoints, changed)
-			news.Members = append(news.Members, m)
+			update.Members = append(update.Members, m)
 		}
 	}
 	r.blocked = blocked
-	r.statsCopiedAt = time.Time{}                    // operators see the effect of their call in the figures at once
-	r.cfg.Flows.UpdatePool(r.overlay(news, blocked)) // flows that wait for a connection to a blocked member are not written either
+	r.statsCopiedAt = time.Time{}                      // operators see the effect of their call in the statistics at once
+	r.cfg.Flows.UpdatePool(r.overlay(update, blocked)) // flows that wait for a connection to a blocked member are not written either
 	return ev
 }
 
 // overlay returns the change of the pool as the flows must see it: blocked members are leaving.
-func (r *Relay) overlay(news traffic.PoolUpdate, blocked map[string]bool) traffic.PoolUpdate {
+func (r *Relay) overlay(update traffic.PoolUpdate, blocked map[string]bool) traffic.PoolUpdate {
 	if len(blocked) == 0 {
-		return news
+		return update
 	}
-	adjusted := news
-	adjusted.Members = slices.Clone(news.Members)
+	adjusted := update
+	adjusted.Members = slices.Clone(update.Members)
 	for i, m := range adjusted.Members {
 		if blocked[m.Host] && m.Health == traffic.Active {
 			adjusted.Members[i].Health = traffic.Leaving
--- a/internal/relay/translate.go
+++ b/internal/relay/translate.go
@@ -16,9 +16,9 @@
 
 // members reports a change of the pool to the module. A member that is banned by operators or excluded by other relays is draining,
 // whatever discovery says.
-func (r *Relay) members(news traffic.PoolUpdate) dispatch.MembershipUpdate {
-	ev := dispatch.MembershipUpdate{Full: news.Full}
-	for _, m := range news.Members {
+func (r *Relay) members(update traffic.PoolUpdate) dispatch.MembershipUpdate {
+	ev := dispatch.MembershipUpdate{Full: update.Full}
+	for _, m := range update.Members {
 		ev.Endpoints = append(ev.Endpoints, r.endpoint(m, r.blocked))
 	}
 	return ev
@@ -32,13 +32,13 @@
 	return e
 }
 
-// recalledLimits returns the limits that an earlier process learned for the destinations of a list, in the list's order. Each limit
+// restoredLimits returns the limits that an earlier process learned for the destinations of a list, in the list's order. Each limit
 // is returned once.
-func (r *Relay) recalledLimits(news traffic.PoolUpdate) (events []dispatch.Event) {
+func (r *Relay) restoredLimits(update traffic.PoolUpdate) (events []dispatch.Event) {
 	if len(r.learnedLimits) == 0 { // the usual case; a list may be long
 		return nil
 	}
-	for _, m := range news.Members {
+	for _, m := range update.Members {
 		if limit, ok := r.learnedLimits[m.Destination]; ok {
 			events = append(events, dispatch.RestoredLimit{Destination: m.Destination, Limit: limit})
 			delete(r.learnedLimits, m.Destination)
--- a/internal/secure/secure.go
+++ b/internal/secure/secure.go
@@ -81,7 +81,7 @@
 }
 
 // Reload reads all files again. If a file of a policy is invalid, the policy keeps its current credentials. Changed credentials
-// apply to new connections. For connections that were made with the previous ones, Fresh returns false.
+// apply to new connections. For connections that were made with the previous ones, Reusable returns false.
 func (m *Manager) Reload() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -166,8 +166,8 @@
 	notAfter time.Time // end of validity of the server's certificate
 }
 
-// Handshake performs the TLS handshake on a connection to a member. If the handshake fails or ctx ends first, Client closes the
-// connection. If the member's policy is plain TCP, Client returns nc itself. The returned duration is the CPU time of the
+// Handshake performs the TLS handshake on a connection to a member. If the handshake fails or ctx ends first, Handshake closes the
+// connection. If the member's policy is plain TCP, Handshake returns nc itself. The returned duration is the CPU time of the
 // handshake; it is 0 for handshakes that are not sampled.
 func (m *Manager) Handshake(ctx context.Context, nc net.Conn, member *traffic.Member) (net.Conn, time.Duration, error) {
 	p := m.table.Match(member.Destination, member.Host, member.Address)
--- a/internal/spread/packet.go
+++ b/internal/spread/packet.go
@@ -14,7 +14,7 @@
 	Incarnation uint64        // incarnation of the sender
 	Uptime      time.Duration // uptime of the sender's process when the packet was sent
 	Sequence    uint64        // number of the packet among those of the sender's process, from 1
-	// Salt, Group and Groups select the members that the receiver forwards News to: those whose names, hashed with Salt, fall
+	// Salt, Group and Groups select the members that the receiver forwards Statements to: those whose names, hashed with Salt, fall
 	// into Group.
 	Salt          uint64
 	Group, Groups int
@@ -23,9 +23,9 @@
 	// receiver of an Ask replies with an Answer. An Answer requires no reply.
 	Ask, Answer bool
 	Summary     verdicts.Summary
-	// Members is a hash of the members that the sender counts as live, in Ask and Answer packets; 0 in others.
+	// MembersHash is a hash of the members that the sender counts as live, in Ask and Answer packets; 0 in others.
 	MembersHash uint64
-	// Known answers a packet of an old incarnation. It is the newest incarnation of the receiver that the sender knows; 0 for none.
+	// KnownIncarnation answers a packet of an old incarnation. It is the newest incarnation of the receiver that the sender knows; 0 for none.
 	KnownIncarnation uint64
 	// Claim and Grant belong to the division of limits. Spread only transports them.
 	Claim *allowance.Claim
--- a/internal/spread/spread.go
+++ b/internal/spread/spread.go
@@ -19,7 +19,7 @@
 type Config struct {
 	Self             string            // name of this relay
 	ExchangeInterval time.Duration     // mean time between two anti-entropy exchanges with a random member
-	BytesPerSecond   float64           // bandwidth in bytes a second, as counted by Size
+	BytesPerSecond   float64           // bandwidth in bytes a second, as counted by PacketBytes
 	PacketBytes      func(*Packet) int // encoded size of a packet in bytes
 	MaxPacketBytes   int               // maximum size of a packet in bytes
 	Seed             uint64
--- a/internal/tlspolicy/handshake_gate.go
+++ b/internal/tlspolicy/handshake_gate.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// HandshakeConfig limits the handshakes that a Gate starts. A handshake costs processor time here and more at the server. After an
+// HandshakeConfig limits the handshakes that a HandshakeGate starts. A handshake costs processor time here and more at the server. After an
 // outage hundreds of messages need a connection at the same moment.
 type HandshakeConfig struct {
 	CoreShare      float64       // share of one core that handshakes may take while the process has spare capacity
@@ -29,8 +29,8 @@
 	Deadline time.Duration // time at which the request expires
 }
 
-// HandshakeGate decides when handshakes start. All times are measured from one origin that the caller chooses. A Gate is not safe for
-// concurrent use.
+// HandshakeGate decides when handshakes start. All times are measured from one origin that the caller chooses. A HandshakeGate is not
+// safe for concurrent use.
 type HandshakeGate struct {
 	cfg          HandshakeConfig
 	costSeconds  float64             // smoothed processor time of a handshake
@@ -45,7 +45,7 @@
 // HandshakeCounters are totals since the start.
 type HandshakeCounters struct{ Requested, Started, Reused, Expired int64 }
 
-// NewHandshakeGate returns a Gate without requests.
+// NewHandshakeGate returns a HandshakeGate without requests.
 func NewHandshakeGate(cfg HandshakeConfig) *HandshakeGate {
 	return &HandshakeGate{cfg: cfg, costSeconds: cfg.InitialCost.Seconds(), tokenSeconds: cfg.Burst.Seconds(), active: map[string]int{}}
 }
@@ -81,7 +81,7 @@
 	g.waiting = slices.Insert(g.waiting, index, a)
 }
 
-// tokenRate returns the processor time for handshakes that is added a second: all of Share up to a load of one half, and less above.
+// tokenRate returns the processor time for handshakes that is added a second: all of CoreShare up to a load of one half, and less above.
 func (g *HandshakeGate) tokenRate() float64 {
 	spare := min(max((1-g.busyShare)*2, 0.1), 1)
 	return max(g.cfg.CoreShare*spare, g.cfg.MinPerSecond*g.costSeconds)
--- a/internal/tlspolicy/tlspolicy_test.go
+++ b/internal/tlspolicy/tlspolicy_test.go
@@ -191,7 +191,7 @@
 const ms = time.Millisecond
 
 // Handshakes start in the order of worth, at the rate that their cost permits. No request may wait forever.
-func TestGateStartsMostWorthAtTheRate(t *testing.T) {
+func TestHandshakeGateStartsMostWorthAtTheRate(t *testing.T) {
 	g := NewHandshakeGate(HandshakeConfig{CoreShare: 0.2, MinPerSecond: 1, MaxPerEndpoint: 100, InitialCost: 10 * ms, Burst: 20 * ms})
 	for i := range 20 {
 		g.Add(ConnectionRequest{ID: uint64(i), Endpoint: fmt.Sprint(i), Worth: float64(i % 2), Deadline: time.Hour})
@@ -214,7 +214,7 @@
 }
 
 // A higher load lowers the rate of handshakes, but never below the minimum. The cost of a handshake follows the measurements.
-func TestGateRateFollowsLoadAndCost(t *testing.T) {
+func TestHandshakeGateRateFollowsLoadAndCost(t *testing.T) {
 	count := func(busy float64) (n int) {
 		g := NewHandshakeGate(HandshakeConfig{CoreShare: 0.2, MinPerSecond: 2, MaxPerEndpoint: 1000, InitialCost: 2 * ms, Burst: 2 * ms})
 		g.SetLoad(busy)
@@ -241,7 +241,7 @@
 
 // The number of concurrent handshakes with one endpoint is limited. The waiting request of the highest worth gets a connection to
 // the endpoint that becomes idle.
-func TestGateAssignsIdleConnections(t *testing.T) {
+func TestHandshakeGateAssignsIdleConnections(t *testing.T) {
 	g := NewHandshakeGate(HandshakeConfig{CoreShare: 1, MaxPerEndpoint: 1, InitialCost: ms, Burst: time.Second})
 	g.Add(ConnectionRequest{ID: 1, Endpoint: "a", Deadline: time.Hour})
 	g.Add(ConnectionRequest{ID: 2, Endpoint: "a", Deadline: time.Hour})
@@ -273,7 +273,7 @@
 
 // Property: each request is started, assigned an idle connection or expired at most once. No endpoint has more concurrent handshakes
 // than permitted, and Next always names the time of the next call while requests wait.
-func TestGateEndsEachRequestOnce(t *testing.T) {
+func TestHandshakeGateEndsEachRequestOnce(t *testing.T) {
 	proptest.Check(t, func(t *rapid.T) {
 		cfg := HandshakeConfig{CoreShare: 0.3, MinPerSecond: 1, MaxPerEndpoint: rapid.IntRange(1, 3).Draw(t, "per"), InitialCost: ms, Burst: 5 * ms}
 		g := NewHandshakeGate(cfg)
--- a/internal/traffic/traffic.go
+++ b/internal/traffic/traffic.go
@@ -47,11 +47,11 @@
 type Notice struct {
 	ID       string
 	Outcome  NoticeOutcome
-	RetryIn  time.Duration // with HandedBack; 0 means no retry time
+	RetryIn  time.Duration // with Returned; 0 means no retry time
 	OrderKey string        // the transaction's ordering key, which is free once the platform has answered; empty if the class keeps no order
 }
 
-// Change is a journal record: Taken, FlowBegun, FlowEnded, Ended or Answered.
+// Change is a journal record: TransactionAccepted, FlowStarted, FlowEnded, Ended or NoticeAnswered.
 type Change interface{ change() }
 
 // TransactionAccepted records that a transaction was accepted.
@@ -104,7 +104,7 @@
 	Weight                    float64
 }
 
-// PoolUpdate is a change of the pool, or with Whole the full list.
+// PoolUpdate is a change of the pool, or with Full the full list.
 type PoolUpdate struct {
 	Version int64 // version of discovery's list
 	Full    bool
@@ -199,7 +199,7 @@
 	Attempt    int
 	Member     string
 	Status     FlowStatus
-	RetryAfter time.Duration // with TurnedAway: the retry-after; 0 if the member gave none
+	RetryAfter time.Duration // with FlowRefused: the retry-after; 0 if the member gave none
 	Report     *Report
 	Latency    time.Duration
 }
@@ -224,9 +224,9 @@
 // only members of this relay's own pool.
 type Restraint struct {
 	Kind   RestraintKind
-	Group  Group // with Held
+	Group  Group // with RestraintWait
 	Member string
-	At     time.Time // Held: end of the wait; HeldOut: start of the outage; HeldBack: start of the recovery
+	At     time.Time // RestraintWait: end of the wait; RestraintOutage: start of the outage; RestraintRecovery: start of the recovery
 }
 
 // RestraintKind is the kind of a Restraint.
--- a/internal/verdicts/exclusion.go
+++ b/internal/verdicts/exclusion.go
@@ -15,26 +15,26 @@
 	if len(origins) == 0 {
 		return nil
 	}
-	barred := map[string]bool{}
+	excluded := map[string]bool{}
 	remaining := map[int]int{} // number of usable members that nobody excludes, by destination
 	for _, m := range j.pool {
 		if len(origins[m.Name]) >= j.quorum || origins[m.Name][j.self] {
-			barred[m.Name] = true
+			excluded[m.Name] = true
 		} else if len(origins[m.Name]) == 0 && j.isUsable(m) {
 			remaining[m.Destination]++
 		}
 	}
 	for _, m := range j.poolByName() {
-		if len(origins[m.Name]) == 0 || barred[m.Name] {
+		if len(origins[m.Name]) == 0 || excluded[m.Name] {
 			continue
 		}
 		if remaining[m.Destination] > 0 {
-			barred[m.Name] = true
+			excluded[m.Name] = true
 		} else {
 			remaining[m.Destination]++ // this member stays available
 		}
 	}
-	return slices.Sorted(maps.Keys(barred))
+	return slices.Sorted(maps.Keys(excluded))
 }
 
 // excludingOrigins returns the origins that drain or ban each member. A drain counts only if its list version is newer than the
--- a/internal/verdicts/health.go
+++ b/internal/verdicts/health.go
@@ -13,7 +13,7 @@
 	lastSuccessStart time.Duration // start of the newest of this relay's own calls that succeeded
 	lastFailureStart time.Duration // start of the newest of this relay's own calls that failed
 	ownOutageStart   time.Duration // start of the outage that this relay has detected itself; never if it has detected none
-	out              bool          // the last restraint returned for the member was Out
+	out              bool          // the last restraint returned for the member was OrderOutage
 	lastDelayOrigin  string        // origin whose statement last delayed this relay's next trial call
 	lastUse          time.Duration
 }
--- a/internal/verdicts/judge.go
+++ b/internal/verdicts/judge.go
@@ -125,7 +125,7 @@
 	case Health:
 		return j.judgeHealth(now, s.Destination, s.Member, &s)
 	}
-	return nil // Barred reads drains and bans from the store
+	return nil // ExcludedMembers reads drains and bans from the store
 }
 
 // Expired judges subjects again that have lost a statement, because the statement expired or its origin left the fleet.
--- a/internal/verdicts/statement.go
+++ b/internal/verdicts/statement.go
@@ -20,9 +20,9 @@
 // The kinds by priority. When bandwidth is short, statements of lower kinds are sent first.
 const (
 	Wait   Kind = iota + 1 // a destination refused a call and asked for a wait (retry-after)
-	Health                 // a member is out; Over: the member answers again, and its slow start began at that time
-	Drain                  // discovery drains or removes a member; Over: discovery lists the member again
-	Ban                    // operators took a member down; Over: operators brought the member up
+	Health                 // a member is out; Withdrawn: the member answers again, and its slow start began at that time
+	Drain                  // discovery drains or removes a member; Withdrawn: discovery lists the member again
+	Ban                    // operators took a member down; Withdrawn: operators brought the member up
 	kinds
 )
 
@@ -86,7 +86,7 @@
 	Length      time.Duration // Wait: length of the wait, from when the statement was made; Health: length of the outage up to then
 	ListVersion int64         // Drain: version of discovery's list
 	Age         time.Duration // time since the statement was made; each hop adds the time that it kept the statement
-	Lifetime    time.Duration // age at which the statement expires; at most Kind.Life
+	Lifetime    time.Duration // age at which the statement expires; at most Kind.MaxLifetime
 }
 
 // expiredAt reports whether the statement is expired at an age.
--- a/internal/vitals/vitals.go
+++ b/internal/vitals/vitals.go
@@ -20,11 +20,11 @@
 const (
 	// maxRecorded is the largest duration that a histogram stores. A longer duration is recorded as maxRecorded.
 	maxRecorded = time.Minute
-	// stretchDecay is the factor by which each reading reduces the sums behind Reading.Stretch. They cover about ten readings.
-	stretchDecay = 0.9
+	// cpuWaitDecay is the factor by which each reading reduces the sums behind Reading.CPUWaitFactor. They cover about ten readings.
+	cpuWaitDecay = 0.9
 	// newestProbeWeight is the weight of the newest probe in the moving average of probe waits.
 	newestProbeWeight = 0.2
-	// minSectionCPU is the CPU time in sections above which Reading.Stretch is computed. Up to this value Stretch is 1.
+	// minSectionCPU is the CPU time in sections above which Reading.CPUWaitFactor is computed. Up to this value CPUWaitFactor is 1.
 	minSectionCPU = 500 * time.Microsecond
 	// maxWindowAges is the maximum number of submission ages that are kept for the median of one reading.
 	maxWindowAges = 4096
@@ -95,7 +95,7 @@
 }
 
 // RunSection runs f and records its wall-clock time and its CPU time. f must compute without waiting. If other processes compete
-// for the CPU, the wall-clock time exceeds the CPU time; Reading.Stretch is the ratio of the two.
+// for the CPU, the wall-clock time exceeds the CPU time; Reading.CPUWaitFactor is the ratio of the two.
 func (m *Meters) RunSection(f func()) {
 	wall, cpu := time.Now(), cpuTime()
 	f()
@@ -117,7 +117,7 @@
 	Cores         float64       // cores that the process may use
 	CPUWaitFactor float64       // wall-clock time per CPU time in the sections of about ten readings; 1 if nothing else competes for the CPU
 	SectionCores  float64       // cores used by sections
-	BusyShare     float64       // share of Cores that the process used or, estimated by Stretch, waited for
+	BusyShare     float64       // share of Cores that the process used or, estimated by CPUWaitFactor, waited for
 	RSSBytes      int64         // resident memory in bytes; 0 if it cannot be read
 	HeapBytes     int64         // bytes of the heap: live objects, dead objects and unused space
 	GCShare       float64       // the garbage collector's share of the CPU time used since the start of the process
@@ -144,8 +144,8 @@
 		slices.Sort(m.windowAges)
 		r.SubmissionAge = m.windowAges[len(m.windowAges)/2]
 	}
-	m.decayedWall = m.decayedWall*stretchDecay + float64(m.wall)
-	m.decayedCPU = m.decayedCPU*stretchDecay + float64(m.cpu)
+	m.decayedWall = m.decayedWall*cpuWaitDecay + float64(m.wall)
+	m.decayedCPU = m.decayedCPU*cpuWaitDecay + float64(m.cpu)
 	r.CPUWaitFactor = 1
 	if m.decayedCPU > float64(minSectionCPU) {
 		r.CPUWaitFactor = max(m.decayedWall/m.decayedCPU, 1)
@@ -160,7 +160,7 @@
 	return r
 }
 
-// StartProbes opens the pipe that Ping uses and closes it when ctx ends. The runtime wakes the pipe's reader in the same way as the
+// StartProbes opens the pipe that SendProbe uses and closes it when ctx ends. The runtime wakes the pipe's reader in the same way as the
 // reader of a client connection. The wait of a probe is therefore the wait of a client's bytes before the relay reads them.
 func (m *Meters) StartProbes(ctx context.Context) {
 	r, w, err := os.Pipe()
@@ -226,7 +226,7 @@
 		slog.Duration("most", q.Max))
 }
 
-// Totals holds the distributions of step delay (Loop), submission age (Age) and probe wait (Probe) since the start of the process.
+// Totals holds the distributions of step delays, submission ages and probe waits since the start of the process.
 type Totals struct{ StepDelay, SubmissionAge, ProbeWait Quantiles }
 
 // LogValue implements slog.LogValuer for the totals.
--- a/internal/vitals/vitals_test.go
+++ b/internal/vitals/vitals_test.go
@@ -51,15 +51,15 @@
 	}
 }
 
-// If work that does not wait takes more wall-clock time than CPU time, other processes compete for the CPU. Busy must then count
-// the CPU time that the process wanted, not only the time it got. Stretch returns to 1 once the competition has ended.
+// If work that does not wait takes more wall-clock time than CPU time, other processes compete for the CPU. BusyShare must then count
+// the CPU time that the process wanted, not only the time it got. CPUWaitFactor returns to 1 once the competition has ended.
 func TestStretch(t *testing.T) {
 	m := New(1)
 	m.wall, m.cpu = 40*ms, 10*ms
 	now := m.lastRead
 	r := m.Read(now.Add(50 * ms))
 	if r.CPUWaitFactor != 4 {
-		t.Errorf("stretch %v", r.CPUWaitFactor)
+		t.Errorf("CPU wait factor %v", r.CPUWaitFactor)
 	}
 	if want := min(r.UsedCores*4/r.Cores, 1); r.BusyShare != want {
 		t.Errorf("busy %v, want %v", r.BusyShare, want)
@@ -69,14 +69,14 @@
 		r = m.Read(now.Add(time.Duration(i+2) * 50 * ms))
 	}
 	if r.CPUWaitFactor > 1.05 {
-		t.Errorf("stretch %v long after the competition for the CPU ended", r.CPUWaitFactor)
+		t.Errorf("CPU wait factor %v long after the competition for the CPU ended", r.CPUWaitFactor)
 	}
 	if m = New(1); m.Read(time.Now()).CPUWaitFactor != 1 {
-		t.Error("stretch is not 1 although no section has run")
+		t.Error("CPU wait factor is not 1 although no section has run")
 	}
 }
 
-// Section runs its function and records both wall-clock and CPU time.
+// RunSection runs its function and records both wall-clock and CPU time.
 func TestSectionMeasuresWallAndCPU(t *testing.T) {
 	m := New(1)
 	ran := false
@@ -181,13 +181,13 @@
 // BenchmarkMeters measures the cost per submission, per section and per reading. The relay takes 20 readings per second.
 func BenchmarkMeters(b *testing.B) {
 	m := New(1)
-	b.Run("HandedIn", func(b *testing.B) {
+	b.Run("RecordSubmission", func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
 			m.RecordSubmission(ms)
 		}
 	})
-	b.Run("Section", func(b *testing.B) {
+	b.Run("RunSection", func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
 			m.RunSection(func() {})
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -47,7 +47,7 @@
 	PowerHint float64 `json:"power-hint"`
 }
 
-// report is the load report of an endpoint: X0 is dispatch.Report.Left, X1 is dispatch.Report.Limit.
+// report is the load report of an endpoint: X0 is dispatch.LimitReport.LeftShare, X1 is dispatch.LimitReport.Rate.
 type report struct {
 	X0 float64 `json:"x0"`
 	X1 float64 `json:"x1"`
