--- a/internal/configsync/sourceindex.go
+++ b/internal/configsync/sourceindex.go
@@ -80,7 +80,7 @@
 	}
 }
 
-// advertisedWatermark returns the watermark that other relays are told.
+// advertisedWatermark returns the watermark that is sent to other relays.
 func (s *sourceIndex) advertisedWatermark() uint64 {
 	if s.rewinding {
 		return s.rewoundWatermark
--- a/internal/configsync/store.go
+++ b/internal/configsync/store.go
@@ -31,8 +31,8 @@
 	sourceNames []string // sorted
 	digest      uint64
 	maxRevision uint64
-	// advertisedCache caches the version vector that other relays are told. It is shared with messages, so that it is replaced
-	// and never modified.
+	// advertisedCache caches the version vector that is sent to other relays. Messages share the vector, so it is replaced and
+	// never modified.
 	advertisedCache VersionVector
 	faults          injectedFaults
 }
@@ -222,8 +222,8 @@
 	return sequence, s.maxRevision + 1
 }
 
-// advertisedVersions returns the version vector that other relays are told. It is lower than Versions while everything is
-// pulled again. The vector is shared, so that nobody may modify it.
+// advertisedVersions returns the version vector that is sent to other relays. It is lower than Versions while everything is
+// pulled again. Messages share the vector, so it must not be modified.
 func (s *Store) advertisedVersions() VersionVector {
 	if s.advertisedCache == nil {
 		s.advertisedCache = make(VersionVector, len(s.sources))
--- a/internal/conns/conns.go
+++ b/internal/conns/conns.go
@@ -531,8 +531,8 @@
 	return Open, c.id, evict
 }
 
-// ReturnUnused takes back a connection that did not carry its call after all. The connection remains idle as if it had not been taken. If the
-// connection must be closed instead, the result is false and the reason.
+// ReturnUnused takes back a connection that did not carry its call after all. The connection is idle again, with its earlier idle time.
+// If the connection must be closed instead, ReturnUnused returns false and the reason.
 func (p *Pool) ReturnUnused(now time.Duration, id ID) (idle bool, reason Reason) {
 	p.advanceClock(now)
 	c := p.conns[id]
@@ -556,8 +556,8 @@
 	return false, reason
 }
 
-// ClosedBeforeUse reports that the server had closed a connection before the first byte of its call was sent. No call failed, so this counts as a
-// visible closing.
+// ClosedBeforeUse reports that the server had closed a connection before the first byte of its call was sent. No call failed, so this
+// counts as a visible closing.
 func (p *Pool) ClosedBeforeUse(now time.Duration, id ID) {
 	p.advanceClock(now)
 	c := p.conns[id]
@@ -812,8 +812,8 @@
 	p.recentCalls++
 }
 
-// OpeningFailed reports that a connection could not be established; refused says that the server refused or reset it. If other connections to
-// the endpoint are open and one was opened recently, the server may accept no more.
+// OpeningFailed reports that a connection could not be established; refused says that the server refused or reset it. If other
+// connections to the endpoint are open and one was opened recently, the server may accept no more.
 func (p *Pool) OpeningFailed(now time.Duration, id ID, refused bool) {
 	p.advanceClock(now)
 	c := p.conns[id]
--- a/internal/conns/happy_eyeballs.go
+++ b/internal/conns/happy_eyeballs.go
@@ -66,8 +66,8 @@
 	connected  bool
 }
 
-// StartAttempts starts connection attempts to a list of addresses. Recently failed addresses come last. The others alternate between the address
-// families, starting with the family of the address that connects fastest, or with IPv6 if no connect time is known.
+// StartAttempts starts connection attempts to a list of addresses. Recently failed addresses come last. The others alternate
+// between the address families, starting with the family of the address that connects fastest, or with IPv6 if no connect time is known.
 func (a *Addresses) StartAttempts(now time.Duration, addrs []netip.AddrPort) *Attempts {
 	var ipv6, ipv4, recentlyFailed []netip.AddrPort
 	for _, addr := range addrs {
--- a/internal/dispatch/fleet_test.go
+++ b/internal/dispatch/fleet_test.go
@@ -348,7 +348,7 @@
 	}
 }
 
-// overload returns when a cold destination first gets more calls within the tip window than it takes, chance included, if over
+// overload returns when a cold destination first gets more calls within OverloadFor than it takes, chance included, if over
 // two thirds of them are from senders that saw the outage, and 0 otherwise.
 func (b *bucketModel) overload(f Safety) (at time.Duration, calls, aware int, capacity float64) {
 	from := 0
--- a/internal/dispatch/sender.go
+++ b/internal/dispatch/sender.go
@@ -43,10 +43,10 @@
 	refusalStreak        = 3
 	maxFailureShare      = 0.55
 	rampFailureShare     = 0.45 // failure share at the start of a ramp: one more failure exceeds the maximum
-	maxTrialShare        = 0.2  // of the cold time; up to it, trial calls are half the outage's age apart
+	maxTrialShare        = 0.2  // of the ramp time; up to it, trial calls are half the outage's age apart
 	sparseTrialAges      = 5.0  // see coldGap
 	fleetTrialAges       = 0.25 // of the outage's age between trial calls when senders share reports
-	maxFleetTrialShare   = 0.05 // of the cold time
+	maxFleetTrialShare   = 0.05 // of the ramp time
 	initialWindow        = 2    // calls out at a new endpoint; each success adds to the window
 	windowShrinkFactor   = 0.7  // at a timeout
 	minTimeoutAims       = 0.6  // least timeout of a repeatable call, in aims
@@ -530,7 +530,7 @@
 }
 
 // coldGap is the mean time between two calls of this sender at time at to an endpoint that is in an outage,
-// or cold after one. It covers trial calls, refused calls and all others. Let B be the calls in a tip window
+// or cold after one. It covers trial calls, refused calls and all others. Let B be the calls in OverloadFor
 // that push the destination over. Senders are at fault when two thirds of B or more come from those that saw
 // the outage. Each of two bounds prevents this without knowing the end of the outage; the smaller gap is
 // used. With many senders, small destinations get few trial calls soon after their return.
@@ -540,7 +540,7 @@
 //     In an outage all share it. In the ramp, only senders share it that can have several messages in twice
 //     the age, since no sender is in both.
 //   - Sparse trials, when few saw the outage: sparseTrialAges ages apart, with an age of at least a fifth of
-//     the cold time t. To f first calls a second, senders that saw it add f (1 + ln(A/t)) / sparseTrialAges,
+//     the ramp time t. To f first calls a second, senders that saw it add f (1 + ln(A/t)) / sparseTrialAges,
 //     f/2 at A = 4 t, or f in the ramp. This is half of the 2 f that make two thirds, at any capacity.
 func (s *Sender) coldGap(e *endpoint, at time.Duration) time.Duration {
 	f, peers, warm := s.cfg.Safety, float64(s.cfg.Peers), s.cfg.Safety.MinStartCapacityShare
--- a/internal/dispatch/sender_test.go
+++ b/internal/dispatch/sender_test.go
@@ -1032,7 +1032,7 @@
 	}
 }
 
-// A ramp ends with the cold time, even without any call.
+// A ramp ends after Safety.Ramp, even without any call.
 func TestRampEnds(t *testing.T) {
 	s := newSender(t, manySenders(), ep("e", 1))
 	e := s.endpoints["e"]
@@ -1043,7 +1043,7 @@
 		t.Errorf("sent %v at the start of the ramp", got)
 	}
 	if got := sends(run(s, 11*time.Second, 10*time.Second+s.cfg.Safety.Ramp)); len(got) == 0 {
-		t.Error("held after the cold time")
+		t.Error("held after the ramp")
 	}
 }
 
--- a/internal/flow/batch.go
+++ b/internal/flow/batch.go
@@ -37,8 +37,9 @@
 var batchStatuses = map[string]traffic.FlowStatus{"delivered": traffic.Delivered, "failed": traffic.Errored, "refused": traffic.FlowRefused,
 	"over": traffic.AlreadyEnded, "spent": traffic.AttemptsExhausted}
 
-// decodeBatchAnswer reads how each transaction ended. A transaction may have run, and is ConnectionBroken, if its line has no known status or
-// if two lines differ about it. The caller treats a transaction without a line the same way, and ignores ids that were not in the call.
+// decodeBatchAnswer reads how each transaction ended. A transaction may have run, and is ConnectionBroken, if its line has no known
+// status or if two lines differ about it. The caller treats a transaction without a line the same way, and ignores ids that were not
+// in the call.
 func decodeBatchAnswer(body []byte) map[string]traffic.FlowStatus {
 	statuses := map[string]traffic.FlowStatus{}
 	for line := range bytes.Lines(body) {
--- a/internal/flow/connections.go
+++ b/internal/flow/connections.go
@@ -357,10 +357,10 @@
 func (g *Manager) mayReuse(c *conn) bool { return c.underTLS == nil || g.cfg.TLS.Reusable(c.nc) }
 
 // finishCall ends a call on a connection, which becomes idle or is closed.
-func (g *Manager) finishCall(c *conn, end conns.CallEnd, took time.Duration) {
+func (g *Manager) finishCall(c *conn, end conns.CallEnd, duration time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if idle, reason := g.conns.CallEnded(g.now(), c.id, end, took); idle {
+	if idle, reason := g.conns.CallEnded(g.now(), c.id, end, duration); idle {
 		g.becameIdle(c, time.Now())
 	} else {
 		g.closeEvicted([]conns.Eviction{{ID: c.id, Reason: reason}})
--- a/internal/flow/handshake_queue.go
+++ b/internal/flow/handshake_queue.go
@@ -90,10 +90,10 @@
 }
 
 // handshakeDone reports that an admitted handshake has ended, and the processor time that it took.
-func (o *handshakeQueue) handshakeDone(host string, took time.Duration) {
+func (o *handshakeQueue) handshakeDone(host string, duration time.Duration) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.gate.Done(host, took)
+	o.gate.Done(host, duration)
 	o.dispatch()
 }
 
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -20,8 +20,8 @@
 }
 
 // listJSON returns a list.
-func listJSON(seq int, whole bool, lines ...string) string {
-	return fmt.Sprintf(`{"seq":%d,"whole":%v,"hosts":[%s]}`, seq, whole, strings.Join(lines, ","))
+func listJSON(seq int, full bool, lines ...string) string {
+	return fmt.Sprintf(`{"seq":%d,"whole":%v,"hosts":[%s]}`, seq, full, strings.Join(lines, ","))
 }
 
 func TestParse(t *testing.T) {
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -145,7 +145,7 @@
 	awaitingTurn     []*openTransaction        // transactions that wait for another process to finish earlier ones of their key, by ticket
 	noticePending    map[string]string         // ids of transactions of an ordered class whose notice has no answer yet, and their keys
 	blockedFlows     map[string][]traffic.Flow // by key: flows that wait for the answers to such notices
-	waiting          map[int]int               // transactions without a flow, by destination; an entry of 0 is removed at the next notification
+	waiting          map[int]int               // transactions without a flow, by destination; the next notification removes an entry of 0
 	lastExpect       time.Time                 // time of the last notification of the Preconnector
 	activeFlows      int                       // number of flows that have not ended
 	ended            int64                     // number of accepted transactions that are over
@@ -238,7 +238,7 @@
 	r.publishKnownMembers()
 	r.learnedLimits = maps.Clone(limits)
 	r.reportPool(known.Version)
-	events := append([]dispatch.Event{r.members(known)}, r.restoredLimits(known)...)
+	events := append([]dispatch.Event{r.membershipUpdate(known)}, r.restoredLimits(known)...)
 	r.decide(now, r.recoverState(open, notices, now, events), nil)
 }
 
@@ -269,7 +269,7 @@
 }
 
 // clampTimes corrects the times of a recovered transaction if the clock was set back since. A first call in the future counts as old
-// as the class's memory span, because its age is unknown. A retry that the destination might not recognize as a duplicate is
+// as the class's DedupTTL, because its age is unknown. A retry that the destination might not recognize as a duplicate is
 // therefore not sent. No transaction gets more time than its class allows.
 func (r *Relay) clampTimes(o traffic.Open, now time.Time) traffic.Open {
 	c := r.classes[o.Class]
@@ -512,7 +512,7 @@
 			}
 			r.cfg.Flows.UpdatePool(r.overlay(in, r.blocked))
 			r.reportPool(in.Version)
-			events = append(append(events, r.members(in)), r.restoredLimits(in)...)
+			events = append(append(events, r.membershipUpdate(in)), r.restoredLimits(in)...)
 			r.publishKnownMembers()
 		case poolUnconfirmed:
 			r.unconfirmed = map[string]bool{}
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -213,7 +213,7 @@
 	}
 }
 
-// After a restart, a keyed transaction that may have run is retried only within the class's memory span. Its attempts continue to
+// After a restart, a keyed transaction that may have run is retried only within the class's DedupTTL. Its attempts continue to
 // count. A transaction that may not be sent again ends with a notice at once.
 func TestRestart(t *testing.T) {
 	now := time.Now()
@@ -300,7 +300,7 @@
 	}
 }
 
-// A retry of a keyed call must not be written after the memory span. WriteBy tells that limit to the flow, which may have to connect
+// A retry of a keyed call must not be written after the class's DedupTTL. WriteBy tells that limit to the flow, which may have to connect
 // first.
 func TestRetryHasWriteBy(t *testing.T) {
 	r, w, now := startRelay(t)
--- a/internal/relay/translate.go
+++ b/internal/relay/translate.go
@@ -14,9 +14,9 @@
 var memberStates = map[traffic.Health]dispatch.MembershipState{traffic.Active: dispatch.Listed,
 	traffic.Leaving: dispatch.Draining, traffic.Left: dispatch.Gone}
 
-// members reports a change of the pool to the module. A member that is banned by operators or excluded by other relays is draining,
-// whatever discovery says.
-func (r *Relay) members(update traffic.PoolUpdate) dispatch.MembershipUpdate {
+// membershipUpdate translates a change of the pool into an event of the module. A member that operators banned or that other relays
+// exclude counts as draining, whatever discovery says.
+func (r *Relay) membershipUpdate(update traffic.PoolUpdate) dispatch.MembershipUpdate {
 	ev := dispatch.MembershipUpdate{Full: update.Full}
 	for _, m := range update.Members {
 		ev.Endpoints = append(ev.Endpoints, r.endpoint(m, r.blocked))
--- a/internal/tlspolicy/handshake_gate.go
+++ b/internal/tlspolicy/handshake_gate.go
@@ -119,13 +119,13 @@
 	return started, expired, nextIn
 }
 
-// Done reports the end of a handshake with endpoint. took is the processor time of the handshake; 0 if unknown.
-func (g *HandshakeGate) Done(endpoint string, took time.Duration) {
+// Done reports the end of a handshake with endpoint. duration is the processor time of the handshake; 0 if unknown.
+func (g *HandshakeGate) Done(endpoint string, duration time.Duration) {
 	if g.active[endpoint]--; g.active[endpoint] <= 0 {
 		delete(g.active, endpoint)
 	}
-	if took > 0 {
-		g.costSeconds += 0.1 * (min(took.Seconds(), 0.1) - g.costSeconds)
+	if duration > 0 {
+		g.costSeconds += 0.1 * (min(duration.Seconds(), 0.1) - g.costSeconds)
 	}
 }
 
--- a/internal/vitals/vitals.go
+++ b/internal/vitals/vitals.go
@@ -50,7 +50,7 @@
 	windowSubmissions                   int
 	maxStepDelay                        time.Duration // since the last reading
 	wall, cpu                           time.Duration // wall-clock and CPU time spent in sections since the last reading
-	decayedWall, decayedCPU             float64       // sums of wall and cpu in nanoseconds, reduced by stretchDecay at each reading
+	decayedWall, decayedCPU             float64       // sums of wall and cpu in nanoseconds, reduced by cpuWaitDecay at each reading
 	lastRead                            time.Time
 	lastCPU                             time.Duration
 }
