--- a/internal/fleet/capability.go
+++ b/internal/fleet/capability.go
@@ -12,29 +12,29 @@
 // maxLocationBytes bounds the name of a region or zone, so that the announcement fits memberlist's 512 bytes.
 const maxLocationBytes = 64
 
-// location is where a relay stands.
-type location struct {
+// regionAndZone is where a relay stands.
+type regionAndZone struct {
 	region, zone string
 }
 
 // encodeCapability returns what a relay announces that replicates configuration.
-func encodeCapability(at location) []byte {
+func encodeCapability(at regionAndZone) []byte {
 	b := []byte{capabilityVersion}
 	b = appendText(b, at.region)
 	return appendText(b, at.zone)
 }
 
 // decodeCapability reads what a member announces; false for a member that replicates no configuration.
-func decodeCapability(meta []byte) (at location, ok bool) {
+func decodeCapability(meta []byte) (at regionAndZone, ok bool) {
 	version, rest, ok := cutByte(meta)
 	if !ok || version != capabilityVersion {
-		return location{}, false
+		return regionAndZone{}, false
 	}
 	if at.region, rest, ok = cutText(rest); !ok {
-		return location{}, false
+		return regionAndZone{}, false
 	}
 	if at.zone, _, ok = cutText(rest); !ok {
-		return location{}, false
+		return regionAndZone{}, false
 	}
 	return at, true
 }
--- a/internal/fleet/configfile/configfile.go
+++ b/internal/fleet/configfile/configfile.go
@@ -24,12 +24,12 @@
 const (
 	fileName = "fleet-configuration"
 	header   = "slatemux fleet-configuration 1\n"
-	// recordHeader is the length of a record's payload and its checksum.
-	recordHeader = 4 + 4
-	// maxRecord bounds the payload of a record.
-	maxRecord = 16 << 10
-	// slack is by how much the file may outgrow twice its live records before it is compacted.
-	slack = 64 << 10
+	// recordHeaderBytes is the length of a record's payload and its checksum.
+	recordHeaderBytes = 4 + 4
+	// maxRecordBytes bounds the payload of a record.
+	maxRecordBytes = 16 << 10
+	// compactionSlackBytes is by how much the file may outgrow twice its live records before it is compacted.
+	compactionSlackBytes = 64 << 10
 )
 
 // ErrTooLarge is returned where the entries take more than the file's bound.
@@ -45,18 +45,18 @@
 
 // File is the file of one process, which alone writes it.
 type File struct {
-	path     string
-	maxBytes int64
-	file     *os.File
-	size     int64
-	live     int64 // size after the last compaction
-	broken   bool  // the end of the file may be torn: it has to be replaced before anything is appended
+	path           string
+	maxBytes       int64
+	file           *os.File
+	sizeBytes      int64
+	compactedBytes int64 // size after the last compaction
+	replaceNeeded  bool  // the end of the file may be torn: it has to be replaced before anything is appended
 }
 
 // MaxBytes returns the bound of the file for a number of entries.
 func MaxBytes(maxEntries int) int64 {
 	const typicalRecord = 512
-	return slack + 2*typicalRecord*int64(maxEntries)
+	return compactionSlackBytes + 2*typicalRecord*int64(maxEntries)
 }
 
 // Read returns what the file in a folder holds, and changes nothing. A file of another form, or none, is an empty snapshot.
@@ -72,8 +72,8 @@
 	if err != nil {
 		return nil, Snapshot{}, err
 	}
-	f := &File{path: path, maxBytes: maxBytes, size: whole, live: whole, broken: whole == 0}
-	if err := os.Remove(f.temporary()); err != nil && !errors.Is(err, os.ErrNotExist) {
+	f := &File{path: path, maxBytes: maxBytes, sizeBytes: whole, compactedBytes: whole, replaceNeeded: whole == 0}
+	if err := os.Remove(f.temporaryPath()); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return nil, Snapshot{}, fmt.Errorf("fleet configuration: %w", err)
 	}
 	if whole == 0 {
@@ -83,12 +83,12 @@
 		return nil, Snapshot{}, fmt.Errorf("fleet configuration: %w", err)
 	}
 	if err := f.file.Truncate(whole); err != nil {
-		f.broken = true
+		f.replaceNeeded = true
 	}
 	return f, snapshot, nil
 }
 
-func (f *File) temporary() string { return f.path + ".new" }
+func (f *File) temporaryPath() string { return f.path + ".new" }
 
 // Save appends changes and the version vector that holds with them. Where that would let the file grow over its bounds, or an
 // earlier write has failed, it is replaced by what all returns, which includes the changes. After an error nothing is certain
@@ -96,29 +96,29 @@
 func (f *File) Save(changes []configsync.Change, versions configsync.VersionVector, all func() Snapshot) error {
 	records, err := encode(nil, Snapshot{changes, versions})
 	if err != nil {
-		f.broken = true
+		f.replaceNeeded = true
 		return err
 	}
-	size := f.size + int64(len(records))
-	if f.broken || size > min(2*f.live+slack, f.maxBytes) {
+	size := f.sizeBytes + int64(len(records))
+	if f.replaceNeeded || size > min(2*f.compactedBytes+compactionSlackBytes, f.maxBytes) {
 		return f.replace(all())
 	}
 	if _, err := f.file.Write(records); err != nil {
-		f.broken = true
+		f.replaceNeeded = true
 		return fmt.Errorf("fleet configuration: %w", err)
 	}
-	f.size = size
+	f.sizeBytes = size
 	return nil
 }
 
-// Whole reports whether everything that was handed to Save is kept.
-func (f *File) Whole() bool { return !f.broken }
+// Complete reports whether everything that was handed to Save is kept.
+func (f *File) Complete() bool { return !f.replaceNeeded }
 
-// Rewrite has the next Save replace the file.
-func (f *File) Rewrite() { f.broken = true }
+// RequestReplace has the next Save replace the file.
+func (f *File) RequestReplace() { f.replaceNeeded = true }
 
 // Size returns the length of the file in bytes.
-func (f *File) Size() int64 { return f.size }
+func (f *File) Size() int64 { return f.sizeBytes }
 
 // Close closes the file.
 func (f *File) Close() error {
@@ -129,7 +129,7 @@
 }
 
 func (f *File) replace(snapshot Snapshot) error {
-	f.broken = true
+	f.replaceNeeded = true
 	content, err := encode([]byte(header), snapshot)
 	if err != nil {
 		return err
@@ -137,20 +137,20 @@
 	if int64(len(content)) > f.maxBytes {
 		return fmt.Errorf("%w: %d of %d bytes", ErrTooLarge, len(content), f.maxBytes)
 	}
-	file, err := os.OpenFile(f.temporary(), os.O_CREATE|os.O_TRUNC|os.O_WRONLY|os.O_APPEND, 0o600)
+	file, err := os.OpenFile(f.temporaryPath(), os.O_CREATE|os.O_TRUNC|os.O_WRONLY|os.O_APPEND, 0o600)
 	if err != nil {
 		return fmt.Errorf("fleet configuration: %w", err)
 	}
 	_, err = file.Write(content)
 	if err == nil {
-		err = os.Rename(f.temporary(), f.path)
+		err = os.Rename(f.temporaryPath(), f.path)
 	}
 	if err != nil {
 		file.Close()
 		return fmt.Errorf("fleet configuration: %w", err)
 	}
 	f.Close()
-	f.file, f.size, f.live, f.broken = file, int64(len(content)), int64(len(content)), false
+	f.file, f.sizeBytes, f.compactedBytes, f.replaceNeeded = file, int64(len(content)), int64(len(content)), false
 	return nil
 }
 
@@ -172,7 +172,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("fleet configuration: %w", err)
 	}
-	if len(payload) > maxRecord {
+	if len(payload) > maxRecordBytes {
 		return nil, fmt.Errorf("%w: a record of %d bytes", ErrTooLarge, len(payload))
 	}
 	b = binary.LittleEndian.AppendUint32(b, uint32(len(payload)))
@@ -211,7 +211,7 @@
 func decode(b []byte) (snapshot Snapshot, rest []byte) {
 	for len(b) > 0 {
 		record, after, ok := nextRecord(b)
-		if !ok || !snapshot.take(record) {
+		if !ok || !snapshot.add(record) {
 			return snapshot, b
 		}
 		b = after
@@ -220,12 +220,12 @@
 }
 
 func nextRecord(b []byte) (record *fleetv1.ConfigurationRecord, after []byte, ok bool) {
-	if len(b) < recordHeader {
+	if len(b) < recordHeaderBytes {
 		return nil, nil, false
 	}
 	length, sum := binary.LittleEndian.Uint32(b), binary.LittleEndian.Uint32(b[4:])
-	b = b[recordHeader:]
-	if length == 0 || length > maxRecord || int(length) > len(b) || crc32.Checksum(b[:length], castagnoli) != sum {
+	b = b[recordHeaderBytes:]
+	if length == 0 || length > maxRecordBytes || int(length) > len(b) || crc32.Checksum(b[:length], castagnoli) != sum {
 		return nil, nil, false
 	}
 	record = &fleetv1.ConfigurationRecord{}
@@ -235,8 +235,8 @@
 	return record, b[length:], true
 }
 
-// take puts a record into the snapshot. The newest version vector counts.
-func (s *Snapshot) take(record *fleetv1.ConfigurationRecord) bool {
+// add puts a record into the snapshot. The newest version vector counts.
+func (s *Snapshot) add(record *fleetv1.ConfigurationRecord) bool {
 	switch kind := record.GetKind().(type) {
 	case *fleetv1.ConfigurationRecord_Change:
 		change, err := wire.DecodeChange(kind.Change, "")
--- a/internal/fleet/configfile/configfile_test.go
+++ b/internal/fleet/configfile/configfile_test.go
@@ -16,16 +16,16 @@
 	"slatemux/internal/proptest"
 )
 
-const testBound = 1 << 20
+const testMaxBytes = 1 << 20
 
-func change(sequence uint64, key, value string) configsync.Change {
+func testChange(sequence uint64, key, value string) configsync.Change {
 	return configsync.Change{Source: "control", Sequence: sequence, Revision: sequence, Key: key, Value: []byte(value), Signature: bytes.Repeat([]byte{7}, 64)}
 }
 
-// saved writes changes one by one and returns the file's content after each.
-func saved(t *testing.T, dir string, changes []configsync.Change) (contents [][]byte) {
+// saveEach writes changes one by one and returns the file's content after each.
+func saveEach(t *testing.T, dir string, changes []configsync.Change) (contents [][]byte) {
 	t.Helper()
-	f, snapshot, err := Open(dir, testBound)
+	f, snapshot, err := Open(dir, testMaxBytes)
 	if err != nil || len(snapshot.Entries) != 0 {
 		t.Fatal(snapshot, err)
 	}
@@ -36,7 +36,7 @@
 			t.Fatal(err)
 		}
 		raw, err := os.ReadFile(filepath.Join(dir, fileName))
-		if err != nil || f.Size() != int64(len(raw)) || !f.Whole() {
+		if err != nil || f.Size() != int64(len(raw)) || !f.Complete() {
 			t.Fatal(err, f.Size(), len(raw))
 		}
 		contents = append(contents, raw)
@@ -44,16 +44,16 @@
 	return contents
 }
 
-func three() []configsync.Change {
-	return []configsync.Change{change(1, "endpoint/a", "down"), change(2, "destination/7", "closed"),
+func testChanges() []configsync.Change {
+	return []configsync.Change{testChange(1, "endpoint/a", "down"), testChange(2, "destination/7", "closed"),
 		{Source: "control", Sequence: 3, Revision: 3, Key: "endpoint/a", Removed: true, Signature: []byte{1}}}
 }
 
-func TestSavedAndRead(t *testing.T) {
+func TestSavedChangesAreRead(t *testing.T) {
 	dir := t.TempDir()
-	saved(t, dir, three())
-	got, err := Read(dir, testBound)
-	if want := (Snapshot{three(), configsync.VersionVector{"control": 3}}); err != nil || !reflect.DeepEqual(got, want) {
+	saveEach(t, dir, testChanges())
+	got, err := Read(dir, testMaxBytes)
+	if want := (Snapshot{testChanges(), configsync.VersionVector{"control": 3}}); err != nil || !reflect.DeepEqual(got, want) {
 		t.Errorf("%v\n%+v\n%+v", err, got, want)
 	}
 	if info, err := os.Stat(filepath.Join(dir, fileName)); err != nil || info.Mode().Perm() != 0o600 {
@@ -62,9 +62,9 @@
 }
 
 // Torn at every byte, the file gives what was saved whole before, and is written on from there.
-func TestTornAtEveryByte(t *testing.T) {
-	changes := three()
-	contents := saved(t, t.TempDir(), changes)
+func TestTruncatedAtEveryByte(t *testing.T) {
+	changes := testChanges()
+	contents := saveEach(t, t.TempDir(), changes)
 	last := contents[len(contents)-1]
 	for n := range len(last) + 1 {
 		dir := t.TempDir()
@@ -72,7 +72,7 @@
 		if err := os.WriteFile(path, last[:n], 0o600); err != nil {
 			t.Fatal(err)
 		}
-		f, got, err := Open(dir, testBound)
+		f, got, err := Open(dir, testMaxBytes)
 		if err != nil {
 			t.Fatal(n, err)
 		}
@@ -88,30 +88,30 @@
 				t.Fatalf("cut at %d: %+v", n, c)
 			}
 		}
-		next := change(9, "endpoint/z", "down")
+		next := testChange(9, "endpoint/z", "down")
 		all := append(got.Entries, next)
 		versions := configsync.VersionVector{"control": 9}
 		if err := f.Save([]configsync.Change{next}, versions, func() Snapshot { return Snapshot{all, versions} }); err != nil {
 			t.Fatal(n, err)
 		}
 		f.Close()
-		if again, err := Read(dir, testBound); err != nil || !reflect.DeepEqual(again, Snapshot{all, versions}) {
+		if again, err := Read(dir, testMaxBytes); err != nil || !reflect.DeepEqual(again, Snapshot{all, versions}) {
 			t.Fatalf("cut at %d, written on: %v\n%+v\n%+v", n, err, again, all)
 		}
 	}
 }
 
 // A file that is damaged gives no change that was not saved.
-func TestDamaged(t *testing.T) {
-	changes := three()
-	contents := saved(t, t.TempDir(), changes)
+func TestCorruptFileYieldsOnlySavedChanges(t *testing.T) {
+	changes := testChanges()
+	contents := saveEach(t, t.TempDir(), changes)
 	last := contents[len(contents)-1]
 	dir := t.TempDir()
 	proptest.Check(t, func(t *rapid.T) {
 		if err := os.WriteFile(filepath.Join(dir, fileName), proptest.Garbage(t, last), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		got, err := Read(dir, testBound)
+		got, err := Read(dir, testMaxBytes)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -125,38 +125,38 @@
 		if err := os.WriteFile(filepath.Join(dir, fileName), raw, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if got, err := Read(dir, testBound); err != nil || len(got.Entries)+len(got.Versions) != 0 {
+		if got, err := Read(dir, testMaxBytes); err != nil || len(got.Entries)+len(got.Versions) != 0 {
 			t.Errorf("%s: %+v, %v", name, got, err)
 		}
 	}
 }
 
 // However often one entry changes, the file stays within its bound and holds the newest.
-func TestCompaction(t *testing.T) {
+func TestCompactionBoundsFileSize(t *testing.T) {
 	dir := t.TempDir()
-	f, _, err := Open(dir, testBound)
+	f, _, err := Open(dir, testMaxBytes)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer f.Close()
 	value := strings.Repeat("v", 200)
 	for n := uint64(1); n <= 3000; n++ {
-		c, versions := change(n, "endpoint/a", value), configsync.VersionVector{"control": n}
+		c, versions := testChange(n, "endpoint/a", value), configsync.VersionVector{"control": n}
 		if err := f.Save([]configsync.Change{c}, versions, func() Snapshot { return Snapshot{[]configsync.Change{c}, versions} }); err != nil {
 			t.Fatal(err)
 		}
-		if f.Size() > 2*1024+slack {
+		if f.Size() > 2*1024+compactionSlackBytes {
 			t.Fatalf("%d bytes after %d changes of one entry", f.Size(), n)
 		}
 	}
-	got, err := Read(dir, testBound)
+	got, err := Read(dir, testMaxBytes)
 	if err != nil || got.Versions["control"] != 3000 || got.Entries[len(got.Entries)-1].Sequence != 3000 {
 		t.Errorf("%v, %v", err, got.Versions)
 	}
 }
 
 // What does not fit is refused and counted as not kept; when it fits again, all is kept.
-func TestBound(t *testing.T) {
+func TestSaveOverMaxBytes(t *testing.T) {
 	dir := t.TempDir()
 	f, _, err := Open(dir, 1000)
 	if err != nil {
@@ -172,18 +172,18 @@
 		if n > 20 {
 			t.Fatal("never too large")
 		}
-		all = append(all, change(n, fmt.Sprint("endpoint/", n), "down"))
+		all = append(all, testChange(n, fmt.Sprint("endpoint/", n), "down"))
 		err = save()
 		if info, err := os.Stat(filepath.Join(dir, fileName)); err != nil || info.Size() > 1000 {
 			t.Fatal(info.Size(), err)
 		}
 	}
-	if !errors.Is(err, ErrTooLarge) || f.Whole() {
-		t.Errorf("%v, whole %v", err, f.Whole())
+	if !errors.Is(err, ErrTooLarge) || f.Complete() {
+		t.Errorf("%v, whole %v", err, f.Complete())
 	}
-	all = []configsync.Change{change(100, "endpoint/a", "down")}
-	if err := save(); err != nil || !f.Whole() {
-		t.Errorf("%v, whole %v", err, f.Whole())
+	all = []configsync.Change{testChange(100, "endpoint/a", "down")}
+	if err := save(); err != nil || !f.Complete() {
+		t.Errorf("%v, whole %v", err, f.Complete())
 	}
 	if got, err := Read(dir, 1000); err != nil || !reflect.DeepEqual(got.Entries, all) {
 		t.Errorf("%v, %+v", err, got)
@@ -191,20 +191,20 @@
 }
 
 // A folder that can't be written is an error, and the next save that can be made keeps all.
-func TestUnwritable(t *testing.T) {
+func TestSaveAfterFailedWrite(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "state")
-	f, _, err := Open(dir, testBound)
+	f, _, err := Open(dir, testMaxBytes)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer f.Close()
-	all := three()
+	all := testChanges()
 	versions := configsync.VersionVector{"control": 3}
 	save := func() error {
 		return f.Save(all[2:], versions, func() Snapshot { return Snapshot{all, versions} })
 	}
-	if err := save(); err == nil || f.Whole() {
-		t.Errorf("%v, whole %v", err, f.Whole())
+	if err := save(); err == nil || f.Complete() {
+		t.Errorf("%v, whole %v", err, f.Complete())
 	}
 	if err := os.Mkdir(dir, 0o700); err != nil {
 		t.Fatal(err)
@@ -212,7 +212,7 @@
 	if err := save(); err != nil {
 		t.Fatal(err)
 	}
-	if got, err := Read(dir, testBound); err != nil || !reflect.DeepEqual(got, Snapshot{all, versions}) {
+	if got, err := Read(dir, testMaxBytes); err != nil || !reflect.DeepEqual(got, Snapshot{all, versions}) {
 		t.Errorf("%v, %+v", err, got)
 	}
 }
--- a/internal/fleet/configuration.go
+++ b/internal/fleet/configuration.go
@@ -25,8 +25,8 @@
 }
 
 const (
-	// configurationSaveRetry is how often a file that could not be written is tried again.
-	configurationSaveRetry = time.Second
+	// configurationRetryInterval is how often a file that could not be written is tried again.
+	configurationRetryInterval = time.Second
 	// maxRevisionLead bounds how far a change that an operator hands in may move the revision, which has an end.
 	maxRevisionLead = 1 << 20
 )
@@ -48,21 +48,21 @@
 	replica *configsync.Replica
 	members []string
 
-	file     *configfile.File // nil until it is opened
-	attached bool             // the address is had: no process before this one writes the file any more
-	saved    configsync.VersionVector
-	unsaved  []configsync.Change // in force, and not yet in the file
+	file           *configfile.File // nil until it is opened
+	addressBound   bool             // the address is had: no process before this one writes the file any more
+	savedVersions  configsync.VersionVector
+	unsavedChanges []configsync.Change // in force, and not yet in the file
 	// newest is the newest change of each source that was in force here. Also when it is superseded it is kept: its signature
 	// proves to others how far the source has come.
-	newest    map[string]configsync.Change
-	skipped   bool // something came into force while there was no file
-	triedAt   time.Duration
-	saveError error
+	newest        map[string]configsync.Change
+	rewriteNeeded bool // something came into force while there was no file
+	lastAttemptAt time.Duration
+	saveError     error
 
-	directives *directive.Set
-	outbox     []configsync.Send
-	replies    []configurationReply
-	stale      bool // what operators are shown is
+	directives    *directive.Set
+	outbox        []configsync.Send
+	replies       []configurationReply
+	stateOutdated bool // what operators are shown is
 }
 
 // configurationReply tells the outcome of a published change, once that is kept.
@@ -76,8 +76,8 @@
 	if cfg.Configuration == nil {
 		return nil, nil
 	}
-	c := &configuration{config: *cfg.Configuration, dir: cfg.StateDir, saved: configsync.VersionVector{},
-		newest: map[string]configsync.Change{}, directives: directive.NewSet(), stale: true}
+	c := &configuration{config: *cfg.Configuration, dir: cfg.StateDir, savedVersions: configsync.VersionVector{},
+		newest: map[string]configsync.Change{}, directives: directive.NewSet(), stateOutdated: true}
 	if c.config.MaxFileBytes == 0 {
 		c.config.MaxFileBytes = configfile.MaxBytes(c.config.MaxEntries)
 	}
@@ -103,12 +103,12 @@
 	return c, nil
 }
 
-// announcement is what this relay tells with its membership.
-func (c *configuration) announcement() []byte {
+// capability is what this relay tells with its membership.
+func (c *configuration) capability() []byte {
 	if c == nil {
 		return nil
 	}
-	return encodeCapability(location{c.config.Region, c.config.Zone})
+	return encodeCapability(regionAndZone{c.config.Region, c.config.Zone})
 }
 
 // restore merges what was kept. Its changes were verified before, perhaps by a key that has been taken out since.
@@ -121,20 +121,20 @@
 			refused++
 			continue
 		}
-		c.noteNewest(change)
-		c.interpret(change.Key)
+		c.recordNewest(change)
+		c.updateDirective(change.Key)
 	}
 	if refused > 0 {
 		slog.Warn("fleet configuration: kept entries not taken over", "entries", refused)
 	}
 	c.store.SetVersions(snapshot.Versions)
-	c.stale = true
+	c.stateOutdated = true
 }
 
-// open takes the file over, as soon as no process before this one can write it.
-func (c *configuration) open(now time.Duration) {
+// openFile takes the file over, as soon as no process before this one can write it.
+func (c *configuration) openFile(now time.Duration) {
 	file, snapshot, err := configfile.Open(c.dir, c.config.MaxFileBytes)
-	c.triedAt = now
+	c.lastAttemptAt = now
 	if err != nil {
 		if c.saveError == nil {
 			slog.Warn("fleet configuration file not opened", "err", err)
@@ -144,10 +144,10 @@
 	}
 	c.file, c.saveError = file, nil
 	c.restore(snapshot)
-	c.saved = snapshot.Versions
-	if c.skipped {
-		c.skipped = false
-		file.Rewrite()
+	c.savedVersions = snapshot.Versions
+	if c.rewriteNeeded {
+		c.rewriteNeeded = false
+		file.RequestReplace()
 	}
 }
 
@@ -165,18 +165,18 @@
 		c.members = append(c.members, member.Name)
 	}
 	slices.Sort(c.members)
-	c.stale = true
+	c.stateOutdated = true
 }
 
 // receive takes in a message of another relay.
 func (c *configuration) receive(now time.Duration, from string, message *configsync.Message) {
 	applied, out := c.replica.Receive(now, from, *message)
-	c.unsaved = append(c.unsaved, applied...)
+	c.unsavedChanges = append(c.unsavedChanges, applied...)
 	c.outbox = append(c.outbox, out...)
 }
 
-// publish takes in a change of an operator.
-func (c *configuration) publish(now time.Duration, change configsync.Change) error {
+// submit takes in a change of an operator.
+func (c *configuration) submit(now time.Duration, change configsync.Change) error {
 	if c.file == nil {
 		return ErrConfigurationNotReady
 	}
@@ -184,7 +184,7 @@
 		return nil // handed in again, for its first answer was lost
 	}
 	if c.keys.Verify(&change) == nil {
-		if err := c.follows(&change); err != nil {
+		if err := c.checkNext(&change); err != nil {
 			return err
 		}
 	}
@@ -193,15 +193,15 @@
 		return fmt.Errorf("not taken: %w", err)
 	}
 	c.outbox = append(c.outbox, out...)
-	c.unsaved = append(c.unsaved, change)
+	c.unsavedChanges = append(c.unsavedChanges, change)
 	if !c.inForce(&change) {
 		return fmt.Errorf("%w: another change of %q is in force", ErrConfigurationConflict, change.Key)
 	}
 	return nil
 }
 
-// follows reports why a change is not the next one of its source.
-func (c *configuration) follows(change *configsync.Change) error {
+// checkNext reports why a change is not the next one of its source.
+func (c *configuration) checkNext(change *configsync.Change) error {
 	sequence, revision := c.store.Next(change.Source)
 	if change.Sequence != sequence {
 		return fmt.Errorf("%w: sequence %d of %q is not the next one, %d", ErrConfigurationConflict, change.Sequence, change.Source, sequence)
@@ -229,40 +229,40 @@
 
 // save interprets and keeps what is new, before anybody is told of it. It reports whether entries have changed.
 func (c *configuration) save(now time.Duration) bool {
-	changed := len(c.unsaved) > 0
-	for _, change := range c.unsaved {
-		c.noteNewest(change)
-		c.interpret(change.Key)
+	changed := len(c.unsavedChanges) > 0
+	for _, change := range c.unsavedChanges {
+		c.recordNewest(change)
+		c.updateDirective(change.Key)
 	}
 	versions := c.store.Versions()
-	moved := !maps.Equal(versions, c.saved)
-	c.stale = c.stale || changed || moved
+	moved := !maps.Equal(versions, c.savedVersions)
+	c.stateOutdated = c.stateOutdated || changed || moved
 	if c.file == nil {
-		c.skipped = c.skipped || changed || moved
-		c.saved, c.unsaved = versions, nil
-		c.reopen(now)
+		c.rewriteNeeded = c.rewriteNeeded || changed || moved
+		c.savedVersions, c.unsavedChanges = versions, nil
+		c.retryOpenFile(now)
 		return changed
 	}
-	if !changed && !moved && (c.saveError == nil || now-c.triedAt < configurationSaveRetry) {
+	if !changed && !moved && (c.saveError == nil || now-c.lastAttemptAt < configurationRetryInterval) {
 		return false
 	}
-	c.triedAt = now
-	err := c.file.Save(c.unsaved, versions, c.snapshot)
+	c.lastAttemptAt = now
+	err := c.file.Save(c.unsavedChanges, versions, c.snapshot)
 	if err != nil && c.saveError == nil {
 		slog.Error("fleet configuration not kept", "err", err)
 	}
-	c.saveError, c.saved, c.unsaved = err, versions, nil
+	c.saveError, c.savedVersions, c.unsavedChanges = err, versions, nil
 	return changed
 }
 
-// reopen tries again to open the file, now and then.
-func (c *configuration) reopen(now time.Duration) {
-	if c.attached && now-c.triedAt >= configurationSaveRetry {
-		c.open(now)
+// retryOpenFile tries again to open the file, now and then.
+func (c *configuration) retryOpenFile(now time.Duration) {
+	if c.addressBound && now-c.lastAttemptAt >= configurationRetryInterval {
+		c.openFile(now)
 	}
 }
 
-func (c *configuration) noteNewest(change configsync.Change) {
+func (c *configuration) recordNewest(change configsync.Change) {
 	if c.newest[change.Source].Sequence < change.Sequence {
 		c.newest[change.Source] = change
 	}
@@ -277,8 +277,8 @@
 	return configfile.Snapshot{Entries: entries, Versions: c.store.Versions()}
 }
 
-// interpret works out what an entry restrains now.
-func (c *configuration) interpret(key string) {
+// updateDirective works out what an entry restrains now.
+func (c *configuration) updateDirective(key string) {
 	if change, inForce := c.store.Get(key); inForce {
 		c.directives.Put(key, change.Value)
 	} else {
@@ -286,8 +286,8 @@
 	}
 }
 
-// addBars merges what the configuration restrains into the members that the fleet's word bars, in the order of their names.
-func (c *configuration) addBars(bars []traffic.Bar, pool map[string]traffic.Member) []traffic.Bar {
+// addExclusions merges what the configuration restrains into the members that the fleet's word bars, in the order of their names.
+func (c *configuration) addExclusions(bars []traffic.Bar, pool map[string]traffic.Member) []traffic.Bar {
 	if c == nil || c.directives.Empty() {
 		return bars
 	}
@@ -296,7 +296,7 @@
 		banned[bar.Member] = bar.Banned
 	}
 	for name, member := range pool {
-		if c.directives.Bars(name, member.Destination) {
+		if c.directives.Excludes(name, member.Destination) {
 			banned[name] = true
 		}
 	}
--- a/internal/fleet/configuration_driver.go
+++ b/internal/fleet/configuration_driver.go
@@ -15,8 +15,8 @@
 
 // Events of the inbox that concern configuration.
 type (
-	// changePublished is a change that an operator handed to this relay.
-	changePublished struct {
+	// changeSubmitted is a change that an operator handed to this relay.
+	changeSubmitted struct {
 		change configsync.Change
 		done   chan<- error // has room for one
 	}
@@ -26,13 +26,13 @@
 )
 
 // apply takes in the change. Its outcome is told when it is kept.
-func (e changePublished) apply(f *Fleet, now time.Duration, _ *stepResult) {
-	err := f.configuration.publish(now, e.change)
+func (e changeSubmitted) apply(f *Fleet, now time.Duration, _ *stepResult) {
+	err := f.configuration.submit(now, e.change)
 	f.configuration.replies = append(f.configuration.replies, configurationReply{e.done, err})
 }
 
 func (e trustedKeysChanged) apply(f *Fleet, _ time.Duration, _ *stepResult) {
-	f.configuration.stale = true
+	f.configuration.stateOutdated = true
 }
 
 // Configure hands in a change of an operator, and returns when it is kept and in force here.
@@ -41,7 +41,7 @@
 		return ErrConfigurationOff
 	}
 	done := make(chan error, 1)
-	f.enqueue(changePublished{change, done})
+	f.enqueue(changeSubmitted{change, done})
 	select {
 	case err := <-done:
 		return err
@@ -58,7 +58,7 @@
 	}
 	c.tick(now)
 	if c.save(now) {
-		f.updateBars(now)
+		f.updateExclusions(now)
 	}
 	f.sendConfiguration(now)
 	if len(c.replies) > 0 {
@@ -89,10 +89,10 @@
 	if c == nil {
 		return
 	}
-	if !c.attached {
-		c.attached = true
-		c.open(now)
-		f.updateBars(now)
+	if !c.addressBound {
+		c.addressBound = true
+		c.openFile(now)
+		f.updateExclusions(now)
 	}
 	announced := map[string][]byte{}
 	for name, node := range f.nodes {
--- a/internal/fleet/configuration_figures.go
+++ b/internal/fleet/configuration_state.go
@@ -10,8 +10,8 @@
 	"slatemux/internal/fleet/directive"
 )
 
-// ConfigurationFigures are what operators are shown of the replication of configuration among the fleet's figures.
-type ConfigurationFigures struct {
+// ConfigurationMetrics are what operators are shown of the replication of configuration among the fleet's figures.
+type ConfigurationMetrics struct {
 	Members int `json:"members"` // live relays that replicate, this one included
 	Entries int `json:"entries"` // kept, removed ones included
 	Applied int `json:"applied_entries"`
@@ -23,7 +23,7 @@
 }
 
 // LogValue names the figures in a log line.
-func (g *ConfigurationFigures) LogValue() slog.Value {
+func (g *ConfigurationMetrics) LogValue() slog.Value {
 	if g == nil {
 		return slog.StringValue("off")
 	}
@@ -83,7 +83,7 @@
 	Sources  []ConfigurationSource    `json:"sources"`
 	Members  []string                 `json:"members"`
 	Entries  []ConfigurationEntry     `json:"entries"`
-	Figures  ConfigurationFigures     `json:"figures"`
+	Figures  ConfigurationMetrics     `json:"figures"`
 }
 
 // Configuration returns what was published last; nil for a relay that replicates none.
@@ -98,14 +98,14 @@
 }
 
 // publishConfiguration stores what operators see, and returns the figures; nil where no configuration is replicated.
-func (f *Fleet) publishConfiguration() *ConfigurationFigures {
+func (f *Fleet) publishConfiguration() *ConfigurationMetrics {
 	c := f.configuration
 	if c == nil {
 		return nil
 	}
 	state := f.shared.configuration // only this goroutine writes it
-	if c.stale {
-		c.stale = false
+	if c.stateOutdated {
+		c.stateOutdated = false
 		state = c.state()
 	}
 	state.Figures.Counters = c.replica.Counters()
--- a/internal/fleet/delegate.go
+++ b/internal/fleet/delegate.go
@@ -20,7 +20,7 @@
 )
 
 // NodeMeta returns what this relay announces: that it replicates configuration, if it does.
-func (d delegate) NodeMeta(int) []byte { return d.f.configuration.announcement() }
+func (d delegate) NodeMeta(int) []byte { return d.f.configuration.capability() }
 
 // NotifyMsg receives a packet of another member.
 func (d delegate) NotifyMsg(b []byte) { d.f.enqueue(packetReceived(bytes.Clone(b))) }
@@ -51,7 +51,7 @@
 
 // NotifyConflict counts a name that two members use.
 func (d delegate) NotifyConflict(existing, other *memberlist.Node) {
-	d.f.drops.Conflict.Add(1)
+	d.f.drops.NameConflicts.Add(1)
 	slog.Warn("fleet: a name is used twice", "name", other.Name, "at", existing.Address(), "and", other.Address())
 }
 
--- a/internal/fleet/directive/directive.go
+++ b/internal/fleet/directive/directive.go
@@ -94,8 +94,8 @@
 	}
 }
 
-// Bars reports whether an endpoint of a destination is to get nothing new.
-func (s *Set) Bars(endpoint string, destination int) bool {
+// Excludes reports whether an endpoint of a destination is to get nothing new.
+func (s *Set) Excludes(endpoint string, destination int) bool {
 	return s.endpoints[endpoint] || s.destinations[destination]
 }
 
--- a/internal/fleet/directive/directive_test.go
+++ b/internal/fleet/directive/directive_test.go
@@ -35,7 +35,7 @@
 
 func TestSet(t *testing.T) {
 	set := NewSet()
-	if !set.Empty() || set.Bars("m", 7) {
+	if !set.Empty() || set.Excludes("m", 7) {
 		t.Error("an empty set bars")
 	}
 	set.Put("endpoint/m", []byte("down"))
@@ -49,7 +49,7 @@
 		destination int
 		want        bool
 	}{{"m", 1, true}, {"n", 7, true}, {"m", 7, true}, {"n", 1, false}, {"", 0, false}} {
-		if got := set.Bars(c.endpoint, c.destination); got != c.want {
+		if got := set.Excludes(c.endpoint, c.destination); got != c.want {
 			t.Errorf("%q of %d: %v", c.endpoint, c.destination, got)
 		}
 	}
@@ -57,11 +57,11 @@
 		t.Error("the set bars something and is empty")
 	}
 	set.Put("endpoint/m", []byte("a value of a later build"))
-	if set.Bars("m", 1) || !set.Bars("m", 7) {
+	if set.Excludes("m", 1) || !set.Excludes("m", 7) {
 		t.Error("an entry that has no meaning any more bars, or the other does not")
 	}
 	set.Remove("destination/7")
-	if !set.Empty() || set.Bars("m", 7) {
+	if !set.Empty() || set.Excludes("m", 7) {
 		t.Error("an entry that is removed bars")
 	}
 }
--- a/internal/fleet/driver.go
+++ b/internal/fleet/driver.go
@@ -9,14 +9,14 @@
 )
 
 const (
-	// inboxPackets bounds the inbox for packets; what arrives beyond it is dropped and counted.
-	inboxPackets = 2048
-	// inboxEvents bounds the inbox for events of this relay itself.
-	inboxEvents = 4 * inboxPackets
+	// maxInboxPackets bounds the inbox for packets; what arrives beyond it is dropped and counted.
+	maxInboxPackets = 2048
+	// maxInboxEvents bounds the inbox for events of this relay itself.
+	maxInboxEvents = 4 * maxInboxPackets
 	// sweepInterval is how often statements are searched for expired ones, and figures are published.
 	sweepInterval = 100 * time.Millisecond
-	// divideInterval is how often the division of limits is looked at beside what arrives.
-	divideInterval = 50 * time.Millisecond
+	// limitDivisionInterval is how often the division of limits is looked at beside what arrives.
+	limitDivisionInterval = 50 * time.Millisecond
 )
 
 // event is an item of the inbox.
@@ -27,9 +27,9 @@
 
 // stepResult collects the consequences of one batch of events.
 type stepResult struct {
-	announcements []verdicts.Statement // of this relay, to be sent to all
-	restraints    []verdicts.Restraint // for the relay
-	barsChanged   bool                 // the list of barred members may have changed
+	announcements     []verdicts.Statement // of this relay, to be sent to all
+	restraints        []verdicts.Restraint // for the relay
+	exclusionsChanged bool                 // the list of barred members may have changed
 }
 
 // Run takes part in the fleet until ctx ends, and then leaves it.
@@ -44,12 +44,12 @@
 func (f *Fleet) enqueue(e event) {
 	f.shared.Lock()
 	defer f.shared.Unlock()
-	bound := inboxEvents
+	bound := maxInboxEvents
 	if _, ok := e.(packetReceived); ok {
-		bound = inboxPackets
+		bound = maxInboxPackets
 	}
 	if len(f.shared.inbox) >= bound {
-		f.drops.Overrun.Add(1)
+		f.drops.InboxFull.Add(1)
 		return
 	}
 	f.shared.inbox = append(f.shared.inbox, e)
@@ -98,7 +98,7 @@
 func (f *Fleet) untilNextStep() time.Duration {
 	wait := min(f.spread.Due()-f.now(), sweepInterval)
 	if f.allocator != nil {
-		wait = min(wait, divideInterval)
+		wait = min(wait, limitDivisionInterval)
 	}
 	return min(wait, f.untilConfigurationDue())
 }
@@ -111,7 +111,7 @@
 	}
 	now := f.now()
 	f.rebuildMembers(now, &r)
-	sweep := now-f.lastSweep >= sweepInterval
+	sweep := now-f.lastSweepAt >= sweepInterval
 	if sweep {
 		expired := f.store.Sweep(now)
 		r.restraints = append(r.restraints, f.judge.Expired(now, expired)...)
@@ -122,9 +122,9 @@
 	f.restrain(r.restraints)
 	f.divideLimits(now)
 	f.stepConfiguration(now)
-	if sweep || r.barsChanged {
-		f.lastSweep = now
-		f.updateBars(now)
+	if sweep || r.exclusionsChanged {
+		f.lastSweepAt = now
+		f.updateExclusions(now)
 		f.publish(now)
 	}
 }
--- a/internal/fleet/drops.go
+++ b/internal/fleet/drops.go
@@ -7,25 +7,25 @@
 	"sync/atomic"
 )
 
-// drops counts what arrived and was not accepted, by reason. It is also the writer behind memberlist's logger, whose
+// dropCounters counts what arrived and was not accepted, by reason. It is also the writer behind memberlist's logger, whose
 // lines are the only place where memberlist says what it dropped.
-type drops struct {
-	Forged, Foreign, Version, Form, Oversized, Overrun, Conflict atomic.Int64
+type dropCounters struct {
+	Forged, OtherFleet, OtherVersion, Malformed, Oversized, InboxFull, NameConflicts atomic.Int64
 }
 
 // Parts of the lines that memberlist logs when it drops something. Each group has a test that causes one of its lines.
 var (
-	foreignLines   = []string{"unacceptable label", "label header"}
-	forgedLines    = []string{"Decrypt packet failed", "No installed keys could decrypt", "invalid checksum", "remote state is not encrypted", "Remote state is encrypted"}
-	versionLines   = []string{"protocol version(s) are wrong", "Vsn is not present", "not supported"}
-	oversizedLines = []string{"larger than limit", "limit is", "handler queue full"}
-	formLines      = []string{"Failed to decode", "missing message type", "failed to receive", "Failed to read remote state", "invalid msgType", "truncated"}
+	otherFleetLines   = []string{"unacceptable label", "label header"}
+	forgedLines       = []string{"Decrypt packet failed", "No installed keys could decrypt", "invalid checksum", "remote state is not encrypted", "Remote state is encrypted"}
+	otherVersionLines = []string{"protocol version(s) are wrong", "Vsn is not present", "not supported"}
+	oversizedLines    = []string{"larger than limit", "limit is", "handler queue full"}
+	malformedLines    = []string{"Failed to decode", "missing message type", "failed to receive", "Failed to read remote state", "invalid msgType", "truncated"}
 	// routineLines are warnings that are part of memberlist's normal work.
 	routineLines = []string{"Refuting", "over TCP but UDP"}
 )
 
 // Write counts what a line of memberlist's log says was dropped, and logs the line.
-func (d *drops) Write(line []byte) (int, error) {
+func (d *dropCounters) Write(line []byte) (int, error) {
 	text := strings.TrimSpace(string(line))
 	counter := d.counterFor(text)
 	if counter != nil {
@@ -41,18 +41,18 @@
 }
 
 // counterFor is the counter for a line of memberlist's log; nil where it says nothing of a drop.
-func (d *drops) counterFor(text string) *atomic.Int64 {
+func (d *dropCounters) counterFor(text string) *atomic.Int64 {
 	switch {
-	case containsAny(text, foreignLines):
-		return &d.Foreign
+	case containsAny(text, otherFleetLines):
+		return &d.OtherFleet
 	case containsAny(text, forgedLines):
 		return &d.Forged
-	case containsAny(text, versionLines):
-		return &d.Version
+	case containsAny(text, otherVersionLines):
+		return &d.OtherVersion
 	case containsAny(text, oversizedLines):
 		return &d.Oversized
-	case containsAny(text, formLines):
-		return &d.Form
+	case containsAny(text, malformedLines):
+		return &d.Malformed
 	default:
 		return nil
 	}
--- a/internal/fleet/events.go
+++ b/internal/fleet/events.go
@@ -8,11 +8,11 @@
 )
 
 const (
-	// announceSpread spreads over time what all relays learn at one moment, so that the first to announce it spares the
+	// maxDrainDelay spreads over time what all relays learn at one moment, so that the first to announce it spares the
 	// others.
-	announceSpread = 300 * time.Millisecond
-	// banRenewals is how many times a ban is announced within the life of one announcement.
-	banRenewals = 3
+	maxDrainDelay = 300 * time.Millisecond
+	// banRenewalsPerLifetime is how many times a ban is announced within the life of one announcement.
+	banRenewalsPerLifetime = 3
 )
 
 // Events of the inbox that come from this relay. Packets are in packets.go, rate limits in limits.go.
@@ -24,7 +24,7 @@
 	memberHealth struct {
 		member      string
 		destination int
-		out         bool
+		outage      bool
 		retryFailed bool // another try at a member that was out has failed
 		since       time.Time
 	}
@@ -39,12 +39,12 @@
 	bansUpdated map[string]bool
 )
 
-// pendingAnnouncement is a drain that all relays learn of alike, announced at a random time unless others come first.
-type pendingAnnouncement struct {
+// pendingDrain is a drain that all relays learn of alike, announced at a random time unless others come first.
+type pendingDrain struct {
 	due         time.Duration
 	member      traffic.Member
 	listVersion int64
-	over        bool
+	ended       bool
 }
 
 // Ended reports how a call of this relay ended.
@@ -53,7 +53,7 @@
 		Destination: flow.Group.Destination,
 		Member:      flow.Member,
 		Route:       flow.Group.Member != "",
-		Begun:       flow.Begun.Sub(f.origin),
+		Begun:       flow.Begun.Sub(f.createdAt),
 	}}
 	switch end.Status {
 	case traffic.Delivered:
@@ -78,7 +78,7 @@
 	f.enqueue(memberHealth{
 		member:      member,
 		destination: destination,
-		out:         out,
+		outage:      out,
 		retryFailed: retryFailed,
 		since:       since,
 	})
@@ -102,9 +102,9 @@
 // apply announces the beginning of an outage, unless enough other members hold the member out already, each try that
 // fails, and the end.
 func (e memberHealth) apply(f *Fleet, now time.Duration, r *stepResult) {
-	since := e.since.Sub(f.origin)
-	r.restraints = append(r.restraints, f.judge.SetOwnHealth(now, e.destination, e.member, e.out, since)...)
-	if !e.out {
+	since := e.since.Sub(f.createdAt)
+	r.restraints = append(r.restraints, f.judge.SetOwnHealth(now, e.destination, e.member, e.outage, since)...)
+	if !e.outage {
 		if s, ok := f.announcer.Recovery(now, f.store, e.destination, e.member); ok {
 			f.announce(now, s, r)
 		}
@@ -136,7 +136,7 @@
 	}
 	f.pool = e.members
 	f.judge.SetPool(e.version, active)
-	r.barsChanged = true
+	r.exclusionsChanged = true
 }
 
 // isActive reports whether the pool lists a member for new calls.
@@ -144,11 +144,11 @@
 
 // scheduleDrain schedules the announcement of a drain, or of its end.
 func (f *Fleet) scheduleDrain(now time.Duration, m traffic.Member, listVersion int64, over bool) {
-	f.drains[m.Host] = pendingAnnouncement{
-		due:         now + time.Duration(f.rng.Float64()*float64(announceSpread)),
+	f.pendingDrains[m.Host] = pendingDrain{
+		due:         now + time.Duration(f.rng.Float64()*float64(maxDrainDelay)),
 		member:      m,
 		listVersion: listVersion,
-		over:        over,
+		ended:       over,
 	}
 }
 
@@ -176,20 +176,20 @@
 
 // announceDue announces the drains that are due, and renews bans.
 func (f *Fleet) announceDue(now time.Duration, r *stepResult) {
-	for name, d := range f.drains {
+	for name, d := range f.pendingDrains {
 		if now < d.due {
 			continue
 		}
-		delete(f.drains, name)
+		delete(f.pendingDrains, name)
 		subject := verdicts.Subject{Kind: verdicts.Drain, Destination: d.member.Destination, Member: name}
-		if d.over || f.countOrigins(now, subject) < f.cfg.Quorum {
-			f.announce(now, f.announcer.Drain(d.member.Destination, name, d.listVersion, d.over), r)
+		if d.ended || f.countOrigins(now, subject) < f.cfg.Quorum {
+			f.announce(now, f.announcer.Drain(d.member.Destination, name, d.listVersion, d.ended), r)
 		}
 	}
-	if now-f.bansRenewed < verdicts.Ban.Life()/banRenewals {
+	if now-f.bansRenewedAt < verdicts.Ban.Life()/banRenewalsPerLifetime {
 		return
 	}
-	f.bansRenewed = now
+	f.bansRenewedAt = now
 	for _, s := range f.announcer.RenewBans(f.inPool) {
 		f.announce(now, s, r)
 	}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -25,65 +25,65 @@
 )
 
 const (
-	// packetPayload is the size of an announcement packet before memberlist adds wire.Sealing.
-	packetPayload = 1200
-	// driverStream and membershipStream separate the random sequences of the two goroutines.
-	driverStream     = 0xf1ee7
-	membershipStream = 0x701
+	// maxPayloadBytes is the size of an announcement packet before memberlist adds wire.Sealing.
+	maxPayloadBytes = 1200
+	// driverRandomStream and membershipStream separate the random sequences of the two goroutines.
+	driverRandomStream     = 0xf1ee7
+	membershipRandomStream = 0x701
 )
 
 // Fleet is this relay's membership of its fleet. New creates it, Run runs it; its other methods may be called from any
 // goroutine.
 type Fleet struct {
-	cfg    Config
-	relay  Relay
-	origin time.Time // all durations that the decisions see count from here
-	ring   *memberlist.Keyring
-	drops  drops
-	wake   chan struct{} // wakes the driver when the inbox has something urgent
+	cfg       Config
+	relay     Relay
+	createdAt time.Time // all durations that the decisions see count from here
+	keyring   *memberlist.Keyring
+	drops     dropCounters
+	wake      chan struct{} // wakes the driver when the inbox has something urgent
 	// unknownMember asks the membership goroutine to synchronise with a known member: a packet came from a sender that
 	// is not a member here, or from one that knows other members.
-	unknownMember chan struct{}
-	incarnation   atomic.Uint64
-	rebuilds      atomic.Int64 // of what depends on the list of members
-	holdsUntil    atomic.Int64 // when the last hold ends, in Unix nanoseconds; read before every call
-	shared        shared
+	syncRequests     chan struct{}
+	incarnation      atomic.Uint64
+	rebuilds         atomic.Int64 // of what depends on the list of members
+	lastHoldEndNanos atomic.Int64 // when the last hold ends, in Unix nanoseconds; read before every call
+	shared           sharedState
 
 	// Fields below belong to the driver goroutine.
-	announcer   *verdicts.Announcer
-	store       *verdicts.Store
-	judge       *verdicts.Judge
-	spread      *spread.Spread
-	nodes       map[string]*memberlist.Node
-	pool        map[string]traffic.Member // members of the relay's own pool, by host name
-	drains      map[string]pendingAnnouncement
-	bans        map[string]bool
-	lastBars    []traffic.Bar // as last handed to the relay
-	rng         *rand.Rand
-	bansRenewed time.Duration
-	lastSweep   time.Duration
-	nextRebuild time.Duration // when the list of members may be taken over again
+	announcer      *verdicts.Announcer
+	store          *verdicts.Store
+	judge          *verdicts.Judge
+	spread         *spread.Spread
+	nodes          map[string]*memberlist.Node
+	pool           map[string]traffic.Member // members of the relay's own pool, by host name
+	pendingDrains  map[string]pendingDrain
+	bans           map[string]bool
+	lastExclusions []traffic.Bar // as last handed to the relay
+	rng            *rand.Rand
+	bansRenewedAt  time.Duration
+	lastSweepAt    time.Duration
+	nextRebuildAt  time.Duration // when the list of members may be taken over again
 	// membersStale says that memberlist's list has changed since it was taken over.
-	membersStale bool
-	allocator    *allowance.Allocator // nil before the relay listens, or where limits are not divided
-	recalled     map[int]float64      // limits that the previous process had learned, by destination
-	mayHaveLent  bool                 // an earlier process may have lent this relay's shares
+	membersStale   bool
+	allocator      *allowance.Allocator // nil before the relay listens, or where limits are not divided
+	restoredLimits map[int]float64      // limits that the previous process had learned, by destination
+	mayHaveLent    bool                 // an earlier process may have lent this relay's shares
 
 	configuration *configuration // nil where none is replicated
 }
 
-// shared is the state that the driver shares with callers of Fleet's methods.
-type shared struct {
+// sharedState is the state that the driver shares with callers of Fleet's methods.
+type sharedState struct {
 	sync.Mutex
-	inbox      []event
-	holds      map[traffic.Group]time.Time
-	figures    Figures
-	members    map[string]*MemberState
-	list       *memberlist.Memberlist // nil before the relay listens
-	transport  *transport             // nil before the relay listens
-	statements []verdicts.Statement   // as last published, for operators
-	limits     []allowance.State      // as last published, for operators
-	readings   map[int]limitRead      // as last passed to the driver, by destination
+	inbox        []event
+	holdEnds     map[traffic.Group]time.Time
+	metrics      Figures
+	members      map[string]*MemberState
+	memberList   *memberlist.Memberlist // nil before the relay listens
+	transport    *transport             // nil before the relay listens
+	statements   []verdicts.Statement   // as last published, for operators
+	limits       []allowance.State      // as last published, for operators
+	lastReadings map[int]limitReading   // as last passed to the driver, by destination
 
 	configuration ConfigurationState // as last published, for operators
 }
@@ -105,22 +105,22 @@
 	f := &Fleet{
 		cfg:           cfg,
 		relay:         relay,
-		origin:        time.Now(),
-		ring:          ring,
+		createdAt:     time.Now(),
+		keyring:       ring,
 		wake:          make(chan struct{}, 1),
-		unknownMember: make(chan struct{}, 1),
+		syncRequests:  make(chan struct{}, 1),
 		announcer:     verdicts.NewAnnouncer(cfg.Self, incarnation),
 		store:         verdicts.NewStore(),
 		nodes:         map[string]*memberlist.Node{},
 		pool:          map[string]traffic.Member{},
-		drains:        map[string]pendingAnnouncement{},
+		pendingDrains: map[string]pendingDrain{},
 		bans:          map[string]bool{},
-		rng:           rand.New(rand.NewPCG(cfg.Seed, driverStream)),
+		rng:           rand.New(rand.NewPCG(cfg.Seed, driverRandomStream)),
 		mayHaveLent:   countErr != nil || incarnation > firstIncarnation,
 	}
-	f.shared.holds = map[traffic.Group]time.Time{}
+	f.shared.holdEnds = map[traffic.Group]time.Time{}
 	f.shared.members = map[string]*MemberState{}
-	f.shared.readings = map[int]limitRead{}
+	f.shared.lastReadings = map[int]limitReading{}
 	f.incarnation.Store(incarnation)
 	f.judge = verdicts.NewJudge(cfg.Self, cfg.Quorum, f.store)
 	f.spread, err = spread.New(cfg.spread(), 0, f.store, incarnation)
@@ -141,20 +141,20 @@
 		Exchange: c.ExchangeInterval,
 		Bytes:    c.BytesPerSecond,
 		Size:     wire.Size,
-		Packet:   packetPayload + wire.Sealing,
+		Packet:   maxPayloadBytes + wire.Sealing,
 		Seed:     c.Seed,
 	}
 }
 
 // Recall hands over the limits that a previous process had learned, by destination. Call it before Run; the map must
 // not be used afterwards.
-func (f *Fleet) Recall(limits map[int]float64) { f.recalled = limits }
+func (f *Fleet) Recall(limits map[int]float64) { f.restoredLimits = limits }
 
 // Reload reads the key files again. An invalid file changes nothing.
 func (f *Fleet) Reload() error {
 	keys, err := ReadKeys(f.cfg.KeyFile)
 	if err == nil {
-		err = replaceKeys(f.ring, keys)
+		err = replaceKeys(f.keyring, keys)
 	}
 	err = errors.Join(err, f.reloadTrustedKeys())
 	if err != nil {
@@ -165,7 +165,7 @@
 }
 
 // now is the time since the fleet was created.
-func (f *Fleet) now() time.Duration { return time.Since(f.origin) }
+func (f *Fleet) now() time.Duration { return time.Since(f.createdAt) }
 
 // wallTime converts a duration since the fleet was created.
-func (f *Fleet) wallTime(at time.Duration) time.Time { return f.origin.Add(at) }
+func (f *Fleet) wallTime(at time.Duration) time.Time { return f.createdAt.Add(at) }
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -22,51 +22,51 @@
 	"slatemux/internal/verdicts"
 )
 
-// heard is a relay that keeps what it is told.
-type heard struct {
-	mu   sync.Mutex
-	list []traffic.Restraint
-	bars []traffic.Bar
-	may  map[int]traffic.Allowance
+// recordingRelay is a relay that keeps what it is told.
+type recordingRelay struct {
+	mu         sync.Mutex
+	restraints []traffic.Restraint
+	bars       []traffic.Bar
+	allowances map[int]traffic.Allowance
 }
 
-func (h *heard) Allow(list []traffic.Allowance) {
+func (h *recordingRelay) Allow(list []traffic.Allowance) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, a := range list {
-		if h.may == nil {
-			h.may = map[int]traffic.Allowance{}
+		if h.allowances == nil {
+			h.allowances = map[int]traffic.Allowance{}
 		}
-		h.may[a.Destination] = a
+		h.allowances[a.Destination] = a
 	}
 }
 
 // rate is what it may send to a destination at present; 0 for nothing told.
-func (h *heard) rate(destination int) float64 {
+func (h *recordingRelay) rate(destination int) float64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if a := h.may[destination]; time.Now().Before(a.Until) {
+	if a := h.allowances[destination]; time.Now().Before(a.Until) {
 		return a.Rate
 	}
 	return 0
 }
 
-func (h *heard) Restrain(list []traffic.Restraint) {
+func (h *recordingRelay) Restrain(list []traffic.Restraint) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.list = append(h.list, list...)
+	h.restraints = append(h.restraints, list...)
 }
 
-func (h *heard) Bar(bars []traffic.Bar) {
+func (h *recordingRelay) Bar(bars []traffic.Bar) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.bars = bars
 }
 
-func (h *heard) has(kind traffic.RestraintKind) bool {
+func (h *recordingRelay) hasRestraint(kind traffic.RestraintKind) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for _, r := range h.list {
+	for _, r := range h.restraints {
 		if r.Kind == kind {
 			return true
 		}
@@ -74,9 +74,9 @@
 	return false
 }
 
-var keys = [][]byte{bytes.Repeat([]byte{1}, keyBytes), bytes.Repeat([]byte{2}, keyBytes)}
+var testKeys = [][]byte{bytes.Repeat([]byte{1}, keyBytes), bytes.Repeat([]byte{2}, keyBytes)}
 
-func keyFile(t *testing.T, dir string, keys ...[]byte) string {
+func writeKeyFile(t *testing.T, dir string, keys ...[]byte) string {
 	t.Helper()
 	var text string
 	for _, k := range keys {
@@ -89,15 +89,15 @@
 	return path
 }
 
-// part is one relay of a test's fleet.
-type part struct {
+// testRelay is one relay of a test's fleet.
+type testRelay struct {
 	*Fleet
-	*heard
-	dir string
-	end func()
+	*recordingRelay
+	dir  string
+	stop func()
 }
 
-func free(t *testing.T) netip.AddrPort {
+func freeAddress(t *testing.T) netip.AddrPort {
 	t.Helper()
 	tr, err := openTransport(&net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
@@ -107,10 +107,10 @@
 	return tr.tcp.Addr().(*net.TCPAddr).AddrPort()
 }
 
-func join(t *testing.T, name string, change func(*Config), to ...*part) *part {
+func startRelay(t *testing.T, name string, change func(*Config), to ...*testRelay) *testRelay {
 	t.Helper()
-	p := &part{heard: &heard{}, dir: t.TempDir()}
-	cfg := Config{Name: "tbilisi", Self: name, Bind: free(t), KeyFile: keyFile(t, p.dir, keys[0]), StateDir: p.dir, Seed: uint64(len(name)),
+	p := &testRelay{recordingRelay: &recordingRelay{}, dir: t.TempDir()}
+	cfg := Config{Name: "tbilisi", Self: name, Bind: freeAddress(t), KeyFile: writeKeyFile(t, p.dir, testKeys[0]), StateDir: p.dir, Seed: uint64(len(name)),
 		Quorum: 2, ExchangeInterval: 100 * time.Millisecond, BytesPerSecond: 1e5}
 	for _, o := range to {
 		cfg.Join = append(cfg.Join, o.cfg.Bind)
@@ -119,7 +119,7 @@
 		change(&cfg)
 	}
 	var err error
-	if p.Fleet, err = New(cfg, p.heard); err != nil {
+	if p.Fleet, err = New(cfg, p.recordingRelay); err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -128,12 +128,12 @@
 		defer close(done)
 		p.Run(ctx)
 	}()
-	p.end = func() { cancel(); <-done }
-	t.Cleanup(p.end)
+	p.stop = func() { cancel(); <-done }
+	t.Cleanup(p.stop)
 	return p
 }
 
-func until(t *testing.T, what string, holds func() bool) {
+func waitFor(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); !holds(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
@@ -142,53 +142,53 @@
 	}
 }
 
-func (p *part) told(wait time.Duration) {
+func (p *testRelay) reportRefusal(wait time.Duration) {
 	p.Ended(traffic.Flow{Member: "m", Group: traffic.Group{Destination: 7}, Begun: time.Now()}, traffic.FlowEnd{Status: traffic.TurnedAway, Wait: wait})
 }
 
 // Three relays find each other; a wait that one is told holds at the others, and what operators take down at two is barred
 // at the third. One that leaves is no member, and one that comes again under its name is heard.
-func TestFleetOfThree(t *testing.T) {
-	a := join(t, "a", nil)
-	b := join(t, "bb", nil, a)
-	c := join(t, "ccc", nil, a)
-	until(t, "all three know each other", func() bool {
+func TestAnnouncementsReachAllMembers(t *testing.T) {
+	a := startRelay(t, "a", nil)
+	b := startRelay(t, "bb", nil, a)
+	c := startRelay(t, "ccc", nil, a)
+	waitFor(t, "all three know each other", func() bool {
 		return a.Figures().Members == 3 && b.Figures().Members == 3 && c.Figures().Members == 3
 	})
 	group := traffic.Group{Destination: 7}
-	a.told(900 * time.Millisecond)
-	until(t, "the wait holds at the others", func() bool { return b.has(traffic.Held) && c.has(traffic.Held) })
+	a.reportRefusal(900 * time.Millisecond)
+	waitFor(t, "the wait holds at the others", func() bool { return b.hasRestraint(traffic.Held) && c.hasRestraint(traffic.Held) })
 	if now := time.Now(); !b.Held(group, now) || b.Held(traffic.Group{Destination: 8}, now) {
 		t.Error("another group is held, or not this one")
 	}
 	pool := func() map[string]traffic.Member {
 		return map[string]traffic.Member{"m": {Host: "m", Destination: 7}, "n": {Host: "n", Destination: 8}}
 	}
-	for _, p := range []*part{a, b, c} {
+	for _, p := range []*testRelay{a, b, c} {
 		p.Pool(1, pool())
 	}
 	a.Bans(map[string]bool{"m": true})
 	b.Bans(map[string]bool{"m": true})
-	until(t, "the ban holds at the third", func() bool {
-		c.heard.mu.Lock()
-		defer c.heard.mu.Unlock()
+	waitFor(t, "the ban holds at the third", func() bool {
+		c.recordingRelay.mu.Lock()
+		defer c.recordingRelay.mu.Unlock()
 		return len(c.bars) == 1 && c.bars[0] == traffic.Bar{Member: "m", Banned: true}
 	})
-	b.end()
-	until(t, "who left is no member", func() bool { return a.Figures().Members == 2 && c.Figures().Members == 2 })
-	again := join(t, "bb", func(cfg *Config) { cfg.StateDir = b.dir; cfg.KeyFile = b.cfg.KeyFile }, a)
-	until(t, "it is back at another address", func() bool { return c.Figures().Members == 3 })
+	b.stop()
+	waitFor(t, "who left is no member", func() bool { return a.Figures().Members == 2 && c.Figures().Members == 2 })
+	again := startRelay(t, "bb", func(cfg *Config) { cfg.StateDir = b.dir; cfg.KeyFile = b.cfg.KeyFile }, a)
+	waitFor(t, "it is back at another address", func() bool { return c.Figures().Members == 3 })
 	if got := again.incarnation.Load(); got != 2 {
 		t.Errorf("incarnation %d at the second start", got)
 	}
 	again.Ended(traffic.Flow{Group: traffic.Group{Destination: 9}}, traffic.FlowEnd{Status: traffic.TurnedAway, Wait: 900 * time.Millisecond})
-	until(t, "it is heard", func() bool { return c.Held(traffic.Group{Destination: 9}, time.Now()) })
+	waitFor(t, "it is heard", func() bool { return c.Held(traffic.Group{Destination: 9}, time.Now()) })
 }
 
 // A relay that starts again hears at once those that do not know yet that it was gone. It joins as soon as one that hears nobody.
 func TestUnknownSendersDoNotDelayTheJoin(t *testing.T) {
-	a := join(t, "a", nil)
-	b := join(t, "bb", nil, a)
+	a := startRelay(t, "a", nil)
+	b := startRelay(t, "bb", nil, a)
 	stop := make(chan struct{})
 	defer close(stop)
 	go func() {
@@ -197,53 +197,53 @@
 			case <-stop:
 				return
 			case <-time.After(time.Millisecond):
-				b.reportUnknownMember()
+				b.requestSync()
 			}
 		}
 	}()
-	until(t, "it has joined", func() bool { return b.Figures().Members == 2 })
+	waitFor(t, "it has joined", func() bool { return b.Figures().Members == 2 })
 }
 
 // However many members come and go, what depends on their list is rebuilt once a pause at most, and after the last change once more.
 func TestMembershipChangesAreCoalesced(t *testing.T) {
-	a := join(t, "a", nil)
-	b := join(t, "bb", nil, a)
-	until(t, "they know each other", func() bool { return a.Figures().Members == 2 && b.Figures().Members == 2 })
+	a := startRelay(t, "a", nil)
+	b := startRelay(t, "bb", nil, a)
+	waitFor(t, "they know each other", func() bool { return a.Figures().Members == 2 && b.Figures().Members == 2 })
 	const changes = 5000
 	before, began := a.rebuilds.Load(), time.Now()
 	for range changes {
 		a.enqueue(membershipChanged{})
 	}
-	until(t, "the driver has handled all", func() bool {
+	waitFor(t, "the driver has handled all", func() bool {
 		a.shared.Lock()
 		defer a.shared.Unlock()
 		return len(a.shared.inbox) == 0 && a.rebuilds.Load() > before
 	})
 	took := time.Since(began)
 	time.Sleep(50 * time.Millisecond) // for the batch under way
-	most := before + 2 + int64(took/(2*rebuildPause)) + 5
+	most := before + 2 + int64(took/(2*rebuildPausePerMember)) + 5
 	if got := a.rebuilds.Load(); got > most {
 		t.Errorf("%d rebuilds for %d changes in %v, more than %d", got-before, changes, time.Since(began), most-before)
 	}
-	b.end()
-	until(t, "who left is no member", func() bool { return a.Figures().Members == 1 })
+	b.stop()
+	waitFor(t, "who left is no member", func() bool { return a.Figures().Members == 1 })
 }
 
 // An address that one relay leaves serves another; a name that is used twice is noticed, and the first keeps it.
-func TestReuse(t *testing.T) {
-	a := join(t, "a", nil)
-	b := join(t, "bb", nil, a)
-	until(t, "both are members", func() bool { return a.Figures().Members == 2 && b.Figures().Members == 2 })
-	b.end()
-	c := join(t, "ccc", func(cfg *Config) { cfg.Bind = b.cfg.Bind }, a)
-	until(t, "another has its address", func() bool { return a.Figures().Members == 2 && c.Figures().Members == 2 })
+func TestAddressReuseAndNameConflict(t *testing.T) {
+	a := startRelay(t, "a", nil)
+	b := startRelay(t, "bb", nil, a)
+	waitFor(t, "both are members", func() bool { return a.Figures().Members == 2 && b.Figures().Members == 2 })
+	b.stop()
+	c := startRelay(t, "ccc", func(cfg *Config) { cfg.Bind = b.cfg.Bind }, a)
+	waitFor(t, "another has its address", func() bool { return a.Figures().Members == 2 && c.Figures().Members == 2 })
 	for _, m := range a.Members() {
 		if m.Name == "ccc" && (m.State != "alive" || m.Addr != b.cfg.Bind.String()) || m.Name == "bb" && m.State == "alive" {
 			t.Errorf("%+v", m)
 		}
 	}
-	join(t, "ccc", nil, a) // the same name at another address
-	until(t, "a name that is used twice is noticed", func() bool { return a.Figures().Drops.Conflict > 0 })
+	startRelay(t, "ccc", nil, a) // the same name at another address
+	waitFor(t, "a name that is used twice is noticed", func() bool { return a.Figures().Drops.NameConflicts > 0 })
 	if got := a.Figures().Members; got != 2 {
 		t.Errorf("%d members", got)
 	}
@@ -252,17 +252,17 @@
 // A key changes relay by relay: first all open with the new one, then all seal with it, then the old one goes. At no
 // moment is anything dropped as forged.
 func TestKeyChange(t *testing.T) {
-	a := join(t, "a", nil)
-	b := join(t, "bb", nil, a)
-	until(t, "both are members", func() bool { return a.Figures().Members == 2 && b.Figures().Members == 2 })
-	for _, now := range [][][]byte{{keys[0], keys[1]}, {keys[1], keys[0]}, {keys[1]}} {
-		for _, p := range []*part{a, b} {
-			keyFile(t, p.dir, now...)
+	a := startRelay(t, "a", nil)
+	b := startRelay(t, "bb", nil, a)
+	waitFor(t, "both are members", func() bool { return a.Figures().Members == 2 && b.Figures().Members == 2 })
+	for _, now := range [][][]byte{{testKeys[0], testKeys[1]}, {testKeys[1], testKeys[0]}, {testKeys[1]}} {
+		for _, p := range []*testRelay{a, b} {
+			writeKeyFile(t, p.dir, now...)
 			if err := p.Reload(); err != nil {
 				t.Fatal(err)
 			}
 			asked := a.Figures().Spread.Answered + b.Figures().Spread.Answered
-			until(t, "they still understand each other", func() bool { return a.Figures().Spread.Answered+b.Figures().Spread.Answered > asked+3 })
+			waitFor(t, "they still understand each other", func() bool { return a.Figures().Spread.Answered+b.Figures().Spread.Answered > asked+3 })
 		}
 	}
 	if n := a.Figures().Drops.Forged + b.Figures().Drops.Forged; n != 0 {
@@ -271,10 +271,10 @@
 }
 
 // What is not of this fleet is dropped, counted by its reason, and does no harm.
-func TestDrops(t *testing.T) {
-	a := join(t, "a", nil)
-	b := join(t, "bb", nil, a)
-	until(t, "both are members", func() bool { return a.Figures().Members == 2 && b.Figures().Members == 2 })
+func TestRejectedInputIsCounted(t *testing.T) {
+	a := startRelay(t, "a", nil)
+	b := startRelay(t, "bb", nil, a)
+	waitFor(t, "both are members", func() bool { return a.Figures().Members == 2 && b.Figures().Members == 2 })
 	enemy, err := net.Dial("udp", a.cfg.Bind.String())
 	if err != nil {
 		t.Fatal(err)
@@ -302,8 +302,8 @@
 		count func(Drops) int64
 	}{
 		"forged":    {write(label), func(d Drops) int64 { return d.Forged }},
-		"foreign":   {write(foreign), func(d Drops) int64 { return d.Foreign }},
-		"oversized": {write(make([]byte, maxPacket+1)), func(d Drops) int64 { return d.Oversized }},
+		"foreign":   {write(foreign), func(d Drops) int64 { return d.OtherFleet }},
+		"oversized": {write(make([]byte, maxPacketBytes+1)), func(d Drops) int64 { return d.Oversized }},
 		"a stream of more than a fleet's state": {func() {
 			nc, err := net.Dial("tcp", a.cfg.Bind.String())
 			if err != nil {
@@ -313,10 +313,10 @@
 			defer nc.Close()
 			head, _ := memberlist.AddLabelHeaderToPacket([]byte{10, 0, 0xff, 0xff, 0xff}, "tbilisi") // sealed, and 16 MB to come
 			nc.Write(head)
-			nc.Write(make([]byte, 2*maxStream))
-		}, func(d Drops) int64 { return d.Oversized + d.Form }},
-		"version":  {inner(say("bb", 1), wire.Version+1), func(d Drops) int64 { return d.Version }},
-		"form":     {func() { delegate{a.Fleet}.NotifyMsg([]byte{wire.Version, 0xff, 0xff}) }, func(d Drops) int64 { return d.Form }},
+			nc.Write(make([]byte, 2*maxStreamBytes))
+		}, func(d Drops) int64 { return d.Oversized + d.Malformed }},
+		"version":  {inner(say("bb", 1), wire.Version+1), func(d Drops) int64 { return d.OtherVersion }},
+		"form":     {func() { delegate{a.Fleet}.NotifyMsg([]byte{wire.Version, 0xff, 0xff}) }, func(d Drops) int64 { return d.Malformed }},
 		"stranger": {inner(say("nobody", 1), wire.Version), func(d Drops) int64 { return d.Strangers }},
 		"replayed": {func() {
 			for range 2 {
@@ -326,9 +326,9 @@
 	} {
 		before := c.count(a.Figures().Drops)
 		c.do()
-		until(t, name+" is counted", func() bool { return c.count(a.Figures().Drops) > before })
+		waitFor(t, name+" is counted", func() bool { return c.count(a.Figures().Drops) > before })
 	}
-	if a.has(traffic.Held) {
+	if a.hasRestraint(traffic.Held) {
 		t.Error("something of it was believed")
 	}
 	if a.Figures().Members != 2 {
@@ -337,10 +337,10 @@
 }
 
 // A member of another wire version is not let in.
-func TestOlderNewer(t *testing.T) {
-	a := join(t, "a", nil)
+func TestOtherWireVersionCannotJoin(t *testing.T) {
+	a := startRelay(t, "a", nil)
 	c := memberlist.DefaultLocalConfig()
-	c.Name, c.Label, c.BindAddr, c.BindPort, c.SecretKey, c.Logger = "next", "tbilisi", "127.0.0.1", 0, keys[0], nil
+	c.Name, c.Label, c.BindAddr, c.BindPort, c.SecretKey, c.Logger = "next", "tbilisi", "127.0.0.1", 0, testKeys[0], nil
 	c.LogOutput = &strings.Builder{}
 	c.DelegateProtocolVersion, c.DelegateProtocolMin, c.DelegateProtocolMax = wire.Version+1, wire.Version+1, wire.Version+1
 	next, err := memberlist.Create(c)
@@ -358,13 +358,13 @@
 
 func TestKeyFiles(t *testing.T) {
 	dir := t.TempDir()
-	good := base64.StdEncoding.EncodeToString(keys[0])
+	good := base64.StdEncoding.EncodeToString(testKeys[0])
 	for _, c := range []struct {
 		text string
 		mode os.FileMode
 		want string
 	}{
-		{good + "\n# old\n\n" + base64.StdEncoding.EncodeToString(keys[1]) + "\n", 0o600, ""},
+		{good + "\n# old\n\n" + base64.StdEncoding.EncodeToString(testKeys[1]) + "\n", 0o600, ""},
 		{good, 0o640, "others may use it"},
 		{good + "\nshort\n", 0o600, "line 2"},
 		{good + "\n" + good, 0o600, "line 2"},
@@ -393,28 +393,28 @@
 // ends no more than its own.
 func TestLimitsAreDivided(t *testing.T) {
 	three := func(c *Config) { c.DivideLimits, c.Relays = true, 3 }
-	a := join(t, "a", three)
-	b := join(t, "b", three, a)
-	c := join(t, "c", three, a)
+	a := startRelay(t, "a", three)
+	b := startRelay(t, "b", three, a)
+	c := startRelay(t, "c", three, a)
 	ends := traffic.FlowEnd{Status: traffic.Delivered, Report: &traffic.Report{Left: 10, Limit: 300}}
-	for _, p := range []*part{a, b, c} {
+	for _, p := range []*testRelay{a, b, c} {
 		p.Ended(traffic.Flow{Group: traffic.Group{Destination: 4}, Begun: time.Now()}, ends)
 	}
-	load := func(p *part, waiting int) {
+	load := func(p *testRelay, waiting int) {
 		p.Demand([]traffic.Demand{{Destination: 4, Arrived: [traffic.Levels]int{waiting / 10}, Waiting: [traffic.Levels]int{waiting}}})
 		p.Ended(traffic.Flow{Group: traffic.Group{Destination: 4}, Begun: time.Now()}, ends)
 	}
-	until(t, "the loaded one has most", func() bool {
+	waitFor(t, "the loaded one has most", func() bool {
 		load(b, 500)
 		return b.rate(4) > 200
 	})
-	until(t, "and another when the load has moved", func() bool {
+	waitFor(t, "and another when the load has moved", func() bool {
 		load(b, 0)
 		load(c, 500)
 		return c.rate(4) > 200 && b.rate(4) < 100
 	})
-	until(t, "the owner shows what it was lent", func() bool {
-		for _, p := range []*part{a, b, c} {
+	waitFor(t, "the owner shows what it was lent", func() bool {
+		for _, p := range []*testRelay{a, b, c} {
 			for _, s := range p.Limits() {
 				if s.Lenders == 3 && s.Limit > 290 && s.Bound > s.Limit {
 					return true
--- a/internal/fleet/limits.go
+++ b/internal/fleet/limits.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	// readingInterval is the least time between two readings of a destination's limit that reach the driver, unless they
+	// minReadingInterval is the least time between two readings of a destination's limit that reach the driver, unless they
 	// differ by more than readingStep.
-	readingInterval = 50 * time.Millisecond
-	// readingStep is the share of a limit by which a reading must differ to reach the driver at once.
-	readingStep = 0.1
+	minReadingInterval = 50 * time.Millisecond
+	// minReadingStepShare is the share of a limit by which a reading must differ to reach the driver at once.
+	minReadingStepShare = 0.1
 	// maxReadings bounds the destinations whose newest reading is kept.
 	maxReadings = 16384
 )
@@ -24,8 +24,8 @@
 	// demandReported tells what has arrived and what waits at this relay, by destination.
 	demandReported []traffic.Demand
 
-	// limitRead is a destination's limit, as an answer of the destination gave it.
-	limitRead struct {
+	// limitReading is a destination's limit, as an answer of the destination gave it.
+	limitReading struct {
 		destination int
 		limit       float64
 		at          time.Time
@@ -44,25 +44,25 @@
 	if !f.cfg.DivideLimits {
 		return
 	}
-	reading := limitRead{destination: destination, limit: limit, at: time.Now()}
+	reading := limitReading{destination: destination, limit: limit, at: time.Now()}
 	if f.recordReading(reading) {
 		f.enqueue(reading)
 	}
 }
 
 // recordReading stores a reading, and reports whether it is worth passing on.
-func (f *Fleet) recordReading(reading limitRead) bool {
+func (f *Fleet) recordReading(reading limitReading) bool {
 	f.shared.Lock()
 	defer f.shared.Unlock()
-	last := f.shared.readings[reading.destination]
-	recent := reading.at.Sub(last.at) < readingInterval
-	if recent && math.Abs(reading.limit-last.limit) <= readingStep*last.limit {
+	last := f.shared.lastReadings[reading.destination]
+	recent := reading.at.Sub(last.at) < minReadingInterval
+	if recent && math.Abs(reading.limit-last.limit) <= minReadingStepShare*last.limit {
 		return false
 	}
-	if len(f.shared.readings) >= maxReadings {
-		clear(f.shared.readings)
+	if len(f.shared.lastReadings) >= maxReadings {
+		clear(f.shared.lastReadings)
 	}
-	f.shared.readings[reading.destination] = reading
+	f.shared.lastReadings[reading.destination] = reading
 	return true
 }
 
@@ -75,7 +75,7 @@
 	}
 }
 
-func (e limitRead) apply(f *Fleet, now time.Duration, _ *stepResult) {
+func (e limitReading) apply(f *Fleet, now time.Duration, _ *stepResult) {
 	if f.allocator != nil {
 		f.allocator.ObserveLimit(now, e.destination, e.limit)
 	}
@@ -93,7 +93,7 @@
 		return
 	}
 	f.allocator = allocator
-	for destination, limit := range f.recalled {
+	for destination, limit := range f.restoredLimits {
 		f.allocator.RestoreLimit(now, destination, limit)
 	}
 	f.allocator.SetMembers(now, live)
--- a/internal/fleet/members.go
+++ b/internal/fleet/members.go
@@ -11,10 +11,10 @@
 )
 
 const (
-	// goneRetention is how long a member that has left or died stays listed.
-	goneRetention = 10 * time.Minute
-	// maxListed bounds the members that are listed, before those that are gone are dropped.
-	maxListed = 4096
+	// departedRetention is how long a member that has left or died stays listed.
+	departedRetention = 10 * time.Minute
+	// maxListedMembers bounds the members that are listed, before those that are gone are dropped.
+	maxListedMembers = 4096
 )
 
 // The states of a member, as operators see them.
@@ -63,7 +63,7 @@
 	defer f.shared.Unlock()
 	m := f.shared.members[n.Name]
 	if m == nil {
-		f.forgetGone()
+		f.dropLongDeparted()
 		m = &MemberState{Name: n.Name, Self: n.Name == f.cfg.Self}
 		f.shared.members[n.Name] = m
 	}
@@ -87,13 +87,13 @@
 	return nil
 }
 
-// forgetGone drops members that have been gone for long. It needs the lock.
-func (f *Fleet) forgetGone() {
+// dropLongDeparted drops members that have been gone for long. It needs the lock.
+func (f *Fleet) dropLongDeparted() {
 	for name, m := range f.shared.members {
 		if m.State == stateAlive {
 			continue
 		}
-		if time.Since(m.Since) > goneRetention || len(f.shared.members) > maxListed {
+		if time.Since(m.Since) > departedRetention || len(f.shared.members) > maxListedMembers {
 			delete(f.shared.members, name)
 		}
 	}
--- a/internal/fleet/membership.go
+++ b/internal/fleet/membership.go
@@ -16,10 +16,10 @@
 )
 
 const (
-	// joinPauseMin is the pause after the first try to join the fleet. It doubles with each try.
-	joinPauseMin = 250 * time.Millisecond
-	// joinPauseMax bounds the pause between two tries to join the fleet.
-	joinPauseMax = 8 * time.Second
+	// minJoinPause is the pause after the first try to join the fleet. It doubles with each try.
+	minJoinPause = 250 * time.Millisecond
+	// maxJoinPause bounds the pause between two tries to join the fleet.
+	maxJoinPause = 8 * time.Second
 	// rejoinInterval is the mean time between two tries to reach an address where no live member is known.
 	rejoinInterval = 10 * time.Second
 	// syncDelay is the mean delay before members are compared with a known one after an unknown one was heard.
@@ -35,13 +35,13 @@
 	streamTimeout = 2 * time.Second
 	// nameReclaimTime is how long after a member died its name may come back at another address.
 	nameReclaimTime = 5 * time.Second
-	// handoffQueue bounds the messages that memberlist keeps for its delegate.
-	handoffQueue = 512
+	// handoffQueueDepth bounds the messages that memberlist keeps for its delegate.
+	handoffQueueDepth = 512
 )
 
-// rebuildPause is the least time between two rebuilds of what depends on the list of members, for each member: 250 ms at 3,900, where a
+// rebuildPausePerMember is the least time between two rebuilds of what depends on the list of members, for each member: 250 ms at 3,900, where a
 // rebuild takes some 8 ms, and next to nothing in a small fleet, whose new members are heard at once.
-const rebuildPause = 64 * time.Microsecond
+const rebuildPausePerMember = 64 * time.Microsecond
 
 // membershipChanged tells the driver that memberlist's list of members has changed.
 type membershipChanged struct{}
@@ -49,7 +49,7 @@
 // maintainMembership keeps this relay a member: it waits for its address, joins the fleet, and goes on trying addresses
 // where no live member is known, so that the two halves of a partitioned fleet find each other again.
 func (f *Fleet) maintainMembership(ctx context.Context) {
-	rng := rand.New(rand.NewPCG(f.cfg.Seed, membershipStream))
+	rng := rand.New(rand.NewPCG(f.cfg.Seed, membershipRandomStream))
 	list, err := f.listen(ctx)
 	if err != nil {
 		if ctx.Err() == nil {
@@ -58,13 +58,13 @@
 		return
 	}
 	defer leave(list)
-	joinPause := joinPauseMin
+	joinPause := minJoinPause
 	alone := true
 	for {
 		wait := rejoinInterval
 		if alone {
 			wait = joinPause
-			joinPause = min(2*joinPause, joinPauseMax)
+			joinPause = min(2*joinPause, maxJoinPause)
 		}
 		address := f.awaitJoinAddress(ctx, list, wait, rng)
 		if ctx.Err() != nil {
@@ -81,7 +81,7 @@
 // awaitJoinAddress waits, and returns the next address to join: after the wait one where no live member is known, or
 // earlier that of a live member, where an unknown one was heard. It returns "" for none, and when ctx ends.
 func (f *Fleet) awaitJoinAddress(ctx context.Context, list *memberlist.Memberlist, wait time.Duration, rng *rand.Rand) string {
-	unknownMember := f.unknownMember
+	unknownMember := f.syncRequests
 	if list.NumMembers() < 2 {
 		unknownMember = nil // there is nobody to compare with: all senders are unknown to one that has not joined yet
 	}
@@ -142,7 +142,7 @@
 		return nil, fmt.Errorf("fleet: %w", err)
 	}
 	f.shared.Lock()
-	f.shared.list = list
+	f.shared.memberList = list
 	f.shared.transport = t
 	f.shared.Unlock()
 	slog.Info("fleet", "name", f.cfg.Name, "bind", t.tcp.Addr(), "incarnation", f.announcer.Incarnation())
@@ -157,7 +157,7 @@
 	c.SuspicionMult = suspicionMultiplier
 	c.TCPTimeout = streamTimeout
 	c.DeadNodeReclaimTime = nameReclaimTime
-	c.HandoffQueueDepth = handoffQueue
+	c.HandoffQueueDepth = handoffQueueDepth
 	c.DelegateProtocolVersion = wire.Version
 	c.DelegateProtocolMin = wire.Version
 	c.DelegateProtocolMax = wire.Version
@@ -168,7 +168,7 @@
 	c := memberlist.DefaultLANConfig()
 	c.Name = f.cfg.Self
 	c.Label = f.cfg.Name
-	c.Keyring = f.ring
+	c.Keyring = f.keyring
 	c.Transport = t
 	c.BindAddr = f.cfg.Bind.Addr().String()
 	c.BindPort = int(f.cfg.Bind.Port())
@@ -189,7 +189,7 @@
 func (f *Fleet) memberList() *memberlist.Memberlist {
 	f.shared.Lock()
 	defer f.shared.Unlock()
-	return f.shared.list
+	return f.shared.memberList
 }
 
 // pickLiveAddress picks the address of a random live member; "" for none.
@@ -237,7 +237,7 @@
 // rebuildMembers takes over memberlist's list of live members where that is due, and forgets what members said that are gone. It
 // guards against a restart of the whole fleet: a rebuild takes some milliseconds at 3,900 members, and there are two changes a member.
 func (f *Fleet) rebuildMembers(now time.Duration, r *stepResult) {
-	if !f.membersStale || now < f.nextRebuild {
+	if !f.membersStale || now < f.nextRebuildAt {
 		return
 	}
 	list := f.memberList()
@@ -245,7 +245,7 @@
 		return
 	}
 	f.membersStale = false
-	f.nextRebuild = now + time.Duration(list.NumMembers())*rebuildPause
+	f.nextRebuildAt = now + time.Duration(list.NumMembers())*rebuildPausePerMember
 	f.rebuilds.Add(1)
 	live := map[string]*memberlist.Node{}
 	var names []string
@@ -253,7 +253,7 @@
 		live[n.Name] = f.nodeOf(n.Name)
 		names = append(names, n.Name)
 	}
-	f.forgetMissing(now, live, r)
+	f.forgetDeparted(now, live, r)
 	if len(live) > len(f.nodes) {
 		f.spread.ExchangeSoon(now) // a new member soon hears what is in force
 	}
@@ -267,8 +267,8 @@
 	}
 }
 
-// forgetMissing drops the statements of members that are not live any more.
-func (f *Fleet) forgetMissing(now time.Duration, live map[string]*memberlist.Node, r *stepResult) {
+// forgetDeparted drops the statements of members that are not live any more.
+func (f *Fleet) forgetDeparted(now time.Duration, live map[string]*memberlist.Node, r *stepResult) {
 	for name := range f.nodes {
 		if live[name] != nil {
 			continue
@@ -276,6 +276,6 @@
 		f.judge.Forget(name)
 		lost := f.store.Forget(name)
 		r.restraints = append(r.restraints, f.judge.Expired(now, lost)...)
-		r.barsChanged = true
+		r.exclusionsChanged = true
 	}
 }
--- a/internal/fleet/figures.go
+++ b/internal/fleet/metrics.go
@@ -18,32 +18,32 @@
 	ReceivedBytes int64             `json:"received_bytes"`
 	Drops         Drops             `json:"drops"`
 	Spread        spread.Counters   `json:"spread"`
-	Judged        verdicts.Counters `json:"judged"`
+	JudgeCounters verdicts.Counters `json:"judged"`
 	// Divided counts the work of dividing limits; all zero where it is off.
 	Divided allowance.Counters `json:"divided"`
 	// Configuration tells of the replication of configuration; nil where it is off.
-	Configuration *ConfigurationFigures `json:"configuration,omitempty"`
+	Configuration *ConfigurationMetrics `json:"configuration,omitempty"`
 }
 
 // Drops counts what was not accepted, by reason.
 type Drops struct {
-	Forged    int64 `json:"forged"`    // not encrypted by a key of ours, or corrupted
-	Replayed  int64 `json:"replayed"`  // seen before, or of an earlier start
-	Foreign   int64 `json:"foreign"`   // of another fleet
-	Version   int64 `json:"version"`   // of a wire version that this build does not read
-	Form      int64 `json:"form"`      // malformed
-	Oversized int64 `json:"oversized"` // longer than the fleet sends
-	Strangers int64 `json:"strangers"` // from a sender that is no member
-	Overrun   int64 `json:"overrun"`   // arrived while the inbox was full
-	Conflict  int64 `json:"conflict"`  // a name that two members use
-	Short     int64 `json:"short"`     // not sent, for lack of bandwidth
+	Forged        int64 `json:"forged"`    // not encrypted by a key of ours, or corrupted
+	Replayed      int64 `json:"replayed"`  // seen before, or of an earlier start
+	OtherFleet    int64 `json:"foreign"`   // of another fleet
+	OtherVersion  int64 `json:"version"`   // of a wire version that this build does not read
+	Malformed     int64 `json:"form"`      // malformed
+	Oversized     int64 `json:"oversized"` // longer than the fleet sends
+	Strangers     int64 `json:"strangers"` // from a sender that is no member
+	Overrun       int64 `json:"overrun"`   // arrived while the inbox was full
+	NameConflicts int64 `json:"conflict"`  // a name that two members use
+	Short         int64 `json:"short"`     // not sent, for lack of bandwidth
 }
 
 // Figures returns the figures that were published last.
 func (f *Fleet) Figures() Figures {
 	f.shared.Lock()
 	defer f.shared.Unlock()
-	return f.shared.figures
+	return f.shared.metrics
 }
 
 // Verdicts returns the statements in force, by origin.
@@ -100,11 +100,11 @@
 	f.incarnation.Store(f.announcer.Incarnation())
 	statements := f.store.All(now)
 	figures := Figures{
-		Members:     len(f.nodes),
-		StalenessMS: milliseconds(f.spread.Staleness(now)),
-		Verdicts:    len(statements),
-		Spread:      f.spread.Counters(),
-		Judged:      f.judge.Counters(),
+		Members:       len(f.nodes),
+		StalenessMS:   milliseconds(f.spread.Staleness(now)),
+		Verdicts:      len(statements),
+		Spread:        f.spread.Counters(),
+		JudgeCounters: f.judge.Counters(),
 	}
 	var limits []allowance.State
 	if f.allocator != nil {
@@ -120,31 +120,31 @@
 	}
 	f.shared.statements = statements
 	f.shared.limits = limits
-	f.shared.figures = figures
+	f.shared.metrics = figures
 }
 
 // snapshot reads the counters, and adds those that internal/spread keeps.
-func (d *drops) snapshot(counters spread.Counters) Drops {
+func (d *dropCounters) snapshot(counters spread.Counters) Drops {
 	return Drops{
-		Forged:    d.Forged.Load(),
-		Replayed:  counters.Replayed,
-		Foreign:   d.Foreign.Load(),
-		Version:   d.Version.Load(),
-		Form:      d.Form.Load(),
-		Oversized: d.Oversized.Load(),
-		Strangers: counters.Strangers,
-		Overrun:   d.Overrun.Load(),
-		Conflict:  d.Conflict.Load(),
-		Short:     counters.Short,
+		Forged:        d.Forged.Load(),
+		Replayed:      counters.Replayed,
+		OtherFleet:    d.OtherFleet.Load(),
+		OtherVersion:  d.OtherVersion.Load(),
+		Malformed:     d.Malformed.Load(),
+		Oversized:     d.Oversized.Load(),
+		Strangers:     counters.Strangers,
+		Overrun:       d.InboxFull.Load(),
+		NameConflicts: d.NameConflicts.Load(),
+		Short:         counters.Short,
 	}
 }
 
 // addTransport adds the counters of the transport.
 func (g *Figures) addTransport(t *transport) {
-	g.SentBytes = t.sent.Load()
-	g.ReceivedBytes = t.received.Load()
-	g.Drops.Oversized += t.oversized.Load()
-	g.Drops.Overrun += t.streamsRefused.Load()
+	g.SentBytes = t.sentBytes.Load()
+	g.ReceivedBytes = t.receivedBytes.Load()
+	g.Drops.Oversized += t.oversizedCount.Load()
+	g.Drops.Overrun += t.refusedStreams.Load()
 }
 
 // LogValue names the figures in a log line.
@@ -156,23 +156,23 @@
 		slog.Int64("sent_bytes", g.SentBytes),
 		slog.Int64("received_bytes", g.ReceivedBytes),
 		slog.Int64("news", g.Spread.News),
-		slog.Int64("heeded", g.Judged.Heeded),
-		slog.Int64("overruled", g.Judged.Overruled),
-		slog.Int64("overdrawn", g.Judged.Overdrawn),
-		slog.Int64("unagreed", g.Judged.Unagreed),
+		slog.Int64("heeded", g.JudgeCounters.Heeded),
+		slog.Int64("overruled", g.JudgeCounters.Overruled),
+		slog.Int64("overdrawn", g.JudgeCounters.Overdrawn),
+		slog.Int64("unagreed", g.JudgeCounters.Unagreed),
 		slog.Int64("claims", g.Divided.Claims),
 		slog.Int64("grants", g.Divided.Grants),
 		slog.Int64("stray_grants", g.Divided.Strays),
 		slog.Int64("owners_avoided", g.Divided.Avoided),
 		slog.Int64("forged", g.Drops.Forged),
 		slog.Int64("replayed", g.Drops.Replayed),
-		slog.Int64("foreign", g.Drops.Foreign),
-		slog.Int64("version", g.Drops.Version),
-		slog.Int64("form", g.Drops.Form),
+		slog.Int64("foreign", g.Drops.OtherFleet),
+		slog.Int64("version", g.Drops.OtherVersion),
+		slog.Int64("form", g.Drops.Malformed),
 		slog.Int64("oversized", g.Drops.Oversized),
 		slog.Int64("strangers", g.Drops.Strangers),
 		slog.Int64("overrun", g.Drops.Overrun),
-		slog.Int64("conflict", g.Drops.Conflict),
+		slog.Int64("conflict", g.Drops.NameConflicts),
 		slog.Int64("short", g.Drops.Short),
 		slog.Any("configuration", g.Configuration),
 	)
--- a/internal/fleet/packets.go
+++ b/internal/fleet/packets.go
@@ -33,7 +33,7 @@
 	news, own, replies := f.spread.Receive(now, packet)
 	after := f.spread.Counters()
 	if after.Strangers > before.Strangers || after.Differed > before.Differed {
-		f.reportUnknownMember()
+		f.requestSync()
 	}
 	for _, s := range own {
 		f.supersede(now, s.Version)
@@ -41,7 +41,7 @@
 	for _, s := range news {
 		r.restraints = append(r.restraints, f.judge.Receive(now, s)...)
 		if s.Kind == verdicts.Drain || s.Kind == verdicts.Ban {
-			r.barsChanged = true
+			r.exclusionsChanged = true
 		}
 	}
 	f.send(replies)
@@ -52,18 +52,18 @@
 }
 
 // countUndecodable counts a packet that wire.Decode refused.
-func (d *drops) countUndecodable(err error) {
+func (d *dropCounters) countUndecodable(err error) {
 	if errors.Is(err, wire.ErrVersion) {
-		d.Version.Add(1)
+		d.OtherVersion.Add(1)
 	} else {
-		d.Form.Add(1)
+		d.Malformed.Add(1)
 	}
 }
 
-// reportUnknownMember asks the membership goroutine to synchronise with a known member.
-func (f *Fleet) reportUnknownMember() {
+// requestSync asks the membership goroutine to synchronise with a known member.
+func (f *Fleet) requestSync() {
 	select {
-	case f.unknownMember <- struct{}{}:
+	case f.syncRequests <- struct{}{}:
 	default:
 	}
 }
--- a/internal/fleet/restraints.go
+++ b/internal/fleet/restraints.go
@@ -10,12 +10,12 @@
 
 // Held reports whether an announcement of other relays holds a group. It is called before each call is written.
 func (f *Fleet) Held(group traffic.Group, now time.Time) bool {
-	if now.UnixNano() >= f.holdsUntil.Load() { // no hold at all, as is usual
+	if now.UnixNano() >= f.lastHoldEndNanos.Load() { // no hold at all, as is usual
 		return false
 	}
 	f.shared.Lock()
 	defer f.shared.Unlock()
-	return now.Before(f.shared.holds[group])
+	return now.Before(f.shared.holdEnds[group])
 }
 
 // restrain hands restraints to the relay, and holds calls that are about to be written.
@@ -28,7 +28,7 @@
 	for _, r := range restraints {
 		translated := f.translate(r)
 		if translated.Kind == traffic.Held {
-			f.hold(translated.Group, translated.At)
+			f.setHold(translated.Group, translated.At)
 		}
 		list = append(list, translated)
 	}
@@ -54,32 +54,32 @@
 	return translated
 }
 
-// hold stores until when a group is held. It needs the lock.
-func (f *Fleet) hold(group traffic.Group, until time.Time) {
-	f.shared.holds[group] = until
-	f.holdsUntil.Store(max(f.holdsUntil.Load(), until.UnixNano()))
+// setHold stores until when a group is held. It needs the lock.
+func (f *Fleet) setHold(group traffic.Group, until time.Time) {
+	f.shared.holdEnds[group] = until
+	f.lastHoldEndNanos.Store(max(f.lastHoldEndNanos.Load(), until.UnixNano()))
 }
 
 // dropExpiredHolds needs the lock.
 func (f *Fleet) dropExpiredHolds(now time.Time) {
-	for group, until := range f.shared.holds {
+	for group, until := range f.shared.holdEnds {
 		if !until.After(now) {
-			delete(f.shared.holds, group)
+			delete(f.shared.holdEnds, group)
 		}
 	}
 }
 
-// updateBars hands the relay the members that get no new calls, where the list has changed.
-func (f *Fleet) updateBars(now time.Duration) {
+// updateExclusions hands the relay the members that get no new calls, where the list has changed.
+func (f *Fleet) updateExclusions(now time.Duration) {
 	var bars []traffic.Bar
 	for _, name := range f.judge.Barred(now) {
 		ban := verdicts.Subject{Kind: verdicts.Ban, Destination: f.pool[name].Destination, Member: name}
 		bars = append(bars, traffic.Bar{Member: name, Banned: f.countOrigins(now, ban) > 0})
 	}
-	bars = f.configuration.addBars(bars, f.pool)
-	if slices.Equal(bars, f.lastBars) {
+	bars = f.configuration.addExclusions(bars, f.pool)
+	if slices.Equal(bars, f.lastExclusions) {
 		return
 	}
-	f.lastBars = bars
+	f.lastExclusions = bars
 	f.relay.Bar(slices.Clone(bars))
 }
--- a/internal/fleet/transport.go
+++ b/internal/fleet/transport.go
@@ -13,13 +13,13 @@
 )
 
 const (
-	// maxPacket is the longest packet that is read; what is longer is none of ours.
-	maxPacket = 1500
-	// readBuffer bounds what the system keeps of packets that this relay has not looked at.
-	readBuffer = 256 << 10
-	// maxStream bounds what one stream may bring: the members of a fleet of some thousand. memberlist would take 20 MB
+	// maxPacketBytes is the longest packet that is read; what is longer is none of ours.
+	maxPacketBytes = 1500
+	// readBufferBytes bounds what the system keeps of packets that this relay has not looked at.
+	readBufferBytes = 256 << 10
+	// maxStreamBytes bounds what one stream may bring: the members of a fleet of some thousand. memberlist would take 20 MB
 	// from anybody before it looks at the seal, more than the smallest relay has.
-	maxStream = 512 << 10
+	maxStreamBytes = 512 << 10
 	// maxStreams bounds how many streams are open at once.
 	maxStreams = 8
 )
@@ -27,17 +27,17 @@
 // transport carries memberlist's packets and streams over UDP and TCP on one address. It counts, bounds, and sends from
 // the address that it listens on, so that a machine with several is known by one.
 type transport struct {
-	tcp     *net.TCPListener
-	udp     *net.UDPConn
-	packets chan *memberlist.Packet
-	streams chan net.Conn
-	wg      sync.WaitGroup
-	closed  chan struct{}
-	once    sync.Once
-
-	sent, received            atomic.Int64 // bytes
-	oversized, streamsRefused atomic.Int64
-	open                      atomic.Int64 // streams that came and are open
+	tcp        *net.TCPListener
+	udp        *net.UDPConn
+	packets    chan *memberlist.Packet
+	streams    chan net.Conn
+	goroutines sync.WaitGroup
+	closed     chan struct{}
+	closeOnce  sync.Once
+
+	sentBytes, receivedBytes       atomic.Int64 // bytes
+	oversizedCount, refusedStreams atomic.Int64
+	openStreams                    atomic.Int64 // streams that came and are open
 }
 
 var _ memberlist.NodeAwareTransport = (*transport)(nil)
@@ -53,7 +53,7 @@
 		tcp.Close()
 		return nil, fmt.Errorf("fleet: %w", err)
 	}
-	_ = udp.SetReadBuffer(readBuffer) // the system's own size otherwise
+	_ = udp.SetReadBuffer(readBufferBytes) // the system's own size otherwise
 	t := &transport{
 		tcp:     tcp,
 		udp:     udp,
@@ -61,13 +61,13 @@
 		streams: make(chan net.Conn),
 		closed:  make(chan struct{}),
 	}
-	t.wg.Go(t.readPackets)
-	t.wg.Go(t.accept)
+	t.goroutines.Go(t.readPackets)
+	t.goroutines.Go(t.accept)
 	return t, nil
 }
 
 func (t *transport) readPackets() {
-	buf := make([]byte, maxPacket+1)
+	buf := make([]byte, maxPacketBytes+1)
 	for {
 		n, from, err := t.udp.ReadFrom(buf)
 		if err != nil {
@@ -78,9 +78,9 @@
 				continue
 			}
 		}
-		t.received.Add(int64(n))
-		if n > maxPacket || n == 0 {
-			t.oversized.Add(1)
+		t.receivedBytes.Add(int64(n))
+		if n > maxPacketBytes || n == 0 {
+			t.oversizedCount.Add(1)
 			continue
 		}
 		p := &memberlist.Packet{Buf: append([]byte(nil), buf[:n]...), From: from, Timestamp: time.Now()}
@@ -103,14 +103,14 @@
 				continue
 			}
 		}
-		if t.open.Load() >= maxStreams {
-			t.streamsRefused.Add(1)
+		if t.openStreams.Load() >= maxStreams {
+			t.refusedStreams.Add(1)
 			c.Close()
 			continue
 		}
-		t.open.Add(1)
+		t.openStreams.Add(1)
 		select {
-		case t.streams <- &stream{Conn: c, t: t, left: maxStream, came: true}:
+		case t.streams <- &stream{Conn: c, transport: t, bytesLeft: maxStreamBytes, incoming: true}:
 		case <-t.closed:
 			c.Close()
 			return
@@ -121,33 +121,33 @@
 // stream counts what passes, and ends where more comes than a fleet's state can be.
 type stream struct {
 	net.Conn
-	t    *transport
-	left int
-	came bool
-	once sync.Once
+	transport *transport
+	bytesLeft int
+	incoming  bool
+	closeOnce sync.Once
 }
 
 func (s *stream) Read(b []byte) (int, error) {
-	if s.left <= 0 {
-		s.t.oversized.Add(1)
+	if s.bytesLeft <= 0 {
+		s.transport.oversizedCount.Add(1)
 		return 0, io.ErrUnexpectedEOF
 	}
-	n, err := s.Conn.Read(b[:min(len(b), s.left)])
-	s.left -= n
-	s.t.received.Add(int64(n))
+	n, err := s.Conn.Read(b[:min(len(b), s.bytesLeft)])
+	s.bytesLeft -= n
+	s.transport.receivedBytes.Add(int64(n))
 	return n, err
 }
 
 func (s *stream) Write(b []byte) (int, error) {
 	n, err := s.Conn.Write(b)
-	s.t.sent.Add(int64(n))
+	s.transport.sentBytes.Add(int64(n))
 	return n, err
 }
 
 func (s *stream) Close() error {
-	s.once.Do(func() {
-		if s.came {
-			s.t.open.Add(-1)
+	s.closeOnce.Do(func() {
+		if s.incoming {
+			s.transport.openStreams.Add(-1)
 		}
 	})
 	return s.Conn.Close()
@@ -175,7 +175,7 @@
 		return time.Time{}, err
 	}
 	n, err := t.udp.WriteTo(b, to)
-	t.sent.Add(int64(n))
+	t.sentBytes.Add(int64(n))
 	return time.Now(), err
 }
 
@@ -187,16 +187,16 @@
 
 func (t *transport) DialTimeout(addr string, timeout time.Duration) (net.Conn, error) {
 	from := t.tcp.Addr().(*net.TCPAddr)
-	d := net.Dialer{Timeout: timeout, LocalAddr: &net.TCPAddr{IP: from.IP}, Control: reuse}
+	d := net.Dialer{Timeout: timeout, LocalAddr: &net.TCPAddr{IP: from.IP}, Control: allowAddressReuse}
 	c, err := d.Dial("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	return &stream{Conn: c, t: t, left: maxStream}, nil
+	return &stream{Conn: c, transport: t, bytesLeft: maxStreamBytes}, nil
 }
 
-// reuse lets the system choose a port although connections of this address linger.
-func reuse(_, _ string, c syscall.RawConn) error {
+// allowAddressReuse lets the system choose a port although connections of this address linger.
+func allowAddressReuse(_, _ string, c syscall.RawConn) error {
 	return c.Control(func(fd uintptr) { _ = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_REUSEADDR, 1) })
 }
 
@@ -207,9 +207,9 @@
 func (t *transport) StreamCh() <-chan net.Conn { return t.streams }
 
 func (t *transport) Shutdown() error {
-	t.once.Do(func() { close(t.closed) })
+	t.closeOnce.Do(func() { close(t.closed) })
 	t.tcp.Close()
 	t.udp.Close()
-	t.wg.Wait()
+	t.goroutines.Wait()
 	return nil
 }
--- a/internal/fleet/wire/configuration.go
+++ b/internal/fleet/wire/configuration.go
@@ -18,8 +18,8 @@
 	MaxConfigurationChanges = 256
 	// MaxConfigurationSources bounds the sources that a version vector names, and the deltas.
 	MaxConfigurationSources = 64
-	// MaxConfigurationPosition bounds a position of a scope, in bytes.
-	MaxConfigurationPosition = 512
+	// MaxConfigurationPositionBytes bounds a position of a scope, in bytes.
+	MaxConfigurationPositionBytes = 512
 )
 
 // ConfigurationSize returns a function that tells what a configuration message of a sender takes on the network at most.
@@ -35,7 +35,7 @@
 	}
 }
 
-func configurationMessage(message *configsync.Message) *fleetv1.Configuration {
+func encodeConfiguration(message *configsync.Message) *fleetv1.Configuration {
 	switch {
 	case message == nil:
 		return nil
@@ -130,9 +130,9 @@
 func decodePush(encoded *fleetv1.ConfigurationPush) (*configsync.Message, error) {
 	switch {
 	case len(encoded.Change) == 0 || len(encoded.Change) > MaxConfigurationChanges:
-		return nil, fmt.Errorf("%w: a push of %d configuration changes", ErrForm, len(encoded.Change))
-	case len(encoded.Low) > MaxConfigurationPosition || len(encoded.High) > MaxConfigurationPosition:
-		return nil, fmt.Errorf("%w: a configuration scope of %d and %d bytes", ErrForm, len(encoded.Low), len(encoded.High))
+		return nil, fmt.Errorf("%w: a push of %d configuration changes", ErrMalformed, len(encoded.Change))
+	case len(encoded.Low) > MaxConfigurationPositionBytes || len(encoded.High) > MaxConfigurationPositionBytes:
+		return nil, fmt.Errorf("%w: a configuration scope of %d and %d bytes", ErrMalformed, len(encoded.Low), len(encoded.High))
 	}
 	changes, err := decodeChanges(encoded.Change, "")
 	if err != nil {
@@ -148,7 +148,7 @@
 
 func decodeExchange(encoded *fleetv1.ConfigurationExchange) (*configsync.Message, error) {
 	if len(encoded.Delta) > MaxConfigurationSources || encoded.Ahead > math.MaxInt32 {
-		return nil, fmt.Errorf("%w: %d configuration deltas, %d changes ahead", ErrForm, len(encoded.Delta), encoded.Ahead)
+		return nil, fmt.Errorf("%w: %d configuration deltas, %d changes ahead", ErrMalformed, len(encoded.Delta), encoded.Ahead)
 	}
 	versions, err := DecodeVersions(encoded.Version)
 	if err != nil {
@@ -158,7 +158,7 @@
 	total := 0
 	for _, delta := range encoded.Delta {
 		if total += len(delta.Change); total > MaxConfigurationChanges {
-			return nil, fmt.Errorf("%w: more than %d configuration changes", ErrForm, MaxConfigurationChanges)
+			return nil, fmt.Errorf("%w: more than %d configuration changes", ErrMalformed, MaxConfigurationChanges)
 		}
 		decoded, err := decodeDelta(delta)
 		if err != nil {
@@ -171,7 +171,7 @@
 
 func decodeDelta(encoded *fleetv1.ConfigurationDelta) (configsync.Delta, error) {
 	if encoded.Source == "" || encoded.After >= encoded.Through {
-		return configsync.Delta{}, fmt.Errorf("%w: a configuration delta of %q from %d through %d", ErrForm, encoded.Source, encoded.After,
+		return configsync.Delta{}, fmt.Errorf("%w: a configuration delta of %q from %d through %d", ErrMalformed, encoded.Source, encoded.After,
 			encoded.Through)
 	}
 	changes, err := decodeChanges(encoded.Change, encoded.Source)
@@ -180,7 +180,7 @@
 	}
 	for i := range changes {
 		if c := &changes[i]; c.Source != encoded.Source || c.Sequence <= encoded.After || c.Sequence > encoded.Through {
-			return configsync.Delta{}, fmt.Errorf("%w: change %d of %q is none of its configuration delta", ErrForm, c.Sequence, c.Source)
+			return configsync.Delta{}, fmt.Errorf("%w: change %d of %q is none of its configuration delta", ErrMalformed, c.Sequence, c.Source)
 		}
 	}
 	return configsync.Delta{Source: encoded.Source, After: encoded.After, Through: encoded.Through, Changes: changes}, nil
@@ -213,7 +213,7 @@
 		change.Source = assumed
 	}
 	if change.Source == "" || change.Key == "" || change.Sequence == 0 || change.Revision == 0 {
-		return configsync.Change{}, fmt.Errorf("%w: a configuration change without source, key, sequence or revision", ErrForm)
+		return configsync.Change{}, fmt.Errorf("%w: a configuration change without source, key, sequence or revision", ErrMalformed)
 	}
 	return change, nil
 }
@@ -221,12 +221,12 @@
 // DecodeVersions reads a version vector.
 func DecodeVersions(encoded []*fleetv1.ConfigurationVersion) (configsync.VersionVector, error) {
 	if len(encoded) > MaxConfigurationSources {
-		return nil, fmt.Errorf("%w: a version vector of %d sources", ErrForm, len(encoded))
+		return nil, fmt.Errorf("%w: a version vector of %d sources", ErrMalformed, len(encoded))
 	}
 	versions := configsync.VersionVector{}
 	for _, version := range encoded {
 		if _, twice := versions[version.Source]; twice || version.Source == "" {
-			return nil, fmt.Errorf("%w: version %d of source %q", ErrForm, version.Sequence, version.Source)
+			return nil, fmt.Errorf("%w: version %d of source %q", ErrMalformed, version.Sequence, version.Source)
 		}
 		versions[version.Source] = version.Sequence
 	}
--- a/internal/fleet/wire/configuration_test.go
+++ b/internal/fleet/wire/configuration_test.go
@@ -19,7 +19,7 @@
 	"slatemux/internal/verdicts"
 )
 
-func drawnChange(t *rapid.T, source string) configsync.Change {
+func drawChange(t *rapid.T, source string) configsync.Change {
 	change := configsync.Change{
 		Source:    source,
 		Sequence:  rapid.Uint64Min(1).Draw(t, "sequence"),
@@ -34,14 +34,14 @@
 	return change
 }
 
-func drawnConfiguration(t *rapid.T) *configsync.Message {
+func drawConfiguration(t *rapid.T) *configsync.Message {
 	source := rapid.StringN(1, 10, 40).Draw(t, "source")
 	switch rapid.IntRange(0, 2).Draw(t, "kind of message") {
 	case 0:
 		push := &configsync.Push{Number: rapid.Uint64().Draw(t, "push"), Scope: configsync.Scope{Salt: rapid.Uint64().Draw(t, "salt"),
 			Low: configsync.Position(rapid.String().Draw(t, "low")), High: configsync.Position(rapid.String().Draw(t, "high"))}}
 		for range rapid.IntRange(1, 3).Draw(t, "changes") {
-			push.Changes = append(push.Changes, drawnChange(t, source))
+			push.Changes = append(push.Changes, drawChange(t, source))
 		}
 		return &configsync.Message{Push: push}
 	case 1:
@@ -53,7 +53,7 @@
 		exchange.Versions[source] = rapid.Uint64().Draw(t, "version") // 0 names a source of which nothing is known
 	}
 	if rapid.Bool().Draw(t, "deltas") {
-		change := drawnChange(t, source)
+		change := drawChange(t, source)
 		exchange.Deltas = []configsync.Delta{{Source: source, After: change.Sequence - 1, Through: change.Sequence,
 			Changes: []configsync.Change{change}}}
 	}
@@ -63,8 +63,8 @@
 // A configuration message is decoded as it was encoded, and its size is told before.
 func TestConfigurationRoundTrip(t *testing.T) {
 	proptest.Check(t, func(t *rapid.T) {
-		p := drawn(t)
-		p.Configuration = drawnConfiguration(t)
+		p := drawPacket(t)
+		p.Configuration = drawConfiguration(t)
 		b, err := Append(nil, &p)
 		if err != nil {
 			t.Fatal(err)
@@ -81,7 +81,7 @@
 // The size that the replication counts is no less than that of the packet that is sent.
 func TestConfigurationSize(t *testing.T) {
 	proptest.Check(t, func(t *rapid.T) {
-		message := drawnConfiguration(t)
+		message := drawConfiguration(t)
 		p := spread.Packet{From: "relay-7", Incarnation: rapid.Uint64Max(1<<20).Draw(t, "incarnation"), Uptime: 300 * 24 * time.Hour,
 			Count: rapid.Uint64Range(1, math.MaxUint32).Draw(t, "count"), Configuration: message}
 		if told, is := ConfigurationSize("relay-7")(message), Size(&p); told < is || told > is+20 {
@@ -91,10 +91,10 @@
 }
 
 // Whatever comes, a configuration message is refused whole or makes sense.
-func TestConfigurationGarbage(t *testing.T) {
+func TestCorruptConfigurationIsRefused(t *testing.T) {
 	proptest.Check(t, func(t *rapid.T) {
-		p := drawn(t)
-		p.Configuration = drawnConfiguration(t)
+		p := drawPacket(t)
+		p.Configuration = drawConfiguration(t)
 		b, _ := Append(nil, &p)
 		got, err := Decode(proptest.Garbage(t, b))
 		if err != nil || got.Configuration == nil {
@@ -103,7 +103,7 @@
 		if m := got.Configuration; m.Push == nil && m.Ack == nil && m.Exchange == nil {
 			t.Error("a message of no kind was taken")
 		}
-		for _, change := range configurationChanges(got.Configuration) {
+		for _, change := range changesOf(got.Configuration) {
 			if change.Source == "" || change.Key == "" || change.Sequence == 0 || change.Revision == 0 {
 				t.Errorf("taken: %+v", change)
 			}
@@ -111,7 +111,7 @@
 	})
 }
 
-func configurationChanges(m *configsync.Message) (changes []configsync.Change) {
+func changesOf(m *configsync.Message) (changes []configsync.Change) {
 	if m.Push != nil {
 		changes = append(changes, m.Push.Changes...)
 	}
@@ -124,7 +124,7 @@
 }
 
 // A message that is cut anywhere is refused, or has no configuration: never one with a part missing.
-func TestConfigurationCut(t *testing.T) {
+func TestTruncatedConfigurationIsRefused(t *testing.T) {
 	change := configsync.Change{Source: "control", Sequence: 3, Revision: 4, Key: "endpoint/x", Value: []byte("down"), Signature: make([]byte, 64)}
 	p := spread.Packet{From: "a", Incarnation: 1, Count: 1, Configuration: &configsync.Message{Push: &configsync.Push{Number: 1,
 		Changes: []configsync.Change{change}}}}
@@ -173,7 +173,7 @@
 		"no key":            push(&fleetv1.ConfigurationChange{Source: "c", Sequence: 1, Revision: 1}),
 		"no sequence":       push(&fleetv1.ConfigurationChange{Source: "c", Revision: 1, Key: "k"}),
 		"no revision":       push(&fleetv1.ConfigurationChange{Source: "c", Sequence: 1, Key: "k"}),
-		"a long scope":      {Kind: &fleetv1.Configuration_Push{Push: &fleetv1.ConfigurationPush{Low: make([]byte, MaxConfigurationPosition+1), Change: many(1)}}},
+		"a long scope":      {Kind: &fleetv1.Configuration_Push{Push: &fleetv1.ConfigurationPush{Low: make([]byte, MaxConfigurationPositionBytes+1), Change: many(1)}}},
 		"too many sources":  exchange(&fleetv1.ConfigurationExchange{Version: versions}),
 		"a source twice":    exchange(&fleetv1.ConfigurationExchange{Version: []*fleetv1.ConfigurationVersion{versions[0], versions[0]}}),
 		"a source unnamed":  exchange(&fleetv1.ConfigurationExchange{Version: []*fleetv1.ConfigurationVersion{{Sequence: 1}}}),
@@ -184,7 +184,7 @@
 		"another's change":  delta(&fleetv1.ConfigurationDelta{Source: "c", Through: 1, Change: many(1)}),
 		"a delta's changes": delta(&fleetv1.ConfigurationDelta{Source: "control", Through: 1, Change: many(MaxConfigurationChanges + 1)}),
 	} {
-		if _, err := decodeConfiguration(encoded); !errors.Is(err, ErrForm) {
+		if _, err := decodeConfiguration(encoded); !errors.Is(err, ErrMalformed) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
@@ -206,12 +206,12 @@
 		t.Fatal(err)
 	}
 	proptest.Check(t, func(t *rapid.T) {
-		p := drawn(t)
+		p := drawPacket(t)
 		plain, err := Append(nil, &p)
 		if err != nil {
 			t.Fatal(err)
 		}
-		p.Configuration = drawnConfiguration(t)
+		p.Configuration = drawConfiguration(t)
 		with, err := Append(nil, &p)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/fleet/wire/wire.go
+++ b/internal/fleet/wire/wire.go
@@ -39,13 +39,13 @@
 
 // The reasons for which a packet is refused.
 var (
-	ErrVersion = errors.New("another version")
-	ErrForm    = errors.New("not a packet")
+	ErrVersion   = errors.New("another version")
+	ErrMalformed = errors.New("not a packet")
 )
 
 // Append encodes a packet.
 func Append(b []byte, p *spread.Packet) ([]byte, error) {
-	b, err := proto.MarshalOptions{}.MarshalAppend(append(b, Version), message(p))
+	b, err := proto.MarshalOptions{}.MarshalAppend(append(b, Version), encodePacket(p))
 	if err != nil {
 		return nil, fmt.Errorf("wire: %w", err)
 	}
@@ -53,14 +53,14 @@
 }
 
 // Size is what a packet takes on the network, in bytes.
-func Size(p *spread.Packet) int { return Sealing + 1 + proto.Size(message(p)) }
+func Size(p *spread.Packet) int { return Sealing + 1 + proto.Size(encodePacket(p)) }
 
-// message converts a packet into its protobuf form.
-func message(p *spread.Packet) *fleetv1.Packet {
+// encodePacket converts a packet into its protobuf form.
+func encodePacket(p *spread.Packet) *fleetv1.Packet {
 	m := &fleetv1.Packet{
 		From:        p.From,
 		Incarnation: p.Incarnation,
-		UptimeUs:    micros(p.Uptime),
+		UptimeUs:    encodeDuration(p.Uptime),
 		Count:       p.Count,
 		Salt:        p.Salt,
 		Group:       uint32(p.Group),
@@ -69,20 +69,20 @@
 		Answer:      p.Answer,
 		Known:       p.Known,
 		Members:     p.Members,
-		Claim:       claimMessage(p.Claim),
-		Grant:       grantMessage(p.Grant),
+		Claim:       encodeClaim(p.Claim),
+		Grant:       encodeGrant(p.Grant),
 	}
 	if (p.Ask || p.Answer) && p.Summary != (verdicts.Summary{}) {
 		m.Summary = p.Summary[:]
 	}
 	for i := range p.News {
-		m.News = append(m.News, statementMessage(&p.News[i]))
+		m.News = append(m.News, encodeStatement(&p.News[i]))
 	}
-	m.Configuration = configurationMessage(p.Configuration)
+	m.Configuration = encodeConfiguration(p.Configuration)
 	return m
 }
 
-func statementMessage(s *verdicts.Statement) *fleetv1.Statement {
+func encodeStatement(s *verdicts.Statement) *fleetv1.Statement {
 	return &fleetv1.Statement{
 		Origin:      s.Origin,
 		Incarnation: s.Incarnation,
@@ -91,14 +91,14 @@
 		Destination: int32(s.Destination),
 		Member:      s.Member,
 		Over:        s.Over,
-		LengthUs:    micros(s.Length),
+		LengthUs:    encodeDuration(s.Length),
 		List:        s.List,
-		AgeUs:       micros(s.Age),
-		LifeUs:      micros(s.Life),
+		AgeUs:       encodeDuration(s.Age),
+		LifeUs:      encodeDuration(s.Life),
 	}
 }
 
-func claimMessage(c *allowance.Claim) *fleetv1.Claim {
+func encodeClaim(c *allowance.Claim) *fleetv1.Claim {
 	if c == nil {
 		return nil
 	}
@@ -106,7 +106,7 @@
 		Shard:  uint32(c.Shard),
 		Number: c.Sequence,
 		Echo:   c.LastGrant,
-		LendUs: micros(c.LoanDuration),
+		LendUs: encodeDuration(c.LoanDuration),
 	}
 	for _, d := range c.Demands {
 		want := &fleetv1.Want{Destination: int32(d.Destination)}
@@ -119,13 +119,13 @@
 		m.Reading = append(m.Reading, &fleetv1.Reading{
 			Destination: int32(r.Destination),
 			Limit:       r.Limit,
-			AgeUs:       micros(r.Age),
+			AgeUs:       encodeDuration(r.Age),
 		})
 	}
 	return m
 }
 
-func grantMessage(g *allowance.Grant) *fleetv1.Grant {
+func encodeGrant(g *allowance.Grant) *fleetv1.Grant {
 	if g == nil {
 		return nil
 	}
@@ -134,7 +134,7 @@
 		Ask:    g.ClaimRequested,
 		Number: g.Sequence,
 		Answer: g.LastClaim,
-		ForUs:  micros(g.LeaseDuration),
+		ForUs:  encodeDuration(g.LeaseDuration),
 	}
 	for _, s := range g.Shares {
 		m.Share = append(m.Share, &fleetv1.Share{
@@ -146,10 +146,10 @@
 	return m
 }
 
-func micros(t time.Duration) uint64 { return uint64(max(t, 0) / time.Microsecond) }
+func encodeDuration(t time.Duration) uint64 { return uint64(max(t, 0) / time.Microsecond) }
 
-// duration reads a duration of the wire, cut to maxDuration.
-func duration(us uint64) time.Duration {
+// decodeDuration reads a duration of the wire, cut to maxDuration.
+func decodeDuration(us uint64) time.Duration {
 	longest := uint64(maxDuration / time.Microsecond)
 	return time.Duration(min(us, longest)) * time.Microsecond
 }
@@ -158,16 +158,16 @@
 func Decode(b []byte) (spread.Packet, error) {
 	var p spread.Packet
 	if len(b) == 0 {
-		return p, ErrForm
+		return p, ErrMalformed
 	}
 	if b[0] != Version {
 		return p, fmt.Errorf("%w: %d", ErrVersion, b[0])
 	}
 	var m fleetv1.Packet
 	if err := proto.Unmarshal(b[1:], &m); err != nil {
-		return p, fmt.Errorf("%w: %v", ErrForm, err)
+		return p, fmt.Errorf("%w: %v", ErrMalformed, err)
 	}
-	if err := check(&m); err != nil {
+	if err := validate(&m); err != nil {
 		return p, err
 	}
 	p = spread.Packet{
@@ -182,12 +182,12 @@
 		Answer:      m.Answer,
 		Known:       m.Known,
 		Members:     m.Members,
-		Claim:       claim(m.Claim),
-		Grant:       grant(m.Grant),
+		Claim:       decodeClaim(m.Claim),
+		Grant:       decodeGrant(m.Grant),
 	}
 	copy(p.Summary[:], m.Summary)
 	for _, s := range m.News {
-		p.News = append(p.News, statement(s))
+		p.News = append(p.News, decodeStatement(s))
 	}
 	var err error
 	if p.Configuration, err = decodeConfiguration(m.Configuration); err != nil {
@@ -196,39 +196,39 @@
 	return p, nil
 }
 
-// check returns an error for a message that no relay sends.
-func check(m *fleetv1.Packet) error {
+// validate returns an error for a message that no relay sends.
+func validate(m *fleetv1.Packet) error {
 	switch {
 	case m.From == "" || len(m.From) > verdicts.MaxNameLength:
-		return fmt.Errorf("%w: a sender of %d bytes", ErrForm, len(m.From))
+		return fmt.Errorf("%w: a sender of %d bytes", ErrMalformed, len(m.From))
 	case m.Count == 0 || m.UptimeUs > math.MaxInt64/uint64(time.Microsecond):
-		return fmt.Errorf("%w: count or uptime", ErrForm)
+		return fmt.Errorf("%w: count or uptime", ErrMalformed)
 	case m.Groups > 0 && m.Group >= m.Groups || m.Groups > maxGroups:
-		return fmt.Errorf("%w: group %d of %d", ErrForm, m.Group, m.Groups)
+		return fmt.Errorf("%w: group %d of %d", ErrMalformed, m.Group, m.Groups)
 	case len(m.News) > MaxNews:
-		return fmt.Errorf("%w: %d statements", ErrForm, len(m.News))
+		return fmt.Errorf("%w: %d statements", ErrMalformed, len(m.News))
 	case m.Claim.GetShard() >= allowance.Shards || m.Grant.GetShard() >= allowance.Shards:
-		return fmt.Errorf("%w: a shard of %d", ErrForm, allowance.Shards)
+		return fmt.Errorf("%w: a shard of %d", ErrMalformed, allowance.Shards)
 	case len(m.Summary) != 0 && len(m.Summary) != len(verdicts.Summary{}):
-		return fmt.Errorf("%w: a summary of %d parts", ErrForm, len(m.Summary))
+		return fmt.Errorf("%w: a summary of %d parts", ErrMalformed, len(m.Summary))
 	}
 	return nil
 }
 
-func statement(m *fleetv1.Statement) verdicts.Statement {
+func decodeStatement(m *fleetv1.Statement) verdicts.Statement {
 	return verdicts.Statement{
 		Origin:  m.Origin,
 		Version: verdicts.Version{Incarnation: m.Incarnation, Seq: m.Seq},
-		Subject: verdicts.Subject{Kind: kind(m.Kind), Destination: int(m.Destination), Member: m.Member},
+		Subject: verdicts.Subject{Kind: decodeKind(m.Kind), Destination: int(m.Destination), Member: m.Member},
 		Over:    m.Over,
-		Length:  duration(m.LengthUs),
+		Length:  decodeDuration(m.LengthUs),
 		List:    m.List,
-		Age:     duration(m.AgeUs),
-		Life:    duration(m.LifeUs),
+		Age:     decodeDuration(m.AgeUs),
+		Life:    decodeDuration(m.LifeUs),
 	}
 }
 
-func claim(m *fleetv1.Claim) *allowance.Claim {
+func decodeClaim(m *fleetv1.Claim) *allowance.Claim {
 	if m == nil {
 		return nil
 	}
@@ -236,13 +236,13 @@
 		Shard:        int(m.Shard),
 		Sequence:     m.Number,
 		LastGrant:    m.Echo,
-		LoanDuration: duration(m.LendUs),
+		LoanDuration: decodeDuration(m.LendUs),
 	}
 	for _, w := range m.Want {
 		demand := allowance.Demand{Destination: int(w.Destination)}
 		for i, rate := range w.Rate {
 			if i < len(demand.Rates) {
-				demand.Rates[i] = finite(float64(rate))
+				demand.Rates[i] = decodeRate(float64(rate))
 			}
 		}
 		c.Demands = append(c.Demands, demand)
@@ -250,14 +250,14 @@
 	for _, r := range m.Reading {
 		c.Readings = append(c.Readings, allowance.Reading{
 			Destination: int(r.Destination),
-			Limit:       finite(r.Limit),
-			Age:         duration(r.AgeUs),
+			Limit:       decodeRate(r.Limit),
+			Age:         decodeDuration(r.AgeUs),
 		})
 	}
 	return c
 }
 
-func grant(m *fleetv1.Grant) *allowance.Grant {
+func decodeGrant(m *fleetv1.Grant) *allowance.Grant {
 	if m == nil {
 		return nil
 	}
@@ -266,28 +266,28 @@
 		ClaimRequested: m.Ask,
 		Sequence:       m.Number,
 		LastClaim:      m.Answer,
-		LeaseDuration:  duration(m.ForUs),
+		LeaseDuration:  decodeDuration(m.ForUs),
 	}
 	for _, s := range m.Share {
 		g.Shares = append(g.Shares, allowance.Share{
 			Destination: int(s.Destination),
-			Rate:        finite(s.Rate),
-			Limit:       finite(s.Limit),
+			Rate:        decodeRate(s.Rate),
+			Limit:       decodeRate(s.Limit),
 		})
 	}
 	return g
 }
 
-// finite reads a rate of the wire; an invalid one is 0.
-func finite(x float64) float64 {
+// decodeRate reads a rate of the wire; an invalid one is 0.
+func decodeRate(x float64) float64 {
 	if x >= 0 && x < maxRate {
 		return x
 	}
 	return 0
 }
 
-// kind keeps kinds of a later build apart from known ones: no store takes them.
-func kind(x uint32) verdicts.Kind {
+// decodeKind keeps kinds of a later build apart from known ones: no store takes them.
+func decodeKind(x uint32) verdicts.Kind {
 	if x > math.MaxUint8 {
 		return 0
 	}
--- a/internal/fleet/wire/wire_test.go
+++ b/internal/fleet/wire/wire_test.go
@@ -14,7 +14,7 @@
 	"slatemux/internal/verdicts"
 )
 
-func drawn(t *rapid.T) spread.Packet {
+func drawPacket(t *rapid.T) spread.Packet {
 	us := func(name string) time.Duration {
 		return time.Duration(rapid.Int64Range(0, 3600e6).Draw(t, name)) * time.Microsecond
 	}
@@ -44,9 +44,9 @@
 }
 
 // What is encoded is decoded the same, and its size is told before.
-func TestRoundTrip(t *testing.T) {
+func TestPacketRoundTrip(t *testing.T) {
 	proptest.Check(t, func(t *rapid.T) {
-		p := drawn(t)
+		p := drawPacket(t)
 		b, err := Append(nil, &p)
 		if err != nil {
 			t.Fatal(err)
@@ -61,9 +61,9 @@
 }
 
 // Whatever comes, a packet is refused whole or makes sense; another version is told from garbage.
-func TestGarbage(t *testing.T) {
+func TestCorruptPacketsAreRefused(t *testing.T) {
 	proptest.Check(t, func(t *rapid.T) {
-		p := drawn(t)
+		p := drawPacket(t)
 		b, _ := Append(nil, &p)
 		b = proptest.Garbage(t, b)
 		got, err := Decode(b)
@@ -78,7 +78,7 @@
 	if _, err := Decode([]byte{Version + 1, 1, 2}); !errors.Is(err, ErrVersion) {
 		t.Errorf("another version: %v", err)
 	}
-	if _, err := Decode(nil); !errors.Is(err, ErrForm) {
+	if _, err := Decode(nil); !errors.Is(err, ErrMalformed) {
 		t.Errorf("nothing: %v", err)
 	}
 }
--- a/internal/lab/capacity/slopes/source_test.go
+++ b/internal/lab/capacity/slopes/source_test.go
@@ -64,12 +64,12 @@
 		{"allowance/claims.go", "maxClaimed", "24", claimedMost, 24},
 		{"verdicts/judge.go", "maxTracked", "8192", judgedMost, 8192},
 		{"fleet/limits.go", "maxReadings", "16384", readingsMost, 16384},
-		{"fleet/members.go", "maxListed", "4096", relaysGoneMost, 4096},
-		{"fleet/transport.go", "maxStream", "512 << 10", streamBytesMost, 512 << 10},
+		{"fleet/members.go", "maxListedMembers", "4096", relaysGoneMost, 4096},
+		{"fleet/transport.go", "maxStreamBytes", "512 << 10", streamBytesMost, 512 << 10},
 		{"fleet/transport.go", "maxStreams", "8", streamsAtOnceMost, 8},
 		{"journal/journal.go", "livePart", "0.4", journalLiveShare, 0.4},
-		{"fleet/membership.go", "joinPauseMin", "250 * time.Millisecond", joinFirst.Seconds(), 0.25},
-		{"fleet/membership.go", "joinPauseMax", "8 * time.Second", joinMost.Seconds(), 8},
+		{"fleet/membership.go", "minJoinPause", "250 * time.Millisecond", joinFirst.Seconds(), 0.25},
+		{"fleet/membership.go", "maxJoinPause", "8 * time.Second", joinMost.Seconds(), 8},
 		{"fleet/membership.go", "rejoinInterval", "10 * time.Second", rejoinEvery.Seconds(), 10},
 	} {
 		if text := parseSource(t, c.file).constant(c.name); text != c.text {
