--- a/internal/fleet/config.go
+++ b/internal/fleet/config.go
@@ -13,29 +13,29 @@
 	Name string
 	// Self is the name of this relay, unique within the fleet.
 	Self string
-	// Bind is the address that this relay listens on, over UDP and TCP.
+	// Bind is the address that this relay listens on, with UDP and TCP.
 	Bind netip.AddrPort
-	// Advertise is the address at which others reach this relay. The zero value stands for Bind.
+	// Advertise is the address at which other members reach this relay. The zero value means Bind.
 	Advertise netip.AddrPort
 	// Join lists addresses at which other members may be found.
 	Join []netip.AddrPort
 	// KeyFile is the path of the file that holds the encryption keys; see ReadKeys.
 	KeyFile string
-	// StateDir is the directory that outlives the process.
+	// StateDir is the directory of the files that outlive the process.
 	StateDir string
 	// Seed seeds the random choices of this relay.
 	Seed uint64
-	// Quorum is how many relays have to agree before one follows them.
+	// Quorum is how many relays must announce the same before this relay acts on it.
 	Quorum int
 	// ExchangeInterval is the mean time between two anti-entropy exchanges with a random member.
 	ExchangeInterval time.Duration
-	// BytesPerSecond bounds what this relay sends to its fleet.
+	// BytesPerSecond bounds the bandwidth of the packets that this relay sends to its fleet.
 	BytesPerSecond float64
-	// DivideLimits turns the division of the destinations' rate limits on.
+	// DivideLimits enables the division of the destinations' rate limits among the relays.
 	DivideLimits bool
-	// Relays is how many relays divide the limits, whether they are alive or not.
+	// Relays is how many relays divide the limits, dead ones included.
 	Relays int
-	// Configuration configures the replication of the operators' configuration; nil for none.
+	// Configuration configures the replication of the operators' configuration; nil disables replication.
 	Configuration *ConfigurationConfig
 }
 
@@ -43,8 +43,8 @@
 type Relay interface {
 	// Restrain receives holds, outages and their ends.
 	Restrain([]traffic.Restraint)
-	// Allow receives the rates that this relay may send at.
+	// Allow receives the rates at which this relay may send.
 	Allow([]traffic.Allowance)
-	// Bar receives the complete list of members that get no new calls.
+	// Bar receives the complete list of pool members that get no new calls.
 	Bar([]traffic.Bar)
 }
--- a/internal/fleet/configfile/configfile.go
+++ b/internal/fleet/configfile/configfile.go
@@ -1,6 +1,7 @@
-// Package configfile keeps replicated configuration in the state folder, so that it outlives the process. The file is
-// append-only and compacted by replacing it whole; what a crash has torn off its end, or spoilt, is dropped when it is read.
-// Each record is merged into a store that knows of no order, so that any beginning of the file is a state that once was.
+// Package configfile saves replicated configuration in the state directory, so that it outlives the process. Records are
+// appended to the file, and the file is compacted by replacing it. Reading drops a truncated or corrupt record and all
+// records after it. The order in which records are merged has no effect, so any prefix of the file yields a valid earlier
+// state.
 package configfile
 
 import (
@@ -24,48 +25,50 @@
 const (
 	fileName = "fleet-configuration"
 	header   = "slatemux fleet-configuration 1\n"
-	// recordHeaderBytes is the length of a record's payload and its checksum.
+	// recordHeaderBytes is the size of a record's header: the length of the payload and its checksum, 4 bytes each.
 	recordHeaderBytes = 4 + 4
 	// maxRecordBytes bounds the payload of a record.
 	maxRecordBytes = 16 << 10
-	// compactionSlackBytes is by how much the file may outgrow twice its live records before it is compacted.
+	// compactionSlackBytes is by how much the file may exceed twice its compacted size before it is compacted again.
 	compactionSlackBytes = 64 << 10
 )
 
-// ErrTooLarge is returned where the entries take more than the file's bound.
-var ErrTooLarge = errors.New("the configuration takes more than its share of the state folder")
+// ErrTooLarge is returned if the entries do not fit into the bound of the file.
+var ErrTooLarge = errors.New("the configuration exceeds the size limit of its file")
 
+// castagnoli is the polynomial of the checksums.
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// Snapshot is what the file holds.
+// Snapshot is the content of the file.
 type Snapshot struct {
 	Entries  []configsync.Change
 	Versions configsync.VersionVector
 }
 
-// File is the file of one process, which alone writes it.
+// File is the configuration file, opened for writing. Only one process may write it.
 type File struct {
 	path           string
 	maxBytes       int64
 	file           *os.File
 	sizeBytes      int64
 	compactedBytes int64 // size after the last compaction
-	replaceNeeded  bool  // the end of the file may be torn: it has to be replaced before anything is appended
+	replaceNeeded  bool  // the end of the file may be truncated or corrupt, so the next Save must replace the file
 }
 
-// MaxBytes returns the bound of the file for a number of entries.
+// MaxBytes returns the default bound of the file for a number of entries.
 func MaxBytes(maxEntries int) int64 {
 	const typicalRecord = 512
 	return compactionSlackBytes + 2*typicalRecord*int64(maxEntries)
 }
 
-// Read returns what the file in a folder holds, and changes nothing. A file of another form, or none, is an empty snapshot.
+// Read returns the content of the file in a directory, and does not change the file. A missing file, or one in an
+// unrecognized format, yields an empty snapshot.
 func Read(dir string, maxBytes int64) (Snapshot, error) {
 	snapshot, _, err := read(filepath.Join(dir, fileName), maxBytes)
 	return snapshot, err
 }
 
-// Open reads the file in a folder and opens it for Save. No other process may write it from now on.
+// Open reads the file in a directory and opens it for Save. From then on no other process may write the file.
 func Open(dir string, maxBytes int64) (*File, Snapshot, error) {
 	path := filepath.Join(dir, fileName)
 	snapshot, whole, err := read(path, maxBytes)
@@ -77,7 +80,7 @@
 		return nil, Snapshot{}, fmt.Errorf("fleet configuration: %w", err)
 	}
 	if whole == 0 {
-		return f, snapshot, nil // the first Save creates it
+		return f, snapshot, nil // the first Save creates the file
 	}
 	if f.file, err = os.OpenFile(path, os.O_WRONLY|os.O_APPEND, 0o600); err != nil {
 		return nil, Snapshot{}, fmt.Errorf("fleet configuration: %w", err)
@@ -88,11 +91,12 @@
 	return f, snapshot, nil
 }
 
+// temporaryPath returns the path of the file under which a replacement is written.
 func (f *File) temporaryPath() string { return f.path + ".new" }
 
-// Save appends changes and the version vector that holds with them. Where that would let the file grow over its bounds, or an
-// earlier write has failed, it is replaced by what all returns, which includes the changes. After an error nothing is certain
-// to be kept; the next Save that succeeds keeps all.
+// Save appends changes and the version vector that includes them. If the file would exceed its bounds, or an earlier write
+// has failed, Save instead replaces the file with the snapshot that all returns, which must include the changes. After an
+// error the changes may be missing from the file; the next successful Save saves everything.
 func (f *File) Save(changes []configsync.Change, versions configsync.VersionVector, all func() Snapshot) error {
 	records, err := encode(nil, Snapshot{changes, versions})
 	if err != nil {
@@ -111,10 +115,10 @@
 	return nil
 }
 
-// Complete reports whether everything that was handed to Save is kept.
+// Complete reports whether everything that was passed to Save is in the file.
 func (f *File) Complete() bool { return !f.replaceNeeded }
 
-// RequestReplace has the next Save replace the file.
+// RequestReplace makes the next Save replace the file.
 func (f *File) RequestReplace() { f.replaceNeeded = true }
 
 // Size returns the length of the file in bytes.
@@ -128,6 +132,7 @@
 	return f.file.Close()
 }
 
+// replace writes a snapshot to a temporary file and renames it to the configuration file.
 func (f *File) replace(snapshot Snapshot) error {
 	f.replaceNeeded = true
 	content, err := encode([]byte(header), snapshot)
@@ -154,7 +159,8 @@
 	return nil
 }
 
-// encode appends the records of a snapshot: the version vector last, for it says that all before it is there.
+// encode appends the records of a snapshot. The version vector is last, because it states that all changes before it are
+// in the file.
 func encode(b []byte, snapshot Snapshot) ([]byte, error) {
 	var err error
 	for i := range snapshot.Entries {
@@ -167,20 +173,21 @@
 	return appendRecord(b, &fleetv1.ConfigurationRecord{Kind: &fleetv1.ConfigurationRecord_Versions{Versions: versions}})
 }
 
+// appendRecord appends a record with its header.
 func appendRecord(b []byte, record *fleetv1.ConfigurationRecord) ([]byte, error) {
 	payload, err := proto.Marshal(record)
 	if err != nil {
 		return nil, fmt.Errorf("fleet configuration: %w", err)
 	}
 	if len(payload) > maxRecordBytes {
-		return nil, fmt.Errorf("%w: a record of %d bytes", ErrTooLarge, len(payload))
+		return nil, fmt.Errorf("%w: record of %d bytes", ErrTooLarge, len(payload))
 	}
 	b = binary.LittleEndian.AppendUint32(b, uint32(len(payload)))
 	b = binary.LittleEndian.AppendUint32(b, crc32.Checksum(payload, castagnoli))
 	return append(b, payload...), nil
 }
 
-// read returns what the file holds and how long its whole part is; 0 for a file to begin anew.
+// read returns the content of the file and the length of its valid part. The length is 0 for a file that must be replaced.
 func read(path string, maxBytes int64) (Snapshot, int64, error) {
 	file, err := os.Open(path)
 	if errors.Is(err, os.ErrNotExist) {
@@ -196,18 +203,18 @@
 	}
 	records, ok := bytes.CutPrefix(content, []byte(header))
 	if !ok {
-		slog.Warn("fleet configuration file damaged: begun anew, other relays tell what it held", "file", path)
+		slog.Warn("fleet configuration file damaged: replaced by an empty one, its content is requested from other relays", "file", path)
 		return Snapshot{}, 0, nil
 	}
 	snapshot, rest := decode(records)
 	whole := len(content) - len(rest)
 	if len(rest) > 0 {
-		slog.Warn("fleet configuration file torn: its end is dropped", "file", path, "kept", whole, "dropped", len(rest))
+		slog.Warn("fleet configuration file torn: invalid records at its end dropped", "file", path, "kept", whole, "dropped", len(rest))
 	}
 	return snapshot, int64(whole), nil
 }
 
-// decode reads records up to the first that is not whole, and returns what begins there.
+// decode reads records up to the first invalid one, and returns the bytes from there on.
 func decode(b []byte) (snapshot Snapshot, rest []byte) {
 	for len(b) > 0 {
 		record, after, ok := nextRecord(b)
@@ -219,6 +226,7 @@
 	return snapshot, nil
 }
 
+// nextRecord reads the first record, and returns the bytes after it.
 func nextRecord(b []byte) (record *fleetv1.ConfigurationRecord, after []byte, ok bool) {
 	if len(b) < recordHeaderBytes {
 		return nil, nil, false
@@ -235,7 +243,7 @@
 	return record, b[length:], true
 }
 
-// add puts a record into the snapshot. The newest version vector counts.
+// add adds a record to the snapshot. A version vector replaces the previous one. add returns false for an invalid record.
 func (s *Snapshot) add(record *fleetv1.ConfigurationRecord) bool {
 	switch kind := record.GetKind().(type) {
 	case *fleetv1.ConfigurationRecord_Change:
--- a/internal/fleet/configuration.go
+++ b/internal/fleet/configuration.go
@@ -15,23 +15,24 @@
 	"slatemux/internal/traffic"
 )
 
-// ConfigurationConfig says how this relay takes part in the replication of the operators' configuration.
+// ConfigurationConfig configures how this relay replicates the operators' configuration.
 type ConfigurationConfig struct {
 	TrustedKeyFile string
 	Region, Zone   string
 	MaxEntries     int
-	MaxFileBytes   int64             // of the file in the state folder; 0 for what MaxEntries take
-	Replication    configsync.Config // Self, Size and Seed are this relay's
+	MaxFileBytes   int64             // bound of the file in the state directory; 0 for a bound derived from MaxEntries
+	Replication    configsync.Config // newConfiguration sets Self, Size and Seed
 }
 
 const (
-	// configurationRetryInterval is how often a file that could not be written is tried again.
+	// configurationRetryInterval is the minimum time between two attempts to open or write the file after an error.
 	configurationRetryInterval = time.Second
-	// maxRevisionLead bounds how far a change that an operator hands in may move the revision, which has an end.
+	// maxRevisionLead bounds by how much a submitted change may raise the revision. Otherwise one change could use up the
+	// range of revisions.
 	maxRevisionLead = 1 << 20
 )
 
-// The reasons for which Configure does not take a change, beside those of configsync.
+// Errors of Configure, in addition to those of configsync.
 var (
 	ErrConfigurationOff      = errors.New("this relay replicates no configuration")
 	ErrConfigurationNotReady = errors.New("this relay is not yet part of its fleet")
@@ -39,7 +40,7 @@
 	ErrConfigurationNotSaved = errors.New("in force, but not kept over a restart")
 )
 
-// configuration is this relay's part in the replication of the operators' configuration. The fleet's goroutine owns it.
+// configuration replicates the operators' configuration at this relay. The driver goroutine owns it.
 type configuration struct {
 	config  ConfigurationConfig
 	dir     string
@@ -48,30 +49,31 @@
 	replica *configsync.Replica
 	members []string
 
-	file           *configfile.File // nil until it is opened
-	addressBound   bool             // the address is had: no process before this one writes the file any more
+	file           *configfile.File // nil until openFile succeeds
+	addressBound   bool             // this process has the fleet address, so no predecessor process writes the file any more
 	savedVersions  configsync.VersionVector
-	unsavedChanges []configsync.Change // in force, and not yet in the file
-	// newest is the newest change of each source that was in force here. Also when it is superseded it is kept: its signature
-	// proves to others how far the source has come.
+	unsavedChanges []configsync.Change // in force, but not yet saved
+	// newest holds the newest change of each source that was in force here. A superseded change stays here, because its
+	// signature proves the newest sequence number of the source to other relays.
 	newest        map[string]configsync.Change
-	rewriteNeeded bool // something came into force while there was no file
+	rewriteNeeded bool // a change came into force before the file was open
 	lastAttemptAt time.Duration
 	saveError     error
 
 	directives    *directive.Set
 	outbox        []configsync.Send
 	replies       []configurationReply
-	stateOutdated bool // what operators are shown is
+	stateOutdated bool // the state that operators see must be rebuilt
 }
 
-// configurationReply tells the outcome of a published change, once that is kept.
+// configurationReply is the result of a submitted change, sent after the change is saved.
 type configurationReply struct {
 	done chan<- error
 	err  error
 }
 
-// newConfiguration reads the trusted keys and what the state folder holds.
+// newConfiguration reads the trusted keys and the configuration in the state directory. It returns nil if no replication is
+// configured.
 func newConfiguration(cfg *Config) (*configuration, error) {
 	if cfg.Configuration == nil {
 		return nil, nil
@@ -97,13 +99,13 @@
 	}
 	snapshot, err := configfile.Read(c.dir, c.config.MaxFileBytes)
 	if err != nil {
-		slog.Warn("fleet configuration file not read: other relays tell what it holds", "err", err)
+		slog.Warn("fleet configuration file not read: its content is requested from other relays", "err", err)
 	}
 	c.restore(snapshot)
 	return c, nil
 }
 
-// capability is what this relay tells with its membership.
+// capability returns the metadata that this relay announces; nil if it replicates no configuration.
 func (c *configuration) capability() []byte {
 	if c == nil {
 		return nil
@@ -111,7 +113,8 @@
 	return encodeCapability(regionAndZone{c.config.Region, c.config.Zone})
 }
 
-// restore merges what was kept. Its changes were verified before, perhaps by a key that has been taken out since.
+// restore merges the content of the file. The changes were verified before they were saved, perhaps with a key that has been
+// removed since.
 func (c *configuration) restore(snapshot configfile.Snapshot) {
 	c.keys.restoring = true
 	defer func() { c.keys.restoring = false }()
@@ -131,7 +134,7 @@
 	c.stateOutdated = true
 }
 
-// openFile takes the file over, as soon as no process before this one can write it.
+// openFile opens the file for writing and merges its content. No predecessor process may write the file any more.
 func (c *configuration) openFile(now time.Duration) {
 	file, snapshot, err := configfile.Open(c.dir, c.config.MaxFileBytes)
 	c.lastAttemptAt = now
@@ -168,20 +171,20 @@
 	c.stateOutdated = true
 }
 
-// receive takes in a message of another relay.
+// receive passes a message of another relay to the replica, and collects the applied changes and the answers.
 func (c *configuration) receive(now time.Duration, from string, message *configsync.Message) {
 	applied, out := c.replica.Receive(now, from, *message)
 	c.unsavedChanges = append(c.unsavedChanges, applied...)
 	c.outbox = append(c.outbox, out...)
 }
 
-// submit takes in a change of an operator.
+// submit applies a change of an operator and collects the messages for other relays.
 func (c *configuration) submit(now time.Duration, change configsync.Change) error {
 	if c.file == nil {
 		return ErrConfigurationNotReady
 	}
 	if c.inForce(&change) {
-		return nil // handed in again, for its first answer was lost
+		return nil // submitted again, because the first reply was lost
 	}
 	if c.keys.Verify(&change) == nil {
 		if err := c.checkNext(&change); err != nil {
@@ -190,7 +193,7 @@
 	}
 	out, err := c.replica.Publish(now, change)
 	if err != nil {
-		return fmt.Errorf("not taken: %w", err)
+		return fmt.Errorf("change refused: %w", err)
 	}
 	c.outbox = append(c.outbox, out...)
 	c.unsavedChanges = append(c.unsavedChanges, change)
@@ -200,7 +203,7 @@
 	return nil
 }
 
-// checkNext reports why a change is not the next one of its source.
+// checkNext returns an error if a change is not the next one of its source.
 func (c *configuration) checkNext(change *configsync.Change) error {
 	sequence, revision := c.store.Next(change.Source)
 	if change.Sequence != sequence {
@@ -212,7 +215,7 @@
 	return nil
 }
 
-// inForce reports whether it is this very change that is in force for its key.
+// inForce reports whether exactly this change is in force for its key.
 func (c *configuration) inForce(change *configsync.Change) bool {
 	for _, entry := range c.store.Entries() {
 		if entry.Key == change.Key {
@@ -222,12 +225,13 @@
 	return false
 }
 
-// tick collects what has fallen due.
+// tick collects the replica's messages that are due.
 func (c *configuration) tick(now time.Duration) {
 	c.outbox = append(c.outbox, c.replica.Tick(now)...)
 }
 
-// save interprets and keeps what is new, before anybody is told of it. It reports whether entries have changed.
+// save updates the directives and saves the new changes. Call it before the changes are sent or replied to. It reports
+// whether entries have changed.
 func (c *configuration) save(now time.Duration) bool {
 	changed := len(c.unsavedChanges) > 0
 	for _, change := range c.unsavedChanges {
@@ -255,20 +259,22 @@
 	return changed
 }
 
-// retryOpenFile tries again to open the file, now and then.
+// retryOpenFile tries to open the file again, at most once per configurationRetryInterval.
 func (c *configuration) retryOpenFile(now time.Duration) {
 	if c.addressBound && now-c.lastAttemptAt >= configurationRetryInterval {
 		c.openFile(now)
 	}
 }
 
+// recordNewest stores a change that is newer than the known ones of its source.
 func (c *configuration) recordNewest(change configsync.Change) {
 	if c.newest[change.Source].Sequence < change.Sequence {
 		c.newest[change.Source] = change
 	}
 }
 
-// snapshot is all that has to be kept. An entry that is also the newest of its source stands there twice, which merges.
+// snapshot returns everything that must be saved. An entry that is also the newest change of its source is in the list
+// twice; merging it twice has no further effect.
 func (c *configuration) snapshot() configfile.Snapshot {
 	entries := c.store.Entries()
 	for _, source := range slices.Sorted(maps.Keys(c.newest)) {
@@ -277,7 +283,7 @@
 	return configfile.Snapshot{Entries: entries, Versions: c.store.Versions()}
 }
 
-// updateDirective works out what an entry restrains now.
+// updateDirective puts the current value of an entry into the directives, or removes an entry that is not in force.
 func (c *configuration) updateDirective(key string) {
 	if change, inForce := c.store.Get(key); inForce {
 		c.directives.Put(key, change.Value)
@@ -286,7 +292,8 @@
 	}
 }
 
-// addExclusions merges what the configuration restrains into the members that the fleet's word bars, in the order of their names.
+// addExclusions merges the pool members that the configuration excludes into those excluded by announcements of the fleet.
+// The result is sorted by name.
 func (c *configuration) addExclusions(bars []traffic.Bar, pool map[string]traffic.Member) []traffic.Bar {
 	if c == nil || c.directives.Empty() {
 		return bars
@@ -307,7 +314,7 @@
 	return merged
 }
 
-// close ends the use of the file.
+// close closes the file.
 func (c *configuration) close() {
 	if c != nil && c.file != nil {
 		_ = c.file.Close()
--- a/internal/fleet/configuration_driver.go
+++ b/internal/fleet/configuration_driver.go
@@ -10,32 +10,33 @@
 	"slatemux/internal/spread"
 )
 
-// minConfigurationWait is the least time between two looks at what is due of the configuration.
+// minConfigurationWait is the minimum time that the driver sleeps before the next step of the replication.
 const minConfigurationWait = time.Millisecond
 
 // Events of the inbox that concern configuration.
 type (
-	// changeSubmitted is a change that an operator handed to this relay.
+	// changeSubmitted is a change that an operator has submitted to this relay.
 	changeSubmitted struct {
 		change configsync.Change
-		done   chan<- error // has room for one
+		done   chan<- error // buffered channel of length 1
 	}
 
-	// trustedKeysChanged says that other sources are trusted.
+	// trustedKeysChanged reports that the trusted keys were loaded again.
 	trustedKeysChanged struct{}
 )
 
-// apply takes in the change. Its outcome is told when it is kept.
+// apply submits the change. stepConfiguration sends the reply after the change is saved.
 func (e changeSubmitted) apply(f *Fleet, now time.Duration, _ *stepResult) {
 	err := f.configuration.submit(now, e.change)
 	f.configuration.replies = append(f.configuration.replies, configurationReply{e.done, err})
 }
 
+// apply marks the published state as outdated, because it lists the trusted sources.
 func (e trustedKeysChanged) apply(f *Fleet, _ time.Duration, _ *stepResult) {
 	f.configuration.stateOutdated = true
 }
 
-// Configure hands in a change of an operator, and returns when it is kept and in force here.
+// Configure submits a change of an operator, and returns after the change is saved and in force at this relay.
 func (f *Fleet) Configure(ctx context.Context, change configsync.Change) error {
 	if f.configuration == nil {
 		return ErrConfigurationOff
@@ -50,7 +51,8 @@
 	}
 }
 
-// stepConfiguration keeps what is new of the configuration, brings it into force, and only then tells of it.
+// stepConfiguration saves new changes and brings them into force. Only then does it send them to other relays and reply to
+// operators.
 func (f *Fleet) stepConfiguration(now time.Duration) {
 	c := f.configuration
 	if c == nil {
@@ -62,7 +64,7 @@
 	}
 	f.sendConfiguration(now)
 	if len(c.replies) > 0 {
-		f.publishConfiguration() // who hears that a change is in force sees it, too
+		f.publishConfiguration() // an operator who gets the reply must see the change in the published state
 	}
 	for _, reply := range c.replies {
 		if reply.err == nil && c.saveError != nil {
@@ -73,6 +75,7 @@
 	c.replies = nil
 }
 
+// sendConfiguration sends the messages of the outbox.
 func (f *Fleet) sendConfiguration(now time.Duration) {
 	outbox := f.configuration.outbox
 	f.configuration.outbox = nil
@@ -83,7 +86,8 @@
 	f.send(packets)
 }
 
-// updateReplicationMembers tells the replica which live members replicate.
+// updateReplicationMembers tells the replica which live members replicate configuration. The first call, after this relay
+// has got its address, opens the configuration file.
 func (f *Fleet) updateReplicationMembers(now time.Duration) {
 	c := f.configuration
 	if c == nil {
@@ -103,14 +107,14 @@
 	c.setMembers(now, f.cfg.Self, announced)
 }
 
-// receiveConfiguration takes in a message of a live member that spread has let through.
+// receiveConfiguration passes a configuration message to the replica. internal/spread has accepted its packet.
 func (f *Fleet) receiveConfiguration(now time.Duration, from string, message *configsync.Message) {
 	if f.configuration != nil && message != nil {
 		f.configuration.receive(now, from, message)
 	}
 }
 
-// untilConfigurationDue is how long the driver may sleep for the configuration's sake.
+// untilConfigurationDue returns how long the driver may sleep before the next step of the replication.
 func (f *Fleet) untilConfigurationDue() time.Duration {
 	if f.configuration == nil {
 		return sweepInterval
@@ -118,7 +122,7 @@
 	return max(f.configuration.replica.Due()-f.now(), minConfigurationWait)
 }
 
-// reloadTrustedKeys reads the keys of the control machines again. A file that makes no sense changes nothing.
+// reloadTrustedKeys reads the keys of the control machines again. After an error the previous keys stay in use.
 func (f *Fleet) reloadTrustedKeys() error {
 	if f.configuration == nil {
 		return nil
--- a/internal/fleet/configuration_state.go
+++ b/internal/fleet/configuration_state.go
@@ -10,19 +10,19 @@
 	"slatemux/internal/fleet/directive"
 )
 
-// ConfigurationMetrics are what operators are shown of the replication of configuration among the fleet's figures.
+// ConfigurationMetrics holds the metrics of the replication of configuration, as operators see them.
 type ConfigurationMetrics struct {
-	Members int `json:"members"` // live relays that replicate, this one included
-	Entries int `json:"entries"` // kept, removed ones included
+	Members int `json:"members"` // live relays that replicate configuration, this one included
+	Entries int `json:"entries"` // entries in the store, removed ones included
 	Applied int `json:"applied_entries"`
-	Unknown int `json:"unknown_entries"` // in force, kept and passed on, and without a meaning in this build
-	// Kept says that everything in force outlives this process.
+	Unknown int `json:"unknown_entries"` // entries in force that are stored and replicated, but have no meaning in this build
+	// Kept is set if everything in force is saved, and thus outlives this process.
 	Kept      bool                `json:"kept"`
 	FileBytes int64               `json:"file_bytes"`
 	Counters  configsync.Counters `json:"counters"`
 }
 
-// LogValue names the figures in a log line.
+// LogValue returns the metrics as a group of log attributes.
 func (g *ConfigurationMetrics) LogValue() slog.Value {
 	if g == nil {
 		return slog.StringValue("off")
@@ -37,7 +37,7 @@
 		slog.Int64("diverged", c.Diverged), slog.Int64("full", c.Full))
 }
 
-// ConfigurationChange is a signed change in the form of JSON, as operators hand it in.
+// ConfigurationChange is a signed change as operators submit it, in JSON.
 type ConfigurationChange struct {
 	Source    string `json:"source"`
 	Sequence  uint64 `json:"sequence"`
@@ -48,7 +48,7 @@
 	Signature []byte `json:"signature"`
 }
 
-// Change returns the change that is meant.
+// Change converts the submitted change for the replication.
 func (c *ConfigurationChange) Change() configsync.Change {
 	change := configsync.Change{Source: c.Source, Sequence: c.Sequence, Revision: c.Revision, Key: c.Key, Removed: c.Removed, Signature: c.Signature}
 	if c.Value != "" {
@@ -65,18 +65,18 @@
 	Source   string `json:"source"`
 	Sequence uint64 `json:"sequence"`
 	Revision uint64 `json:"revision"`
-	Applied  bool   `json:"applied"` // it has a meaning in this build, and restrains this relay
+	Applied  bool   `json:"applied"` // the entry has a meaning in this build and restrains this relay
 }
 
 // ConfigurationSource is a control machine as operators see it.
 type ConfigurationSource struct {
 	Name         string `json:"name"`
-	Trusted      bool   `json:"trusted"` // its key is in the file
+	Trusted      bool   `json:"trusted"` // the machine's key is in the trusted key file
 	NextSequence uint64 `json:"next_sequence"`
 	NextRevision uint64 `json:"next_revision"`
 }
 
-// ConfigurationState is what operators are shown of the replicated configuration.
+// ConfigurationState is the replicated configuration as operators see it.
 type ConfigurationState struct {
 	Versions configsync.VersionVector `json:"versions"`
 	Digest   string                   `json:"digest"` // hexadecimal
@@ -86,7 +86,7 @@
 	Figures  ConfigurationMetrics     `json:"figures"`
 }
 
-// Configuration returns what was published last; nil for a relay that replicates none.
+// Configuration returns the state that was published last; nil for a relay that replicates no configuration.
 func (f *Fleet) Configuration() *ConfigurationState {
 	if f.configuration == nil {
 		return nil
@@ -97,7 +97,7 @@
 	return &state
 }
 
-// publishConfiguration stores what operators see, and returns the figures; nil where no configuration is replicated.
+// publishConfiguration stores the state that operators see, and returns the metrics; nil if no configuration is replicated.
 func (f *Fleet) publishConfiguration() *ConfigurationMetrics {
 	c := f.configuration
 	if c == nil {
@@ -119,6 +119,7 @@
 	return &state.Figures
 }
 
+// state builds the state that operators see, without the metrics that publishConfiguration adds.
 func (c *configuration) state() ConfigurationState {
 	entries := c.store.Entries()
 	state := ConfigurationState{Versions: c.store.Versions(), Digest: fmt.Sprintf("%016x", c.store.Digest()), Sources: c.sources(),
@@ -138,7 +139,7 @@
 	return state
 }
 
-// sources lists the control machines that are trusted or have changed something.
+// sources returns the control machines that are trusted or whose changes are known here.
 func (c *configuration) sources() []ConfigurationSource {
 	trusted := *c.keys.names.Load()
 	names := slices.AppendSeq(slices.Clone(trusted), maps.Keys(c.store.Versions()))
--- a/internal/fleet/configuration_test.go
+++ b/internal/fleet/configuration_test.go
@@ -382,7 +382,7 @@
 		want string
 	}{
 		{"# control machines\n\n" + good + newControlMachine("second").trustedKeyLine(), 0o644, ""},
-		{good, 0o666, "anybody may write it"},
+		{good, 0o666, "all users may write it"},
 		{good + "second\n", 0o600, "line 2"},
 		{good + "second c2hvcnQ=\n", 0o600, "line 2"},
 		{good + good, 0o600, "line 2"},
--- a/internal/fleet/delegate.go
+++ b/internal/fleet/delegate.go
@@ -9,7 +9,7 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// delegate implements memberlist's callbacks. None of them blocks, and none keeps the bytes that it is lent.
+// delegate implements memberlist's callbacks. No callback blocks, or keeps a byte slice that memberlist passes.
 type delegate struct{ f *Fleet }
 
 var (
@@ -19,19 +19,19 @@
 	_ memberlist.ConflictDelegate = delegate{}
 )
 
-// NodeMeta returns what this relay announces: that it replicates configuration, if it does.
+// NodeMeta returns the metadata that this relay announces. It is empty for a relay that replicates no configuration.
 func (d delegate) NodeMeta(int) []byte { return d.f.configuration.capability() }
 
-// NotifyMsg receives a packet of another member.
+// NotifyMsg receives a packet from another member.
 func (d delegate) NotifyMsg(b []byte) { d.f.enqueue(packetReceived(bytes.Clone(b))) }
 
-// GetBroadcasts returns nothing: internal/spread decides what is sent to whom.
+// GetBroadcasts returns nothing, because internal/spread decides which packets are sent to which member.
 func (d delegate) GetBroadcasts(_, _ int) [][]byte { return nil }
 
-// LocalState returns nothing: memberlist's push-pull carries members only.
+// LocalState returns nothing: memberlist's push-pull exchanges only carry the list of members.
 func (d delegate) LocalState(bool) []byte { return nil }
 
-// MergeRemoteState ignores the state of others; see LocalState.
+// MergeRemoteState ignores the state of other members; see LocalState.
 func (d delegate) MergeRemoteState([]byte, bool) {}
 
 // NotifyJoin records a member that has joined.
@@ -49,21 +49,21 @@
 	d.f.recordMember(n, state)
 }
 
-// NotifyConflict counts a name that two members use.
+// NotifyConflict counts and logs that two members use the same name.
 func (d delegate) NotifyConflict(existing, other *memberlist.Node) {
 	d.f.drops.NameConflicts.Add(1)
 	slog.Warn("fleet: a name is used twice", "name", other.Name, "at", existing.Address(), "and", other.Address())
 }
 
-// AckPayload returns this process's clock, which goes with the answer to a probe: incarnation and uptime in
-// microseconds, as varints.
+// AckPayload returns the payload of an answer to a probe: the incarnation of this process and its uptime in microseconds,
+// as varints.
 func (d delegate) AckPayload() []byte {
 	b := make([]byte, 0, 2*binary.MaxVarintLen64)
 	b = binary.AppendUvarint(b, d.f.incarnation.Load())
 	return binary.AppendUvarint(b, uint64(d.f.now()/time.Microsecond))
 }
 
-// NotifyPingComplete reads the clock that came with the answer to a probe; see AckPayload.
+// NotifyPingComplete reads the payload of an answer to a probe; see AckPayload.
 func (d delegate) NotifyPingComplete(n *memberlist.Node, roundTrip time.Duration, payload []byte) {
 	incarnation, rest, ok := readUvarint(payload)
 	if !ok {
@@ -81,7 +81,7 @@
 	})
 }
 
-// readUvarint reads a varint, and returns the bytes that follow it.
+// readUvarint reads a varint and returns the bytes after it.
 func readUvarint(b []byte) (x uint64, rest []byte, ok bool) {
 	x, n := binary.Uvarint(b)
 	if n <= 0 {
--- a/internal/fleet/directive/directive.go
+++ b/internal/fleet/directive/directive.go
@@ -1,5 +1,6 @@
-// Package directive gives configuration entries their meaning for a relay: what they restrain. It makes no calls and keeps no
-// state beside the set that its caller owns. An entry that it does not know means nothing here, and is for a later build.
+// Package directive interprets configuration entries: it determines which endpoints and destinations they exclude from new
+// calls. It does no I/O, and its only state is the Set that the caller owns. An unknown entry has no effect; it may be meant
+// for a later build.
 package directive
 
 import (
@@ -8,18 +9,18 @@
 	"strings"
 )
 
-// Kind is what a directive restrains.
+// Kind is the kind of a directive.
 type Kind int
 
 // The kinds of directives.
 const (
-	// EndpointDown bars one endpoint, as an operators' ban does.
+	// EndpointDown excludes one endpoint, as an operator's ban does.
 	EndpointDown Kind = iota + 1
-	// DestinationClosed bars all endpoints of a destination.
+	// DestinationClosed excludes all endpoints of a destination.
 	DestinationClosed
 )
 
-// The keys and values of configuration entries that have a meaning.
+// The key prefixes and values of the known configuration entries.
 const (
 	EndpointPrefix    = "endpoint/"
 	EndpointValueDown = "down"
@@ -35,7 +36,7 @@
 	Destination int    // of DestinationClosed
 }
 
-// Parse returns the meaning of an entry, and false for one that has none here.
+// Parse returns the directive of an entry, and false for an unknown entry.
 func Parse(key string, value []byte) (Directive, bool) {
 	if endpoint, ok := strings.CutPrefix(key, EndpointPrefix); ok {
 		return Directive{Kind: EndpointDown, Endpoint: endpoint}, endpoint != "" && string(value) == EndpointValueDown
@@ -47,7 +48,8 @@
 	return Directive{}, false
 }
 
-// parseDestination reads a destination's number, which has one way to be written: two keys never mean the same.
+// parseDestination parses the number of a destination. It accepts only the canonical decimal form, so that no two keys name
+// the same destination.
 func parseDestination(text string) (int, bool) {
 	number, err := strconv.Atoi(text)
 	if err != nil || number < 0 || number > math.MaxInt32 {
@@ -56,18 +58,18 @@
 	return number, strconv.Itoa(number) == text
 }
 
-// Set holds the directives of all entries for quick answers.
+// Set holds the directives of all entries for fast lookups.
 type Set struct {
 	endpoints    map[string]bool
 	destinations map[int]bool
 }
 
-// NewSet returns a set that bars nothing.
+// NewSet returns a set that excludes nothing.
 func NewSet() *Set {
 	return &Set{endpoints: map[string]bool{}, destinations: map[int]bool{}}
 }
 
-// Put takes over the value that an entry has now.
+// Put sets the current value of an entry.
 func (s *Set) Put(key string, value []byte) {
 	d, known := Parse(key, value)
 	if !known {
@@ -82,7 +84,7 @@
 	}
 }
 
-// Remove takes over that an entry is not there any more.
+// Remove removes the directive of an entry that no longer exists.
 func (s *Set) Remove(key string) {
 	if endpoint, ok := strings.CutPrefix(key, EndpointPrefix); ok {
 		delete(s.endpoints, endpoint)
@@ -94,10 +96,10 @@
 	}
 }
 
-// Excludes reports whether an endpoint of a destination is to get nothing new.
+// Excludes reports whether an endpoint of a destination must get no new calls.
 func (s *Set) Excludes(endpoint string, destination int) bool {
 	return s.endpoints[endpoint] || s.destinations[destination]
 }
 
-// Empty reports whether the set bars nothing.
+// Empty reports whether the set excludes nothing.
 func (s *Set) Empty() bool { return len(s.endpoints)+len(s.destinations) == 0 }
--- a/internal/fleet/driver.go
+++ b/internal/fleet/driver.go
@@ -9,13 +9,13 @@
 )
 
 const (
-	// maxInboxPackets bounds the inbox for packets; what arrives beyond it is dropped and counted.
+	// maxInboxPackets is the length of the inbox at which packets are dropped and counted.
 	maxInboxPackets = 2048
-	// maxInboxEvents bounds the inbox for events of this relay itself.
+	// maxInboxEvents is the length of the inbox at which events of this relay itself are dropped and counted.
 	maxInboxEvents = 4 * maxInboxPackets
-	// sweepInterval is how often statements are searched for expired ones, and figures are published.
+	// sweepInterval is how often expired statements are removed and metrics are published.
 	sweepInterval = 100 * time.Millisecond
-	// limitDivisionInterval is how often the division of limits is looked at beside what arrives.
+	// limitDivisionInterval is the longest time between two ticks of the allocator while nothing arrives.
 	limitDivisionInterval = 50 * time.Millisecond
 )
 
@@ -25,14 +25,14 @@
 	apply(f *Fleet, now time.Duration, r *stepResult)
 }
 
-// stepResult collects the consequences of one batch of events.
+// stepResult collects the results of one batch of events.
 type stepResult struct {
-	announcements     []verdicts.Statement // of this relay, to be sent to all
-	restraints        []verdicts.Restraint // for the relay
-	exclusionsChanged bool                 // the list of barred members may have changed
+	announcements     []verdicts.Statement // of this relay, to be sent to all members
+	restraints        []verdicts.Restraint // to be passed to the relay
+	exclusionsChanged bool                 // the list of pool members that get no new calls may have changed
 }
 
-// Run takes part in the fleet until ctx ends, and then leaves it.
+// Run takes part in the fleet until ctx ends, and then leaves the fleet.
 func (f *Fleet) Run(ctx context.Context) {
 	var goroutines sync.WaitGroup
 	goroutines.Go(func() { f.maintainMembership(ctx) })
@@ -40,7 +40,8 @@
 	goroutines.Wait()
 }
 
-// enqueue puts an event into the inbox. Packets are dropped at a lower bound than events of this relay itself.
+// enqueue puts an event into the inbox, or drops the event if the inbox is full. The limit is lower for packets, so that
+// packets cannot displace events of this relay itself.
 func (f *Fleet) enqueue(e event) {
 	f.shared.Lock()
 	defer f.shared.Unlock()
@@ -62,7 +63,7 @@
 	}
 }
 
-// isRoutine reports whether an event may wait for the next sweep: most calls succeed, and need not wake the driver.
+// isRoutine reports whether an event may wait for the next sweep. This holds for successful calls, which are most events.
 func isRoutine(e event) bool {
 	ended, ok := e.(callEnded)
 	return ok && ended.Outcome == verdicts.Succeeded
@@ -94,7 +95,7 @@
 	return batch
 }
 
-// untilNextStep is how long the driver may sleep when nothing arrives.
+// untilNextStep returns how long the driver may sleep if nothing arrives.
 func (f *Fleet) untilNextStep() time.Duration {
 	wait := min(f.spread.Due()-f.now(), sweepInterval)
 	if f.allocator != nil {
@@ -103,7 +104,7 @@
 	return min(wait, f.untilConfigurationDue())
 }
 
-// step applies a batch of events, then does what is due.
+// step applies a batch of events, and then runs the periodic work that is due.
 func (f *Fleet) step(batch []event) {
 	var r stepResult
 	for _, e := range batch {
--- a/internal/fleet/drops.go
+++ b/internal/fleet/drops.go
@@ -7,24 +7,24 @@
 	"sync/atomic"
 )
 
-// dropCounters counts what arrived and was not accepted, by reason. It is also the writer behind memberlist's logger, whose
-// lines are the only place where memberlist says what it dropped.
+// dropCounters counts rejected input, by reason. It is also the writer of memberlist's logger, because memberlist reports
+// what it dropped only in its log lines.
 type dropCounters struct {
 	Forged, OtherFleet, OtherVersion, Malformed, Oversized, InboxFull, NameConflicts atomic.Int64
 }
 
-// Parts of the lines that memberlist logs when it drops something. Each group has a test that causes one of its lines.
+// Parts of the lines that memberlist logs when it drops input. For each group a test causes one of its lines.
 var (
 	otherFleetLines   = []string{"unacceptable label", "label header"}
 	forgedLines       = []string{"Decrypt packet failed", "No installed keys could decrypt", "invalid checksum", "remote state is not encrypted", "Remote state is encrypted"}
 	otherVersionLines = []string{"protocol version(s) are wrong", "Vsn is not present", "not supported"}
 	oversizedLines    = []string{"larger than limit", "limit is", "handler queue full"}
 	malformedLines    = []string{"Failed to decode", "missing message type", "failed to receive", "Failed to read remote state", "invalid msgType", "truncated"}
-	// routineLines are warnings that are part of memberlist's normal work.
+	// routineLines are parts of warnings that memberlist logs in normal operation.
 	routineLines = []string{"Refuting", "over TCP but UDP"}
 )
 
-// Write counts what a line of memberlist's log says was dropped, and logs the line.
+// Write receives a line of memberlist's log. It counts the drop that the line reports, if any, and logs the line.
 func (d *dropCounters) Write(line []byte) (int, error) {
 	text := strings.TrimSpace(string(line))
 	counter := d.counterFor(text)
@@ -40,7 +40,7 @@
 	return len(line), nil
 }
 
-// counterFor is the counter for a line of memberlist's log; nil where it says nothing of a drop.
+// counterFor returns the counter for a line of memberlist's log; nil if the line reports no drop.
 func (d *dropCounters) counterFor(text string) *atomic.Int64 {
 	switch {
 	case containsAny(text, otherFleetLines):
@@ -58,7 +58,7 @@
 	}
 }
 
-// containsAny reports whether a text contains one of several parts.
+// containsAny reports whether a text contains at least one of the parts.
 func containsAny(text string, parts []string) bool {
 	return slices.ContainsFunc(parts, func(part string) bool { return strings.Contains(text, part) })
 }
--- a/internal/fleet/events.go
+++ b/internal/fleet/events.go
@@ -8,38 +8,39 @@
 )
 
 const (
-	// maxDrainDelay spreads over time what all relays learn at one moment, so that the first to announce it spares the
-	// others.
+	// maxDrainDelay bounds the random delay before a drain is announced. All relays learn of a drain at the same moment;
+	// the announcements of the first relays make those of the others unnecessary.
 	maxDrainDelay = 300 * time.Millisecond
-	// banRenewalsPerLifetime is how many times a ban is announced within the life of one announcement.
+	// banRenewalsPerLifetime is how many times a ban is announced within the lifetime of one announcement.
 	banRenewalsPerLifetime = 3
 )
 
-// Events of the inbox that come from this relay. Packets are in packets.go, rate limits in limits.go.
+// Inbox events from this relay. See packets.go for packets and limits.go for rate limits.
 type (
-	// callEnded tells how a call of this relay ended.
+	// callEnded reports how a call of this relay ended.
 	callEnded struct{ verdicts.Observation }
 
-	// memberHealth tells whether this relay's own calls hold a member out.
+	// memberHealth reports whether this relay's own calls show an outage of a pool member.
 	memberHealth struct {
 		member      string
 		destination int
 		outage      bool
-		retryFailed bool // another try at a member that was out has failed
+		retryFailed bool // a trial call during the outage has failed
 		since       time.Time
 	}
 
-	// poolUpdated carries a version of the relay's own list of members, by host name.
+	// poolUpdated carries a version of the relay's own list of pool members, by host name.
 	poolUpdated struct {
 		version int64
 		members map[string]traffic.Member
 	}
 
-	// bansUpdated carries the members that operators have taken down here.
+	// bansUpdated holds the names of the pool members that operators have banned at this relay.
 	bansUpdated map[string]bool
 )
 
-// pendingDrain is a drain that all relays learn of alike, announced at a random time unless others come first.
+// pendingDrain is a drain, or the end of one, that waits for its announcement. All relays learn of a drain from discovery.
+// This relay announces the drain at a random time, unless enough other relays have announced it before.
 type pendingDrain struct {
 	due         time.Duration
 	member      traffic.Member
@@ -72,8 +73,8 @@
 	}
 }
 
-// Health reports whether this relay holds a member out because of its own calls, since when, and whether another try
-// there has failed.
+// Health reports whether this relay's own calls show an outage of a pool member, since when, and whether a trial call has
+// failed since.
 func (f *Fleet) Health(member string, destination int, out, retryFailed bool, since time.Time) {
 	f.enqueue(memberHealth{
 		member:      member,
@@ -84,14 +85,16 @@
 	})
 }
 
-// Pool reports a version of the relay's own list of members, by host name. The map must not be used afterwards.
+// Pool reports a version of the relay's own list of pool members, by host name. The caller must not use the map
+// afterwards.
 func (f *Fleet) Pool(version int64, members map[string]traffic.Member) {
 	f.enqueue(poolUpdated{version: version, members: members})
 }
 
-// Bans reports which members operators have taken down here. The map must not be used afterwards.
+// Bans reports which pool members operators have banned at this relay. The caller must not use the map afterwards.
 func (f *Fleet) Bans(set map[string]bool) { f.enqueue(bansUpdated(set)) }
 
+// apply updates the judge, and announces the wait that the destination asked for, if any.
 func (e callEnded) apply(f *Fleet, now time.Duration, r *stepResult) {
 	r.restraints = append(r.restraints, f.judge.Observe(now, e.Observation)...)
 	if s, ok := f.announcer.Wait(now, f.store, e.Observation); ok {
@@ -99,8 +102,8 @@
 	}
 }
 
-// apply announces the beginning of an outage, unless enough other members hold the member out already, each try that
-// fails, and the end.
+// apply announces the start of an outage, each failed trial call and the end of the outage. The start is not announced if
+// enough relays have announced the same outage.
 func (e memberHealth) apply(f *Fleet, now time.Duration, r *stepResult) {
 	since := e.since.Sub(f.createdAt)
 	r.restraints = append(r.restraints, f.judge.SetOwnHealth(now, e.destination, e.member, e.outage, since)...)
@@ -116,7 +119,7 @@
 	}
 }
 
-// apply stores the new list, and schedules announcements of members that have left it or come back.
+// apply stores the new list, and schedules an announcement for each member that has become inactive or active again.
 func (e poolUpdated) apply(f *Fleet, now time.Duration, r *stepResult) {
 	for name, old := range f.pool {
 		current, listed := e.members[name]
@@ -139,10 +142,10 @@
 	r.exclusionsChanged = true
 }
 
-// isActive reports whether the pool lists a member for new calls.
+// isActive reports whether the pool lists a member as available for new calls.
 func isActive(m traffic.Member) bool { return m.Health == traffic.Active }
 
-// scheduleDrain schedules the announcement of a drain, or of its end.
+// scheduleDrain schedules the announcement of a drain or of the end of a drain.
 func (f *Fleet) scheduleDrain(now time.Duration, m traffic.Member, listVersion int64, over bool) {
 	f.pendingDrains[m.Host] = pendingDrain{
 		due:         now + time.Duration(f.rng.Float64()*float64(maxDrainDelay)),
@@ -174,7 +177,7 @@
 	}
 }
 
-// announceDue announces the drains that are due, and renews bans.
+// announceDue announces the pending drains that are due, and renews bans.
 func (f *Fleet) announceDue(now time.Duration, r *stepResult) {
 	for name, d := range f.pendingDrains {
 		if now < d.due {
@@ -201,7 +204,7 @@
 	return ok
 }
 
-// countOrigins counts the relays whose statement on a subject is in force.
+// countOrigins returns how many relays have a statement about a subject in force.
 func (f *Fleet) countOrigins(now time.Duration, subject verdicts.Subject) int {
 	count := 0
 	for _, s := range f.store.About(now, subject) {
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,9 +1,9 @@
 // Package fleet connects this relay to the other relays of its fleet. It runs memberlist for membership and encrypted
 // packets, and drives the decisions of internal/verdicts (what other relays have announced), internal/spread (how
-// announcements travel) and internal/allowance (how rate limits are divided).
+// announcements are sent to all members) and internal/allowance (how rate limits are divided).
 //
-// One goroutine owns these decisions. All input passes through one bounded inbox, and nothing in the relay's own work
-// waits for it. A relay that hears nothing from its fleet decides as one that is alone.
+// One goroutine, the driver, owns the state behind these decisions. It receives all input through one bounded inbox. The
+// relay's own work never waits for the driver. A relay that receives nothing from its fleet works as a single relay does.
 package fleet
 
 import (
@@ -25,31 +25,32 @@
 )
 
 const (
-	// maxPayloadBytes is the size of an announcement packet before memberlist adds wire.Sealing.
+	// maxPayloadBytes bounds the payload of an announcement packet, to which memberlist adds wire.Sealing bytes.
 	maxPayloadBytes = 1200
-	// driverRandomStream and membershipStream separate the random sequences of the two goroutines.
-	driverRandomStream     = 0xf1ee7
+	// driverRandomStream selects the random sequence of the driver goroutine.
+	driverRandomStream = 0xf1ee7
+	// membershipRandomStream selects the random sequence of the membership goroutine.
 	membershipRandomStream = 0x701
 )
 
-// Fleet is this relay's membership of its fleet. New creates it, Run runs it; its other methods may be called from any
-// goroutine.
+// Fleet is this relay's membership of its fleet. New creates a Fleet and Run runs it. Any goroutine may call the other
+// methods, except Recall.
 type Fleet struct {
 	cfg       Config
 	relay     Relay
-	createdAt time.Time // all durations that the decisions see count from here
+	createdAt time.Time // start of the clock that the decisions use
 	keyring   *memberlist.Keyring
 	drops     dropCounters
 	wake      chan struct{} // wakes the driver when the inbox has something urgent
-	// unknownMember asks the membership goroutine to synchronise with a known member: a packet came from a sender that
-	// is not a member here, or from one that knows other members.
+	// syncRequests asks the membership goroutine to compare member lists with a known member. The driver sends a request
+	// after a packet from a sender that is not a member here, or from a member whose list of members differs.
 	syncRequests     chan struct{}
 	incarnation      atomic.Uint64
-	rebuilds         atomic.Int64 // of what depends on the list of members
+	rebuilds         atomic.Int64 // rebuilds of the state that depends on the list of members; see rebuildMembers
 	lastHoldEndNanos atomic.Int64 // when the last hold ends, in Unix nanoseconds; read before every call
 	shared           sharedState
 
-	// Fields below belong to the driver goroutine.
+	// The driver goroutine owns the fields below.
 	announcer      *verdicts.Announcer
 	store          *verdicts.Store
 	judge          *verdicts.Judge
@@ -58,18 +59,18 @@
 	pool           map[string]traffic.Member // members of the relay's own pool, by host name
 	pendingDrains  map[string]pendingDrain
 	bans           map[string]bool
-	lastExclusions []traffic.Bar // as last handed to the relay
+	lastExclusions []traffic.Bar // as last passed to the relay
 	rng            *rand.Rand
 	bansRenewedAt  time.Duration
 	lastSweepAt    time.Duration
-	nextRebuildAt  time.Duration // when the list of members may be taken over again
-	// membersStale says that memberlist's list has changed since it was taken over.
+	nextRebuildAt  time.Duration // earliest time of the next rebuild of the members
+	// membersStale is set when memberlist's list of members has changed since the last rebuild.
 	membersStale   bool
-	allocator      *allowance.Allocator // nil before the relay listens, or where limits are not divided
+	allocator      *allowance.Allocator // nil before the relay listens, or if limits are not divided
 	restoredLimits map[int]float64      // limits that the previous process had learned, by destination
-	mayHaveLent    bool                 // an earlier process may have lent this relay's shares
+	mayHaveLent    bool                 // an earlier process of this relay may have lent its shares of the limits
 
-	configuration *configuration // nil where none is replicated
+	configuration *configuration // nil if this relay replicates no configuration
 }
 
 // sharedState is the state that the driver shares with callers of Fleet's methods.
@@ -81,14 +82,14 @@
 	members      map[string]*MemberState
 	memberList   *memberlist.Memberlist // nil before the relay listens
 	transport    *transport             // nil before the relay listens
-	statements   []verdicts.Statement   // as last published, for operators
-	limits       []allowance.State      // as last published, for operators
+	statements   []verdicts.Statement   // as last published for operators
+	limits       []allowance.State      // as last published for operators
 	lastReadings map[int]limitReading   // as last passed to the driver, by destination
 
-	configuration ConfigurationState // as last published, for operators
+	configuration ConfigurationState // as last published for operators
 }
 
-// New reads the keys and counts this start. Run starts the goroutines.
+// New reads the keys and saves a new incarnation number. Run starts the goroutines.
 func New(cfg Config, relay Relay) (*Fleet, error) {
 	keys, err := ReadKeys(cfg.KeyFile)
 	if err != nil {
@@ -100,7 +101,7 @@
 	}
 	incarnation, countErr := nextIncarnation(cfg.StateDir)
 	if countErr != nil {
-		slog.Warn("fleet: starts not counted; the others' memory of this name is asked instead", "err", countErr)
+		slog.Warn("fleet: incarnation not saved; other members report the newest one of this name", "err", countErr)
 	}
 	f := &Fleet{
 		cfg:           cfg,
@@ -134,7 +135,7 @@
 	return f, nil
 }
 
-// spread is the configuration of this relay's announcements.
+// spread returns the configuration of internal/spread.
 func (c *Config) spread() spread.Config {
 	return spread.Config{
 		Self:     c.Self,
@@ -146,11 +147,11 @@
 	}
 }
 
-// Recall hands over the limits that a previous process had learned, by destination. Call it before Run; the map must
-// not be used afterwards.
+// Recall sets the limits that a previous process had learned, by destination. Call it before Run. The caller must not use
+// the map afterwards.
 func (f *Fleet) Recall(limits map[int]float64) { f.restoredLimits = limits }
 
-// Reload reads the key files again. An invalid file changes nothing.
+// Reload reads the key files again. The keys of an invalid file are ignored, and the previous ones stay in use.
 func (f *Fleet) Reload() error {
 	keys, err := ReadKeys(f.cfg.KeyFile)
 	if err == nil {
@@ -164,8 +165,8 @@
 	return nil
 }
 
-// now is the time since the fleet was created.
+// now returns the time since the fleet was created.
 func (f *Fleet) now() time.Duration { return time.Since(f.createdAt) }
 
-// wallTime converts a duration since the fleet was created.
+// wallTime converts a duration since the fleet was created into a time.
 func (f *Fleet) wallTime(at time.Duration) time.Time { return f.createdAt.Add(at) }
--- a/internal/fleet/incarnation.go
+++ b/internal/fleet/incarnation.go
@@ -15,20 +15,20 @@
 const (
 	// incarnationFile holds the number of starts of this relay, in its state directory.
 	incarnationFile = "fleet-starts"
-	// incarnationBits bounds the number that is read from incarnationFile.
+	// incarnationBits bounds the bit length of the number that is read from incarnationFile.
 	incarnationBits = 62
-	// firstIncarnation is used where the file cannot be read.
+	// firstIncarnation is the incarnation of the first start, and of a start at which the file cannot be read.
 	firstIncarnation = 1
 )
 
-// nextIncarnation counts one more start. Where the count is lost it begins at 1 again; other members then answer with
-// the higher incarnation that they know.
+// nextIncarnation adds one to the number of starts and saves it. If the file is lost, the number starts at 1 again, and
+// other members answer with the higher incarnation that they know.
 func nextIncarnation(dir string) (uint64, error) {
 	raw, err := os.ReadFile(filepath.Join(dir, incarnationFile))
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
 		return firstIncarnation, err
 	}
-	// A file that was written in part counts as 0.
+	// The content of an incomplete file counts as 0.
 	previous, _ := strconv.ParseUint(strings.TrimSpace(string(raw)), 10, incarnationBits)
 	incarnation := previous + 1
 	return incarnation, saveIncarnation(dir, incarnation)
@@ -45,8 +45,8 @@
 	return os.Rename(temporary, path)
 }
 
-// supersede moves to an incarnation above one that another member knows of this relay's name: another process used the
-// name, or the incarnation file was lost. It does nothing for a version that this process has announced itself.
+// supersede switches to an incarnation above the one that another member knows for this relay's name. Another process has
+// used the name, or the incarnation file was lost. supersede does nothing for a version that this process has announced.
 func (f *Fleet) supersede(now time.Duration, known verdicts.Version) {
 	if !f.announcer.Supersede(known) {
 		return
@@ -56,10 +56,10 @@
 	f.spread.SetIncarnation(incarnation)
 	f.mayHaveLent = true
 	if f.allocator != nil {
-		// The numbers of the new allocator begin above those that other members have seen.
+		// The sequence numbers of the new allocator are above those that other members have seen.
 		f.startAllocator(now, f.spread.LiveMembers())
 	}
 	if err := saveIncarnation(f.cfg.StateDir, incarnation); err != nil {
-		slog.Warn("fleet: starts not counted", "err", err)
+		slog.Warn("fleet: incarnation not saved", "err", err)
 	}
 }
--- a/internal/fleet/keys.go
+++ b/internal/fleet/keys.go
@@ -16,18 +16,18 @@
 // keyBytes is the length of a key, for AES-256.
 const keyBytes = 32
 
-// maxKeys is how many keys may open at once: each that does not fit costs every packet a try.
+// maxKeys bounds the number of keys. memberlist tries to decrypt each packet with one key after the other.
 const maxKeys = 8
 
-// ReadKeys reads a key file: one key a line, 32 bytes in base64. The first seals, all open. Empty lines and those
-// that begin with # say nothing. The file is its owner's alone.
+// ReadKeys reads a key file with one key per line, 32 bytes in base64. The first key encrypts, and all keys decrypt. Empty
+// lines and lines that begin with # are ignored. Only the owner may have access to the file.
 func ReadKeys(path string) ([][]byte, error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return nil, fmt.Errorf("key_file: %w", err)
 	}
 	if mode := info.Mode().Perm(); mode&0o077 != 0 {
-		return nil, fmt.Errorf("key_file: %s: others may use it (mode %04o); it must be its owner's alone, as 0600", path, mode)
+		return nil, fmt.Errorf("key_file: %s: others may use it (mode %04o); only its owner may have access, as with 0600", path, mode)
 	}
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -42,10 +42,10 @@
 		}
 		key, err := base64.StdEncoding.DecodeString(text)
 		if err != nil || len(key) != keyBytes {
-			return nil, fmt.Errorf("key_file: %s: line %d is not %d bytes in base64", path, n, keyBytes) // and never what it says
+			return nil, fmt.Errorf("key_file: %s: line %d is not %d bytes in base64", path, n, keyBytes) // the error must not contain the key
 		}
 		if slices.ContainsFunc(keys, func(k []byte) bool { return bytes.Equal(k, key) }) {
-			return nil, fmt.Errorf("key_file: %s: line %d has a key that stands above", path, n)
+			return nil, fmt.Errorf("key_file: %s: line %d repeats an earlier key", path, n)
 		}
 		keys = append(keys, key)
 	}
@@ -61,8 +61,8 @@
 	return keys, nil
 }
 
-// replaceKeys makes a ring hold these keys, the first as the one that seals. At no moment does the ring lack a key that is in
-// both the old and the new set.
+// replaceKeys sets the keys of a keyring. The first key becomes the one that encrypts. A key that is in both the old and the
+// new set stays in the keyring all the time.
 func replaceKeys(ring *memberlist.Keyring, keys [][]byte) error {
 	var errs []error
 	for _, k := range keys {
--- a/internal/fleet/limits.go
+++ b/internal/fleet/limits.go
@@ -11,20 +11,20 @@
 )
 
 const (
-	// minReadingInterval is the least time between two readings of a destination's limit that reach the driver, unless they
-	// differ by more than readingStep.
+	// minReadingInterval is the minimum time between two readings of a destination's limit that are passed to the driver,
+	// unless the readings differ by more than minReadingStepShare.
 	minReadingInterval = 50 * time.Millisecond
-	// minReadingStepShare is the share of a limit by which a reading must differ to reach the driver at once.
+	// minReadingStepShare is the relative difference above which a reading is passed to the driver at once.
 	minReadingStepShare = 0.1
-	// maxReadings bounds the destinations whose newest reading is kept.
+	// maxReadings bounds the destinations whose last reading is kept.
 	maxReadings = 16384
 )
 
 type (
-	// demandReported tells what has arrived and what waits at this relay, by destination.
+	// demandReported reports how much has arrived and how much waits at this relay, by destination.
 	demandReported []traffic.Demand
 
-	// limitReading is a destination's limit, as an answer of the destination gave it.
+	// limitReading is the rate limit that a destination gave in an answer.
 	limitReading struct {
 		destination int
 		limit       float64
@@ -32,14 +32,14 @@
 	}
 )
 
-// Demand reports what this relay has to send. The list must not be used afterwards.
+// Demand reports how much this relay has to send, by destination. The caller must not use the list afterwards.
 func (f *Fleet) Demand(list []traffic.Demand) {
 	if f.cfg.DivideLimits {
 		f.enqueue(demandReported(list))
 	}
 }
 
-// readLimit passes a limit that an answer gave to the driver, unless one like it has just been passed.
+// readLimit passes the limit of an answer to the driver, unless a similar one was passed shortly before.
 func (f *Fleet) readLimit(destination int, limit float64) {
 	if !f.cfg.DivideLimits {
 		return
@@ -50,7 +50,7 @@
 	}
 }
 
-// recordReading stores a reading, and reports whether it is worth passing on.
+// recordReading decides whether a reading is to be passed to the driver, and stores the reading if so.
 func (f *Fleet) recordReading(reading limitReading) bool {
 	f.shared.Lock()
 	defer f.shared.Unlock()
@@ -66,6 +66,7 @@
 	return true
 }
 
+// apply passes the demand to the allocator.
 func (e demandReported) apply(f *Fleet, now time.Duration, _ *stepResult) {
 	if f.allocator == nil {
 		return
@@ -75,13 +76,15 @@
 	}
 }
 
+// apply passes the limit to the allocator.
 func (e limitReading) apply(f *Fleet, now time.Duration, _ *stepResult) {
 	if f.allocator != nil {
 		f.allocator.ObserveLimit(now, e.destination, e.limit)
 	}
 }
 
-// startAllocator begins to take part in dividing limits, where the configuration asks for it.
+// startAllocator creates a new allocator, if the configuration enables the division of limits and names more than one
+// relay.
 func (f *Fleet) startAllocator(now time.Duration, live []string) {
 	if !f.cfg.DivideLimits || f.cfg.Relays < 2 {
 		return
@@ -99,7 +102,7 @@
 	f.allocator.SetMembers(now, live)
 }
 
-// receiveLimitMessages hands the claim and the grant of a packet to the allocator, and sends its answers.
+// receiveLimitMessages passes the claim and the grant of a packet to the allocator, and sends the allocator's answers.
 func (f *Fleet) receiveLimitMessages(now time.Duration, packet *spread.Packet) {
 	if f.allocator == nil {
 		return
@@ -113,14 +116,14 @@
 	f.sendLimitMessages(now)
 }
 
-// sendLimitMessages sends the claims and grants that the allocator has ready.
+// sendLimitMessages sends the pending claims and grants of the allocator.
 func (f *Fleet) sendLimitMessages(now time.Duration) {
 	for _, m := range f.allocator.TakeMessages() {
 		f.send(f.spread.SendLimitMessage(now, m.To, m.Claim, m.Grant))
 	}
 }
 
-// divideLimits sends the claims and grants that are due, and hands the relay its rates.
+// divideLimits sends the claims and grants that are due, and passes new rates to the relay.
 func (f *Fleet) divideLimits(now time.Duration) {
 	if f.allocator == nil {
 		return
--- a/internal/fleet/members.go
+++ b/internal/fleet/members.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	// departedRetention is how long a member that has left or died stays listed.
+	// departedRetention is how long a member stays listed after it has left or died.
 	departedRetention = 10 * time.Minute
-	// maxListedMembers bounds the members that are listed, before those that are gone are dropped.
+	// maxListedMembers is the number of listed members above which those that have left or died are dropped at once.
 	maxListedMembers = 4096
 )
 
@@ -24,20 +24,20 @@
 	stateLeft  = "left"
 )
 
-// MemberState is a member as operators see it.
+// MemberState is a member of the fleet as operators see it.
 type MemberState struct {
 	Name  string    `json:"name"`
 	Addr  string    `json:"addr"`
 	State string    `json:"state"` // alive, dead or left
 	Since time.Time `json:"since"`
-	RTTMS float64   `json:"rtt_ms"` // round trip of the newest probe; 0 for none
+	RTTMS float64   `json:"rtt_ms"` // round trip of the newest probe; 0 before the first
 	Self  bool      `json:"self,omitempty"`
 
-	// node is a copy: memberlist changes its own when the member comes back at another address.
+	// node is a copy, because memberlist changes its own node when the member returns at another address.
 	node *memberlist.Node
 }
 
-// Members returns all known members, by name.
+// Members returns all known members, sorted by name.
 func (f *Fleet) Members() []MemberState {
 	f.shared.Lock()
 	defer f.shared.Unlock()
@@ -49,7 +49,7 @@
 	return list
 }
 
-// recordMember stores what memberlist reports of a member.
+// recordMember stores a member's state as memberlist reports it, and tells the driver.
 func (f *Fleet) recordMember(n *memberlist.Node, state string) {
 	f.updateMemberState(n, state)
 	if n.Name != f.cfg.Self {
@@ -77,7 +77,7 @@
 	m.Addr = node.Address()
 }
 
-// nodeOf returns a member's node as memberlist reported it last; nil for none.
+// nodeOf returns a member's node as memberlist last reported it; nil for an unknown member.
 func (f *Fleet) nodeOf(name string) *memberlist.Node {
 	f.shared.Lock()
 	defer f.shared.Unlock()
@@ -87,7 +87,8 @@
 	return nil
 }
 
-// dropLongDeparted drops members that have been gone for long. It needs the lock.
+// dropLongDeparted drops members that left or died more than departedRetention ago. If too many members are listed, it
+// drops all that have left or died. The caller holds the lock.
 func (f *Fleet) dropLongDeparted() {
 	for name, m := range f.shared.members {
 		if m.State == stateAlive {
@@ -99,7 +100,7 @@
 	}
 }
 
-// deadAddresses lists the last addresses of members that have died.
+// deadAddresses returns the last known addresses of members that have died.
 func (f *Fleet) deadAddresses() []string {
 	f.shared.Lock()
 	defer f.shared.Unlock()
@@ -112,7 +113,7 @@
 	return addresses
 }
 
-// recordRoundTrip stores the round trip of a probe.
+// recordRoundTrip stores the round-trip time of a probe.
 func (f *Fleet) recordRoundTrip(clock peerClock) {
 	f.shared.Lock()
 	defer f.shared.Unlock()
@@ -121,4 +122,5 @@
 	}
 }
 
+// milliseconds converts a duration to a number of milliseconds.
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
--- a/internal/fleet/membership.go
+++ b/internal/fleet/membership.go
@@ -16,38 +16,41 @@
 )
 
 const (
-	// minJoinPause is the pause after the first try to join the fleet. It doubles with each try.
+	// minJoinPause is the pause before the first attempt to join the fleet. The pause doubles with each attempt.
 	minJoinPause = 250 * time.Millisecond
-	// maxJoinPause bounds the pause between two tries to join the fleet.
+	// maxJoinPause bounds the pause between two attempts to join the fleet.
 	maxJoinPause = 8 * time.Second
-	// rejoinInterval is the mean time between two tries to reach an address where no live member is known.
+	// rejoinInterval is the mean time between two attempts to reach an address where no live member is known.
 	rejoinInterval = 10 * time.Second
-	// syncDelay is the mean delay before members are compared with a known one after an unknown one was heard.
+	// syncDelay is the mean delay between a sync request and the comparison of member lists with a known member.
 	syncDelay = 3 * time.Second
-	// bindRetryInterval is how often a taken address is tried: a predecessor holds it until its hand-over ends.
+	// bindRetryInterval is the pause between two attempts to listen on an address in use. A predecessor process uses the
+	// address until its handover ends.
 	bindRetryInterval = 200 * time.Millisecond
-	// leaveTimeout bounds the announcement that this relay leaves.
+	// leaveTimeout bounds the time for announcing that this relay leaves.
 	leaveTimeout = 300 * time.Millisecond
 
-	// suspicionMultiplier is memberlist's: how long a member that does not answer probes is suspected before it is dead.
+	// suspicionMultiplier is memberlist's SuspicionMult. It scales how long a member that does not answer probes is
+	// suspected before it is declared dead.
 	suspicionMultiplier = 3
-	// streamTimeout bounds a stream's connect, read and write.
+	// streamTimeout bounds each connect, read and write of a stream.
 	streamTimeout = 2 * time.Second
-	// nameReclaimTime is how long after a member died its name may come back at another address.
+	// nameReclaimTime is how long after a member's death another address may use its name.
 	nameReclaimTime = 5 * time.Second
-	// handoffQueueDepth bounds the messages that memberlist keeps for its delegate.
+	// handoffQueueDepth bounds the messages that memberlist queues for its delegate.
 	handoffQueueDepth = 512
 )
 
-// rebuildPausePerMember is the least time between two rebuilds of what depends on the list of members, for each member: 250 ms at 3,900, where a
-// rebuild takes some 8 ms, and next to nothing in a small fleet, whose new members are heard at once.
+// rebuildPausePerMember, times the number of members, is the minimum time between two rebuilds of the state that depends on
+// the list of members. At 3,900 members, where a rebuild takes about 8 ms, the pause is 250 ms. In a small fleet the pause
+// is negligible, so that packets of new members are accepted at once.
 const rebuildPausePerMember = 64 * time.Microsecond
 
 // membershipChanged tells the driver that memberlist's list of members has changed.
 type membershipChanged struct{}
 
-// maintainMembership keeps this relay a member: it waits for its address, joins the fleet, and goes on trying addresses
-// where no live member is known, so that the two halves of a partitioned fleet find each other again.
+// maintainMembership keeps this relay a member of the fleet. It waits for its address, joins, and keeps trying addresses
+// where no live member is known, so that the two halves of a partitioned fleet rejoin.
 func (f *Fleet) maintainMembership(ctx context.Context) {
 	rng := rand.New(rand.NewPCG(f.cfg.Seed, membershipRandomStream))
 	list, err := f.listen(ctx)
@@ -72,27 +75,27 @@
 		}
 		if address != "" {
 			_, err := list.Join([]string{address})
-			slog.Debug("fleet: looked for a member", "addr", address, "err", err)
+			slog.Debug("fleet: join attempted", "addr", address, "err", err)
 		}
 		alone = list.NumMembers() < 2 && len(f.cfg.Join) > 0
 	}
 }
 
-// awaitJoinAddress waits, and returns the next address to join: after the wait one where no live member is known, or
-// earlier that of a live member, where an unknown one was heard. It returns "" for none, and when ctx ends.
+// awaitJoinAddress waits, and returns the next address to join. After the wait this is an address where no live member is
+// known. After a sync request it is the address of a live member. The result is "" if there is no address or ctx ends.
 func (f *Fleet) awaitJoinAddress(ctx context.Context, list *memberlist.Memberlist, wait time.Duration, rng *rand.Rand) string {
-	unknownMember := f.syncRequests
+	syncRequests := f.syncRequests
 	if list.NumMembers() < 2 {
-		unknownMember = nil // there is nobody to compare with: all senders are unknown to one that has not joined yet
+		syncRequests = nil // before this relay has joined, all senders are unknown and there is no member to compare with
 	}
 	select {
 	case <-ctx.Done():
 		return ""
 	case <-time.After(jittered(wait, rng)):
 		return f.pickMissingAddress(list, rng)
-	case <-unknownMember:
+	case <-syncRequests:
 	}
-	// Not at once: all members may have heard the unknown one.
+	// The delay is random, because all members may have received a packet of the same unknown sender.
 	select {
 	case <-ctx.Done():
 		return ""
@@ -101,7 +104,7 @@
 	}
 }
 
-// jittered returns a duration between half of mean and half as much again.
+// jittered returns a random duration between 0.5 and 1.5 times mean.
 func jittered(mean time.Duration, rng *rand.Rand) time.Duration {
 	return time.Duration((0.5 + rng.Float64()) * float64(mean))
 }
@@ -109,12 +112,12 @@
 // leave announces that this relay leaves the fleet, and closes its address.
 func leave(list *memberlist.Memberlist) {
 	if err := list.Leave(leaveTimeout); err != nil {
-		slog.Debug("fleet: no farewell", "err", err)
+		slog.Debug("fleet: leaving not announced", "err", err)
 	}
 	_ = list.Shutdown()
 }
 
-// listen opens the address as soon as it is free.
+// listen waits until the address is free, listens on it and starts memberlist.
 func (f *Fleet) listen(ctx context.Context) (*memberlist.Memberlist, error) {
 	warned := false
 	for {
@@ -150,10 +153,10 @@
 	return list, nil
 }
 
-// TuneMemberlist sets what a fleet's relays change of memberlist's configuration for a local network: times, queues and protocol
-// versions. The laboratory's measurements of membership use it too.
+// TuneMemberlist sets the times, queue length and protocol versions in which relays differ from memberlist's default
+// configuration for a local network. The laboratory's measurements of membership use it too.
 func TuneMemberlist(c *memberlist.Config) {
-	c.EnableCompression = false // packets hold names and counts of some tens of bytes
+	c.EnableCompression = false // packets hold only names and counts of some tens of bytes
 	c.SuspicionMult = suspicionMultiplier
 	c.TCPTimeout = streamTimeout
 	c.DeadNodeReclaimTime = nameReclaimTime
@@ -163,7 +166,7 @@
 	c.DelegateProtocolMax = wire.Version
 }
 
-// memberlistConfig is memberlist's configuration for a local network, with this relay's names, keys and delegates.
+// memberlistConfig returns memberlist's configuration for a local network, with this relay's name, keys and delegates.
 func (f *Fleet) memberlistConfig(t *transport) *memberlist.Config {
 	c := memberlist.DefaultLANConfig()
 	c.Name = f.cfg.Self
@@ -185,14 +188,14 @@
 	return c
 }
 
-// memberList returns nil before the relay listens.
+// memberList returns memberlist's list of members; nil before the relay listens.
 func (f *Fleet) memberList() *memberlist.Memberlist {
 	f.shared.Lock()
 	defer f.shared.Unlock()
 	return f.shared.memberList
 }
 
-// pickLiveAddress picks the address of a random live member; "" for none.
+// pickLiveAddress returns the address of a random live member other than this relay; "" if there is none.
 func pickLiveAddress(list *memberlist.Memberlist, rng *rand.Rand) string {
 	self := list.LocalNode().Name
 	isSelf := func(n *memberlist.Node) bool { return n.Name == self }
@@ -203,8 +206,8 @@
 	return others[rng.IntN(len(others))].Address()
 }
 
-// pickMissingAddress picks a random address where no live member is known, of the configured ones and those of dead
-// members; "" for none.
+// pickMissingAddress returns a random address where no live member is known. The candidates are the configured addresses
+// and those of dead members. The result is "" if there is none.
 func (f *Fleet) pickMissingAddress(list *memberlist.Memberlist, rng *rand.Rand) string {
 	live := map[string]bool{list.LocalNode().Address(): true}
 	for _, n := range list.Members() {
@@ -228,14 +231,15 @@
 	return missing[rng.IntN(len(missing))]
 }
 
-// apply has the members taken over at once, or where that was done of late, as soon as it is due again.
+// apply rebuilds the members now, or after the pause that must follow the previous rebuild.
 func (e membershipChanged) apply(f *Fleet, now time.Duration, r *stepResult) {
 	f.membersStale = true
 	f.rebuildMembers(now, r)
 }
 
-// rebuildMembers takes over memberlist's list of live members where that is due, and forgets what members said that are gone. It
-// guards against a restart of the whole fleet: a rebuild takes some milliseconds at 3,900 members, and there are two changes a member.
+// rebuildMembers copies memberlist's list of live members if the list has changed and a rebuild is due. It removes the
+// statements of members that are no longer live. The pause between rebuilds limits the work when the whole fleet restarts:
+// a rebuild takes some milliseconds at 3,900 members, and each member causes two changes.
 func (f *Fleet) rebuildMembers(now time.Duration, r *stepResult) {
 	if !f.membersStale || now < f.nextRebuildAt {
 		return
@@ -255,7 +259,7 @@
 	}
 	f.forgetDeparted(now, live, r)
 	if len(live) > len(f.nodes) {
-		f.spread.ExchangeSoon(now) // a new member soon hears what is in force
+		f.spread.ExchangeSoon(now) // a new member soon receives the statements in force
 	}
 	f.nodes = live
 	f.spread.SetMembers(names)
@@ -267,7 +271,7 @@
 	}
 }
 
-// forgetDeparted drops the statements of members that are not live any more.
+// forgetDeparted removes the statements of members that are no longer live.
 func (f *Fleet) forgetDeparted(now time.Duration, live map[string]*memberlist.Node, r *stepResult) {
 	for name := range f.nodes {
 		if live[name] != nil {
--- a/internal/fleet/metrics.go
+++ b/internal/fleet/metrics.go
@@ -9,7 +9,7 @@
 	"slatemux/internal/verdicts"
 )
 
-// Figures are the metrics that operators see.
+// Figures holds the metrics that operators see.
 type Figures struct {
 	Members       int               `json:"members"` // live members, this relay included
 	StalenessMS   float64           `json:"staleness_ms"`
@@ -19,34 +19,34 @@
 	Drops         Drops             `json:"drops"`
 	Spread        spread.Counters   `json:"spread"`
 	JudgeCounters verdicts.Counters `json:"judged"`
-	// Divided counts the work of dividing limits; all zero where it is off.
+	// Divided counts the work of dividing limits; all counters are zero if limits are not divided.
 	Divided allowance.Counters `json:"divided"`
-	// Configuration tells of the replication of configuration; nil where it is off.
+	// Configuration holds the metrics of the replication of configuration; nil if replication is off.
 	Configuration *ConfigurationMetrics `json:"configuration,omitempty"`
 }
 
-// Drops counts what was not accepted, by reason.
+// Drops counts rejected input, by reason, and packets that were not sent.
 type Drops struct {
-	Forged        int64 `json:"forged"`    // not encrypted by a key of ours, or corrupted
-	Replayed      int64 `json:"replayed"`  // seen before, or of an earlier start
+	Forged        int64 `json:"forged"`    // not encrypted with a key of this fleet, or corrupted
+	Replayed      int64 `json:"replayed"`  // received before, or of an earlier incarnation of the sender
 	OtherFleet    int64 `json:"foreign"`   // of another fleet
 	OtherVersion  int64 `json:"version"`   // of a wire version that this build does not read
 	Malformed     int64 `json:"form"`      // malformed
-	Oversized     int64 `json:"oversized"` // longer than the fleet sends
-	Strangers     int64 `json:"strangers"` // from a sender that is no member
-	Overrun       int64 `json:"overrun"`   // arrived while the inbox was full
-	NameConflicts int64 `json:"conflict"`  // a name that two members use
-	Short         int64 `json:"short"`     // not sent, for lack of bandwidth
+	Oversized     int64 `json:"oversized"` // longer than any packet or stream that a relay sends
+	Strangers     int64 `json:"strangers"` // from a sender that is not a member
+	Overrun       int64 `json:"overrun"`   // arrived while the inbox was full, or a stream above maxStreams
+	NameConflicts int64 `json:"conflict"`  // two members with the same name
+	Short         int64 `json:"short"`     // not sent, because the bandwidth was used up
 }
 
-// Figures returns the figures that were published last.
+// Figures returns the metrics that were published last.
 func (f *Fleet) Figures() Figures {
 	f.shared.Lock()
 	defer f.shared.Unlock()
 	return f.shared.metrics
 }
 
-// Verdicts returns the statements in force, by origin.
+// Verdicts returns the statements in force, by origin, as last published.
 func (f *Fleet) Verdicts() []Verdict {
 	f.shared.Lock()
 	defer f.shared.Unlock()
@@ -57,14 +57,14 @@
 	return list
 }
 
-// Limits returns the state of the limits that the fleet divides, by destination.
+// Limits returns the state of the limits that the fleet divides, by destination, as last published.
 func (f *Fleet) Limits() []allowance.State {
 	f.shared.Lock()
 	defer f.shared.Unlock()
 	return append([]allowance.State{}, f.shared.limits...)
 }
 
-// Verdict is a statement as operators see it.
+// Verdict is a statement of a relay as operators see it.
 type Verdict struct {
 	Origin      string  `json:"origin"`
 	Kind        string  `json:"kind"`
@@ -75,10 +75,11 @@
 	Seq         uint64  `json:"seq"`
 	AgeMS       float64 `json:"age_ms"`
 	LengthMS    float64 `json:"length_ms,omitempty"`
-	LeftMS      float64 `json:"left_ms"` // until it lapses
+	LeftMS      float64 `json:"left_ms"` // until the statement expires
 	List        int64   `json:"list,omitempty"`
 }
 
+// newVerdict converts a statement for operators.
 func newVerdict(s verdicts.Statement) Verdict {
 	return Verdict{
 		Origin:      s.Origin,
@@ -95,7 +96,7 @@
 	}
 }
 
-// publish stores what operators see.
+// publish stores the state and the metrics that operators see.
 func (f *Fleet) publish(now time.Duration) {
 	f.incarnation.Store(f.announcer.Incarnation())
 	statements := f.store.All(now)
@@ -139,7 +140,7 @@
 	}
 }
 
-// addTransport adds the counters of the transport.
+// addTransport sets the traffic metrics and adds the drops that the transport counts.
 func (g *Figures) addTransport(t *transport) {
 	g.SentBytes = t.sentBytes.Load()
 	g.ReceivedBytes = t.receivedBytes.Load()
@@ -147,7 +148,7 @@
 	g.Drops.Overrun += t.refusedStreams.Load()
 }
 
-// LogValue names the figures in a log line.
+// LogValue returns the metrics as a group of log attributes.
 func (g Figures) LogValue() slog.Value {
 	return slog.GroupValue(
 		slog.Int("members", g.Members),
--- a/internal/fleet/packets.go
+++ b/internal/fleet/packets.go
@@ -11,10 +11,10 @@
 )
 
 type (
-	// packetReceived is a packet of another member, as memberlist has decrypted it.
+	// packetReceived is a packet of another member, decrypted by memberlist.
 	packetReceived []byte
 
-	// peerClock is the clock of another member, as its answer to a probe gives it.
+	// peerClock is the incarnation and uptime of another member, as given in its answer to a probe.
 	peerClock struct {
 		from        string
 		incarnation uint64
@@ -23,6 +23,7 @@
 	}
 )
 
+// apply decodes a packet, merges its statements and sends the replies.
 func (e packetReceived) apply(f *Fleet, now time.Duration, r *stepResult) {
 	packet, err := wire.Decode(e)
 	if err != nil {
@@ -51,7 +52,7 @@
 	}
 }
 
-// countUndecodable counts a packet that wire.Decode refused.
+// countUndecodable counts a packet that wire.Decode rejected.
 func (d *dropCounters) countUndecodable(err error) {
 	if errors.Is(err, wire.ErrVersion) {
 		d.OtherVersion.Add(1)
@@ -60,7 +61,7 @@
 	}
 }
 
-// requestSync asks the membership goroutine to synchronise with a known member.
+// requestSync asks the membership goroutine to compare member lists with a known member.
 func (f *Fleet) requestSync() {
 	select {
 	case f.syncRequests <- struct{}{}:
@@ -68,13 +69,14 @@
 	}
 }
 
+// apply records the clock of a member and the round-trip time of the probe.
 func (e peerClock) apply(f *Fleet, now time.Duration, _ *stepResult) {
 	f.spread.RecordClock(now, e.from, e.incarnation, e.uptime)
 	f.recordRoundTrip(e)
 }
 
-// send encodes packets and hands them to memberlist. Before the relay listens, and to nodes that are gone, nothing is
-// sent.
+// send encodes packets and passes them to memberlist. It sends nothing before the relay listens, and nothing to a member
+// that is no longer live.
 func (f *Fleet) send(packets []spread.Send) {
 	list := f.memberList()
 	if list == nil {
--- a/internal/fleet/restraints.go
+++ b/internal/fleet/restraints.go
@@ -8,9 +8,10 @@
 	"slatemux/internal/verdicts"
 )
 
-// Held reports whether an announcement of other relays holds a group. It is called before each call is written.
+// Held reports whether calls of a group must wait because of an announcement of other relays. The relay calls Held before
+// it writes each call.
 func (f *Fleet) Held(group traffic.Group, now time.Time) bool {
-	if now.UnixNano() >= f.lastHoldEndNanos.Load() { // no hold at all, as is usual
+	if now.UnixNano() >= f.lastHoldEndNanos.Load() { // the usual case: no group is on hold
 		return false
 	}
 	f.shared.Lock()
@@ -18,7 +19,7 @@
 	return now.Before(f.shared.holdEnds[group])
 }
 
-// restrain hands restraints to the relay, and holds calls that are about to be written.
+// restrain stores the holds for Held, and passes all restraints to the relay.
 func (f *Fleet) restrain(restraints []verdicts.Restraint) {
 	if len(restraints) == 0 {
 		return
@@ -37,7 +38,7 @@
 	f.relay.Restrain(list)
 }
 
-// translate converts a decision of the judge into the relay's form.
+// translate converts a decision of the judge into a restraint for the relay.
 func (f *Fleet) translate(r verdicts.Restraint) traffic.Restraint {
 	translated := traffic.Restraint{Member: r.Member, At: f.wallTime(r.At)}
 	switch r.Order {
@@ -54,13 +55,13 @@
 	return translated
 }
 
-// setHold stores until when a group is held. It needs the lock.
+// setHold stores until when a group is on hold. The caller holds the lock.
 func (f *Fleet) setHold(group traffic.Group, until time.Time) {
 	f.shared.holdEnds[group] = until
 	f.lastHoldEndNanos.Store(max(f.lastHoldEndNanos.Load(), until.UnixNano()))
 }
 
-// dropExpiredHolds needs the lock.
+// dropExpiredHolds removes the holds that have ended. The caller holds the lock.
 func (f *Fleet) dropExpiredHolds(now time.Time) {
 	for group, until := range f.shared.holdEnds {
 		if !until.After(now) {
@@ -69,7 +70,7 @@
 	}
 }
 
-// updateExclusions hands the relay the members that get no new calls, where the list has changed.
+// updateExclusions passes the pool members that get no new calls to the relay, if the list has changed.
 func (f *Fleet) updateExclusions(now time.Duration) {
 	var bars []traffic.Bar
 	for _, name := range f.judge.Barred(now) {
--- a/internal/fleet/transport.go
+++ b/internal/fleet/transport.go
@@ -13,19 +13,20 @@
 )
 
 const (
-	// maxPacketBytes is the longest packet that is read; what is longer is none of ours.
+	// maxPacketBytes is the size of the longest packet that is accepted. No relay sends a longer one.
 	maxPacketBytes = 1500
-	// readBufferBytes bounds what the system keeps of packets that this relay has not looked at.
+	// readBufferBytes is the size of the socket's receive buffer, for packets that this relay has not read yet.
 	readBufferBytes = 256 << 10
-	// maxStreamBytes bounds what one stream may bring: the members of a fleet of some thousand. memberlist would take 20 MB
-	// from anybody before it looks at the seal, more than the smallest relay has.
+	// maxStreamBytes bounds the bytes that are read from one stream. It suffices for the member list of a fleet of some
+	// thousand relays. memberlist itself would read up to 20 MB from any sender before it checks the encryption, more memory
+	// than the smallest relay has.
 	maxStreamBytes = 512 << 10
-	// maxStreams bounds how many streams are open at once.
+	// maxStreams bounds the number of incoming streams that are open at the same time.
 	maxStreams = 8
 )
 
-// transport carries memberlist's packets and streams over UDP and TCP on one address. It counts, bounds, and sends from
-// the address that it listens on, so that a machine with several is known by one.
+// transport carries memberlist's packets over UDP and its streams over TCP, on one address. It counts and limits the
+// traffic. It sends from the address on which it listens, so that other members see one address of a machine with several.
 type transport struct {
 	tcp        *net.TCPListener
 	udp        *net.UDPConn
@@ -37,12 +38,13 @@
 
 	sentBytes, receivedBytes       atomic.Int64 // bytes
 	oversizedCount, refusedStreams atomic.Int64
-	openStreams                    atomic.Int64 // streams that came and are open
+	openStreams                    atomic.Int64 // incoming streams that are open
 }
 
 var _ memberlist.NodeAwareTransport = (*transport)(nil)
 
-// openTransport opens both. A process that ends closes them, so an address in use is that of another that lives.
+// openTransport opens the TCP listener and the UDP socket. The system closes both when a process ends, so an address in use
+// belongs to another process that is still running.
 func openTransport(addr *net.UDPAddr) (*transport, error) {
 	tcp, err := net.ListenTCP("tcp", &net.TCPAddr{IP: addr.IP, Port: addr.Port})
 	if err != nil {
@@ -53,7 +55,7 @@
 		tcp.Close()
 		return nil, fmt.Errorf("fleet: %w", err)
 	}
-	_ = udp.SetReadBuffer(readBufferBytes) // the system's own size otherwise
+	_ = udp.SetReadBuffer(readBufferBytes) // on an error the socket keeps the system's default size
 	t := &transport{
 		tcp:     tcp,
 		udp:     udp,
@@ -66,6 +68,7 @@
 	return t, nil
 }
 
+// readPackets passes the packets of the UDP socket to memberlist until the transport is shut down.
 func (t *transport) readPackets() {
 	buf := make([]byte, maxPacketBytes+1)
 	for {
@@ -74,7 +77,7 @@
 			select {
 			case <-t.closed:
 				return
-			case <-time.After(10 * time.Millisecond): // an error of the moment, such as a port unreachable
+			case <-time.After(10 * time.Millisecond): // a temporary error, such as an unreachable port
 				continue
 			}
 		}
@@ -92,6 +95,7 @@
 	}
 }
 
+// accept passes incoming TCP connections to memberlist until the transport is shut down.
 func (t *transport) accept() {
 	for {
 		c, err := t.tcp.Accept()
@@ -118,7 +122,7 @@
 	}
 }
 
-// stream counts what passes, and ends where more comes than a fleet's state can be.
+// stream is a TCP connection that counts its bytes, and fails a read after maxStreamBytes.
 type stream struct {
 	net.Conn
 	transport *transport
@@ -127,6 +131,7 @@
 	closeOnce sync.Once
 }
 
+// Read counts the received bytes, and fails once the limit of the stream is used up.
 func (s *stream) Read(b []byte) (int, error) {
 	if s.bytesLeft <= 0 {
 		s.transport.oversizedCount.Add(1)
@@ -138,12 +143,14 @@
 	return n, err
 }
 
+// Write counts the sent bytes.
 func (s *stream) Write(b []byte) (int, error) {
 	n, err := s.Conn.Write(b)
 	s.transport.sentBytes.Add(int64(n))
 	return n, err
 }
 
+// Close closes the connection. The first call removes an incoming stream from the count of open ones.
 func (s *stream) Close() error {
 	s.closeOnce.Do(func() {
 		if s.incoming {
@@ -153,7 +160,8 @@
 	return s.Conn.Close()
 }
 
-// FinalAdvertiseAddr is asked with what the configuration advertises.
+// FinalAdvertiseAddr implements memberlist.Transport. It returns the configured address, or the listener's address if none
+// is configured.
 func (t *transport) FinalAdvertiseAddr(ip string, port int) (net.IP, int, error) {
 	if ip == "" {
 		a := t.tcp.Addr().(*net.TCPAddr)
@@ -161,7 +169,7 @@
 	}
 	addr := net.ParseIP(ip)
 	if addr == nil {
-		return nil, 0, fmt.Errorf("fleet: %q is no address", ip)
+		return nil, 0, fmt.Errorf("fleet: %q is not an IP address", ip)
 	}
 	if v4 := addr.To4(); v4 != nil {
 		addr = v4
@@ -169,6 +177,7 @@
 	return addr, port, nil
 }
 
+// WriteTo implements memberlist.Transport.
 func (t *transport) WriteTo(b []byte, addr string) (time.Time, error) {
 	to, err := net.ResolveUDPAddr("udp", addr)
 	if err != nil {
@@ -179,12 +188,15 @@
 	return time.Now(), err
 }
 
+// WriteToAddress implements memberlist.NodeAwareTransport.
 func (t *transport) WriteToAddress(b []byte, a memberlist.Address) (time.Time, error) {
 	return t.WriteTo(b, a.Addr)
 }
 
+// PacketCh implements memberlist.Transport.
 func (t *transport) PacketCh() <-chan *memberlist.Packet { return t.packets }
 
+// DialTimeout implements memberlist.Transport.
 func (t *transport) DialTimeout(addr string, timeout time.Duration) (net.Conn, error) {
 	from := t.tcp.Addr().(*net.TCPAddr)
 	d := net.Dialer{Timeout: timeout, LocalAddr: &net.TCPAddr{IP: from.IP}, Control: allowAddressReuse}
@@ -195,17 +207,21 @@
 	return &stream{Conn: c, transport: t, bytesLeft: maxStreamBytes}, nil
 }
 
-// allowAddressReuse lets the system choose a port although connections of this address linger.
+// allowAddressReuse sets SO_REUSEADDR, so that the system can choose a local port although closed connections of this
+// address are still in TIME_WAIT.
 func allowAddressReuse(_, _ string, c syscall.RawConn) error {
 	return c.Control(func(fd uintptr) { _ = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_REUSEADDR, 1) })
 }
 
+// DialAddressTimeout implements memberlist.NodeAwareTransport.
 func (t *transport) DialAddressTimeout(a memberlist.Address, timeout time.Duration) (net.Conn, error) {
 	return t.DialTimeout(a.Addr, timeout)
 }
 
+// StreamCh implements memberlist.Transport.
 func (t *transport) StreamCh() <-chan net.Conn { return t.streams }
 
+// Shutdown closes the sockets and waits for the goroutines to end.
 func (t *transport) Shutdown() error {
 	t.closeOnce.Do(func() { close(t.closed) })
 	t.tcp.Close()
--- a/internal/fleet/trusted_keys.go
+++ b/internal/fleet/trusted_keys.go
@@ -16,16 +16,16 @@
 	"slatemux/internal/fleet/wire"
 )
 
-// ReadTrustedKeys reads the public keys of the control machines whose configuration changes are taken: one line for each, its
-// name and its Ed25519 key in base64. Empty lines and those that begin with # say nothing. Who may write the file may
-// configure the relay, so others than its owner and group may not.
+// ReadTrustedKeys reads the public keys of the control machines whose configuration changes are accepted. Each line has the
+// name of a machine and its Ed25519 key in base64. Empty lines and lines that begin with # are ignored. A user with write
+// access to the file can configure the relay, so only the owner and the group may have it.
 func ReadTrustedKeys(path string) (map[string]ed25519.PublicKey, error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return nil, fmt.Errorf("trusted_key_file: %w", err)
 	}
 	if mode := info.Mode().Perm(); mode&0o002 != 0 {
-		return nil, fmt.Errorf("trusted_key_file: %s: anybody may write it (mode %04o)", path, mode)
+		return nil, fmt.Errorf("trusted_key_file: %s: all users may write it (mode %04o)", path, mode)
 	}
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -40,7 +40,7 @@
 		}
 		name, key, err := parseTrustedKey(text)
 		if err == nil && keys[name] != nil {
-			err = fmt.Errorf("%q has a key above", name)
+			err = fmt.Errorf("%q already has a key", name)
 		}
 		if err != nil {
 			return nil, fmt.Errorf("trusted_key_file: %s: line %d: %w", path, number, err)
@@ -56,13 +56,14 @@
 	return keys, nil
 }
 
+// parseTrustedKey parses a line of the trusted key file.
 func parseTrustedKey(text string) (name string, key ed25519.PublicKey, err error) {
 	fields := strings.Fields(text)
 	if len(fields) != 2 {
-		return "", nil, fmt.Errorf("a name and a key are wanted, not %d words", len(fields))
+		return "", nil, fmt.Errorf("expected a name and a key, found %d words", len(fields))
 	}
 	if len(fields[0]) > configsync.MaxSourceBytes {
-		return "", nil, fmt.Errorf("a name of %d bytes, more than %d", len(fields[0]), configsync.MaxSourceBytes)
+		return "", nil, fmt.Errorf("the name has %d bytes, more than %d", len(fields[0]), configsync.MaxSourceBytes)
 	}
 	key, err = base64.StdEncoding.DecodeString(fields[1])
 	if err != nil || len(key) != ed25519.PublicKeySize {
@@ -71,15 +72,16 @@
 	return fields[0], key, nil
 }
 
-// trustedKeys verify changes by the keys that were read last. Any goroutine may replace them.
+// trustedKeys verifies changes with the keys that were read last. Any goroutine may replace the keys.
 type trustedKeys struct {
 	names   atomic.Pointer[[]string]
 	keyring atomic.Pointer[configsync.Keyring]
-	// restoring says that changes come from this relay's own folder: they were verified before they were kept.
+	// restoring is set while changes are read from this relay's own state directory. They were verified before they were
+	// saved.
 	restoring bool
 }
 
-// load reads the keys. A file that makes no sense changes nothing.
+// load reads the keys. After an error the previous keys stay in use.
 func (k *trustedKeys) load(path string) error {
 	keys, err := ReadTrustedKeys(path)
 	if err != nil {
@@ -91,7 +93,7 @@
 	return nil
 }
 
-// Verify implements configsync.Verifier.
+// Verify implements configsync.Verifier. It accepts all changes while restoring is set.
 func (k *trustedKeys) Verify(change *configsync.Change) error {
 	if k.restoring {
 		return nil
--- a/internal/fleet/wire/configuration.go
+++ b/internal/fleet/wire/configuration.go
@@ -12,17 +12,18 @@
 	"slatemux/internal/spread"
 )
 
-// Bounds of one configuration message; what is over them is refused.
+// Bounds of one configuration message. Decode rejects a message that exceeds them.
 const (
-	// MaxConfigurationChanges bounds the changes of one message, those of all deltas together.
+	// MaxConfigurationChanges bounds the number of changes in one message, in all deltas together.
 	MaxConfigurationChanges = 256
-	// MaxConfigurationSources bounds the sources that a version vector names, and the deltas.
+	// MaxConfigurationSources bounds the number of sources in a version vector, and the number of deltas.
 	MaxConfigurationSources = 64
-	// MaxConfigurationPositionBytes bounds a position of a scope, in bytes.
+	// MaxConfigurationPositionBytes bounds each position of a scope.
 	MaxConfigurationPositionBytes = 512
 )
 
-// ConfigurationSize returns a function that tells what a configuration message of a sender takes on the network at most.
+// ConfigurationSize returns a function that computes the maximum size on the network, in bytes, of a configuration message
+// of a sender.
 func ConfigurationSize(sender string) func(*configsync.Message) int {
 	return func(message *configsync.Message) int {
 		return Size(&spread.Packet{
@@ -35,6 +36,7 @@
 	}
 }
 
+// encodeConfiguration converts a configuration message into its protobuf form; nil stays nil.
 func encodeConfiguration(message *configsync.Message) *fleetv1.Configuration {
 	switch {
 	case message == nil:
@@ -50,6 +52,7 @@
 	return &fleetv1.Configuration{}
 }
 
+// encodePush converts a push into its protobuf form.
 func encodePush(push *configsync.Push) *fleetv1.ConfigurationPush {
 	return &fleetv1.ConfigurationPush{
 		Number: push.Number,
@@ -60,6 +63,7 @@
 	}
 }
 
+// encodeExchange converts an anti-entropy exchange into its protobuf form.
 func encodeExchange(exchange *configsync.Exchange) *fleetv1.ConfigurationExchange {
 	encoded := &fleetv1.ConfigurationExchange{
 		Reply:   exchange.Reply,
@@ -78,12 +82,12 @@
 	return encoded
 }
 
-// encodeChanges leaves out the source where it is the one that the receiver assumes.
-func encodeChanges(changes []configsync.Change, assumed string) []*fleetv1.ConfigurationChange {
+// encodeChanges converts changes into their protobuf form. It omits the source of a change if the source is the default one.
+func encodeChanges(changes []configsync.Change, defaultSource string) []*fleetv1.ConfigurationChange {
 	var encoded []*fleetv1.ConfigurationChange
 	for i := range changes {
 		change := EncodeChange(&changes[i])
-		if change.Source == assumed {
+		if change.Source == defaultSource {
 			change.Source = ""
 		}
 		encoded = append(encoded, change)
@@ -91,7 +95,7 @@
 	return encoded
 }
 
-// EncodeChange returns a change in the form of the wire.
+// EncodeChange converts a change into its protobuf form.
 func EncodeChange(change *configsync.Change) *fleetv1.ConfigurationChange {
 	return &fleetv1.ConfigurationChange{
 		Source:    change.Source,
@@ -104,7 +108,7 @@
 	}
 }
 
-// EncodeVersions returns a version vector in the form of the wire, in the order of its sources.
+// EncodeVersions converts a version vector into its protobuf form, sorted by source.
 func EncodeVersions(versions configsync.VersionVector) []*fleetv1.ConfigurationVersion {
 	var encoded []*fleetv1.ConfigurationVersion
 	for source, sequence := range versions {
@@ -114,7 +118,8 @@
 	return encoded
 }
 
-// decodeConfiguration returns no message for a packet without one, and for one of a kind that a later build has.
+// decodeConfiguration returns nil for a packet without a configuration message, and for a message of an unknown kind, which
+// a later build may send.
 func decodeConfiguration(encoded *fleetv1.Configuration) (*configsync.Message, error) {
 	switch kind := encoded.GetKind().(type) {
 	case *fleetv1.Configuration_Push:
@@ -127,12 +132,13 @@
 	return nil, nil
 }
 
+// decodePush reads and validates a push.
 func decodePush(encoded *fleetv1.ConfigurationPush) (*configsync.Message, error) {
 	switch {
 	case len(encoded.Change) == 0 || len(encoded.Change) > MaxConfigurationChanges:
-		return nil, fmt.Errorf("%w: a push of %d configuration changes", ErrMalformed, len(encoded.Change))
+		return nil, fmt.Errorf("%w: push of %d configuration changes", ErrMalformed, len(encoded.Change))
 	case len(encoded.Low) > MaxConfigurationPositionBytes || len(encoded.High) > MaxConfigurationPositionBytes:
-		return nil, fmt.Errorf("%w: a configuration scope of %d and %d bytes", ErrMalformed, len(encoded.Low), len(encoded.High))
+		return nil, fmt.Errorf("%w: configuration scope with positions of %d and %d bytes", ErrMalformed, len(encoded.Low), len(encoded.High))
 	}
 	changes, err := decodeChanges(encoded.Change, "")
 	if err != nil {
@@ -146,6 +152,7 @@
 	return &configsync.Message{Push: &configsync.Push{Number: encoded.Number, Scope: scope, Changes: changes}}, nil
 }
 
+// decodeExchange reads and validates an anti-entropy exchange.
 func decodeExchange(encoded *fleetv1.ConfigurationExchange) (*configsync.Message, error) {
 	if len(encoded.Delta) > MaxConfigurationSources || encoded.Ahead > math.MaxInt32 {
 		return nil, fmt.Errorf("%w: %d configuration deltas, %d changes ahead", ErrMalformed, len(encoded.Delta), encoded.Ahead)
@@ -169,9 +176,10 @@
 	return &configsync.Message{Exchange: exchange}, nil
 }
 
+// decodeDelta reads and validates a delta.
 func decodeDelta(encoded *fleetv1.ConfigurationDelta) (configsync.Delta, error) {
 	if encoded.Source == "" || encoded.After >= encoded.Through {
-		return configsync.Delta{}, fmt.Errorf("%w: a configuration delta of %q from %d through %d", ErrMalformed, encoded.Source, encoded.After,
+		return configsync.Delta{}, fmt.Errorf("%w: configuration delta of %q from %d through %d", ErrMalformed, encoded.Source, encoded.After,
 			encoded.Through)
 	}
 	changes, err := decodeChanges(encoded.Change, encoded.Source)
@@ -180,16 +188,17 @@
 	}
 	for i := range changes {
 		if c := &changes[i]; c.Source != encoded.Source || c.Sequence <= encoded.After || c.Sequence > encoded.Through {
-			return configsync.Delta{}, fmt.Errorf("%w: change %d of %q is none of its configuration delta", ErrMalformed, c.Sequence, c.Source)
+			return configsync.Delta{}, fmt.Errorf("%w: change %d of %q is outside its configuration delta", ErrMalformed, c.Sequence, c.Source)
 		}
 	}
 	return configsync.Delta{Source: encoded.Source, After: encoded.After, Through: encoded.Through, Changes: changes}, nil
 }
 
-func decodeChanges(encoded []*fleetv1.ConfigurationChange, assumed string) ([]configsync.Change, error) {
+// decodeChanges reads changes; see DecodeChange.
+func decodeChanges(encoded []*fleetv1.ConfigurationChange, defaultSource string) ([]configsync.Change, error) {
 	var changes []configsync.Change
 	for _, e := range encoded {
-		change, err := DecodeChange(e, assumed)
+		change, err := DecodeChange(e, defaultSource)
 		if err != nil {
 			return nil, err
 		}
@@ -198,8 +207,8 @@
 	return changes, nil
 }
 
-// DecodeChange reads a change. One that names no source is of the assumed one.
-func DecodeChange(encoded *fleetv1.ConfigurationChange, assumed string) (configsync.Change, error) {
+// DecodeChange reads a change. A change that names no source gets the default source.
+func DecodeChange(encoded *fleetv1.ConfigurationChange, defaultSource string) (configsync.Change, error) {
 	change := configsync.Change{
 		Source:    encoded.GetSource(),
 		Sequence:  encoded.GetSequence(),
@@ -210,23 +219,23 @@
 		Signature: encoded.GetSignature(),
 	}
 	if change.Source == "" {
-		change.Source = assumed
+		change.Source = defaultSource
 	}
 	if change.Source == "" || change.Key == "" || change.Sequence == 0 || change.Revision == 0 {
-		return configsync.Change{}, fmt.Errorf("%w: a configuration change without source, key, sequence or revision", ErrMalformed)
+		return configsync.Change{}, fmt.Errorf("%w: configuration change without source, key, sequence or revision", ErrMalformed)
 	}
 	return change, nil
 }
 
-// DecodeVersions reads a version vector.
+// DecodeVersions reads and validates a version vector.
 func DecodeVersions(encoded []*fleetv1.ConfigurationVersion) (configsync.VersionVector, error) {
 	if len(encoded) > MaxConfigurationSources {
-		return nil, fmt.Errorf("%w: a version vector of %d sources", ErrMalformed, len(encoded))
+		return nil, fmt.Errorf("%w: version vector of %d sources", ErrMalformed, len(encoded))
 	}
 	versions := configsync.VersionVector{}
 	for _, version := range encoded {
 		if _, twice := versions[version.Source]; twice || version.Source == "" {
-			return nil, fmt.Errorf("%w: version %d of source %q", ErrMalformed, version.Sequence, version.Source)
+			return nil, fmt.Errorf("%w: invalid version %d of source %q", ErrMalformed, version.Sequence, version.Source)
 		}
 		versions[version.Source] = version.Sequence
 	}
--- a/internal/fleet/wire/wire.go
+++ b/internal/fleet/wire/wire.go
@@ -1,5 +1,5 @@
-// Package wire encodes and decodes what relays of one fleet send each other: a byte of version, then protobuf. What does
-// not make sense is refused whole, with the reason, before any of it is believed.
+// Package wire encodes and decodes the packets between the relays of a fleet: one byte of version, then protobuf. Decode
+// validates a packet before any part of it is used, and rejects an invalid packet as a whole with the reason.
 package wire
 
 import (
@@ -18,32 +18,32 @@
 
 //go:generate protoc -I ../../../proto --go_out=../../.. --go_opt=module=slatemux ../../../proto/slatemux/fleet/v1/fleet.proto
 
-// Version is the form of packets. A relay reads no other.
+// Version is the version of the packet format. A relay reads no other version.
 const Version = 1
 
-// Sealing is what memberlist adds to a packet of ours: its type, checksum, label, nonce and seal, and the headers of UDP
-// and IP.
+// Sealing is the number of bytes that are added to an encoded packet on the network: memberlist's type (1), checksum (5),
+// label (12), encryption version, nonce and authentication tag (29), and the headers of UDP and IP (28).
 const Sealing = 1 + 5 + 12 + 29 + 28
 
-// MaxNews bounds the statements of one packet.
+// MaxNews bounds the number of statements in one packet.
 const MaxNews = 256
 
 const (
-	// maxGroups bounds the groups that receivers of a packet may be divided into.
+	// maxGroups bounds the number of groups into which the receivers of a packet are divided.
 	maxGroups = 1 << 16
-	// maxDuration bounds the durations in a packet: no relay sends a longer one.
+	// maxDuration bounds the durations in a packet. No relay sends a longer duration.
 	maxDuration = 24 * time.Hour
-	// maxRate bounds the rates in a packet, in calls a second.
+	// maxRate bounds the rates in a packet, in calls per second.
 	maxRate = 1e12
 )
 
-// The reasons for which a packet is refused.
+// The reasons for which Decode rejects a packet.
 var (
 	ErrVersion   = errors.New("another version")
-	ErrMalformed = errors.New("not a packet")
+	ErrMalformed = errors.New("malformed packet")
 )
 
-// Append encodes a packet.
+// Append appends an encoded packet to b.
 func Append(b []byte, p *spread.Packet) ([]byte, error) {
 	b, err := proto.MarshalOptions{}.MarshalAppend(append(b, Version), encodePacket(p))
 	if err != nil {
@@ -52,7 +52,7 @@
 	return b, nil
 }
 
-// Size is what a packet takes on the network, in bytes.
+// Size returns the size of a packet on the network in bytes, with Sealing.
 func Size(p *spread.Packet) int { return Sealing + 1 + proto.Size(encodePacket(p)) }
 
 // encodePacket converts a packet into its protobuf form.
@@ -82,6 +82,7 @@
 	return m
 }
 
+// encodeStatement converts a statement into its protobuf form.
 func encodeStatement(s *verdicts.Statement) *fleetv1.Statement {
 	return &fleetv1.Statement{
 		Origin:      s.Origin,
@@ -98,6 +99,7 @@
 	}
 }
 
+// encodeClaim converts a claim into its protobuf form; nil stays nil.
 func encodeClaim(c *allowance.Claim) *fleetv1.Claim {
 	if c == nil {
 		return nil
@@ -125,6 +127,7 @@
 	return m
 }
 
+// encodeGrant converts a grant into its protobuf form; nil stays nil.
 func encodeGrant(g *allowance.Grant) *fleetv1.Grant {
 	if g == nil {
 		return nil
@@ -146,15 +149,16 @@
 	return m
 }
 
+// encodeDuration converts a duration to microseconds; a negative one becomes 0.
 func encodeDuration(t time.Duration) uint64 { return uint64(max(t, 0) / time.Microsecond) }
 
-// decodeDuration reads a duration of the wire, cut to maxDuration.
+// decodeDuration converts microseconds to a duration of at most maxDuration.
 func decodeDuration(us uint64) time.Duration {
 	longest := uint64(maxDuration / time.Microsecond)
 	return time.Duration(min(us, longest)) * time.Microsecond
 }
 
-// Decode reads a packet.
+// Decode decodes and validates a packet.
 func Decode(b []byte) (spread.Packet, error) {
 	var p spread.Packet
 	if len(b) == 0 {
@@ -196,25 +200,26 @@
 	return p, nil
 }
 
-// validate returns an error for a message that no relay sends.
+// validate returns an error for a packet that no relay sends.
 func validate(m *fleetv1.Packet) error {
 	switch {
 	case m.From == "" || len(m.From) > verdicts.MaxNameLength:
-		return fmt.Errorf("%w: a sender of %d bytes", ErrMalformed, len(m.From))
+		return fmt.Errorf("%w: sender name of %d bytes", ErrMalformed, len(m.From))
 	case m.Count == 0 || m.UptimeUs > math.MaxInt64/uint64(time.Microsecond):
-		return fmt.Errorf("%w: count or uptime", ErrMalformed)
+		return fmt.Errorf("%w: count or uptime out of range", ErrMalformed)
 	case m.Groups > 0 && m.Group >= m.Groups || m.Groups > maxGroups:
 		return fmt.Errorf("%w: group %d of %d", ErrMalformed, m.Group, m.Groups)
 	case len(m.News) > MaxNews:
 		return fmt.Errorf("%w: %d statements", ErrMalformed, len(m.News))
 	case m.Claim.GetShard() >= allowance.Shards || m.Grant.GetShard() >= allowance.Shards:
-		return fmt.Errorf("%w: a shard of %d", ErrMalformed, allowance.Shards)
+		return fmt.Errorf("%w: shard number not below %d", ErrMalformed, allowance.Shards)
 	case len(m.Summary) != 0 && len(m.Summary) != len(verdicts.Summary{}):
-		return fmt.Errorf("%w: a summary of %d parts", ErrMalformed, len(m.Summary))
+		return fmt.Errorf("%w: summary of %d parts", ErrMalformed, len(m.Summary))
 	}
 	return nil
 }
 
+// decodeStatement reads a statement.
 func decodeStatement(m *fleetv1.Statement) verdicts.Statement {
 	return verdicts.Statement{
 		Origin:  m.Origin,
@@ -228,6 +233,7 @@
 	}
 }
 
+// decodeClaim reads a claim; nil stays nil.
 func decodeClaim(m *fleetv1.Claim) *allowance.Claim {
 	if m == nil {
 		return nil
@@ -257,6 +263,7 @@
 	return c
 }
 
+// decodeGrant reads a grant; nil stays nil.
 func decodeGrant(m *fleetv1.Grant) *allowance.Grant {
 	if m == nil {
 		return nil
@@ -278,7 +285,7 @@
 	return g
 }
 
-// decodeRate reads a rate of the wire; an invalid one is 0.
+// decodeRate returns a rate of a packet, or 0 for an invalid one.
 func decodeRate(x float64) float64 {
 	if x >= 0 && x < maxRate {
 		return x
@@ -286,7 +293,8 @@
 	return 0
 }
 
-// decodeKind keeps kinds of a later build apart from known ones: no store takes them.
+// decodeKind returns the kind of a statement. A number beyond one byte, from a later build, becomes 0, which no store
+// accepts, so that it is not taken for a known kind.
 func decodeKind(x uint32) verdicts.Kind {
 	if x > math.MaxUint8 {
 		return 0
