--- a/internal/fleet/configfile/configfile_test.go
+++ b/internal/fleet/configfile/configfile_test.go
@@ -18,11 +18,12 @@
 
 const testMaxBytes = 1 << 20
 
+// testChange returns a change of the source "control" with a dummy signature.
 func testChange(sequence uint64, key, value string) configsync.Change {
 	return configsync.Change{Source: "control", Sequence: sequence, Revision: sequence, Key: key, Value: []byte(value), Signature: bytes.Repeat([]byte{7}, 64)}
 }
 
-// saveEach writes changes one by one and returns the file's content after each.
+// saveEach saves changes one by one, and returns the content of the file after each.
 func saveEach(t *testing.T, dir string, changes []configsync.Change) (contents [][]byte) {
 	t.Helper()
 	f, snapshot, err := Open(dir, testMaxBytes)
@@ -44,11 +45,13 @@
 	return contents
 }
 
+// testChanges returns three changes, of which the last removes the entry of the first.
 func testChanges() []configsync.Change {
 	return []configsync.Change{testChange(1, "endpoint/a", "down"), testChange(2, "destination/7", "closed"),
 		{Source: "control", Sequence: 3, Revision: 3, Key: "endpoint/a", Removed: true, Signature: []byte{1}}}
 }
 
+// Guards against saved changes that cannot be read, and against a file that other users may read.
 func TestSavedChangesAreRead(t *testing.T) {
 	dir := t.TempDir()
 	saveEach(t, dir, testChanges())
@@ -61,7 +64,8 @@
 	}
 }
 
-// Torn at every byte, the file gives what was saved whole before, and is written on from there.
+// Guards against data loss after a crash during a write, which truncates the file at any byte. Reading yields the changes of
+// all complete records, and further changes can be appended.
 func TestTruncatedAtEveryByte(t *testing.T) {
 	changes := testChanges()
 	contents := saveEach(t, t.TempDir(), changes)
@@ -76,16 +80,16 @@
 		if err != nil {
 			t.Fatal(n, err)
 		}
-		known := 0 // changes whose record and version vector are whole
+		known := 0 // changes whose record and version vector are complete
 		for known < len(contents) && len(contents[known]) <= n {
 			known++
 		}
 		if got.Versions["control"] != uint64(known) || len(got.Entries) < known || len(got.Entries) > known+1 {
-			t.Fatalf("cut at %d: %+v, want %d changes", n, got, known)
+			t.Fatalf("truncated at %d: %+v, want %d changes", n, got, known)
 		}
 		for i, c := range got.Entries {
 			if !reflect.DeepEqual(c, changes[i]) {
-				t.Fatalf("cut at %d: %+v", n, c)
+				t.Fatalf("truncated at %d: %+v", n, c)
 			}
 		}
 		next := testChange(9, "endpoint/z", "down")
@@ -96,12 +100,12 @@
 		}
 		f.Close()
 		if again, err := Read(dir, testMaxBytes); err != nil || !reflect.DeepEqual(again, Snapshot{all, versions}) {
-			t.Fatalf("cut at %d, written on: %v\n%+v\n%+v", n, err, again, all)
+			t.Fatalf("truncated at %d, after the next save: %v\n%+v\n%+v", n, err, again, all)
 		}
 	}
 }
 
-// A file that is damaged gives no change that was not saved.
+// Guards against reading changes from a corrupt file that were never saved.
 func TestCorruptFileYieldsOnlySavedChanges(t *testing.T) {
 	changes := testChanges()
 	contents := saveEach(t, t.TempDir(), changes)
@@ -121,7 +125,7 @@
 			}
 		}
 	})
-	for name, raw := range map[string][]byte{"another form": []byte("slatemux bans 1\nx\n"), "zeroes": make([]byte, 4096), "nothing": {}} {
+	for name, raw := range map[string][]byte{"unrecognized format": []byte("slatemux bans 1\nx\n"), "zeroes": make([]byte, 4096), "nothing": {}} {
 		if err := os.WriteFile(filepath.Join(dir, fileName), raw, 0o600); err != nil {
 			t.Fatal(err)
 		}
@@ -131,7 +135,8 @@
 	}
 }
 
-// However often one entry changes, the file stays within its bound and holds the newest.
+// Guards against a file that grows with each change of the same entry. Compaction bounds its size, and the file holds the
+// newest change.
 func TestCompactionBoundsFileSize(t *testing.T) {
 	dir := t.TempDir()
 	f, _, err := Open(dir, testMaxBytes)
@@ -155,7 +160,8 @@
 	}
 }
 
-// What does not fit is refused and counted as not kept; when it fits again, all is kept.
+// Guards against a file above its bound, and against a false report that everything is saved. Save fails if the entries do
+// not fit. After the entries fit again, Save writes all of them.
 func TestSaveOverMaxBytes(t *testing.T) {
 	dir := t.TempDir()
 	f, _, err := Open(dir, 1000)
@@ -170,7 +176,7 @@
 	}
 	for n := uint64(1); err == nil; n++ {
 		if n > 20 {
-			t.Fatal("never too large")
+			t.Fatal("20 changes were saved without ErrTooLarge")
 		}
 		all = append(all, testChange(n, fmt.Sprint("endpoint/", n), "down"))
 		err = save()
@@ -179,18 +185,19 @@
 		}
 	}
 	if !errors.Is(err, ErrTooLarge) || f.Complete() {
-		t.Errorf("%v, whole %v", err, f.Complete())
+		t.Errorf("%v, complete %v", err, f.Complete())
 	}
 	all = []configsync.Change{testChange(100, "endpoint/a", "down")}
 	if err := save(); err != nil || !f.Complete() {
-		t.Errorf("%v, whole %v", err, f.Complete())
+		t.Errorf("%v, complete %v", err, f.Complete())
 	}
 	if got, err := Read(dir, 1000); err != nil || !reflect.DeepEqual(got.Entries, all) {
 		t.Errorf("%v, %+v", err, got)
 	}
 }
 
-// A folder that can't be written is an error, and the next save that can be made keeps all.
+// Guards against lost changes after a failed write. Save fails while the directory is missing, and the next successful Save
+// writes all entries.
 func TestSaveAfterFailedWrite(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "state")
 	f, _, err := Open(dir, testMaxBytes)
@@ -204,7 +211,7 @@
 		return f.Save(all[2:], versions, func() Snapshot { return Snapshot{all, versions} })
 	}
 	if err := save(); err == nil || f.Complete() {
-		t.Errorf("%v, whole %v", err, f.Complete())
+		t.Errorf("%v, complete %v", err, f.Complete())
 	}
 	if err := os.Mkdir(dir, 0o700); err != nil {
 		t.Fatal(err)
--- a/internal/fleet/configuration_test.go
+++ b/internal/fleet/configuration_test.go
@@ -18,21 +18,23 @@
 	"slatemux/internal/traffic"
 )
 
-// controlMachine is a control machine of a test.
+// controlMachine is a source of signed configuration changes.
 type controlMachine struct {
 	name string
 	key  ed25519.PrivateKey
 }
 
+// newControlMachine returns a machine whose key is derived from the first letter of its name.
 func newControlMachine(name string) controlMachine {
 	return controlMachine{name, ed25519.NewKeyFromSeed(bytes.Repeat([]byte(name[:1]), ed25519.SeedSize))}
 }
 
+// trustedKeyLine returns the machine's line of a trusted key file.
 func (c controlMachine) trustedKeyLine() string {
 	return c.name + " " + base64.StdEncoding.EncodeToString(c.key.Public().(ed25519.PublicKey)) + "\n"
 }
 
-// next signs the change that a relay expects next; an empty value removes the entry.
+// next signs a change with the next sequence number and revision that a relay expects. An empty value removes the entry.
 func (c controlMachine) next(t *testing.T, p *testRelay, key, value string) configsync.Change {
 	t.Helper()
 	for _, source := range p.Configuration().Sources {
@@ -44,16 +46,18 @@
 	return configsync.Change{}
 }
 
+// sign returns a signed change. An empty value removes the entry.
 func (c controlMachine) sign(sequence, revision uint64, key, value string) configsync.Change {
 	change := configsync.Change{Source: c.name, Sequence: sequence, Revision: revision, Key: key, Value: []byte(value), Removed: value == ""}
 	configsync.Sign(&change, c.key)
 	return change
 }
 
-func writeTrustedKeys(t *testing.T, dir string, controls ...controlMachine) string {
+// writeTrustedKeys writes a trusted key file for machines and returns its path.
+func writeTrustedKeys(t *testing.T, dir string, machines ...controlMachine) string {
 	t.Helper()
 	var text strings.Builder
-	for _, c := range controls {
+	for _, c := range machines {
 		text.WriteString(c.trustedKeyLine())
 	}
 	path := filepath.Join(dir, "trusted")
@@ -63,20 +67,20 @@
 	return path
 }
 
-// withConfiguration has a relay replicate configuration, in a folder that lasts if one is named.
-func withConfiguration(t *testing.T, dir string, controls ...controlMachine) func(*Config) {
+// withConfiguration makes a relay replicate configuration. If dir is not empty, it is the relay's state directory.
+func withConfiguration(t *testing.T, dir string, machines ...controlMachine) func(*Config) {
 	return func(cfg *Config) {
 		if dir != "" {
 			cfg.StateDir = dir
 		}
 		replication := configsync.Defaults()
 		replication.Exchange = 200 * time.Millisecond
-		cfg.Configuration = &ConfigurationConfig{TrustedKeyFile: writeTrustedKeys(t, cfg.StateDir, controls...), Region: "caucasus", Zone: "z-" + cfg.Self,
+		cfg.Configuration = &ConfigurationConfig{TrustedKeyFile: writeTrustedKeys(t, cfg.StateDir, machines...), Region: "caucasus", Zone: "z-" + cfg.Self,
 			MaxEntries: 100, Replication: replication}
 	}
 }
 
-// submit hands a change in.
+// submit submits a change to the relay, and waits up to 5 seconds for the reply.
 func (p *testRelay) submit(t *testing.T, change configsync.Change) error {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
@@ -84,7 +88,8 @@
 	return p.Configure(ctx, change)
 }
 
-// submitNext hands in a change that is the next one at a relay, which may learn of another one meanwhile.
+// submitNext submits the next change of a machine. It tries again after a conflict, because the relay may have received
+// another change of the machine in the meantime.
 func (p *testRelay) submitNext(t *testing.T, c controlMachine, key, value string) {
 	t.Helper()
 	var err error
@@ -97,6 +102,7 @@
 	}
 }
 
+// mustSubmit submits a change that must be accepted.
 func (p *testRelay) mustSubmit(t *testing.T, change configsync.Change) {
 	t.Helper()
 	if err := p.submit(t, change); err != nil {
@@ -104,45 +110,47 @@
 	}
 }
 
-// waitForReplication waits until a relay counts so many that replicate.
-func waitForReplication(t *testing.T, members int, parts ...*testRelay) {
+// waitForReplication waits until each relay counts the given number of replicating members and has saved its state.
+func waitForReplication(t *testing.T, members int, relays ...*testRelay) {
 	t.Helper()
 	waitFor(t, fmt.Sprint(members, " relays replicate"), func() bool {
-		return !slices.ContainsFunc(parts, func(p *testRelay) bool {
+		return !slices.ContainsFunc(relays, func(p *testRelay) bool {
 			figures := p.Figures().Configuration
 			return figures == nil || figures.Members != members || !figures.Kept
 		})
 	})
 }
 
+// testPool returns a pool of three members of two destinations.
 func testPool() map[string]traffic.Member {
 	return map[string]traffic.Member{"m": {Host: "m", Destination: 7}, "n": {Host: "n", Destination: 7}, "o": {Host: "o", Destination: 8}}
 }
 
-// excludesExactly reports whether exactly these members are barred, as by operators.
+// excludesExactly reports whether the relay excludes exactly these pool members, all as banned.
 func (p *testRelay) excludesExactly(names ...string) bool {
 	p.recordingRelay.mu.Lock()
 	defer p.recordingRelay.mu.Unlock()
-	if len(p.bars) != len(names) {
+	if len(p.exclusions) != len(names) {
 		return false
 	}
-	for i, bar := range p.bars {
-		if bar != (traffic.Bar{Member: names[i], Banned: true}) {
+	for i, exclusion := range p.exclusions {
+		if exclusion != (traffic.Bar{Member: names[i], Banned: true}) {
 			return false
 		}
 	}
 	return true
 }
 
-func waitForExclusions(t *testing.T, parts []*testRelay, names ...string) {
+// waitForExclusions waits until each relay excludes exactly these pool members.
+func waitForExclusions(t *testing.T, relays []*testRelay, names ...string) {
 	t.Helper()
-	waitFor(t, fmt.Sprint("barred are exactly ", names), func() bool {
-		return !slices.ContainsFunc(parts, func(p *testRelay) bool { return !p.excludesExactly(names...) })
+	waitFor(t, fmt.Sprint("the excluded members are exactly ", names), func() bool {
+		return !slices.ContainsFunc(relays, func(p *testRelay) bool { return !p.excludesExactly(names...) })
 	})
 }
 
-// A change that is handed in at one relay is in force at all, whatever its kind, until it is removed; a build without
-// replication serves beside them and is left alone.
+// Guards against changes that do not reach all relays. A change submitted to one relay comes into force at all of them, until
+// it is removed. A relay without replication stays a member, and receives no packet that it must drop.
 func TestConfigurationReachesAllRelays(t *testing.T) {
 	c := newControlMachine("control")
 	a := startRelay(t, "a", withConfiguration(t, "", c))
@@ -158,13 +166,13 @@
 
 	b.submitNext(t, c, "endpoint/m", "down")
 	if !b.excludesExactly("m") {
-		t.Error("acknowledged before it is in force")
+		t.Error("the reply came before the change was in force")
 	}
 	waitForExclusions(t, all, "m")
 	d.submitNext(t, c, "destination/7", "closed")
 	waitForExclusions(t, all, "m", "n")
 	a.submitNext(t, c, "rate/7", "100")
-	waitFor(t, "an entry without a meaning is everywhere", func() bool {
+	waitFor(t, "all relays have the entry that this build does not know", func() bool {
 		return !slices.ContainsFunc(all, func(p *testRelay) bool { return p.Figures().Configuration.Unknown != 1 })
 	})
 	waitForExclusions(t, all, "m", "n")
@@ -181,7 +189,7 @@
 		t.Errorf("%+v", state)
 	}
 	if older.Configuration() != nil || older.Figures().Configuration != nil || !older.excludesExactly() {
-		t.Error("the older build takes part")
+		t.Error("the older build replicates configuration")
 	}
 	if drops := older.Figures().Drops; drops.Malformed+drops.OtherVersion+drops.Strangers != 0 {
 		t.Errorf("the older build dropped something: %+v", drops)
@@ -191,8 +199,8 @@
 	}
 }
 
-// A relay that starts again in its folder has in force what it had, before it hears anybody; one that starts without a folder
-// gets it from the others.
+// Guards against the loss of configuration in a restart. A relay that restarts with its state directory has the entries in
+// force before it reaches another relay. A relay that starts without a file receives the entries from the others.
 func TestConfigurationOutlivesRestarts(t *testing.T) {
 	c := newControlMachine("control")
 	dir := t.TempDir()
@@ -202,14 +210,14 @@
 	for _, key := range []string{"endpoint/m", "endpoint/x", "endpoint/m"} {
 		a.submitNext(t, c, key, "down")
 	}
-	waitFor(t, "the other one has it", func() bool { return b.Configuration().Versions["control"] == 3 })
+	waitFor(t, "the other relay has all changes", func() bool { return b.Configuration().Versions["control"] == 3 })
 	b.stop()
-	waitFor(t, "it has left", func() bool { return a.Figures().Members == 1 })
+	waitFor(t, "the stopped relay is no longer a member", func() bool { return a.Figures().Members == 1 })
 
 	alone := startRelay(t, "bb", withConfiguration(t, dir, c))
 	alone.Pool(1, testPool())
 	waitForExclusions(t, []*testRelay{alone}, "m")
-	waitFor(t, "it shows what it had", func() bool {
+	waitFor(t, "the restarted relay shows the saved state", func() bool {
 		state := alone.Configuration()
 		return state.Versions["control"] == 3 && state.Digest == a.Configuration().Digest
 	})
@@ -217,21 +225,22 @@
 
 	a.submitNext(t, c, "endpoint/n", "down")
 	back := startRelay(t, "bb", withConfiguration(t, dir, c), a)
-	anew := startRelay(t, "new", withConfiguration(t, "", c), a)
-	for _, p := range []*testRelay{back, anew} {
+	fresh := startRelay(t, "new", withConfiguration(t, "", c), a)
+	for _, p := range []*testRelay{back, fresh} {
 		p.Pool(1, testPool())
 	}
-	waitForExclusions(t, []*testRelay{back, anew}, "m", "n")
+	waitForExclusions(t, []*testRelay{back, fresh}, "m", "n")
 	waitFor(t, "all hold the same", func() bool {
 		digest, version := a.Configuration().Digest, a.Configuration().Versions["control"]
-		return !slices.ContainsFunc([]*testRelay{back, anew}, func(p *testRelay) bool {
+		return !slices.ContainsFunc([]*testRelay{back, fresh}, func(p *testRelay) bool {
 			state := p.Configuration()
 			return state.Digest != digest || state.Versions["control"] != version
 		})
 	})
 }
 
-// A file that is spoilt is begun anew, and the others tell what it held.
+// Guards against a corrupt configuration file. The relay replaces the file and receives the entries from other relays. After
+// the next restart the entries are in force again from the new file.
 func TestCorruptConfigurationFileIsReplaced(t *testing.T) {
 	c := newControlMachine("control")
 	dir := t.TempDir()
@@ -244,15 +253,15 @@
 	b := startRelay(t, "bb", withConfiguration(t, dir, c), a)
 	b.Pool(1, testPool())
 	waitForExclusions(t, []*testRelay{b}, "m")
-	waitFor(t, "it is kept", func() bool { return b.Configuration().Figures.Kept })
+	waitFor(t, "the state is saved", func() bool { return b.Configuration().Figures.Kept })
 	b.stop()
 	again := startRelay(t, "bb", withConfiguration(t, dir, c))
 	again.Pool(1, testPool())
 	waitForExclusions(t, []*testRelay{again}, "m")
 }
 
-// A process that takes over from another has in force what that one had when it began, refuses changes while the other one has
-// the address, and learns from the file what came meanwhile.
+// Guards against lost changes in a handover. The successor process has the entries in force that were saved when it started.
+// It refuses changes while its predecessor has the address. Then it reads the later changes from the file.
 func TestConfigurationHandover(t *testing.T) {
 	c := newControlMachine("control")
 	dir := t.TempDir()
@@ -276,7 +285,8 @@
 	waitForExclusions(t, []*testRelay{after}, "n")
 }
 
-// A change that can't be kept is in force and said not to be kept; others keep it.
+// Guards against a success reply for a change that could not be saved. The change is in force, the reply reports that it is
+// not saved, and the other relay saves it.
 func TestConfigurationNotSaved(t *testing.T) {
 	c := newControlMachine("control")
 	a := startRelay(t, "a", func(cfg *Config) {
@@ -288,17 +298,18 @@
 	a.Pool(1, testPool())
 	a.submitNext(t, c, "endpoint/m", "down")
 	if err := a.submit(t, c.next(t, a, "endpoint/n", "down")); !errors.Is(err, ErrConfigurationNotSaved) {
-		t.Errorf("a change that has no room: %v", err)
+		t.Errorf("a change that does not fit into the file: %v", err)
 	}
 	waitForExclusions(t, []*testRelay{a}, "m", "n")
-	waitFor(t, "the other one keeps both", func() bool {
+	waitFor(t, "the other relay has saved both changes", func() bool {
 		state := b.Configuration()
 		return state.Versions["control"] == 2 && state.Figures.Kept
 	})
-	waitFor(t, "it is shown", func() bool { return !a.Figures().Configuration.Kept })
+	waitFor(t, "the metrics show that the state is not saved", func() bool { return !a.Figures().Configuration.Kept })
 }
 
-// What no trusted source has signed, or is not the next change of its source, is refused with its reason and changes nothing.
+// Guards against changes that must be refused: those without the signature of a trusted source, those that are not the next
+// change of their source, and invalid ones. The error gives the reason, and the state does not change.
 func TestConfigurationRefusals(t *testing.T) {
 	c, stranger := newControlMachine("control"), newControlMachine("stranger")
 	a := startRelay(t, "a", withConfiguration(t, "", c))
@@ -306,7 +317,7 @@
 	a.Pool(1, testPool())
 	first := c.next(t, a, "endpoint/m", "down")
 	a.mustSubmit(t, first)
-	a.mustSubmit(t, first) // again, for the first answer was lost
+	a.mustSubmit(t, first) // submitted again, as after a lost reply
 	state := a.Configuration()
 
 	forged := c.next(t, a, "endpoint/n", "down")
@@ -320,9 +331,9 @@
 		"of no trusted source":  {stranger.sign(1, 2, "endpoint/n", "down"), configsync.ErrUntrusted},
 		"under another's name":  {impostor, configsync.ErrUntrusted},
 		"changed on the way":    {forged, configsync.ErrUntrusted},
-		"of a sequence taken":   {c.sign(1, 2, "endpoint/n", "down"), ErrConfigurationConflict},
+		"of a used sequence":    {c.sign(1, 2, "endpoint/n", "down"), ErrConfigurationConflict},
 		"beyond the next one":   {c.sign(3, 2, "endpoint/n", "down"), ErrConfigurationConflict},
-		"of a mad revision":     {c.sign(2, 1<<62, "endpoint/n", "down"), ErrConfigurationConflict},
+		"of a huge revision":    {c.sign(2, 1<<62, "endpoint/n", "down"), ErrConfigurationConflict},
 		"without a key":         {c.sign(2, 2, "", "down"), configsync.ErrInvalid},
 		"with too long a value": {c.sign(2, 2, "endpoint/n", strings.Repeat("x", 5000)), configsync.ErrInvalid},
 	} {
@@ -331,12 +342,12 @@
 		}
 	}
 	if after := a.Configuration(); after.Digest != state.Digest || after.Versions["control"] != 1 || !a.excludesExactly("m") {
-		t.Errorf("something has changed: %+v", after)
+		t.Errorf("a refused change has changed the state: %+v", after)
 	}
 }
 
-// A source's key is taken out and another one's in by a reload: what the first signed before stays, what it signs later is
-// refused. A file that makes no sense changes nothing.
+// Guards against faults in the replacement of trusted keys by a reload. Entries signed with the removed key stay in force, and
+// new changes signed with it are refused. An invalid key file leaves the previous keys in use.
 func TestConfigurationKeyChange(t *testing.T) {
 	first, second := newControlMachine("first"), newControlMachine("second")
 	a := startRelay(t, "a", withConfiguration(t, "", first))
@@ -351,28 +362,29 @@
 		t.Fatal(err)
 	}
 	if err := a.Reload(); err == nil || !strings.Contains(err.Error(), "line 1") {
-		t.Errorf("a file that makes no sense: %v", err)
+		t.Errorf("an invalid key file: %v", err)
 	}
 	a.submitNext(t, first, "endpoint/n", "down")
 	waitForExclusions(t, []*testRelay{a, b}, "m", "n")
 
-	late := first.next(t, a, "endpoint/m", "")
+	lateChange := first.next(t, a, "endpoint/m", "")
 	for _, p := range []*testRelay{a, b} {
 		writeTrustedKeys(t, p.dir, second)
 		if err := p.Reload(); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := a.submit(t, late); !errors.Is(err, configsync.ErrUntrusted) {
+	if err := a.submit(t, lateChange); !errors.Is(err, configsync.ErrUntrusted) {
 		t.Errorf("the first source after its key was taken out: %v", err)
 	}
-	waitFor(t, "the second is known", func() bool {
+	waitFor(t, "the second source is trusted", func() bool {
 		return slices.ContainsFunc(b.Configuration().Sources, func(s ConfigurationSource) bool { return s.Name == "second" && s.Trusted })
 	})
 	b.submitNext(t, second, "endpoint/n", "")
 	waitForExclusions(t, []*testRelay{a, b}, "m")
 }
 
+// Guards against the use of invalid trusted key files.
 func TestTrustedKeyFiles(t *testing.T) {
 	dir := t.TempDir()
 	good := newControlMachine("control").trustedKeyLine()
@@ -403,7 +415,8 @@
 	}
 }
 
-// What relays announce is read as it was meant; anything else is no announcement.
+// Guards against misread metadata. Encoded metadata is decoded to the same value, with bytes of a later build after it.
+// Truncated or invalid metadata is rejected.
 func TestCapability(t *testing.T) {
 	at := regionAndZone{region: "caucasus", zone: strings.Repeat("z", maxLocationBytes)}
 	meta := encodeCapability(at)
@@ -411,16 +424,16 @@
 		t.Errorf("%+v, %v", got, ok)
 	}
 	if len(encodeCapability(regionAndZone{strings.Repeat("r", maxLocationBytes), strings.Repeat("z", maxLocationBytes)})) > 512 {
-		t.Error("an announcement does not fit")
+		t.Error("the longest metadata exceeds 512 bytes")
 	}
 	for n := range meta {
 		if _, ok := decodeCapability(meta[:n]); ok {
-			t.Errorf("taken when cut at %d of %d bytes", n, len(meta))
+			t.Errorf("accepted when truncated at %d of %d bytes", n, len(meta))
 		}
 	}
 	for _, bad := range [][]byte{{2, 0, 0}, {1, 65}, {1, 200, 1, 0}, {1, 1, 0, 0}, {1, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff}} {
 		if _, ok := decodeCapability(bad); ok {
-			t.Errorf("taken: %v", bad)
+			t.Errorf("accepted: %v", bad)
 		}
 	}
 }
--- a/internal/fleet/directive/directive_test.go
+++ b/internal/fleet/directive/directive_test.go
@@ -2,6 +2,7 @@
 
 import "testing"
 
+// Guards against entries that are misread: an unknown key, value or number format has no directive.
 func TestParse(t *testing.T) {
 	for _, c := range []struct {
 		key, value string
@@ -33,10 +34,11 @@
 	}
 }
 
+// Guards against lookups that differ from the entries, after values were set, replaced and removed.
 func TestSet(t *testing.T) {
 	set := NewSet()
 	if !set.Empty() || set.Excludes("m", 7) {
-		t.Error("an empty set bars")
+		t.Error("an empty set excludes an endpoint")
 	}
 	set.Put("endpoint/m", []byte("down"))
 	set.Put("destination/7", []byte("closed"))
@@ -54,14 +56,14 @@
 		}
 	}
 	if set.Empty() {
-		t.Error("the set bars something and is empty")
+		t.Error("the set excludes an endpoint and is reported as empty")
 	}
 	set.Put("endpoint/m", []byte("a value of a later build"))
 	if set.Excludes("m", 1) || !set.Excludes("m", 7) {
-		t.Error("an entry that has no meaning any more bars, or the other does not")
+		t.Error("an entry with an unknown value excludes an endpoint, or the other entry does not")
 	}
 	set.Remove("destination/7")
 	if !set.Empty() || set.Excludes("m", 7) {
-		t.Error("an entry that is removed bars")
+		t.Error("a removed entry excludes an endpoint")
 	}
 }
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -22,52 +22,53 @@
 	"slatemux/internal/verdicts"
 )
 
-// recordingRelay is a relay that keeps what it is told.
+// recordingRelay is a Relay that records what it receives.
 type recordingRelay struct {
 	mu         sync.Mutex
 	restraints []traffic.Restraint
-	bars       []traffic.Bar
+	exclusions []traffic.Bar
 	allowances map[int]traffic.Allowance
 }
 
-func (h *recordingRelay) Allow(list []traffic.Allowance) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
+func (r *recordingRelay) Allow(list []traffic.Allowance) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	for _, a := range list {
-		if h.allowances == nil {
-			h.allowances = map[int]traffic.Allowance{}
+		if r.allowances == nil {
+			r.allowances = map[int]traffic.Allowance{}
 		}
-		h.allowances[a.Destination] = a
+		r.allowances[a.Destination] = a
 	}
 }
 
-// rate is what it may send to a destination at present; 0 for nothing told.
-func (h *recordingRelay) rate(destination int) float64 {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if a := h.allowances[destination]; time.Now().Before(a.Until) {
+// rate returns the rate at which the relay may send to a destination now; 0 without an allowance in force.
+func (r *recordingRelay) rate(destination int) float64 {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if a := r.allowances[destination]; time.Now().Before(a.Until) {
 		return a.Rate
 	}
 	return 0
 }
 
-func (h *recordingRelay) Restrain(list []traffic.Restraint) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.restraints = append(h.restraints, list...)
+func (r *recordingRelay) Restrain(list []traffic.Restraint) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.restraints = append(r.restraints, list...)
 }
 
-func (h *recordingRelay) Bar(bars []traffic.Bar) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.bars = bars
+func (r *recordingRelay) Bar(exclusions []traffic.Bar) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.exclusions = exclusions
 }
 
-func (h *recordingRelay) hasRestraint(kind traffic.RestraintKind) bool {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	for _, r := range h.restraints {
-		if r.Kind == kind {
+// hasRestraint reports whether the relay has received a restraint of a kind.
+func (r *recordingRelay) hasRestraint(kind traffic.RestraintKind) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for _, restraint := range r.restraints {
+		if restraint.Kind == kind {
 			return true
 		}
 	}
@@ -76,6 +77,7 @@
 
 var testKeys = [][]byte{bytes.Repeat([]byte{1}, keyBytes), bytes.Repeat([]byte{2}, keyBytes)}
 
+// writeKeyFile writes a key file and returns its path.
 func writeKeyFile(t *testing.T, dir string, keys ...[]byte) string {
 	t.Helper()
 	var text string
@@ -89,7 +91,7 @@
 	return path
 }
 
-// testRelay is one relay of a test's fleet.
+// testRelay is one relay of a fleet in a test.
 type testRelay struct {
 	*Fleet
 	*recordingRelay
@@ -97,69 +99,74 @@
 	stop func()
 }
 
+// freeAddress returns a local address whose port is free for TCP and UDP.
 func freeAddress(t *testing.T) netip.AddrPort {
 	t.Helper()
-	tr, err := openTransport(&net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
+	transport, err := openTransport(&net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer tr.Shutdown()
-	return tr.tcp.Addr().(*net.TCPAddr).AddrPort()
+	defer transport.Shutdown()
+	return transport.tcp.Addr().(*net.TCPAddr).AddrPort()
 }
 
-func startRelay(t *testing.T, name string, change func(*Config), to ...*testRelay) *testRelay {
+// startRelay starts a relay that joins the fleet of the peers. It stops at the end of the test, or by the method stop.
+func startRelay(t *testing.T, name string, adjust func(*Config), peers ...*testRelay) *testRelay {
 	t.Helper()
-	p := &testRelay{recordingRelay: &recordingRelay{}, dir: t.TempDir()}
-	cfg := Config{Name: "tbilisi", Self: name, Bind: freeAddress(t), KeyFile: writeKeyFile(t, p.dir, testKeys[0]), StateDir: p.dir, Seed: uint64(len(name)),
+	relay := &testRelay{recordingRelay: &recordingRelay{}, dir: t.TempDir()}
+	cfg := Config{Name: "tbilisi", Self: name, Bind: freeAddress(t), KeyFile: writeKeyFile(t, relay.dir, testKeys[0]), StateDir: relay.dir, Seed: uint64(len(name)),
 		Quorum: 2, ExchangeInterval: 100 * time.Millisecond, BytesPerSecond: 1e5}
-	for _, o := range to {
-		cfg.Join = append(cfg.Join, o.cfg.Bind)
+	for _, peer := range peers {
+		cfg.Join = append(cfg.Join, peer.cfg.Bind)
 	}
-	if change != nil {
-		change(&cfg)
+	if adjust != nil {
+		adjust(&cfg)
 	}
 	var err error
-	if p.Fleet, err = New(cfg, p.recordingRelay); err != nil {
+	if relay.Fleet, err = New(cfg, relay.recordingRelay); err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		p.Run(ctx)
+		relay.Run(ctx)
 	}()
-	p.stop = func() { cancel(); <-done }
-	t.Cleanup(p.stop)
-	return p
+	relay.stop = func() { cancel(); <-done }
+	t.Cleanup(relay.stop)
+	return relay
 }
 
-func waitFor(t *testing.T, what string, holds func() bool) {
+// waitFor waits up to 20 seconds for a condition.
+func waitFor(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(20 * time.Second); !holds(); time.Sleep(5 * time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatalf("never: %s", what)
+	for deadline := time.Now().Add(20 * time.Second); !condition(); time.Sleep(5 * time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatalf("timed out waiting until %s", what)
 		}
 	}
 }
 
+// reportRefusal reports a refused call to destination 7, with the wait that the destination asked for.
 func (p *testRelay) reportRefusal(wait time.Duration) {
 	p.Ended(traffic.Flow{Member: "m", Group: traffic.Group{Destination: 7}, Begun: time.Now()}, traffic.FlowEnd{Status: traffic.TurnedAway, Wait: wait})
 }
 
-// Three relays find each other; a wait that one is told holds at the others, and what operators take down at two is barred
-// at the third. One that leaves is no member, and one that comes again under its name is heard.
+// Guards against announcements that do not reach all relays of a fleet of three. A retry-after at one relay holds calls at
+// the others. A ban at two relays excludes the pool member at the third. A relay that leaves is no longer a member. After it
+// starts again under its name, with the next incarnation, its announcements are accepted.
 func TestAnnouncementsReachAllMembers(t *testing.T) {
 	a := startRelay(t, "a", nil)
 	b := startRelay(t, "bb", nil, a)
 	c := startRelay(t, "ccc", nil, a)
-	waitFor(t, "all three know each other", func() bool {
+	waitFor(t, "all three are members", func() bool {
 		return a.Figures().Members == 3 && b.Figures().Members == 3 && c.Figures().Members == 3
 	})
 	group := traffic.Group{Destination: 7}
 	a.reportRefusal(900 * time.Millisecond)
 	waitFor(t, "the wait holds at the others", func() bool { return b.hasRestraint(traffic.Held) && c.hasRestraint(traffic.Held) })
 	if now := time.Now(); !b.Held(group, now) || b.Held(traffic.Group{Destination: 8}, now) {
-		t.Error("another group is held, or not this one")
+		t.Error("another group is on hold, or the announced one is not")
 	}
 	pool := func() map[string]traffic.Member {
 		return map[string]traffic.Member{"m": {Host: "m", Destination: 7}, "n": {Host: "n", Destination: 8}}
@@ -169,23 +176,24 @@
 	}
 	a.Bans(map[string]bool{"m": true})
 	b.Bans(map[string]bool{"m": true})
-	waitFor(t, "the ban holds at the third", func() bool {
+	waitFor(t, "the ban is in force at the third relay", func() bool {
 		c.recordingRelay.mu.Lock()
 		defer c.recordingRelay.mu.Unlock()
-		return len(c.bars) == 1 && c.bars[0] == traffic.Bar{Member: "m", Banned: true}
+		return len(c.exclusions) == 1 && c.exclusions[0] == traffic.Bar{Member: "m", Banned: true}
 	})
 	b.stop()
-	waitFor(t, "who left is no member", func() bool { return a.Figures().Members == 2 && c.Figures().Members == 2 })
-	again := startRelay(t, "bb", func(cfg *Config) { cfg.StateDir = b.dir; cfg.KeyFile = b.cfg.KeyFile }, a)
-	waitFor(t, "it is back at another address", func() bool { return c.Figures().Members == 3 })
-	if got := again.incarnation.Load(); got != 2 {
+	waitFor(t, "the stopped relay is no longer a member", func() bool { return a.Figures().Members == 2 && c.Figures().Members == 2 })
+	restarted := startRelay(t, "bb", func(cfg *Config) { cfg.StateDir = b.dir; cfg.KeyFile = b.cfg.KeyFile }, a)
+	waitFor(t, "the restarted relay is a member at another address", func() bool { return c.Figures().Members == 3 })
+	if got := restarted.incarnation.Load(); got != 2 {
 		t.Errorf("incarnation %d at the second start", got)
 	}
-	again.Ended(traffic.Flow{Group: traffic.Group{Destination: 9}}, traffic.FlowEnd{Status: traffic.TurnedAway, Wait: 900 * time.Millisecond})
-	waitFor(t, "it is heard", func() bool { return c.Held(traffic.Group{Destination: 9}, time.Now()) })
+	restarted.Ended(traffic.Flow{Group: traffic.Group{Destination: 9}}, traffic.FlowEnd{Status: traffic.TurnedAway, Wait: 900 * time.Millisecond})
+	waitFor(t, "the restarted relay's announcement is in force", func() bool { return c.Held(traffic.Group{Destination: 9}, time.Now()) })
 }
 
-// A relay that starts again hears at once those that do not know yet that it was gone. It joins as soon as one that hears nobody.
+// Guards against a late join after a restart. A restarted relay receives packets at once from members that have not noticed
+// its absence. These unknown senders cause sync requests, which must not delay the join.
 func TestUnknownSendersDoNotDelayTheJoin(t *testing.T) {
 	a := startRelay(t, "a", nil)
 	b := startRelay(t, "bb", nil, a)
@@ -201,126 +209,129 @@
 			}
 		}
 	}()
-	waitFor(t, "it has joined", func() bool { return b.Figures().Members == 2 })
+	waitFor(t, "the relay has joined", func() bool { return b.Figures().Members == 2 })
 }
 
-// However many members come and go, what depends on their list is rebuilt once a pause at most, and after the last change once more.
+// Guards against a rebuild for each of many membership changes. There is at most one rebuild per pause, and one more after
+// the last change.
 func TestMembershipChangesAreCoalesced(t *testing.T) {
 	a := startRelay(t, "a", nil)
 	b := startRelay(t, "bb", nil, a)
-	waitFor(t, "they know each other", func() bool { return a.Figures().Members == 2 && b.Figures().Members == 2 })
+	waitFor(t, "both are members", func() bool { return a.Figures().Members == 2 && b.Figures().Members == 2 })
 	const changes = 5000
-	before, began := a.rebuilds.Load(), time.Now()
+	before, start := a.rebuilds.Load(), time.Now()
 	for range changes {
 		a.enqueue(membershipChanged{})
 	}
-	waitFor(t, "the driver has handled all", func() bool {
+	waitFor(t, "the driver has handled all changes", func() bool {
 		a.shared.Lock()
 		defer a.shared.Unlock()
 		return len(a.shared.inbox) == 0 && a.rebuilds.Load() > before
 	})
-	took := time.Since(began)
-	time.Sleep(50 * time.Millisecond) // for the batch under way
-	most := before + 2 + int64(took/(2*rebuildPausePerMember)) + 5
-	if got := a.rebuilds.Load(); got > most {
-		t.Errorf("%d rebuilds for %d changes in %v, more than %d", got-before, changes, time.Since(began), most-before)
+	elapsed := time.Since(start)
+	time.Sleep(50 * time.Millisecond) // lets the driver finish the current batch
+	maxRebuilds := before + 2 + int64(elapsed/(2*rebuildPausePerMember)) + 5
+	if got := a.rebuilds.Load(); got > maxRebuilds {
+		t.Errorf("%d rebuilds for %d changes in %v, more than %d", got-before, changes, time.Since(start), maxRebuilds-before)
 	}
 	b.stop()
-	waitFor(t, "who left is no member", func() bool { return a.Figures().Members == 1 })
+	waitFor(t, "the stopped relay is no longer a member", func() bool { return a.Figures().Members == 1 })
 }
 
-// An address that one relay leaves serves another; a name that is used twice is noticed, and the first keeps it.
+// Guards against two faults of membership. An address that a relay no longer uses must be usable by a relay of another name.
+// A second relay under a name in use must be counted as a conflict, and the first relay keeps the name.
 func TestAddressReuseAndNameConflict(t *testing.T) {
 	a := startRelay(t, "a", nil)
 	b := startRelay(t, "bb", nil, a)
 	waitFor(t, "both are members", func() bool { return a.Figures().Members == 2 && b.Figures().Members == 2 })
 	b.stop()
 	c := startRelay(t, "ccc", func(cfg *Config) { cfg.Bind = b.cfg.Bind }, a)
-	waitFor(t, "another has its address", func() bool { return a.Figures().Members == 2 && c.Figures().Members == 2 })
+	waitFor(t, "another relay is a member at the same address", func() bool { return a.Figures().Members == 2 && c.Figures().Members == 2 })
 	for _, m := range a.Members() {
 		if m.Name == "ccc" && (m.State != "alive" || m.Addr != b.cfg.Bind.String()) || m.Name == "bb" && m.State == "alive" {
 			t.Errorf("%+v", m)
 		}
 	}
 	startRelay(t, "ccc", nil, a) // the same name at another address
-	waitFor(t, "a name that is used twice is noticed", func() bool { return a.Figures().Drops.NameConflicts > 0 })
+	waitFor(t, "the name conflict is counted", func() bool { return a.Figures().Drops.NameConflicts > 0 })
 	if got := a.Figures().Members; got != 2 {
 		t.Errorf("%d members", got)
 	}
 }
 
-// A key changes relay by relay: first all open with the new one, then all seal with it, then the old one goes. At no
-// moment is anything dropped as forged.
+// Guards against dropped packets while the key is replaced relay by relay. First all relays decrypt with the new key, then
+// all encrypt with it, and then the old key is removed. No packet is dropped as forged at any time.
 func TestKeyChange(t *testing.T) {
 	a := startRelay(t, "a", nil)
 	b := startRelay(t, "bb", nil, a)
 	waitFor(t, "both are members", func() bool { return a.Figures().Members == 2 && b.Figures().Members == 2 })
-	for _, now := range [][][]byte{{testKeys[0], testKeys[1]}, {testKeys[1], testKeys[0]}, {testKeys[1]}} {
+	for _, nextKeys := range [][][]byte{{testKeys[0], testKeys[1]}, {testKeys[1], testKeys[0]}, {testKeys[1]}} {
 		for _, p := range []*testRelay{a, b} {
-			writeKeyFile(t, p.dir, now...)
+			writeKeyFile(t, p.dir, nextKeys...)
 			if err := p.Reload(); err != nil {
 				t.Fatal(err)
 			}
-			asked := a.Figures().Spread.Answered + b.Figures().Spread.Answered
-			waitFor(t, "they still understand each other", func() bool { return a.Figures().Spread.Answered+b.Figures().Spread.Answered > asked+3 })
+			answeredBefore := a.Figures().Spread.Answered + b.Figures().Spread.Answered
+			waitFor(t, "both still answer exchanges", func() bool { return a.Figures().Spread.Answered+b.Figures().Spread.Answered > answeredBefore+3 })
 		}
 	}
 	if n := a.Figures().Drops.Forged + b.Figures().Drops.Forged; n != 0 {
-		t.Errorf("%d dropped", n)
+		t.Errorf("%d packets dropped as forged", n)
 	}
 }
 
-// What is not of this fleet is dropped, counted by its reason, and does no harm.
+// Guards against input from outside the fleet, and malformed input: it is dropped, counted by its reason, and changes
+// neither the restraints nor the members.
 func TestRejectedInputIsCounted(t *testing.T) {
 	a := startRelay(t, "a", nil)
 	b := startRelay(t, "bb", nil, a)
 	waitFor(t, "both are members", func() bool { return a.Figures().Members == 2 && b.Figures().Members == 2 })
-	enemy, err := net.Dial("udp", a.cfg.Bind.String())
+	attacker, err := net.Dial("udp", a.cfg.Bind.String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer enemy.Close()
-	label, err := memberlist.AddLabelHeaderToPacket(bytes.Repeat([]byte{7}, 60), "tbilisi")
+	defer attacker.Close()
+	forged, err := memberlist.AddLabelHeaderToPacket(bytes.Repeat([]byte{7}, 60), "tbilisi")
 	if err != nil {
 		t.Fatal(err)
 	}
-	foreign, _ := memberlist.AddLabelHeaderToPacket(bytes.Repeat([]byte{7}, 60), "batumi")
-	inner := func(p spread.Packet, version byte) func() {
+	otherFleet, _ := memberlist.AddLabelHeaderToPacket(bytes.Repeat([]byte{7}, 60), "batumi")
+	deliver := func(p spread.Packet, version byte) func() {
 		return func() {
-			raw, _ := wire.Append(nil, &p)
-			raw[0] = version
-			delegate{a.Fleet}.NotifyMsg(raw)
+			encoded, _ := wire.Append(nil, &p)
+			encoded[0] = version
+			delegate{a.Fleet}.NotifyMsg(encoded)
 		}
 	}
-	say := func(from string, count uint64) spread.Packet {
+	statementPacket := func(from string, count uint64) spread.Packet {
 		return spread.Packet{From: from, Incarnation: 1, Count: count, News: []verdicts.Statement{{Origin: from, Version: verdicts.Version{Incarnation: 1, Seq: 99},
 			Subject: verdicts.Subject{Kind: verdicts.Wait, Destination: 5}, Length: time.Second, Life: time.Second}}}
 	}
-	write := func(b []byte) func() { return func() { enemy.Write(b) } }
+	sendDatagram := func(b []byte) func() { return func() { attacker.Write(b) } }
 	for name, c := range map[string]struct {
 		do    func()
 		count func(Drops) int64
 	}{
-		"forged":    {write(label), func(d Drops) int64 { return d.Forged }},
-		"foreign":   {write(foreign), func(d Drops) int64 { return d.OtherFleet }},
-		"oversized": {write(make([]byte, maxPacketBytes+1)), func(d Drops) int64 { return d.Oversized }},
-		"a stream of more than a fleet's state": {func() {
-			nc, err := net.Dial("tcp", a.cfg.Bind.String())
+		"forged":    {sendDatagram(forged), func(d Drops) int64 { return d.Forged }},
+		"foreign":   {sendDatagram(otherFleet), func(d Drops) int64 { return d.OtherFleet }},
+		"oversized": {sendDatagram(make([]byte, maxPacketBytes+1)), func(d Drops) int64 { return d.Oversized }},
+		"a stream longer than maxStreamBytes": {func() {
+			conn, err := net.Dial("tcp", a.cfg.Bind.String())
 			if err != nil {
 				t.Error(err)
 				return
 			}
-			defer nc.Close()
-			head, _ := memberlist.AddLabelHeaderToPacket([]byte{10, 0, 0xff, 0xff, 0xff}, "tbilisi") // sealed, and 16 MB to come
-			nc.Write(head)
-			nc.Write(make([]byte, 2*maxStreamBytes))
+			defer conn.Close()
+			header, _ := memberlist.AddLabelHeaderToPacket([]byte{10, 0, 0xff, 0xff, 0xff}, "tbilisi") // the header of an encrypted message of 16 MB
+			conn.Write(header)
+			conn.Write(make([]byte, 2*maxStreamBytes))
 		}, func(d Drops) int64 { return d.Oversized + d.Malformed }},
-		"version":  {inner(say("bb", 1), wire.Version+1), func(d Drops) int64 { return d.OtherVersion }},
+		"version":  {deliver(statementPacket("bb", 1), wire.Version+1), func(d Drops) int64 { return d.OtherVersion }},
 		"form":     {func() { delegate{a.Fleet}.NotifyMsg([]byte{wire.Version, 0xff, 0xff}) }, func(d Drops) int64 { return d.Malformed }},
-		"stranger": {inner(say("nobody", 1), wire.Version), func(d Drops) int64 { return d.Strangers }},
+		"stranger": {deliver(statementPacket("nobody", 1), wire.Version), func(d Drops) int64 { return d.Strangers }},
 		"replayed": {func() {
 			for range 2 {
-				inner(spread.Packet{From: "bb", Incarnation: 1, Count: 50_000}, wire.Version)()
+				deliver(spread.Packet{From: "bb", Incarnation: 1, Count: 50_000}, wire.Version)()
 			}
 		}, func(d Drops) int64 { return d.Replayed }},
 	} {
@@ -329,14 +340,14 @@
 		waitFor(t, name+" is counted", func() bool { return c.count(a.Figures().Drops) > before })
 	}
 	if a.hasRestraint(traffic.Held) {
-		t.Error("something of it was believed")
+		t.Error("a statement of a rejected packet is in force")
 	}
 	if a.Figures().Members != 2 {
 		t.Error("a member was lost")
 	}
 }
 
-// A member of another wire version is not let in.
+// Guards against a member of another wire version, whose packets this relay cannot read. Its attempt to join fails.
 func TestOtherWireVersionCannotJoin(t *testing.T) {
 	a := startRelay(t, "a", nil)
 	c := memberlist.DefaultLocalConfig()
@@ -352,22 +363,23 @@
 		t.Error("a member of another version joined")
 	}
 	if a.Figures().Members > 1 {
-		t.Error("it is a member")
+		t.Error("a relay of another version is a member")
 	}
 }
 
+// Guards against the use of invalid key files, and against errors that contain a key.
 func TestKeyFiles(t *testing.T) {
 	dir := t.TempDir()
-	good := base64.StdEncoding.EncodeToString(testKeys[0])
+	keyLine := base64.StdEncoding.EncodeToString(testKeys[0])
 	for _, c := range []struct {
 		text string
 		mode os.FileMode
 		want string
 	}{
-		{good + "\n# old\n\n" + base64.StdEncoding.EncodeToString(testKeys[1]) + "\n", 0o600, ""},
-		{good, 0o640, "others may use it"},
-		{good + "\nshort\n", 0o600, "line 2"},
-		{good + "\n" + good, 0o600, "line 2"},
+		{keyLine + "\n# old\n\n" + base64.StdEncoding.EncodeToString(testKeys[1]) + "\n", 0o600, ""},
+		{keyLine, 0o640, "others may use it"},
+		{keyLine + "\nshort\n", 0o600, "line 2"},
+		{keyLine + "\n" + keyLine, 0o600, "line 2"},
 		{"# none\n", 0o600, "no key"},
 		{strings.Repeat("#\n", 3) + base64.StdEncoding.EncodeToString([]byte("sixteen bytes....")), 0o600, "line 4"},
 	} {
@@ -381,39 +393,39 @@
 			t.Errorf("%q, mode %o: %v", c.text, c.mode, err)
 		}
 		if err != nil && strings.Contains(err.Error(), "short") {
-			t.Errorf("the error tells what the file holds: %v", err)
+			t.Errorf("the error contains a line of the file: %v", err)
 		}
 	}
 	if _, err := New(Config{KeyFile: filepath.Join(dir, "none")}, nil); err == nil || !strings.Contains(fmt.Sprint(err), "key_file") {
-		t.Error("no file:", err)
+		t.Error("missing file:", err)
 	}
 }
 
-// A relay with all of the load gets nearly all of a limit, and a relay of the fleet that has none of it lends its part; who goes
-// ends no more than its own.
+// Guards against limits that are divided without regard to load. A relay with all of the load gets most of a limit, because
+// relays without load lend their shares. After the load has moved to another relay, that relay gets most of the limit.
 func TestLimitsAreDivided(t *testing.T) {
-	three := func(c *Config) { c.DivideLimits, c.Relays = true, 3 }
-	a := startRelay(t, "a", three)
-	b := startRelay(t, "b", three, a)
-	c := startRelay(t, "c", three, a)
-	ends := traffic.FlowEnd{Status: traffic.Delivered, Report: &traffic.Report{Left: 10, Limit: 300}}
+	divideByThree := func(c *Config) { c.DivideLimits, c.Relays = true, 3 }
+	a := startRelay(t, "a", divideByThree)
+	b := startRelay(t, "b", divideByThree, a)
+	c := startRelay(t, "c", divideByThree, a)
+	flowEnd := traffic.FlowEnd{Status: traffic.Delivered, Report: &traffic.Report{Left: 10, Limit: 300}}
 	for _, p := range []*testRelay{a, b, c} {
-		p.Ended(traffic.Flow{Group: traffic.Group{Destination: 4}, Begun: time.Now()}, ends)
+		p.Ended(traffic.Flow{Group: traffic.Group{Destination: 4}, Begun: time.Now()}, flowEnd)
 	}
-	load := func(p *testRelay, waiting int) {
+	reportLoad := func(p *testRelay, waiting int) {
 		p.Demand([]traffic.Demand{{Destination: 4, Arrived: [traffic.Levels]int{waiting / 10}, Waiting: [traffic.Levels]int{waiting}}})
-		p.Ended(traffic.Flow{Group: traffic.Group{Destination: 4}, Begun: time.Now()}, ends)
+		p.Ended(traffic.Flow{Group: traffic.Group{Destination: 4}, Begun: time.Now()}, flowEnd)
 	}
-	waitFor(t, "the loaded one has most", func() bool {
-		load(b, 500)
+	waitFor(t, "the loaded relay gets most of the limit", func() bool {
+		reportLoad(b, 500)
 		return b.rate(4) > 200
 	})
-	waitFor(t, "and another when the load has moved", func() bool {
-		load(b, 0)
-		load(c, 500)
+	waitFor(t, "another relay gets most of the limit after the load has moved", func() bool {
+		reportLoad(b, 0)
+		reportLoad(c, 500)
 		return c.rate(4) > 200 && b.rate(4) < 100
 	})
-	waitFor(t, "the owner shows what it was lent", func() bool {
+	waitFor(t, "the owner of the limit shows its lenders", func() bool {
 		for _, p := range []*testRelay{a, b, c} {
 			for _, s := range p.Limits() {
 				if s.Lenders == 3 && s.Limit > 290 && s.Bound > s.Limit {
--- a/internal/fleet/wire/configuration_test.go
+++ b/internal/fleet/wire/configuration_test.go
@@ -19,6 +19,7 @@
 	"slatemux/internal/verdicts"
 )
 
+// drawChange draws a random change of a source.
 func drawChange(t *rapid.T, source string) configsync.Change {
 	change := configsync.Change{
 		Source:    source,
@@ -34,6 +35,7 @@
 	return change
 }
 
+// drawConfiguration draws a random valid configuration message.
 func drawConfiguration(t *rapid.T) *configsync.Message {
 	source := rapid.StringN(1, 10, 40).Draw(t, "source")
 	switch rapid.IntRange(0, 2).Draw(t, "kind of message") {
@@ -50,7 +52,7 @@
 	exchange := &configsync.Exchange{Reply: rapid.Bool().Draw(t, "reply"), Digest: rapid.Uint64().Draw(t, "digest"),
 		Ahead: rapid.IntRange(0, math.MaxInt32).Draw(t, "ahead"), Versions: configsync.VersionVector{}}
 	if rapid.Bool().Draw(t, "versions") {
-		exchange.Versions[source] = rapid.Uint64().Draw(t, "version") // 0 names a source of which nothing is known
+		exchange.Versions[source] = rapid.Uint64().Draw(t, "version") // 0 stands for a source without known changes
 	}
 	if rapid.Bool().Draw(t, "deltas") {
 		change := drawChange(t, source)
@@ -60,7 +62,7 @@
 	return &configsync.Message{Exchange: exchange}
 }
 
-// A configuration message is decoded as it was encoded, and its size is told before.
+// Guards against parts of configuration messages that are lost or changed in encoding, and against a wrong Size.
 func TestConfigurationRoundTrip(t *testing.T) {
 	proptest.Check(t, func(t *rapid.T) {
 		p := drawPacket(t)
@@ -70,7 +72,7 @@
 			t.Fatal(err)
 		}
 		if len(b)+Sealing != Size(&p) {
-			t.Errorf("%d bytes, told as %d", len(b)+Sealing, Size(&p))
+			t.Errorf("%d bytes, but Size is %d", len(b)+Sealing, Size(&p))
 		}
 		if got, err := Decode(b); err != nil || !reflect.DeepEqual(got, p) {
 			t.Errorf("%v\n%+v\n%+v", err, got.Configuration, p.Configuration)
@@ -78,19 +80,20 @@
 	})
 }
 
-// The size that the replication counts is no less than that of the packet that is sent.
+// Guards against messages that exceed the packet size: ConfigurationSize must not be below the size of the sent packet, and
+// at most 20 bytes above.
 func TestConfigurationSize(t *testing.T) {
 	proptest.Check(t, func(t *rapid.T) {
 		message := drawConfiguration(t)
 		p := spread.Packet{From: "relay-7", Incarnation: rapid.Uint64Max(1<<20).Draw(t, "incarnation"), Uptime: 300 * 24 * time.Hour,
 			Count: rapid.Uint64Range(1, math.MaxUint32).Draw(t, "count"), Configuration: message}
-		if told, is := ConfigurationSize("relay-7")(message), Size(&p); told < is || told > is+20 {
-			t.Errorf("%d bytes, told as %d", is, told)
+		if estimate, size := ConfigurationSize("relay-7")(message), Size(&p); estimate < size || estimate > size+20 {
+			t.Errorf("%d bytes, but ConfigurationSize is %d", size, estimate)
 		}
 	})
 }
 
-// Whatever comes, a configuration message is refused whole or makes sense.
+// Guards against corrupt configuration messages from the network. Decode rejects them or returns a complete message.
 func TestCorruptConfigurationIsRefused(t *testing.T) {
 	proptest.Check(t, func(t *rapid.T) {
 		p := drawPacket(t)
@@ -101,16 +104,17 @@
 			return
 		}
 		if m := got.Configuration; m.Push == nil && m.Ack == nil && m.Exchange == nil {
-			t.Error("a message of no kind was taken")
+			t.Error("a message without a kind was accepted")
 		}
 		for _, change := range changesOf(got.Configuration) {
 			if change.Source == "" || change.Key == "" || change.Sequence == 0 || change.Revision == 0 {
-				t.Errorf("taken: %+v", change)
+				t.Errorf("accepted: %+v", change)
 			}
 		}
 	})
 }
 
+// changesOf returns all changes of a message.
 func changesOf(m *configsync.Message) (changes []configsync.Change) {
 	if m.Push != nil {
 		changes = append(changes, m.Push.Changes...)
@@ -123,7 +127,7 @@
 	return changes
 }
 
-// A message that is cut anywhere is refused, or has no configuration: never one with a part missing.
+// Guards against truncated messages. Decode rejects them or returns no configuration message, never an incomplete one.
 func TestTruncatedConfigurationIsRefused(t *testing.T) {
 	change := configsync.Change{Source: "control", Sequence: 3, Revision: 4, Key: "endpoint/x", Value: []byte("down"), Signature: make([]byte, 64)}
 	p := spread.Packet{From: "a", Incarnation: 1, Count: 1, Configuration: &configsync.Message{Push: &configsync.Push{Number: 1,
@@ -134,12 +138,12 @@
 	}
 	for n := range b {
 		if got, err := Decode(b[:n]); err == nil && got.Configuration != nil {
-			t.Errorf("taken when cut at %d of %d bytes", n, len(b))
+			t.Errorf("accepted when truncated at %d of %d bytes", n, len(b))
 		}
 	}
 }
 
-// What is beyond a bound, or names no entry, is refused with its reason.
+// Guards against messages that exceed a bound or lack a required field. Decoding rejects them with ErrMalformed.
 func TestConfigurationBounds(t *testing.T) {
 	good := func() *fleetv1.ConfigurationChange {
 		return &fleetv1.ConfigurationChange{Source: "control", Sequence: 1, Revision: 1, Key: "k"}
@@ -176,10 +180,10 @@
 		"a long scope":      {Kind: &fleetv1.Configuration_Push{Push: &fleetv1.ConfigurationPush{Low: make([]byte, MaxConfigurationPositionBytes+1), Change: many(1)}}},
 		"too many sources":  exchange(&fleetv1.ConfigurationExchange{Version: versions}),
 		"a source twice":    exchange(&fleetv1.ConfigurationExchange{Version: []*fleetv1.ConfigurationVersion{versions[0], versions[0]}}),
-		"a source unnamed":  exchange(&fleetv1.ConfigurationExchange{Version: []*fleetv1.ConfigurationVersion{{Sequence: 1}}}),
-		"ahead of all":      exchange(&fleetv1.ConfigurationExchange{Ahead: math.MaxUint32}),
-		"a backward delta":  delta(&fleetv1.ConfigurationDelta{Source: "c", After: 2, Through: 1}),
-		"a nameless delta":  delta(&fleetv1.ConfigurationDelta{Through: 1}),
+		"an empty source":   exchange(&fleetv1.ConfigurationExchange{Version: []*fleetv1.ConfigurationVersion{{Sequence: 1}}}),
+		"huge ahead count":  exchange(&fleetv1.ConfigurationExchange{Ahead: math.MaxUint32}),
+		"a reversed delta":  delta(&fleetv1.ConfigurationDelta{Source: "c", After: 2, Through: 1}),
+		"delta, no source":  delta(&fleetv1.ConfigurationDelta{Through: 1}),
 		"a change outside":  delta(&fleetv1.ConfigurationDelta{Source: "c", Through: 1, Change: []*fleetv1.ConfigurationChange{{Sequence: 2, Revision: 1, Key: "k"}}}),
 		"another's change":  delta(&fleetv1.ConfigurationDelta{Source: "c", Through: 1, Change: many(1)}),
 		"a delta's changes": delta(&fleetv1.ConfigurationDelta{Source: "control", Through: 1, Change: many(MaxConfigurationChanges + 1)}),
@@ -193,7 +197,8 @@
 	}
 }
 
-// A build whose schema ends before the configuration reads all else of a packet as before.
+// Guards against a field that older builds cannot skip. A build whose schema has no configuration field reads all other
+// fields of a packet unchanged.
 func TestOlderBuildIgnoresConfiguration(t *testing.T) {
 	older := protodesc.ToFileDescriptorProto(fleetv1.File_slatemux_fleet_v1_fleet_proto)
 	packet := older.MessageType[0]
@@ -229,7 +234,8 @@
 	})
 }
 
-// A packet that has nothing but a configuration message is taken in and changes nothing that spread decides.
+// Guards against effects of configuration messages on internal/spread. A packet with only a configuration message is
+// accepted from a member, and rejected when it is replayed or from an unknown sender. It causes no announcement or reply.
 func TestSpreadCarriesConfiguration(t *testing.T) {
 	s, err := spread.New(spread.Config{Self: "a", Exchange: time.Second, Bytes: 1e4, Size: Size, Packet: 1200 + Sealing}, 0, verdicts.NewStore(), 1)
 	if err != nil {
@@ -242,16 +248,16 @@
 		t.Errorf("%v, %v, %v, %+v", news, own, out, s.Counters())
 	}
 	if s.Receive(time.Second, p); s.Counters().Replayed != 1 {
-		t.Error("a replayed packet was taken in")
+		t.Error("a replayed packet was accepted")
 	}
 	p.From, p.Count = "stranger", 2
 	if s.Receive(time.Second, p); s.Counters().Strangers != 1 {
-		t.Error("a stranger's packet was taken in")
+		t.Error("a packet of an unknown sender was accepted")
 	}
 	if out := s.SendConfiguration(time.Second, "b", message); len(out) != 1 || out[0].To != "b" || out[0].Packet.Configuration != message {
 		t.Errorf("%+v", out)
 	}
 	if out := s.SendConfiguration(time.Second, "stranger", message); len(out) != 0 {
-		t.Errorf("sent to no member: %+v", out)
+		t.Errorf("sent to an unknown receiver: %+v", out)
 	}
 }
--- a/internal/fleet/wire/wire_test.go
+++ b/internal/fleet/wire/wire_test.go
@@ -14,6 +14,7 @@
 	"slatemux/internal/verdicts"
 )
 
+// drawPacket draws a random valid packet without a configuration message.
 func drawPacket(t *rapid.T) spread.Packet {
 	us := func(name string) time.Duration {
 		return time.Duration(rapid.Int64Range(0, 3600e6).Draw(t, name)) * time.Microsecond
@@ -43,7 +44,7 @@
 	return p
 }
 
-// What is encoded is decoded the same, and its size is told before.
+// Guards against fields that are lost or changed in encoding, and against a wrong Size.
 func TestPacketRoundTrip(t *testing.T) {
 	proptest.Check(t, func(t *rapid.T) {
 		p := drawPacket(t)
@@ -52,7 +53,7 @@
 			t.Fatal(err)
 		}
 		if len(b)+Sealing != Size(&p) {
-			t.Errorf("%d bytes, told as %d", len(b)+Sealing, Size(&p))
+			t.Errorf("%d bytes, but Size is %d", len(b)+Sealing, Size(&p))
 		}
 		if got, err := Decode(b); err != nil || !reflect.DeepEqual(got, p) {
 			t.Errorf("%v\n%+v\n%+v", err, got, p)
@@ -60,7 +61,8 @@
 	})
 }
 
-// Whatever comes, a packet is refused whole or makes sense; another version is told from garbage.
+// Guards against corrupt packets from the network. Decode rejects them or returns a packet within the bounds. It reports
+// another version with an error of its own.
 func TestCorruptPacketsAreRefused(t *testing.T) {
 	proptest.Check(t, func(t *rapid.T) {
 		p := drawPacket(t)
@@ -68,7 +70,7 @@
 		b = proptest.Garbage(t, b)
 		got, err := Decode(b)
 		if err == nil && (got.From == "" || got.Count == 0 || got.Groups > 0 && got.Group >= got.Groups || len(got.News) > MaxNews) {
-			t.Errorf("taken: %+v", got)
+			t.Errorf("accepted: %+v", got)
 		}
 		store := verdicts.NewStore()
 		for _, s := range got.News {
@@ -79,6 +81,6 @@
 		t.Errorf("another version: %v", err)
 	}
 	if _, err := Decode(nil); !errors.Is(err, ErrMalformed) {
-		t.Errorf("nothing: %v", err)
+		t.Errorf("empty packet: %v", err)
 	}
 }
