--- a/internal/fleet/configfile/configfile.go
+++ b/internal/fleet/configfile/configfile.go
@@ -36,7 +36,7 @@
 // ErrTooLarge is returned if the entries do not fit into the bound of the file.
 var ErrTooLarge = errors.New("the configuration exceeds the size limit of its file")
 
-// castagnoli is the polynomial of the checksums.
+// castagnoli is the table of the Castagnoli polynomial for the checksums.
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
 // Snapshot is the content of the file.
@@ -57,8 +57,8 @@
 
 // MaxBytes returns the default bound of the file for a number of entries.
 func MaxBytes(maxEntries int) int64 {
-	const typicalRecord = 512
-	return compactionSlackBytes + 2*typicalRecord*int64(maxEntries)
+	const typicalRecordBytes = 512
+	return compactionSlackBytes + 2*typicalRecordBytes*int64(maxEntries)
 }
 
 // Read returns the content of the file in a directory, and does not change the file. A missing file, or one in an
@@ -71,21 +71,21 @@
 // Open reads the file in a directory and opens it for Save. From then on no other process may write the file.
 func Open(dir string, maxBytes int64) (*File, Snapshot, error) {
 	path := filepath.Join(dir, fileName)
-	snapshot, whole, err := read(path, maxBytes)
+	snapshot, validBytes, err := read(path, maxBytes)
 	if err != nil {
 		return nil, Snapshot{}, err
 	}
-	f := &File{path: path, maxBytes: maxBytes, sizeBytes: whole, compactedBytes: whole, replaceNeeded: whole == 0}
+	f := &File{path: path, maxBytes: maxBytes, sizeBytes: validBytes, compactedBytes: validBytes, replaceNeeded: validBytes == 0}
 	if err := os.Remove(f.temporaryPath()); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return nil, Snapshot{}, fmt.Errorf("fleet configuration: %w", err)
 	}
-	if whole == 0 {
+	if validBytes == 0 {
 		return f, snapshot, nil // the first Save creates the file
 	}
 	if f.file, err = os.OpenFile(path, os.O_WRONLY|os.O_APPEND, 0o600); err != nil {
 		return nil, Snapshot{}, fmt.Errorf("fleet configuration: %w", err)
 	}
-	if err := f.file.Truncate(whole); err != nil {
+	if err := f.file.Truncate(validBytes); err != nil {
 		f.replaceNeeded = true
 	}
 	return f, snapshot, nil
@@ -203,15 +203,15 @@
 	}
 	records, ok := bytes.CutPrefix(content, []byte(header))
 	if !ok {
-		slog.Warn("fleet configuration file damaged: replaced by an empty one, its content is requested from other relays", "file", path)
+		slog.Warn("fleet configuration file damaged: replaced by an empty one, its content is received from other relays", "file", path)
 		return Snapshot{}, 0, nil
 	}
 	snapshot, rest := decode(records)
-	whole := len(content) - len(rest)
+	validBytes := len(content) - len(rest)
 	if len(rest) > 0 {
-		slog.Warn("fleet configuration file torn: invalid records at its end dropped", "file", path, "kept", whole, "dropped", len(rest))
+		slog.Warn("fleet configuration file torn: invalid records at its end dropped", "file", path, "kept", validBytes, "dropped", len(rest))
 	}
-	return snapshot, int64(whole), nil
+	return snapshot, int64(validBytes), nil
 }
 
 // decode reads records up to the first invalid one, and returns the bytes from there on.
@@ -231,9 +231,9 @@
 	if len(b) < recordHeaderBytes {
 		return nil, nil, false
 	}
-	length, sum := binary.LittleEndian.Uint32(b), binary.LittleEndian.Uint32(b[4:])
+	length, checksum := binary.LittleEndian.Uint32(b), binary.LittleEndian.Uint32(b[4:])
 	b = b[recordHeaderBytes:]
-	if length == 0 || length > maxRecordBytes || int(length) > len(b) || crc32.Checksum(b[:length], castagnoli) != sum {
+	if length == 0 || length > maxRecordBytes || int(length) > len(b) || crc32.Checksum(b[:length], castagnoli) != checksum {
 		return nil, nil, false
 	}
 	record = &fleetv1.ConfigurationRecord{}
--- a/internal/fleet/configuration.go
+++ b/internal/fleet/configuration.go
@@ -99,7 +99,7 @@
 	}
 	snapshot, err := configfile.Read(c.dir, c.config.MaxFileBytes)
 	if err != nil {
-		slog.Warn("fleet configuration file not read: its content is requested from other relays", "err", err)
+		slog.Warn("fleet configuration file not read: its content is received from other relays", "err", err)
 	}
 	c.restore(snapshot)
 	return c, nil
@@ -294,13 +294,13 @@
 
 // addExclusions merges the pool members that the configuration excludes into those excluded by announcements of the fleet.
 // The result is sorted by name.
-func (c *configuration) addExclusions(bars []traffic.Bar, pool map[string]traffic.Member) []traffic.Bar {
+func (c *configuration) addExclusions(exclusions []traffic.Bar, pool map[string]traffic.Member) []traffic.Bar {
 	if c == nil || c.directives.Empty() {
-		return bars
+		return exclusions
 	}
 	banned := map[string]bool{}
-	for _, bar := range bars {
-		banned[bar.Member] = bar.Banned
+	for _, exclusion := range exclusions {
+		banned[exclusion.Member] = exclusion.Banned
 	}
 	for name, member := range pool {
 		if c.directives.Excludes(name, member.Destination) {
--- a/internal/fleet/delegate.go
+++ b/internal/fleet/delegate.go
@@ -74,7 +74,7 @@
 		return
 	}
 	d.f.enqueue(peerClock{
-		from:        n.Name,
+		member:      n.Name,
 		incarnation: incarnation,
 		uptime:      time.Duration(uptime) * time.Microsecond,
 		roundTrip:   roundTrip,
--- a/internal/fleet/events.go
+++ b/internal/fleet/events.go
@@ -25,7 +25,7 @@
 		member      string
 		destination int
 		outage      bool
-		retryFailed bool // a trial call during the outage has failed
+		trialFailed bool // a trial call during the outage has failed
 		since       time.Time
 	}
 
@@ -75,12 +75,12 @@
 
 // Health reports whether this relay's own calls show an outage of a pool member, since when, and whether a trial call has
 // failed since.
-func (f *Fleet) Health(member string, destination int, out, retryFailed bool, since time.Time) {
+func (f *Fleet) Health(member string, destination int, outage, trialFailed bool, since time.Time) {
 	f.enqueue(memberHealth{
 		member:      member,
 		destination: destination,
-		outage:      out,
-		retryFailed: retryFailed,
+		outage:      outage,
+		trialFailed: trialFailed,
 		since:       since,
 	})
 }
@@ -94,7 +94,7 @@
 // Bans reports which pool members operators have banned at this relay. The caller must not use the map afterwards.
 func (f *Fleet) Bans(set map[string]bool) { f.enqueue(bansUpdated(set)) }
 
-// apply updates the judge, and announces the wait that the destination asked for, if any.
+// apply updates the judge, and announces the retry-after of a refused call, if any.
 func (e callEnded) apply(f *Fleet, now time.Duration, r *stepResult) {
 	r.restraints = append(r.restraints, f.judge.Observe(now, e.Observation)...)
 	if s, ok := f.announcer.Wait(now, f.store, e.Observation); ok {
@@ -114,7 +114,7 @@
 		return
 	}
 	subject := verdicts.Subject{Kind: verdicts.Health, Destination: e.destination, Member: e.member}
-	if e.retryFailed || f.countOrigins(now, subject) < 2*f.cfg.Quorum {
+	if e.trialFailed || f.countOrigins(now, subject) < 2*f.cfg.Quorum {
 		f.announce(now, f.announcer.Outage(e.destination, e.member, now-since), r)
 	}
 }
@@ -146,12 +146,12 @@
 func isActive(m traffic.Member) bool { return m.Health == traffic.Active }
 
 // scheduleDrain schedules the announcement of a drain or of the end of a drain.
-func (f *Fleet) scheduleDrain(now time.Duration, m traffic.Member, listVersion int64, over bool) {
+func (f *Fleet) scheduleDrain(now time.Duration, m traffic.Member, listVersion int64, ended bool) {
 	f.pendingDrains[m.Host] = pendingDrain{
 		due:         now + time.Duration(f.rng.Float64()*float64(maxDrainDelay)),
 		member:      m,
 		listVersion: listVersion,
-		ended:       over,
+		ended:       ended,
 	}
 }
 
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -95,19 +95,19 @@
 	if err != nil {
 		return nil, fmt.Errorf("fleet: %w", err)
 	}
-	ring, err := memberlist.NewKeyring(keys, keys[0])
+	keyring, err := memberlist.NewKeyring(keys, keys[0])
 	if err != nil {
 		return nil, fmt.Errorf("fleet: %w", err)
 	}
-	incarnation, countErr := nextIncarnation(cfg.StateDir)
-	if countErr != nil {
-		slog.Warn("fleet: incarnation not saved; other members report the newest one of this name", "err", countErr)
+	incarnation, incarnationErr := nextIncarnation(cfg.StateDir)
+	if incarnationErr != nil {
+		slog.Warn("fleet: incarnation not read or saved; other members report the newest one of this name", "err", incarnationErr)
 	}
 	f := &Fleet{
 		cfg:           cfg,
 		relay:         relay,
 		createdAt:     time.Now(),
-		keyring:       ring,
+		keyring:       keyring,
 		wake:          make(chan struct{}, 1),
 		syncRequests:  make(chan struct{}, 1),
 		announcer:     verdicts.NewAnnouncer(cfg.Self, incarnation),
@@ -117,7 +117,7 @@
 		pendingDrains: map[string]pendingDrain{},
 		bans:          map[string]bool{},
 		rng:           rand.New(rand.NewPCG(cfg.Seed, driverRandomStream)),
-		mayHaveLent:   countErr != nil || incarnation > firstIncarnation,
+		mayHaveLent:   incarnationErr != nil || incarnation > firstIncarnation,
 	}
 	f.shared.holdEnds = map[traffic.Group]time.Time{}
 	f.shared.members = map[string]*MemberState{}
--- a/internal/fleet/members.go
+++ b/internal/fleet/members.go
@@ -117,7 +117,7 @@
 func (f *Fleet) recordRoundTrip(clock peerClock) {
 	f.shared.Lock()
 	defer f.shared.Unlock()
-	if m := f.shared.members[clock.from]; m != nil {
+	if m := f.shared.members[clock.member]; m != nil {
 		m.RTTMS = milliseconds(clock.roundTrip)
 	}
 }
--- a/internal/fleet/membership.go
+++ b/internal/fleet/membership.go
@@ -278,8 +278,8 @@
 			continue
 		}
 		f.judge.Forget(name)
-		lost := f.store.Forget(name)
-		r.restraints = append(r.restraints, f.judge.Expired(now, lost)...)
+		removed := f.store.Forget(name)
+		r.restraints = append(r.restraints, f.judge.Expired(now, removed)...)
 		r.exclusionsChanged = true
 	}
 }
--- a/internal/fleet/metrics.go
+++ b/internal/fleet/metrics.go
@@ -100,7 +100,7 @@
 func (f *Fleet) publish(now time.Duration) {
 	f.incarnation.Store(f.announcer.Incarnation())
 	statements := f.store.All(now)
-	figures := Figures{
+	metrics := Figures{
 		Members:       len(f.nodes),
 		StalenessMS:   milliseconds(f.spread.Staleness(now)),
 		Verdicts:      len(statements),
@@ -110,18 +110,18 @@
 	var limits []allowance.State
 	if f.allocator != nil {
 		limits = f.allocator.States(now)
-		figures.Divided = f.allocator.Counters()
+		metrics.Divided = f.allocator.Counters()
 	}
-	figures.Drops = f.drops.snapshot(figures.Spread)
-	figures.Configuration = f.publishConfiguration()
+	metrics.Drops = f.drops.snapshot(metrics.Spread)
+	metrics.Configuration = f.publishConfiguration()
 	f.shared.Lock()
 	defer f.shared.Unlock()
 	if t := f.shared.transport; t != nil {
-		figures.addTransport(t)
+		metrics.addTransport(t)
 	}
 	f.shared.statements = statements
 	f.shared.limits = limits
-	f.shared.metrics = figures
+	f.shared.metrics = metrics
 }
 
 // snapshot reads the counters, and adds those that internal/spread keeps.
--- a/internal/fleet/packets.go
+++ b/internal/fleet/packets.go
@@ -16,7 +16,7 @@
 
 	// peerClock is the incarnation and uptime of another member, as given in its answer to a probe.
 	peerClock struct {
-		from        string
+		member      string
 		incarnation uint64
 		uptime      time.Duration
 		roundTrip   time.Duration
@@ -31,15 +31,15 @@
 		return
 	}
 	before := f.spread.Counters()
-	news, own, replies := f.spread.Receive(now, packet)
+	newStatements, ownStatements, replies := f.spread.Receive(now, packet)
 	after := f.spread.Counters()
 	if after.Strangers > before.Strangers || after.Differed > before.Differed {
 		f.requestSync()
 	}
-	for _, s := range own {
+	for _, s := range ownStatements {
 		f.supersede(now, s.Version)
 	}
-	for _, s := range news {
+	for _, s := range newStatements {
 		r.restraints = append(r.restraints, f.judge.Receive(now, s)...)
 		if s.Kind == verdicts.Drain || s.Kind == verdicts.Ban {
 			r.exclusionsChanged = true
@@ -71,7 +71,7 @@
 
 // apply records the clock of a member and the round-trip time of the probe.
 func (e peerClock) apply(f *Fleet, now time.Duration, _ *stepResult) {
-	f.spread.RecordClock(now, e.from, e.incarnation, e.uptime)
+	f.spread.RecordClock(now, e.member, e.incarnation, e.uptime)
 	f.recordRoundTrip(e)
 }
 
--- a/internal/fleet/restraints.go
+++ b/internal/fleet/restraints.go
@@ -72,15 +72,15 @@
 
 // updateExclusions passes the pool members that get no new calls to the relay, if the list has changed.
 func (f *Fleet) updateExclusions(now time.Duration) {
-	var bars []traffic.Bar
+	var exclusions []traffic.Bar
 	for _, name := range f.judge.Barred(now) {
 		ban := verdicts.Subject{Kind: verdicts.Ban, Destination: f.pool[name].Destination, Member: name}
-		bars = append(bars, traffic.Bar{Member: name, Banned: f.countOrigins(now, ban) > 0})
+		exclusions = append(exclusions, traffic.Bar{Member: name, Banned: f.countOrigins(now, ban) > 0})
 	}
-	bars = f.configuration.addExclusions(bars, f.pool)
-	if slices.Equal(bars, f.lastExclusions) {
+	exclusions = f.configuration.addExclusions(exclusions, f.pool)
+	if slices.Equal(exclusions, f.lastExclusions) {
 		return
 	}
-	f.lastExclusions = bars
-	f.relay.Bar(slices.Clone(bars))
+	f.lastExclusions = exclusions
+	f.relay.Bar(slices.Clone(exclusions))
 }
