--- a/internal/fleet/configfile/configfile.go
+++ b/internal/fleet/configfile/configfile.go
@@ -23,8 +23,10 @@
 )
 
 const (
+	// fileName is the name of the file in the state directory.
 	fileName = "fleet-configuration"
-	header   = "slatemux fleet-configuration 1\n"
+	// header is the first line of the file, with the version of the format.
+	header = "slatemux fleet-configuration 1\n"
 	// recordHeaderBytes is the size of a record's header: the length of the payload and its checksum, 4 bytes each.
 	recordHeaderBytes = 4 + 4
 	// maxRecordBytes bounds the payload of a record.
@@ -39,7 +41,7 @@
 // castagnoli is the table of the Castagnoli polynomial for the checksums.
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// Snapshot is the content of the file.
+// Snapshot is the content of the file: changes and the version vector that includes them.
 type Snapshot struct {
 	Entries  []configsync.Change
 	Versions configsync.VersionVector
@@ -203,7 +205,7 @@
 	}
 	records, ok := bytes.CutPrefix(content, []byte(header))
 	if !ok {
-		slog.Warn("fleet configuration file damaged: replaced by an empty one, its content is received from other relays", "file", path)
+		slog.Warn("fleet configuration file damaged: ignored, its content is received from other relays", "file", path)
 		return Snapshot{}, 0, nil
 	}
 	snapshot, rest := decode(records)
--- a/internal/fleet/configuration_test.go
+++ b/internal/fleet/configuration_test.go
@@ -152,10 +152,10 @@
 // Guards against changes that do not reach all relays. A change submitted to one relay comes into force at all of them, until
 // it is removed. A relay without replication stays a member, and receives no packet that it must drop.
 func TestConfigurationReachesAllRelays(t *testing.T) {
-	c := newControlMachine("control")
-	a := startRelay(t, "a", withConfiguration(t, "", c))
-	b := startRelay(t, "bb", withConfiguration(t, "", c), a)
-	d := startRelay(t, "ddd", withConfiguration(t, "", c), a)
+	machine := newControlMachine("control")
+	a := startRelay(t, "a", withConfiguration(t, "", machine))
+	b := startRelay(t, "bb", withConfiguration(t, "", machine), a)
+	d := startRelay(t, "ddd", withConfiguration(t, "", machine), a)
 	older := startRelay(t, "older", nil, a)
 	all := []*testRelay{a, b, d}
 	waitForReplication(t, 3, all...)
@@ -164,24 +164,24 @@
 	}
 	waitFor(t, "the older build is a member", func() bool { return older.Figures().Members == 4 && a.Figures().Members == 4 })
 
-	b.submitNext(t, c, "endpoint/m", "down")
+	b.submitNext(t, machine, "endpoint/m", "down")
 	if !b.excludesExactly("m") {
 		t.Error("the reply came before the change was in force")
 	}
 	waitForExclusions(t, all, "m")
-	d.submitNext(t, c, "destination/7", "closed")
+	d.submitNext(t, machine, "destination/7", "closed")
 	waitForExclusions(t, all, "m", "n")
-	a.submitNext(t, c, "rate/7", "100")
+	a.submitNext(t, machine, "rate/7", "100")
 	waitFor(t, "all relays have the entry that this build does not know", func() bool {
 		return !slices.ContainsFunc(all, func(p *testRelay) bool { return p.Figures().Configuration.Unknown != 1 })
 	})
 	waitForExclusions(t, all, "m", "n")
-	a.submitNext(t, c, "destination/7", "")
+	a.submitNext(t, machine, "destination/7", "")
 	waitForExclusions(t, all, "m")
-	b.submitNext(t, c, "endpoint/m", "")
+	b.submitNext(t, machine, "endpoint/m", "")
 	waitForExclusions(t, all)
 
-	waitFor(t, "all hold the same", func() bool {
+	waitFor(t, "all have the same configuration", func() bool {
 		return a.Configuration().Digest == b.Configuration().Digest && b.Configuration().Digest == d.Configuration().Digest
 	})
 	state := a.Configuration()
@@ -194,7 +194,7 @@
 	if drops := older.Figures().Drops; drops.Malformed+drops.OtherVersion+drops.Strangers != 0 {
 		t.Errorf("the older build dropped something: %+v", drops)
 	}
-	if err := older.submit(t, c.sign(6, 6, "endpoint/m", "down")); !errors.Is(err, ErrConfigurationOff) {
+	if err := older.submit(t, machine.sign(6, 6, "endpoint/m", "down")); !errors.Is(err, ErrConfigurationOff) {
 		t.Errorf("the older build: %v", err)
 	}
 }
@@ -202,19 +202,19 @@
 // Guards against the loss of configuration in a restart. A relay that restarts with its state directory has the entries in
 // force before it reaches another relay. A relay that starts without a file receives the entries from the others.
 func TestConfigurationOutlivesRestarts(t *testing.T) {
-	c := newControlMachine("control")
+	machine := newControlMachine("control")
 	dir := t.TempDir()
-	a := startRelay(t, "a", withConfiguration(t, "", c))
-	b := startRelay(t, "bb", withConfiguration(t, dir, c), a)
+	a := startRelay(t, "a", withConfiguration(t, "", machine))
+	b := startRelay(t, "bb", withConfiguration(t, dir, machine), a)
 	waitForReplication(t, 2, a, b)
 	for _, key := range []string{"endpoint/m", "endpoint/x", "endpoint/m"} {
-		a.submitNext(t, c, key, "down")
+		a.submitNext(t, machine, key, "down")
 	}
 	waitFor(t, "the other relay has all changes", func() bool { return b.Configuration().Versions["control"] == 3 })
 	b.stop()
 	waitFor(t, "the stopped relay is no longer a member", func() bool { return a.Figures().Members == 1 })
 
-	alone := startRelay(t, "bb", withConfiguration(t, dir, c))
+	alone := startRelay(t, "bb", withConfiguration(t, dir, machine))
 	alone.Pool(1, testPool())
 	waitForExclusions(t, []*testRelay{alone}, "m")
 	waitFor(t, "the restarted relay shows the saved state", func() bool {
@@ -223,16 +223,16 @@
 	})
 	alone.stop()
 
-	a.submitNext(t, c, "endpoint/n", "down")
-	back := startRelay(t, "bb", withConfiguration(t, dir, c), a)
-	fresh := startRelay(t, "new", withConfiguration(t, "", c), a)
-	for _, p := range []*testRelay{back, fresh} {
+	a.submitNext(t, machine, "endpoint/n", "down")
+	restarted := startRelay(t, "bb", withConfiguration(t, dir, machine), a)
+	fresh := startRelay(t, "new", withConfiguration(t, "", machine), a)
+	for _, p := range []*testRelay{restarted, fresh} {
 		p.Pool(1, testPool())
 	}
-	waitForExclusions(t, []*testRelay{back, fresh}, "m", "n")
-	waitFor(t, "all hold the same", func() bool {
+	waitForExclusions(t, []*testRelay{restarted, fresh}, "m", "n")
+	waitFor(t, "all have the same configuration", func() bool {
 		digest, version := a.Configuration().Digest, a.Configuration().Versions["control"]
-		return !slices.ContainsFunc([]*testRelay{back, fresh}, func(p *testRelay) bool {
+		return !slices.ContainsFunc([]*testRelay{restarted, fresh}, func(p *testRelay) bool {
 			state := p.Configuration()
 			return state.Digest != digest || state.Versions["control"] != version
 		})
@@ -242,62 +242,62 @@
 // Guards against a corrupt configuration file. The relay replaces the file and receives the entries from other relays. After
 // the next restart the entries are in force again from the new file.
 func TestCorruptConfigurationFileIsReplaced(t *testing.T) {
-	c := newControlMachine("control")
+	machine := newControlMachine("control")
 	dir := t.TempDir()
-	a := startRelay(t, "a", withConfiguration(t, "", c))
+	a := startRelay(t, "a", withConfiguration(t, "", machine))
 	if err := os.WriteFile(filepath.Join(dir, "fleet-configuration"), bytes.Repeat([]byte{7}, 999), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	waitForReplication(t, 1, a)
-	a.submitNext(t, c, "endpoint/m", "down")
-	b := startRelay(t, "bb", withConfiguration(t, dir, c), a)
+	a.submitNext(t, machine, "endpoint/m", "down")
+	b := startRelay(t, "bb", withConfiguration(t, dir, machine), a)
 	b.Pool(1, testPool())
 	waitForExclusions(t, []*testRelay{b}, "m")
 	waitFor(t, "the state is saved", func() bool { return b.Configuration().Figures.Kept })
 	b.stop()
-	again := startRelay(t, "bb", withConfiguration(t, dir, c))
-	again.Pool(1, testPool())
-	waitForExclusions(t, []*testRelay{again}, "m")
+	restarted := startRelay(t, "bb", withConfiguration(t, dir, machine))
+	restarted.Pool(1, testPool())
+	waitForExclusions(t, []*testRelay{restarted}, "m")
 }
 
 // Guards against lost changes in a handover. The successor process has the entries in force that were saved when it started.
 // It refuses changes while its predecessor has the address. Then it reads the later changes from the file.
 func TestConfigurationHandover(t *testing.T) {
-	c := newControlMachine("control")
+	machine := newControlMachine("control")
 	dir := t.TempDir()
-	before := startRelay(t, "a", withConfiguration(t, dir, c))
-	waitForReplication(t, 1, before)
-	before.submitNext(t, c, "endpoint/m", "down")
-	after := startRelay(t, "a", func(cfg *Config) {
-		withConfiguration(t, dir, c)(cfg)
-		cfg.Bind = before.cfg.Bind
+	predecessor := startRelay(t, "a", withConfiguration(t, dir, machine))
+	waitForReplication(t, 1, predecessor)
+	predecessor.submitNext(t, machine, "endpoint/m", "down")
+	successor := startRelay(t, "a", func(cfg *Config) {
+		withConfiguration(t, dir, machine)(cfg)
+		cfg.Bind = predecessor.cfg.Bind
 	})
-	after.Pool(1, testPool())
-	waitForExclusions(t, []*testRelay{after}, "m")
-	if err := after.submit(t, c.sign(2, 2, "endpoint/n", "down")); !errors.Is(err, ErrConfigurationNotReady) {
+	successor.Pool(1, testPool())
+	waitForExclusions(t, []*testRelay{successor}, "m")
+	if err := successor.submit(t, machine.sign(2, 2, "endpoint/n", "down")); !errors.Is(err, ErrConfigurationNotReady) {
 		t.Errorf("the process without the address: %v", err)
 	}
-	before.submitNext(t, c, "endpoint/n", "down")
-	before.stop()
-	waitForExclusions(t, []*testRelay{after}, "m", "n")
-	waitForReplication(t, 1, after)
-	after.submitNext(t, c, "endpoint/m", "")
-	waitForExclusions(t, []*testRelay{after}, "n")
+	predecessor.submitNext(t, machine, "endpoint/n", "down")
+	predecessor.stop()
+	waitForExclusions(t, []*testRelay{successor}, "m", "n")
+	waitForReplication(t, 1, successor)
+	successor.submitNext(t, machine, "endpoint/m", "")
+	waitForExclusions(t, []*testRelay{successor}, "n")
 }
 
 // Guards against a success reply for a change that could not be saved. The change is in force, the reply reports that it is
 // not saved, and the other relay saves it.
 func TestConfigurationNotSaved(t *testing.T) {
-	c := newControlMachine("control")
+	machine := newControlMachine("control")
 	a := startRelay(t, "a", func(cfg *Config) {
-		withConfiguration(t, "", c)(cfg)
+		withConfiguration(t, "", machine)(cfg)
 		cfg.Configuration.MaxFileBytes = 300 // room for one change
 	})
-	b := startRelay(t, "bb", withConfiguration(t, "", c), a)
+	b := startRelay(t, "bb", withConfiguration(t, "", machine), a)
 	waitForReplication(t, 2, a, b)
 	a.Pool(1, testPool())
-	a.submitNext(t, c, "endpoint/m", "down")
-	if err := a.submit(t, c.next(t, a, "endpoint/n", "down")); !errors.Is(err, ErrConfigurationNotSaved) {
+	a.submitNext(t, machine, "endpoint/m", "down")
+	if err := a.submit(t, machine.next(t, a, "endpoint/n", "down")); !errors.Is(err, ErrConfigurationNotSaved) {
 		t.Errorf("a change that does not fit into the file: %v", err)
 	}
 	waitForExclusions(t, []*testRelay{a}, "m", "n")
@@ -311,16 +311,16 @@
 // Guards against changes that must be refused: those without the signature of a trusted source, those that are not the next
 // change of their source, and invalid ones. The error gives the reason, and the state does not change.
 func TestConfigurationRefusals(t *testing.T) {
-	c, stranger := newControlMachine("control"), newControlMachine("stranger")
-	a := startRelay(t, "a", withConfiguration(t, "", c))
+	machine, stranger := newControlMachine("control"), newControlMachine("stranger")
+	a := startRelay(t, "a", withConfiguration(t, "", machine))
 	waitForReplication(t, 1, a)
 	a.Pool(1, testPool())
-	first := c.next(t, a, "endpoint/m", "down")
+	first := machine.next(t, a, "endpoint/m", "down")
 	a.mustSubmit(t, first)
 	a.mustSubmit(t, first) // submitted again, as after a lost reply
 	state := a.Configuration()
 
-	forged := c.next(t, a, "endpoint/n", "down")
+	forged := machine.next(t, a, "endpoint/n", "down")
 	forged.Key = "endpoint/o"
 	impostor := stranger.sign(2, 2, "endpoint/n", "down")
 	impostor.Source = "control"
@@ -331,11 +331,11 @@
 		"of no trusted source":  {stranger.sign(1, 2, "endpoint/n", "down"), configsync.ErrUntrusted},
 		"under another's name":  {impostor, configsync.ErrUntrusted},
 		"changed on the way":    {forged, configsync.ErrUntrusted},
-		"of a used sequence":    {c.sign(1, 2, "endpoint/n", "down"), ErrConfigurationConflict},
-		"beyond the next one":   {c.sign(3, 2, "endpoint/n", "down"), ErrConfigurationConflict},
-		"of a huge revision":    {c.sign(2, 1<<62, "endpoint/n", "down"), ErrConfigurationConflict},
-		"without a key":         {c.sign(2, 2, "", "down"), configsync.ErrInvalid},
-		"with too long a value": {c.sign(2, 2, "endpoint/n", strings.Repeat("x", 5000)), configsync.ErrInvalid},
+		"of a used sequence":    {machine.sign(1, 2, "endpoint/n", "down"), ErrConfigurationConflict},
+		"beyond the next one":   {machine.sign(3, 2, "endpoint/n", "down"), ErrConfigurationConflict},
+		"of a huge revision":    {machine.sign(2, 1<<62, "endpoint/n", "down"), ErrConfigurationConflict},
+		"without a key":         {machine.sign(2, 2, "", "down"), configsync.ErrInvalid},
+		"with too long a value": {machine.sign(2, 2, "endpoint/n", strings.Repeat("x", 5000)), configsync.ErrInvalid},
 	} {
 		if err := a.submit(t, bad.change); !errors.Is(err, bad.want) {
 			t.Errorf("%s: %v", name, err)
@@ -375,7 +375,7 @@
 		}
 	}
 	if err := a.submit(t, lateChange); !errors.Is(err, configsync.ErrUntrusted) {
-		t.Errorf("the first source after its key was taken out: %v", err)
+		t.Errorf("the first source after its key was removed: %v", err)
 	}
 	waitFor(t, "the second source is trusted", func() bool {
 		return slices.ContainsFunc(b.Configuration().Sources, func(s ConfigurationSource) bool { return s.Name == "second" && s.Trusted })
@@ -387,18 +387,18 @@
 // Guards against the use of invalid trusted key files.
 func TestTrustedKeyFiles(t *testing.T) {
 	dir := t.TempDir()
-	good := newControlMachine("control").trustedKeyLine()
+	validLine := newControlMachine("control").trustedKeyLine()
 	for _, c := range []struct {
 		text string
 		mode os.FileMode
 		want string
 	}{
-		{"# control machines\n\n" + good + newControlMachine("second").trustedKeyLine(), 0o644, ""},
-		{good, 0o666, "all users may write it"},
-		{good + "second\n", 0o600, "line 2"},
-		{good + "second c2hvcnQ=\n", 0o600, "line 2"},
-		{good + good, 0o600, "line 2"},
-		{strings.Repeat("x", 65) + strings.TrimPrefix(good, "control"), 0o600, "line 1"},
+		{"# control machines\n\n" + validLine + newControlMachine("second").trustedKeyLine(), 0o644, ""},
+		{validLine, 0o666, "all users may write it"},
+		{validLine + "second\n", 0o600, "line 2"},
+		{validLine + "second c2hvcnQ=\n", 0o600, "line 2"},
+		{validLine + validLine, 0o600, "line 2"},
+		{strings.Repeat("x", 65) + strings.TrimPrefix(validLine, "control"), 0o600, "line 1"},
 		{"# none\n", 0o600, "0 keys"},
 	} {
 		path := filepath.Join(dir, "trusted")
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -75,6 +75,7 @@
 	return false
 }
 
+// testKeys are two encryption keys.
 var testKeys = [][]byte{bytes.Repeat([]byte{1}, keyBytes), bytes.Repeat([]byte{2}, keyBytes)}
 
 // writeKeyFile writes a key file and returns its path.
--- a/internal/fleet/members.go
+++ b/internal/fleet/members.go
@@ -58,6 +58,7 @@
 	f.enqueue(membershipChanged{})
 }
 
+// updateMemberState stores a member's state, and a copy of its node.
 func (f *Fleet) updateMemberState(n *memberlist.Node, state string) {
 	f.shared.Lock()
 	defer f.shared.Unlock()
--- a/internal/fleet/metrics.go
+++ b/internal/fleet/metrics.go
@@ -31,7 +31,7 @@
 	Replayed      int64 `json:"replayed"`  // received before, or of an earlier incarnation of the sender
 	OtherFleet    int64 `json:"foreign"`   // of another fleet
 	OtherVersion  int64 `json:"version"`   // of a wire version that this build does not read
-	Malformed     int64 `json:"form"`      // malformed
+	Malformed     int64 `json:"form"`      // cannot be decoded, or is invalid
 	Oversized     int64 `json:"oversized"` // longer than any packet or stream that a relay sends
 	Strangers     int64 `json:"strangers"` // from a sender that is not a member
 	Overrun       int64 `json:"overrun"`   // arrived while the inbox was full, or a stream above maxStreams
--- a/internal/fleet/transport.go
+++ b/internal/fleet/transport.go
@@ -36,7 +36,7 @@
 	closed     chan struct{}
 	closeOnce  sync.Once
 
-	sentBytes, receivedBytes       atomic.Int64 // bytes
+	sentBytes, receivedBytes       atomic.Int64
 	oversizedCount, refusedStreams atomic.Int64
 	openStreams                    atomic.Int64 // incoming streams that are open
 }
