--- a/internal/conns/conns.go
+++ b/internal/conns/conns.go
@@ -1,7 +1,11 @@
-// Package conns decides about connections to servers: how many to hold to each endpoint, which idle one to use next, when
-// to open one ahead of need, and when to give one up. It does no I/O and reads no clock. Package flow tells it what
-// happens to connections, and does what it answers; the decision module says which endpoint gets a call and when, and
-// this one says on which connection.
+// Package conns decides about connections to servers: how many each endpoint keeps, which idle connection a call uses, when a
+// connection is opened in advance, and when one is closed. The package does no I/O and reads no clock. Package flow reports the events
+// of connections to a Pool and carries out the Pool's decisions. The decision module chooses the endpoint and the time of a call; the
+// Pool chooses the connection.
+//
+// Some terms: a reuse is a call on a connection that was idle, and a good reuse is one that was answered. A closing by the server is
+// visible if the relay sees it while the connection is idle; otherwise the connection is dead, and the next call on it fails. Such a
+// failed call is a loss, or a stale call.
 package conns
 
 import (
@@ -15,785 +19,831 @@
 	"time"
 )
 
-// Config says what a Pool keeps to.
+// Config holds the limits and prices that a Pool works with.
 type Config struct {
-	Most     int           // connections in all, those being opened included
-	IdleMost time.Duration // servers are known to close a connection that idled for so long
-	MaxAge   time.Duration // a connection is given up after about so long; 0 for never
-	Keep     time.Duration // half-life of what a peak of calls makes it hold
-	Ahead    bool          // connections are opened before they are needed
-	// LossPrice and OpenPrice weigh a call that a dead connection fails against a new connection: a connection is used
-	// again where the first, times the share expected, is less than the second.
+	Most     int           // maximum number of connections in all, including those that are being opened
+	IdleMost time.Duration // idle time after which servers are known to close a connection
+	MaxAge   time.Duration // approximate age at which a connection is closed; 0 for no limit
+	Keep     time.Duration // half-life of the number of connections that are kept after a peak of calls
+	Ahead    bool          // connections are opened before calls need them
+	// LossPrice is the price of a call that fails on a dead connection, OpenPrice that of a new connection. A connection is
+	// reused while LossPrice times the probability that the connection is dead is less than OpenPrice.
 	LossPrice, OpenPrice float64
-	StaleMost            float64 // share of calls that dead connections may fail; the nearer, the less is risked
-	BackoffLeast         time.Duration
-	BackoffMost          time.Duration // between openings ahead at an endpoint where they fail
+	StaleMost            float64       // maximum share of calls that may fail on dead connections; near this share, less risk is taken
+	MinBackoff           time.Duration // first wait before the next preconnect to an endpoint after a failed opening; each failure doubles it
+	MaxBackoff           time.Duration // maximum of that wait
 	Seed                 uint64
 }
 
-// Defaults returns the figures that a relay uses.
+// Defaults returns the configuration of a relay. The caller adds the maximum number of connections and their maximum idle time.
 func Defaults() Config {
 	return Config{MaxAge: 10 * time.Minute, Keep: 15 * time.Second, LossPrice: 1, OpenPrice: 0.02, StaleMost: 0.001,
-		BackoffLeast: 200 * time.Millisecond, BackoffMost: 30 * time.Second}
+		MinBackoff: 200 * time.Millisecond, MaxBackoff: 30 * time.Second}
 }
 
-// Check names the first field that makes no sense.
+// Check returns an error that describes the first invalid value.
 func (c *Config) Check() error {
 	switch {
 	case c.Most < 1:
-		return fmt.Errorf("conns: Most is %d", c.Most)
+		return fmt.Errorf("conns: maximum number of connections is %d, must be at least 1", c.Most)
 	case c.IdleMost <= 0:
-		return fmt.Errorf("conns: IdleMost is %v", c.IdleMost)
+		return fmt.Errorf("conns: maximum idle time is %v, must be positive", c.IdleMost)
 	case c.MaxAge < 0 || c.Keep <= 0:
-		return fmt.Errorf("conns: MaxAge %v or Keep %v makes no sense", c.MaxAge, c.Keep)
+		return fmt.Errorf("conns: maximum age %v is negative, or half-life of a peak %v is not positive", c.MaxAge, c.Keep)
 	case !(c.LossPrice > 0) || !(c.OpenPrice > 0) || !(c.StaleMost > 0 && c.StaleMost < 1):
-		return fmt.Errorf("conns: LossPrice, OpenPrice or StaleMost is out of range")
-	case c.BackoffLeast <= 0 || c.BackoffMost < c.BackoffLeast:
-		return fmt.Errorf("conns: BackoffLeast %v and BackoffMost %v make no span", c.BackoffLeast, c.BackoffMost)
+		return fmt.Errorf("conns: price of a loss, price of an opening or maximum share of stale calls is out of range")
+	case c.MinBackoff <= 0 || c.MaxBackoff < c.MinBackoff:
+		return fmt.Errorf("conns: minimum backoff %v is not positive, or maximum backoff %v is below the minimum", c.MinBackoff, c.MaxBackoff)
 	}
 	return nil
 }
 
 const (
-	// raceMargin is left before the time at which a server closes: its close and our call would cross on the way.
-	raceMargin = 0.1
-	// closeShare of connections is to outlive the limit that seen closings set. These cost no call unless one crosses them on the
-	// way, so that a few early ones, as at a restart, are no reason to give up the rest.
-	closeShare = 0.5
-	// quarantine is how long the idle time of a loss is not tried again at first; it doubles with each loss.
-	quarantine, quarantineMost = 10 * time.Second, time.Hour
-	// tryEvery parts the tries of idle times beyond the limit.
-	tryEvery = 10 * time.Second
-	// noiseMost is the share of calls that may break for other reasons before one loss is no proof of anything; suspectsMost is
-	// how many then are.
-	noiseMost, suspectsMost = 0.0005, 2
-	// contradicted losses, without a good reuse after as long among them, outweigh a longer good one of late.
-	contradicted = 3
-	// wary is how long after a loss for idling no idle time is believed in that has not gone well of late.
-	wary = time.Hour
-	// weighEvery is how often the evidence is weighed, besides after each loss.
-	weighEvery = 50 * time.Millisecond
-	// provenFor is how long a good reuse shows that others of its idle time will go well, and provenReach how far beyond that
-	// time it reaches; a loss leaves refuted of its idle time.
-	provenFor, provenReach, refuted = 5 * time.Minute, 1.25, 0.7
-	// shortIdle is too short to be why a connection died.
-	shortIdle = 100 * time.Millisecond
-	// evidenceHalf is the half-life of evidence, and evidenceFade how often it fades: servers are reconfigured unseen.
-	evidenceHalf, evidenceFade = 15 * time.Minute, 15 * time.Second
-	// recentGood is how long a good reuse speaks against a loss being for idling.
-	recentGood = 20 * time.Second
-	// quantile is the deviations above the mean that calls out at once are provided for.
-	quantile = 2.3
-	// demandFade smooths rates and service times; a tick is about tickUsual long.
-	demandFade = 0.3
-	// sameUses closings in a row behind the same number of calls make a limit of uses, and four times as many after each one that
-	// proved wrong, up to usesMost; one connection in usesTry goes on.
-	sameUses, usesMost, usesTry = 3, 200, 20
-	// capFor is how long a cap that a server seems to have is held to before one more is tried.
-	capFor = 30 * time.Second
-	// capRefusals in a row make a cap: one may be for anything.
-	capRefusals = 2
-	// capDoubt is how soon behind a refusal closings show that the server was not full but going down.
-	capDoubt = time.Second
-	// behindAnswer is how soon behind an answer a closing is for the number of calls.
-	behindAnswer = 50 * time.Millisecond
-	// thinLeast is how long a connection that is too many idles at least before it is given up.
-	thinLeast = time.Second
-	// staleWindow is the number of calls over which the share of losses is kept.
-	staleWindow = 20_000
+	// closeMarginShare is the part of an idle limit by which the relay stays below the time at which the server closes. Without the
+	// margin, the server's close and a call could cross on the network.
+	closeMarginShare = 0.1
+	// minSurvivalShare is the share of connections that must outlive the limit learned from visible closings. A visible closing fails
+	// no call unless both cross on the network, so a few early closings, as at a restart, must not shorten the limit for the rest.
+	minSurvivalShare = 0.5
+	// minQuarantine is how long the idle time of a first loss is not tried again. The quarantine doubles with each loss, up to
+	// maxQuarantine.
+	minQuarantine = 10 * time.Second
+	maxQuarantine = time.Hour
+	// trialInterval is the minimum time between two trials of an idle time beyond the limit.
+	trialInterval = 10 * time.Second
+	// maxUnrelatedLossShare is the share of calls that may break for reasons other than idling. Above this share a single loss no
+	// longer proves that idling was the reason; lossesNeededIfNoisy losses do.
+	maxUnrelatedLossShare = 0.0005
+	lossesNeededIfNoisy   = 2
+	// lossesNeededIfContradicted is the number of losses that outweigh a recent good reuse after a longer idle time. A good reuse after
+	// at least the idle time of such a loss removes that loss from the count.
+	lossesNeededIfContradicted = 3
+	// cautionPeriod is how long after a loss through idling only those idle times are trusted that recent reuses have proven.
+	cautionPeriod = time.Hour
+	// limitsRefreshInterval is how long computed idle limits are used. A loss causes an immediate refresh.
+	limitsRefreshInterval = 50 * time.Millisecond
+	// provenPeriod is how long a good reuse proves that other connections survive the same idle time.
+	provenPeriod = 5 * time.Minute
+	// provenReachFactor times the longest proven idle time is still trusted.
+	provenReachFactor = 1.25
+	// refutedIdleShare is the part of a loss's idle time that remains proven after the loss.
+	refutedIdleShare = 0.7
+	// minSuspectIdle is the shortest idle time that can be the reason for a loss.
+	minSuspectIdle = 100 * time.Millisecond
+	// evidenceHalfLife is the half-life of the evidence about idle times, because servers are reconfigured without notice.
+	evidenceHalfLife = 15 * time.Minute
+	// evidenceDecayInterval is the time between two decays of the evidence.
+	evidenceDecayInterval = 15 * time.Second
+	// recentGoodPeriod is how long a good reuse is evidence that idling was not the reason for a later loss.
+	recentGoodPeriod = 20 * time.Second
+	// busyDeviations is the number of standard deviations above the mean number of concurrent calls for which connections are kept.
+	busyDeviations = 2.3
+	// serviceSmoothing is the weight of the newest call in the smoothed service time and its deviation.
+	serviceSmoothing = 0.3
+	// minSameUses is the number of consecutive closings after the same number of calls that make a limit of calls per connection.
+	// Each limit that proves wrong multiplies the number by four, up to maxSameUses.
+	minSameUses = 3
+	maxSameUses = 200
+	// connsPerUsesTrial is the number of connections of which one ignores the limit of calls per connection, to test the limit.
+	connsPerUsesTrial = 20
+	// connLimitPeriod is how long an assumed connection limit of a server holds before one more connection is tried.
+	connLimitPeriod = 30 * time.Second
+	// refusalsForConnLimit is the number of consecutive refusals that make a connection limit. A single refusal can have any reason.
+	refusalsForConnLimit = 2
+	// connLimitDoubtPeriod is the time after a refusal in which a closing shows that the server was shutting down and not full.
+	connLimitDoubtPeriod = time.Second
+	// closeAfterAnswerWindow is the time after an answer in which a closing is attributed to the number of calls.
+	closeAfterAnswerWindow = 50 * time.Millisecond
+	// minSurplusIdle is the minimum idle time of a surplus connection before it is closed.
+	minSurplusIdle = time.Second
+	// staleWindowCalls is the number of calls after which the counts of recent calls and losses are halved.
+	staleWindowCalls = 20_000
 )
 
-// ID names a connection.
+// ID identifies a connection of a Pool.
 type ID uint64
 
-// Why says why a connection is given up.
-type Why int
+// Reason is the cause for which a Pool closes a connection.
+type Reason int
 
 // The reasons.
 const (
-	Idle     Why = iota // it may be dead by now, or will be before it is used
-	Age                 // it is old
-	Uses                // the server closes behind so many calls
-	Thin                // there are more than needed
-	Room                // another endpoint needs the descriptor
-	Leaving             // its endpoint gets nothing new
-	Moved               // its endpoint has another address
-	Server              // the server said that it closes
-	Pressure            // memory is short
-	Trust               // what it was trusted by has changed
-	whys
+	ReasonIdle         Reason = iota // the connection may be dead now, or will be before its next use
+	ReasonAge                        // the connection has reached its maximum age
+	ReasonUses                       // the server closes connections after this number of calls
+	ReasonSurplus                    // the endpoint has more connections than needed
+	ReasonRoom                       // another endpoint needs the file descriptor
+	ReasonDraining                   // the endpoint gets no new calls
+	ReasonMoved                      // the endpoint has a new address
+	ReasonServerClosed               // the server announced that it closes the connection
+	ReasonPressure                   // memory is short
+	Trust                            // the trust settings under which the connection was opened have changed
+	reasonCount
 )
 
-var whyNames = [whys]string{"idle", "age", "uses", "thin", "room", "leaving", "moved", "server", "pressure", "trust"}
+var reasonNames = [reasonCount]string{"idle", "age", "uses", "thin", "room", "leaving", "moved", "server", "pressure", "trust"}
 
-func (w Why) String() string { return whyNames[w] }
+// String returns the name of the reason in log lines.
+func (r Reason) String() string { return reasonNames[r] }
 
-// Give is a connection to be closed, and why.
+// Give is a connection that the caller has to close, and the reason.
 type Give struct {
 	ID  ID
-	Why Why
+	Why Reason
 }
 
+// state is what a connection is doing.
 type state int
 
 const (
-	opening state = iota
-	busy
-	resting
+	stateOpening state = iota
+	stateBusy          // the connection carries a call
+	stateIdle
 )
 
+// conn is one connection of a Pool.
 type conn struct {
-	id      ID
-	ep      *endpoint
-	state   state
-	old     time.Duration // when it is given up for its age; 0 for never
-	since   time.Duration // of resting
-	carried int           // calls
-	idled   time.Duration // before the call that is out; 0 for the first
-	tries   bool          // it tries what a quarantine or a limit of uses forbids
-	ahead   bool          // it was opened before it was needed
-}
-
-// What is seen of idling at an endpoint takes room, and of a long list most endpoints are never called, or seldom. Those at which
-// nothing was seen share these, which are never written to.
+	id             ID
+	owner          *endpoint
+	state          state
+	expiresAt      time.Duration // time at which the connection reaches its maximum age; 0 for never
+	idleSince      time.Duration
+	calls          int           // calls that the connection has completed
+	idleBeforeCall time.Duration // idle time before the current call; 0 for the first call
+	isTrial        bool          // the current call tests an idle time that is beyond the limit or not proven
+	preconnected   bool          // the connection was opened in advance
+}
+
+// Histories take much memory, and most endpoints of a long list are called rarely or never. Endpoints without any observation share
+// these empty histories, which are never written to.
 var (
-	noReuses reuses
-	noSpells spells
-	noDead   = noReuses.dead()
+	emptyReuseHistory reuseHistory
+	emptyCloseHistory closeHistory
+	emptyDeadShares   = emptyReuseHistory.deadShares()
 )
 
-// used again, and ended: what is seen of these, to be written to.
-func (e *endpoint) usedAgain() *reuses {
-	if e.reuses == &noReuses {
-		e.reuses = &reuses{}
+// ownReuseHistory returns the endpoint's own, writable reuse history. The first call replaces the shared empty history.
+func (e *endpoint) ownReuseHistory() *reuseHistory {
+	if e.reuseHistory == &emptyReuseHistory {
+		e.reuseHistory = &reuseHistory{}
 	}
-	return e.reuses
+	return e.reuseHistory
 }
 
-func (e *endpoint) ended() *spells {
-	if e.spells == &noSpells {
-		e.spells = &spells{}
+// ownCloseHistory returns the endpoint's own, writable close history. The first call replaces the shared empty history.
+func (e *endpoint) ownCloseHistory() *closeHistory {
+	if e.closeHistory == &emptyCloseHistory {
+		e.closeHistory = &closeHistory{}
 	}
-	return e.spells
+	return e.closeHistory
 }
 
+// endpoint is one server address of a destination, with its connections and what they have shown about the server.
 type endpoint struct {
-	name, addr string
-	dest       int
-	open       bool // it may get something new
-	cold       bool // it is not to be pushed: one opening ahead at a time
-	conns      map[ID]*conn
-	rest       []*conn // those that rest, longest first
-	out        int     // busy
-
-	reuses *reuses
-	spells *spells
-
-	banned, bannedUntil time.Duration // idle times from banned on are not tried before
-	ban                 time.Duration // of the newest loss
-	exploring           bool
-	tryAt               time.Duration    // no idle time beyond the limit is tried before
-	goodIdle            [2]time.Duration // the longest good reuse of this stretch of time, and of the one before
-	goodFrom            time.Duration    // when this one began
-	proven              [2]time.Duration // the same over a longer stretch, but for what a loss has refuted since
-	provenFrom          time.Duration
-	lossAt              time.Duration // when one died for idling; 0 for never
-
-	suspects []time.Duration // idle times of losses that may have been for idling, or not
-
-	uses, usesSeen, usesN int // limit of calls a connection, 0 for none; the newest closing's, and how often in a row
-	usesNeed              int // closings in a row that make a limit
-	cap                   int // connections that the server seems to take; 0 for no limit
-	capAt                 time.Duration
-	refusals              int // in a row, while others were open
-	fails                 int
-	retryAt               time.Duration
-	goodOpen              time.Duration // the newest opening that went well
-
-	given [whys]int64
-	stale int64
-
-	fadedAt time.Duration // when the evidence faded
-
-	weighedAt  time.Duration // when the next three were made of the evidence; 0 for anew, as after a loss
-	dead       *[idleBounds]float64
-	soft, hard time.Duration
-
-	arrivals        int
-	rate, mean, dev float64 // calls a second; seconds a call takes, and its spread
-	peak            float64 // calls out at once, fading
-	expected        int     // calls that are known to come
-}
-
-// group is what the endpoints of a destination have in common: how many of their calls break for other reasons than idling.
-type group struct {
-	endpoints   []*endpoint // in the order of their coming
-	calls, lost float64     // of late
-}
-
-// noisy says that connections break for other reasons often enough to be taken for idle ones that died.
-func (g *group) noisy() bool { return g.lost >= 2 && g.lost > noiseMost*g.calls }
-
-// Pool decides for all endpoints. It is not safe for use by several goroutines at once.
+	name, addr   string
+	dest         int
+	acceptsCalls bool // the endpoint may get new calls
+	slowStart    bool // at most one connection at a time is opened in advance
+	conns        map[ID]*conn
+	idleConns    []*conn // idle connections, the longest idle first
+	busyCount    int     // connections that carry a call
+
+	reuseHistory *reuseHistory
+	closeHistory *closeHistory
+
+	quarantinedIdle  time.Duration // idle times from this one on are not tried before quarantinedUntil; 0 for none
+	quarantinedUntil time.Duration
+	quarantineLength time.Duration // length of the quarantine after the newest loss
+	trialRunning     bool
+	nextTrialAt      time.Duration    // no idle time beyond the limit is tried before this time
+	recentGoodIdle   [2]time.Duration // longest idle time of a good reuse, in the current and the previous period of recentGoodPeriod
+	recentGoodFrom   time.Duration    // start of the current period of recentGoodIdle
+	provenIdle       [2]time.Duration // the same for periods of provenPeriod, shortened by losses
+	provenIdleFrom   time.Duration    // start of the current period of provenIdle
+	idleLossAt       time.Duration    // time of the newest loss that is attributed to idling; 0 for never
+
+	suspectedIdles []time.Duration // idle times of losses that are not yet attributed to idling or to another reason
+
+	maxUses             int // limit of calls per connection; 0 for none
+	lastClosingUses     int // calls of the connection that the server closed last
+	sameUsesCount       int // consecutive closings after lastClosingUses calls
+	sameUsesNeeded      int // consecutive closings that make a limit
+	connLimit           int // number of connections that the server seems to accept; 0 for no limit
+	connLimitAt         time.Duration
+	consecutiveRefusals int // refusals in a row while other connections were open
+	openFailures        int // failed openings; each success halves the number
+	preconnectRetryAt   time.Duration
+	lastOpenedAt        time.Duration // time of the newest successful opening; 0 for never
+
+	evicted    [reasonCount]int64
+	staleCalls int64
+
+	evidenceDecayedAt time.Duration // time of the newest decay of the histories
+
+	limitsComputedAt             time.Duration // time at which the next three fields were computed; 0 after a loss, which makes them stale
+	deadShares                   *[bucketCount]float64
+	softIdleLimit, hardIdleLimit time.Duration
+
+	arrivals             int // calls since the last tick
+	callsPerSecond       float64
+	serviceSeconds       float64 // smoothed duration of a call
+	serviceSpreadSeconds float64 // smoothed mean deviation of that duration
+	peakBusy             float64 // peak number of concurrent calls, decaying
+	expectedCalls        int     // calls that are known to come
+}
+
+// destination is the common state of the endpoints of a destination: how many of their calls break for reasons other than idling.
+type destination struct {
+	endpoints                          []*endpoint // in the order in which they were added
+	recentCalls, recentUnrelatedLosses float64     // counted over the window of staleWindowCalls
+}
+
+// hasUnrelatedLosses reports whether connections break for other reasons so often that such a loss can be mistaken for one through
+// idling.
+func (d *destination) hasUnrelatedLosses() bool {
+	return d.recentUnrelatedLosses >= 2 && d.recentUnrelatedLosses > maxUnrelatedLossShare*d.recentCalls
+}
+
+// Pool decides about the connections of all endpoints. It is not safe for concurrent use.
 type Pool struct {
-	cfg    Config
-	eps    map[string]*endpoint
-	groups map[int]*group // by destination
-	conns  map[ID]*conn
-	frugal bool // nothing is to rest
-	next   ID
-	rng    *rand.Rand
-	last   time.Duration
-	ticked time.Duration // the newest tick
-	calls  float64       // of late
-	stale  float64
-	total  Counters
-	ends   Ends
-}
-
-// Counters count since the start.
+	cfg          Config
+	endpoints    map[string]*endpoint
+	destinations map[int]*destination
+	conns        map[ID]*conn
+	keepNoIdle   bool // connections are closed instead of becoming idle
+	lastID       ID
+	rng          *rand.Rand
+	clock        time.Duration // the latest time that a caller has passed
+	lastTickAt   time.Duration
+	recentCalls  float64 // calls in the window of staleWindowCalls
+	staleCalls   float64 // of recentCalls, those that failed on dead connections
+	counters     Counters
+	idleTimes    Ends
+}
+
+// Counters counts events since the start.
 type Counters struct {
-	Opened, Ahead, Unused int64 // connections; of them opened ahead, and never used
-	Calls, Reused, Stale  int64 // calls; on warm connections; failed by dead ones
-	Failed, CalledOff     int64 // openings; those that nobody needed any more
-	Waited                int64 // calls that had to wait for a connection of their endpoint
-	Given                 [whys]int64
-	Closed                int64 // by the server, before our eyes
-	Bans                  int64 // idle times put in quarantine
-}
-
-// New returns a Pool.
+	Opened       int64 // openings begun
+	Ahead        int64 // of Opened, those in advance of calls
+	NeverUsed    int64 // connections opened in advance that ended without a call
+	Calls        int64
+	Reused       int64 // of Calls, those on connections that had been idle
+	Stale        int64 // of Calls, those that failed on dead connections
+	OpenFailures int64 // openings that failed
+	Canceled     int64 // openings that were canceled because no call needed them any more
+	Waited       int64 // calls that had to wait for a connection to their endpoint
+	Evicted      [reasonCount]int64
+	Closed       int64 // idle connections whose closing by the server was visible
+	Quarantines  int64 // quarantines of idle times
+}
+
+// New returns a Pool without endpoints, or an error if the configuration is invalid.
 func New(cfg Config) (*Pool, error) {
 	if err := cfg.Check(); err != nil {
 		return nil, err
 	}
-	return &Pool{cfg: cfg, eps: map[string]*endpoint{}, groups: map[int]*group{}, conns: map[ID]*conn{}, rng: rand.New(rand.NewPCG(cfg.Seed, 9))}, nil
+	return &Pool{cfg: cfg, endpoints: map[string]*endpoint{}, destinations: map[int]*destination{}, conns: map[ID]*conn{},
+		rng: rand.New(rand.NewPCG(cfg.Seed, 9))}, nil
 }
 
 // Counters returns the counters.
-func (p *Pool) Counters() Counters { return p.total }
+func (p *Pool) Counters() Counters { return p.counters }
 
-// Len is how many connections there are, those being opened included.
+// Len returns the number of connections, including those that are being opened.
 func (p *Pool) Len() int { return len(p.conns) }
 
-// Limit changes how many connections there may be in all; what there is too many is given up as it rests.
-func (p *Pool) Limit(most int) { p.cfg.Most = most }
+// Limit sets the maximum number of connections in all. A connection beyond the maximum is closed when its call ends.
+func (p *Pool) Limit(maxConns int) { p.cfg.Most = maxConns }
 
-// Endpoint brings news of an endpoint: what is known of one that moves is forgotten, for another server stands there. What
-// has to be closed is returned; connections that are busy close as they come to rest.
-func (p *Pool) Endpoint(name, addr string, dest int, open bool) (give []Give) {
-	e := p.eps[name]
+// Endpoint adds, changes or drains an endpoint. An endpoint with a new address loses what was learned, because another server runs
+// there. The result lists the idle connections that the caller has to close. Busy connections close when their calls end.
+func (p *Pool) Endpoint(name, addr string, dest int, acceptsCalls bool) (evict []Give) {
+	e := p.endpoints[name]
 	if e == nil {
-		if !open {
+		if !acceptsCalls {
 			return nil
 		}
-		e = &endpoint{name: name, addr: addr, dest: dest, reuses: &noReuses, spells: &noSpells, dead: &noDead, fadedAt: p.last, conns: map[ID]*conn{}}
+		e = &endpoint{name: name, addr: addr, dest: dest, reuseHistory: &emptyReuseHistory, closeHistory: &emptyCloseHistory,
+			deadShares: &emptyDeadShares, evidenceDecayedAt: p.clock, conns: map[ID]*conn{}}
 		p.learnFromSiblings(e)
-		p.eps[name] = e
-		p.join(e, dest)
+		p.endpoints[name] = e
+		p.joinDestination(e, dest)
 	}
 	if e.dest != dest {
-		p.part(e)
-		p.join(e, dest)
+		p.leaveDestination(e)
+		p.joinDestination(e, dest)
 	}
-	why := Leaving
+	reason := ReasonDraining
 	if moved := e.addr != addr; moved {
-		next := &endpoint{name: name, addr: addr, dest: dest, reuses: &noReuses, spells: &noSpells, dead: &noDead, fadedAt: p.last, conns: e.conns, rest: e.rest, out: e.out, rate: e.rate, mean: e.mean, dev: e.dev, peak: e.peak}
+		next := &endpoint{name: name, addr: addr, dest: dest, reuseHistory: &emptyReuseHistory, closeHistory: &emptyCloseHistory,
+			deadShares: &emptyDeadShares, evidenceDecayedAt: p.clock, conns: e.conns, idleConns: e.idleConns, busyCount: e.busyCount,
+			callsPerSecond: e.callsPerSecond, serviceSeconds: e.serviceSeconds, serviceSpreadSeconds: e.serviceSpreadSeconds, peakBusy: e.peakBusy}
 		p.learnFromSiblings(next)
 		*e = *next
-		why = Moved
-	} else if open {
-		e.open, e.dest = open, dest
+		reason = ReasonMoved
+	} else if acceptsCalls {
+		e.acceptsCalls, e.dest = acceptsCalls, dest
 		return nil
 	}
-	e.open, e.dest = open, dest
-	give = p.giveAll(e, why)
-	if why == Moved {
+	e.acceptsCalls, e.dest = acceptsCalls, dest
+	evict = p.evictAllIdle(e, reason)
+	if reason == ReasonMoved {
 		for _, c := range e.conns {
-			c.old = 1 // long ago: it closes as it comes to rest
+			c.expiresAt = 1 // in the past: the connection closes when its call ends
 		}
 	}
-	p.forget(e)
-	return give
+	p.removeIfDrained(e)
+	return evict
 }
 
-// siblingsMost is how many others of its destination a new endpoint learns from: a few that are alike say what all do, and a list
-// of thousands is taken in within a step.
-const siblingsMost = 16
+// maxSiblings is the number of other endpoints of its destination from which a new endpoint learns. A few similar endpoints show what
+// all of them do, and a list of thousands must be processed within one step.
+const maxSiblings = 16
 
-// learnFromSiblings has a new endpoint begin with what others of its destination have taught: they are most likely alike.
+// learnFromSiblings initializes a new endpoint with what other endpoints of its destination have shown, because they most likely behave
+// alike.
 func (p *Pool) learnFromSiblings(e *endpoint) {
-	g := p.groups[e.dest]
-	if g == nil {
+	d := p.destinations[e.dest]
+	if d == nil {
 		return
 	}
-	for _, o := range g.endpoints[:min(len(g.endpoints), siblingsMost)] {
-		if o.name != e.name && o.open {
-			if o.bannedUntil > 0 && (e.bannedUntil == 0 || o.banned < e.banned) {
-				e.banned, e.bannedUntil, e.ban = o.banned, o.bannedUntil, o.ban
+	for _, o := range d.endpoints[:min(len(d.endpoints), maxSiblings)] {
+		if o.name != e.name && o.acceptsCalls {
+			if o.quarantinedUntil > 0 && (e.quarantinedUntil == 0 || o.quarantinedIdle < e.quarantinedIdle) {
+				e.quarantinedIdle, e.quarantinedUntil, e.quarantineLength = o.quarantinedIdle, o.quarantinedUntil, o.quarantineLength
 			}
-			if e.uses == 0 {
-				e.uses = o.uses
+			if e.maxUses == 0 {
+				e.maxUses = o.maxUses
 			}
-			e.lossAt = max(e.lossAt, o.lossAt)
-			if o := o.provenOf(p.last); o > e.proven[0] {
-				e.proven[0], e.provenFrom = o, p.last
+			e.idleLossAt = max(e.idleLossAt, o.idleLossAt)
+			if siblingProven := o.longestProvenIdle(p.clock); siblingProven > e.provenIdle[0] {
+				e.provenIdle[0], e.provenIdleFrom = siblingProven, p.clock
 			}
-			if o.reuses != &noReuses { // a part of what they know: it soon yields to what is seen here
-				e.usedAgain().learn(o.reuses)
+			if o.reuseHistory != &emptyReuseHistory { // only a part, so that observations of this endpoint soon outweigh it
+				e.ownReuseHistory().mergePart(o.reuseHistory)
 			}
-			if o.spells != &noSpells {
-				e.ended().learn(o.spells)
+			if o.closeHistory != &emptyCloseHistory {
+				e.ownCloseHistory().mergePart(o.closeHistory)
 			}
 		}
 	}
 }
 
-func (p *Pool) join(e *endpoint, dest int) {
-	if e.dest = dest; p.groups[dest] == nil {
-		p.groups[dest] = &group{}
+// joinDestination adds an endpoint to the state of a destination.
+func (p *Pool) joinDestination(e *endpoint, dest int) {
+	if e.dest = dest; p.destinations[dest] == nil {
+		p.destinations[dest] = &destination{}
 	}
-	p.groups[dest].endpoints = append(p.groups[dest].endpoints, e)
+	p.destinations[dest].endpoints = append(p.destinations[dest].endpoints, e)
 }
 
-func (p *Pool) part(e *endpoint) {
-	g := p.groups[e.dest]
-	if g.endpoints = slices.DeleteFunc(g.endpoints, func(o *endpoint) bool { return o == e }); len(g.endpoints) == 0 {
-		delete(p.groups, e.dest)
+// leaveDestination removes an endpoint from the state of its destination, and the state with the last endpoint.
+func (p *Pool) leaveDestination(e *endpoint) {
+	d := p.destinations[e.dest]
+	if d.endpoints = slices.DeleteFunc(d.endpoints, func(o *endpoint) bool { return o == e }); len(d.endpoints) == 0 {
+		delete(p.destinations, e.dest)
 	}
 }
 
-// forget ends what is kept of an endpoint that is gone, once no connection is left.
-func (p *Pool) forget(e *endpoint) {
-	if !e.open && len(e.conns) == 0 && p.eps[e.name] == e {
-		delete(p.eps, e.name)
-		p.part(e)
+// removeIfDrained removes an endpoint that accepts no calls and has no connection left.
+func (p *Pool) removeIfDrained(e *endpoint) {
+	if !e.acceptsCalls && len(e.conns) == 0 && p.endpoints[e.name] == e {
+		delete(p.endpoints, e.name)
+		p.leaveDestination(e)
 	}
 }
 
-// Hint tells that an endpoint is cold or not, and how many calls are known to come there soon.
-func (p *Pool) Hint(name string, cold bool, expected int) {
-	if e := p.eps[name]; e != nil {
-		e.cold, e.expected = cold, expected
+// Hint sets whether an endpoint is in slow start, and how many calls are known to come there soon.
+func (p *Pool) Hint(name string, slowStart bool, expectedCalls int) {
+	if e := p.endpoints[name]; e != nil {
+		e.slowStart, e.expectedCalls = slowStart, expectedCalls
 	}
 }
 
-// sorted are an endpoint's connections in the order of their ids, so that the same events always lead to the same acts.
-func (e *endpoint) sorted() []*conn {
+// connsByID returns the connections of an endpoint in the order of their IDs, so that the same events always lead to the same decisions.
+func (e *endpoint) connsByID() []*conn {
 	return slices.SortedFunc(maps.Values(e.conns), func(a, b *conn) int { return cmp.Compare(a.id, b.id) })
 }
 
-// settle has a connection rest since then.
-func (e *endpoint) settle(c *conn, since time.Duration) {
-	c.state, c.since = resting, since
-	at := len(e.rest) // as a rule it is the newest
-	for at > 0 && e.rest[at-1].since > since {
+// addIdle marks a connection as idle since the given time and inserts it in idleConns.
+func (e *endpoint) addIdle(c *conn, idleSince time.Duration) {
+	c.state, c.idleSince = stateIdle, idleSince
+	at := len(e.idleConns) // usually the newest, at the end
+	for at > 0 && e.idleConns[at-1].idleSince > idleSince {
 		at--
 	}
-	e.rest = slices.Insert(e.rest, at, c)
+	e.idleConns = slices.Insert(e.idleConns, at, c)
 }
 
-// rouse ends a connection's rest.
-func (e *endpoint) rouse(c *conn) {
-	for i := len(e.rest) - 1; i >= 0; i-- { // as a rule it is the newest
-		if e.rest[i] == c {
-			e.rest = slices.Delete(e.rest, i, i+1)
+// removeIdle removes a connection from idleConns.
+func (e *endpoint) removeIdle(c *conn) {
+	for i := len(e.idleConns) - 1; i >= 0; i-- { // usually the newest, at the end
+		if e.idleConns[i] == c {
+			e.idleConns = slices.Delete(e.idleConns, i, i+1)
 			return
 		}
 	}
 }
 
-// giveAll gives up all that rests at an endpoint.
-func (p *Pool) giveAll(e *endpoint, why Why) (give []Give) {
-	for len(e.rest) > 0 {
-		give = append(give, p.give(e.rest[0], why))
+// evictAllIdle evicts all idle connections of an endpoint.
+func (p *Pool) evictAllIdle(e *endpoint, reason Reason) (evict []Give) {
+	for len(e.idleConns) > 0 {
+		evict = append(evict, p.evict(e.idleConns[0], reason))
 	}
-	return give
+	return evict
 }
 
-func (p *Pool) give(c *conn, why Why) Give {
-	p.total.Given[why]++
-	c.ep.given[why]++
-	if c.state == resting {
-		c.ep.ended().add(p.last-c.since, false)
-		p.ends.Given[why].add(p.last - c.since)
+// evict removes a connection, counts the reason, and returns the connection for the caller to close.
+func (p *Pool) evict(c *conn, reason Reason) Give {
+	p.counters.Evicted[reason]++
+	c.owner.evicted[reason]++
+	if c.state == stateIdle {
+		c.owner.ownCloseHistory().add(p.clock-c.idleSince, false)
+		p.idleTimes.Evicted[reason].add(p.clock - c.idleSince)
 	}
-	p.drop(c)
-	return Give{c.id, why}
+	p.remove(c)
+	return Give{c.id, reason}
 }
 
-func (p *Pool) drop(c *conn) {
+// remove deletes a connection from the pool, and its endpoint if that is drained.
+func (p *Pool) remove(c *conn) {
 	switch c.state {
-	case busy:
-		c.ep.out--
-	case resting:
-		c.ep.rouse(c)
+	case stateBusy:
+		c.owner.busyCount--
+	case stateIdle:
+		c.owner.removeIdle(c)
 	}
-	if c.carried == 0 && c.ahead {
-		p.total.Unused++
+	if c.calls == 0 && c.preconnected {
+		p.counters.NeverUsed++
 	}
-	if c.tries {
-		c.ep.exploring = false
+	if c.isTrial {
+		c.owner.trialRunning = false
 	}
 	delete(p.conns, c.id)
-	delete(c.ep.conns, c.id)
-	p.forget(c.ep)
+	delete(c.owner.conns, c.id)
+	p.removeIfDrained(c.owner)
 }
 
-// Verdict says how a call gets its connection.
+// Verdict says how a call gets a connection.
 type Verdict int
 
 // The verdicts.
 const (
-	Use  Verdict = iota // the warm connection that is named
-	Open                // a new one, to be opened now under the id that is named
-	Wait                // none may be opened: one that comes to rest is to be had, or leave after a while
+	Use  Verdict = iota // the idle connection with the returned ID
+	Open                // a new connection, which the caller opens now under the returned ID
+	Wait                // no connection may be opened: the call waits for one that becomes idle, or gives up after some time
 )
 
-// Call decides on a call to an endpoint: which connection it goes on. What has to be closed for it, or is found to be of
-// no use any more, is returned too.
-func (p *Pool) Call(now time.Duration, name string) (v Verdict, id ID, give []Give) {
-	p.now(now)
-	e := p.eps[name]
-	if e == nil || !e.open {
+// Call decides which connection a call to an endpoint uses. It also returns the connections that the caller has to close, to make room
+// for the call or because they are no longer usable.
+func (p *Pool) Call(now time.Duration, name string) (v Verdict, id ID, evict []Give) {
+	p.advanceClock(now)
+	e := p.endpoints[name]
+	if e == nil || !e.acceptsCalls {
 		return Wait, 0, nil
 	}
 	e.arrivals++
 	return p.Again(now, name)
 }
 
-// Again decides once more on a call that waited, or whose connection turned out to be closed.
-func (p *Pool) Again(now time.Duration, name string) (v Verdict, id ID, give []Give) {
-	p.now(now)
-	e := p.eps[name]
-	if e == nil || !e.open {
+// Again repeats the decision for a call that waited, or whose connection turned out to be closed.
+func (p *Pool) Again(now time.Duration, name string) (v Verdict, id ID, evict []Give) {
+	p.advanceClock(now)
+	e := p.endpoints[name]
+	if e == nil || !e.acceptsCalls {
 		return Wait, 0, nil
 	}
-	c, give := p.best(e)
+	c, evict := p.bestIdle(e)
 	if c != nil {
-		p.take(c)
-		return Use, c.id, give
+		p.startCall(c)
+		return Use, c.id, evict
 	}
-	if e.full(p.last) {
-		p.total.Waited++
-		return Wait, 0, give
+	if e.atConnLimit(p.clock) {
+		p.counters.Waited++
+		return Wait, 0, evict
 	}
-	room, ok := p.room(e)
-	if give = append(give, room...); !ok {
-		p.total.Waited++
-		return Wait, 0, give
+	forRoom, ok := p.makeRoom(e)
+	if evict = append(evict, forRoom...); !ok {
+		p.counters.Waited++
+		return Wait, 0, evict
 	}
-	c = p.open(e)
-	return Open, c.id, give
+	c = p.openConn(e)
+	return Open, c.id, evict
 }
 
-// Unused puts back a connection that was to carry a call and did not: it rests on as if it had not been taken. If it may not,
-// it is to be closed, and why.
-func (p *Pool) Unused(now time.Duration, id ID) (rests bool, why Why) {
-	p.now(now)
+// Unused takes back a connection that did not carry its call after all. The connection remains idle as if it had not been taken. If the
+// connection must be closed instead, the result is false and the reason.
+func (p *Pool) Unused(now time.Duration, id ID) (idle bool, reason Reason) {
+	p.advanceClock(now)
 	c := p.conns[id]
-	if c == nil || c.state != busy {
-		return false, Server
+	if c == nil || c.state != stateBusy {
+		return false, ReasonServerClosed
 	}
-	p.untake(c)
+	p.undoCall(c)
 	switch {
-	case !c.ep.open:
-		why = Leaving
-	case p.frugal:
-		why = Pressure
+	case !c.owner.acceptsCalls:
+		reason = ReasonDraining
+	case p.keepNoIdle:
+		reason = ReasonPressure
 	default:
-		c.ep.out--
-		c.ep.settle(c, p.last-c.idled)
+		c.owner.busyCount--
+		c.owner.addIdle(c, p.clock-c.idleBeforeCall)
 		return true, 0
 	}
-	p.total.Given[why]++
-	c.ep.given[why]++
-	p.drop(c)
-	return false, why
+	p.counters.Evicted[reason]++
+	c.owner.evicted[reason]++
+	p.remove(c)
+	return false, reason
 }
 
-// Gone tells that a connection that was to carry a call had been closed by the server before the first byte went out: it did
-// no harm, and counts as a closing that was seen.
+// Gone reports that the server had closed a connection before the first byte of its call was sent. No call failed, so this counts as a
+// visible closing.
 func (p *Pool) Gone(now time.Duration, id ID) {
-	p.now(now)
+	p.advanceClock(now)
 	c := p.conns[id]
-	if c == nil || c.state != busy {
+	if c == nil || c.state != stateBusy {
 		return
 	}
-	p.untake(c)
-	p.sawClosing(c, c.idled)
-	p.drop(c)
+	p.undoCall(c)
+	p.recordClosing(c, c.idleBeforeCall)
+	p.remove(c)
 }
 
-// untake has the counts forget a call that was not made after all.
-func (p *Pool) untake(c *conn) {
-	p.total.Calls--
-	p.calls = max(p.calls-1, 0)
-	if c.idled > 0 {
-		p.total.Reused--
+// undoCall removes a call that was not made from the counts.
+func (p *Pool) undoCall(c *conn) {
+	p.counters.Calls--
+	p.recentCalls = max(p.recentCalls-1, 0)
+	if c.idleBeforeCall > 0 {
+		p.counters.Reused--
 	}
-	if c.tries {
-		c.tries, c.ep.exploring = false, false
+	if c.isTrial {
+		c.isTrial, c.owner.trialRunning = false, false
 	}
 }
 
-// Cancel tells that an opening was called off.
+// Cancel reports that the opening of a connection was canceled.
 func (p *Pool) Cancel(now time.Duration, id ID) {
-	p.now(now)
-	if c := p.conns[id]; c != nil && c.state == opening {
-		p.total.CalledOff++
-		p.drop(c)
+	p.advanceClock(now)
+	if c := p.conns[id]; c != nil && c.state == stateOpening {
+		p.counters.Canceled++
+		p.remove(c)
 	}
 }
 
-// Drop gives up one resting connection; false if it does not rest.
-func (p *Pool) Drop(now time.Duration, id ID, why Why) bool {
-	p.now(now)
+// Drop evicts one idle connection. It returns false if the connection is not idle.
+func (p *Pool) Drop(now time.Duration, id ID, reason Reason) bool {
+	p.advanceClock(now)
 	c := p.conns[id]
-	if c == nil || c.state != resting {
+	if c == nil || c.state != stateIdle {
 		return false
 	}
-	p.give(c, why)
+	p.evict(c, reason)
 	return true
 }
 
-// Frugal has nothing rest while it is on.
-func (p *Pool) Frugal(now time.Duration, on bool) (give []Give) {
-	if p.frugal = on; on {
-		give = p.Shed(now, len(p.conns))
+// Frugal sets whether connections are closed instead of becoming idle. It returns the idle connections that the caller has to close.
+func (p *Pool) Frugal(now time.Duration, on bool) (evict []Give) {
+	if p.keepNoIdle = on; on {
+		evict = p.Shed(now, len(p.conns))
 	}
-	return give
+	return evict
 }
 
-// Claim has a connection that has just come to rest carry a call that waited for one; false if it does not rest.
+// Claim assigns a waiting call to a connection that has just become idle. It returns false if the connection is not idle.
 func (p *Pool) Claim(now time.Duration, id ID) bool {
-	p.now(now)
+	p.advanceClock(now)
 	c := p.conns[id]
-	if c == nil || c.state != resting {
+	if c == nil || c.state != stateIdle {
 		return false
 	}
-	p.take(c)
+	p.startCall(c)
 	return true
 }
 
-func (p *Pool) now(now time.Duration) { p.last = max(p.last, now) }
+// advanceClock sets the clock of the pool to now, but never back.
+func (p *Pool) advanceClock(now time.Duration) { p.clock = max(p.clock, now) }
 
-// take has a resting connection carry a call.
-func (p *Pool) take(c *conn) {
-	c.ep.rouse(c)
-	c.idled = max(p.last-c.since, 1)
-	c.state = busy
-	c.ep.out++
-	c.ep.peak = max(c.ep.peak, float64(c.ep.out))
-	p.total.Calls++
-	p.total.Reused++
-	p.calls++
+// startCall assigns a call to an idle connection.
+func (p *Pool) startCall(c *conn) {
+	c.owner.removeIdle(c)
+	c.idleBeforeCall = max(p.clock-c.idleSince, 1)
+	c.state = stateBusy
+	c.owner.busyCount++
+	c.owner.peakBusy = max(c.owner.peakBusy, float64(c.owner.busyCount))
+	p.counters.Calls++
+	p.counters.Reused++
+	p.recentCalls++
 }
 
-// open begins a connection.
-func (p *Pool) open(e *endpoint) *conn {
-	p.next++
-	c := &conn{id: p.next, ep: e}
-	if p.cfg.MaxAge > 0 { // a quarter to both sides: those that were opened together do not close together
-		c.old = p.last + time.Duration(float64(p.cfg.MaxAge)*(0.75+p.rng.Float64()/2))
+// openConn adds a connection that is being opened.
+func (p *Pool) openConn(e *endpoint) *conn {
+	p.lastID++
+	c := &conn{id: p.lastID, owner: e}
+	if p.cfg.MaxAge > 0 { // the maximum age varies by a quarter either way, so that connections opened together do not close together
+		c.expiresAt = p.clock + time.Duration(float64(p.cfg.MaxAge)*(0.75+p.rng.Float64()/2))
 	}
 	p.conns[c.id], e.conns[c.id] = c, c
-	p.total.Opened++
+	p.counters.Opened++
 	return c
 }
 
-// full says that the server seems to take no more connections. From time to time one more is tried.
-func (e *endpoint) full(now time.Duration) bool {
-	if e.cap > 0 && now-e.capAt > capFor {
-		e.cap, e.capAt = e.cap+1, now
+// atConnLimit reports whether the server seems to accept no more connections. After connLimitPeriod it allows one more as a trial.
+func (e *endpoint) atConnLimit(now time.Duration) bool {
+	if e.connLimit > 0 && now-e.connLimitAt > connLimitPeriod {
+		e.connLimit, e.connLimitAt = e.connLimit+1, now
 	}
-	return e.cap > 0 && len(e.conns) >= e.cap
+	return e.connLimit > 0 && len(e.conns) >= e.connLimit
 }
 
-// room makes room for one more connection in all. It comes from whoever rests with the most beyond its fair share; an
-// endpoint within its share gives nothing to one beyond its own.
-func (p *Pool) room(e *endpoint) (give []Give, ok bool) {
+// makeRoom makes room for one more connection within the limit of the pool. It evicts an idle connection of the endpoint that exceeds
+// its fair share the most. An endpoint beyond its own fair share takes nothing from an endpoint within its share.
+func (p *Pool) makeRoom(e *endpoint) (evict []Give, ok bool) {
 	if len(p.conns) < p.cfg.Most {
 		return nil, true
 	}
-	fair := float64(p.cfg.Most) / float64(max(len(p.eps), 1))
+	fair := float64(p.cfg.Most) / float64(max(len(p.endpoints), 1))
 	var worst *conn
-	most := math.Inf(-1)
-	for _, o := range p.eps {
-		if o == e || len(o.rest) == 0 {
+	largestExcess := math.Inf(-1)
+	for _, o := range p.endpoints {
+		if o == e || len(o.idleConns) == 0 {
 			continue
 		}
-		c := o.rest[0]
-		over := float64(len(o.conns)) - max(min(o.target(), fair), 0)
-		if over > most || over == most && (c.since < worst.since || c.since == worst.since && c.id < worst.id) {
-			worst, most = c, over
+		c := o.idleConns[0]
+		excess := float64(len(o.conns)) - max(min(o.targetConns(), fair), 0)
+		if excess > largestExcess || excess == largestExcess &&
+			(c.idleSince < worst.idleSince || c.idleSince == worst.idleSince && c.id < worst.id) {
+			worst, largestExcess = c, excess
 		}
 	}
-	if worst == nil || most <= 0 && float64(len(e.conns)) >= fair {
+	if worst == nil || largestExcess <= 0 && float64(len(e.conns)) >= fair {
 		return nil, false
 	}
-	return []Give{p.give(worst, Room)}, true
+	return []Give{p.evict(worst, ReasonRoom)}, true
 }
 
-// best is the resting connection that is least likely dead, if that is worth the risk; others that are not are returned
-// to be closed. Where none is, one that idled beyond the limit may be tried from time to time: a server's time changes.
-func (p *Pool) best(e *endpoint) (best *conn, bad []Give) {
-	if e.weighedAt == 0 || p.last-e.weighedAt > weighEvery {
-		e.weighedAt = max(p.last, 1)
-		e.dead = &noDead
-		if e.reuses != &noReuses {
-			dead := e.reuses.dead()
-			e.dead = &dead
+// bestIdle returns the idle connection that is least likely dead, or nil if none is worth the risk, and evicts those that are unusable.
+// If no connection is within the limit, one that was idle for longer is used from time to time as a trial, because a server's idle
+// timeout can change.
+func (p *Pool) bestIdle(e *endpoint) (bestIdle *conn, evicted []Give) {
+	if e.limitsComputedAt == 0 || p.clock-e.limitsComputedAt > limitsRefreshInterval {
+		e.limitsComputedAt = max(p.clock, 1)
+		e.deadShares = &emptyDeadShares
+		if e.reuseHistory != &emptyReuseHistory {
+			deadShares := e.reuseHistory.deadShares()
+			e.deadShares = &deadShares
 		}
 
-		e.soft, e.hard = p.limits(e)
+		e.softIdleLimit, e.hardIdleLimit = p.idleLimits(e)
 	}
-	dead, soft, hard := e.dead, e.soft, e.hard
+	deadShares, softIdleLimit, hardIdleLimit := e.deadShares, e.softIdleLimit, e.hardIdleLimit
 	risk := math.Inf(1)
-	var try, canary *conn
-	trusted := time.Duration(math.MaxInt64) // as long as nothing was lost, what is told of servers is believed
-	if e.lossAt > 0 && p.last-e.lossAt < wary {
-		trusted = max(time.Duration(provenReach*float64(e.provenOf(p.last))), shortIdle)
-	}
-	for i := len(e.rest) - 1; i >= 0; i-- { // newest first; what is given up leaves the list behind
-		c := e.rest[i]
-		why, over := p.over(c, soft)
-		if over && why == Idle && p.last-c.since < hard && p.mayTry(e) && try == nil {
-			try = c // the one that idled least is the best try
+	var trial, unproven *conn
+	trustedIdle := time.Duration(math.MaxInt64) // without a loss, the configured idle time of servers is trusted
+	if e.idleLossAt > 0 && p.clock-e.idleLossAt < cautionPeriod {
+		trustedIdle = max(time.Duration(provenReachFactor*float64(e.longestProvenIdle(p.clock))), minSuspectIdle)
+	}
+	for i := len(e.idleConns) - 1; i >= 0; i-- { // newest first; an eviction only shifts entries that were already visited
+		c := e.idleConns[i]
+		reason, unfit := p.unfit(c, softIdleLimit)
+		if unfit && reason == ReasonIdle && p.clock-c.idleSince < hardIdleLimit && p.trialAllowed(e) && trial == nil {
+			trial = c // the shortest idle time makes the best trial
 			continue
 		}
-		if over {
-			bad = append(bad, p.give(c, why))
+		if unfit {
+			evicted = append(evicted, p.evict(c, reason))
 			continue
 		}
-		if p.last-c.since > trusted {
-			if canary == nil { // the one that idled least
-				canary = c
+		if p.clock-c.idleSince > trustedIdle {
+			if unproven == nil { // the shortest idle time
+				unproven = c
 			}
 			continue
 		}
-		if r := dead[bucket(p.last-c.since)]; best == nil || r < risk {
-			best, risk = c, r
+		if r := deadShares[bucketOf(p.clock-c.idleSince)]; bestIdle == nil || r < risk {
+			bestIdle, risk = c, r
 		}
 	}
-	if best != nil {
-		return best, bad
+	if bestIdle != nil {
+		return bestIdle, evicted
 	}
-	if canary != nil && !e.exploring {
-		e.exploring, canary.tries = true, true
-		return canary, bad
+	if unproven != nil && !e.trialRunning {
+		e.trialRunning, unproven.isTrial = true, true
+		return unproven, evicted
 	}
-	if try != nil && canary == nil {
-		e.exploring, e.tryAt, try.tries = true, p.last+tryEvery, true
-		return try, bad
+	if trial != nil && unproven == nil {
+		e.trialRunning, e.nextTrialAt, trial.isTrial = true, p.clock+trialInterval, true
+		return trial, evicted
 	}
-	return nil, bad
+	return nil, evicted
 }
 
-// provenOf is the longest idle time that went well in this stretch of provenFor or the one before. One call at a time tries
-// more: in a clump, others that idled as long would be lost together.
-func (e *endpoint) provenOf(now time.Duration) time.Duration {
-	if n := now - e.provenFrom; n >= 2*provenFor {
-		e.proven, e.provenFrom = [2]time.Duration{}, now
-	} else if n >= provenFor {
-		e.proven, e.provenFrom = [2]time.Duration{0, e.proven[0]}, now
+// longestProvenIdle returns the longest idle time of a good reuse in the current or the previous period of provenPeriod. Only one call at
+// a time tries a longer one: in a burst, other connections with the same idle time would all be lost together.
+func (e *endpoint) longestProvenIdle(now time.Duration) time.Duration {
+	if age := now - e.provenIdleFrom; age >= 2*provenPeriod {
+		e.provenIdle, e.provenIdleFrom = [2]time.Duration{}, now
+	} else if age >= provenPeriod {
+		e.provenIdle, e.provenIdleFrom = [2]time.Duration{0, e.provenIdle[0]}, now
 	}
-	return max(e.proven[0], e.proven[1])
+	return max(e.provenIdle[0], e.provenIdle[1])
 }
 
-// mayTry says whether an idle time beyond the limit may be tried now: one at a time, now and then, and not in quarantine.
-func (p *Pool) mayTry(e *endpoint) bool {
-	return !e.exploring && p.last >= e.tryAt && p.last >= e.bannedUntil
+// trialAllowed reports whether an idle time beyond the limit may be tried now: one trial at a time, at intervals of trialInterval, and
+// not during a quarantine.
+func (p *Pool) trialAllowed(e *endpoint) bool {
+	return !e.trialRunning && p.clock >= e.nextTrialAt && p.clock >= e.quarantinedUntil
 }
 
-// over says that a resting connection is not to be used again, and why.
-func (p *Pool) over(c *conn, limit time.Duration) (Why, bool) {
-	switch e := c.ep; {
-	case !e.open:
-		return Leaving, true
-	case p.last-c.since >= limit:
-		return Idle, true
-	case c.old > 0 && p.last >= c.old:
-		return Age, true
-	case e.uses > 0 && c.carried >= e.uses && c.id%usesTry != 0:
-		return Uses, true
+// unfit reports whether an idle connection must not be used again, and the reason.
+func (p *Pool) unfit(c *conn, limit time.Duration) (Reason, bool) {
+	switch e := c.owner; {
+	case !e.acceptsCalls:
+		return ReasonDraining, true
+	case p.clock-c.idleSince >= limit:
+		return ReasonIdle, true
+	case c.expiresAt > 0 && p.clock >= c.expiresAt:
+		return ReasonAge, true
+	case e.maxUses > 0 && c.calls >= e.maxUses && c.id%connsPerUsesTrial != 0:
+		return ReasonUses, true
 	}
 	return 0, false
 }
 
-// limits are how long a connection to an endpoint may idle: as a rule less than what its losses allow and than what is in
-// quarantine; and at most, less than servers are known to let it and than this one was seen to.
-func (p *Pool) limits(e *endpoint) (soft, hard time.Duration) {
-	hard = time.Duration(float64(p.cfg.IdleMost) * (1 - raceMargin))
-	if seen, ok := e.spells.until(closeShare); ok {
-		hard = min(hard, time.Duration(float64(seen)*(1-raceMargin)))
+// idleLimits returns how long a connection to an endpoint may be idle. The soft limit follows from the losses of the endpoint and lies
+// below a quarantined idle time. The hard limit lies below the configured idle time of servers and the idle time after which this
+// server was seen to close connections.
+func (p *Pool) idleLimits(e *endpoint) (soft, hard time.Duration) {
+	hard = time.Duration(float64(p.cfg.IdleMost) * (1 - closeMarginShare))
+	if survived, ok := e.closeHistory.survivedIdle(minSurvivalShare); ok {
+		hard = min(hard, time.Duration(float64(survived)*(1-closeMarginShare)))
 	}
-	soft = min(hard, e.reuses.limit(p.risk(), p.cfg.OpenPrice/p.cfg.LossPrice))
-	if e.banned > 0 {
-		soft = min(soft, time.Duration(float64(e.banned)*0.8))
+	soft = min(hard, e.reuseHistory.idleLimit(p.acceptableRisk(), p.cfg.OpenPrice/p.cfg.LossPrice))
+	if e.quarantinedIdle > 0 {
+		soft = min(soft, time.Duration(float64(e.quarantinedIdle)*0.8))
 	}
 	return soft, hard
 }
 
-// risk is the share of dead connections that a reuse may expect: what the prices allow, and less the nearer losses of late
-// are to what they may be.
-func (p *Pool) risk() float64 {
-	left := 1 - p.stale/max(p.calls*p.cfg.StaleMost, 1)
-	return p.cfg.OpenPrice / p.cfg.LossPrice * min(max(left, 0.05), 1)
+// acceptableRisk returns the highest acceptable probability that a reused connection is dead. The prices set the upper bound of this
+// probability. It falls as the share of recent losses approaches the configured maximum.
+func (p *Pool) acceptableRisk() float64 {
+	remainingShare := 1 - p.staleCalls/max(p.recentCalls*p.cfg.StaleMost, 1)
+	return p.cfg.OpenPrice / p.cfg.LossPrice * min(max(remainingShare, 0.05), 1)
 }
 
-// Opened tells that a connection is up. With a call waiting for it that call is out on it now; else it rests.
-func (p *Pool) Opened(now time.Duration, id ID, call bool) {
-	p.now(now)
+// Opened reports that a connection is established. If a call waits for the connection, that call starts now; otherwise the connection
+// becomes idle.
+func (p *Pool) Opened(now time.Duration, id ID, callWaits bool) {
+	p.advanceClock(now)
 	c := p.conns[id]
-	if c == nil || c.state != opening {
+	if c == nil || c.state != stateOpening {
 		return
 	}
-	e := c.ep
-	e.goodOpen, e.fails = p.last, e.fails/2
-	if !call {
-		e.settle(c, p.last)
+	e := c.owner
+	e.lastOpenedAt, e.openFailures = p.clock, e.openFailures/2
+	if !callWaits {
+		e.addIdle(c, p.clock)
 		return
 	}
-	c.state = busy
-	e.out++
-	e.peak = max(e.peak, float64(e.out))
-	p.total.Calls++
-	p.calls++
+	c.state = stateBusy
+	e.busyCount++
+	e.peakBusy = max(e.peakBusy, float64(e.busyCount))
+	p.counters.Calls++
+	p.recentCalls++
 }
 
-// Failed tells that a connection did not come up. Where others to the endpoint did of late, or are open, the server may take
-// no more.
+// Failed reports that a connection could not be established; refused says that the server refused or reset it. If other connections to
+// the endpoint are open and one was opened recently, the server may accept no more.
 func (p *Pool) Failed(now time.Duration, id ID, refused bool) {
-	p.now(now)
+	p.advanceClock(now)
 	c := p.conns[id]
 	if c == nil {
 		return
 	}
-	e := c.ep
-	p.total.Failed++
-	p.drop(c)
-	if !refused || !p.refused(e) {
-		e.fails++
+	e := c.owner
+	p.counters.OpenFailures++
+	p.remove(c)
+	if !refused || !p.noteRefusal(e) {
+		e.openFailures++
 	}
-	wait := min(float64(p.cfg.BackoffLeast)*math.Exp2(float64(min(max(e.fails-1, 0), 30))), float64(p.cfg.BackoffMost))
-	e.retryAt = p.last + time.Duration(wait*(0.5+p.rng.Float64()/2))
+	wait := min(float64(p.cfg.MinBackoff)*math.Exp2(float64(min(max(e.openFailures-1, 0), 30))), float64(p.cfg.MaxBackoff))
+	e.preconnectRetryAt = p.clock + time.Duration(wait*(0.5+p.rng.Float64()/2))
 }
 
-// refused takes in that a server would not have one more connection, while others are open or were of late: it may take no
-// more. A connection that breaks under its first call is one of these. It returns false where the server seems to be down.
-func (p *Pool) refused(e *endpoint) bool {
-	up := 0
+// noteRefusal records that a server refused a connection while others are open and one was opened recently: the server may accept no
+// more. A connection that breaks during its first call also counts. noteRefusal returns false if the server seems to be down.
+func (p *Pool) noteRefusal(e *endpoint) bool {
+	openCount := 0
 	for _, o := range e.conns {
-		if o.state != opening {
-			up++
+		if o.state != stateOpening {
+			openCount++
 		}
 	}
-	if up == 0 || p.last-e.goodOpen >= capFor {
+	if openCount == 0 || p.clock-e.lastOpenedAt >= connLimitPeriod {
 		return false
 	}
-	if e.refusals++; e.refusals >= capRefusals {
-		e.cap, e.capAt = up, p.last
+	if e.consecutiveRefusals++; e.consecutiveRefusals >= refusalsForConnLimit {
+		e.connLimit, e.connLimitAt = openCount, p.clock
 	}
 	return true
 }
@@ -803,372 +853,376 @@
 
 // The ends.
 const (
-	Answered End = iota // and the connection may carry another call
-	Last                // answered, and the server closes
-	Cut                 // given up by us, or the answer was spoilt
-	Dead                // the connection broke before the first byte of an answer
-	Broken              // it broke later
+	Answered End = iota // answered, and the connection may carry another call
+	Last                // answered, and the server closes the connection
+	Cut                 // aborted by the relay, or the answer was malformed
+	Dead                // the connection broke before the first byte of the answer
+	Broken              // the connection broke after the first byte of the answer
 )
 
-// Done tells the end of a call. It returns whether the connection rests from now on, and if not, why it is to be closed.
-func (p *Pool) Done(now time.Duration, id ID, end End, took time.Duration) (rests bool, why Why) {
-	p.now(now)
+// Done reports the end of a call. It returns whether the connection becomes idle, and if not, the reason to close it.
+func (p *Pool) Done(now time.Duration, id ID, end End, duration time.Duration) (idle bool, reason Reason) {
+	p.advanceClock(now)
 	c := p.conns[id]
-	if c == nil || c.state != busy {
-		return false, Server
-	}
-	e := c.ep
-	c.carried++
-	if end == Answered && c.carried > max(e.usesSeen, e.uses) { // it goes on beyond what seemed the limit
-		e.usesN = 0
-		if e.uses > 0 {
-			e.uses, e.usesNeed = 0, min(max(e.usesNeed, sameUses)*4, usesMost)
+	if c == nil || c.state != stateBusy {
+		return false, ReasonServerClosed
+	}
+	e := c.owner
+	c.calls++
+	if end == Answered && c.calls > max(e.lastClosingUses, e.maxUses) { // the connection continues beyond the assumed limit
+		e.sameUsesCount = 0
+		if e.maxUses > 0 {
+			e.maxUses, e.sameUsesNeeded = 0, min(max(e.sameUsesNeeded, minSameUses)*4, maxSameUses)
 		}
 	}
-	p.learn(c, end)
-	if end == Answered && c.carried == 1 {
-		e.refusals = 0
+	p.recordIdleOutcome(c, end)
+	if end == Answered && c.calls == 1 {
+		e.consecutiveRefusals = 0
 	}
 	if end == Answered || end == Last {
-		e.served(took.Seconds())
+		e.recordServiceTime(duration.Seconds())
 	}
-	if c.tries {
-		c.tries, e.exploring = false, false
+	if c.isTrial {
+		c.isTrial, e.trialRunning = false, false
 	}
-	why = Server
+	reason = ReasonServerClosed
 	switch {
 	case end != Answered:
-	case !e.open:
-		why = Leaving
-	case c.old > 0 && p.last >= c.old:
-		why = Age
-	case e.uses > 0 && c.carried >= e.uses && c.id%usesTry != 0:
-		why = Uses
+	case !e.acceptsCalls:
+		reason = ReasonDraining
+	case c.expiresAt > 0 && p.clock >= c.expiresAt:
+		reason = ReasonAge
+	case e.maxUses > 0 && c.calls >= e.maxUses && c.id%connsPerUsesTrial != 0:
+		reason = ReasonUses
 	case len(p.conns) > p.cfg.Most:
-		why = Room
-	case p.frugal:
-		why = Pressure
+		reason = ReasonRoom
+	case p.keepNoIdle:
+		reason = ReasonPressure
 	default:
-		e.out--
-		e.settle(c, p.last)
+		e.busyCount--
+		e.addIdle(c, p.clock)
 		return true, 0
 	}
 	if end == Last {
-		p.sawUses(e, c.carried)
+		p.recordClosingUses(e, c.calls)
 	}
-	p.total.Given[why]++
-	c.ep.given[why]++
-	p.drop(c)
-	if end == Dead && c.idled == 0 {
-		p.refused(e)
+	p.counters.Evicted[reason]++
+	c.owner.evicted[reason]++
+	p.remove(c)
+	if end == Dead && c.idleBeforeCall == 0 {
+		p.noteRefusal(e)
 	}
-	return false, why
+	return false, reason
 }
 
-// learn takes in what a call tells of idling.
-func (p *Pool) learn(c *conn, end End) {
-	e := c.ep
-	g := p.groups[e.dest]
-	if g.calls++; g.calls > staleWindow {
-		g.calls, g.lost = g.calls/2, g.lost/2
+// recordIdleOutcome records what the end of a call shows about the idle time before that call.
+func (p *Pool) recordIdleOutcome(c *conn, end End) {
+	e := c.owner
+	d := p.destinations[e.dest]
+	if d.recentCalls++; d.recentCalls > staleWindowCalls {
+		d.recentCalls, d.recentUnrelatedLosses = d.recentCalls/2, d.recentUnrelatedLosses/2
 	}
-	if c.idled == 0 {
+	if c.idleBeforeCall == 0 {
 		if end == Dead {
-			g.lost++
+			d.recentUnrelatedLosses++
 		}
 		return
 	}
 	if end != Dead {
-		if end != Cut { // what was cut tells nothing
-			e.suspects = slices.DeleteFunc(e.suspects, func(idle time.Duration) bool {
-				if idle <= c.idled {
-					g.lost++ // it was not for idling
+		if end != Cut { // an aborted call shows nothing
+			e.suspectedIdles = slices.DeleteFunc(e.suspectedIdles, func(idle time.Duration) bool {
+				if idle <= c.idleBeforeCall {
+					d.recentUnrelatedLosses++ // idling was not the reason
 				}
-				return idle <= c.idled
+				return idle <= c.idleBeforeCall
 			})
-			e.usedAgain().add(c.idled, false)
-			e.ended().add(c.idled, false)
-			e.goodOf(p.last)
-			e.goodIdle[0] = max(e.goodIdle[0], c.idled)
-			e.provenOf(p.last)
-			e.proven[0] = max(e.proven[0], c.idled)
-			if e.banned > 0 && c.idled >= e.banned { // it lives on that long now
-				e.banned, e.bannedUntil, e.ban = 0, 0, 0
+			e.ownReuseHistory().add(c.idleBeforeCall, false)
+			e.ownCloseHistory().add(c.idleBeforeCall, false)
+			e.longestRecentGoodIdle(p.clock)
+			e.recentGoodIdle[0] = max(e.recentGoodIdle[0], c.idleBeforeCall)
+			e.longestProvenIdle(p.clock)
+			e.provenIdle[0] = max(e.provenIdle[0], c.idleBeforeCall)
+			if e.quarantinedIdle > 0 && c.idleBeforeCall >= e.quarantinedIdle { // connections now survive the quarantined idle time
+				e.quarantinedIdle, e.quarantinedUntil, e.quarantineLength = 0, 0, 0
 			}
 		}
 		return
 	}
-	p.total.Stale++
-	e.stale++
-	e.weighedAt = 0
-	p.ends.Dead.add(c.idled)
-	p.stale++
-	if c.idled < shortIdle {
-		g.lost++
+	p.counters.Stale++
+	e.staleCalls++
+	e.limitsComputedAt = 0
+	p.idleTimes.Dead.add(c.idleBeforeCall)
+	p.staleCalls++
+	if c.idleBeforeCall < minSuspectIdle {
+		d.recentUnrelatedLosses++
 		return
 	}
-	need := 1
-	if g.noisy() {
-		need = suspectsMost
+	lossesNeeded := 1
+	if d.hasUnrelatedLosses() {
+		lossesNeeded = lossesNeededIfNoisy
 	}
-	if e.goodOf(p.last) > c.idled { // one that idled longer went well of late: the server has changed, or it is not for idling
-		need = contradicted
+	// A longer idle time went well recently: the server has changed, or idling is not the reason.
+	if e.longestRecentGoodIdle(p.clock) > c.idleBeforeCall {
+		lossesNeeded = lossesNeededIfContradicted
 	}
-	if e.suspects = append(e.suspects, c.idled); len(e.suspects) < need {
+	if e.suspectedIdles = append(e.suspectedIdles, c.idleBeforeCall); len(e.suspectedIdles) < lossesNeeded {
 		return
 	}
-	e.ban = min(max(e.ban*2, quarantine), quarantineMost)
-	e.lossAt = p.last
-	for _, idle := range e.suspects {
-		for i := range e.proven {
-			e.proven[i] = min(e.proven[i], time.Duration(refuted*float64(idle)))
-			e.goodIdle[i] = min(e.goodIdle[i], time.Duration(refuted*float64(idle)))
+	e.quarantineLength = min(max(e.quarantineLength*2, minQuarantine), maxQuarantine)
+	e.idleLossAt = p.clock
+	for _, idle := range e.suspectedIdles {
+		for i := range e.provenIdle {
+			e.provenIdle[i] = min(e.provenIdle[i], time.Duration(refutedIdleShare*float64(idle)))
+			e.recentGoodIdle[i] = min(e.recentGoodIdle[i], time.Duration(refutedIdleShare*float64(idle)))
 		}
-		e.usedAgain().add(idle, true)
-		if e.banned == 0 || idle < e.banned {
-			e.banned = idle
+		e.ownReuseHistory().add(idle, true)
+		if e.quarantinedIdle == 0 || idle < e.quarantinedIdle {
+			e.quarantinedIdle = idle
 		}
 	}
-	e.suspects = e.suspects[:0]
-	e.bannedUntil = p.last + e.ban
-	p.total.Bans++
+	e.suspectedIdles = e.suspectedIdles[:0]
+	e.quarantinedUntil = p.clock + e.quarantineLength
+	p.counters.Quarantines++
 }
 
-// goodOf is the longest idle time that went well of late: in this stretch of recentGood and the one before.
-func (e *endpoint) goodOf(now time.Duration) time.Duration {
-	if n := now - e.goodFrom; n >= 2*recentGood {
-		e.goodIdle, e.goodFrom = [2]time.Duration{}, now
-	} else if n >= recentGood {
-		e.goodIdle, e.goodFrom = [2]time.Duration{0, e.goodIdle[0]}, now
+// longestRecentGoodIdle returns the longest idle time of a good reuse in the current or the previous period of recentGoodPeriod.
+func (e *endpoint) longestRecentGoodIdle(now time.Duration) time.Duration {
+	if age := now - e.recentGoodFrom; age >= 2*recentGoodPeriod {
+		e.recentGoodIdle, e.recentGoodFrom = [2]time.Duration{}, now
+	} else if age >= recentGoodPeriod {
+		e.recentGoodIdle, e.recentGoodFrom = [2]time.Duration{0, e.recentGoodIdle[0]}, now
 	}
-	return max(e.goodIdle[0], e.goodIdle[1])
+	return max(e.recentGoodIdle[0], e.recentGoodIdle[1])
 }
 
-// served takes a service time into the usual one.
-func (e *endpoint) served(took float64) {
-	if e.mean == 0 {
-		e.mean, e.dev = took, took/2
+// recordServiceTime adds the duration of a call to the smoothed service time and its deviation.
+func (e *endpoint) recordServiceTime(seconds float64) {
+	if e.serviceSeconds == 0 {
+		e.serviceSeconds, e.serviceSpreadSeconds = seconds, seconds/2
 	}
-	e.dev += demandFade * (math.Abs(took-e.mean) - e.dev)
-	e.mean += demandFade * (took - e.mean)
+	e.serviceSpreadSeconds += serviceSmoothing * (math.Abs(seconds-e.serviceSeconds) - e.serviceSpreadSeconds)
+	e.serviceSeconds += serviceSmoothing * (seconds - e.serviceSeconds)
 }
 
-// Closed tells that the server closed a resting connection, or one that was opening and never carried a call.
+// Closed reports that the server closed an idle connection, or a connection that was opening and never carried a call.
 func (p *Pool) Closed(now time.Duration, id ID) {
-	p.now(now)
+	p.advanceClock(now)
 	c := p.conns[id]
 	if c == nil {
 		return
 	}
-	if c.state == resting {
-		p.sawClosing(c, p.last-c.since)
+	if c.state == stateIdle {
+		p.recordClosing(c, p.clock-c.idleSince)
 	} else {
-		p.total.Closed++
+		p.counters.Closed++
 	}
-	p.drop(c)
+	p.remove(c)
 }
 
-// sawClosing notes that the server closed a connection that had idled for so long.
-func (p *Pool) sawClosing(c *conn, idle time.Duration) {
-	p.total.Closed++
-	p.ends.Closed.add(idle)
-	e := c.ep
-	if c.carried > 0 && idle < behindAnswer {
-		p.sawUses(e, c.carried) // for the number of calls, not for idling
+// recordClosing records that the server visibly closed a connection after the given idle time.
+func (p *Pool) recordClosing(c *conn, idle time.Duration) {
+	p.counters.Closed++
+	p.idleTimes.Closed.add(idle)
+	e := c.owner
+	if c.calls > 0 && idle < closeAfterAnswerWindow {
+		p.recordClosingUses(e, c.calls) // the number of calls is the reason, not idling
 	} else {
-		e.ended().add(idle, true)
+		e.ownCloseHistory().add(idle, true)
 	}
-	if e.cap > 0 && p.last-e.capAt < capDoubt {
-		e.cap = 0 // it was going down, not full
+	if e.connLimit > 0 && p.clock-e.connLimitAt < connLimitDoubtPeriod {
+		e.connLimit = 0 // the server was shutting down, not full
 	}
 }
 
-// sawUses notes that the server closed behind so many calls.
-func (p *Pool) sawUses(e *endpoint, n int) {
-	if e.usesSeen != n {
-		e.usesSeen, e.usesN = n, 0
+// recordClosingUses records that the server closed a connection after the given number of calls.
+func (p *Pool) recordClosingUses(e *endpoint, calls int) {
+	if e.lastClosingUses != calls {
+		e.lastClosingUses, e.sameUsesCount = calls, 0
 	}
-	if e.usesN++; e.usesN >= max(e.usesNeed, sameUses) {
-		e.uses = n
+	if e.sameUsesCount++; e.sameUsesCount >= max(e.sameUsesNeeded, minSameUses) {
+		e.maxUses = calls
 	}
 }
 
-// target is how many connections an endpoint is to have: for the calls that Little's law has out at once, and the spread
-// about them, and for the peak of late.
-func (e *endpoint) target() float64 {
-	if !e.open {
+// targetConns returns the number of connections that an endpoint needs. It covers the mean number of concurrent calls by Little's law,
+// their variation, and the recent peak.
+func (e *endpoint) targetConns() float64 {
+	if !e.acceptsCalls {
 		return 0
 	}
-	out := e.rate * (e.mean + e.dev)
-	need := out + quantile*math.Sqrt(out)
-	if e.rate > 0.5 {
-		need = max(need, 1)
+	busy := e.callsPerSecond * (e.serviceSeconds + e.serviceSpreadSeconds)
+	needed := busy + busyDeviations*math.Sqrt(busy)
+	if e.callsPerSecond > 0.5 {
+		needed = max(needed, 1)
 	}
-	return math.Ceil(max(need, e.peak))
+	return math.Ceil(max(needed, e.peakBusy))
 }
 
-// Tick looks at everything: it is to come every quarter of a second or so. It returns what is to be closed, and for which
-// endpoints connections are to be opened ahead, under which ids.
-func (p *Pool) Tick(now time.Duration) (give []Give, ahead []ID) {
-	p.now(now)
-	dt := (p.last - p.ticked).Seconds()
-	p.ticked = p.last
-	if p.calls > staleWindow {
-		p.calls, p.stale = p.calls/2, p.stale/2
+// Tick updates the state of all endpoints. The caller calls it about every quarter of a second, closes the connections of the first
+// result, and opens those of the second in advance of calls.
+func (p *Pool) Tick(now time.Duration) (evict []Give, preconnects []ID) {
+	p.advanceClock(now)
+	seconds := (p.clock - p.lastTickAt).Seconds()
+	p.lastTickAt = p.clock
+	if p.recentCalls > staleWindowCalls {
+		p.recentCalls, p.staleCalls = p.recentCalls/2, p.staleCalls/2
 	}
-	names := slices.Sorted(maps.Keys(p.eps))
+	names := slices.Sorted(maps.Keys(p.endpoints))
 	for _, name := range names {
-		e := p.eps[name]
-		e.fade(dt, p.cfg.Keep)
-		if p.last-e.fadedAt >= evidenceFade {
-			by := math.Exp2(-(p.last - e.fadedAt).Seconds() / evidenceHalf.Seconds())
-			e.fadedAt = p.last
-			if e.reuses != &noReuses {
-				e.reuses.fade(by)
+		e := p.endpoints[name]
+		e.decayDemand(seconds, p.cfg.Keep)
+		if p.clock-e.evidenceDecayedAt >= evidenceDecayInterval {
+			decayFactor := math.Exp2(-(p.clock - e.evidenceDecayedAt).Seconds() / evidenceHalfLife.Seconds())
+			e.evidenceDecayedAt = p.clock
+			if e.reuseHistory != &emptyReuseHistory {
+				e.reuseHistory.decay(decayFactor)
 			}
-			if e.spells != &noSpells {
-				e.spells.fade(by)
+			if e.closeHistory != &emptyCloseHistory {
+				e.closeHistory.decay(decayFactor)
 			}
 		}
-		soft, hard := p.limits(e)
-		spare := float64(len(e.conns)) - e.target()
-		resting := slices.Clone(e.rest)
-		// The fewer descriptors are left, the sooner what is not needed goes; while half are free it may as well rest.
-		thinAfter := max(thinLeast, time.Duration((1-2*float64(len(p.conns))/float64(p.cfg.Most))*float64(soft)))
-		var keep *conn // the newest beyond the limit, to be tried
-		if p.mayTry(e) && spare < 1 {
-			for _, c := range resting {
-				if idle := p.last - c.since; idle >= soft && idle < hard {
-					keep = c
+		soft, hard := p.idleLimits(e)
+		surplus := float64(len(e.conns)) - e.targetConns()
+		candidates := slices.Clone(e.idleConns)
+		// The more file descriptors are in use, the sooner surplus connections are closed: after minSurplusIdle once half are in use.
+		surplusAfter := max(minSurplusIdle, time.Duration((1-2*float64(len(p.conns))/float64(p.cfg.Most))*float64(soft)))
+		var trial *conn // the newest connection beyond the limit, kept for a trial
+		if p.trialAllowed(e) && surplus < 1 {
+			for _, c := range candidates {
+				if idle := p.clock - c.idleSince; idle >= soft && idle < hard {
+					trial = c
 				}
 			}
 		}
-		for _, c := range resting {
-			why, over := p.over(c, soft)
-			if c == keep && why == Idle {
-				over = false
+		for _, c := range candidates {
+			reason, unfit := p.unfit(c, soft)
+			if c == trial && reason == ReasonIdle {
+				unfit = false
 			}
-			if !over && spare >= 1 && p.last-c.since >= thinAfter {
-				why, over = Thin, true
+			if !unfit && surplus >= 1 && p.clock-c.idleSince >= surplusAfter {
+				reason, unfit = ReasonSurplus, true
 			}
-			if over {
-				spare--
-				give = append(give, p.give(c, why))
+			if unfit {
+				surplus--
+				evict = append(evict, p.evict(c, reason))
 			}
 		}
 	}
 	for _, name := range names {
-		if e := p.eps[name]; e != nil && p.cfg.Ahead {
-			ahead = append(ahead, p.ahead(e)...)
+		if e := p.endpoints[name]; e != nil && p.cfg.Ahead {
+			preconnects = append(preconnects, p.preconnect(e)...)
 		}
 	}
-	return give, ahead
+	return evict, preconnects
 }
 
-// fade lets rate and peak follow the last tick.
-func (e *endpoint) fade(dt float64, keep time.Duration) {
-	if dt <= 0 {
+// decayDemand updates the call rate and the peak number of concurrent calls from the time since the last tick.
+func (e *endpoint) decayDemand(seconds float64, halfLife time.Duration) {
+	if seconds <= 0 {
 		return
 	}
-	rate := float64(e.arrivals) / dt
+	callsPerSecond := float64(e.arrivals) / seconds
 	e.arrivals = 0
-	if rate > e.rate {
-		e.rate += 0.5 * (rate - e.rate)
+	if callsPerSecond > e.callsPerSecond {
+		e.callsPerSecond += 0.5 * (callsPerSecond - e.callsPerSecond)
 	} else {
-		e.rate += (1 - math.Exp2(-dt/keep.Seconds())) * (rate - e.rate)
+		e.callsPerSecond += (1 - math.Exp2(-seconds/halfLife.Seconds())) * (callsPerSecond - e.callsPerSecond)
 	}
-	if e.rate < 0.01 {
-		e.rate = 0
+	if e.callsPerSecond < 0.01 {
+		e.callsPerSecond = 0
 	}
-	e.peak = max(e.peak*math.Exp2(-dt/keep.Seconds()), float64(e.out))
-	if e.peak < 0.5 {
-		e.peak = 0
+	e.peakBusy = max(e.peakBusy*math.Exp2(-seconds/halfLife.Seconds()), float64(e.busyCount))
+	if e.peakBusy < 0.5 {
+		e.peakBusy = 0
 	}
 }
 
-// ahead opens what an endpoint will need: for calls that are known to come, and in place of what was given up while it was
-// called often. An endpoint that is cold, or where openings fail, gets one at a time.
-func (p *Pool) ahead(e *endpoint) (ids []ID) {
-	if !e.open || p.frugal || p.last < e.retryAt {
+// preconnect opens connections in advance: for calls that are known to come, and to replace evicted connections of an endpoint that is
+// called often. An endpoint in slow start, or with failed openings, gets one at a time.
+func (p *Pool) preconnect(e *endpoint) (ids []ID) {
+	if !e.acceptsCalls || p.keepNoIdle || p.clock < e.preconnectRetryAt {
 		return nil
 	}
-	under, free := 0, 0
+	openingCount, freeCount := 0, 0
 	for _, c := range e.conns {
 		switch c.state {
-		case opening:
-			under++
-			free++
-		case resting:
-			free++
+		case stateOpening:
+			openingCount++
+			freeCount++
+		case stateIdle:
+			freeCount++
 		}
 	}
-	// A connection is worth opening if it is used before it has to be given up for idling.
-	want := 0
-	if soft, _ := p.limits(e); e.rate*soft.Seconds() > 3 {
-		want = int(e.target()) - len(e.conns)
+	// A connection is worth opening if a call uses it before it reaches the idle limit.
+	wanted := 0
+	if soft, _ := p.idleLimits(e); e.callsPerSecond*soft.Seconds() > 3 {
+		wanted = int(e.targetConns()) - len(e.conns)
 	}
-	want = max(want, e.expected-free)
-	if e.cold || e.fails > 0 || e.goodOpen == 0 { // it is new, or comes back
-		want = min(want, 1-under)
+	wanted = max(wanted, e.expectedCalls-freeCount)
+	if e.slowStart || e.openFailures > 0 || e.lastOpenedAt == 0 { // the endpoint is new or recovering
+		wanted = min(wanted, 1-openingCount)
 	}
-	for ; want > 0 && !e.full(p.last) && len(p.conns) < p.cfg.Most; want-- { // never at another's cost
-		c := p.open(e)
-		c.ahead = true
-		p.total.Ahead++
+	for ; wanted > 0 && !e.atConnLimit(p.clock) && len(p.conns) < p.cfg.Most; wanted-- { // evicts no other connection
+		c := p.openConn(e)
+		c.preconnected = true
+		p.counters.Ahead++
 		ids = append(ids, c.id)
 	}
 	return ids
 }
 
-// Unneeded names connections that are being opened ahead and that nobody will need any more: they may be called off.
+// Unneeded returns connections that are being opened in advance and that no call will need. The caller may cancel them.
 func (p *Pool) Unneeded() (ids []ID) {
-	for _, name := range slices.Sorted(maps.Keys(p.eps)) {
-		e := p.eps[name]
-		spare := len(e.conns) - max(int(e.target()), e.out+e.expected)
-		for _, c := range e.sorted() {
-			if c.state == opening && c.ahead && spare > 0 {
+	for _, name := range slices.Sorted(maps.Keys(p.endpoints)) {
+		e := p.endpoints[name]
+		surplus := len(e.conns) - max(int(e.targetConns()), e.busyCount+e.expectedCalls)
+		for _, c := range e.connsByID() {
+			if c.state == stateOpening && c.preconnected && surplus > 0 {
 				ids = append(ids, c.id)
-				spare--
+				surplus--
 			}
 		}
 	}
 	return ids
 }
 
-// Shed gives up resting connections while memory or descriptors are short: those beyond their endpoint's need first.
-func (p *Pool) Shed(now time.Duration, most int) (give []Give) {
-	p.now(now)
-	var rest []*conn
-	for _, e := range p.eps {
-		rest = append(rest, e.rest...)
+// Shed evicts up to maxEvicted idle connections while memory or file descriptors are short, those of the endpoints with the largest
+// surplus first.
+func (p *Pool) Shed(now time.Duration, maxEvicted int) (evict []Give) {
+	p.advanceClock(now)
+	var idleConns []*conn
+	for _, e := range p.endpoints {
+		idleConns = append(idleConns, e.idleConns...)
 	}
-	slices.SortFunc(rest, func(a, b *conn) int {
-		spare := func(c *conn) float64 { return float64(len(c.ep.conns)) - c.ep.target() }
-		return cmp.Or(cmp.Compare(spare(b), spare(a)), cmp.Compare(a.since, b.since), cmp.Compare(a.id, b.id))
+	slices.SortFunc(idleConns, func(a, b *conn) int {
+		surplus := func(c *conn) float64 { return float64(len(c.owner.conns)) - c.owner.targetConns() }
+		return cmp.Or(cmp.Compare(surplus(b), surplus(a)), cmp.Compare(a.idleSince, b.idleSince), cmp.Compare(a.id, b.id))
 	})
-	for _, c := range rest[:min(most, len(rest))] {
-		give = append(give, p.give(c, Pressure))
+	for _, c := range idleConns[:min(maxEvicted, len(idleConns))] {
+		evict = append(evict, p.evict(c, ReasonPressure))
 	}
-	return give
+	return evict
 }
 
-// EndpointOf names the endpoint of a connection.
+// EndpointOf returns the name of the endpoint of a connection, and false if the connection is unknown.
 func (p *Pool) EndpointOf(id ID) (string, bool) {
 	c := p.conns[id]
 	if c == nil {
 		return "", false
 	}
-	return c.ep.name, true
+	return c.owner.name, true
 }
 
-// Histogram counts idle times at the end of connections: up to 10 ms, 100 ms, 1 s, 10 s, a minute, and longer.
+// Histogram counts idle times at the end of connections, in classes up to 10 ms, 100 ms, 1 s, 10 s, a minute, and longer.
 type Histogram [6]int64
 
-var histogramBounds = [len(Histogram{}) - 1]time.Duration{10 * time.Millisecond, 100 * time.Millisecond, time.Second, 10 * time.Second, time.Minute}
+var histogramBounds = [len(Histogram{}) - 1]time.Duration{10 * time.Millisecond, 100 * time.Millisecond, time.Second,
+	10 * time.Second, time.Minute}
 
+// add counts an idle time in its class.
 func (h *Histogram) add(idle time.Duration) {
-	for i, most := range histogramBounds {
-		if idle <= most {
+	for i, bound := range histogramBounds {
+		if idle <= bound {
 			h[i]++
 			return
 		}
@@ -1176,7 +1230,7 @@
 	h[len(h)-1]++
 }
 
-// LogValue names each class that holds any.
+// LogValue lists the classes that are not empty.
 func (h Histogram) LogValue() slog.Value {
 	var attrs []slog.Attr
 	for i, n := range h {
@@ -1191,85 +1245,90 @@
 	return slog.GroupValue(attrs...)
 }
 
-// Ends are the histograms by cause: given up, by reason; closed by the server; and dead under a call.
+// Ends holds histograms of idle times at the end of connections: evicted, by reason; closed by the server; and dead during a call.
 type Ends struct {
-	Given        [whys]Histogram
+	Evicted      [reasonCount]Histogram
 	Closed, Dead Histogram
 }
 
-// LogValue names those that hold any.
+// LogValue lists the histograms by cause.
 func (e Ends) LogValue() slog.Value {
 	attrs := []slog.Attr{slog.Any("closed", e.Closed), slog.Any("dead", e.Dead)}
-	for w, h := range e.Given {
-		attrs = append(attrs, slog.Any(Why(w).String(), h))
+	for w, h := range e.Evicted {
+		attrs = append(attrs, slog.Any(Reason(w).String(), h))
 	}
 	return slog.GroupValue(attrs...)
 }
 
-// Ends returns how long connections had idled at their ends, by cause.
-func (p *Pool) Ends() Ends { return p.ends }
+// Ends returns the histograms of idle times at the end of connections.
+func (p *Pool) Ends() Ends { return p.idleTimes }
 
-// State is what is known of one endpoint, for operators.
+// State is the state of one endpoint, for operators.
 type State struct {
-	Endpoint            string
-	Open, Cold          bool
-	Opening, Busy, Idle int
-	Target              int
-	Rate                float64       // calls a second
-	Service, Spread     time.Duration // of a call
-	IdleLimit           time.Duration
-	Banned              time.Duration // idle time in quarantine; 0 for none
-	Uses, Cap, Fails    int
-	Given               [whys]int64 // up, by reason
-	Stale               int64       // calls failed by dead connections
-}
-
-// LogValue names the figures in a log line.
+	Endpoint                         string
+	AcceptsCalls, SlowStart          bool
+	Opening, Busy, Idle              int
+	Target                           int // number of connections that the endpoint needs
+	CallsPerSecond                   float64
+	Service, Spread                  time.Duration // smoothed duration of a call, and its mean deviation
+	IdleLimit                        time.Duration
+	QuarantinedIdle                  time.Duration      // idle time in quarantine; 0 for none
+	MaxUses, ConnLimit, OpenFailures int                // limits of calls per connection and of connections, 0 for none; failed openings
+	Evicted                          [reasonCount]int64 // evicted connections by reason
+	Stale                            int64              // calls that failed on dead connections
+}
+
+// LogValue lists the fields for a log line.
 func (s State) LogValue() slog.Value {
-	return slog.GroupValue(slog.String("member", s.Endpoint), slog.Bool("open", s.Open), slog.Bool("cold", s.Cold), slog.Int("opening", s.Opening),
-		slog.Int("busy", s.Busy), slog.Int("idle", s.Idle), slog.Int("target", s.Target), slog.Float64("rate", s.Rate),
-		slog.Duration("service", s.Service), slog.Duration("spread", s.Spread), slog.Duration("idle_limit", s.IdleLimit),
-		slog.Duration("banned", s.Banned), slog.Int("uses", s.Uses), slog.Int("cap", s.Cap), slog.Int("fails", s.Fails),
-		slog.Int64("stale", s.Stale), slog.Any("given", givenUp(s.Given)))
+	return slog.GroupValue(slog.String("member", s.Endpoint), slog.Bool("open", s.AcceptsCalls), slog.Bool("cold", s.SlowStart),
+		slog.Int("opening", s.Opening), slog.Int("busy", s.Busy), slog.Int("idle", s.Idle), slog.Int("target", s.Target),
+		slog.Float64("rate", s.CallsPerSecond), slog.Duration("service", s.Service), slog.Duration("spread", s.Spread),
+		slog.Duration("idle_limit", s.IdleLimit), slog.Duration("banned", s.QuarantinedIdle), slog.Int("uses", s.MaxUses),
+		slog.Int("cap", s.ConnLimit), slog.Int("fails", s.OpenFailures), slog.Int64("stale", s.Stale),
+		slog.Any("given", evictedByReason(s.Evicted)))
 }
 
-// LogValue names the counters in a log line.
+// LogValue lists the counters for a log line.
 func (c Counters) LogValue() slog.Value {
-	return slog.GroupValue(slog.Int64("opened", c.Opened), slog.Int64("ahead", c.Ahead), slog.Int64("unused", c.Unused),
-		slog.Int64("called_off", c.CalledOff), slog.Int64("failed", c.Failed), slog.Int64("calls", c.Calls), slog.Int64("reused", c.Reused),
-		slog.Int64("stale", c.Stale), slog.Int64("bans", c.Bans), slog.Int64("waited", c.Waited), slog.Int64("closed", c.Closed),
-		slog.Any("given", givenUp(c.Given)))
+	return slog.GroupValue(slog.Int64("opened", c.Opened), slog.Int64("ahead", c.Ahead), slog.Int64("unused", c.NeverUsed),
+		slog.Int64("called_off", c.Canceled), slog.Int64("failed", c.OpenFailures), slog.Int64("calls", c.Calls), slog.Int64("reused", c.Reused),
+		slog.Int64("stale", c.Stale), slog.Int64("bans", c.Quarantines), slog.Int64("waited", c.Waited), slog.Int64("closed", c.Closed),
+		slog.Any("given", evictedByReason(c.Evicted)))
 }
 
-type givenUp [whys]int64
+// evictedByReason counts evicted connections by reason.
+type evictedByReason [reasonCount]int64
 
-func (g givenUp) LogValue() slog.Value {
+// LogValue lists the reasons that occurred.
+func (r evictedByReason) LogValue() slog.Value {
 	var attrs []slog.Attr
-	for w, n := range g {
+	for w, n := range r {
 		if n > 0 {
-			attrs = append(attrs, slog.Int64(Why(w).String(), n))
+			attrs = append(attrs, slog.Int64(Reason(w).String(), n))
 		}
 	}
 	return slog.GroupValue(attrs...)
 }
 
-// States are those of all endpoints, by name.
+// States returns the states of all endpoints, sorted by name.
 func (p *Pool) States() (list []State) {
-	for _, name := range slices.Sorted(maps.Keys(p.eps)) {
-		e := p.eps[name]
-		soft, _ := p.limits(e)
-		s := State{Endpoint: name, Open: e.open, Cold: e.cold, Target: int(e.target()), Rate: e.rate, Service: time.Duration(e.mean * 1e9),
-			Spread: time.Duration(e.dev * 1e9), IdleLimit: soft, Uses: e.uses, Cap: e.cap, Fails: e.fails, Given: e.given, Stale: e.stale}
-		if p.last < e.bannedUntil {
-			s.Banned = e.banned
+	for _, name := range slices.Sorted(maps.Keys(p.endpoints)) {
+		e := p.endpoints[name]
+		soft, _ := p.idleLimits(e)
+		s := State{Endpoint: name, AcceptsCalls: e.acceptsCalls, SlowStart: e.slowStart, Target: int(e.targetConns()),
+			CallsPerSecond: e.callsPerSecond, Service: time.Duration(e.serviceSeconds * 1e9),
+			Spread: time.Duration(e.serviceSpreadSeconds * 1e9), IdleLimit: soft, MaxUses: e.maxUses, ConnLimit: e.connLimit,
+			OpenFailures: e.openFailures, Evicted: e.evicted, Stale: e.staleCalls}
+		if p.clock < e.quarantinedUntil {
+			s.QuarantinedIdle = e.quarantinedIdle
 		}
 		for _, c := range e.conns {
 			switch c.state {
-			case opening:
+			case stateOpening:
 				s.Opening++
-			case busy:
+			case stateBusy:
 				s.Busy++
-			case resting:
+			case stateIdle:
 				s.Idle++
 			}
 		}
--- a/internal/dispatch/shed_test.go
+++ b/internal/dispatch/shed_test.go
@@ -12,21 +12,21 @@
 	"slatemux/internal/proptest"
 )
 
-// victims is shedding as its comment has it, one victim after another over all that is held.
-func victims(s *Sender, over int) (ids []string) {
+// pickOneByOne selects messages to shed as the comment of shed describes, one after another over the whole queue.
+func pickOneByOne(s *Sender, over int) (ids []string) {
 	queue := slices.Clone(s.queue)
 	held := map[*destination]int{}
 	for _, m := range queue {
-		held[m.dest] = m.dest.held
+		held[m.dest] = m.dest.queued
 	}
 	score := func(m *message) float64 {
-		if !s.harmless(m) {
+		if !s.safeToReturn(m) {
 			return -1
 		}
-		was := m.dest.held
-		m.dest.held = held[m.dest]
-		defer func() { m.dest.held = was }()
-		return s.backlog(m.dest) / (m.worth + 0.1)
+		was := m.dest.queued
+		m.dest.queued = held[m.dest]
+		defer func() { m.dest.queued = was }()
+		return s.backlogSeconds(m.dest) / (m.worth + 0.1)
 	}
 	for ; over > 0 && len(queue) > 0; over-- {
 		worst := slices.MaxFunc(queue, func(a, b *message) int { return cmp.Compare(score(a), score(b)) })
@@ -40,8 +40,8 @@
 	return ids
 }
 
-// Shedding many at once picks those that picking one by one would, in that order.
-func TestShedPicksAsOneByOne(t *testing.T) {
+// Shedding many messages at once selects the same messages, in the same order, as shedding them one by one.
+func TestShedMatchesOneByOneSelection(t *testing.T) {
 	proptest.Check(t, func(t *rapid.T) {
 		set := testSettings()
 		set.MaxOpen = 80
@@ -54,7 +54,7 @@
 			eps = append(eps, Endpoint{ID: fmt.Sprint("e", i), Kind: "partner", Destination: i % 3, State: Draining,
 				Weight: rapid.Float64Range(1, 50).Draw(t, "weight")})
 		}
-		s.Step(0, []Event{Members{Whole: true, Endpoints: eps}}) // nobody may be called: all is held
+		s.Step(0, []Event{Members{Whole: true, Endpoints: eps}}) // no call may start: all messages are queued
 		for i := range 60 {
 			class := rapid.SampledFrom([]string{"safe", "keyed", "unsafe"}).Draw(t, "class")
 			s.Step(time.Duration(i)*time.Millisecond, []Event{Request{ID: fmt.Sprint(i), Class: class,
@@ -62,7 +62,7 @@
 				MayHaveRun: class == "unsafe" && rapid.Bool().Draw(t, "ran")}})
 		}
 		most := rapid.IntRange(1, 80).Draw(t, "most")
-		want := victims(s, len(s.messages)-int(crowded*float64(most)))
+		want := pickOneByOne(s, len(s.messages)-int(shedThreshold*float64(most)))
 		var got []string
 		for _, a := range s.Step(70*time.Millisecond, []Event{HoldCap{Messages: most}}) {
 			if r, ok := a.(Refuse); ok {
@@ -75,8 +75,8 @@
 	})
 }
 
-// A lower hold cap sends held work back, never what may have run or is out; with Heavy the large goes first. A cap
-// beyond the settings' is theirs.
+// A lower hold cap refuses queued messages, never one that may have run or has an attempt out. With Heavy, large messages go
+// first. A cap above Settings.MaxOpen counts as MaxOpen.
 func TestHoldCap(t *testing.T) {
 	set := testSettings()
 	set.MaxOpen = 40
@@ -93,22 +93,22 @@
 		}
 	}
 	if len(out) == 0 || len(ends(acts)) > 0 {
-		t.Fatalf("%d out, %d ended before any cap", len(out), len(ends(acts)))
+		t.Fatalf("%d out, %d ended without a lower cap", len(out), len(ends(acts)))
 	}
 	refused := ends(s.Step(30*ms, []Event{HoldCap{Messages: 13, Heavy: 1}}))
-	if got := len(s.messages); got != 11 { // crowded of 13
+	if got := len(s.messages); got != 11 { // shedThreshold of 13
 		t.Errorf("%d messages held under a cap of 13", got)
 	}
 	for id := range refused {
 		if n := id[len(id)-1]; out[id] || (n-'0')%2 == 0 {
-			t.Errorf("%s went back: out %v, or small while large ones stayed", id, out[id])
+			t.Errorf("%s refused: its attempt is out (%v), or it is small", id, out[id])
 		}
 	}
 	if rest := ends(s.Step(40*ms, []Event{HoldCap{Messages: 0}})); len(s.messages) != len(out) || len(rest) == 0 {
-		t.Errorf("under no cap %d messages are left, and %d calls are out", len(s.messages), len(out))
+		t.Errorf("under the least cap %d messages are left, %d calls are out", len(s.messages), len(out))
 	}
 	s.Step(50*ms, []Event{HoldCap{Messages: 1000}})
-	if s.most != 40 {
-		t.Errorf("the cap is %d", s.most)
+	if s.holdCap != 40 {
+		t.Errorf("the cap is %d", s.holdCap)
 	}
 }
--- a/internal/flow/batch.go
+++ b/internal/flow/batch.go
@@ -10,13 +10,13 @@
 	"slatemux/internal/traffic"
 )
 
-// A call may carry several transactions, where the pool member's kind takes that. It has one fate on its way, and its answer says
-// how each of them ended.
+// A call may carry several transactions (a batch) if the kind of the pool member supports this. The batch is written or lost as a whole,
+// and its answer states how each transaction ended.
 
-// answerBatch bounds the answer: a line of some tens of bytes for each transaction.
-const answerBatch = 64 << 10
+// maxBatchAnswerBytes bounds the body of the answer, which has a line of some tens of bytes for each transaction.
+const maxBatchAnswerBytes = 64 << 10
 
-// appendBatch encodes the call of a flow and those that travel with it.
+// appendBatch encodes the call of a flow and of the flows that share the call.
 func appendBatch(dst []byte, f *traffic.Flow, now time.Time) []byte {
 	var body []byte
 	for _, x := range f.All() {
@@ -29,45 +29,46 @@
 		body = append(body, "\r\n"...)
 		body = append(append(body, x.Body...), "\r\n"...)
 	}
-	left := max(f.Deadline.Sub(now).Milliseconds(), 1)
+	timeLeftMillis := max(f.Deadline.Sub(now).Milliseconds(), 1)
 	return http1.AppendRequest(dst, "POST", "/hook/batch", f.Member,
-		[]http1.Field{{Name: "X-Time-Left-Ms", Value: strconv.FormatInt(left, 10)}}, body)
+		[]http1.Field{{Name: "X-Time-Left-Ms", Value: strconv.FormatInt(timeLeftMillis, 10)}}, body)
 }
 
-var batchEnds = map[string]traffic.FlowStatus{"delivered": traffic.Delivered, "failed": traffic.Errored, "refused": traffic.TurnedAway,
+var batchStatuses = map[string]traffic.FlowStatus{"delivered": traffic.Delivered, "failed": traffic.Errored, "refused": traffic.TurnedAway,
 	"over": traffic.Over, "spent": traffic.Spent}
 
-// decodeBatch reads how each transaction ended. Those whose end a line does not give, or that are named twice with two ends, may
-// have run; a line about another is passed over.
-func decodeBatch(body []byte) map[string]traffic.FlowStatus {
-	ends := map[string]traffic.FlowStatus{}
+// decodeBatchAnswer reads how each transaction ended. A transaction may have run, and is Broken, if its line has no known status or if two
+// lines differ about it. The caller treats a transaction without a line the same way, and ignores ids that were not in the call.
+func decodeBatchAnswer(body []byte) map[string]traffic.FlowStatus {
+	statuses := map[string]traffic.FlowStatus{}
 	for line := range bytes.Lines(body) {
 		id, word, _ := bytes.Cut(bytes.TrimRight(line, "\r\n"), []byte(" "))
-		end, ok := batchEnds[string(word)]
-		if was, twice := ends[string(id)]; !ok || twice && was != end {
-			end = traffic.Broken
+		status, ok := batchStatuses[string(word)]
+		if earlier, repeated := statuses[string(id)]; !ok || repeated && earlier != status {
+			status = traffic.Broken
 		}
-		ends[string(id)] = end
+		statuses[string(id)] = status
 	}
-	return ends
+	return statuses
 }
 
-// ends are the ends of all that a flow carried, those first that say most of the pool member: what it turned away, then what failed.
-func (r *running) ends(end traffic.FlowEnd, of map[string]traffic.FlowStatus) []traffic.FlowEnd {
+// allEnds returns the ends of all flows of the call. Those that say most about the pool member come first: refused flows, then failed
+// ones.
+func (r *activeFlow) allEnds(end traffic.FlowEnd, statuses map[string]traffic.FlowStatus) []traffic.FlowEnd {
 	if len(r.With) == 0 {
 		return []traffic.FlowEnd{end}
 	}
 	var list []traffic.FlowEnd
 	for _, x := range r.All() {
-		one := end
-		one.ID, one.Attempt = x.ID, x.Attempt
-		if of != nil {
-			status, told := of[x.ID]
-			if one.Status = status; !told {
-				one.Status = traffic.Broken
+		eachEnd := end
+		eachEnd.ID, eachEnd.Attempt = x.ID, x.Attempt
+		if statuses != nil {
+			status, known := statuses[x.ID]
+			if eachEnd.Status = status; !known {
+				eachEnd.Status = traffic.Broken
 			}
 		}
-		list = append(list, one)
+		list = append(list, eachEnd)
 	}
 	rank := map[traffic.FlowStatus]int{traffic.TurnedAway: -2, traffic.Errored: -1}
 	slices.SortStableFunc(list, func(a, b traffic.FlowEnd) int { return rank[a.Status] - rank[b.Status] })
--- a/internal/flow/conn.go
+++ b/internal/flow/conn.go
@@ -15,253 +15,256 @@
 	"slatemux/internal/flow/http1"
 )
 
-// conn is one connection to a pool member with the goroutine that always reads from it, so that a close
-// by the peer is seen while it idles.
+// conn is one connection to a pool member. Its reader goroutine reads at all times, so that a close by the peer is noticed while the
+// connection is idle.
 type conn struct {
 	nc        net.Conn
-	raw       net.Conn // below TLS; nil for plain
-	g         *Manager
+	underTLS  net.Conn // the TCP connection below TLS; nil for a plain connection
+	manager   *Manager
 	id        conns.ID
-	host      string    // the member's
-	idleSince time.Time // under the Manager's lock, as the next two; zero before the first call
-	lent      bool      // to a flow
-	warm      bool      // that flow is not the first on it
+	host      string    // host of the member
+	idleSince time.Time // guarded by Manager.mu, like the next two fields; zero before the first call
+	inUse     bool      // taken by a flow
+	reused    bool      // the current call is not the first on this connection
 
-	mu      sync.Mutex
-	dead    bool            // over, or not to be used again
-	resp    *http1.Response // of the call that is out; nil between calls
-	several bool            // that call carries several transactions
-	tail    conns.End       // how the newest call ended
-	heard   bool            // something came for it
-	noisy   bool            // something came without a call
-	stuck   bool            // the peer acknowledges nothing
-	wrote   time.Time       // when the call that is out was written; zero between calls
+	mu          sync.Mutex
+	unusable    bool            // ended, or not to be used for another call
+	response    *http1.Response // of the current call; nil between calls
+	batch       bool            // the current call carries several transactions
+	callEnd     conns.End       // how the latest call ended
+	received    bool            // bytes arrived for the current call
+	unsolicited bool            // bytes arrived while no call was waiting for them
+	stuck       bool            // the peer does not acknowledge written bytes
+	writtenAt   time.Time       // when writing of the current call began; zero between calls
 
-	plain syscall.RawConn // nil for TLS
+	syscallConn syscall.RawConn // nil for a TLS connection
 
-	timed bool          // a read deadline is set; of the reader alone
-	over  chan struct{} // closed by the reader at its end
+	readDeadlineSet bool          // whether a read deadline is set; used by the reader only
+	readerDone      chan struct{} // closed when the reader ends
 
-	got    chan struct{} // closed when the call has its answer or none will come
-	result answer        // to be read once got is closed
+	answered chan struct{} // closed when the call has its answer or can no longer get one
+	result   answer        // valid once answered is closed
 }
 
-// begin makes the connection ready for a call; false if it is over.
-func (c *conn) begin() bool {
+// beginCall prepares the connection for a call. It returns false if the connection cannot be used.
+func (c *conn) beginCall() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.dead {
+	if c.unusable {
 		return false
 	}
-	c.resp, c.got, c.result, c.heard, c.tail, c.several, c.wrote = &http1.Response{}, make(chan struct{}), answer{}, false, conns.Dead, false, time.Time{}
+	c.response, c.answered, c.result, c.received, c.callEnd, c.batch, c.writtenAt = &http1.Response{}, make(chan struct{}), answer{}, false, conns.Dead, false, time.Time{}
 	return true
 }
 
-// carriesSeveral has the answer say how each of them ended.
-func (c *conn) carriesSeveral() {
+// setBatch marks the current call as a batch, so that the body of its answer, with the status of each transaction, is kept.
+func (c *conn) setBatch() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.several = true; c.resp != nil {
-		c.resp.Keep = answerBatch
+	if c.batch = true; c.response != nil {
+		c.response.MaxBodyBytes = maxBatchAnswerBytes
 	}
 }
 
-// writing notes that the call is about to be written; false if it must not be, for the connection is over, or something has come
-// that cannot be the call's answer. What comes from now on is taken for that, unless its peer's clock would tell otherwise.
-func (c *conn) writing(at time.Time) bool {
+// beginWrite records that the call is about to be written. It returns false if the call must not be written: the connection has ended, or
+// bytes arrived that cannot be the answer to the call. Bytes that arrive later are treated as the answer. The peer may have sent them
+// before it received the call, but only its clock could show this.
+func (c *conn) beginWrite(now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.dead && c.plain != nil { // what has come and waits for the reader
+	if !c.unusable && c.syscallConn != nil { // data that arrived and is not read yet
 		var n int
 		var err error
-		cerr := c.plain.Control(func(fd uintptr) { n, err = readNow(int(fd), make([]byte, 1)) })
-		if cerr != nil || n > 0 || !errors.Is(err, unix.EAGAIN) {
-			c.uncalled(max(n, 0))
+		controlErr := c.syscallConn.Control(func(fd uintptr) { n, err = readAvailable(int(fd), make([]byte, 1)) })
+		if controlErr != nil || n > 0 || !errors.Is(err, unix.EAGAIN) {
+			c.noteUnsolicited(max(n, 0))
 		}
 	}
-	if !c.dead {
-		c.wrote = at
+	if !c.unusable {
+		c.writtenAt = now
 	}
-	return !c.dead
+	return !c.unusable
 }
 
-// uncalled notes that something came without a call, or the connection's end: it is not used again. It needs the lock.
-func (c *conn) uncalled(bytes int) {
+// noteUnsolicited marks the connection as unusable because bytes arrived without a call, or because the connection ended. The caller holds
+// c.mu.
+func (c *conn) noteUnsolicited(bytes int) {
 	if bytes > 0 {
 		slog.Warn("pool member wrote without a call", "addr", c.nc.RemoteAddr(), "bytes", bytes)
 	}
-	c.noisy = c.noisy || bytes > 0
-	c.dead = true
+	c.unsolicited = c.unsolicited || bytes > 0
+	c.unusable = true
 }
 
-// readNow reads what has come; EAGAIN where nothing has.
-func readNow(fd int, b []byte) (n int, err error) {
-	for n, err = unix.Read(fd, b); err == unix.EINTR; {
-		n, err = unix.Read(fd, b)
+// readAvailable reads the data that has arrived. It returns EAGAIN if there is none.
+func readAvailable(fd int, buf []byte) (n int, err error) {
+	for n, err = unix.Read(fd, buf); err == unix.EINTR; {
+		n, err = unix.Read(fd, buf)
 	}
 	return n, err
 }
 
-// silentSince says that a call is out since before then, on a connection that had been used before, and nothing has come.
-func (c *conn) silentSince(then time.Time) bool {
+// unansweredSince reports whether a call on a reused connection was written before then and no byte of its answer has arrived.
+func (c *conn) unansweredSince(then time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.warm && c.resp != nil && !c.heard && !c.wrote.IsZero() && c.wrote.Before(then)
+	return c.reused && c.response != nil && !c.received && !c.writtenAt.IsZero() && c.writtenAt.Before(then)
 }
 
-// lookStuck notes whether what was written is not even acknowledged: the peer, or the way to it, is gone, which a peer that
-// is only slow is not. It is asked of the kernel, and sends nothing.
-func (c *conn) lookStuck() bool {
+// checkStuck records and reports whether the peer leaves written bytes unacknowledged. Then the peer or the network path is gone; a peer
+// that is only slow still acknowledges. The kernel is queried and nothing is sent.
+func (c *conn) checkStuck() bool {
 	nc := c.nc
-	if c.raw != nil {
-		nc = c.raw
+	if c.underTLS != nil {
+		nc = c.underTLS
 	}
 	stuck := unacknowledged(nc)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.stuck = stuck && c.resp != nil && !c.heard
+	c.stuck = stuck && c.response != nil && !c.received
 	return c.stuck
 }
 
-// ending is how the call on the connection ended; kept says that nobody has given it up.
-func (c *conn) ending(kept bool) conns.End {
+// endCall ends the current call and returns how it ended. notCanceled says that the flow did not abort the call.
+func (c *conn) endCall(notCanceled bool) conns.End {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.wrote, c.resp = time.Time{}, nil
-	switch end := c.tail; {
+	c.writtenAt, c.response = time.Time{}, nil
+	switch end := c.callEnd; {
 	case c.stuck:
 		return conns.Dead
-	case !kept:
+	case !notCanceled:
 		return conns.Cut
-	case end == conns.Answered && c.noisy:
+	case end == conns.Answered && c.unsolicited:
 		return conns.Broken
-	case end == conns.Answered && c.dead: // closed right behind the answer
+	case end == conns.Answered && c.unusable: // the peer closed the connection directly after the answer
 		return conns.Last
 	default:
 		return end
 	}
 }
 
-// rest ends a call that has its answer or was never written, and says whether the connection can be kept.
-func (c *conn) rest() bool {
+// cancelCall clears a call that has its answer or was not written, and reports whether the connection is still usable.
+func (c *conn) cancelCall() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.resp = nil
-	return !c.dead
+	c.response = nil
+	return !c.unusable
 }
 
-func (c *conn) isDead() bool {
+func (c *conn) isUnusable() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.dead
+	return c.unusable
 }
 
-// kill closes the connection; its reader ends the call that is out. It does not block: TLS says goodbye first, for which
-// a server that reads nothing gets farewell.
-func (c *conn) kill() {
-	if c.raw == nil {
+// close closes the connection, and its reader ends the current call. It does not block: TLS sends a close_notify first, and if the server
+// does not read, the TCP connection is closed after tlsCloseTimeout.
+func (c *conn) close() {
+	if c.underTLS == nil {
 		c.nc.Close()
 		return
 	}
 	go c.nc.Close()
-	time.AfterFunc(farewell, func() { c.raw.Close() })
+	time.AfterFunc(tlsCloseTimeout, func() { c.underTLS.Close() })
 }
 
-// farewell is how long a closing connection may take to send its close_notify.
-const farewell = 50 * time.Millisecond
+// tlsCloseTimeout bounds how long a closing connection may take to send its close_notify.
+const tlsCloseTimeout = 50 * time.Millisecond
 
-// read feeds what comes to the call that is out, until the connection ends.
-func (c *conn) read() {
+// readLoop passes received data to the current call until the connection ends.
+func (c *conn) readLoop() {
 	buf := make([]byte, 4096)
 	for over := false; !over; {
-		if c.plain == nil {
+		if c.syscallConn == nil {
 			n, err := c.nc.Read(buf)
 			c.mu.Lock()
-			over = c.take(buf[:n], err)
+			over = c.handleRead(buf[:n], err)
 			c.mu.Unlock()
 			continue
 		}
-		// Under the lock, so that writing knows of all that was read, and what it does not find has come later.
-		err := c.plain.Read(func(fd uintptr) bool {
+		// The read happens under c.mu. beginWrite therefore sees all data that was read before, and data that beginWrite does not find
+		// arrived later.
+		err := c.syscallConn.Read(func(fd uintptr) bool {
 			c.mu.Lock()
 			defer c.mu.Unlock()
-			n, err := readNow(int(fd), buf)
+			n, err := readAvailable(int(fd), buf)
 			if errors.Is(err, unix.EAGAIN) {
 				return false
 			} else if n == 0 && err == nil {
 				err = io.EOF
 			}
-			over = c.take(buf[:max(n, 0)], err)
+			over = c.handleRead(buf[:max(n, 0)], err)
 			return true
 		})
 		if err != nil {
 			c.mu.Lock()
-			over = c.take(nil, err)
+			over = c.handleRead(nil, err)
 			c.mu.Unlock()
 		}
 	}
 	c.nc.Close()
-	close(c.over)
-	c.g.ended(c)
+	close(c.readerDone)
+	c.manager.readerEnded(c)
 }
 
-// take handles one read and says whether the connection is over. It needs the lock.
-func (c *conn) take(b []byte, err error) bool {
-	if c.resp == nil || c.wrote.IsZero() { // between calls, or begun and not written
-		if err != nil || len(b) > 0 {
-			c.uncalled(len(b))
+// handleRead processes the result of one read and reports whether the connection is unusable. The caller holds c.mu.
+func (c *conn) handleRead(data []byte, err error) bool {
+	if c.response == nil || c.writtenAt.IsZero() { // no current call, or the call is not written yet
+		if err != nil || len(data) > 0 {
+			c.noteUnsolicited(len(data))
 		}
-		return c.dead
+		return c.unusable
 	}
-	c.heard = c.heard || len(b) > 0
-	n, ferr := c.resp.Feed(b)
+	c.received = c.received || len(data) > 0
+	n, feedErr := c.response.Feed(data)
 	if err != nil {
-		_ = c.resp.End() // what was cut off shows in Done
+		_ = c.response.End() // Done tells whether the answer is truncated
 	}
-	if ferr != nil {
-		slog.Warn("answer not understood", "addr", c.nc.RemoteAddr(), "err", ferr)
+	if feedErr != nil {
+		slog.Warn("answer not understood", "addr", c.nc.RemoteAddr(), "err", feedErr)
 	}
-	c.limit()
-	over := err != nil || ferr != nil || n < len(b)
-	c.dead = over || c.resp.Done() && !c.resp.Reusable()
-	if c.resp.Done() || c.dead {
+	c.updateReadDeadline()
+	over := err != nil || feedErr != nil || n < len(data)
+	c.unusable = over || c.response.Done() && !c.response.Reusable()
+	if c.response.Done() || c.unusable {
 		switch {
-		case c.resp.Done() && !over && !c.dead:
-			c.tail = conns.Answered
-		case c.resp.Done() && !c.resp.Reusable():
-			c.tail = conns.Last
-		case c.heard:
-			c.tail = conns.Broken
+		case c.response.Done() && !over && !c.unusable:
+			c.callEnd = conns.Answered
+		case c.response.Done() && !c.response.Reusable():
+			c.callEnd = conns.Last
+		case c.received:
+			c.callEnd = conns.Broken
 		}
-		c.result = decode(c.resp, c.several)
-		c.resp = nil
-		close(c.got)
+		c.result = decodeAnswer(c.response, c.batch)
+		c.response = nil
+		close(c.answered)
 	}
-	return c.dead
+	return c.unusable
 }
 
-// limit bounds the time from an answer's first byte to its last: one that never ends must not hold its call,
-// and with it a slot at the pool member, until the deadline. Between an interim answer and the next it is off.
-func (c *conn) limit() {
-	if under := c.resp.Underway(); under != c.timed {
-		var by time.Time
-		if under {
-			by = time.Now().Add(answerMost)
+// updateReadDeadline bounds the time from the first byte of an answer to its last byte. An answer that never ends must not occupy its
+// call, and a slot at the pool member, until the deadline of the flow. The bound is off between an interim answer and the next one.
+func (c *conn) updateReadDeadline() {
+	if underway := c.response.Underway(); underway != c.readDeadlineSet {
+		var deadline time.Time
+		if underway {
+			deadline = time.Now().Add(answerTimeout)
 		}
-		_ = c.nc.SetReadDeadline(by) // where it fails the connection is over, which the next Read tells
-		c.timed = under
+		_ = c.nc.SetReadDeadline(deadline) // if this fails, the connection has ended and the next Read returns the error
+		c.readDeadlineSet = underway
 	}
 }
 
-// settled waits until a connection that just carried an answer has idled for a moment, and says whether it is
-// still open: what a pool member sends behind an answer must not be taken for the answer to the next call.
-func (c *conn) settled(at time.Time) bool {
-	timer := time.NewTimer(time.Until(at))
+// waitSettled waits until settledAt and reports whether the connection is still open. The pause after an answer lets bytes that the pool
+// member sends behind it arrive, so that they are not taken for the answer to the next call.
+func (c *conn) waitSettled(settledAt time.Time) bool {
+	timer := time.NewTimer(time.Until(settledAt))
 	defer timer.Stop()
 	select {
 	case <-timer.C:
 		return true
-	case <-c.over:
+	case <-c.readerDone:
 		return false
 	}
 }
--- a/internal/flow/flow.go
+++ b/internal/flow/flow.go
@@ -1,5 +1,5 @@
-// Package flow carries server-side flows: it keeps the connections to each pool member, writes a call,
-// reads its answer, and reports exactly one end for every flow that it was given. It resends nothing.
+// Package flow runs server-side flows: it manages the connections to each pool member, writes a call, reads its answer and
+// reports exactly one end for every flow that is started. It never retries a call.
 package flow
 
 import (
@@ -14,90 +14,98 @@
 	"slatemux/internal/traffic"
 )
 
-// Config says what the flows must keep to.
+// Config holds the limits of flows and connections, and the collaborators of a Manager.
 type Config struct {
-	ConnectWithin time.Duration // a connection not made by then is given up
-	MostFlows     int           // flows out at once
-	Settle        time.Duration // a connection carries nothing for so long after an answer
-	Conns         conns.Config  // how many connections are held, and which are used
+	ConnectWithin time.Duration // timeout for opening a connection
+	MostFlows     int           // maximum number of calls in flight
+	Settle        time.Duration // minimum time between an answer and the next call on the same connection
+	Conns         conns.Config  // how many connections are kept, and which are used
 
-	// HeldMost bounds how long a flow waits for a connection where none may be opened; 0 for 250 ms. It then ends unsent, and
-	// the decision module may send it elsewhere.
+	// HeldMost bounds how long a flow waits for a connection while no new one may be opened; 0 means 250 ms. A flow that waits longer
+	// ends unsent, and the decision module may send the message to another member.
 	HeldMost time.Duration
-	// StuckAfter has a warm connection given up whose bytes the peer has not acknowledged for so long; 0 for never.
+	// StuckAfter is how long the peer of a reused connection may leave written bytes unacknowledged before the connection is closed;
+	// 0 disables the check.
 	StuckAfter time.Duration
 
-	// Names looks up the names of members that have some, and their addresses are raced; nil leaves names to package net.
+	// Names resolves the host names of members, whose addresses are then tried as conns.Race says. With nil, package net resolves
+	// names.
 	Names Resolver
 
-	// Secure makes connections over TLS, to those members that want it; nil for none.
+	// Secure makes the TLS connections to members that require TLS; nil if no member does.
 	Secure Secure
-	Gate   tlspolicy.GateConfig
-	Busy   func() float64 // the program's own load, 0 to 1, which slows handshakes; nil for none
+	// Gate configures the admission of TLS handshakes.
+	Gate tlspolicy.GateConfig
+	// Busy returns the load of this program, 0 to 1. A high load slows down handshakes. Nil means that the load is unknown.
+	Busy func() float64
 
-	// OwnDelay is how long what has come waits at present until this program looks at it; nil for not known.
+	// OwnDelay returns how long received data currently waits until this program handles it; nil if that is unknown.
 	OwnDelay func() time.Duration
-	// Shared holds the waits of all processes of this relay: those of a hand-over's other process bind too. Nil
-	// for none.
+	// Shared holds the retry-after waits of all processes of this relay. The waits of the other process of a handover bind this
+	// process too. Nil means that no waits are shared.
 	Shared Waits
-	// Fleet is told of each flow's end, and asked before a call is written; nil for a relay alone.
+	// Fleet learns the end of each flow and is consulted before a call is written; nil for a relay without a fleet.
 	Fleet Fleet
 }
 
-// Waits are told waits shared with the other process of a hand-over.
+// Waits holds the retry-after waits that the two processes of a handover share.
 type Waits interface {
+	// Tell records that no call of the group may be written before until.
 	Tell(group traffic.Group, until time.Time)
+	// Until returns the end of the current wait of the group, or the zero time if the group has none.
 	Until(group traffic.Group, now time.Time) time.Time
 }
 
-// Fleet is what relays tell each other. Nothing of it blocks.
+// Fleet exchanges outage information with the other relays. None of its methods blocks.
 type Fleet interface {
-	// Ended hears how a flow ended.
+	// Ended receives the end of a flow.
 	Ended(traffic.Flow, traffic.FlowEnd)
-	// Held says whether other relays' word holds a group just now.
+	// Held reports whether announcements of other relays currently hold back calls of the group.
 	Held(group traffic.Group, now time.Time) bool
 }
 
-// Secure knows which members' connections go over TLS, and makes them.
+// Secure decides which members require TLS, and makes the TLS connections.
 type Secure interface {
+	// Wants reports whether connections to the member use TLS.
 	Wants(member *traffic.Member) bool
-	// Client makes the handshake on a new connection until ctx ends, and closes it where that fails. It tells the
-	// processor time of it, or 0.
+	// Client performs the TLS handshake on a new connection until ctx ends, and closes the connection if the handshake fails. It
+	// returns the processor time of the handshake, or 0 if that is unknown.
 	Client(ctx context.Context, nc net.Conn, member *traffic.Member) (net.Conn, time.Duration, error)
-	// Fresh says whether an idle connection may carry another call.
+	// Fresh reports whether an idle connection may carry another call.
 	Fresh(nc net.Conn) bool
 }
 
-// sweepEvery is how often connections are looked at; writeSlack is kept free before Flow.WriteBy, for
-// what the last byte still takes to arrive. An answer must be whole answerMost after its first byte.
 const (
-	answerMost = 400 * time.Millisecond
-	sweepEvery = 250 * time.Millisecond
-	writeSlack = 100 * time.Millisecond
-	heldMost   = 250 * time.Millisecond
-	// spoiltMost is how many connections a call finds closed or written to by their peer before it counts as not connected: one may
-	// talk first on each.
-	spoiltMost = 3
+	// answerTimeout bounds the time from the first byte of an answer to its last byte.
+	answerTimeout = 400 * time.Millisecond
+	// sweepInterval is the interval between two checks of all connections.
+	sweepInterval = 250 * time.Millisecond
+	// writeMargin is the time reserved before Flow.WriteBy for the last byte to reach the member.
+	writeMargin     = 100 * time.Millisecond
+	defaultConnWait = 250 * time.Millisecond
+	// maxReplacedConns is how many connections a call may find closed, or with unsolicited bytes of the peer, before the flow ends as
+	// not connected. Without this bound a member that writes first on every connection is dialed forever.
+	maxReplacedConns = 3
 )
 
-// Manager owns all connections to pool members. Which of them are opened, used and closed is the word of conns.Pool.
+// Manager owns all connections to pool members. A conns.Pool decides which connections are opened, used and closed.
 type Manager struct {
-	cfg    Config
-	done   func(traffic.FlowEnd)
-	origin time.Time // of the time that the pool of connections is told
-
-	mu          sync.Mutex
-	members     map[string]*member
-	waits       map[traffic.Group]time.Time // nothing is written before
-	outstanding map[traffic.Group]*outstanding
-	flows       map[flowID]*running
-	calls       int // of them; one may carry several
-	opener      *opener
-	dialer      *dialer
-	conns       *conns.Pool
-	byID        map[conns.ID]*conn              // those that are open
-	ahead       map[conns.ID]context.CancelFunc // being opened without a call
-	held        map[string][]*waiter            // by member: flows for which none may be opened, in the order of their coming
+	cfg       Config
+	reportEnd func(traffic.FlowEnd)
+	origin    time.Time // zero point of the times that are passed to conns
+
+	mu            sync.Mutex
+	members       map[string]*member
+	retryAfter    map[traffic.Group]time.Time // no call of the group is written before this time
+	outstanding   map[traffic.Group]*outstanding
+	flows         map[flowID]*activeFlow
+	callCount     int // calls in flight; one call may carry several flows
+	handshakes    *handshakeQueue
+	dialer        *dialer
+	conns         *conns.Pool
+	connsByID     map[conns.ID]*conn              // open connections
+	preconnecting map[conns.ID]context.CancelFunc // connections that are being opened ahead of any call
+	waiters       map[string][]*waiter            // flows that wait for a connection, by member, in order of arrival
 }
 
 type flowID struct {
@@ -107,38 +115,38 @@
 
 type member struct {
 	traffic.Member
-	open bool // it may get something new
+	available bool // accepts new calls
 }
 
-// running is a flow that has not ended.
-type running struct {
+// activeFlow is a flow that has not ended.
+type activeFlow struct {
 	traffic.Flow
-	m      *member
-	cancel context.CancelFunc
-	queued time.Duration // from the flow's beginning until its goroutine ran, and in wait for a connection
+	target    *member
+	cancel    context.CancelFunc
+	localWait time.Duration // time until the goroutine of the flow ran, plus the wait for a connection
 }
 
-// New returns a Manager that hands the end of each flow to done, which must not block.
-func New(cfg Config, done func(traffic.FlowEnd)) (*Manager, error) {
+// New returns a Manager that passes the end of each flow to reportEnd, which must not block.
+func New(cfg Config, reportEnd func(traffic.FlowEnd)) (*Manager, error) {
 	if cfg.HeldMost <= 0 {
-		cfg.HeldMost = heldMost
+		cfg.HeldMost = defaultConnWait
 	}
 	pool, err := conns.New(cfg.Conns)
 	if err != nil {
 		return nil, err
 	}
-	return &Manager{cfg: cfg, done: done, origin: time.Now(), members: map[string]*member{}, waits: map[traffic.Group]time.Time{}, outstanding: map[traffic.Group]*outstanding{},
-		flows: map[flowID]*running{}, opener: newOpener(cfg.Gate, cfg.Busy), dialer: newDialer(cfg.Names), conns: pool, byID: map[conns.ID]*conn{},
-		ahead: map[conns.ID]context.CancelFunc{}, held: map[string][]*waiter{}}, nil
+	return &Manager{cfg: cfg, reportEnd: reportEnd, origin: time.Now(), members: map[string]*member{}, retryAfter: map[traffic.Group]time.Time{}, outstanding: map[traffic.Group]*outstanding{},
+		flows: map[flowID]*activeFlow{}, handshakes: newHandshakeQueue(cfg.Gate, cfg.Busy), dialer: newDialer(cfg.Names), conns: pool, connsByID: map[conns.ID]*conn{},
+		preconnecting: map[conns.ID]context.CancelFunc{}, waiters: map[string][]*waiter{}}, nil
 }
 
-// Pool takes in news of the pool. Flows to a member that is leaving end unsent if no byte is out yet.
+// Pool applies an update of the pool. A flow to a leaving member ends unsent unless its first byte is already written.
 func (g *Manager) Pool(news traffic.PoolNews) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if news.Whole {
 		for _, m := range g.members {
-			m.open = false
+			m.available = false
 		}
 	}
 	for _, row := range news.Members {
@@ -147,55 +155,55 @@
 			m = &member{}
 			g.members[row.Host] = m
 		}
-		m.Member, m.open = row, row.Health == traffic.Active
+		m.Member, m.available = row, row.Health == traffic.Active
 	}
 	for host, m := range g.members {
-		g.kill(g.conns.Endpoint(host, m.Dial, m.Destination, m.open))
-		if !m.open {
-			delete(g.members, host) // flows that are out keep their own reference
+		g.closeEvicted(g.conns.Endpoint(host, m.Dial, m.Destination, m.available))
+		if !m.available {
+			delete(g.members, host) // active flows keep their own reference
 		}
 	}
-	g.admit()
+	g.serveWaiters()
 }
 
 // Start begins a flow. It does not block.
 func (g *Manager) Start(f traffic.Flow) {
 	ctx, cancel := context.WithDeadline(context.Background(), f.Deadline)
-	r := &running{Flow: f, cancel: cancel}
+	r := &activeFlow{Flow: f, cancel: cancel}
 	g.mu.Lock()
-	r.m = g.members[f.Member]
-	full := g.calls >= g.cfg.MostFlows
+	r.target = g.members[f.Member]
+	full := g.callCount >= g.cfg.MostFlows
 	var l lease
-	if !full && r.m != nil {
-		g.calls++
+	if !full && r.target != nil {
+		g.callCount++
 		for _, x := range f.All() {
 			g.flows[flowID{x.ID, x.Attempt}] = r
 		}
-		l = g.ask(f.Member, g.conns.Call)
+		l = g.requestConn(f.Member, g.conns.Call)
 	}
 	g.mu.Unlock()
 	switch {
-	case r.m == nil:
+	case r.target == nil:
 		cancel()
-		g.tell(r, r.end(traffic.Unsent), nil)
+		g.reportEnds(r, r.flowEnd(traffic.Unsent), nil)
 	case full:
 		cancel()
-		g.tell(r, r.end(traffic.NoSlot), nil)
+		g.reportEnds(r, r.flowEnd(traffic.NoSlot), nil)
 	default:
 		go g.run(ctx, r, l)
 	}
 }
 
-// Limit changes how many flows may be out and how many connections there may be; what there is stays.
-func (g *Manager) Limit(flows, most int) {
+// Limit sets the maximum numbers of calls in flight and of connections. Existing calls and connections stay.
+func (g *Manager) Limit(maxFlows, maxConns int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.cfg.MostFlows = flows
-	g.conns.Limit(most)
-	g.admit()
+	g.cfg.MostFlows = maxFlows
+	g.conns.Limit(maxConns)
+	g.serveWaiters()
 }
 
-// Cancel gives a flow up by closing its connection.
+// Cancel aborts a flow by closing its connection.
 func (g *Manager) Cancel(id string, attempt int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -204,226 +212,225 @@
 	}
 }
 
-// FreeIdle gives up all idle connections, and keeps none warm while it is on.
+// FreeIdle closes all idle connections, and keeps no connection idle while on is true.
 func (g *Manager) FreeIdle(on bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.kill(g.conns.Frugal(g.now(), on))
+	g.closeEvicted(g.conns.Frugal(g.now(), on))
 }
 
-// Expect tells how many calls are known to come to the members of a destination soon.
+// Expect announces how many calls to the members of a destination will follow soon.
 func (g *Manager) Expect(destination, calls int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	var to []string
+	var hosts []string
 	for host, m := range g.members {
-		if m.open && m.Destination == destination {
-			to = append(to, host)
+		if m.available && m.Destination == destination {
+			hosts = append(hosts, host)
 		}
 	}
-	for _, host := range to {
-		g.conns.Hint(host, false, (calls+len(to)-1)/len(to))
+	for _, host := range hosts {
+		g.conns.Hint(host, false, (calls+len(hosts)-1)/len(hosts))
 	}
 }
 
-// Counters returns what was counted of connections.
+// Counters returns the connection counters.
 func (g *Manager) Counters() conns.Counters {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.conns.Counters()
 }
 
-// Ends returns how long connections had idled at their ends, by cause.
+// Ends returns how long connections had been idle when they ended, by cause.
 func (g *Manager) Ends() conns.Ends {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.conns.Ends()
 }
 
-// Connections returns what is known of each member's connections.
+// Connections returns the state of the connections to each member.
 func (g *Manager) Connections() []conns.State {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.conns.States()
 }
 
-// end ends a flow. What the program itself let it wait, before its goroutine ran and before its answer was looked
-// at, is not the pool member's doing and not counted: a relay short of processor would take its members to be slow,
-// send them less, and hold the more.
-func (r *running) end(status traffic.FlowStatus) traffic.FlowEnd {
+// flowEnd returns the end of the flow. Took leaves out the time that the flow waited inside this program, because the pool member did
+// not cause it: a CPU-starved relay would otherwise consider its members slow, send them fewer calls and queue more messages.
+func (r *activeFlow) flowEnd(status traffic.FlowStatus) traffic.FlowEnd {
 	return traffic.FlowEnd{ID: r.ID, Attempt: r.Attempt, Member: r.Member, Status: status,
-		Took: max(time.Since(r.Begun)-r.queued, 0)}
+		Took: max(time.Since(r.Begun)-r.localWait, 0)}
 }
 
-// run carries one flow from its connection to its end.
-func (g *Manager) run(ctx context.Context, r *running, l lease) {
-	r.queued = time.Since(r.Begun)
-	end, each := g.attempt(ctx, r, l)
+// run executes one flow and reports its end.
+func (g *Manager) run(ctx context.Context, r *activeFlow, l lease) {
+	r.localWait = time.Since(r.Begun)
+	end, statuses := g.attempt(ctx, r, l)
 	if g.cfg.OwnDelay != nil {
 		end.Took = max(end.Took-g.cfg.OwnDelay(), 0)
 	}
 	r.cancel()
 	g.mu.Lock()
-	g.calls--
-	g.noteEnded(r)
+	g.callCount--
+	g.removeOutstanding(r)
 	for _, x := range r.All() {
 		delete(g.flows, flowID{x.ID, x.Attempt})
 	}
-	if (end.Status == traffic.TurnedAway || each != nil) && end.Wait > 0 {
-		// At once, not by way of the relay: a call still being connected must not be written into the wait.
-		if until := time.Now().Add(end.Wait); until.After(g.waits[r.Group]) {
-			g.waits[r.Group] = until
+	if (end.Status == traffic.TurnedAway || statuses != nil) && end.Wait > 0 {
+		// The wait takes effect here, before the relay learns of it: a call that is still connecting must not be written during the wait.
+		if until := time.Now().Add(end.Wait); until.After(g.retryAfter[r.Group]) {
+			g.retryAfter[r.Group] = until
 			if g.cfg.Shared != nil {
 				g.cfg.Shared.Tell(r.Group, until)
 			}
 		}
 	}
 	g.mu.Unlock()
-	g.tell(r, end, each)
+	g.reportEnds(r, end, statuses)
 }
 
-// tell hands on the ends of a flow and of those that travelled with it.
-func (g *Manager) tell(r *running, end traffic.FlowEnd, each map[string]traffic.FlowStatus) {
-	for i, one := range r.ends(end, each) {
+// reportEnds reports the end of a flow and of the flows that shared its call.
+func (g *Manager) reportEnds(r *activeFlow, end traffic.FlowEnd, statuses map[string]traffic.FlowStatus) {
+	for i, eachEnd := range r.allEnds(end, statuses) {
 		if g.cfg.Fleet != nil && i == 0 {
-			g.cfg.Fleet.Ended(r.Flow, one)
+			g.cfg.Fleet.Ended(r.Flow, eachEnd)
 		}
-		g.done(one)
+		g.reportEnd(eachEnd)
 	}
 }
 
-// attempt makes the call and says how it ended; where it carried several, how each of them did, if the answer tells.
-func (g *Manager) attempt(ctx context.Context, r *running, l lease) (traffic.FlowEnd, map[string]traffic.FlowStatus) {
-	if end, told := g.toldElsewhere(r); told {
-		g.giveBack(l)
+// attempt makes the call and returns its end. For a batch it also returns the status of each flow by id, if the answer states them.
+func (g *Manager) attempt(ctx context.Context, r *activeFlow, l lease) (traffic.FlowEnd, map[string]traffic.FlowStatus) {
+	if end, waits := g.sharedWait(r); waits {
+		g.releaseLease(l)
 		return end, nil
 	}
-	if g.barred(r.Group, time.Now()) {
-		g.giveBack(l)
-		return r.end(traffic.Unsent), nil
+	if g.heldByFleet(r.Group, time.Now()) {
+		g.releaseLease(l)
+		return r.flowEnd(traffic.Unsent), nil
 	}
 	var c *conn
-	var from time.Time
+	var writeStart time.Time
 	for written, tries := false, 0; !written; tries++ {
-		if tries > spoiltMost {
-			return r.end(traffic.NotConnected), nil
+		if tries > maxReplacedConns {
+			return r.flowEnd(traffic.NotConnected), nil
 		}
 		var err error
-		if c, err = g.get(ctx, r, l); err == errHeld {
-			return r.end(traffic.Unsent), nil // by this program itself: the member has nothing to do with it
+		if c, err = g.acquire(ctx, r, l); err == errConnWait {
+			return r.flowEnd(traffic.Unsent), nil // this program delayed the flow, so the member is not blamed
 		} else if err != nil {
 			slog.Debug("no connection", "member", r.Member, "id", r.ID, "err", err)
-			return r.end(traffic.NotConnected), nil
+			return r.flowEnd(traffic.NotConnected), nil
 		}
-		if end, told := g.toldElsewhere(r); told {
-			g.unused(c)
+		if end, waits := g.sharedWait(r); waits {
+			g.returnUnused(c)
 			return end, nil
 		}
-		if c.plain != nil {
-			g.awaitUnread(ctx, r)
+		if c.syscallConn != nil {
+			g.awaitUnreadAnswers(ctx, r)
 		}
 		if !g.mayWrite(ctx, r) {
-			g.unused(c)
-			return r.end(traffic.Unsent), nil
+			g.returnUnused(c)
+			return r.flowEnd(traffic.Unsent), nil
 		}
-		from = time.Now()
-		if written = c.writing(from); !written && tries < spoiltMost {
-			l = g.instead(r, c)
+		writeStart = time.Now()
+		if written = c.beginWrite(writeStart); !written && tries < maxReplacedConns {
+			l = g.replaceConn(r, c)
 		} else if !written {
-			g.unused(c)
+			g.returnUnused(c)
 		}
 	}
 	var call []byte
 	if len(r.With) == 0 {
-		call = appendCall(nil, &r.Flow, from)
+		call = appendCall(nil, &r.Flow, writeStart)
 	} else {
-		call = appendBatch(nil, &r.Flow, from)
-		c.carriesSeveral()
+		call = appendBatch(nil, &r.Flow, writeStart)
+		c.setBatch()
 	}
-	if c.plain != nil { // over TLS nobody but its reader can read it
-		g.noteWritten(r, c)
+	if c.syscallConn != nil { // on TLS connections only the reader goroutine can read
+		g.addOutstanding(r, c)
 	}
-	_ = c.nc.SetWriteDeadline(r.lastByteBy())
-	stop := context.AfterFunc(ctx, func() { // also ends a write that hangs
-		c.lookStuck()
-		c.kill()
+	_ = c.nc.SetWriteDeadline(r.writeDeadline())
+	stop := context.AfterFunc(ctx, func() { // also ends a blocked write
+		c.checkStuck()
+		c.close()
 	})
 	if n, err := c.nc.Write(call); n < len(call) {
-		g.over(c, c.ending(stop()), time.Since(from))
+		g.finishCall(c, c.endCall(stop()), time.Since(writeStart))
 		slog.Debug("call not written", "member", r.Member, "id", r.ID, "err", err)
-		return r.end(traffic.NotConnected), nil
+		return r.flowEnd(traffic.NotConnected), nil
 	}
-	<-c.got            // the reader always closes it: kill ends the reader
-	result := c.result // before the connection is given back: its next call begins by clearing it
-	g.over(c, c.ending(stop()), time.Since(from))
-	end := r.end(traffic.Broken)
+	<-c.answered       // always closed in the end: close ends the reader, which closes the channel
+	result := c.result // read before finishCall returns the connection, because its next call clears the result
+	g.finishCall(c, c.endCall(stop()), time.Since(writeStart))
+	end := r.flowEnd(traffic.Broken)
 	if result.status != 0 {
-		end = result.end(end)
+		end = result.applyTo(end)
 	} else if ctx.Err() == context.DeadlineExceeded {
 		end.Status = traffic.OutOfTime
 	} else if ctx.Err() != nil {
 		end.Status = traffic.CalledOff
 	}
-	return end, result.each
+	return end, result.statuses
 }
 
-// lastByteBy is when the call is given up whose last byte is not written: repeats are dropped by when that comes. A zero time sets no
-// bound.
-func (r *running) lastByteBy() time.Time {
+// writeDeadline returns when the last byte of the call must be written. A retry that reaches the member after Flow.WriteBy may run
+// twice, because the member no longer recognizes the duplicate. The zero time means no bound.
+func (r *activeFlow) writeDeadline() time.Time {
 	if r.WriteBy.IsZero() {
 		return time.Time{}
 	}
-	return r.WriteBy.Add(-writeSlack / 2)
+	return r.WriteBy.Add(-writeMargin / 2)
 }
 
-// toldElsewhere ends a flow whose group the other process of a hand-over was told to wait for as turned away
-// with that wait, which the module then keeps as if it had been told here.
-func (g *Manager) toldElsewhere(r *running) (traffic.FlowEnd, bool) {
+// sharedWait returns the end of a flow whose group must wait because of a retry-after that the other process of a handover received.
+// The flow ends as turned away with that wait, so that the decision module respects the wait as if this process had received it.
+func (g *Manager) sharedWait(r *activeFlow) (traffic.FlowEnd, bool) {
 	if g.cfg.Shared == nil {
 		return traffic.FlowEnd{}, false
 	}
 	now := time.Now()
 	until := g.cfg.Shared.Until(r.Group, now)
 	g.mu.Lock()
-	own := !until.After(g.waits[r.Group])
+	ownWait := !until.After(g.retryAfter[r.Group])
 	g.mu.Unlock()
-	if until.IsZero() || own {
-		return traffic.FlowEnd{}, false // none, or this process's own, which the module knows
+	if until.IsZero() || ownWait {
+		return traffic.FlowEnd{}, false // no wait, or a wait of this process, which the decision module knows already
 	}
-	end := r.end(traffic.TurnedAway)
+	end := r.flowEnd(traffic.TurnedAway)
 	end.Wait = until.Sub(now)
 	return end, true
 }
 
-// barred says whether other relays hold a group back.
-func (g *Manager) barred(group traffic.Group, now time.Time) bool {
+// heldByFleet reports whether other relays hold back calls of the group.
+func (g *Manager) heldByFleet(group traffic.Group, now time.Time) bool {
 	return g.cfg.Fleet != nil && g.cfg.Fleet.Held(group, now)
 }
 
-// mayWrite says whether the first byte may still go out. What held when the flow was queued may not hold
-// once its connection is up: the member may be leaving, a wait told, or the memory of repeats too near its end.
-func (g *Manager) mayWrite(ctx context.Context, r *running) bool {
+// mayWrite reports whether the first byte may still be written. Conditions can change while a connection is opened: the member may be
+// leaving, a retry-after may have arrived, or Flow.WriteBy may be too close.
+func (g *Manager) mayWrite(ctx context.Context, r *activeFlow) bool {
 	now := time.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return ctx.Err() == nil && r.m.open && !now.Before(g.waits[r.Group]) && !g.barred(r.Group, now) &&
-		(r.WriteBy.IsZero() || now.Before(r.WriteBy.Add(-writeSlack)))
+	return ctx.Err() == nil && r.target.available && !now.Before(g.retryAfter[r.Group]) && !g.heldByFleet(r.Group, now) &&
+		(r.WriteBy.IsZero() || now.Before(r.WriteBy.Add(-writeMargin)))
 }
 
-// Close ends every flow and connection at once. A successor takes up what was out once this process lets go of
-// its journal: by then no call of ours may be open on the wire, or the successor's would be a second copy.
+// Close ends all flows and connections immediately. Once this process releases its journal, a successor process retries the flows that
+// were active. No call of this process may then be open on the wire, or the retry of the successor would be a duplicate.
 func (g *Manager) Close() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, r := range g.flows {
 		r.cancel()
 	}
-	for _, cancel := range g.ahead {
+	for _, cancel := range g.preconnecting {
 		cancel()
 	}
-	for _, c := range g.byID {
-		if c.raw != nil {
-			c.raw.Close() // no farewell: the end is now
+	for _, c := range g.connsByID {
+		if c.underTLS != nil {
+			c.underTLS.Close() // without a close_notify, which would take time
 		} else {
 			c.nc.Close()
 		}
--- a/internal/flow/http1/http1_test.go
+++ b/internal/flow/http1/http1_test.go
@@ -10,8 +10,8 @@
 	"slatemux/internal/proptest"
 )
 
-// answers are whole answers with what each says.
-var answers = []struct {
+// responses are complete responses with their expected parse results.
+var responses = []struct {
 	text   string
 	status int
 	body   string
@@ -25,10 +25,10 @@
 	{"HTTP/1.0 500 Oh\nContent-Length: 3\n\nbad", 500, "bad", false},
 }
 
-func TestAnswersInPieces(t *testing.T) {
+func TestResponseInPieces(t *testing.T) {
 	proptest.Check(t, func(t *rapid.T) {
-		a := rapid.SampledFrom(answers).Draw(t, "answer")
-		r := Response{Keep: 100}
+		a := rapid.SampledFrom(responses).Draw(t, "answer")
+		r := Response{MaxBodyBytes: 100}
 		for _, piece := range proptest.Pieces(t, []byte(a.text)) {
 			if n, err := r.Feed(piece); err != nil || n != len(piece) {
 				t.Fatalf("Feed(%q) = %d, %v", piece, n, err)
@@ -40,10 +40,10 @@
 	})
 }
 
-func TestGarbageEndsInAnErrorOrAnAnswer(t *testing.T) {
+func TestGarbageEndsInErrorOrResponse(t *testing.T) {
 	proptest.Check(t, func(t *rapid.T) {
-		r := Response{Keep: 100}
-		text := proptest.Garbage(t, []byte(rapid.SampledFrom(answers).Draw(t, "answer").text))
+		r := Response{MaxBodyBytes: 100}
+		text := proptest.Garbage(t, []byte(rapid.SampledFrom(responses).Draw(t, "answer").text))
 		for _, piece := range proptest.Pieces(t, text) {
 			n, err := r.Feed(piece)
 			if n > len(piece) || err == nil && n < len(piece) && !r.Done() {
@@ -51,12 +51,12 @@
 			}
 		}
 		if err := r.End(); err == nil && !r.Done() || len(r.Body) > 100+len(text) {
-			t.Fatalf("neither an error nor an answer: %+v", r)
+			t.Fatalf("neither an error nor a complete response: %+v", r)
 		}
 	})
 }
 
-// A member that never ends its head must not fill the memory.
+// A response head without an end must not exhaust memory.
 func TestHeadIsBounded(t *testing.T) {
 	var r Response
 	line := []byte("HTTP/1.1 200 OK\r\n")
@@ -66,13 +66,13 @@
 		}
 		line = []byte("A: " + strings.Repeat("b", 100) + "\r\n")
 	}
-	t.Fatal("a head without end was taken in")
+	t.Fatal("an endless head was accepted")
 }
 
-// Two answers in one read: the first takes its own bytes alone.
-func TestFeedStopsAtTheEnd(t *testing.T) {
+// With two responses in one read, the first must consume only its own bytes.
+func TestFeedStopsAtEnd(t *testing.T) {
 	var r Response
-	text := []byte(answers[0].text)
+	text := []byte(responses[0].text)
 	if n, err := r.Feed(append(bytes.Clone(text), text...)); n != len(text) || err != nil {
 		t.Fatalf("Feed = %d, %v; want %d", n, err, len(text))
 	}
--- a/internal/lab/capacity/slopes/measurement.go
+++ b/internal/lab/capacity/slopes/measurement.go
@@ -9,34 +9,35 @@
 	"text/tabwriter"
 )
 
-// Axis is what a size counts.
+// Axis names what a size counts.
 type Axis string
 
-// The axes.
+// The axes along which sizes vary.
 const (
-	Destinations Axis = "destinations"
-	Held         Axis = "held messages"
-	Relays       Axis = "relays"
+	Destinations   Axis = "destinations"
+	QueuedMessages Axis = "held messages"
+	Relays         Axis = "relays"
 )
 
-// planned are the sizes that the operators plan for, of one relay and of the whole.
-var planned = map[Axis]float64{Destinations: 330_000, Held: 11_800_000, Relays: 3_900}
+// plannedSizes are the sizes that the operators plan for. Destinations and queued messages are those of one relay; relays are those of the
+// whole fleet.
+var plannedSizes = map[Axis]float64{Destinations: 330_000, QueuedMessages: 11_800_000, Relays: 3_900}
 
-// Budgets of one relay's control work.
+// Budgets for the control work of one relay.
 const (
-	budgetCPUShare       = 0.017 // of a core
-	budgetMemory         = 32e6  // bytes
-	budgetBytesPerSecond = 5e3
+	cpuShareBudget       = 0.017 // share of a core
+	memoryBytesBudget    = 32e6  // bytes
+	bytesPerSecondBudget = 5e3
 )
 
-// Quantity names a cost and its unit. Budget is the most that it may be at the planned size; 0 for none.
+// Quantity names a cost and its unit. Budget is the maximum at the planned size, or 0 if there is none.
 type Quantity struct {
 	Name   string
 	Unit   string
 	Budget float64
 }
 
-// Measurement is one measured cost at a size.
+// Measurement is the measured value of a quantity at one size.
 type Measurement struct {
 	Axis     Axis    `json:"axis"`
 	Size     int     `json:"size"`
@@ -46,22 +47,22 @@
 	budget   float64
 }
 
-// Projection is a fit of a quantity and what it comes to at the planned size.
+// Projection is the fit of a quantity and its value at the planned size.
 type Projection struct {
-	Axis     Axis    `json:"axis"`
-	Quantity string  `json:"quantity"`
-	Unit     string  `json:"unit"`
-	Fit      Fit     `json:"fit"`
-	Planned  float64 `json:"planned_size"`
-	// Stretch is the planned size divided by the largest that was measured.
-	Stretch float64 `json:"extrapolation_factor"`
-	Value   float64 `json:"value_at_planned_size"`
-	Budget  float64 `json:"budget,omitempty"`
-	// OverBudget is the value divided by the budget.
-	OverBudget float64 `json:"value_over_budget,omitempty"`
+	Axis        Axis    `json:"axis"`
+	Quantity    string  `json:"quantity"`
+	Unit        string  `json:"unit"`
+	Fit         Fit     `json:"fit"`
+	PlannedSize float64 `json:"planned_size"`
+	// ExtrapolationFactor is the planned size divided by the largest measured size.
+	ExtrapolationFactor float64 `json:"extrapolation_factor"`
+	PlannedValue        float64 `json:"value_at_planned_size"`
+	Budget              float64 `json:"budget,omitempty"`
+	// BudgetRatio is PlannedValue divided by Budget.
+	BudgetRatio float64 `json:"value_over_budget,omitempty"`
 }
 
-// Recorder collects measurements and writes each as a line of JSON as soon as it is made.
+// Recorder collects measurements. It writes each one as a JSON line as soon as it is recorded.
 type Recorder struct {
 	lines        io.Writer
 	measurements []Measurement
@@ -70,7 +71,7 @@
 // NewRecorder returns a Recorder that writes JSON lines to w.
 func NewRecorder(w io.Writer) *Recorder { return &Recorder{lines: w} }
 
-// Measurements are all that were recorded.
+// Measurements returns all recorded measurements.
 func (r *Recorder) Measurements() []Measurement { return r.measurements }
 
 func (r *Recorder) record(axis Axis, size int, quantity Quantity, value float64) error {
@@ -79,49 +80,52 @@
 	return json.NewEncoder(r.lines).Encode(m)
 }
 
-// series is the measurements of one quantity along one axis.
+// series holds the measurements of one quantity along one axis.
 type series struct {
-	Measurement // the first of them
+	Measurement // the first measurement; it identifies the series
 	points      []Point
 }
 
-func (r *Recorder) series() []*series {
+// allSeries groups the measurements by axis and quantity, in the order of their first measurements.
+func (r *Recorder) allSeries() []*series {
 	var list []*series
 	for _, m := range r.measurements {
-		at := slices.IndexFunc(list, func(s *series) bool { return s.Axis == m.Axis && s.Quantity == m.Quantity })
-		if at < 0 {
-			at = len(list)
+		index := slices.IndexFunc(list, func(s *series) bool { return s.Axis == m.Axis && s.Quantity == m.Quantity })
+		if index < 0 {
+			index = len(list)
 			list = append(list, &series{Measurement: m})
 		}
-		list[at].points = append(list[at].points, Point{m.Size, m.Value})
+		list[index].points = append(list[index].points, Point{m.Size, m.Value})
 	}
 	return list
 }
 
-// Project fits each quantity and extends the fit to the planned size. Quantities with too few sizes are left out.
+// Project fits each quantity and extrapolates it to the planned size. It omits quantities that BestFit rejects, such as those with fewer
+// than MinSizes sizes.
 func (r *Recorder) Project() []Projection {
 	var list []Projection
-	for _, s := range r.series() {
+	for _, s := range r.allSeries() {
 		fit, err := BestFit(s.points)
 		if err != nil {
 			continue
 		}
 		largest := slices.MaxFunc(s.points, func(a, b Point) int { return cmp.Compare(a.Size, b.Size) })
-		p := Projection{Axis: s.Axis, Quantity: s.Quantity, Unit: s.Unit, Fit: fit, Planned: planned[s.Axis], Budget: s.budget}
-		p.Stretch = p.Planned / float64(largest.Size)
-		p.Value = fit.At(p.Planned)
-		if p.Stretch <= 1 { // the planned size was measured
-			p.Value = largest.Value
+		projection := Projection{Axis: s.Axis, Quantity: s.Quantity, Unit: s.Unit, Fit: fit, PlannedSize: plannedSizes[s.Axis],
+			Budget: s.budget}
+		projection.ExtrapolationFactor = projection.PlannedSize / float64(largest.Size)
+		projection.PlannedValue = fit.At(projection.PlannedSize)
+		if projection.ExtrapolationFactor <= 1 { // the planned size or a larger one was measured
+			projection.PlannedValue = largest.Value
 		}
-		if p.Budget > 0 {
-			p.OverBudget = p.Value / p.Budget
+		if projection.Budget > 0 {
+			projection.BudgetRatio = projection.PlannedValue / projection.Budget
 		}
-		list = append(list, p)
+		list = append(list, projection)
 	}
 	return list
 }
 
-// WriteReport writes the projections as lines of JSON, and all as tables.
+// WriteReport writes the projections as JSON lines to lines, and the measurements and projections as tables to tables.
 func (r *Recorder) WriteReport(lines, tables io.Writer) error {
 	projections := r.Project()
 	encoder := json.NewEncoder(lines)
@@ -137,7 +141,7 @@
 }
 
 func (r *Recorder) writeMeasurements(w io.Writer) error {
-	for _, axis := range []Axis{Destinations, Held, Relays} {
+	for _, axis := range []Axis{Destinations, QueuedMessages, Relays} {
 		var sizes []int
 		for _, m := range r.measurements {
 			if m.Axis == axis && !slices.Contains(sizes, m.Size) {
@@ -148,53 +152,57 @@
 			continue
 		}
 		slices.Sort(sizes)
-		t := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
-		fmt.Fprintf(t, "\n%s\tunit", axis)
+		table := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
+		fmt.Fprintf(table, "\n%s\tunit", axis)
 		for _, size := range sizes {
-			fmt.Fprintf(t, "\t%d", size)
+			fmt.Fprintf(table, "\t%d", size)
 		}
-		fmt.Fprintln(t)
-		for _, s := range r.series() {
+		fmt.Fprintln(table)
+		for _, s := range r.allSeries() {
 			if s.Axis == axis {
-				writeRow(t, s, sizes)
+				writeSeriesRow(table, s, sizes)
 			}
 		}
-		if err := t.Flush(); err != nil {
+		if err := table.Flush(); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func writeRow(w io.Writer, s *series, sizes []int) {
+// writeSeriesRow writes a table row with the value of a series at each size, or - where a size was not measured.
+func writeSeriesRow(w io.Writer, s *series, sizes []int) {
 	fmt.Fprintf(w, "%s\t%s", s.Quantity, s.Unit)
 	for _, size := range sizes {
-		at := slices.IndexFunc(s.points, func(p Point) bool { return p.Size == size })
-		if at < 0 {
+		index := slices.IndexFunc(s.points, func(p Point) bool { return p.Size == size })
+		if index < 0 {
 			fmt.Fprint(w, "\t-")
 			continue
 		}
-		fmt.Fprintf(w, "\t%s", figure(s.points[at].Value))
+		fmt.Fprintf(w, "\t%s", formatNumber(s.points[index].Value))
 	}
 	fmt.Fprintln(w)
 }
 
 func writeProjections(w io.Writer, list []Projection) error {
-	t := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
-	fmt.Fprintln(t, "\nfit\tunit\tform\ta\tb\terror of b\tresidual\texponent\tat\tvalue\textrapolated by\tbudget\tover budget")
-	for _, p := range list {
-		budget, over := "-", "-"
-		if p.Budget > 0 {
-			budget, over = figure(p.Budget), fmt.Sprintf("%.2f", p.OverBudget)
+	table := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
+	fmt.Fprintln(table, "\nfit\tunit\tform\ta\tb\terror of b\tresidual\texponent\tat\tvalue\textrapolated by\tbudget\tover budget")
+	for _, projection := range list {
+		budget, ratio := "-", "-"
+		if projection.Budget > 0 {
+			budget, ratio = formatNumber(projection.Budget), fmt.Sprintf("%.2f", projection.BudgetRatio)
 		}
-		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%s\t%.1f %%\t%.2f\t%.0f %s\t%s\t%.1f\t%s\t%s\n", p.Quantity, p.Unit, p.Fit.Form, figure(p.Fit.Intercept), figure(p.Fit.Slope),
-			figure(p.Fit.SlopeError), 100*p.Fit.Residual, p.Fit.Exponent, p.Planned, p.Axis, figure(p.Value), max(p.Stretch, 1), budget, over)
+		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\t%s\t%.1f %%\t%.2f\t%.0f %s\t%s\t%.1f\t%s\t%s\n", projection.Quantity, projection.Unit,
+			projection.Fit.Form, formatNumber(projection.Fit.Intercept), formatNumber(projection.Fit.Slope),
+			formatNumber(projection.Fit.SlopeError), 100*projection.Fit.RelativeResidual, projection.Fit.Exponent, projection.PlannedSize,
+			projection.Axis, formatNumber(projection.PlannedValue), max(projection.ExtrapolationFactor, 1), budget, ratio)
 	}
-	return t.Flush()
+	return table.Flush()
 }
 
-// figure writes four significant digits, without an exponent.
-func figure(v float64) string {
+// formatNumber formats a number of 1000 or more as an integer, one below 0.01 with an exponent and three significant digits, and
+// others with four significant digits.
+func formatNumber(v float64) string {
 	switch magnitude := max(v, -v); {
 	case magnitude == 0:
 		return "0"
--- a/internal/retryafter/retryafter.go
+++ b/internal/retryafter/retryafter.go
@@ -1,7 +1,7 @@
-// Package retryafter shares told waits between the processes of one relay. During a hand-over two processes send
-// to the same partners, and a wait that a partner told one of them binds both: the rule is the relay's.
-// The table is a small file in $TMPDIR mapped into both processes' memory, so that a wait is seen by the
-// other before its next write without a system call. A restart empties $TMPDIR, and a restart ends a wait.
+// Package retryafter shares retry-after times between the processes of one relay. During a handover two processes send to the same
+// partners. A retry-after that a partner sent to one process binds both, because the partner's rule applies to the relay as a whole.
+// The table is a small file in $TMPDIR, mapped into the memory of both processes, so that each sees the other's entries before its
+// next write without a system call. A restart empties $TMPDIR, and a restart also ends a retry-after.
 package retryafter
 
 import (
@@ -16,26 +16,29 @@
 	"slatemux/internal/traffic"
 )
 
-// slots is how many waits the table has room for, and near how many of them, from where its hash says on, a wait may stand in: with
-// thousands of routes apart that all wait, few meet in so many. One that comes when all of its own are taken replaces the one
-// that ends first. The file is sparse: it takes memory by the pages that hold waits.
-const slots, near = 8192, 32
+const (
+	// slotCount is the maximum number of waits in the table. The file is sparse: it takes memory only for pages that hold waits.
+	slotCount = 8192
+	// maxProbes is the number of slots, starting at the slot of its hash, that a wait may use. With thousands of waiting members that
+	// have separate limits, few waits share so many slots. If all of them are taken, a new wait replaces the one that ends first.
+	maxProbes = 32
+)
 
-const slotBytes = 16 // the group's hash, then the wait's end in Unix nanoseconds
+const slotBytes = 16 // the group's hash, then the end of the wait in Unix nanoseconds
 
 // Table is the shared table. A nil Table shares nothing.
 type Table struct{ file *mmapfile.File }
 
-// Open maps the table of a folder, made where there is none.
+// Open maps the table of a folder, and creates the table if it does not exist.
 func Open(dir string) (*Table, error) {
-	file, err := mmapfile.Open(filepath.Join(dir, "slatemux-waits-2"), slots*slotBytes)
+	file, err := mmapfile.Open(filepath.Join(dir, "slatemux-waits-2"), slotCount*slotBytes)
 	if err != nil {
-		return nil, fmt.Errorf("waits: %w", err)
+		return nil, fmt.Errorf("retry-after table: %w", err)
 	}
 	return &Table{file}, nil
 }
 
-// Close unmaps it. From then on it shares nothing.
+// Close unmaps the table. A closed table shares nothing.
 func (t *Table) Close() error {
 	if t == nil {
 		return nil
@@ -43,59 +46,59 @@
 	return t.file.Close()
 }
 
-func slot(mem []byte, i int) (hash, until *uint64) {
+func slotWords(mem []byte, i int) (hash, until *uint64) {
 	base := unsafe.Pointer(&mem[i*slotBytes])
 	return (*uint64)(base), (*uint64)(unsafe.Add(base, 8))
 }
 
-func key(group traffic.Group) uint64 {
+func groupHash(group traffic.Group) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(group.String()))
 	return max(h.Sum64(), 1) // 0 marks a free slot
 }
 
-// at is the n-th slot in which a wait may stand.
-func at(key uint64, n int) int { return int((key + uint64(n)) % slots) }
+// probeIndex returns the index of the n-th slot that a group with this hash may use.
+func probeIndex(key uint64, n int) int { return int((key + uint64(n)) % slotCount) }
 
-// Tell records that nothing goes to the group before until.
+// Tell records that nothing may be sent to the group before until.
 func (t *Table) Tell(group traffic.Group, until time.Time) {
 	if t == nil {
 		return
 	}
-	t.file.Use(func(mem []byte) { tell(mem, key(group), uint64(until.UnixNano())) })
+	t.file.Use(func(mem []byte) { record(mem, groupHash(group), uint64(until.UnixNano())) })
 }
 
-func tell(mem []byte, k, end uint64) {
-	victim, least := 0, uint64(1<<64-1)
-	for n := range near {
-		i := at(k, n)
-		h, u := slot(mem, i)
-		if atomic.LoadUint64(h) == k {
-			for old := atomic.LoadUint64(u); old < end && !atomic.CompareAndSwapUint64(u, old, end); old = atomic.LoadUint64(u) {
+func record(mem []byte, hash, end uint64) {
+	earliest, earliestEnd := 0, uint64(1<<64-1)
+	for n := range maxProbes {
+		i := probeIndex(hash, n)
+		hashWord, endWord := slotWords(mem, i)
+		if atomic.LoadUint64(hashWord) == hash {
+			for old := atomic.LoadUint64(endWord); old < end && !atomic.CompareAndSwapUint64(endWord, old, end); old = atomic.LoadUint64(endWord) {
 			}
 			return
 		}
-		if v := atomic.LoadUint64(u); v < least {
-			victim, least = i, v
+		if v := atomic.LoadUint64(endWord); v < earliestEnd {
+			earliest, earliestEnd = i, v
 		}
 	}
-	h, u := slot(mem, victim)
-	atomic.StoreUint64(u, 0) // while the hash changes, the slot holds nothing back
-	atomic.StoreUint64(h, k)
-	atomic.StoreUint64(u, end)
+	hashWord, endWord := slotWords(mem, earliest)
+	atomic.StoreUint64(endWord, 0) // while the hash changes, the slot blocks nothing
+	atomic.StoreUint64(hashWord, hash)
+	atomic.StoreUint64(endWord, end)
 }
 
-// Until says until when the group waits; zero where it does not.
+// Until returns the end of the group's wait, or zero if the group does not wait.
 func (t *Table) Until(group traffic.Group, now time.Time) (until time.Time) {
 	if t == nil {
 		return until
 	}
-	k, from := key(group), uint64(now.UnixNano())
+	hash, nowNanos := groupHash(group), uint64(now.UnixNano())
 	t.file.Use(func(mem []byte) {
-		for n := range near {
-			h, u := slot(mem, at(k, n))
-			if atomic.LoadUint64(h) == k {
-				if end := atomic.LoadUint64(u); end > from {
+		for n := range maxProbes {
+			hashWord, endWord := slotWords(mem, probeIndex(hash, n))
+			if atomic.LoadUint64(hashWord) == hash {
+				if end := atomic.LoadUint64(endWord); end > nowNanos {
 					until = time.Unix(0, int64(end))
 					return
 				}
--- a/internal/secure/secure.go
+++ b/internal/secure/secure.go
@@ -23,101 +23,103 @@
 )
 
 const (
-	// settle is how long files must have been left alone before they are read: a renewal writes several.
-	settle = 200 * time.Millisecond
-	// lineEvery is how often a failure of one cause is logged.
-	lineEvery = time.Minute
-	// sampleEvery is how many handshakes share one whose processor time is measured: that binds it to a thread.
-	sampleEvery = 8
+	// reloadDelay is the time without file changes after which the files are reloaded. A renewal writes several files.
+	reloadDelay = 200 * time.Millisecond
+	// failureLogInterval is the minimum interval between two log lines about failures of the same cause.
+	failureLogInterval = time.Minute
+	// handshakesPerCPUSample is the number of handshakes for each one whose CPU time is measured. Not every handshake is measured,
+	// because the measurement locks the goroutine to an operating system thread.
+	handshakesPerCPUSample = 8
 )
 
-// Manager owns what TLS needs beside connections. It is safe for use by several goroutines.
+// Manager holds the credentials, session caches and counters of all TLS policies. It is safe for concurrent use.
 type Manager struct {
 	table tlspolicy.Table
 	now   func() time.Time
 
-	mu    sync.Mutex
-	kept  map[string]*kept // by policy
-	epoch int64
+	mu          sync.Mutex
+	policyState map[string]*policyState // by policy name
+	epoch       int64                   // number of changes of credentials, over all policies
 
-	lines [tlspolicy.Causes]atomic.Int64 // when a cause was last logged, Unix time in ns
-	count [tlspolicy.Causes]atomic.Int64
+	lastLoggedNanos [tlspolicy.Causes]atomic.Int64 // Unix time of the last log line about each cause
+	failures        [tlspolicy.Causes]atomic.Int64
 
 	handshakes, resumed, reloads, badReloads atomic.Int64
 }
 
-// kept is what is kept of one policy.
-type kept struct {
+// policyState holds the credentials and session caches of one policy.
+type policyState struct {
 	policy *tlspolicy.Policy
-	*material
-	epoch    int64
+	*credentials
+	epoch    int64                          // value of Manager.epoch when the credentials were loaded
 	sessions map[int]tls.ClientSessionCache // by destination
 }
 
-// New reads all files that the policies name. It fails where one makes no sense.
+// New returns a Manager for a table of policies. It reads all files that the policies name and fails if one of them is invalid.
 func New(table tlspolicy.Table) (*Manager, error) {
 	if err := table.Check(); err != nil {
 		return nil, fmt.Errorf("secure: %w", err)
 	}
-	m := &Manager{table: table, now: time.Now, kept: map[string]*kept{}}
+	m := &Manager{table: table, now: time.Now, policyState: map[string]*policyState{}}
 	for i := range table {
 		p := &table[i]
 		if p.Plain {
 			continue
 		}
-		read, err := read(p)
+		creds, err := readCredentials(p)
 		if err != nil {
 			return nil, fmt.Errorf("secure: policy %q: %w", p.Name, err)
 		}
-		m.kept[p.Name] = &kept{policy: p, material: read, sessions: map[int]tls.ClientSessionCache{}}
+		m.policyState[p.Name] = &policyState{policy: p, credentials: creds, sessions: map[int]tls.ClientSessionCache{}}
 	}
 	return m, nil
 }
 
-// Wants says whether connections to a pool member go over TLS.
+// Wants reports whether connections to a pool member use TLS.
 func (m *Manager) Wants(member *traffic.Member) bool {
 	return m.table.For(member.Destination, member.Host, member.Dial) != nil
 }
 
-// Reload reads all files again. Of a policy whose files make no sense the old ones serve on. What has changed counts for
-// new connections; Fresh says of old ones that they are to go once idle.
+// Reload reads all files again. If a file of a policy is invalid, the policy keeps its current credentials. Changed credentials
+// apply to new connections. For connections that were made with the previous ones, Fresh returns false.
 func (m *Manager) Reload() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for name, k := range m.kept {
-		now, err := read(k.policy)
+	for name, k := range m.policyState {
+		loaded, err := readCredentials(k.policy)
 		if err != nil {
 			m.badReloads.Add(1)
 			slog.Error("tls files not taken over", "policy", name, "err", err)
 			continue
 		}
-		roots, pair := now.rootsSum != k.rootsSum, now.pairSum != k.pairSum
+		roots, pair := loaded.rootsSum != k.rootsSum, loaded.pairSum != k.pairSum
 		if !roots && !pair {
 			continue
 		}
 		m.epoch++
-		next := &kept{policy: k.policy, material: now, epoch: m.epoch, sessions: k.sessions}
-		// A session stands for a chain that was verified by the old roots, and for our old certificate.
+		next := &policyState{policy: k.policy, credentials: loaded, epoch: m.epoch, sessions: k.sessions}
+		// Drop the sessions: they rely on a chain that was verified with the old roots and on the old client certificate.
 		next.sessions = map[int]tls.ClientSessionCache{}
-		m.kept[name] = next
+		m.policyState[name] = next
 		m.reloads.Add(1)
 		slog.Info("tls files taken over", "policy", name, "roots", roots, "pair", pair)
 	}
 }
 
-// Watch reads the files again when they change, until ctx ends. It watches their folders, for renewals rename.
+// Watch reloads the files when they change, until ctx ends. It watches the folders of the files, because renewals replace files by
+// renaming.
 func (m *Manager) Watch(ctx context.Context) error {
 	w, err := fsnotify.NewWatcher()
 	if err != nil {
 		return fmt.Errorf("secure: %w", err)
 	}
 	defer w.Close()
-	for _, dir := range m.folders() {
+	for _, dir := range m.watchedFolders() {
 		if err := w.Add(dir); err != nil {
 			return fmt.Errorf("secure: %s: %w", dir, err)
 		}
 	}
-	m.Reload() // what changed before the folders were watched
+	m.Reload() // picks up changes made before the folders were watched
 	var due <-chan time.Time
 	for {
 		select {
@@ -127,13 +129,13 @@
 			if !ok {
 				return nil
 			}
-			due = time.After(settle)
-		case err, ok := <-w.Errors: // events were lost, say: look at everything
+			due = time.After(reloadDelay)
+		case err, ok := <-w.Errors: // for example lost events: reload all files
 			if !ok {
 				return nil
 			}
-			slog.Warn("tls files not watched well", "err", err)
-			due = time.After(settle)
+			slog.Warn("tls files not watched reliably: reloading all files", "err", err)
+			due = time.After(reloadDelay)
 		case <-due:
 			due = nil
 			m.Reload()
@@ -141,7 +143,8 @@
 	}
 }
 
-func (m *Manager) folders() (dirs []string) {
+// watchedFolders returns the folders of all files that the policies name.
+func (m *Manager) watchedFolders() (dirs []string) {
 	for i := range m.table {
 		p := &m.table[i]
 		dirs = append(dirs, p.RootDirs...)
@@ -155,23 +158,24 @@
 	return slices.Compact(dirs)
 }
 
-// Conn is a connection over TLS, with what it was made by.
+// Conn is a TLS connection together with the policy and the epoch of the credentials that it was made with.
 type Conn struct {
 	*tls.Conn
-	policy string
-	epoch  int64
-	until  time.Time // the server's certificate is valid
+	policy   string
+	epoch    int64
+	notAfter time.Time // end of validity of the server's certificate
 }
 
-// Client makes the handshake on a connection to a member, until ctx ends. It closes the connection where that fails.
-// The processor time is that of a sample of the handshakes; 0 for the others.
+// Client performs the TLS handshake on a connection to a member. If the handshake fails or ctx ends first, Client closes the
+// connection. If the member's policy is plain TCP, Client returns nc itself. The returned duration is the CPU time of the
+// handshake; it is 0 for handshakes that are not sampled.
 func (m *Manager) Client(ctx context.Context, nc net.Conn, member *traffic.Member) (net.Conn, time.Duration, error) {
 	p := m.table.For(member.Destination, member.Host, member.Dial)
 	if p == nil {
 		return nc, 0, nil
 	}
 	m.mu.Lock()
-	k := m.kept[p.Name]
+	k := m.policyState[p.Name]
 	cache := k.sessions[member.Destination]
 	if cache == nil && p.Sessions > 0 {
 		cache = tls.NewLRUClientSessionCache(p.Sessions)
@@ -179,7 +183,7 @@
 	}
 	m.mu.Unlock()
 	if cache != nil {
-		cache = perMember{cache, member.Host}
+		cache = memberSessionCache{cache, member.Host}
 	}
 	name := p.ServerNameOf(member.Dial)
 	cfg := &tls.Config{ServerName: name, RootCAs: k.roots, MinVersion: p.MinVersion, ClientSessionCache: cache, Time: m.now,
@@ -192,13 +196,13 @@
 	if err != nil {
 		nc.Close()
 		if cache != nil {
-			cache.Put(name, nil) // the next handshake is a full one
+			cache.Put(name, nil) // forces a full handshake next time
 		}
 		f := tlspolicy.Classify(err, m.now())
 		if ctx.Err() != nil && f.Cause != tlspolicy.Stalled {
 			f = &tlspolicy.Failure{Cause: tlspolicy.Stalled, Err: err}
 		}
-		m.failed(f, member, p)
+		m.recordFailure(f, member, p)
 		return nil, took, f
 	}
 	m.handshakes.Add(1)
@@ -206,22 +210,23 @@
 	if cs.DidResume {
 		m.resumed.Add(1)
 	}
-	return &Conn{Conn: c, policy: p.Name, epoch: k.epoch, until: cs.PeerCertificates[0].NotAfter}, took, nil
+	return &Conn{Conn: c, policy: p.Name, epoch: k.epoch, notAfter: cs.PeerCertificates[0].NotAfter}, took, nil
 }
 
-// handshake makes a handshake and, for a sample, measures what it takes of the processor.
+// handshake performs the handshake and, for a sample of the handshakes, measures its CPU time.
 func (m *Manager) handshake(ctx context.Context, c *tls.Conn) (time.Duration, error) {
-	if m.handshakes.Load()%sampleEvery != 0 {
+	if m.handshakes.Load()%handshakesPerCPUSample != 0 {
 		return 0, c.HandshakeContext(ctx)
 	}
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
-	from := threadTime()
+	from := threadCPUTime()
 	err := c.HandshakeContext(ctx)
-	return threadTime() - from, err
+	return threadCPUTime() - from, err
 }
 
-func threadTime() time.Duration {
+// threadCPUTime returns the CPU time of the current thread, or 0 if it cannot be read.
+func threadCPUTime() time.Duration {
 	var ts unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_THREAD_CPUTIME_ID, &ts) != nil {
 		return 0
@@ -229,8 +234,8 @@
 	return time.Duration(ts.Nano())
 }
 
-// Fresh says whether an idle connection may carry another call: its policy's files are those that it was made by, and
-// the server's certificate is still valid.
+// Fresh reports whether an idle connection may be used for another call: the policy's credentials have not changed since the
+// handshake, and the server's certificate has not expired. A connection without TLS is always fresh.
 func (m *Manager) Fresh(nc net.Conn) bool {
 	c, ok := nc.(*Conn)
 	if !ok {
@@ -238,35 +243,36 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return c.epoch == m.kept[c.policy].epoch && m.now().Before(c.until)
+	return c.epoch == m.policyState[c.policy].epoch && m.now().Before(c.notAfter)
 }
 
-func (m *Manager) failed(f *tlspolicy.Failure, member *traffic.Member, p *tlspolicy.Policy) {
-	m.count[f.Cause].Add(1)
-	now, last := m.now().UnixNano(), m.lines[f.Cause].Load()
-	if last != 0 && now-last < int64(lineEvery) || !m.lines[f.Cause].CompareAndSwap(last, now) {
+// recordFailure counts a failed handshake and logs it, at most once per failureLogInterval for each cause.
+func (m *Manager) recordFailure(f *tlspolicy.Failure, member *traffic.Member, p *tlspolicy.Policy) {
+	m.failures[f.Cause].Add(1)
+	now, last := m.now().UnixNano(), m.lastLoggedNanos[f.Cause].Load()
+	if last != 0 && now-last < int64(failureLogInterval) || !m.lastLoggedNanos[f.Cause].CompareAndSwap(last, now) {
 		return
 	}
 	slog.Error("tls handshake failed", "member", member.Host, "destination", member.Destination, "addr", member.Dial, "policy", p.Name,
 		"cause", f.Cause.String(), "err", f)
 }
 
-// Counters count since the start.
+// Counters holds the counts of handshakes and reloads since the start of the process. Failed is indexed by cause.
 type Counters struct {
 	Handshakes, Resumed, Reloads, BadReloads int64
 	Failed                                   [tlspolicy.Causes]int64
 }
 
-// Counters returns the counters.
+// Counters returns the current counts.
 func (m *Manager) Counters() Counters {
 	c := Counters{Handshakes: m.handshakes.Load(), Resumed: m.resumed.Load(), Reloads: m.reloads.Load(), BadReloads: m.badReloads.Load()}
-	for i := range m.count {
-		c.Failed[i] = m.count[i].Load()
+	for i := range m.failures {
+		c.Failed[i] = m.failures[i].Load()
 	}
 	return c
 }
 
-// LogValue names the counters in a log line; causes that never were are left out.
+// LogValue implements slog.LogValuer. It omits causes without a failure.
 func (c Counters) LogValue() slog.Value {
 	attrs := []slog.Attr{slog.Int64("handshakes", c.Handshakes), slog.Int64("resumed", c.Resumed), slog.Int64("reloads", c.Reloads),
 		slog.Int64("bad_reloads", c.BadReloads)}
@@ -278,28 +284,31 @@
 	return slog.GroupValue(attrs...)
 }
 
-// perMember keeps the sessions of one member apart from those of others under the same server name: each server has
-// ticket keys of its own.
-type perMember struct {
+// memberSessionCache is a session cache that adds the member's host to each key. Members with the same server name have different
+// ticket keys, so their sessions must not be mixed.
+type memberSessionCache struct {
 	tls.ClientSessionCache
 	host string
 }
 
-func (c perMember) Get(key string) (*tls.ClientSessionState, bool) {
+// Get returns the cached session of the member for the key.
+func (c memberSessionCache) Get(key string) (*tls.ClientSessionState, bool) {
 	return c.ClientSessionCache.Get(strconv.Itoa(len(c.host)) + c.host + key)
 }
 
-func (c perMember) Put(key string, s *tls.ClientSessionState) {
+// Put caches a session of the member for the key, or removes it if s is nil.
+func (c memberSessionCache) Put(key string, s *tls.ClientSessionState) {
 	c.ClientSessionCache.Put(strconv.Itoa(len(c.host))+c.host+key, s)
 }
 
-// errNoPolicy says that a member's connections are plain.
-var errNoPolicy = errors.New("secure: connections to it are plain")
+// errNoTLS is the error of Check for a member without TLS.
+var errNoTLS = errors.New("secure: connections to this member are plain TCP")
 
-// Check connects to a member once, shows what came of it, and connects again to see whether the session is resumed.
+// Check connects to a member twice and returns the TLS state and the duration of both connections. The second state shows whether
+// the session was resumed.
 func (m *Manager) Check(ctx context.Context, member *traffic.Member) (first, second tls.ConnectionState, took [2]time.Duration, err error) {
 	if !m.Wants(member) {
-		return first, second, took, errNoPolicy
+		return first, second, took, errNoTLS
 	}
 	for i, state := range []*tls.ConnectionState{&first, &second} {
 		from := time.Now()
@@ -313,7 +322,7 @@
 		}
 		took[i] = time.Since(from)
 		*state = c.(*Conn).ConnectionState()
-		// A TLS 1.3 server sends its tickets behind the handshake; they are read with what it says next.
+		// A TLS 1.3 server sends its tickets after the handshake. They are processed during the next read.
 		_ = c.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
 		_, _ = c.Read(make([]byte, 1))
 		c.Close()
--- a/internal/spread/send.go
+++ b/internal/spread/send.go
@@ -8,41 +8,42 @@
 	"slatemux/internal/verdicts"
 )
 
-// SendLimitMessage sends a claim or a grant.
+// SendLimitMessage sends a claim or a grant of the division of limits.
 func (s *Spread) SendLimitMessage(now time.Duration, to string, claim *allowance.Claim, grant *allowance.Grant) []Send {
-	s.out = nil
+	s.outgoing = nil
 	if to != s.cfg.Self && s.IsMember(to) {
 		s.send(now, to, Packet{Claim: claim, Grant: grant})
 	}
-	return s.out
+	return s.outgoing
 }
 
-// SendConfiguration sends a message of the replication of configuration.
+// SendConfiguration sends a message of the configuration replication.
 func (s *Spread) SendConfiguration(now time.Duration, to string, message *configsync.Message) []Send {
-	s.out = nil
+	s.outgoing = nil
 	if to != s.cfg.Self && s.IsMember(to) {
 		s.send(now, to, Packet{Configuration: message})
 	}
-	return s.out
+	return s.outgoing
 }
 
-// send splits a packet into such as may be sent, as far as bandwidth allows. Only the first of them compares stores.
+// send splits a packet into packets of the permitted size, and sends as many as the bandwidth allows. Only the first carries the
+// fields of the anti-entropy exchange.
 func (s *Spread) send(now time.Duration, to string, p Packet) {
 	s.refill(now)
 	p.From = s.cfg.Self
 	p.Incarnation = s.incarnation
 	p.Uptime = now
-	news := p.News
+	remaining := p.News
 	for {
-		p.Count = s.packets + 1
-		p.News = s.fit(p, news)
-		news = news[len(p.News):]
-		if !s.spend(&p) {
+		p.Count = s.packetsSent + 1
+		p.News = s.fitStatements(p, remaining)
+		remaining = remaining[len(p.News):]
+		if !s.charge(&p) {
 			s.counters.Short++
 			return
 		}
-		s.out = append(s.out, Send{To: to, Packet: p})
-		if len(news) == 0 {
+		s.outgoing = append(s.outgoing, Send{To: to, Packet: p})
+		if len(remaining) == 0 {
 			return
 		}
 		p.Ask = false
@@ -52,35 +53,36 @@
 	}
 }
 
-// refill adds bandwidth for the time that has passed.
+// refill adds bandwidth for the elapsed time.
 func (s *Spread) refill(now time.Duration) {
-	s.tokens = min(s.tokens+s.cfg.Bytes*(now-s.filledAt).Seconds(), burstSeconds*s.cfg.Bytes)
-	s.filledAt = now
+	s.tokenBytes = min(s.tokenBytes+s.cfg.Bytes*(now-s.refilledAt).Seconds(), burstSeconds*s.cfg.Bytes)
+	s.refilledAt = now
 }
 
-// fit returns the first of some statements, as many as fit into a packet, and at least one.
-func (s *Spread) fit(p Packet, news []verdicts.Statement) []verdicts.Statement {
-	p.News = news
+// fitStatements returns a prefix of the statements that fits into a packet. It halves the prefix until the packet is small enough, and
+// keeps at least one statement.
+func (s *Spread) fitStatements(p Packet, statements []verdicts.Statement) []verdicts.Statement {
+	p.News = statements
 	for s.cfg.Size(&p) > s.cfg.Packet && len(p.News) > 1 {
 		p.News = p.News[:len(p.News)/2]
 	}
 	return p.News
 }
 
-// spend counts a packet, and reports whether it may be sent. Claims and grants take no bandwidth from statements: there
-// are as many of them as there is demand. Nor does configuration, which has a budget of its own.
-func (s *Spread) spend(p *Packet) bool {
+// charge counts a packet and deducts its size from the bandwidth, and reports whether the packet may be sent. Claims and grants are
+// exempt from the bandwidth limit: their number follows the demand. Configuration is exempt because it has its own budget.
+func (s *Spread) charge(p *Packet) bool {
 	size := s.cfg.Size(p)
 	isUnbudgeted := p.Claim != nil || p.Grant != nil || p.Configuration != nil
-	if size > s.cfg.Packet || float64(size) > s.tokens && !isUnbudgeted {
+	if size > s.cfg.Packet || float64(size) > s.tokenBytes && !isUnbudgeted {
 		return false
 	}
 	if isUnbudgeted {
-		s.counters.Posted++
+		s.counters.SentUnbudgeted++
 	} else {
-		s.tokens -= float64(size)
+		s.tokenBytes -= float64(size)
 	}
-	s.packets++
+	s.packetsSent++
 	s.counters.Sent++
 	s.counters.SentBytes += int64(size)
 	return true
