--- a/internal/fleet/configuration.go
+++ b/internal/fleet/configuration.go
@@ -61,7 +61,7 @@
 	saveError     error
 
 	directives    *directive.Set
-	outbox        []configsync.Send
+	outbox        []configsync.OutgoingMessage
 	replies       []configurationReply
 	stateOutdated bool // the state that operators see must be rebuilt
 }
@@ -91,7 +91,7 @@
 	}
 	replication := c.config.Replication
 	replication.Self, replication.Seed = cfg.Self, cfg.Seed
-	replication.Size = wire.ConfigurationSize(cfg.Self)
+	replication.MessageBytes = wire.ConfigurationSize(cfg.Self)
 	c.store = configsync.NewStore(&c.keys, c.config.MaxEntries)
 	var err error
 	if c.replica, err = configsync.NewReplica(replication, 0, c.store); err != nil {
@@ -162,7 +162,7 @@
 			members = append(members, configsync.Member{Name: name, Region: at.region, Zone: at.zone})
 		}
 	}
-	c.replica.Members(now, members)
+	c.replica.SetMembers(now, members)
 	c.members = c.members[:0]
 	for _, member := range members {
 		c.members = append(c.members, member.Name)
@@ -205,7 +205,7 @@
 
 // checkNext returns an error if a change is not the next one of its source.
 func (c *configuration) checkNext(change *configsync.Change) error {
-	sequence, revision := c.store.Next(change.Source)
+	sequence, revision := c.store.NextNumbers(change.Source)
 	if change.Sequence != sequence {
 		return fmt.Errorf("%w: sequence %d of %q is not the next one, %d", ErrConfigurationConflict, change.Sequence, change.Source, sequence)
 	}
@@ -294,7 +294,7 @@
 
 // addExclusions merges the pool members that the configuration excludes into those excluded by announcements of the fleet.
 // The result is sorted by name.
-func (c *configuration) addExclusions(exclusions []traffic.Bar, pool map[string]traffic.Member) []traffic.Bar {
+func (c *configuration) addExclusions(exclusions []traffic.Exclusion, pool map[string]traffic.Member) []traffic.Exclusion {
 	if c == nil || c.directives.Empty() {
 		return exclusions
 	}
@@ -307,9 +307,9 @@
 			banned[name] = true
 		}
 	}
-	merged := make([]traffic.Bar, 0, len(banned))
+	merged := make([]traffic.Exclusion, 0, len(banned))
 	for _, name := range slices.Sorted(maps.Keys(banned)) {
-		merged = append(merged, traffic.Bar{Member: name, Banned: banned[name]})
+		merged = append(merged, traffic.Exclusion{Member: name, Banned: banned[name]})
 	}
 	return merged
 }
--- a/internal/fleet/configuration_test.go
+++ b/internal/fleet/configuration_test.go
@@ -74,7 +74,7 @@
 			cfg.StateDir = dir
 		}
 		replication := configsync.Defaults()
-		replication.Exchange = 200 * time.Millisecond
+		replication.ExchangeInterval = 200 * time.Millisecond
 		cfg.Configuration = &ConfigurationConfig{TrustedKeyFile: writeTrustedKeys(t, cfg.StateDir, machines...), Region: "caucasus", Zone: "z-" + cfg.Self,
 			MaxEntries: 100, Replication: replication}
 	}
@@ -134,7 +134,7 @@
 		return false
 	}
 	for i, exclusion := range p.exclusions {
-		if exclusion != (traffic.Bar{Member: names[i], Banned: true}) {
+		if exclusion != (traffic.Exclusion{Member: names[i], Banned: true}) {
 			return false
 		}
 	}
--- a/internal/fleet/events.go
+++ b/internal/fleet/events.go
@@ -51,18 +51,18 @@
 // Ended reports how a call of this relay ended.
 func (f *Fleet) Ended(flow traffic.Flow, end traffic.FlowEnd) {
 	ended := callEnded{verdicts.Observation{
-		Destination: flow.Group.Destination,
-		Member:      flow.Member,
-		Route:       flow.Group.Member != "",
-		Begun:       flow.Begun.Sub(f.createdAt),
+		Destination:   flow.Group.Destination,
+		Member:        flow.Member,
+		SeparateRoute: flow.Group.Member != "",
+		StartedAt:     flow.StartedAt.Sub(f.createdAt),
 	}}
 	switch end.Status {
 	case traffic.Delivered:
 		ended.Outcome = verdicts.Succeeded
-	case traffic.TurnedAway:
+	case traffic.FlowRefused:
 		ended.Outcome = verdicts.Refused
-		ended.Wait = end.Wait
-	case traffic.NotConnected, traffic.Broken, traffic.OutOfTime, traffic.Errored, traffic.CalledOff:
+		ended.RetryAfter = end.RetryAfter
+	case traffic.NotConnected, traffic.ConnectionBroken, traffic.TimedOut, traffic.Errored, traffic.Canceled:
 		ended.Outcome = verdicts.Failed
 	default:
 		return
@@ -189,7 +189,7 @@
 			f.announce(now, f.announcer.Drain(d.member.Destination, name, d.listVersion, d.ended), r)
 		}
 	}
-	if now-f.bansRenewedAt < verdicts.Ban.Life()/banRenewalsPerLifetime {
+	if now-f.bansRenewedAt < verdicts.Ban.MaxLifetime()/banRenewalsPerLifetime {
 		return
 	}
 	f.bansRenewedAt = now
@@ -207,8 +207,8 @@
 // countOrigins returns how many relays have a statement about a subject in force.
 func (f *Fleet) countOrigins(now time.Duration, subject verdicts.Subject) int {
 	count := 0
-	for _, s := range f.store.About(now, subject) {
-		if !s.Over {
+	for _, s := range f.store.ForSubject(now, subject) {
+		if !s.Withdrawn {
 			count++
 		}
 	}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -59,7 +59,7 @@
 	pool           map[string]traffic.Member // members of the relay's own pool, by host name
 	pendingDrains  map[string]pendingDrain
 	bans           map[string]bool
-	lastExclusions []traffic.Bar // as last passed to the relay
+	lastExclusions []traffic.Exclusion // as last passed to the relay
 	rng            *rand.Rand
 	bansRenewedAt  time.Duration
 	lastSweepAt    time.Duration
@@ -138,12 +138,12 @@
 // spread returns the configuration of internal/spread.
 func (c *Config) spread() spread.Config {
 	return spread.Config{
-		Self:     c.Self,
-		Exchange: c.ExchangeInterval,
-		Bytes:    c.BytesPerSecond,
-		Size:     wire.Size,
-		Packet:   maxPayloadBytes + wire.Sealing,
-		Seed:     c.Seed,
+		Self:             c.Self,
+		ExchangeInterval: c.ExchangeInterval,
+		BytesPerSecond:   c.BytesPerSecond,
+		PacketBytes:      wire.Size,
+		MaxPacketBytes:   maxPayloadBytes + wire.Sealing,
+		Seed:             c.Seed,
 	}
 }
 
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -26,11 +26,11 @@
 type recordingRelay struct {
 	mu         sync.Mutex
 	restraints []traffic.Restraint
-	exclusions []traffic.Bar
+	exclusions []traffic.Exclusion
 	allowances map[int]traffic.Allowance
 }
 
-func (r *recordingRelay) Allow(list []traffic.Allowance) {
+func (r *recordingRelay) SetAllowances(list []traffic.Allowance) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, a := range list {
@@ -51,13 +51,13 @@
 	return 0
 }
 
-func (r *recordingRelay) Restrain(list []traffic.Restraint) {
+func (r *recordingRelay) ApplyRestraints(list []traffic.Restraint) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.restraints = append(r.restraints, list...)
 }
 
-func (r *recordingRelay) Bar(exclusions []traffic.Bar) {
+func (r *recordingRelay) SetExclusions(exclusions []traffic.Exclusion) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.exclusions = exclusions
@@ -150,7 +150,7 @@
 
 // reportRefusal reports a refused call to destination 7, with the wait that the destination asked for.
 func (p *testRelay) reportRefusal(wait time.Duration) {
-	p.Ended(traffic.Flow{Member: "m", Group: traffic.Group{Destination: 7}, Begun: time.Now()}, traffic.FlowEnd{Status: traffic.TurnedAway, Wait: wait})
+	p.Ended(traffic.Flow{Member: "m", Group: traffic.Group{Destination: 7}, StartedAt: time.Now()}, traffic.FlowEnd{Status: traffic.FlowRefused, RetryAfter: wait})
 }
 
 // Guards against announcements that do not reach all relays of a fleet of three. A retry-after at one relay holds calls at
@@ -165,7 +165,7 @@
 	})
 	group := traffic.Group{Destination: 7}
 	a.reportRefusal(900 * time.Millisecond)
-	waitFor(t, "the wait holds at the others", func() bool { return b.hasRestraint(traffic.Held) && c.hasRestraint(traffic.Held) })
+	waitFor(t, "the wait holds at the others", func() bool { return b.hasRestraint(traffic.RestraintWait) && c.hasRestraint(traffic.RestraintWait) })
 	if now := time.Now(); !b.Held(group, now) || b.Held(traffic.Group{Destination: 8}, now) {
 		t.Error("another group is on hold, or the announced one is not")
 	}
@@ -180,7 +180,7 @@
 	waitFor(t, "the ban is in force at the third relay", func() bool {
 		c.recordingRelay.mu.Lock()
 		defer c.recordingRelay.mu.Unlock()
-		return len(c.exclusions) == 1 && c.exclusions[0] == traffic.Bar{Member: "m", Banned: true}
+		return len(c.exclusions) == 1 && c.exclusions[0] == traffic.Exclusion{Member: "m", Banned: true}
 	})
 	b.stop()
 	waitFor(t, "the stopped relay is no longer a member", func() bool { return a.Figures().Members == 2 && c.Figures().Members == 2 })
@@ -189,7 +189,7 @@
 	if got := restarted.incarnation.Load(); got != 2 {
 		t.Errorf("incarnation %d at the second start", got)
 	}
-	restarted.Ended(traffic.Flow{Group: traffic.Group{Destination: 9}}, traffic.FlowEnd{Status: traffic.TurnedAway, Wait: 900 * time.Millisecond})
+	restarted.Ended(traffic.Flow{Group: traffic.Group{Destination: 9}}, traffic.FlowEnd{Status: traffic.FlowRefused, RetryAfter: 900 * time.Millisecond})
 	waitFor(t, "the restarted relay's announcement is in force", func() bool { return c.Held(traffic.Group{Destination: 9}, time.Now()) })
 }
 
@@ -272,8 +272,10 @@
 			if err := p.Reload(); err != nil {
 				t.Fatal(err)
 			}
-			answeredBefore := a.Figures().Spread.Answered + b.Figures().Spread.Answered
-			waitFor(t, "both still answer exchanges", func() bool { return a.Figures().Spread.Answered+b.Figures().Spread.Answered > answeredBefore+3 })
+			answeredBefore := a.Figures().Spread.ExchangesAnswered + b.Figures().Spread.ExchangesAnswered
+			waitFor(t, "both still answer exchanges", func() bool {
+				return a.Figures().Spread.ExchangesAnswered+b.Figures().Spread.ExchangesAnswered > answeredBefore+3
+			})
 		}
 	}
 	if n := a.Figures().Drops.Forged + b.Figures().Drops.Forged; n != 0 {
@@ -305,8 +307,8 @@
 		}
 	}
 	statementPacket := func(from string, count uint64) spread.Packet {
-		return spread.Packet{From: from, Incarnation: 1, Count: count, News: []verdicts.Statement{{Origin: from, Version: verdicts.Version{Incarnation: 1, Seq: 99},
-			Subject: verdicts.Subject{Kind: verdicts.Wait, Destination: 5}, Length: time.Second, Life: time.Second}}}
+		return spread.Packet{From: from, Incarnation: 1, Sequence: count, Statements: []verdicts.Statement{{Origin: from, Version: verdicts.Version{Incarnation: 1, Seq: 99},
+			Subject: verdicts.Subject{Kind: verdicts.Wait, Destination: 5}, Length: time.Second, Lifetime: time.Second}}}
 	}
 	sendDatagram := func(b []byte) func() { return func() { attacker.Write(b) } }
 	for name, c := range map[string]struct {
@@ -332,7 +334,7 @@
 		"stranger": {deliver(statementPacket("nobody", 1), wire.Version), func(d Drops) int64 { return d.Strangers }},
 		"replayed": {func() {
 			for range 2 {
-				deliver(spread.Packet{From: "bb", Incarnation: 1, Count: 50_000}, wire.Version)()
+				deliver(spread.Packet{From: "bb", Incarnation: 1, Sequence: 50_000}, wire.Version)()
 			}
 		}, func(d Drops) int64 { return d.Replayed }},
 	} {
@@ -340,7 +342,7 @@
 		c.do()
 		waitFor(t, name+" is counted", func() bool { return c.count(a.Figures().Drops) > before })
 	}
-	if a.hasRestraint(traffic.Held) {
+	if a.hasRestraint(traffic.RestraintWait) {
 		t.Error("a statement of a rejected packet is in force")
 	}
 	if a.Figures().Members != 2 {
@@ -409,13 +411,13 @@
 	a := startRelay(t, "a", divideByThree)
 	b := startRelay(t, "b", divideByThree, a)
 	c := startRelay(t, "c", divideByThree, a)
-	flowEnd := traffic.FlowEnd{Status: traffic.Delivered, Report: &traffic.Report{Left: 10, Limit: 300}}
+	flowEnd := traffic.FlowEnd{Status: traffic.Delivered, Report: &traffic.Report{Remaining: 10, Limit: 300}}
 	for _, p := range []*testRelay{a, b, c} {
-		p.Ended(traffic.Flow{Group: traffic.Group{Destination: 4}, Begun: time.Now()}, flowEnd)
+		p.Ended(traffic.Flow{Group: traffic.Group{Destination: 4}, StartedAt: time.Now()}, flowEnd)
 	}
 	reportLoad := func(p *testRelay, waiting int) {
-		p.Demand([]traffic.Demand{{Destination: 4, Arrived: [traffic.Levels]int{waiting / 10}, Waiting: [traffic.Levels]int{waiting}}})
-		p.Ended(traffic.Flow{Group: traffic.Group{Destination: 4}, Begun: time.Now()}, flowEnd)
+		p.Demand([]traffic.Demand{{Destination: 4, Arrived: [traffic.PriorityLevels]int{waiting / 10}, Waiting: [traffic.PriorityLevels]int{waiting}}})
+		p.Ended(traffic.Flow{Group: traffic.Group{Destination: 4}, StartedAt: time.Now()}, flowEnd)
 	}
 	waitFor(t, "the loaded relay gets most of the limit", func() bool {
 		reportLoad(b, 500)
--- a/internal/fleet/packets.go
+++ b/internal/fleet/packets.go
@@ -33,7 +33,7 @@
 	before := f.spread.Counters()
 	newStatements, ownStatements, replies := f.spread.Receive(now, packet)
 	after := f.spread.Counters()
-	if after.Strangers > before.Strangers || after.Differed > before.Differed {
+	if after.UnknownSenders > before.UnknownSenders || after.MembershipMismatches > before.MembershipMismatches {
 		f.requestSync()
 	}
 	for _, s := range ownStatements {
@@ -77,7 +77,7 @@
 
 // send encodes packets and passes them to memberlist. It sends nothing before the relay listens, and nothing to a member
 // that is no longer live.
-func (f *Fleet) send(packets []spread.Send) {
+func (f *Fleet) send(packets []spread.OutgoingPacket) {
 	list := f.memberList()
 	if list == nil {
 		return
--- a/internal/fleet/restraints.go
+++ b/internal/fleet/restraints.go
@@ -28,29 +28,29 @@
 	f.shared.Lock()
 	for _, r := range restraints {
 		translated := f.translate(r)
-		if translated.Kind == traffic.Held {
+		if translated.Kind == traffic.RestraintWait {
 			f.setHold(translated.Group, translated.At)
 		}
 		list = append(list, translated)
 	}
 	f.dropExpiredHolds(time.Now())
 	f.shared.Unlock()
-	f.relay.Restrain(list)
+	f.relay.ApplyRestraints(list)
 }
 
 // translate converts a decision of the judge into a restraint for the relay.
 func (f *Fleet) translate(r verdicts.Restraint) traffic.Restraint {
 	translated := traffic.Restraint{Member: r.Member, At: f.wallTime(r.At)}
 	switch r.Order {
-	case verdicts.Hold:
-		translated.Kind = traffic.Held
+	case verdicts.OrderWait:
+		translated.Kind = traffic.RestraintWait
 		translated.Group = traffic.Group{Destination: r.Destination, Member: r.Member}
-	case verdicts.Out:
-		translated.Kind = traffic.HeldOut
-	case verdicts.Back:
-		translated.Kind = traffic.HeldBack
-	case verdicts.Free:
-		translated.Kind = traffic.Freed
+	case verdicts.OrderOutage:
+		translated.Kind = traffic.RestraintOutage
+	case verdicts.OrderRecovery:
+		translated.Kind = traffic.RestraintRecovery
+	case verdicts.OrderRelease:
+		translated.Kind = traffic.RestraintRelease
 	}
 	return translated
 }
@@ -72,15 +72,15 @@
 
 // updateExclusions passes the pool members that get no new calls to the relay, if the list has changed.
 func (f *Fleet) updateExclusions(now time.Duration) {
-	var exclusions []traffic.Bar
-	for _, name := range f.judge.Barred(now) {
+	var exclusions []traffic.Exclusion
+	for _, name := range f.judge.ExcludedMembers(now) {
 		ban := verdicts.Subject{Kind: verdicts.Ban, Destination: f.pool[name].Destination, Member: name}
-		exclusions = append(exclusions, traffic.Bar{Member: name, Banned: f.countOrigins(now, ban) > 0})
+		exclusions = append(exclusions, traffic.Exclusion{Member: name, Banned: f.countOrigins(now, ban) > 0})
 	}
 	exclusions = f.configuration.addExclusions(exclusions, f.pool)
 	if slices.Equal(exclusions, f.lastExclusions) {
 		return
 	}
 	f.lastExclusions = exclusions
-	f.relay.Bar(slices.Clone(exclusions))
+	f.relay.SetExclusions(slices.Clone(exclusions))
 }
--- a/internal/fleet/wire/wire.go
+++ b/internal/fleet/wire/wire.go
@@ -61,22 +61,22 @@
 		From:        p.From,
 		Incarnation: p.Incarnation,
 		UptimeUs:    encodeDuration(p.Uptime),
-		Count:       p.Count,
+		Count:       p.Sequence,
 		Salt:        p.Salt,
 		Group:       uint32(p.Group),
 		Groups:      uint32(p.Groups),
 		Ask:         p.Ask,
 		Answer:      p.Answer,
-		Known:       p.Known,
-		Members:     p.Members,
+		Known:       p.KnownIncarnation,
+		Members:     p.MembersHash,
 		Claim:       encodeClaim(p.Claim),
 		Grant:       encodeGrant(p.Grant),
 	}
 	if (p.Ask || p.Answer) && p.Summary != (verdicts.Summary{}) {
 		m.Summary = p.Summary[:]
 	}
-	for i := range p.News {
-		m.News = append(m.News, encodeStatement(&p.News[i]))
+	for i := range p.Statements {
+		m.News = append(m.News, encodeStatement(&p.Statements[i]))
 	}
 	m.Configuration = encodeConfiguration(p.Configuration)
 	return m
@@ -91,11 +91,11 @@
 		Kind:        uint32(s.Kind),
 		Destination: int32(s.Destination),
 		Member:      s.Member,
-		Over:        s.Over,
+		Over:        s.Withdrawn,
 		LengthUs:    encodeDuration(s.Length),
-		List:        s.List,
+		List:        s.ListVersion,
 		AgeUs:       encodeDuration(s.Age),
-		LifeUs:      encodeDuration(s.Life),
+		LifeUs:      encodeDuration(s.Lifetime),
 	}
 }
 
@@ -107,7 +107,7 @@
 	m := &fleetv1.Claim{
 		Shard:  uint32(c.Shard),
 		Number: c.Sequence,
-		Echo:   c.LastGrant,
+		Echo:   c.LastGrantSequence,
 		LendUs: encodeDuration(c.LoanDuration),
 	}
 	for _, d := range c.Demands {
@@ -136,7 +136,7 @@
 		Shard:  uint32(g.Shard),
 		Ask:    g.ClaimRequested,
 		Number: g.Sequence,
-		Answer: g.LastClaim,
+		Answer: g.LastClaimSequence,
 		ForUs:  encodeDuration(g.LeaseDuration),
 	}
 	for _, s := range g.Shares {
@@ -175,23 +175,23 @@
 		return p, err
 	}
 	p = spread.Packet{
-		From:        m.From,
-		Incarnation: m.Incarnation,
-		Uptime:      time.Duration(m.UptimeUs) * time.Microsecond,
-		Count:       m.Count,
-		Salt:        m.Salt,
-		Group:       int(m.Group),
-		Groups:      int(m.Groups),
-		Ask:         m.Ask,
-		Answer:      m.Answer,
-		Known:       m.Known,
-		Members:     m.Members,
-		Claim:       decodeClaim(m.Claim),
-		Grant:       decodeGrant(m.Grant),
+		From:             m.From,
+		Incarnation:      m.Incarnation,
+		Uptime:           time.Duration(m.UptimeUs) * time.Microsecond,
+		Sequence:         m.Count,
+		Salt:             m.Salt,
+		Group:            int(m.Group),
+		Groups:           int(m.Groups),
+		Ask:              m.Ask,
+		Answer:           m.Answer,
+		KnownIncarnation: m.Known,
+		MembersHash:      m.Members,
+		Claim:            decodeClaim(m.Claim),
+		Grant:            decodeGrant(m.Grant),
 	}
 	copy(p.Summary[:], m.Summary)
 	for _, s := range m.News {
-		p.News = append(p.News, decodeStatement(s))
+		p.Statements = append(p.Statements, decodeStatement(s))
 	}
 	var err error
 	if p.Configuration, err = decodeConfiguration(m.Configuration); err != nil {
@@ -211,8 +211,8 @@
 		return fmt.Errorf("%w: group %d of %d", ErrMalformed, m.Group, m.Groups)
 	case len(m.News) > MaxNews:
 		return fmt.Errorf("%w: %d statements", ErrMalformed, len(m.News))
-	case m.Claim.GetShard() >= allowance.Shards || m.Grant.GetShard() >= allowance.Shards:
-		return fmt.Errorf("%w: shard number not below %d", ErrMalformed, allowance.Shards)
+	case m.Claim.GetShard() >= allowance.ShardCount || m.Grant.GetShard() >= allowance.ShardCount:
+		return fmt.Errorf("%w: shard number not below %d", ErrMalformed, allowance.ShardCount)
 	case len(m.Summary) != 0 && len(m.Summary) != len(verdicts.Summary{}):
 		return fmt.Errorf("%w: summary of %d parts", ErrMalformed, len(m.Summary))
 	}
@@ -222,14 +222,14 @@
 // decodeStatement reads a statement.
 func decodeStatement(m *fleetv1.Statement) verdicts.Statement {
 	return verdicts.Statement{
-		Origin:  m.Origin,
-		Version: verdicts.Version{Incarnation: m.Incarnation, Seq: m.Seq},
-		Subject: verdicts.Subject{Kind: decodeKind(m.Kind), Destination: int(m.Destination), Member: m.Member},
-		Over:    m.Over,
-		Length:  decodeDuration(m.LengthUs),
-		List:    m.List,
-		Age:     decodeDuration(m.AgeUs),
-		Life:    decodeDuration(m.LifeUs),
+		Origin:      m.Origin,
+		Version:     verdicts.Version{Incarnation: m.Incarnation, Seq: m.Seq},
+		Subject:     verdicts.Subject{Kind: decodeKind(m.Kind), Destination: int(m.Destination), Member: m.Member},
+		Withdrawn:   m.Over,
+		Length:      decodeDuration(m.LengthUs),
+		ListVersion: m.List,
+		Age:         decodeDuration(m.AgeUs),
+		Lifetime:    decodeDuration(m.LifeUs),
 	}
 }
 
@@ -239,10 +239,10 @@
 		return nil
 	}
 	c := &allowance.Claim{
-		Shard:        int(m.Shard),
-		Sequence:     m.Number,
-		LastGrant:    m.Echo,
-		LoanDuration: decodeDuration(m.LendUs),
+		Shard:             int(m.Shard),
+		Sequence:          m.Number,
+		LastGrantSequence: m.Echo,
+		LoanDuration:      decodeDuration(m.LendUs),
 	}
 	for _, w := range m.Want {
 		demand := allowance.Demand{Destination: int(w.Destination)}
@@ -269,11 +269,11 @@
 		return nil
 	}
 	g := &allowance.Grant{
-		Shard:          int(m.Shard),
-		ClaimRequested: m.Ask,
-		Sequence:       m.Number,
-		LastClaim:      m.Answer,
-		LeaseDuration:  decodeDuration(m.ForUs),
+		Shard:             int(m.Shard),
+		ClaimRequested:    m.Ask,
+		Sequence:          m.Number,
+		LastClaimSequence: m.Answer,
+		LeaseDuration:     decodeDuration(m.ForUs),
 	}
 	for _, s := range m.Share {
 		g.Shares = append(g.Shares, allowance.Share{
