--- a/internal/fleet/configuration.go
+++ b/internal/fleet/configuration.go
@@ -15,23 +15,24 @@
 	"slatemux/internal/traffic"
 )
 
-// ConfigurationConfig says how this relay takes part in the replication of the operators' configuration.
+// ConfigurationConfig configures how this relay replicates the operators' configuration.
 type ConfigurationConfig struct {
 	TrustedKeyFile string
 	Region, Zone   string
 	MaxEntries     int
-	MaxFileBytes   int64             // of the file in the state folder; 0 for what MaxEntries take
-	Replication    configsync.Config // Self, Size and Seed are this relay's
+	MaxFileBytes   int64             // bound of the file in the state directory; 0 for a bound derived from MaxEntries
+	Replication    configsync.Config // newConfiguration sets Self, Size and Seed
 }
 
 const (
-	// configurationSaveRetry is how often a file that could not be written is tried again.
-	configurationSaveRetry = time.Second
-	// maxRevisionLead bounds how far a change that an operator hands in may move the revision, which has an end.
+	// configurationRetryInterval is the minimum time between two attempts to open or write the file after an error.
+	configurationRetryInterval = time.Second
+	// maxRevisionLead bounds by how much a submitted change may raise the revision. Otherwise one change could use up the
+	// range of revisions.
 	maxRevisionLead = 1 << 20
 )
 
-// The reasons for which Configure does not take a change, beside those of configsync.
+// Errors of Configure, in addition to those of configsync.
 var (
 	ErrConfigurationOff      = errors.New("this relay replicates no configuration")
 	ErrConfigurationNotReady = errors.New("this relay is not yet part of its fleet")
@@ -39,7 +40,7 @@
 	ErrConfigurationNotSaved = errors.New("in force, but not kept over a restart")
 )
 
-// configuration is this relay's part in the replication of the operators' configuration. The fleet's goroutine owns it.
+// configuration replicates the operators' configuration at this relay. The driver goroutine owns it.
 type configuration struct {
 	config  ConfigurationConfig
 	dir     string
@@ -48,36 +49,37 @@
 	replica *configsync.Replica
 	members []string
 
-	file     *configfile.File // nil until it is opened
-	attached bool             // the address is had: no process before this one writes the file any more
-	saved    configsync.VersionVector
-	unsaved  []configsync.Change // in force, and not yet in the file
-	// newest is the newest change of each source that was in force here. Also when it is superseded it is kept: its signature
-	// proves to others how far the source has come.
-	newest    map[string]configsync.Change
-	skipped   bool // something came into force while there was no file
-	triedAt   time.Duration
-	saveError error
+	file           *configfile.File // nil until openFile succeeds
+	addressBound   bool             // this process has the fleet address, so no predecessor process writes the file any more
+	savedVersions  configsync.VersionVector
+	unsavedChanges []configsync.Change // in force, but not yet saved
+	// newest holds the newest change of each source that was in force here. A superseded change stays here, because its
+	// signature proves the newest sequence number of the source to other relays.
+	newest        map[string]configsync.Change
+	rewriteNeeded bool // a change came into force before the file was open
+	lastAttemptAt time.Duration
+	saveError     error
 
-	directives *directive.Set
-	outbox     []configsync.OutgoingMessage
-	replies    []configurationReply
-	stale      bool // what operators are shown is
+	directives    *directive.Set
+	outbox        []configsync.OutgoingMessage
+	replies       []configurationReply
+	stateOutdated bool // the state that operators see must be rebuilt
 }
 
-// configurationReply tells the outcome of a published change, once that is kept.
+// configurationReply is the result of a submitted change, sent after the change is saved.
 type configurationReply struct {
 	done chan<- error
 	err  error
 }
 
-// newConfiguration reads the trusted keys and what the state folder holds.
+// newConfiguration reads the trusted keys and the configuration in the state directory. It returns nil if no replication is
+// configured.
 func newConfiguration(cfg *Config) (*configuration, error) {
 	if cfg.Configuration == nil {
 		return nil, nil
 	}
-	c := &configuration{config: *cfg.Configuration, dir: cfg.StateDir, saved: configsync.VersionVector{},
-		newest: map[string]configsync.Change{}, directives: directive.NewSet(), stale: true}
+	c := &configuration{config: *cfg.Configuration, dir: cfg.StateDir, savedVersions: configsync.VersionVector{},
+		newest: map[string]configsync.Change{}, directives: directive.NewSet(), stateOutdated: true}
 	if c.config.MaxFileBytes == 0 {
 		c.config.MaxFileBytes = configfile.MaxBytes(c.config.MaxEntries)
 	}
@@ -97,21 +99,22 @@
 	}
 	snapshot, err := configfile.Read(c.dir, c.config.MaxFileBytes)
 	if err != nil {
-		slog.Warn("fleet configuration file not read: other relays tell what it holds", "err", err)
+		slog.Warn("fleet configuration file not read: its content is received from other relays", "err", err)
 	}
 	c.restore(snapshot)
 	return c, nil
 }
 
-// announcement is what this relay tells with its membership.
-func (c *configuration) announcement() []byte {
+// capability returns the metadata that this relay announces; nil if it replicates no configuration.
+func (c *configuration) capability() []byte {
 	if c == nil {
 		return nil
 	}
-	return encodeCapability(location{c.config.Region, c.config.Zone})
+	return encodeCapability(regionAndZone{c.config.Region, c.config.Zone})
 }
 
-// restore merges what was kept. Its changes were verified before, perhaps by a key that has been taken out since.
+// restore merges the content of the file. The changes were verified before they were saved, perhaps with a key that has been
+// removed since.
 func (c *configuration) restore(snapshot configfile.Snapshot) {
 	c.keys.restoring = true
 	defer func() { c.keys.restoring = false }()
@@ -121,20 +124,20 @@
 			refused++
 			continue
 		}
-		c.noteNewest(change)
-		c.interpret(change.Key)
+		c.recordNewest(change)
+		c.updateDirective(change.Key)
 	}
 	if refused > 0 {
 		slog.Warn("fleet configuration: kept entries not taken over", "entries", refused)
 	}
 	c.store.SetVersions(snapshot.Versions)
-	c.stale = true
+	c.stateOutdated = true
 }
 
-// open takes the file over, as soon as no process before this one can write it.
-func (c *configuration) open(now time.Duration) {
+// openFile opens the file for writing and merges its content. No predecessor process may write the file any more.
+func (c *configuration) openFile(now time.Duration) {
 	file, snapshot, err := configfile.Open(c.dir, c.config.MaxFileBytes)
-	c.triedAt = now
+	c.lastAttemptAt = now
 	if err != nil {
 		if c.saveError == nil {
 			slog.Warn("fleet configuration file not opened", "err", err)
@@ -144,10 +147,10 @@
 	}
 	c.file, c.saveError = file, nil
 	c.restore(snapshot)
-	c.saved = snapshot.Versions
-	if c.skipped {
-		c.skipped = false
-		file.Rewrite()
+	c.savedVersions = snapshot.Versions
+	if c.rewriteNeeded {
+		c.rewriteNeeded = false
+		file.RequestReplace()
 	}
 }
 
@@ -165,43 +168,43 @@
 		c.members = append(c.members, member.Name)
 	}
 	slices.Sort(c.members)
-	c.stale = true
+	c.stateOutdated = true
 }
 
-// receive takes in a message of another relay.
+// receive passes a message of another relay to the replica, and collects the applied changes and the answers.
 func (c *configuration) receive(now time.Duration, from string, message *configsync.Message) {
 	applied, out := c.replica.Receive(now, from, *message)
-	c.unsaved = append(c.unsaved, applied...)
+	c.unsavedChanges = append(c.unsavedChanges, applied...)
 	c.outbox = append(c.outbox, out...)
 }
 
-// publish takes in a change of an operator.
-func (c *configuration) publish(now time.Duration, change configsync.Change) error {
+// submit applies a change of an operator and collects the messages for other relays.
+func (c *configuration) submit(now time.Duration, change configsync.Change) error {
 	if c.file == nil {
 		return ErrConfigurationNotReady
 	}
 	if c.inForce(&change) {
-		return nil // handed in again, for its first answer was lost
+		return nil // submitted again, because the first reply was lost
 	}
 	if c.keys.Verify(&change) == nil {
-		if err := c.follows(&change); err != nil {
+		if err := c.checkNext(&change); err != nil {
 			return err
 		}
 	}
 	out, err := c.replica.Publish(now, change)
 	if err != nil {
-		return fmt.Errorf("not taken: %w", err)
+		return fmt.Errorf("change refused: %w", err)
 	}
 	c.outbox = append(c.outbox, out...)
-	c.unsaved = append(c.unsaved, change)
+	c.unsavedChanges = append(c.unsavedChanges, change)
 	if !c.inForce(&change) {
 		return fmt.Errorf("%w: another change of %q is in force", ErrConfigurationConflict, change.Key)
 	}
 	return nil
 }
 
-// follows reports why a change is not the next one of its source.
-func (c *configuration) follows(change *configsync.Change) error {
+// checkNext returns an error if a change is not the next one of its source.
+func (c *configuration) checkNext(change *configsync.Change) error {
 	sequence, revision := c.store.NextNumbers(change.Source)
 	if change.Sequence != sequence {
 		return fmt.Errorf("%w: sequence %d of %q is not the next one, %d", ErrConfigurationConflict, change.Sequence, change.Source, sequence)
@@ -212,7 +215,7 @@
 	return nil
 }
 
-// inForce reports whether it is this very change that is in force for its key.
+// inForce reports whether exactly this change is in force for its key.
 func (c *configuration) inForce(change *configsync.Change) bool {
 	for _, entry := range c.store.Entries() {
 		if entry.Key == change.Key {
@@ -222,53 +225,56 @@
 	return false
 }
 
-// tick collects what has fallen due.
+// tick collects the replica's messages that are due.
 func (c *configuration) tick(now time.Duration) {
 	c.outbox = append(c.outbox, c.replica.Tick(now)...)
 }
 
-// save interprets and keeps what is new, before anybody is told of it. It reports whether entries have changed.
+// save updates the directives and saves the new changes. Call it before the changes are sent or replied to. It reports
+// whether entries have changed.
 func (c *configuration) save(now time.Duration) bool {
-	changed := len(c.unsaved) > 0
-	for _, change := range c.unsaved {
-		c.noteNewest(change)
-		c.interpret(change.Key)
+	changed := len(c.unsavedChanges) > 0
+	for _, change := range c.unsavedChanges {
+		c.recordNewest(change)
+		c.updateDirective(change.Key)
 	}
 	versions := c.store.Versions()
-	moved := !maps.Equal(versions, c.saved)
-	c.stale = c.stale || changed || moved
+	moved := !maps.Equal(versions, c.savedVersions)
+	c.stateOutdated = c.stateOutdated || changed || moved
 	if c.file == nil {
-		c.skipped = c.skipped || changed || moved
-		c.saved, c.unsaved = versions, nil
-		c.reopen(now)
+		c.rewriteNeeded = c.rewriteNeeded || changed || moved
+		c.savedVersions, c.unsavedChanges = versions, nil
+		c.retryOpenFile(now)
 		return changed
 	}
-	if !changed && !moved && (c.saveError == nil || now-c.triedAt < configurationSaveRetry) {
+	if !changed && !moved && (c.saveError == nil || now-c.lastAttemptAt < configurationRetryInterval) {
 		return false
 	}
-	c.triedAt = now
-	err := c.file.Save(c.unsaved, versions, c.snapshot)
+	c.lastAttemptAt = now
+	err := c.file.Save(c.unsavedChanges, versions, c.snapshot)
 	if err != nil && c.saveError == nil {
 		slog.Error("fleet configuration not kept", "err", err)
 	}
-	c.saveError, c.saved, c.unsaved = err, versions, nil
+	c.saveError, c.savedVersions, c.unsavedChanges = err, versions, nil
 	return changed
 }
 
-// reopen tries again to open the file, now and then.
-func (c *configuration) reopen(now time.Duration) {
-	if c.attached && now-c.triedAt >= configurationSaveRetry {
-		c.open(now)
+// retryOpenFile tries to open the file again, at most once per configurationRetryInterval.
+func (c *configuration) retryOpenFile(now time.Duration) {
+	if c.addressBound && now-c.lastAttemptAt >= configurationRetryInterval {
+		c.openFile(now)
 	}
 }
 
-func (c *configuration) noteNewest(change configsync.Change) {
+// recordNewest stores a change that is newer than the known ones of its source.
+func (c *configuration) recordNewest(change configsync.Change) {
 	if c.newest[change.Source].Sequence < change.Sequence {
 		c.newest[change.Source] = change
 	}
 }
 
-// snapshot is all that has to be kept. An entry that is also the newest of its source stands there twice, which merges.
+// snapshot returns everything that must be saved. An entry that is also the newest change of its source is in the list
+// twice; merging it twice has no further effect.
 func (c *configuration) snapshot() configfile.Snapshot {
 	entries := c.store.Entries()
 	for _, source := range slices.Sorted(maps.Keys(c.newest)) {
@@ -277,8 +283,8 @@
 	return configfile.Snapshot{Entries: entries, Versions: c.store.Versions()}
 }
 
-// interpret works out what an entry restrains now.
-func (c *configuration) interpret(key string) {
+// updateDirective puts the current value of an entry into the directives, or removes an entry that is not in force.
+func (c *configuration) updateDirective(key string) {
 	if change, inForce := c.store.Get(key); inForce {
 		c.directives.Put(key, change.Value)
 	} else {
@@ -286,17 +292,18 @@
 	}
 }
 
-// addBars merges what the configuration restrains into the members that the fleet's word bars, in the order of their names.
-func (c *configuration) addBars(bars []traffic.Exclusion, pool map[string]traffic.Member) []traffic.Exclusion {
+// addExclusions merges the pool members that the configuration excludes into those excluded by announcements of the fleet.
+// The result is sorted by name.
+func (c *configuration) addExclusions(exclusions []traffic.Exclusion, pool map[string]traffic.Member) []traffic.Exclusion {
 	if c == nil || c.directives.Empty() {
-		return bars
+		return exclusions
 	}
 	banned := map[string]bool{}
-	for _, bar := range bars {
-		banned[bar.Member] = bar.Banned
+	for _, exclusion := range exclusions {
+		banned[exclusion.Member] = exclusion.Banned
 	}
 	for name, member := range pool {
-		if c.directives.Bars(name, member.Destination) {
+		if c.directives.Excludes(name, member.Destination) {
 			banned[name] = true
 		}
 	}
@@ -307,7 +314,7 @@
 	return merged
 }
 
-// close ends the use of the file.
+// close closes the file.
 func (c *configuration) close() {
 	if c != nil && c.file != nil {
 		_ = c.file.Close()
--- a/internal/fleet/configuration_test.go
+++ b/internal/fleet/configuration_test.go
@@ -18,22 +18,24 @@
 	"slatemux/internal/traffic"
 )
 
-// control is a control machine of a test.
-type control struct {
+// controlMachine is a source of signed configuration changes.
+type controlMachine struct {
 	name string
 	key  ed25519.PrivateKey
 }
 
-func newControl(name string) control {
-	return control{name, ed25519.NewKeyFromSeed(bytes.Repeat([]byte(name[:1]), ed25519.SeedSize))}
+// newControlMachine returns a machine whose key is derived from the first letter of its name.
+func newControlMachine(name string) controlMachine {
+	return controlMachine{name, ed25519.NewKeyFromSeed(bytes.Repeat([]byte(name[:1]), ed25519.SeedSize))}
 }
 
-func (c control) line() string {
+// trustedKeyLine returns the machine's line of a trusted key file.
+func (c controlMachine) trustedKeyLine() string {
 	return c.name + " " + base64.StdEncoding.EncodeToString(c.key.Public().(ed25519.PublicKey)) + "\n"
 }
 
-// next signs the change that a relay expects next; an empty value removes the entry.
-func (c control) next(t *testing.T, p *part, key, value string) configsync.Change {
+// next signs a change with the next sequence number and revision that a relay expects. An empty value removes the entry.
+func (c controlMachine) next(t *testing.T, p *testRelay, key, value string) configsync.Change {
 	t.Helper()
 	for _, source := range p.Configuration().Sources {
 		if source.Name == c.name {
@@ -44,17 +46,19 @@
 	return configsync.Change{}
 }
 
-func (c control) sign(sequence, revision uint64, key, value string) configsync.Change {
+// sign returns a signed change. An empty value removes the entry.
+func (c controlMachine) sign(sequence, revision uint64, key, value string) configsync.Change {
 	change := configsync.Change{Source: c.name, Sequence: sequence, Revision: revision, Key: key, Value: []byte(value), Removed: value == ""}
 	configsync.Sign(&change, c.key)
 	return change
 }
 
-func writeTrusted(t *testing.T, dir string, controls ...control) string {
+// writeTrustedKeys writes a trusted key file for machines and returns its path.
+func writeTrustedKeys(t *testing.T, dir string, machines ...controlMachine) string {
 	t.Helper()
 	var text strings.Builder
-	for _, c := range controls {
-		text.WriteString(c.line())
+	for _, c := range machines {
+		text.WriteString(c.trustedKeyLine())
 	}
 	path := filepath.Join(dir, "trusted")
 	if err := os.WriteFile(path, []byte(text.String()), 0o600); err != nil {
@@ -63,33 +67,34 @@
 	return path
 }
 
-// configured has a relay replicate configuration, in a folder that lasts if one is named.
-func configured(t *testing.T, dir string, controls ...control) func(*Config) {
+// withConfiguration makes a relay replicate configuration. If dir is not empty, it is the relay's state directory.
+func withConfiguration(t *testing.T, dir string, machines ...controlMachine) func(*Config) {
 	return func(cfg *Config) {
 		if dir != "" {
 			cfg.StateDir = dir
 		}
 		replication := configsync.Defaults()
 		replication.ExchangeInterval = 200 * time.Millisecond
-		cfg.Configuration = &ConfigurationConfig{TrustedKeyFile: writeTrusted(t, cfg.StateDir, controls...), Region: "caucasus", Zone: "z-" + cfg.Self,
+		cfg.Configuration = &ConfigurationConfig{TrustedKeyFile: writeTrustedKeys(t, cfg.StateDir, machines...), Region: "caucasus", Zone: "z-" + cfg.Self,
 			MaxEntries: 100, Replication: replication}
 	}
 }
 
-// post hands a change in.
-func (p *part) post(t *testing.T, change configsync.Change) error {
+// submit submits a change to the relay, and waits up to 5 seconds for the reply.
+func (p *testRelay) submit(t *testing.T, change configsync.Change) error {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
 	return p.Configure(ctx, change)
 }
 
-// set hands in a change that is the next one at a relay, which may learn of another one meanwhile.
-func (p *part) set(t *testing.T, c control, key, value string) {
+// submitNext submits the next change of a machine. It tries again after a conflict, because the relay may have received
+// another change of the machine in the meantime.
+func (p *testRelay) submitNext(t *testing.T, c controlMachine, key, value string) {
 	t.Helper()
 	var err error
-	until(t, fmt.Sprintf("%s is %q", key, value), func() bool {
-		err = p.post(t, c.next(t, p, key, value))
+	waitFor(t, fmt.Sprintf("%s is %q", key, value), func() bool {
+		err = p.submit(t, c.next(t, p, key, value))
 		return !errors.Is(err, ErrConfigurationConflict)
 	})
 	if err != nil {
@@ -97,219 +102,225 @@
 	}
 }
 
-func (p *part) mustPost(t *testing.T, change configsync.Change) {
+// mustSubmit submits a change that must be accepted.
+func (p *testRelay) mustSubmit(t *testing.T, change configsync.Change) {
 	t.Helper()
-	if err := p.post(t, change); err != nil {
+	if err := p.submit(t, change); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// replicating waits until a relay counts so many that replicate.
-func replicating(t *testing.T, members int, parts ...*part) {
+// waitForReplication waits until each relay counts the given number of replicating members and has saved its state.
+func waitForReplication(t *testing.T, members int, relays ...*testRelay) {
 	t.Helper()
-	until(t, fmt.Sprint(members, " relays replicate"), func() bool {
-		return !slices.ContainsFunc(parts, func(p *part) bool {
+	waitFor(t, fmt.Sprint(members, " relays replicate"), func() bool {
+		return !slices.ContainsFunc(relays, func(p *testRelay) bool {
 			figures := p.Figures().Configuration
 			return figures == nil || figures.Members != members || !figures.Kept
 		})
 	})
 }
 
+// testPool returns a pool of three members of two destinations.
 func testPool() map[string]traffic.Member {
 	return map[string]traffic.Member{"m": {Host: "m", Destination: 7}, "n": {Host: "n", Destination: 7}, "o": {Host: "o", Destination: 8}}
 }
 
-// barsAre reports whether exactly these members are barred, as by operators.
-func (p *part) barsAre(names ...string) bool {
-	p.heard.mu.Lock()
-	defer p.heard.mu.Unlock()
-	if len(p.bars) != len(names) {
+// excludesExactly reports whether the relay excludes exactly these pool members, all as banned.
+func (p *testRelay) excludesExactly(names ...string) bool {
+	p.recordingRelay.mu.Lock()
+	defer p.recordingRelay.mu.Unlock()
+	if len(p.exclusions) != len(names) {
 		return false
 	}
-	for i, bar := range p.bars {
-		if bar != (traffic.Exclusion{Member: names[i], Banned: true}) {
+	for i, exclusion := range p.exclusions {
+		if exclusion != (traffic.Exclusion{Member: names[i], Banned: true}) {
 			return false
 		}
 	}
 	return true
 }
 
-func untilBarred(t *testing.T, parts []*part, names ...string) {
+// waitForExclusions waits until each relay excludes exactly these pool members.
+func waitForExclusions(t *testing.T, relays []*testRelay, names ...string) {
 	t.Helper()
-	until(t, fmt.Sprint("barred are exactly ", names), func() bool {
-		return !slices.ContainsFunc(parts, func(p *part) bool { return !p.barsAre(names...) })
+	waitFor(t, fmt.Sprint("the excluded members are exactly ", names), func() bool {
+		return !slices.ContainsFunc(relays, func(p *testRelay) bool { return !p.excludesExactly(names...) })
 	})
 }
 
-// A change that is handed in at one relay is in force at all, whatever its kind, until it is removed; a build without
-// replication serves beside them and is left alone.
-func TestConfigurationIsInForceAtAll(t *testing.T) {
-	c := newControl("control")
-	a := join(t, "a", configured(t, "", c))
-	b := join(t, "bb", configured(t, "", c), a)
-	d := join(t, "ddd", configured(t, "", c), a)
-	older := join(t, "older", nil, a)
-	all := []*part{a, b, d}
-	replicating(t, 3, all...)
+// Guards against changes that do not reach all relays. A change submitted to one relay comes into force at all of them, until
+// it is removed. A relay without replication stays a member, and receives no packet that it must drop.
+func TestConfigurationReachesAllRelays(t *testing.T) {
+	machine := newControlMachine("control")
+	a := startRelay(t, "a", withConfiguration(t, "", machine))
+	b := startRelay(t, "bb", withConfiguration(t, "", machine), a)
+	d := startRelay(t, "ddd", withConfiguration(t, "", machine), a)
+	older := startRelay(t, "older", nil, a)
+	all := []*testRelay{a, b, d}
+	waitForReplication(t, 3, all...)
 	for _, p := range append(all, older) {
 		p.Pool(1, testPool())
 	}
-	until(t, "the older build is a member", func() bool { return older.Figures().Members == 4 && a.Figures().Members == 4 })
+	waitFor(t, "the older build is a member", func() bool { return older.Figures().Members == 4 && a.Figures().Members == 4 })
 
-	b.set(t, c, "endpoint/m", "down")
-	if !b.barsAre("m") {
-		t.Error("acknowledged before it is in force")
+	b.submitNext(t, machine, "endpoint/m", "down")
+	if !b.excludesExactly("m") {
+		t.Error("the reply came before the change was in force")
 	}
-	untilBarred(t, all, "m")
-	d.set(t, c, "destination/7", "closed")
-	untilBarred(t, all, "m", "n")
-	a.set(t, c, "rate/7", "100")
-	until(t, "an entry without a meaning is everywhere", func() bool {
-		return !slices.ContainsFunc(all, func(p *part) bool { return p.Figures().Configuration.Unknown != 1 })
+	waitForExclusions(t, all, "m")
+	d.submitNext(t, machine, "destination/7", "closed")
+	waitForExclusions(t, all, "m", "n")
+	a.submitNext(t, machine, "rate/7", "100")
+	waitFor(t, "all relays have the entry that this build does not know", func() bool {
+		return !slices.ContainsFunc(all, func(p *testRelay) bool { return p.Figures().Configuration.Unknown != 1 })
 	})
-	untilBarred(t, all, "m", "n")
-	a.set(t, c, "destination/7", "")
-	untilBarred(t, all, "m")
-	b.set(t, c, "endpoint/m", "")
-	untilBarred(t, all)
+	waitForExclusions(t, all, "m", "n")
+	a.submitNext(t, machine, "destination/7", "")
+	waitForExclusions(t, all, "m")
+	b.submitNext(t, machine, "endpoint/m", "")
+	waitForExclusions(t, all)
 
-	until(t, "all hold the same", func() bool {
+	waitFor(t, "all have the same configuration", func() bool {
 		return a.Configuration().Digest == b.Configuration().Digest && b.Configuration().Digest == d.Configuration().Digest
 	})
 	state := a.Configuration()
 	if state.Versions["control"] != 5 || len(state.Entries) != 3 || !slices.Equal(state.Members, []string{"a", "bb", "ddd"}) {
 		t.Errorf("%+v", state)
 	}
-	if older.Configuration() != nil || older.Figures().Configuration != nil || !older.barsAre() {
-		t.Error("the older build takes part")
+	if older.Configuration() != nil || older.Figures().Configuration != nil || !older.excludesExactly() {
+		t.Error("the older build replicates configuration")
 	}
-	if drops := older.Figures().Drops; drops.Form+drops.Version+drops.Strangers != 0 {
+	if drops := older.Figures().Drops; drops.Malformed+drops.OtherVersion+drops.Strangers != 0 {
 		t.Errorf("the older build dropped something: %+v", drops)
 	}
-	if err := older.post(t, c.sign(6, 6, "endpoint/m", "down")); !errors.Is(err, ErrConfigurationOff) {
+	if err := older.submit(t, machine.sign(6, 6, "endpoint/m", "down")); !errors.Is(err, ErrConfigurationOff) {
 		t.Errorf("the older build: %v", err)
 	}
 }
 
-// A relay that starts again in its folder has in force what it had, before it hears anybody; one that starts without a folder
-// gets it from the others.
+// Guards against the loss of configuration in a restart. A relay that restarts with its state directory has the entries in
+// force before it reaches another relay. A relay that starts without a file receives the entries from the others.
 func TestConfigurationOutlivesRestarts(t *testing.T) {
-	c := newControl("control")
+	machine := newControlMachine("control")
 	dir := t.TempDir()
-	a := join(t, "a", configured(t, "", c))
-	b := join(t, "bb", configured(t, dir, c), a)
-	replicating(t, 2, a, b)
+	a := startRelay(t, "a", withConfiguration(t, "", machine))
+	b := startRelay(t, "bb", withConfiguration(t, dir, machine), a)
+	waitForReplication(t, 2, a, b)
 	for _, key := range []string{"endpoint/m", "endpoint/x", "endpoint/m"} {
-		a.set(t, c, key, "down")
+		a.submitNext(t, machine, key, "down")
 	}
-	until(t, "the other one has it", func() bool { return b.Configuration().Versions["control"] == 3 })
-	b.end()
-	until(t, "it has left", func() bool { return a.Figures().Members == 1 })
+	waitFor(t, "the other relay has all changes", func() bool { return b.Configuration().Versions["control"] == 3 })
+	b.stop()
+	waitFor(t, "the stopped relay is no longer a member", func() bool { return a.Figures().Members == 1 })
 
-	alone := join(t, "bb", configured(t, dir, c))
+	alone := startRelay(t, "bb", withConfiguration(t, dir, machine))
 	alone.Pool(1, testPool())
-	untilBarred(t, []*part{alone}, "m")
-	until(t, "it shows what it had", func() bool {
+	waitForExclusions(t, []*testRelay{alone}, "m")
+	waitFor(t, "the restarted relay shows the saved state", func() bool {
 		state := alone.Configuration()
 		return state.Versions["control"] == 3 && state.Digest == a.Configuration().Digest
 	})
-	alone.end()
+	alone.stop()
 
-	a.set(t, c, "endpoint/n", "down")
-	back := join(t, "bb", configured(t, dir, c), a)
-	anew := join(t, "new", configured(t, "", c), a)
-	for _, p := range []*part{back, anew} {
+	a.submitNext(t, machine, "endpoint/n", "down")
+	restarted := startRelay(t, "bb", withConfiguration(t, dir, machine), a)
+	fresh := startRelay(t, "new", withConfiguration(t, "", machine), a)
+	for _, p := range []*testRelay{restarted, fresh} {
 		p.Pool(1, testPool())
 	}
-	untilBarred(t, []*part{back, anew}, "m", "n")
-	until(t, "all hold the same", func() bool {
+	waitForExclusions(t, []*testRelay{restarted, fresh}, "m", "n")
+	waitFor(t, "all have the same configuration", func() bool {
 		digest, version := a.Configuration().Digest, a.Configuration().Versions["control"]
-		return !slices.ContainsFunc([]*part{back, anew}, func(p *part) bool {
+		return !slices.ContainsFunc([]*testRelay{restarted, fresh}, func(p *testRelay) bool {
 			state := p.Configuration()
 			return state.Digest != digest || state.Versions["control"] != version
 		})
 	})
 }
 
-// A file that is spoilt is begun anew, and the others tell what it held.
-func TestConfigurationFileDamaged(t *testing.T) {
-	c := newControl("control")
+// Guards against a corrupt configuration file. The relay replaces the file and receives the entries from other relays. After
+// the next restart the entries are in force again from the new file.
+func TestCorruptConfigurationFileIsReplaced(t *testing.T) {
+	machine := newControlMachine("control")
 	dir := t.TempDir()
-	a := join(t, "a", configured(t, "", c))
+	a := startRelay(t, "a", withConfiguration(t, "", machine))
 	if err := os.WriteFile(filepath.Join(dir, "fleet-configuration"), bytes.Repeat([]byte{7}, 999), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	replicating(t, 1, a)
-	a.set(t, c, "endpoint/m", "down")
-	b := join(t, "bb", configured(t, dir, c), a)
+	waitForReplication(t, 1, a)
+	a.submitNext(t, machine, "endpoint/m", "down")
+	b := startRelay(t, "bb", withConfiguration(t, dir, machine), a)
 	b.Pool(1, testPool())
-	untilBarred(t, []*part{b}, "m")
-	until(t, "it is kept", func() bool { return b.Configuration().Figures.Kept })
-	b.end()
-	again := join(t, "bb", configured(t, dir, c))
-	again.Pool(1, testPool())
-	untilBarred(t, []*part{again}, "m")
+	waitForExclusions(t, []*testRelay{b}, "m")
+	waitFor(t, "the state is saved", func() bool { return b.Configuration().Figures.Kept })
+	b.stop()
+	restarted := startRelay(t, "bb", withConfiguration(t, dir, machine))
+	restarted.Pool(1, testPool())
+	waitForExclusions(t, []*testRelay{restarted}, "m")
 }
 
-// A process that takes over from another has in force what that one had when it began, refuses changes while the other one has
-// the address, and learns from the file what came meanwhile.
-func TestConfigurationHandOver(t *testing.T) {
-	c := newControl("control")
+// Guards against lost changes in a handover. The successor process has the entries in force that were saved when it started.
+// It refuses changes while its predecessor has the address. Then it reads the later changes from the file.
+func TestConfigurationHandover(t *testing.T) {
+	machine := newControlMachine("control")
 	dir := t.TempDir()
-	before := join(t, "a", configured(t, dir, c))
-	replicating(t, 1, before)
-	before.set(t, c, "endpoint/m", "down")
-	after := join(t, "a", func(cfg *Config) {
-		configured(t, dir, c)(cfg)
-		cfg.Bind = before.cfg.Bind
+	predecessor := startRelay(t, "a", withConfiguration(t, dir, machine))
+	waitForReplication(t, 1, predecessor)
+	predecessor.submitNext(t, machine, "endpoint/m", "down")
+	successor := startRelay(t, "a", func(cfg *Config) {
+		withConfiguration(t, dir, machine)(cfg)
+		cfg.Bind = predecessor.cfg.Bind
 	})
-	after.Pool(1, testPool())
-	untilBarred(t, []*part{after}, "m")
-	if err := after.post(t, c.sign(2, 2, "endpoint/n", "down")); !errors.Is(err, ErrConfigurationNotReady) {
+	successor.Pool(1, testPool())
+	waitForExclusions(t, []*testRelay{successor}, "m")
+	if err := successor.submit(t, machine.sign(2, 2, "endpoint/n", "down")); !errors.Is(err, ErrConfigurationNotReady) {
 		t.Errorf("the process without the address: %v", err)
 	}
-	before.set(t, c, "endpoint/n", "down")
-	before.end()
-	untilBarred(t, []*part{after}, "m", "n")
-	replicating(t, 1, after)
-	after.set(t, c, "endpoint/m", "")
-	untilBarred(t, []*part{after}, "n")
+	predecessor.submitNext(t, machine, "endpoint/n", "down")
+	predecessor.stop()
+	waitForExclusions(t, []*testRelay{successor}, "m", "n")
+	waitForReplication(t, 1, successor)
+	successor.submitNext(t, machine, "endpoint/m", "")
+	waitForExclusions(t, []*testRelay{successor}, "n")
 }
 
-// A change that can't be kept is in force and said not to be kept; others keep it.
-func TestConfigurationNotKept(t *testing.T) {
-	c := newControl("control")
-	a := join(t, "a", func(cfg *Config) {
-		configured(t, "", c)(cfg)
+// Guards against a success reply for a change that could not be saved. The change is in force, the reply reports that it is
+// not saved, and the other relay saves it.
+func TestConfigurationNotSaved(t *testing.T) {
+	machine := newControlMachine("control")
+	a := startRelay(t, "a", func(cfg *Config) {
+		withConfiguration(t, "", machine)(cfg)
 		cfg.Configuration.MaxFileBytes = 300 // room for one change
 	})
-	b := join(t, "bb", configured(t, "", c), a)
-	replicating(t, 2, a, b)
+	b := startRelay(t, "bb", withConfiguration(t, "", machine), a)
+	waitForReplication(t, 2, a, b)
 	a.Pool(1, testPool())
-	a.set(t, c, "endpoint/m", "down")
-	if err := a.post(t, c.next(t, a, "endpoint/n", "down")); !errors.Is(err, ErrConfigurationNotSaved) {
-		t.Errorf("a change that has no room: %v", err)
+	a.submitNext(t, machine, "endpoint/m", "down")
+	if err := a.submit(t, machine.next(t, a, "endpoint/n", "down")); !errors.Is(err, ErrConfigurationNotSaved) {
+		t.Errorf("a change that does not fit into the file: %v", err)
 	}
-	untilBarred(t, []*part{a}, "m", "n")
-	until(t, "the other one keeps both", func() bool {
+	waitForExclusions(t, []*testRelay{a}, "m", "n")
+	waitFor(t, "the other relay has saved both changes", func() bool {
 		state := b.Configuration()
 		return state.Versions["control"] == 2 && state.Figures.Kept
 	})
-	until(t, "it is shown", func() bool { return !a.Figures().Configuration.Kept })
+	waitFor(t, "the metrics show that the state is not saved", func() bool { return !a.Figures().Configuration.Kept })
 }
 
-// What no trusted source has signed, or is not the next change of its source, is refused with its reason and changes nothing.
+// Guards against changes that must be refused: those without the signature of a trusted source, those that are not the next
+// change of their source, and invalid ones. The error gives the reason, and the state does not change.
 func TestConfigurationRefusals(t *testing.T) {
-	c, stranger := newControl("control"), newControl("stranger")
-	a := join(t, "a", configured(t, "", c))
-	replicating(t, 1, a)
+	machine, stranger := newControlMachine("control"), newControlMachine("stranger")
+	a := startRelay(t, "a", withConfiguration(t, "", machine))
+	waitForReplication(t, 1, a)
 	a.Pool(1, testPool())
-	first := c.next(t, a, "endpoint/m", "down")
-	a.mustPost(t, first)
-	a.mustPost(t, first) // again, for the first answer was lost
+	first := machine.next(t, a, "endpoint/m", "down")
+	a.mustSubmit(t, first)
+	a.mustSubmit(t, first) // submitted again, as after a lost reply
 	state := a.Configuration()
 
-	forged := c.next(t, a, "endpoint/n", "down")
+	forged := machine.next(t, a, "endpoint/n", "down")
 	forged.Key = "endpoint/o"
 	impostor := stranger.sign(2, 2, "endpoint/n", "down")
 	impostor.Source = "control"
@@ -320,73 +331,74 @@
 		"of no trusted source":  {stranger.sign(1, 2, "endpoint/n", "down"), configsync.ErrUntrusted},
 		"under another's name":  {impostor, configsync.ErrUntrusted},
 		"changed on the way":    {forged, configsync.ErrUntrusted},
-		"of a sequence taken":   {c.sign(1, 2, "endpoint/n", "down"), ErrConfigurationConflict},
-		"beyond the next one":   {c.sign(3, 2, "endpoint/n", "down"), ErrConfigurationConflict},
-		"of a mad revision":     {c.sign(2, 1<<62, "endpoint/n", "down"), ErrConfigurationConflict},
-		"without a key":         {c.sign(2, 2, "", "down"), configsync.ErrInvalid},
-		"with too long a value": {c.sign(2, 2, "endpoint/n", strings.Repeat("x", 5000)), configsync.ErrInvalid},
+		"of a used sequence":    {machine.sign(1, 2, "endpoint/n", "down"), ErrConfigurationConflict},
+		"beyond the next one":   {machine.sign(3, 2, "endpoint/n", "down"), ErrConfigurationConflict},
+		"of a huge revision":    {machine.sign(2, 1<<62, "endpoint/n", "down"), ErrConfigurationConflict},
+		"without a key":         {machine.sign(2, 2, "", "down"), configsync.ErrInvalid},
+		"with too long a value": {machine.sign(2, 2, "endpoint/n", strings.Repeat("x", 5000)), configsync.ErrInvalid},
 	} {
-		if err := a.post(t, bad.change); !errors.Is(err, bad.want) {
+		if err := a.submit(t, bad.change); !errors.Is(err, bad.want) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	if after := a.Configuration(); after.Digest != state.Digest || after.Versions["control"] != 1 || !a.barsAre("m") {
-		t.Errorf("something has changed: %+v", after)
+	if after := a.Configuration(); after.Digest != state.Digest || after.Versions["control"] != 1 || !a.excludesExactly("m") {
+		t.Errorf("a refused change has changed the state: %+v", after)
 	}
 }
 
-// A source's key is taken out and another one's in by a reload: what the first signed before stays, what it signs later is
-// refused. A file that makes no sense changes nothing.
+// Guards against faults in the replacement of trusted keys by a reload. Entries signed with the removed key stay in force, and
+// new changes signed with it are refused. An invalid key file leaves the previous keys in use.
 func TestConfigurationKeyChange(t *testing.T) {
-	first, second := newControl("first"), newControl("second")
-	a := join(t, "a", configured(t, "", first))
-	b := join(t, "bb", configured(t, "", first), a)
-	replicating(t, 2, a, b)
+	first, second := newControlMachine("first"), newControlMachine("second")
+	a := startRelay(t, "a", withConfiguration(t, "", first))
+	b := startRelay(t, "bb", withConfiguration(t, "", first), a)
+	waitForReplication(t, 2, a, b)
 	a.Pool(1, testPool())
 	b.Pool(1, testPool())
-	a.set(t, first, "endpoint/m", "down")
-	untilBarred(t, []*part{a, b}, "m")
+	a.submitNext(t, first, "endpoint/m", "down")
+	waitForExclusions(t, []*testRelay{a, b}, "m")
 
 	if err := os.WriteFile(a.cfg.Configuration.TrustedKeyFile, []byte("first not-a-key\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if err := a.Reload(); err == nil || !strings.Contains(err.Error(), "line 1") {
-		t.Errorf("a file that makes no sense: %v", err)
+		t.Errorf("an invalid key file: %v", err)
 	}
-	a.set(t, first, "endpoint/n", "down")
-	untilBarred(t, []*part{a, b}, "m", "n")
+	a.submitNext(t, first, "endpoint/n", "down")
+	waitForExclusions(t, []*testRelay{a, b}, "m", "n")
 
-	late := first.next(t, a, "endpoint/m", "")
-	for _, p := range []*part{a, b} {
-		writeTrusted(t, p.dir, second)
+	lateChange := first.next(t, a, "endpoint/m", "")
+	for _, p := range []*testRelay{a, b} {
+		writeTrustedKeys(t, p.dir, second)
 		if err := p.Reload(); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := a.post(t, late); !errors.Is(err, configsync.ErrUntrusted) {
-		t.Errorf("the first source after its key was taken out: %v", err)
+	if err := a.submit(t, lateChange); !errors.Is(err, configsync.ErrUntrusted) {
+		t.Errorf("the first source after its key was removed: %v", err)
 	}
-	until(t, "the second is known", func() bool {
+	waitFor(t, "the second source is trusted", func() bool {
 		return slices.ContainsFunc(b.Configuration().Sources, func(s ConfigurationSource) bool { return s.Name == "second" && s.Trusted })
 	})
-	b.set(t, second, "endpoint/n", "")
-	untilBarred(t, []*part{a, b}, "m")
+	b.submitNext(t, second, "endpoint/n", "")
+	waitForExclusions(t, []*testRelay{a, b}, "m")
 }
 
+// Guards against the use of invalid trusted key files.
 func TestTrustedKeyFiles(t *testing.T) {
 	dir := t.TempDir()
-	good := newControl("control").line()
+	validLine := newControlMachine("control").trustedKeyLine()
 	for _, c := range []struct {
 		text string
 		mode os.FileMode
 		want string
 	}{
-		{"# control machines\n\n" + good + newControl("second").line(), 0o644, ""},
-		{good, 0o666, "anybody may write it"},
-		{good + "second\n", 0o600, "line 2"},
-		{good + "second c2hvcnQ=\n", 0o600, "line 2"},
-		{good + good, 0o600, "line 2"},
-		{strings.Repeat("x", 65) + strings.TrimPrefix(good, "control"), 0o600, "line 1"},
+		{"# control machines\n\n" + validLine + newControlMachine("second").trustedKeyLine(), 0o644, ""},
+		{validLine, 0o666, "all users may write it"},
+		{validLine + "second\n", 0o600, "line 2"},
+		{validLine + "second c2hvcnQ=\n", 0o600, "line 2"},
+		{validLine + validLine, 0o600, "line 2"},
+		{strings.Repeat("x", 65) + strings.TrimPrefix(validLine, "control"), 0o600, "line 1"},
 		{"# none\n", 0o600, "0 keys"},
 	} {
 		path := filepath.Join(dir, "trusted")
@@ -403,24 +415,25 @@
 	}
 }
 
-// What relays announce is read as it was meant; anything else is no announcement.
+// Guards against misread metadata. Encoded metadata is decoded to the same value, with bytes of a later build after it.
+// Truncated or invalid metadata is rejected.
 func TestCapability(t *testing.T) {
-	at := location{region: "caucasus", zone: strings.Repeat("z", maxLocationBytes)}
+	at := regionAndZone{region: "caucasus", zone: strings.Repeat("z", maxLocationBytes)}
 	meta := encodeCapability(at)
 	if got, ok := decodeCapability(append(meta, "of a later build"...)); !ok || got != at {
 		t.Errorf("%+v, %v", got, ok)
 	}
-	if len(encodeCapability(location{strings.Repeat("r", maxLocationBytes), strings.Repeat("z", maxLocationBytes)})) > 512 {
-		t.Error("an announcement does not fit")
+	if len(encodeCapability(regionAndZone{strings.Repeat("r", maxLocationBytes), strings.Repeat("z", maxLocationBytes)})) > 512 {
+		t.Error("the longest metadata exceeds 512 bytes")
 	}
 	for n := range meta {
 		if _, ok := decodeCapability(meta[:n]); ok {
-			t.Errorf("taken when cut at %d of %d bytes", n, len(meta))
+			t.Errorf("accepted when truncated at %d of %d bytes", n, len(meta))
 		}
 	}
 	for _, bad := range [][]byte{{2, 0, 0}, {1, 65}, {1, 200, 1, 0}, {1, 1, 0, 0}, {1, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff}} {
 		if _, ok := decodeCapability(bad); ok {
-			t.Errorf("taken: %v", bad)
+			t.Errorf("accepted: %v", bad)
 		}
 	}
 }
--- a/internal/fleet/directive/directive_test.go
+++ b/internal/fleet/directive/directive_test.go
@@ -2,6 +2,7 @@
 
 import "testing"
 
+// Guards against entries that are misread: an unknown key, value or number format has no directive.
 func TestParse(t *testing.T) {
 	for _, c := range []struct {
 		key, value string
@@ -33,10 +34,11 @@
 	}
 }
 
+// Guards against lookups that differ from the entries, after values were set, replaced and removed.
 func TestSet(t *testing.T) {
 	set := NewSet()
-	if !set.Empty() || set.Bars("m", 7) {
-		t.Error("an empty set bars")
+	if !set.Empty() || set.Excludes("m", 7) {
+		t.Error("an empty set excludes an endpoint")
 	}
 	set.Put("endpoint/m", []byte("down"))
 	set.Put("destination/7", []byte("closed"))
@@ -49,19 +51,19 @@
 		destination int
 		want        bool
 	}{{"m", 1, true}, {"n", 7, true}, {"m", 7, true}, {"n", 1, false}, {"", 0, false}} {
-		if got := set.Bars(c.endpoint, c.destination); got != c.want {
+		if got := set.Excludes(c.endpoint, c.destination); got != c.want {
 			t.Errorf("%q of %d: %v", c.endpoint, c.destination, got)
 		}
 	}
 	if set.Empty() {
-		t.Error("the set bars something and is empty")
+		t.Error("the set excludes an endpoint and is reported as empty")
 	}
 	set.Put("endpoint/m", []byte("a value of a later build"))
-	if set.Bars("m", 1) || !set.Bars("m", 7) {
-		t.Error("an entry that has no meaning any more bars, or the other does not")
+	if set.Excludes("m", 1) || !set.Excludes("m", 7) {
+		t.Error("an entry with an unknown value excludes an endpoint, or the other entry does not")
 	}
 	set.Remove("destination/7")
-	if !set.Empty() || set.Bars("m", 7) {
-		t.Error("an entry that is removed bars")
+	if !set.Empty() || set.Excludes("m", 7) {
+		t.Error("a removed entry excludes an endpoint")
 	}
 }
--- a/internal/fleet/events.go
+++ b/internal/fleet/events.go
@@ -8,43 +8,44 @@
 )
 
 const (
-	// announceSpread spreads over time what all relays learn at one moment, so that the first to announce it spares the
-	// others.
-	announceSpread = 300 * time.Millisecond
-	// banRenewals is how many times a ban is announced within the life of one announcement.
-	banRenewals = 3
+	// maxDrainDelay bounds the random delay before a drain is announced. All relays learn of a drain at the same moment;
+	// the announcements of the first relays make those of the others unnecessary.
+	maxDrainDelay = 300 * time.Millisecond
+	// banRenewalsPerLifetime is how many times a ban is announced within the lifetime of one announcement.
+	banRenewalsPerLifetime = 3
 )
 
-// Events of the inbox that come from this relay. Packets are in packets.go, rate limits in limits.go.
+// Inbox events from this relay. See packets.go for packets and limits.go for rate limits.
 type (
-	// callEnded tells how a call of this relay ended.
+	// callEnded reports how a call of this relay ended.
 	callEnded struct{ verdicts.Observation }
 
-	// memberHealth tells whether this relay's own calls hold a member out.
+	// memberHealth reports whether this relay's own calls show an outage of a pool member.
 	memberHealth struct {
 		member      string
 		destination int
-		out         bool
-		retryFailed bool // another try at a member that was out has failed
+		outage      bool
+		trialFailed bool // a trial call during the outage has failed
 		since       time.Time
 	}
 
-	// poolUpdated carries a version of the relay's own list of members, by host name.
+	// poolUpdated carries a version of the relay's own list of pool members, by host name.
 	poolUpdated struct {
 		version int64
 		members map[string]traffic.Member
 	}
 
-	// bansUpdated carries the members that operators have taken down here.
+	// bansUpdated holds the names of the pool members that operators have banned at this relay.
 	bansUpdated map[string]bool
 )
 
-// pendingAnnouncement is a drain that all relays learn of alike, announced at a random time unless others come first.
-type pendingAnnouncement struct {
+// pendingDrain is a drain, or the end of one, that waits for its announcement. All relays learn of a drain from discovery.
+// This relay announces the drain at a random time, unless enough other relays have announced it before.
+type pendingDrain struct {
 	due         time.Duration
 	member      traffic.Member
 	listVersion int64
-	over        bool
+	ended       bool
 }
 
 // Ended reports how a call of this relay ended.
@@ -53,7 +54,7 @@
 		Destination:   flow.Group.Destination,
 		Member:        flow.Member,
 		SeparateRoute: flow.Group.Member != "",
-		StartedAt:     flow.StartedAt.Sub(f.origin),
+		StartedAt:     flow.StartedAt.Sub(f.createdAt),
 	}}
 	switch end.Status {
 	case traffic.Delivered:
@@ -72,26 +73,28 @@
 	}
 }
 
-// Health reports whether this relay holds a member out because of its own calls, since when, and whether another try
-// there has failed.
-func (f *Fleet) Health(member string, destination int, out, retryFailed bool, since time.Time) {
+// Health reports whether this relay's own calls show an outage of a pool member, since when, and whether a trial call has
+// failed since.
+func (f *Fleet) Health(member string, destination int, outage, trialFailed bool, since time.Time) {
 	f.enqueue(memberHealth{
 		member:      member,
 		destination: destination,
-		out:         out,
-		retryFailed: retryFailed,
+		outage:      outage,
+		trialFailed: trialFailed,
 		since:       since,
 	})
 }
 
-// Pool reports a version of the relay's own list of members, by host name. The map must not be used afterwards.
+// Pool reports a version of the relay's own list of pool members, by host name. The caller must not use the map
+// afterwards.
 func (f *Fleet) Pool(version int64, members map[string]traffic.Member) {
 	f.enqueue(poolUpdated{version: version, members: members})
 }
 
-// Bans reports which members operators have taken down here. The map must not be used afterwards.
+// Bans reports which pool members operators have banned at this relay. The caller must not use the map afterwards.
 func (f *Fleet) Bans(set map[string]bool) { f.enqueue(bansUpdated(set)) }
 
+// apply updates the judge, and announces the retry-after of a refused call, if any.
 func (e callEnded) apply(f *Fleet, now time.Duration, r *stepResult) {
 	r.restraints = append(r.restraints, f.judge.Observe(now, e.Observation)...)
 	if s, ok := f.announcer.Wait(now, f.store, e.Observation); ok {
@@ -99,24 +102,24 @@
 	}
 }
 
-// apply announces the beginning of an outage, unless enough other members hold the member out already, each try that
-// fails, and the end.
+// apply announces the start of an outage, each failed trial call and the end of the outage. The start is not announced if
+// enough relays have announced the same outage.
 func (e memberHealth) apply(f *Fleet, now time.Duration, r *stepResult) {
-	since := e.since.Sub(f.origin)
-	r.restraints = append(r.restraints, f.judge.SetOwnHealth(now, e.destination, e.member, e.out, since)...)
-	if !e.out {
+	since := e.since.Sub(f.createdAt)
+	r.restraints = append(r.restraints, f.judge.SetOwnHealth(now, e.destination, e.member, e.outage, since)...)
+	if !e.outage {
 		if s, ok := f.announcer.Recovery(now, f.store, e.destination, e.member); ok {
 			f.announce(now, s, r)
 		}
 		return
 	}
 	subject := verdicts.Subject{Kind: verdicts.Health, Destination: e.destination, Member: e.member}
-	if e.retryFailed || f.countOrigins(now, subject) < 2*f.cfg.Quorum {
+	if e.trialFailed || f.countOrigins(now, subject) < 2*f.cfg.Quorum {
 		f.announce(now, f.announcer.Outage(e.destination, e.member, now-since), r)
 	}
 }
 
-// apply stores the new list, and schedules announcements of members that have left it or come back.
+// apply stores the new list, and schedules an announcement for each member that has become inactive or active again.
 func (e poolUpdated) apply(f *Fleet, now time.Duration, r *stepResult) {
 	for name, old := range f.pool {
 		current, listed := e.members[name]
@@ -136,19 +139,19 @@
 	}
 	f.pool = e.members
 	f.judge.SetPool(e.version, active)
-	r.barsChanged = true
+	r.exclusionsChanged = true
 }
 
-// isActive reports whether the pool lists a member for new calls.
+// isActive reports whether the pool lists a member as available for new calls.
 func isActive(m traffic.Member) bool { return m.Health == traffic.Active }
 
-// scheduleDrain schedules the announcement of a drain, or of its end.
-func (f *Fleet) scheduleDrain(now time.Duration, m traffic.Member, listVersion int64, over bool) {
-	f.drains[m.Host] = pendingAnnouncement{
-		due:         now + time.Duration(f.rng.Float64()*float64(announceSpread)),
+// scheduleDrain schedules the announcement of a drain or of the end of a drain.
+func (f *Fleet) scheduleDrain(now time.Duration, m traffic.Member, listVersion int64, ended bool) {
+	f.pendingDrains[m.Host] = pendingDrain{
+		due:         now + time.Duration(f.rng.Float64()*float64(maxDrainDelay)),
 		member:      m,
 		listVersion: listVersion,
-		over:        over,
+		ended:       ended,
 	}
 }
 
@@ -174,22 +177,22 @@
 	}
 }
 
-// announceDue announces the drains that are due, and renews bans.
+// announceDue announces the pending drains that are due, and renews bans.
 func (f *Fleet) announceDue(now time.Duration, r *stepResult) {
-	for name, d := range f.drains {
+	for name, d := range f.pendingDrains {
 		if now < d.due {
 			continue
 		}
-		delete(f.drains, name)
+		delete(f.pendingDrains, name)
 		subject := verdicts.Subject{Kind: verdicts.Drain, Destination: d.member.Destination, Member: name}
-		if d.over || f.countOrigins(now, subject) < f.cfg.Quorum {
-			f.announce(now, f.announcer.Drain(d.member.Destination, name, d.listVersion, d.over), r)
+		if d.ended || f.countOrigins(now, subject) < f.cfg.Quorum {
+			f.announce(now, f.announcer.Drain(d.member.Destination, name, d.listVersion, d.ended), r)
 		}
 	}
-	if now-f.bansRenewed < verdicts.Ban.MaxLifetime()/banRenewals {
+	if now-f.bansRenewedAt < verdicts.Ban.MaxLifetime()/banRenewalsPerLifetime {
 		return
 	}
-	f.bansRenewed = now
+	f.bansRenewedAt = now
 	for _, s := range f.announcer.RenewBans(f.inPool) {
 		f.announce(now, s, r)
 	}
@@ -201,7 +204,7 @@
 	return ok
 }
 
-// countOrigins counts the relays whose statement on a subject is in force.
+// countOrigins returns how many relays have a statement about a subject in force.
 func (f *Fleet) countOrigins(now time.Duration, subject verdicts.Subject) int {
 	count := 0
 	for _, s := range f.store.ForSubject(now, subject) {
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,9 +1,9 @@
 // Package fleet connects this relay to the other relays of its fleet. It runs memberlist for membership and encrypted
 // packets, and drives the decisions of internal/verdicts (what other relays have announced), internal/spread (how
-// announcements travel) and internal/allowance (how rate limits are divided).
+// announcements are sent to all members) and internal/allowance (how rate limits are divided).
 //
-// One goroutine owns these decisions. All input passes through one bounded inbox, and nothing in the relay's own work
-// waits for it. A relay that hears nothing from its fleet decides as one that is alone.
+// One goroutine, the driver, owns the state behind these decisions. It receives all input through one bounded inbox. The
+// relay's own work never waits for the driver. A relay that receives nothing from its fleet works as a single relay does.
 package fleet
 
 import (
@@ -25,102 +25,103 @@
 )
 
 const (
-	// packetPayload is the size of an announcement packet before memberlist adds wire.Sealing.
-	packetPayload = 1200
-	// driverStream and membershipStream separate the random sequences of the two goroutines.
-	driverStream     = 0xf1ee7
-	membershipStream = 0x701
+	// maxPayloadBytes bounds the payload of an announcement packet, to which memberlist adds wire.Sealing bytes.
+	maxPayloadBytes = 1200
+	// driverRandomStream selects the random sequence of the driver goroutine.
+	driverRandomStream = 0xf1ee7
+	// membershipRandomStream selects the random sequence of the membership goroutine.
+	membershipRandomStream = 0x701
 )
 
-// Fleet is this relay's membership of its fleet. New creates it, Run runs it; its other methods may be called from any
-// goroutine.
+// Fleet is this relay's membership of its fleet. New creates a Fleet and Run runs it. Any goroutine may call the other
+// methods, except Recall.
 type Fleet struct {
-	cfg    Config
-	relay  Relay
-	origin time.Time // all durations that the decisions see count from here
-	ring   *memberlist.Keyring
-	drops  drops
-	wake   chan struct{} // wakes the driver when the inbox has something urgent
-	// unknownMember asks the membership goroutine to synchronise with a known member: a packet came from a sender that
-	// is not a member here, or from one that knows other members.
-	unknownMember chan struct{}
-	incarnation   atomic.Uint64
-	rebuilds      atomic.Int64 // of what depends on the list of members
-	holdsUntil    atomic.Int64 // when the last hold ends, in Unix nanoseconds; read before every call
-	shared        shared
+	cfg       Config
+	relay     Relay
+	createdAt time.Time // start of the clock that the decisions use
+	keyring   *memberlist.Keyring
+	drops     dropCounters
+	wake      chan struct{} // wakes the driver when the inbox has something urgent
+	// syncRequests asks the membership goroutine to compare member lists with a known member. The driver sends a request
+	// after a packet from a sender that is not a member here, or from a member whose list of members differs.
+	syncRequests     chan struct{}
+	incarnation      atomic.Uint64
+	rebuilds         atomic.Int64 // rebuilds of the state that depends on the list of members; see rebuildMembers
+	lastHoldEndNanos atomic.Int64 // when the last hold ends, in Unix nanoseconds; read before every call
+	shared           sharedState
 
-	// Fields below belong to the driver goroutine.
-	announcer   *verdicts.Announcer
-	store       *verdicts.Store
-	judge       *verdicts.Judge
-	spread      *spread.Spread
-	nodes       map[string]*memberlist.Node
-	pool        map[string]traffic.Member // members of the relay's own pool, by host name
-	drains      map[string]pendingAnnouncement
-	bans        map[string]bool
-	lastBars    []traffic.Exclusion // as last handed to the relay
-	rng         *rand.Rand
-	bansRenewed time.Duration
-	lastSweep   time.Duration
-	nextRebuild time.Duration // when the list of members may be taken over again
-	// membersStale says that memberlist's list has changed since it was taken over.
-	membersStale bool
-	allocator    *allowance.Allocator // nil before the relay listens, or where limits are not divided
-	recalled     map[int]float64      // limits that the previous process had learned, by destination
-	mayHaveLent  bool                 // an earlier process may have lent this relay's shares
+	// The driver goroutine owns the fields below.
+	announcer      *verdicts.Announcer
+	store          *verdicts.Store
+	judge          *verdicts.Judge
+	spread         *spread.Spread
+	nodes          map[string]*memberlist.Node
+	pool           map[string]traffic.Member // members of the relay's own pool, by host name
+	pendingDrains  map[string]pendingDrain
+	bans           map[string]bool
+	lastExclusions []traffic.Exclusion // as last passed to the relay
+	rng            *rand.Rand
+	bansRenewedAt  time.Duration
+	lastSweepAt    time.Duration
+	nextRebuildAt  time.Duration // earliest time of the next rebuild of the members
+	// membersStale is set when memberlist's list of members has changed since the last rebuild.
+	membersStale   bool
+	allocator      *allowance.Allocator // nil before the relay listens, or if limits are not divided
+	restoredLimits map[int]float64      // limits that the previous process had learned, by destination
+	mayHaveLent    bool                 // an earlier process of this relay may have lent its shares of the limits
 
-	configuration *configuration // nil where none is replicated
+	configuration *configuration // nil if this relay replicates no configuration
 }
 
-// shared is the state that the driver shares with callers of Fleet's methods.
-type shared struct {
+// sharedState is the state that the driver shares with callers of Fleet's methods.
+type sharedState struct {
 	sync.Mutex
-	inbox      []event
-	holds      map[traffic.Group]time.Time
-	figures    Figures
-	members    map[string]*MemberState
-	list       *memberlist.Memberlist // nil before the relay listens
-	transport  *transport             // nil before the relay listens
-	statements []verdicts.Statement   // as last published, for operators
-	limits     []allowance.State      // as last published, for operators
-	readings   map[int]limitRead      // as last passed to the driver, by destination
+	inbox        []event
+	holdEnds     map[traffic.Group]time.Time
+	metrics      Figures
+	members      map[string]*MemberState
+	memberList   *memberlist.Memberlist // nil before the relay listens
+	transport    *transport             // nil before the relay listens
+	statements   []verdicts.Statement   // as last published for operators
+	limits       []allowance.State      // as last published for operators
+	lastReadings map[int]limitReading   // as last passed to the driver, by destination
 
-	configuration ConfigurationState // as last published, for operators
+	configuration ConfigurationState // as last published for operators
 }
 
-// New reads the keys and counts this start. Run starts the goroutines.
+// New reads the keys and saves a new incarnation number. Run starts the goroutines.
 func New(cfg Config, relay Relay) (*Fleet, error) {
 	keys, err := ReadKeys(cfg.KeyFile)
 	if err != nil {
 		return nil, fmt.Errorf("fleet: %w", err)
 	}
-	ring, err := memberlist.NewKeyring(keys, keys[0])
+	keyring, err := memberlist.NewKeyring(keys, keys[0])
 	if err != nil {
 		return nil, fmt.Errorf("fleet: %w", err)
 	}
-	incarnation, countErr := nextIncarnation(cfg.StateDir)
-	if countErr != nil {
-		slog.Warn("fleet: starts not counted; the others' memory of this name is asked instead", "err", countErr)
+	incarnation, incarnationErr := nextIncarnation(cfg.StateDir)
+	if incarnationErr != nil {
+		slog.Warn("fleet: incarnation not read or saved; other members report the newest one of this name", "err", incarnationErr)
 	}
 	f := &Fleet{
 		cfg:           cfg,
 		relay:         relay,
-		origin:        time.Now(),
-		ring:          ring,
+		createdAt:     time.Now(),
+		keyring:       keyring,
 		wake:          make(chan struct{}, 1),
-		unknownMember: make(chan struct{}, 1),
+		syncRequests:  make(chan struct{}, 1),
 		announcer:     verdicts.NewAnnouncer(cfg.Self, incarnation),
 		store:         verdicts.NewStore(),
 		nodes:         map[string]*memberlist.Node{},
 		pool:          map[string]traffic.Member{},
-		drains:        map[string]pendingAnnouncement{},
+		pendingDrains: map[string]pendingDrain{},
 		bans:          map[string]bool{},
-		rng:           rand.New(rand.NewPCG(cfg.Seed, driverStream)),
-		mayHaveLent:   countErr != nil || incarnation > firstIncarnation,
+		rng:           rand.New(rand.NewPCG(cfg.Seed, driverRandomStream)),
+		mayHaveLent:   incarnationErr != nil || incarnation > firstIncarnation,
 	}
-	f.shared.holds = map[traffic.Group]time.Time{}
+	f.shared.holdEnds = map[traffic.Group]time.Time{}
 	f.shared.members = map[string]*MemberState{}
-	f.shared.readings = map[int]limitRead{}
+	f.shared.lastReadings = map[int]limitReading{}
 	f.incarnation.Store(incarnation)
 	f.judge = verdicts.NewJudge(cfg.Self, cfg.Quorum, f.store)
 	f.spread, err = spread.New(cfg.spread(), 0, f.store, incarnation)
@@ -134,27 +135,27 @@
 	return f, nil
 }
 
-// spread is the configuration of this relay's announcements.
+// spread returns the configuration of internal/spread.
 func (c *Config) spread() spread.Config {
 	return spread.Config{
 		Self:             c.Self,
 		ExchangeInterval: c.ExchangeInterval,
 		BytesPerSecond:   c.BytesPerSecond,
 		PacketBytes:      wire.Size,
-		MaxPacketBytes:   packetPayload + wire.Sealing,
+		MaxPacketBytes:   maxPayloadBytes + wire.Sealing,
 		Seed:             c.Seed,
 	}
 }
 
-// Recall hands over the limits that a previous process had learned, by destination. Call it before Run; the map must
-// not be used afterwards.
-func (f *Fleet) Recall(limits map[int]float64) { f.recalled = limits }
+// Recall sets the limits that a previous process had learned, by destination. Call it before Run. The caller must not use
+// the map afterwards.
+func (f *Fleet) Recall(limits map[int]float64) { f.restoredLimits = limits }
 
-// Reload reads the key files again. An invalid file changes nothing.
+// Reload reads the key files again. The keys of an invalid file are ignored, and the previous ones stay in use.
 func (f *Fleet) Reload() error {
 	keys, err := ReadKeys(f.cfg.KeyFile)
 	if err == nil {
-		err = replaceKeys(f.ring, keys)
+		err = replaceKeys(f.keyring, keys)
 	}
 	err = errors.Join(err, f.reloadTrustedKeys())
 	if err != nil {
@@ -164,8 +165,8 @@
 	return nil
 }
 
-// now is the time since the fleet was created.
-func (f *Fleet) now() time.Duration { return time.Since(f.origin) }
+// now returns the time since the fleet was created.
+func (f *Fleet) now() time.Duration { return time.Since(f.createdAt) }
 
-// wallTime converts a duration since the fleet was created.
-func (f *Fleet) wallTime(at time.Duration) time.Time { return f.origin.Add(at) }
+// wallTime converts a duration since the fleet was created into a time.
+func (f *Fleet) wallTime(at time.Duration) time.Time { return f.createdAt.Add(at) }
--- a/internal/fleet/figures.go
+++ b/internal/fleet/metrics.go
@@ -9,7 +9,7 @@
 	"slatemux/internal/verdicts"
 )
 
-// Figures are the metrics that operators see.
+// Figures holds the metrics that operators see.
 type Figures struct {
 	Members       int               `json:"members"` // live members, this relay included
 	StalenessMS   float64           `json:"staleness_ms"`
@@ -18,35 +18,35 @@
 	ReceivedBytes int64             `json:"received_bytes"`
 	Drops         Drops             `json:"drops"`
 	Spread        spread.Counters   `json:"spread"`
-	Judged        verdicts.Counters `json:"judged"`
-	// Divided counts the work of dividing limits; all zero where it is off.
+	JudgeCounters verdicts.Counters `json:"judged"`
+	// Divided counts the work of dividing limits; all counters are zero if limits are not divided.
 	Divided allowance.Counters `json:"divided"`
-	// Configuration tells of the replication of configuration; nil where it is off.
-	Configuration *ConfigurationFigures `json:"configuration,omitempty"`
+	// Configuration holds the metrics of the replication of configuration; nil if replication is off.
+	Configuration *ConfigurationMetrics `json:"configuration,omitempty"`
 }
 
-// Drops counts what was not accepted, by reason.
+// Drops counts rejected input, by reason, and packets that were not sent.
 type Drops struct {
-	Forged    int64 `json:"forged"`    // not encrypted by a key of ours, or corrupted
-	Replayed  int64 `json:"replayed"`  // seen before, or of an earlier start
-	Foreign   int64 `json:"foreign"`   // of another fleet
-	Version   int64 `json:"version"`   // of a wire version that this build does not read
-	Form      int64 `json:"form"`      // malformed
-	Oversized int64 `json:"oversized"` // longer than the fleet sends
-	Strangers int64 `json:"strangers"` // from a sender that is no member
-	Overrun   int64 `json:"overrun"`   // arrived while the inbox was full
-	Conflict  int64 `json:"conflict"`  // a name that two members use
-	Short     int64 `json:"short"`     // not sent, for lack of bandwidth
+	Forged        int64 `json:"forged"`    // not encrypted with a key of this fleet, or corrupted
+	Replayed      int64 `json:"replayed"`  // received before, or of an earlier incarnation of the sender
+	OtherFleet    int64 `json:"foreign"`   // of another fleet
+	OtherVersion  int64 `json:"version"`   // of a wire version that this build does not read
+	Malformed     int64 `json:"form"`      // cannot be decoded, or is invalid
+	Oversized     int64 `json:"oversized"` // longer than any packet or stream that a relay sends
+	Strangers     int64 `json:"strangers"` // from a sender that is not a member
+	Overrun       int64 `json:"overrun"`   // arrived while the inbox was full, or a stream above maxStreams
+	NameConflicts int64 `json:"conflict"`  // two members with the same name
+	Short         int64 `json:"short"`     // not sent, because the bandwidth was used up
 }
 
-// Figures returns the figures that were published last.
+// Figures returns the metrics that were published last.
 func (f *Fleet) Figures() Figures {
 	f.shared.Lock()
 	defer f.shared.Unlock()
-	return f.shared.figures
+	return f.shared.metrics
 }
 
-// Verdicts returns the statements in force, by origin.
+// Verdicts returns the statements in force, by origin, as last published.
 func (f *Fleet) Verdicts() []Verdict {
 	f.shared.Lock()
 	defer f.shared.Unlock()
@@ -57,14 +57,14 @@
 	return list
 }
 
-// Limits returns the state of the limits that the fleet divides, by destination.
+// Limits returns the state of the limits that the fleet divides, by destination, as last published.
 func (f *Fleet) Limits() []allowance.State {
 	f.shared.Lock()
 	defer f.shared.Unlock()
 	return append([]allowance.State{}, f.shared.limits...)
 }
 
-// Verdict is a statement as operators see it.
+// Verdict is a statement of a relay as operators see it.
 type Verdict struct {
 	Origin      string  `json:"origin"`
 	Kind        string  `json:"kind"`
@@ -75,10 +75,11 @@
 	Seq         uint64  `json:"seq"`
 	AgeMS       float64 `json:"age_ms"`
 	LengthMS    float64 `json:"length_ms,omitempty"`
-	LeftMS      float64 `json:"left_ms"` // until it lapses
+	LeftMS      float64 `json:"left_ms"` // until the statement expires
 	List        int64   `json:"list,omitempty"`
 }
 
+// newVerdict converts a statement for operators.
 func newVerdict(s verdicts.Statement) Verdict {
 	return Verdict{
 		Origin:      s.Origin,
@@ -95,59 +96,59 @@
 	}
 }
 
-// publish stores what operators see.
+// publish stores the state and the metrics that operators see.
 func (f *Fleet) publish(now time.Duration) {
 	f.incarnation.Store(f.announcer.Incarnation())
 	statements := f.store.All(now)
-	figures := Figures{
-		Members:     len(f.nodes),
-		StalenessMS: milliseconds(f.spread.Staleness(now)),
-		Verdicts:    len(statements),
-		Spread:      f.spread.Counters(),
-		Judged:      f.judge.Counters(),
+	metrics := Figures{
+		Members:       len(f.nodes),
+		StalenessMS:   milliseconds(f.spread.Staleness(now)),
+		Verdicts:      len(statements),
+		Spread:        f.spread.Counters(),
+		JudgeCounters: f.judge.Counters(),
 	}
 	var limits []allowance.State
 	if f.allocator != nil {
 		limits = f.allocator.States(now)
-		figures.Divided = f.allocator.Counters()
+		metrics.Divided = f.allocator.Counters()
 	}
-	figures.Drops = f.drops.snapshot(figures.Spread)
-	figures.Configuration = f.publishConfiguration()
+	metrics.Drops = f.drops.snapshot(metrics.Spread)
+	metrics.Configuration = f.publishConfiguration()
 	f.shared.Lock()
 	defer f.shared.Unlock()
 	if t := f.shared.transport; t != nil {
-		figures.addTransport(t)
+		metrics.addTransport(t)
 	}
 	f.shared.statements = statements
 	f.shared.limits = limits
-	f.shared.figures = figures
+	f.shared.metrics = metrics
 }
 
 // snapshot reads the counters, and adds those that internal/spread keeps.
-func (d *drops) snapshot(counters spread.Counters) Drops {
+func (d *dropCounters) snapshot(counters spread.Counters) Drops {
 	return Drops{
-		Forged:    d.Forged.Load(),
-		Replayed:  counters.Replayed,
-		Foreign:   d.Foreign.Load(),
-		Version:   d.Version.Load(),
-		Form:      d.Form.Load(),
-		Oversized: d.Oversized.Load(),
-		Strangers: counters.UnknownSenders,
-		Overrun:   d.Overrun.Load(),
-		Conflict:  d.Conflict.Load(),
-		Short:     counters.Unsent,
+		Forged:        d.Forged.Load(),
+		Replayed:      counters.Replayed,
+		OtherFleet:    d.OtherFleet.Load(),
+		OtherVersion:  d.OtherVersion.Load(),
+		Malformed:     d.Malformed.Load(),
+		Oversized:     d.Oversized.Load(),
+		Strangers:     counters.UnknownSenders,
+		Overrun:       d.InboxFull.Load(),
+		NameConflicts: d.NameConflicts.Load(),
+		Short:         counters.Unsent,
 	}
 }
 
-// addTransport adds the counters of the transport.
+// addTransport sets the traffic metrics and adds the drops that the transport counts.
 func (g *Figures) addTransport(t *transport) {
-	g.SentBytes = t.sent.Load()
-	g.ReceivedBytes = t.received.Load()
-	g.Drops.Oversized += t.oversized.Load()
-	g.Drops.Overrun += t.streamsRefused.Load()
+	g.SentBytes = t.sentBytes.Load()
+	g.ReceivedBytes = t.receivedBytes.Load()
+	g.Drops.Oversized += t.oversizedCount.Load()
+	g.Drops.Overrun += t.refusedStreams.Load()
 }
 
-// LogValue names the figures in a log line.
+// LogValue returns the metrics as a group of log attributes.
 func (g Figures) LogValue() slog.Value {
 	return slog.GroupValue(
 		slog.Int("members", g.Members),
@@ -156,23 +157,23 @@
 		slog.Int64("sent_bytes", g.SentBytes),
 		slog.Int64("received_bytes", g.ReceivedBytes),
 		slog.Int64("news", g.Spread.NewStatements),
-		slog.Int64("heeded", g.Judged.Restraints),
-		slog.Int64("overruled", g.Judged.Overruled),
-		slog.Int64("overdrawn", g.Judged.OverBudget),
-		slog.Int64("unagreed", g.Judged.BelowQuorum),
+		slog.Int64("heeded", g.JudgeCounters.Restraints),
+		slog.Int64("overruled", g.JudgeCounters.Overruled),
+		slog.Int64("overdrawn", g.JudgeCounters.OverBudget),
+		slog.Int64("unagreed", g.JudgeCounters.BelowQuorum),
 		slog.Int64("claims", g.Divided.Claims),
 		slog.Int64("grants", g.Divided.Grants),
 		slog.Int64("stray_grants", g.Divided.Rejected),
 		slog.Int64("owners_avoided", g.Divided.OwnersAvoided),
 		slog.Int64("forged", g.Drops.Forged),
 		slog.Int64("replayed", g.Drops.Replayed),
-		slog.Int64("foreign", g.Drops.Foreign),
-		slog.Int64("version", g.Drops.Version),
-		slog.Int64("form", g.Drops.Form),
+		slog.Int64("foreign", g.Drops.OtherFleet),
+		slog.Int64("version", g.Drops.OtherVersion),
+		slog.Int64("form", g.Drops.Malformed),
 		slog.Int64("oversized", g.Drops.Oversized),
 		slog.Int64("strangers", g.Drops.Strangers),
 		slog.Int64("overrun", g.Drops.Overrun),
-		slog.Int64("conflict", g.Drops.Conflict),
+		slog.Int64("conflict", g.Drops.NameConflicts),
 		slog.Int64("short", g.Drops.Short),
 		slog.Any("configuration", g.Configuration),
 	)
