--- a/internal/lab/ca/ca.go
+++ b/internal/lab/ca/ca.go
@@ -65,7 +65,7 @@
 	Kind      Kind          // P256 if empty
 }
 
-func dates(from, to time.Time) (time.Time, time.Time) {
+func validity(from, to time.Time) (time.Time, time.Time) {
 	if from.IsZero() {
 		from = time.Now().Add(-time.Hour)
 	}
@@ -90,7 +90,7 @@
 }
 
 func authority(name string) *x509.Certificate {
-	from, to := dates(time.Time{}, time.Now().Add(365*24*time.Hour))
+	from, to := validity(time.Time{}, time.Now().Add(365*24*time.Hour))
 	return &x509.Certificate{SerialNumber: serial(), Subject: pkix.Name{CommonName: name}, NotBefore: from, NotAfter: to, IsCA: true,
 		BasicConstraintsValid: true, KeyUsage: x509.KeyUsageCertSign | x509.KeyUsageCRLSign}
 }
@@ -123,7 +123,7 @@
 			return nil, err
 		}
 	}
-	from, to := dates(l.NotBefore, l.NotAfter)
+	from, to := validity(l.NotBefore, l.NotAfter)
 	usage := x509.ExtKeyUsageServerAuth
 	if l.Client {
 		usage = x509.ExtKeyUsageClientAuth
@@ -142,13 +142,13 @@
 }
 
 // sign signs a certificate by an authority, or by itself.
-func sign(c *x509.Certificate, key crypto.Signer, by *Pair) (*Pair, error) {
+func sign(c *x509.Certificate, key crypto.Signer, issuer *Pair) (*Pair, error) {
 	out := &Pair{Key: key}
 	parent, signer := c, key
-	if by != nil {
-		parent, signer = by.Cert, by.Key
-		if by.Cert.CheckSignatureFrom(by.Cert) != nil { // not a root: it goes with the chain
-			out.Chain = append([]*x509.Certificate{by.Cert}, by.Chain...)
+	if issuer != nil {
+		parent, signer = issuer.Cert, issuer.Key
+		if issuer.Cert.CheckSignatureFrom(issuer.Cert) != nil { // not a root: it goes with the chain
+			out.Chain = append([]*x509.Certificate{issuer.Cert}, issuer.Chain...)
 		}
 	}
 	raw, err := x509.CreateCertificate(rand.Reader, c, parent, key.Public(), signer)
@@ -162,8 +162,8 @@
 // TLS is the pair as crypto/tls has it.
 func (p *Pair) TLS() tls.Certificate {
 	c := tls.Certificate{Certificate: [][]byte{p.Cert.Raw}, PrivateKey: p.Key, Leaf: p.Cert}
-	for _, up := range p.Chain {
-		c.Certificate = append(c.Certificate, up.Raw)
+	for _, issuer := range p.Chain {
+		c.Certificate = append(c.Certificate, issuer.Raw)
 	}
 	return c
 }
@@ -187,11 +187,11 @@
 
 // Write writes a file as certificate tools do: beside its place, and then by a rename.
 func Write(path string, text []byte, mode os.FileMode) error {
-	next := filepath.Join(filepath.Dir(path), "."+filepath.Base(path)+".new")
-	if err := os.WriteFile(next, text, mode); err != nil {
+	temporary := filepath.Join(filepath.Dir(path), "."+filepath.Base(path)+".new")
+	if err := os.WriteFile(temporary, text, mode); err != nil {
 		return err
 	}
-	return os.Rename(next, path)
+	return os.Rename(temporary, path)
 }
 
 // Files writes certificate and key.
--- a/internal/lab/deployment.go
+++ b/internal/lab/deployment.go
@@ -207,7 +207,7 @@
 		return nil, err
 	}
 	// The whole field: "address already in use" is not ready.
-	if err := p.Await(`"msg":"ready"`, time.Now().Add(10*time.Second)); err != nil {
+	if err := p.AwaitLog(`"msg":"ready"`, time.Now().Add(10*time.Second)); err != nil {
 		p.Kill()
 		return nil, err
 	}
--- a/internal/lab/handover_test.go
+++ b/internal/lab/handover_test.go
@@ -18,8 +18,8 @@
 // operators' address, and the first is ended by SIGTERM under load. The ledger of the stand-ins demands that
 // every message taken on had exactly one end and that none ran twice; the successor takes up what the first
 // left in its journal.
-func TestHandOver(t *testing.T) {
-	d := put(t, 30*time.Millisecond, 64)
+func TestHandover(t *testing.T) {
+	d := startDeployment(t, 30*time.Millisecond, 64)
 	tmp := t.TempDir()
 	opsOld, err := FreePort()
 	if err != nil {
@@ -33,7 +33,7 @@
 
 	loaded := make(chan error, 1)
 	go func() {
-		loaded <- d.Load(context.Background(), load.Config{Clients: 20, Patience: 400 * time.Millisecond, Streams: slots(100),
+		loaded <- d.Load(context.Background(), load.Config{Clients: 20, Patience: 400 * time.Millisecond, Streams: twoStreams(100),
 			Steps: []load.Step{{For: 6 * time.Second, Rate: 150}}, Dests: []int{0, 1}, Retries: 2, Honour: 1, Seed: 9})
 	}()
 	time.Sleep(time.Second)
@@ -47,7 +47,7 @@
 	}
 	t.Cleanup(next.Kill)
 	deadline := time.Now().Add(6 * time.Second)
-	for !ready(opsNew) {
+	for !isReady(opsNew) {
 		if time.Now().After(deadline) {
 			t.Fatalf("the successor never said it was ready\n%s", next.Log())
 		}
@@ -70,8 +70,8 @@
 		os.WriteFile(filepath.Join(dir, "old.log"), []byte(old.Log()), 0o600)
 		defer func() { os.WriteFile(filepath.Join(dir, "next.log"), []byte(next.Log()), 0o600) }()
 	}
-	v := d.judge(t, next)
-	if offered, accepted, _ := total(v); accepted == 0 || offered == 0 {
+	v := d.judgeRun(t, next)
+	if offered, accepted, _ := totals(v); accepted == 0 || offered == 0 {
 		t.Fatalf("nothing was served: %d of %d", accepted, offered)
 	}
 	journals, _ := filepath.Glob(filepath.Join(d.State(), "journal*"))
@@ -83,7 +83,7 @@
 	}
 }
 
-func ready(addr string) bool {
+func isReady(addr string) bool {
 	resp, err := http.Get("http://" + addr + "/ops/readiness")
 	if err != nil {
 		return false
@@ -93,8 +93,8 @@
 }
 
 // A relay that cannot listen is not ready, whatever its error says: "address already in use" has the word in it.
-func TestNotReady(t *testing.T) {
-	d := put(t, 30*time.Millisecond, 64)
+func TestNotReadyWhenOpsAddressIsTaken(t *testing.T) {
+	d := startDeployment(t, 30*time.Millisecond, 64)
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/lab/crowd_test.go
+++ b/internal/lab/idleclients_test.go
@@ -19,16 +19,16 @@
 func TestIdleClientsFillTheirPlaces(t *testing.T) {
 	t.Parallel()
 	const sockets = 64
-	d := put(t, 10*time.Millisecond, 64)
+	d := startDeployment(t, 10*time.Millisecond, 64)
 	d.Place.Sockets = sockets
 	if err := d.Furnish(d.Seat, d.Platform.Known()); err != nil {
 		t.Fatal(err)
 	}
-	p := d.relay(t, "")
-	if err := unix.Prlimit(p.cmd.Process.Pid, unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: sockets, Max: sockets}, nil); err != nil {
+	p := d.startRelay(t, "")
+	if err := unix.Prlimit(p.command.Process.Pid, unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: sockets, Max: sockets}, nil); err != nil {
 		t.Fatal(err)
 	}
-	d.Platform.Silence(true)
+	d.Platform.SetSilent(true)
 	most, addr := 0, d.Seat.Listen
 	for n := range 300 {
 		nc, err := net.Dial("tcp", addr)
@@ -38,15 +38,15 @@
 		t.Cleanup(func() { nc.Close() })
 		_, _ = io.WriteString(nc, []string{"", "PING\r\n", "*5\r\n"}[n%3])
 		if n%30 == 29 {
-			if line := handOne(t, addr, n); !strings.HasPrefix(line, "+OK") {
+			if line := submitOne(t, addr, n); !strings.HasPrefix(line, "+OK") {
 				t.Errorf("behind %d idle clients, a hand-in is answered %q", n+1, line)
 			}
 		}
-		most = max(most, grown(t, p).files)
+		most = max(most, readUsage(t, p).descriptors)
 	}
 	d.Platform.Change(platform.Host{Host: "p1", Dial: d.Partners[1].Addr(), Site: "here", Class: "partner", Health: "leaving", Share: 20, Block: 1})
 	back := time.Now()
-	d.Platform.Silence(false)
+	d.Platform.SetSilent(false)
 	heard := func() bool {
 		line, ok := p.Line("counters")
 		return ok && Field(line, "pool", "changes") > 0
@@ -68,8 +68,8 @@
 	t.Logf("%d descriptors at most of %d", most, sockets)
 }
 
-// handOne hands in a message on a connection of its own and returns the answer.
-func handOne(t *testing.T, addr string, n int) string {
+// submitOne hands in a message on a connection of its own and returns the answer.
+func submitOne(t *testing.T, addr string, n int) string {
 	t.Helper()
 	nc, err := net.Dial("tcp", addr)
 	if err != nil {
--- a/internal/lab/ledger/ledger.go
+++ b/internal/lab/ledger/ledger.go
@@ -43,19 +43,19 @@
 	Unsent // no client was free to send it within its patience
 )
 
-// HandIn is one hand-in, each under an id of its own.
-type HandIn struct {
-	ID       uint64
-	Class    int // index of Rules.Classes
-	Dest     int
-	Due      time.Time // when it was to be sent
-	Sent     time.Time
-	Answered time.Time
-	Deadline time.Time
-	Answer   Answer
-	RetryIn  time.Duration
-	Again    bool // the same message was refused before
-	Relay    int  // which it was handed to; rules that bind one relay are judged by it
+// Submission is one hand-in, each under an id of its own.
+type Submission struct {
+	ID           uint64
+	Class        int // index of Rules.Classes
+	Dest         int
+	Due          time.Time // when it was to be sent
+	Sent         time.Time
+	Answered     time.Time
+	Deadline     time.Time
+	Answer       Answer
+	RetryIn      time.Duration
+	Resubmission bool // the same message was refused before
+	Relay        int  // which it was handed to; rules that bind one relay are judged by it
 }
 
 // Call is one call that a partner's endpoint read.
@@ -79,8 +79,8 @@
 	RetryIn time.Duration
 }
 
-// Leave says that a member's draining was told to a relay.
-type Leave struct {
+// Drain says that a member's draining was told to a relay.
+type Drain struct {
 	Member string
 	At     time.Time
 	Relay  int
@@ -93,35 +93,35 @@
 	Stopped     bool // and went on with all that it knew: nothing but its deadlines is excused
 }
 
-// Book is what one recorder wrote. It belongs to one goroutine until its Ledger is closed.
-type Book struct {
-	HandIns []HandIn
-	Calls   []Call
-	Notices []Notice
+// Recorder is what one recorder wrote. It belongs to one goroutine until its Ledger is closed.
+type Recorder struct {
+	Submissions []Submission
+	Calls       []Call
+	Notices     []Notice
 }
 
 // Ledger hands out books.
 type Ledger struct {
-	mu     sync.Mutex
-	books  []*Book
-	leaves []Leave
-	kills  []Kill
+	mu           sync.Mutex
+	recorders    []*Recorder
+	drainNotices []Drain
+	kills        []Kill
 }
 
-// Book returns a new book.
-func (l *Ledger) Book() *Book {
-	b := &Book{}
+// NewRecorder returns a new book.
+func (l *Ledger) NewRecorder() *Recorder {
+	b := &Recorder{}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.books = append(l.books, b)
+	l.recorders = append(l.recorders, b)
 	return b
 }
 
-// Leave notes that a member's draining was told.
-func (l *Ledger) Leave(v Leave) {
+// RecordDrain notes that a member's draining was told.
+func (l *Ledger) RecordDrain(v Drain) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.leaves = append(l.leaves, v)
+	l.drainNotices = append(l.drainNotices, v)
 }
 
 // Kill notes an absence of the relay.
@@ -171,8 +171,8 @@
 	Calls    int
 }
 
-// fate is what is known of one message by id.
-type fate struct {
+// history is what is known of one message by id.
+type history struct {
 	calls   []*Call
 	notices []*Notice
 }
@@ -182,12 +182,12 @@
 func (l *Ledger) Judge(r Rules, end time.Time) Verdict {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	fates := map[uint64]*fate{}
-	at := func(id uint64) *fate {
-		f := fates[id]
+	histories := map[uint64]*history{}
+	historyOf := func(id uint64) *history {
+		f := histories[id]
 		if f == nil {
-			f = &fate{}
-			fates[id] = f
+			f = &history{}
+			histories[id] = f
 		}
 		return f
 	}
@@ -196,40 +196,40 @@
 		v.Classes[i].Class = c.Name
 	}
 	var calls []*Call
-	relays := map[uint64]int{} // who called, by message
-	for _, b := range l.books {
-		for i := range b.HandIns {
-			relays[b.HandIns[i].ID] = b.HandIns[i].Relay
+	relayOf := map[uint64]int{} // who called, by message
+	for _, b := range l.recorders {
+		for i := range b.Submissions {
+			relayOf[b.Submissions[i].ID] = b.Submissions[i].Relay
 		}
 	}
-	for _, b := range l.books {
+	for _, b := range l.recorders {
 		for i := range b.Calls {
-			f := at(b.Calls[i].ID)
+			f := historyOf(b.Calls[i].ID)
 			f.calls = append(f.calls, &b.Calls[i])
 			calls = append(calls, &b.Calls[i])
 		}
 		for i := range b.Notices {
-			f := at(b.Notices[i].ID)
+			f := historyOf(b.Notices[i].ID)
 			f.notices = append(f.notices, &b.Notices[i])
 		}
 	}
 	v.Calls = len(calls)
-	for _, b := range l.books {
-		for i := range b.HandIns {
-			h := &b.HandIns[i]
-			f := fates[h.ID]
+	for _, b := range l.recorders {
+		for i := range b.Submissions {
+			h := &b.Submissions[i]
+			f := histories[h.ID]
 			if f == nil {
-				f = &fate{}
+				f = &history{}
 			}
-			v.Breaches = append(v.Breaches, l.judge(r, h, f, end)...)
+			v.Breaches = append(v.Breaches, l.checkSubmission(r, h, f, end)...)
 			if !r.From.IsZero() && h.Due.Before(r.From) || !r.To.IsZero() && !h.Due.Before(r.To) {
 				continue
 			}
-			v.Classes[h.Class].count(&r.Classes[h.Class], h, f)
+			v.Classes[h.Class].add(&r.Classes[h.Class], h, f)
 		}
 	}
-	v.Breaches = append(v.Breaches, l.waits(r, calls, relays)...)
-	v.Breaches = append(v.Breaches, l.drains(r, calls, relays)...)
+	v.Breaches = append(v.Breaches, l.checkWaits(r, calls, relayOf)...)
+	v.Breaches = append(v.Breaches, l.checkDrains(r, calls, relayOf)...)
 	for i := range v.Classes {
 		c := &v.Classes[i]
 		for _, list := range [][]time.Duration{c.ToAccept, c.ToRefuse, c.ToDeliver, c.RefuseFromSent} {
@@ -239,8 +239,8 @@
 	return v
 }
 
-// delivered is when the first 200 was written; zero if none was.
-func (f *fate) delivered() (at time.Time) {
+// deliveredAt is when the first 200 was written; zero if none was.
+func (f *history) deliveredAt() (at time.Time) {
 	for _, c := range f.calls {
 		if c.Status == 200 && (at.IsZero() || c.Answered.Before(at)) {
 			at = c.Answered
@@ -249,8 +249,8 @@
 	return at
 }
 
-// ran are the calls that may have taken effect.
-func (f *fate) ran() (list []*Call) {
+// possibleRuns are the calls that may have taken effect.
+func (f *history) possibleRuns() (list []*Call) {
 	for _, c := range f.calls {
 		if c.Status != 429 && c.Status != 503 && c.Status != 504 && c.Status != 410 {
 			list = append(list, c)
@@ -260,11 +260,11 @@
 	return list
 }
 
-func (l *Ledger) judge(r Rules, h *HandIn, f *fate, end time.Time) (out []Breach) {
-	breach := func(rule, format string, args ...any) {
+func (l *Ledger) checkSubmission(r Rules, h *Submission, f *history, end time.Time) (out []Breach) {
+	report := func(rule, format string, args ...any) {
 		out = append(out, Breach{rule, h.ID, fmt.Sprintf(format, args...)})
 	}
-	ended := f.delivered()
+	ended := f.deliveredAt()
 	outcomes := map[string]bool{}
 	for _, n := range f.notices { // the same line may come twice, if its answer was lost
 		outcomes[n.Outcome] = true
@@ -272,33 +272,33 @@
 			ended = n.At
 		}
 	}
-	due := l.excused(h.Relay, h.Deadline.Add(r.EndSlack), r.ReadyGrace)
+	due := l.extendForRestart(h.Relay, h.Deadline.Add(r.EndSlack), r.ReadyGrace)
 	switch h.Answer {
 	case Accepted:
 		if ended.IsZero() && due.Before(end) {
-			breach("one end", "taken on at %v and never ended", h.Answered.Format(time.StampMicro))
+			report("one end", "taken on at %v and never ended", h.Answered.Format(time.StampMicro))
 		} else if !ended.IsZero() && ended.After(due) {
-			breach("in time", "ended %v after its time was up", ended.Sub(h.Deadline))
+			report("in time", "ended %v after its time was up", ended.Sub(h.Deadline))
 		}
 		if len(outcomes) > 1 {
-			breach("one end", "%d different notices", len(outcomes))
+			report("one end", "%d different notices", len(outcomes))
 		}
 	case Refused:
 		if len(f.calls) > 0 {
-			breach("refused is refused", "%d calls of a message that was refused", len(f.calls))
+			report("refused is refused", "%d calls of a message that was refused", len(f.calls))
 		}
 		if len(f.notices) > 0 {
-			breach("refused is refused", "a notice of a message that was refused")
+			report("refused is refused", "a notice of a message that was refused")
 		}
 	}
-	ran := f.ran()
+	runs := f.possibleRuns()
 	class := r.Classes[h.Class]
-	if len(ran) > 1 && class.Effect == Unsafe {
-		breach("repeats", "%d runs of a message that may run once", len(ran))
+	if len(runs) > 1 && class.Effect == Unsafe {
+		report("repeats", "%d runs of a message that may run once", len(runs))
 	}
-	if len(ran) > 1 && class.Effect == Keyed {
-		if apart := ran[len(ran)-1].Arrived.Sub(ran[0].First); apart > class.Memory {
-			breach("repeats", "run again after %v, remembered for %v", apart, class.Memory)
+	if len(runs) > 1 && class.Effect == Keyed {
+		if gap := runs[len(runs)-1].Arrived.Sub(runs[0].First); gap > class.Memory {
+			report("repeats", "run again after %v, remembered for %v", gap, class.Memory)
 		}
 	}
 	for i, c := range f.calls {
@@ -308,19 +308,19 @@
 				a, b = b, a
 			}
 			// The connection of a process that was killed is closed, whatever its partner still writes to it.
-			if !a.Answered.IsZero() && b.Arrived.Before(a.Answered) && !l.between(h.Relay, a.Arrived, b.Arrived) {
-				breach("one copy", "a second call while the first was out")
+			if !a.Answered.IsZero() && b.Arrived.Before(a.Answered) && !l.restartedBetween(h.Relay, a.Arrived, b.Arrived) {
+				report("one copy", "a second call while the first was out")
 			}
 		}
 		if c.Dest != h.Dest {
-			breach("destination", "sent to %d, not %d", c.Dest, h.Dest)
+			report("destination", "sent to %d, not %d", c.Dest, h.Dest)
 		}
 	}
 	return out
 }
 
-// excused moves a time at which something is due behind the restart in which it falls.
-func (l *Ledger) excused(relay int, due time.Time, grace time.Duration) time.Time {
+// extendForRestart moves a time at which something is due behind the restart in which it falls.
+func (l *Ledger) extendForRestart(relay int, due time.Time, grace time.Duration) time.Time {
 	for _, k := range l.kills {
 		if k.Relay == relay && !due.Before(k.From) && due.Before(k.Ready.Add(grace)) {
 			due = k.Ready.Add(grace)
@@ -329,17 +329,17 @@
 	return due
 }
 
-// waits finds calls that a relay began in a wait that it had been told. What other relays were told binds it by no rule.
-func (l *Ledger) waits(r Rules, calls []*Call, relays map[uint64]int) (out []Breach) {
-	type bound struct{ dest, relay int }
-	byDest := map[bound][]*Call{}
+// checkWaits finds calls that a relay began in a wait that it had been told. What other relays were told binds it by no rule.
+func (l *Ledger) checkWaits(r Rules, calls []*Call, relayOf map[uint64]int) (out []Breach) {
+	type endpoint struct{ dest, relay int }
+	byEndpoint := map[endpoint][]*Call{}
 	for _, c := range calls {
-		b := bound{c.Dest, relays[c.ID]}
-		byDest[b] = append(byDest[b], c)
+		b := endpoint{c.Dest, relayOf[c.ID]}
+		byEndpoint[b] = append(byEndpoint[b], c)
 	}
-	for b, list := range byDest {
-		inside(list, list, r.WaitSlack, func(c, w *Call) {
-			if !l.between(b.relay, w.Answered, c.Arrived) {
+	for b, list := range byEndpoint {
+		callsDuringWaits(list, list, r.WaitSlack, func(c, w *Call) {
+			if !l.restartedBetween(b.relay, w.Answered, c.Arrived) {
 				out = append(out, Breach{"waits", c.ID, fmt.Sprintf("called destination %d %v into a wait of %v", b.dest,
 					c.Arrived.Sub(w.Answered), w.Wait)})
 			}
@@ -348,18 +348,18 @@
 	return out
 }
 
-// inside finds the calls of a list that arrived in a wait that one of others was told, more than slack after it was told; once
+// callsDuringWaits finds the calls of a list that arrived in a wait that one of others was told, more than slack after it was told; once
 // for each call, with the first such wait.
-func inside(list, others []*Call, slack time.Duration, found func(call, told *Call)) {
-	var told []*Call
-	for _, c := range others {
+func callsDuringWaits(list, waitCalls []*Call, slack time.Duration, found func(call, withWait *Call)) {
+	var withWaits []*Call
+	for _, c := range waitCalls {
 		if c.Wait > 0 {
-			told = append(told, c)
+			withWaits = append(withWaits, c)
 		}
 	}
-	slices.SortFunc(told, func(a, b *Call) int { return a.Answered.Compare(b.Answered) })
+	slices.SortFunc(withWaits, func(a, b *Call) int { return a.Answered.Compare(b.Answered) })
 	for _, c := range list {
-		for _, w := range told {
+		for _, w := range withWaits {
 			if w.Answered.Add(slack).After(c.Arrived) {
 				break
 			}
@@ -383,38 +383,38 @@
 func (l *Ledger) Unheard() (out []Unheard, waits int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	relays := map[uint64]int{}
+	relayOf := map[uint64]int{}
 	byDest := map[int][]*Call{}
-	for _, b := range l.books {
-		for i := range b.HandIns {
-			relays[b.HandIns[i].ID] = b.HandIns[i].Relay
+	for _, b := range l.recorders {
+		for i := range b.Submissions {
+			relayOf[b.Submissions[i].ID] = b.Submissions[i].Relay
 		}
 		for i := range b.Calls {
 			byDest[b.Calls[i].Dest] = append(byDest[b.Calls[i].Dest], &b.Calls[i])
 		}
 	}
 	for dest, list := range byDest {
-		var first []*Call
+		var distinct []*Call
 		slices.SortFunc(list, func(a, b *Call) int { return a.Answered.Compare(b.Answered) })
 		var end time.Time
 		for _, c := range list {
 			if c.Wait > 0 && !c.Answered.Before(end) {
-				first = append(first, c)
+				distinct = append(distinct, c)
 				end = c.Answered.Add(c.Wait)
 			}
 		}
-		waits += len(first)
-		inside(list, first, 0, func(c, w *Call) {
-			if relays[c.ID] != relays[w.ID] {
-				out = append(out, Unheard{relays[c.ID], dest, w.Answered, c.Arrived.Sub(w.Answered)})
+		waits += len(distinct)
+		callsDuringWaits(list, distinct, 0, func(c, w *Call) {
+			if relayOf[c.ID] != relayOf[w.ID] {
+				out = append(out, Unheard{relayOf[c.ID], dest, w.Answered, c.Arrived.Sub(w.Answered)})
 			}
 		})
 	}
 	return out, waits
 }
 
-// between says that a relay was started anew between two times: that ends its waits.
-func (l *Ledger) between(relay int, from, to time.Time) bool {
+// restartedBetween says that a relay was started anew between two times: that ends its waits.
+func (l *Ledger) restartedBetween(relay int, from, to time.Time) bool {
 	for _, k := range l.kills {
 		if k.Relay == relay && !k.Stopped && k.From.After(from) && k.From.Before(to) {
 			return true
@@ -423,19 +423,19 @@
 	return false
 }
 
-func (l *Ledger) drains(r Rules, calls []*Call, relays map[uint64]int) (out []Breach) {
-	type told struct {
+func (l *Ledger) checkDrains(r Rules, calls []*Call, relayOf map[uint64]int) (out []Breach) {
+	type notified struct {
 		member string
 		relay  int
 	}
-	left := map[told]time.Time{}
-	for _, v := range l.leaves {
-		if t := (told{v.Member, v.Relay}); left[t].IsZero() {
-			left[t] = v.At
+	drainedAt := map[notified]time.Time{}
+	for _, v := range l.drainNotices {
+		if t := (notified{v.Member, v.Relay}); drainedAt[t].IsZero() {
+			drainedAt[t] = v.At
 		}
 	}
 	for _, c := range calls {
-		if at, ok := left[told{c.Member, relays[c.ID]}]; ok && c.First.After(at.Add(r.DrainGrace)) {
+		if at, ok := drainedAt[notified{c.Member, relayOf[c.ID]}]; ok && c.First.After(at.Add(r.DrainGrace)) {
 			out = append(out, Breach{"drains", c.ID, fmt.Sprintf("sent to %s %v after its drain", c.Member, c.First.Sub(at))})
 		}
 		if c.Cold {
@@ -445,7 +445,7 @@
 	return out
 }
 
-func (p *PerClass) count(class *Class, h *HandIn, f *fate) {
+func (p *PerClass) add(class *Class, h *Submission, f *history) {
 	p.Offered++
 	switch h.Answer {
 	case Accepted:
@@ -471,7 +471,7 @@
 	} else if len(f.notices) > 0 {
 		p.HandedBack++
 	}
-	at := f.delivered()
+	at := f.deliveredAt()
 	if at.IsZero() {
 		return
 	}
@@ -501,7 +501,7 @@
 func (l *Ledger) Delivered(since time.Time, slot time.Duration) (counts []int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, b := range l.books {
+	for _, b := range l.recorders {
 		for i := range b.Calls {
 			c := &b.Calls[i]
 			if c.Status != 200 || c.Answered.Before(since) {
@@ -522,9 +522,9 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	offered, taken = map[int]int{}, map[int]int{}
-	for _, b := range l.books {
-		for i := range b.HandIns {
-			h := &b.HandIns[i]
+	for _, b := range l.recorders {
+		for i := range b.Submissions {
+			h := &b.Submissions[i]
 			offered[h.Relay]++
 			if h.Answer == Accepted {
 				taken[h.Relay]++
@@ -539,16 +539,16 @@
 func (l *Ledger) Calls() (calls []Call, relays []int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	of := map[uint64]int{}
-	for _, b := range l.books {
-		for i := range b.HandIns {
-			of[b.HandIns[i].ID] = b.HandIns[i].Relay
+	relayOf := map[uint64]int{}
+	for _, b := range l.recorders {
+		for i := range b.Submissions {
+			relayOf[b.Submissions[i].ID] = b.Submissions[i].Relay
 		}
 		calls = append(calls, b.Calls...)
 	}
 	slices.SortFunc(calls, func(a, b Call) int { return a.Arrived.Compare(b.Arrived) })
 	for i := range calls {
-		relays = append(relays, of[calls[i].ID])
+		relays = append(relays, relayOf[calls[i].ID])
 	}
 	return calls, relays
 }
--- a/internal/lab/ledger/ledger_test.go
+++ b/internal/lab/ledger/ledger_test.go
@@ -14,8 +14,8 @@
 
 func at(s float64) time.Time { return t0.Add(time.Duration(s * float64(time.Second))) }
 
-func taken(id uint64, class int) HandIn {
-	return HandIn{ID: id, Class: class, Dest: 7, Due: t0, Sent: t0, Answered: at(0.01), Deadline: at(5), Answer: Accepted}
+func accepted(id uint64, class int) Submission {
+	return Submission{ID: id, Class: class, Dest: 7, Due: t0, Sent: t0, Answered: at(0.01), Deadline: at(5), Answer: Accepted}
 }
 
 func call(id uint64, from, to float64, status int) Call {
@@ -27,8 +27,8 @@
 }
 
 // Each rule is broken once, alone, and its neighbour that just holds breaks none.
-func TestEachRule(t *testing.T) {
-	refused := taken(1, 0)
+func TestEachRuleAlone(t *testing.T) {
+	refused := accepted(1, 0)
 	refused.Answer = Refused
 	wait := call(2, 0.1, 0.2, 429)
 	wait.Wait = time.Second
@@ -38,39 +38,39 @@
 	other.Dest = 8
 	for name, c := range map[string]struct {
 		rule    string
-		handIns []HandIn
+		handIns []Submission
 		calls   []Call
 		notices []Notice
-		leaves  []Leave
+		leaves  []Drain
 		kills   []Kill
 	}{
-		"delivered":             {"", []HandIn{taken(1, 2)}, []Call{call(1, 1, 1.1, 200)}, nil, nil, nil},
-		"never ended":           {"one end", []HandIn{taken(1, 0)}, []Call{call(1, 1, 1.1, 500)}, nil, nil, nil},
-		"notice in time":        {"", []HandIn{taken(1, 0)}, nil, []Notice{{1, at(5.3), "handed_back", 0}}, nil, nil},
-		"notice late":           {"in time", []HandIn{taken(1, 0)}, nil, []Notice{{1, at(5.4), "given_up", 0}}, nil, nil},
-		"late after a restart":  {"", []HandIn{taken(1, 0)}, nil, []Notice{{1, at(7.4), "given_up", 0}}, nil, []Kill{{From: at(5), Ready: at(6)}}},
-		"the same notice twice": {"", []HandIn{taken(1, 0)}, nil, []Notice{{1, at(1), "given_up", 0}, {1, at(2), "given_up", 0}}, nil, nil},
-		"two ends":              {"one end", []HandIn{taken(1, 0)}, nil, []Notice{{1, at(1), "given_up", 0}, {1, at(2), "handed_back", 0}}, nil, nil},
-		"refused and called":    {"refused is refused", []HandIn{refused}, []Call{call(1, 1, 1.1, 200)}, nil, nil, nil},
-		"refused and told":      {"refused is refused", []HandIn{refused}, nil, []Notice{{1, at(1), "given_up", 0}}, nil, nil},
-		"unsafe twice":          {"repeats", []HandIn{taken(1, 2)}, []Call{call(1, 1, 1.1, 500), call(1, 2, 2.1, 200)}, nil, nil, nil},
-		"unsafe after a no":     {"", []HandIn{taken(1, 2)}, []Call{call(1, 1, 1.1, 503), call(1, 2, 2.1, 200)}, nil, nil, nil},
-		"keyed in its memory":   {"", []HandIn{taken(1, 1)}, []Call{call(1, 1, 1.1, 500), call(1, 2.9, 3, 200)}, nil, nil, nil},
-		"keyed too late":        {"repeats", []HandIn{taken(1, 1)}, []Call{call(1, 1, 1.1, 500), call(1, 3.1, 3.2, 200)}, nil, nil, nil},
-		"two copies":            {"one copy", []HandIn{taken(1, 0)}, []Call{call(1, 1, 2, 500), call(1, 1.5, 2.5, 200)}, nil, nil, nil},
-		"a copy after a kill":   {"", []HandIn{taken(1, 0)}, []Call{call(1, 1, 2, 500), call(1, 1.5, 2.5, 200)}, nil, nil, []Kill{{From: at(1.2), Ready: at(1.4)}}},
-		"another's endpoint":    {"destination", []HandIn{taken(1, 0)}, []Call{other}, nil, nil, nil},
-		"into a wait":           {"waits", []HandIn{taken(1, 0)}, []Call{wait, call(1, 0.5, 0.6, 200)}, nil, nil, nil},
-		"as the wait begins":    {"", []HandIn{taken(1, 0)}, []Call{wait, call(1, 0.3, 0.4, 200)}, nil, nil, nil},
-		"after the wait":        {"", []HandIn{taken(1, 0)}, []Call{wait, call(1, 1.3, 1.4, 200)}, nil, nil, nil},
-		"a restart ends it":     {"", []HandIn{taken(1, 0)}, []Call{wait, call(1, 0.9, 1, 200)}, nil, nil, []Kill{{From: at(0.4), Ready: at(0.8)}}},
-		"after the drain":       {"drains", []HandIn{taken(1, 0)}, []Call{call(1, 3, 3.1, 200)}, nil, []Leave{{Member: "m", At: at(0.9)}}, nil},
-		"within the drain":      {"", []HandIn{taken(1, 0)}, []Call{call(1, 2.8, 3.1, 200)}, nil, []Leave{{Member: "m", At: at(0.9)}}, nil},
-		"pushed over":           {"cold returns", []HandIn{taken(1, 0)}, []Call{cold}, nil, nil, nil},
+		"delivered":             {"", []Submission{accepted(1, 2)}, []Call{call(1, 1, 1.1, 200)}, nil, nil, nil},
+		"never ended":           {"one end", []Submission{accepted(1, 0)}, []Call{call(1, 1, 1.1, 500)}, nil, nil, nil},
+		"notice in time":        {"", []Submission{accepted(1, 0)}, nil, []Notice{{1, at(5.3), "handed_back", 0}}, nil, nil},
+		"notice late":           {"in time", []Submission{accepted(1, 0)}, nil, []Notice{{1, at(5.4), "given_up", 0}}, nil, nil},
+		"late after a restart":  {"", []Submission{accepted(1, 0)}, nil, []Notice{{1, at(7.4), "given_up", 0}}, nil, []Kill{{From: at(5), Ready: at(6)}}},
+		"the same notice twice": {"", []Submission{accepted(1, 0)}, nil, []Notice{{1, at(1), "given_up", 0}, {1, at(2), "given_up", 0}}, nil, nil},
+		"two ends":              {"one end", []Submission{accepted(1, 0)}, nil, []Notice{{1, at(1), "given_up", 0}, {1, at(2), "handed_back", 0}}, nil, nil},
+		"refused and called":    {"refused is refused", []Submission{refused}, []Call{call(1, 1, 1.1, 200)}, nil, nil, nil},
+		"refused and told":      {"refused is refused", []Submission{refused}, nil, []Notice{{1, at(1), "given_up", 0}}, nil, nil},
+		"unsafe twice":          {"repeats", []Submission{accepted(1, 2)}, []Call{call(1, 1, 1.1, 500), call(1, 2, 2.1, 200)}, nil, nil, nil},
+		"unsafe after a no":     {"", []Submission{accepted(1, 2)}, []Call{call(1, 1, 1.1, 503), call(1, 2, 2.1, 200)}, nil, nil, nil},
+		"keyed in its memory":   {"", []Submission{accepted(1, 1)}, []Call{call(1, 1, 1.1, 500), call(1, 2.9, 3, 200)}, nil, nil, nil},
+		"keyed too late":        {"repeats", []Submission{accepted(1, 1)}, []Call{call(1, 1, 1.1, 500), call(1, 3.1, 3.2, 200)}, nil, nil, nil},
+		"two copies":            {"one copy", []Submission{accepted(1, 0)}, []Call{call(1, 1, 2, 500), call(1, 1.5, 2.5, 200)}, nil, nil, nil},
+		"a copy after a kill":   {"", []Submission{accepted(1, 0)}, []Call{call(1, 1, 2, 500), call(1, 1.5, 2.5, 200)}, nil, nil, []Kill{{From: at(1.2), Ready: at(1.4)}}},
+		"another's endpoint":    {"destination", []Submission{accepted(1, 0)}, []Call{other}, nil, nil, nil},
+		"into a wait":           {"waits", []Submission{accepted(1, 0)}, []Call{wait, call(1, 0.5, 0.6, 200)}, nil, nil, nil},
+		"as the wait begins":    {"", []Submission{accepted(1, 0)}, []Call{wait, call(1, 0.3, 0.4, 200)}, nil, nil, nil},
+		"after the wait":        {"", []Submission{accepted(1, 0)}, []Call{wait, call(1, 1.3, 1.4, 200)}, nil, nil, nil},
+		"a restart ends it":     {"", []Submission{accepted(1, 0)}, []Call{wait, call(1, 0.9, 1, 200)}, nil, nil, []Kill{{From: at(0.4), Ready: at(0.8)}}},
+		"after the drain":       {"drains", []Submission{accepted(1, 0)}, []Call{call(1, 3, 3.1, 200)}, nil, []Drain{{Member: "m", At: at(0.9)}}, nil},
+		"within the drain":      {"", []Submission{accepted(1, 0)}, []Call{call(1, 2.8, 3.1, 200)}, nil, []Drain{{Member: "m", At: at(0.9)}}, nil},
+		"pushed over":           {"cold returns", []Submission{accepted(1, 0)}, []Call{cold}, nil, nil, nil},
 	} {
-		l := &Ledger{leaves: c.leaves, kills: c.kills}
-		b := l.Book()
-		b.HandIns, b.Calls, b.Notices = c.handIns, c.calls, c.notices
+		l := &Ledger{drainNotices: c.leaves, kills: c.kills}
+		b := l.NewRecorder()
+		b.Submissions, b.Calls, b.Notices = c.handIns, c.calls, c.notices
 		v := l.Judge(Usual(classes), at(100))
 		var got []string
 		for _, x := range v.Breaches {
@@ -82,17 +82,17 @@
 	}
 }
 
-func TestSums(t *testing.T) {
+func TestClassTotals(t *testing.T) {
 	l := &Ledger{}
-	b := l.Book()
-	late := taken(2, 0)
-	busy := taken(3, 0)
+	b := l.NewRecorder()
+	late := accepted(2, 0)
+	busy := accepted(3, 0)
 	busy.Answer, busy.Sent, busy.Answered = Refused, at(0.1), at(0.15)
-	early := taken(4, 0)
+	early := accepted(4, 0)
 	early.Due = at(-1)
-	none, unsent, failed := taken(5, 1), taken(6, 1), taken(7, 1)
+	none, unsent, failed := accepted(5, 1), accepted(6, 1), accepted(7, 1)
 	none.Answer, unsent.Answer, failed.Answer = NoAnswer, Unsent, Failed
-	b.HandIns = []HandIn{taken(1, 0), late, busy, early, none, unsent, failed}
+	b.Submissions = []Submission{accepted(1, 0), late, busy, early, none, unsent, failed}
 	b.Calls = []Call{call(1, 0.2, 0.5, 200), call(2, 0.2, 3, 200), call(4, 0.2, 0.3, 200)}
 	rules := Usual(classes)
 	rules.From, rules.To = t0, at(1)
--- a/internal/lab/links/links.go
+++ b/internal/lab/links/links.go
@@ -27,42 +27,42 @@
 
 const (
 	// reordered packets come so much later; a lost piece of a stream is sent again after retransmit.
-	reorderBy, retransmit = 30 * time.Millisecond, 200 * time.Millisecond
-	// queueMost is how long a packet waits for bandwidth before it is dropped.
-	queueMost = time.Second
-	piece     = 4096
+	reorderDelay, retransmitDelay = 30 * time.Millisecond, 200 * time.Millisecond
+	// maxQueueDelay is how long a packet waits for bandwidth before it is dropped.
+	maxQueueDelay = time.Second
+	chunkBytes    = 4096
 )
 
-type pair struct{ from, to string }
+type direction struct{ from, to string }
 
 // link is one direction.
 type link struct {
-	fault Fault
-	rng   *rand.Rand
-	free  time.Time // when what was sent before has gone out, where bandwidth is bounded
+	fault  Fault
+	rng    *rand.Rand
+	idleAt time.Time // when what was sent before has gone out, where bandwidth is bounded
 }
 
 // Net is the injector.
 type Net struct {
-	seed   uint64
-	mu     sync.Mutex
-	block  byte // second octet of the first of its addresses; 0 while it has none
-	links  map[pair]*link
-	names  map[netip.Addr]string // who calls from an address
-	opened map[pair][]time.Time  // connections that were asked for
-	kept   map[pair][][]byte     // packets of links that are listened to, to be sent again
-	send   map[string]func([]byte)
-	closes []func()
-	moved  chan struct{} // closed at each change of a fault
-	done   chan struct{}
-	wg     sync.WaitGroup
+	seed          uint64
+	mu            sync.Mutex
+	firstOctet    byte // second octet of the first of its addresses; 0 while it has none
+	links         map[direction]*link
+	callerNames   map[netip.Addr]string     // who calls from an address
+	dialTimes     map[direction][]time.Time // connections that were asked for
+	recorded      map[direction][][]byte    // packets of links that are listened to, to be sent again
+	senders       map[string]func([]byte)
+	closers       []func()
+	faultsChanged chan struct{} // closed at each change of a fault
+	done          chan struct{}
+	wg            sync.WaitGroup
 	// Packets that passed, were lost, and were cut off.
-	Passed, Lost, CutOff atomic.Int64
+	Passed, Lost, Blocked atomic.Int64
 }
 
 // New returns an injector whose chances come from the seed.
 func New(seed uint64) *Net {
-	return &Net{seed: seed, links: map[pair]*link{}, names: map[netip.Addr]string{}, opened: map[pair][]time.Time{}, kept: map[pair][][]byte{}, send: map[string]func([]byte){}, moved: make(chan struct{}),
+	return &Net{seed: seed, links: map[direction]*link{}, callerNames: map[netip.Addr]string{}, dialTimes: map[direction][]time.Time{}, recorded: map[direction][][]byte{}, senders: map[string]func([]byte){}, faultsChanged: make(chan struct{}),
 		done: make(chan struct{})}
 }
 
@@ -74,8 +74,8 @@
 	default:
 		close(n.done)
 	}
-	closes := n.closes
-	n.closes = nil
+	closes := n.closers
+	n.closers = nil
 	n.mu.Unlock()
 	for _, c := range closes {
 		c()
@@ -87,9 +87,9 @@
 func (n *Net) Set(from, to string, f Fault) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.at(from, to).fault = f
-	close(n.moved)
-	n.moved = make(chan struct{})
+	n.linkFor(from, to).fault = f
+	close(n.faultsChanged)
+	n.faultsChanged = make(chan struct{})
 }
 
 // Heal makes all links good.
@@ -99,22 +99,22 @@
 	for _, l := range n.links {
 		l.fault = Fault{}
 	}
-	close(n.moved)
-	n.moved = make(chan struct{})
+	close(n.faultsChanged)
+	n.faultsChanged = make(chan struct{})
 }
 
 // Listen keeps the packets that pass from one party to another, up to a thousand, as one does who means to send them again.
 func (n *Net) Listen(from, to string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.kept[pair{from, to}] = [][]byte{}
+	n.recorded[direction{from, to}] = [][]byte{}
 }
 
 // Replay sends what was kept once more, and says how many packets that were.
 func (n *Net) Replay(from, to string) int {
 	n.mu.Lock()
-	kept, send := n.kept[pair{from, to}], n.send[to]
-	delete(n.kept, pair{from, to})
+	kept, send := n.recorded[direction{from, to}], n.senders[to]
+	delete(n.recorded, direction{from, to})
 	n.mu.Unlock()
 	for _, b := range kept {
 		send(b)
@@ -127,18 +127,18 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if a, ok := netip.AddrFromSlice(ip); ok {
-		n.names[a.Unmap()] = name
+		n.callerNames[a.Unmap()] = name
 	}
 }
 
-// at needs the lock.
-func (n *Net) at(from, to string) *link {
-	l := n.links[pair{from, to}]
+// linkFor needs the lock.
+func (n *Net) linkFor(from, to string) *link {
+	l := n.links[direction{from, to}]
 	if l == nil {
 		h := fnv.New64a()
 		_, _ = fmt.Fprintf(h, "%s > %s", from, to)
 		l = &link{rng: rand.New(rand.NewPCG(n.seed, h.Sum64()))}
-		n.links[pair{from, to}] = l
+		n.links[direction{from, to}] = l
 	}
 	return l
 }
@@ -147,7 +147,7 @@
 func (n *Net) Opened(from, to string, since, until time.Time) (count int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for _, at := range n.opened[pair{from, to}] {
+	for _, at := range n.dialTimes[direction{from, to}] {
 		if !at.Before(since) && at.Before(until) {
 			count++
 		}
@@ -155,46 +155,46 @@
 	return count
 }
 
-// plan says what becomes of a packet: when its copies arrive, and whether a byte of it changes.
-func (n *Net) plan(from, to string, size int) (after []time.Duration, spoil int) {
+// schedulePacket says what becomes of a packet: when its copies arrive, and whether a byte of it changes.
+func (n *Net) schedulePacket(from, to string, size int) (delays []time.Duration, corruptAt int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	l := n.at(from, to)
+	l := n.linkFor(from, to)
 	f, r := l.fault, l.rng
-	spoil = -1
+	corruptAt = -1
 	switch {
 	case f.Cut:
-		n.CutOff.Add(1)
-		return nil, spoil
+		n.Blocked.Add(1)
+		return nil, corruptAt
 	case r.Float64() < f.Loss:
 		n.Lost.Add(1)
-		return nil, spoil
+		return nil, corruptAt
 	}
 	delay := f.Delay + time.Duration(r.Float64()*float64(f.Jitter))
 	if f.Bandwidth > 0 {
 		now := time.Now()
-		if l.free.Before(now) {
-			l.free = now
+		if l.idleAt.Before(now) {
+			l.idleAt = now
 		}
-		if l.free.Sub(now) > queueMost {
+		if l.idleAt.Sub(now) > maxQueueDelay {
 			n.Lost.Add(1)
-			return nil, spoil
+			return nil, corruptAt
 		}
-		l.free = l.free.Add(time.Duration(float64(size) / f.Bandwidth * float64(time.Second)))
-		delay += l.free.Sub(now)
+		l.idleAt = l.idleAt.Add(time.Duration(float64(size) / f.Bandwidth * float64(time.Second)))
+		delay += l.idleAt.Sub(now)
 	}
 	if r.Float64() < f.Reorder {
-		delay += reorderBy
+		delay += reorderDelay
 	}
 	if r.Float64() < f.Corrupt && size > 0 {
-		spoil = r.IntN(size)
+		corruptAt = r.IntN(size)
 	}
 	n.Passed.Add(1)
-	after = []time.Duration{delay}
+	delays = []time.Duration{delay}
 	if r.Float64() < f.Duplicate {
-		after = append(after, delay+time.Duration(r.Float64()*float64(reorderBy)))
+		delays = append(delays, delay+time.Duration(r.Float64()*float64(reorderDelay)))
 	}
-	return after, spoil
+	return delays, corruptAt
 }
 
 // Place is where a party that takes packets and streams listens, and where others reach it through the injector. Serve is an
@@ -206,21 +206,21 @@
 
 // Blocks of addresses begin at 127.firstBlock, three second octets each; a listener at guardPort of a block's last address but one
 // holds it, so that injectors side by side, in one process or several, give no address twice.
-const firstBlock, blocks, guardPort = 64, 60, 20009
+const firstBlock, blockCount, guardPort = 64, 60, 20009
 
-// hold takes a block of addresses until Close.
-func (n *Net) hold() (byte, error) {
+// reserveBlock takes a block of addresses until Close.
+func (n *Net) reserveBlock() (byte, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.block != 0 {
-		return n.block, nil
+	if n.firstOctet != 0 {
+		return n.firstOctet, nil
 	}
-	for b := range blocks {
-		block := byte(firstBlock + 3*b)
+	for index := range blockCount {
+		block := byte(firstBlock + 3*index)
 		guard, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, block, 255, 254), Port: guardPort})
 		if err == nil {
-			n.block = block
-			n.closes = append(n.closes, func() { guard.Close() })
+			n.firstOctet = block
+			n.closers = append(n.closers, func() { guard.Close() })
 			return block, nil
 		}
 	}
@@ -231,7 +231,7 @@
 // addresses, which are its own; ports are the system's.
 func (n *Net) Party(name string, number int) (Place, error) {
 	var p Place
-	block, err := n.hold()
+	block, err := n.reserveBlock()
 	if err != nil {
 		return p, err
 	}
@@ -251,12 +251,12 @@
 	}
 	p = Place{Bind: bind, Reach: tcp.Addr().(*net.TCPAddr).AddrPort(), Serve: ip(2)}
 	n.mu.Lock()
-	n.names[bind.Addr()] = name
-	n.send[name] = func(b []byte) { _, _ = udp.WriteToUDPAddrPort(b, bind) }
-	n.closes = append(n.closes, func() { tcp.Close() }, func() { udp.Close() })
+	n.callerNames[bind.Addr()] = name
+	n.senders[name] = func(b []byte) { _, _ = udp.WriteToUDPAddrPort(b, bind) }
+	n.closers = append(n.closers, func() { tcp.Close() }, func() { udp.Close() })
 	n.mu.Unlock()
-	n.wg.Go(func() { n.packets(udp, name, bind) })
-	n.wg.Go(func() { n.accept(tcp, n.who, name, bind.String(), nil) })
+	n.wg.Go(func() { n.forwardPackets(udp, name, bind) })
+	n.wg.Go(func() { n.accept(tcp, n.callerName, name, bind.String(), nil) })
 	return p, nil
 }
 
@@ -288,19 +288,19 @@
 	return tcp.Addr().(*net.TCPAddr).AddrPort(), nil
 }
 
-func (n *Net) who(a net.Addr) (string, bool) {
+func (n *Net) callerName(a net.Addr) (string, bool) {
 	at, err := netip.ParseAddrPort(a.String())
 	if err != nil {
 		return "", false
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	name, ok := n.names[at.Addr().Unmap()]
+	name, ok := n.callerNames[at.Addr().Unmap()]
 	return name, ok
 }
 
-// packets carries UDP to one party.
-func (n *Net) packets(udp *net.UDPConn, to string, bind netip.AddrPort) {
+// forwardPackets carries UDP to one party.
+func (n *Net) forwardPackets(udp *net.UDPConn, to string, bind netip.AddrPort) {
 	buf := make([]byte, 64<<10)
 	for {
 		size, from, err := udp.ReadFromUDPAddrPort(buf)
@@ -310,20 +310,20 @@
 			}
 			continue // the party is away: the system says that its port is unreachable
 		}
-		name, ok := n.who(net.UDPAddrFromAddrPort(from))
+		name, ok := n.callerName(net.UDPAddrFromAddrPort(from))
 		if !ok {
 			continue
 		}
 		n.mu.Lock()
-		if kept, ok := n.kept[pair{name, to}]; ok && len(kept) < 1000 {
-			n.kept[pair{name, to}] = append(kept, append([]byte(nil), buf[:size]...))
+		if kept, ok := n.recorded[direction{name, to}]; ok && len(kept) < 1000 {
+			n.recorded[direction{name, to}] = append(kept, append([]byte(nil), buf[:size]...))
 		}
 		n.mu.Unlock()
-		after, spoil := n.plan(name, to, size)
-		for _, d := range after {
+		delays, corruptAt := n.schedulePacket(name, to, size)
+		for _, d := range delays {
 			b := append([]byte(nil), buf[:size]...)
-			if spoil >= 0 {
-				b[spoil] ^= 0x55
+			if corruptAt >= 0 {
+				b[corruptAt] ^= 0x55
 			}
 			if d <= 0 {
 				_, _ = udp.WriteToUDPAddrPort(b, bind)
@@ -342,7 +342,7 @@
 		return "", fmt.Errorf("links: %w", err)
 	}
 	n.mu.Lock()
-	n.closes = append(n.closes, func() { ln.Close() })
+	n.closers = append(n.closers, func() { ln.Close() })
 	n.mu.Unlock()
 	var local net.Addr
 	if source.IsValid() {
@@ -352,7 +352,7 @@
 	return ln.Addr().String(), nil
 }
 
-func (n *Net) accept(ln net.Listener, who func(net.Addr) (string, bool), to, target string, local net.Addr) {
+func (n *Net) accept(ln net.Listener, callerName func(net.Addr) (string, bool), to, target string, local net.Addr) {
 	for {
 		c, err := ln.Accept()
 		if err != nil {
@@ -362,45 +362,45 @@
 			time.Sleep(10 * time.Millisecond) // out of descriptors for a moment
 			continue
 		}
-		from, ok := who(c.RemoteAddr())
+		from, ok := callerName(c.RemoteAddr())
 		if !ok {
 			c.Close()
 			continue
 		}
 		n.mu.Lock()
-		n.opened[pair{from, to}] = append(n.opened[pair{from, to}], time.Now())
+		n.dialTimes[direction{from, to}] = append(n.dialTimes[direction{from, to}], time.Now())
 		n.mu.Unlock()
-		n.wg.Go(func() { n.carry(c, from, to, target, local) })
+		n.wg.Go(func() { n.proxyConnection(c, from, to, target, local) })
 	}
 }
 
-// carry joins a connection to its target. What the target does to it, refuse or reset, is done to the caller.
-func (n *Net) carry(c net.Conn, from, to, target string, local net.Addr) {
+// proxyConnection joins a connection to its target. What the target does to it, refuse or reset, is done to the caller.
+func (n *Net) proxyConnection(c net.Conn, from, to, target string, local net.Addr) {
 	defer c.Close()
-	if !n.open(from, to) {
+	if !n.awaitUncut(from, to) {
 		return
 	}
 	d := net.Dialer{Timeout: 5 * time.Second, LocalAddr: local}
-	t, err := d.Dial("tcp", target)
+	targetConn, err := d.Dial("tcp", target)
 	if err != nil {
 		reset(c)
 		return
 	}
-	defer t.Close()
+	defer targetConn.Close()
 	stop := make(chan struct{})
 	defer close(stop)
 	go func() { // whatever still reads ends with the links
 		select {
 		case <-n.done:
 			c.Close()
-			t.Close()
+			targetConn.Close()
 		case <-stop:
 		}
 	}()
-	var both sync.WaitGroup
-	both.Go(func() { n.pump(c, t, from, to) })
-	both.Go(func() { n.pump(t, c, to, from) })
-	both.Wait()
+	var directions sync.WaitGroup
+	directions.Go(func() { n.copyStream(c, targetConn, from, to) })
+	directions.Go(func() { n.copyStream(targetConn, c, to, from) })
+	directions.Wait()
 }
 
 func reset(c net.Conn) {
@@ -410,39 +410,39 @@
 	c.Close()
 }
 
-// open waits while a direction is cut; it says no once the links end.
-func (n *Net) open(from, to string) bool {
+// awaitUncut waits while a direction is cut; it says no once the links end.
+func (n *Net) awaitUncut(from, to string) bool {
 	for {
 		n.mu.Lock()
-		cut, moved := n.at(from, to).fault.Cut, n.moved
+		cut, changed := n.linkFor(from, to).fault.Cut, n.faultsChanged
 		n.mu.Unlock()
 		if !cut {
 			return true
 		}
 		select {
-		case <-moved:
+		case <-changed:
 		case <-n.done:
 			return false
 		}
 	}
 }
 
-// pump carries one direction of a stream. An end is passed on as an end, and a reset as a reset of both.
-func (n *Net) pump(src, dst net.Conn, from, to string) {
-	buf := make([]byte, piece)
-	var free time.Time
+// copyStream carries one direction of a stream. An end is passed on as an end, and a reset as a reset of both.
+func (n *Net) copyStream(src, dst net.Conn, from, to string) {
+	buf := make([]byte, chunkBytes)
+	var idleAt time.Time
 	for {
 		size, err := src.Read(buf)
 		if size > 0 {
-			if !n.open(from, to) {
+			if !n.awaitUncut(from, to) {
 				return
 			}
 			n.mu.Lock()
-			l := n.at(from, to)
+			l := n.linkFor(from, to)
 			f := l.fault
 			delay := f.Delay + time.Duration(l.rng.Float64()*float64(f.Jitter))
 			if l.rng.Float64() < f.Loss {
-				delay += retransmit
+				delay += retransmitDelay
 			}
 			if l.rng.Float64() < f.Corrupt {
 				buf[l.rng.IntN(size)] ^= 0x55
@@ -450,11 +450,11 @@
 			n.mu.Unlock()
 			if f.Bandwidth > 0 {
 				now := time.Now()
-				if free.Before(now) {
-					free = now
+				if idleAt.Before(now) {
+					idleAt = now
 				}
-				free = free.Add(time.Duration(float64(size) / f.Bandwidth * float64(time.Second)))
-				delay += free.Sub(now)
+				idleAt = idleAt.Add(time.Duration(float64(size) / f.Bandwidth * float64(time.Second)))
+				delay += idleAt.Sub(now)
 			}
 			if delay > 0 {
 				select {
--- a/internal/lab/links/links_test.go
+++ b/internal/lab/links/links_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// two parties that take packets, and what came at the second.
-func two(t *testing.T) (n *Net, a, b *net.UDPConn, reach netip.AddrPort) {
+// twoParties parties that take packets, and what came at the second.
+func twoParties(t *testing.T) (n *Net, a, b *net.UDPConn, reach netip.AddrPort) {
 	t.Helper()
 	n = New(7)
 	t.Cleanup(n.Close)
@@ -31,7 +31,7 @@
 	return n, conns[0], conns[1], places[1].Reach
 }
 
-func drain(c *net.UDPConn, quiet time.Duration) (got [][]byte) {
+func readUntilQuiet(c *net.UDPConn, quiet time.Duration) (got [][]byte) {
 	buf := make([]byte, 2048)
 	for {
 		_ = c.SetReadDeadline(time.Now().Add(quiet))
@@ -60,10 +60,10 @@
 		{"bandwidth", Fault{Bandwidth: 100_000}, func(got [][]byte, _ int, _ time.Duration) bool { return len(got) == sent }},
 		{"cut", Fault{Cut: true}, func(got [][]byte, _ int, _ time.Duration) bool { return len(got) == 0 }},
 	} {
-		n, a, b, reach := two(t)
+		n, a, b, reach := twoParties(t)
 		n.Set("a", "b", c.fault)
 		n.Set("b", "a", Fault{Cut: true}) // the other direction is another link
-		from := time.Now()
+		start := time.Now()
 		text := bytes.Repeat([]byte("x"), 50)
 		for range sent {
 			if _, err := a.WriteToUDPAddrPort(text, reach); err != nil {
@@ -74,19 +74,19 @@
 		_ = b.SetReadDeadline(time.Now().Add(time.Second))
 		buf := make([]byte, 100)
 		_, err := b.Read(buf)
-		first := time.Since(from)
-		got := drain(b, 300*time.Millisecond)
+		first := time.Since(start)
+		got := readUntilQuiet(b, 300*time.Millisecond)
 		if err == nil {
 			got = append(got, buf[:50])
 		}
-		spoilt := 0
+		corrupt := 0
 		for _, g := range got {
 			if !bytes.Equal(g, text) {
-				spoilt++
+				corrupt++
 			}
 		}
-		if !c.ok(got, spoilt, first) {
-			t.Errorf("%s: %d came of %d, %d spoilt, the first after %v", c.name, len(got), sent, spoilt, first)
+		if !c.ok(got, corrupt, first) {
+			t.Errorf("%s: %d came of %d, %d spoilt, the first after %v", c.name, len(got), sent, corrupt, first)
 		}
 	}
 }
@@ -118,18 +118,18 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	say := func(text string, within time.Duration) bool {
+	echo := func(text string, within time.Duration) bool {
 		_, _ = io.WriteString(c, text)
 		_ = c.SetReadDeadline(time.Now().Add(within))
 		buf := make([]byte, 64)
 		size, err := c.Read(buf)
 		return err == nil && string(buf[:size]) == text
 	}
-	if !say("hello", 5*time.Second) {
+	if !echo("hello", 5*time.Second) {
 		t.Fatal("no echo")
 	}
 	n.Set("b", "a", Fault{Cut: true})
-	if say("held", 100*time.Millisecond) {
+	if echo("held", 100*time.Millisecond) {
 		t.Error("an echo came through the cut")
 	}
 	n.Set("b", "a", Fault{})
@@ -153,7 +153,7 @@
 }
 
 // Injectors side by side give no address twice: what listens at one may share its port, and would get the other's calls.
-func TestNoAddressTwice(t *testing.T) {
+func TestAddressesAreUnique(t *testing.T) {
 	seen := map[netip.Addr]bool{}
 	for range 3 {
 		n := New(4)
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -53,20 +53,20 @@
 
 // message is one hand-in to be.
 type message struct {
-	stream int
-	dest   int
-	key    uint64
-	due    time.Time
-	end    time.Time // its deadline, from its first due time
-	tries  int
+	stream   int
+	dest     int
+	key      uint64
+	due      time.Time
+	deadline time.Time // its deadline, from its first due time
+	retries  int
 }
 
 // Load is a load under way.
 type Load struct {
-	cfg Config
-	due chan message
-	seq atomic.Uint64
-	wg  sync.WaitGroup // of messages that fell due and are not over, those that come again included
+	cfg     Config
+	due     chan message
+	nextID  atomic.Uint64
+	pending sync.WaitGroup // of messages that fell due and are not over, those that come again included
 }
 
 // Run hands in by the schedule and returns once the last message has its answer or is out of patience, or when
@@ -75,18 +75,18 @@
 	if cfg.Clients < 1 || len(cfg.Streams) == 0 || len(cfg.Dests) == 0 || cfg.Patience <= 0 {
 		return errors.New("load: clients, streams, destinations or patience are missing")
 	}
-	most := 0.0
+	maxRate := 0.0
 	for _, s := range cfg.Steps {
-		most = max(most, s.Rate)
+		maxRate = max(maxRate, s.Rate)
 	}
-	l := &Load{cfg: cfg, due: make(chan message, int(most*cfg.Patience.Seconds())+cfg.Clients)}
-	l.seq.Store(cfg.Seed << 40)
+	l := &Load{cfg: cfg, due: make(chan message, int(maxRate*cfg.Patience.Seconds())+cfg.Clients)}
+	l.nextID.Store(cfg.Seed << 40)
 	var clients sync.WaitGroup
 	for i := range cfg.Clients {
 		clients.Go(func() { l.client(uint64(i)) })
 	}
 	l.schedule(ctx)
-	l.wg.Wait()
+	l.pending.Wait()
 	close(l.due)
 	clients.Wait()
 	return nil
@@ -95,49 +95,49 @@
 // schedule lets messages fall due. One that no client can take before its patience ends is noted as unsent.
 func (l *Load) schedule(ctx context.Context) {
 	rng := rand.New(rand.NewPCG(l.cfg.Seed, 1))
-	book := l.cfg.Ledger.Book()
+	book := l.cfg.Ledger.NewRecorder()
 	total := 0.0
 	for _, s := range l.cfg.Streams {
 		total += s.Share
 	}
-	at := time.Now()
+	dueAt := time.Now()
 	for _, step := range l.cfg.Steps {
-		end := at.Add(step.For)
+		end := dueAt.Add(step.For)
 		if step.Rate <= 0 {
 			time.Sleep(time.Until(end))
-			at = end
+			dueAt = end
 			continue
 		}
-		for gap := time.Duration(float64(time.Second) / step.Rate); at.Before(end); {
-			if wait := time.Until(at); wait > 0 {
+		for gap := time.Duration(float64(time.Second) / step.Rate); dueAt.Before(end); {
+			if wait := time.Until(dueAt); wait > 0 {
 				time.Sleep(max(wait, time.Millisecond)) // messages of one millisecond share a timer
 			}
 			if ctx.Err() != nil {
 				return
 			}
-			for now := time.Now(); !at.After(now) && at.Before(end); {
-				m := message{stream: pick(rng, l.cfg.Streams, total), dest: l.cfg.Dests[rng.IntN(len(l.cfg.Dests))],
-					key: rng.Uint64(), due: at}
-				m.end = at.Add(l.cfg.Streams[m.stream].Deadline)
-				l.wg.Add(1)
+			for now := time.Now(); !dueAt.After(now) && dueAt.Before(end); {
+				m := message{stream: pickStream(rng, l.cfg.Streams, total), dest: l.cfg.Dests[rng.IntN(len(l.cfg.Dests))],
+					key: rng.Uint64(), due: dueAt}
+				m.deadline = dueAt.Add(l.cfg.Streams[m.stream].Deadline)
+				l.pending.Add(1)
 				select {
 				case l.due <- m:
 				default:
-					l.wg.Done()
-					book.HandIns = append(book.HandIns, l.record(m, ledger.Unsent))
+					l.pending.Done()
+					book.Submissions = append(book.Submissions, l.record(m, ledger.Unsent))
 				}
 				if l.cfg.Poisson {
-					at = at.Add(time.Duration(rng.ExpFloat64() * float64(gap)))
+					dueAt = dueAt.Add(time.Duration(rng.ExpFloat64() * float64(gap)))
 				} else {
-					at = at.Add(gap)
+					dueAt = dueAt.Add(gap)
 				}
 			}
 		}
-		at = end
+		dueAt = end
 	}
 }
 
-func pick(rng *rand.Rand, streams []Stream, total float64) int {
+func pickStream(rng *rand.Rand, streams []Stream, total float64) int {
 	x := rng.Float64() * total
 	for i, s := range streams {
 		if x -= s.Share; x < 0 {
@@ -147,50 +147,50 @@
 	return len(streams) - 1
 }
 
-func (l *Load) record(m message, a ledger.Answer) ledger.HandIn {
-	return ledger.HandIn{ID: l.seq.Add(1), Class: l.cfg.Streams[m.stream].Class, Dest: m.dest, Due: m.due, Deadline: m.end,
-		Answer: a, Again: m.tries > 0, Relay: l.cfg.Relay}
+func (l *Load) record(m message, a ledger.Answer) ledger.Submission {
+	return ledger.Submission{ID: l.nextID.Add(1), Class: l.cfg.Streams[m.stream].Class, Dest: m.dest, Due: m.due, Deadline: m.deadline,
+		Answer: a, Resubmission: m.retries > 0, Relay: l.cfg.Relay}
 }
 
 // client is one connection that hands in one message at a time.
 func (l *Load) client(n uint64) {
-	c := &client{l: l, book: l.cfg.Ledger.Book(), rng: rand.New(rand.NewPCG(l.cfg.Seed, 1000+n))}
-	defer c.hangUp()
+	c := &client{load: l, book: l.cfg.Ledger.NewRecorder(), rng: rand.New(rand.NewPCG(l.cfg.Seed, 1000+n))}
+	defer c.disconnect()
 	for m := range l.due {
 		h := l.record(m, ledger.Unsent)
 		if time.Since(m.due) < l.cfg.Patience {
-			c.put(m, &h)
+			c.submit(m, &h)
 		}
-		c.book.HandIns = append(c.book.HandIns, h)
-		if h.Answer == ledger.Refused && m.tries < l.cfg.Retries {
-			l.again(c.rng, m, h.RetryIn)
+		c.book.Submissions = append(c.book.Submissions, h)
+		if h.Answer == ledger.Refused && m.retries < l.cfg.Retries {
+			l.scheduleRetry(c.rng, m, h.RetryIn)
 		}
-		l.wg.Done()
+		l.pending.Done()
 	}
 }
 
-// again hands a refused message in once more, under a new id, when its time has come.
-func (l *Load) again(rng *rand.Rand, m message, in time.Duration) {
+// scheduleRetry hands a refused message in once more, under a new id, when its time has come.
+func (l *Load) scheduleRetry(rng *rand.Rand, m message, wait time.Duration) {
 	if rng.Float64() >= l.cfg.Honour {
-		in = 0
+		wait = 0
 	}
-	if m.tries++; time.Now().Add(in).After(m.end) {
+	if m.retries++; time.Now().Add(wait).After(m.deadline) {
 		return
 	}
-	l.wg.Add(1)
-	time.AfterFunc(in, func() {
+	l.pending.Add(1)
+	time.AfterFunc(wait, func() {
 		m.due = time.Now()
 		select {
 		case l.due <- m:
 		default: // no client will be free in time
-			l.wg.Done()
+			l.pending.Done()
 		}
 	})
 }
 
 type client struct {
-	l    *Load
-	book *ledger.Book
+	load *Load
+	book *ledger.Recorder
 	rng  *rand.Rand
 	nc   net.Conn
 	r    *bufio.Reader
@@ -198,24 +198,24 @@
 	body []byte
 }
 
-func (c *client) hangUp() {
+func (c *client) disconnect() {
 	if c.nc != nil {
 		c.nc.Close()
 		c.nc = nil
 	}
 }
 
-// put hands one message in and waits for its answer as long as its patience lasts. A connection that the relay
+// submit hands one message in and waits for its answer as long as its patience lasts. A connection that the relay
 // closed between requests is replaced once.
-func (c *client) put(m message, h *ledger.HandIn) {
-	s := &c.l.cfg.Streams[m.stream]
+func (c *client) submit(m message, h *ledger.Submission) {
+	s := &c.load.cfg.Streams[m.stream]
 	h.Answer = ledger.NoAnswer
 	h.Sent = time.Now()
-	until := h.Sent.Add(c.l.cfg.Patience)
-	for try := range 2 {
-		warm := c.nc != nil
-		if !warm {
-			nc, err := net.DialTimeout("tcp", c.l.cfg.Addr, time.Until(until))
+	until := h.Sent.Add(c.load.cfg.Patience)
+	for attempt := range 2 {
+		reused := c.nc != nil
+		if !reused {
+			nc, err := net.DialTimeout("tcp", c.load.cfg.Addr, time.Until(until))
 			if err != nil {
 				return
 			}
@@ -229,18 +229,18 @@
 			line, err = c.r.ReadString('\n')
 		}
 		if err == nil {
-			c.heard(h, strings.TrimSuffix(line, "\r\n"))
+			c.recordAnswer(h, strings.TrimSuffix(line, "\r\n"))
 			return
 		}
-		c.hangUp()
-		var ne net.Error
-		if errors.As(err, &ne) && ne.Timeout() || !warm || try > 0 {
+		c.disconnect()
+		var netErr net.Error
+		if errors.As(err, &netErr) && netErr.Timeout() || !reused || attempt > 0 {
 			return
 		}
 	}
 }
 
-func (c *client) heard(h *ledger.HandIn, line string) {
+func (c *client) recordAnswer(h *ledger.Submission, line string) {
 	h.Answered = time.Now()
 	switch {
 	case strings.HasPrefix(line, "+"):
@@ -255,10 +255,10 @@
 }
 
 // command encodes MSG.PUT.
-func (c *client) command(b []byte, m message, h *ledger.HandIn, s *Stream) []byte {
-	left := max(time.Until(m.end).Milliseconds(), 1)
-	fields := fmt.Sprintf("c=%s,t=%s,d=%d,k=%016x,dest=%d", c.l.cfg.Classes[s.Class].Name, s.Tenant, left, m.key, m.dest)
-	if m.tries > 0 {
+func (c *client) command(b []byte, m message, h *ledger.Submission, s *Stream) []byte {
+	leftMillis := max(time.Until(m.deadline).Milliseconds(), 1)
+	fields := fmt.Sprintf("c=%s,t=%s,d=%d,k=%016x,dest=%d", c.load.cfg.Classes[s.Class].Name, s.Tenant, leftMillis, m.key, m.dest)
+	if m.retries > 0 {
 		fields += ",r=1"
 	}
 	if len(c.body) != s.Body {
--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/load_test.go
@@ -15,8 +15,8 @@
 	"slatemux/internal/lab/ledger"
 )
 
-// relay answers hand-ins as f says; an empty answer is none.
-func relay(t *testing.T, f func(n int64, cmd redcon.Command) string) string {
+// startRelay answers hand-ins as f says; an empty answer is none.
+func startRelay(t *testing.T, f func(n int64, cmd redcon.Command) string) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -71,7 +71,7 @@
 // What is handed in is what the protocol has, as often as the schedule says, each under an id of its own.
 func TestSchedule(t *testing.T) {
 	ids := make(chan string, 1000)
-	addr := relay(t, func(_ int64, cmd redcon.Command) string {
+	addr := startRelay(t, func(_ int64, cmd redcon.Command) string {
 		if len(cmd.Args) != 5 || string(cmd.Args[0]) != "MSG.PUT" || !strings.HasPrefix(string(cmd.Args[3]), "c=slot,t=acme,d=") || len(cmd.Args[4]) != 20 {
 			return "-ERR what"
 		}
@@ -93,8 +93,8 @@
 }
 
 // A relay that says nothing holds its clients, and messages that find none still count.
-func TestSilenceIsNotHidden(t *testing.T) {
-	c := run(t, relay(t, func(int64, redcon.Command) string { return "" }), nil)
+func TestUnansweredMessagesAreCounted(t *testing.T) {
+	c := run(t, startRelay(t, func(int64, redcon.Command) string { return "" }), nil)
 	if c.Offered != 20 || c.NoAnswer == 0 || c.Accepted > 0 || c.NoAnswer+c.Unsent != 20 {
 		t.Errorf("%+v", c)
 	}
@@ -103,7 +103,7 @@
 // Refused messages come again when they were told to, under new ids, marked so, and not for ever.
 func TestRetries(t *testing.T) {
 	marked := atomic.Int64{}
-	c := run(t, relay(t, func(n int64, cmd redcon.Command) string {
+	c := run(t, startRelay(t, func(n int64, cmd redcon.Command) string {
 		if strings.HasSuffix(string(cmd.Args[3]), ",r=1") {
 			marked.Add(1)
 		}
@@ -116,7 +116,7 @@
 
 // A connection that is closed between requests is replaced, and the request sent once more.
 func TestConnectionClosedBetweenRequests(t *testing.T) {
-	c := run(t, relay(t, func(n int64, _ redcon.Command) string {
+	c := run(t, startRelay(t, func(n int64, _ redcon.Command) string {
 		if n == 3 {
 			return "close"
 		}
@@ -127,7 +127,7 @@
 	}
 }
 
-func TestLoadsThatMakeNoSense(t *testing.T) {
+func TestEmptyLoadIsRejected(t *testing.T) {
 	if err := Run(context.Background(), Config{}); err == nil {
 		t.Error("an empty load was run")
 	}
--- a/internal/lab/sizes_test.go
+++ b/internal/lab/manyservers_test.go
@@ -70,18 +70,18 @@
 			}
 			t.Cleanup(p.Kill)
 			ready := time.Since(began)
-			idle := grown(t, p)
-			taken := handAll(t, seat.Listen, size)
+			idle := readUsage(t, p)
+			taken := submitToAll(t, seat.Listen, size)
 			for until := time.Now().Add(30 * time.Second); calls.Load()+notices.Load() < int64(taken) && time.Now().Before(until); {
 				time.Sleep(20 * time.Millisecond)
 			}
-			busy := grown(t, p)
+			busy := readUsage(t, p)
 			t.Logf("%d servers: ready after %v; idle %v; with %d messages to all %v; %d delivered", size, ready.Round(time.Millisecond), idle, taken, busy, calls.Load())
 			most := memoryMB << 20
 			if size == 5000 { // all called within seconds: docs/sizes.md
 				most = 40 << 20
 			}
-			if busy.peak > most || idle.peak > memoryMB<<20 || busy.files > sockets {
+			if busy.peakBytes > most || idle.peakBytes > memoryMB<<20 || busy.descriptors > sockets {
 				t.Errorf("over a limit: idle %v, busy %v", idle, busy)
 			}
 			if taken < size*9/10 || calls.Load()+notices.Load() < int64(taken) || calls.Load() < int64(taken)*9/10 {
@@ -94,16 +94,16 @@
 	}
 }
 
-// grownTo is what a process holds.
-type grownTo struct{ rss, peak, files, threads int }
+// memoryUsage is what a process holds.
+type memoryUsage struct{ rssBytes, peakBytes, descriptors, threads int }
 
-func (g grownTo) String() string {
-	return fmt.Sprintf("%.1f MB (peak %.1f), %d descriptors, %d threads", float64(g.rss)/1e6, float64(g.peak)/1e6, g.files, g.threads)
+func (g memoryUsage) String() string {
+	return fmt.Sprintf("%.1f MB (peak %.1f), %d descriptors, %d threads", float64(g.rssBytes)/1e6, float64(g.peakBytes)/1e6, g.descriptors, g.threads)
 }
 
-func grown(t *testing.T, p *Process) (g grownTo) {
+func readUsage(t *testing.T, p *Process) (g memoryUsage) {
 	t.Helper()
-	dir := fmt.Sprintf("/proc/%d", p.cmd.Process.Pid)
+	dir := fmt.Sprintf("/proc/%d", p.command.Process.Pid)
 	raw, err := os.ReadFile(filepath.Join(dir, "status"))
 	if err != nil {
 		t.Fatal(err)
@@ -116,9 +116,9 @@
 		}
 		switch name {
 		case "VmRSS":
-			g.rss = kb << 10
+			g.rssBytes = kb << 10
 		case "VmHWM":
-			g.peak = kb << 10
+			g.peakBytes = kb << 10
 		case "Threads":
 			g.threads = kb
 		}
@@ -127,12 +127,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	g.files = len(files)
+	g.descriptors = len(files)
 	return g
 }
 
-// handAll hands in a message to each destination, and again where one is refused; it says how many were taken on.
-func handAll(t *testing.T, addr string, size int) (taken int) {
+// submitToAll hands in a message to each destination, and again where one is refused; it says how many were taken on.
+func submitToAll(t *testing.T, addr string, size int) (taken int) {
 	var n, done atomic.Int64
 	var clients sync.WaitGroup
 	for range 20 {
--- a/internal/lab/hard_test.go
+++ b/internal/lab/overload_test.go
@@ -39,10 +39,10 @@
 	os.Exit(code)
 }
 
-// eager sheds at once, so that a test need not load the machine for it.
-const eager = `overload { enabled: true target_busy: 0.1 confirm_ticks: 1 least_rate: 1 retry_least_ms: 50 }`
+// eagerShedding sheds at once, so that a test need not load the machine for it.
+const eagerShedding = `overload { enabled: true target_busy: 0.1 confirm_ticks: 1 least_rate: 1 retry_least_ms: 50 }`
 
-func put(t *testing.T, latency time.Duration, memoryMB float64, change ...func(*partner.Config)) *Deployment {
+func startDeployment(t *testing.T, latency time.Duration, memoryMB float64, change ...func(*partner.Config)) *Deployment {
 	t.Helper()
 	p := Place{Classes: Usual(), Tenants: []Tenant{{Name: "acme", Share: 1}}, MemoryMB: memoryMB, DiskMB: 64, Sockets: 512, MaxOpen: 2000,
 		MaxCalls: 100, KeepAlive: 5 * time.Second, Seed: 3}
@@ -63,7 +63,7 @@
 	return d
 }
 
-func (d *Deployment) relay(t *testing.T, gateway string) *Process {
+func (d *Deployment) startRelay(t *testing.T, gateway string) *Process {
 	t.Helper()
 	p, err := d.Relay(binary, nil, gateway)
 	if err != nil {
@@ -73,7 +73,7 @@
 	return p
 }
 
-func (d *Deployment) hand(t *testing.T, streams []load.Stream, retries int, steps ...load.Step) {
+func (d *Deployment) runLoad(t *testing.T, streams []load.Stream, retries int, steps ...load.Step) {
 	t.Helper()
 	err := d.Load(context.Background(), load.Config{Clients: 60, Patience: 400 * time.Millisecond, Streams: streams, Steps: steps,
 		Dests: []int{0, 1}, Retries: retries, Honour: 1, Seed: 5})
@@ -82,14 +82,14 @@
 	}
 }
 
-func slots(body int) []load.Stream {
+func twoStreams(body int) []load.Stream {
 	return []load.Stream{{Class: 0, Tenant: "acme", Share: 0.6, Body: body, Deadline: 28 * time.Second},
 		{Class: 1, Tenant: "acme", Share: 0.4, Body: body, Deadline: 5 * time.Second}}
 }
 
-// judge waits for the last end and demands that no rule is broken. Slow machines get time, no rule gets lenient
+// judgeRun waits for the last end and demands that no rule is broken. Slow machines get time, no rule gets lenient
 // otherwise.
-func (d *Deployment) judge(t *testing.T, p *Process) ledger.Verdict {
+func (d *Deployment) judgeRun(t *testing.T, p *Process) ledger.Verdict {
 	t.Helper()
 	if err := p.Settled(time.Now().Add(60 * time.Second)); err != nil {
 		t.Fatalf("%v\n%s", err, p.Log())
@@ -107,7 +107,7 @@
 	return v
 }
 
-func total(v ledger.Verdict) (offered, accepted, refused int) {
+func totals(v ledger.Verdict) (offered, accepted, refused int) {
 	for _, c := range v.Classes {
 		offered, accepted, refused = offered+c.Offered, accepted+c.Accepted, refused+c.Refused
 	}
@@ -117,8 +117,8 @@
 // A processor that is there for a tenth of the time: the relay is stopped and let go on, over and over, under a load
 // that jumps.
 func TestStopAndGo(t *testing.T) {
-	d := put(t, 10*time.Millisecond, 64)
-	p := d.relay(t, eager)
+	d := startDeployment(t, 10*time.Millisecond, 64)
+	p := d.startRelay(t, eagerShedding)
 	ctx, cancel := context.WithCancel(context.Background())
 	stopped := make(chan struct{})
 	go func() {
@@ -130,30 +130,30 @@
 			time.Sleep(5 * time.Millisecond)
 		}
 	}()
-	d.hand(t, slots(200), 2, load.Step{For: 500 * time.Millisecond, Rate: 300}, load.Step{For: 2 * time.Second, Rate: 3000})
+	d.runLoad(t, twoStreams(200), 2, load.Step{For: 500 * time.Millisecond, Rate: 300}, load.Step{For: 2 * time.Second, Rate: 3000})
 	cancel()
 	<-stopped
-	if _, accepted, refused := total(d.judge(t, p)); accepted == 0 || refused == 0 {
+	if _, accepted, refused := totals(d.judgeRun(t, p)); accepted == 0 || refused == 0 {
 		t.Errorf("%d accepted, %d refused: the test caused no overload, or no service", accepted, refused)
 	}
 }
 
 // SIGKILL while messages are shed and others are out, and a new start on the same folder.
 func TestKilledWhileShedding(t *testing.T) {
-	d := put(t, 60*time.Millisecond, 64)
-	p := d.relay(t, eager)
+	d := startDeployment(t, 60*time.Millisecond, 64)
+	p := d.startRelay(t, eagerShedding)
 	loaded := make(chan struct{})
 	go func() {
 		defer close(loaded)
-		d.hand(t, slots(200), 3, load.Step{For: 2500 * time.Millisecond, Rate: 1500})
+		d.runLoad(t, twoStreams(200), 3, load.Step{For: 2500 * time.Millisecond, Rate: 1500})
 	}()
 	time.Sleep(time.Second)
 	from := time.Now()
 	p.Kill()
-	p = d.relay(t, eager)
+	p = d.startRelay(t, eagerShedding)
 	d.Ledger.Kill(ledger.Kill{From: from, Ready: time.Now()})
 	<-loaded
-	if _, accepted, refused := total(d.judge(t, p)); accepted == 0 || refused == 0 {
+	if _, accepted, refused := totals(d.judgeRun(t, p)); accepted == 0 || refused == 0 {
 		t.Errorf("%d accepted, %d refused: the test caused no overload, or no service", accepted, refused)
 	}
 }
@@ -161,8 +161,8 @@
 // Partners so slow that large bodies pile up under the smallest limit of memory: the relay stays under it, and turns
 // the large ones away.
 func TestSlowPartnersFillMemory(t *testing.T) {
-	d := put(t, 700*time.Millisecond, 32)
-	p := d.relay(t, `overload { enabled: true }`)
+	d := startDeployment(t, 700*time.Millisecond, 32)
+	p := d.startRelay(t, `overload { enabled: true }`)
 	var most int64
 	ctx, cancel := context.WithCancel(context.Background())
 	watched := make(chan struct{})
@@ -174,17 +174,17 @@
 	}()
 	large := []load.Stream{{Class: 1, Tenant: "acme", Share: 0.8, Body: 60_000, Deadline: 5 * time.Second},
 		{Class: 1, Tenant: "acme", Share: 0.2, Body: 300, Deadline: 5 * time.Second}}
-	d.hand(t, large, 0, load.Step{For: 3 * time.Second, Rate: 300})
+	d.runLoad(t, large, 0, load.Step{For: 3 * time.Second, Rate: 300})
 	cancel()
 	<-watched
-	v := d.judge(t, p)
+	v := d.judgeRun(t, p)
 	if most > 32e6 {
 		t.Errorf("%d bytes resident under a limit of 32 MB", most)
 	}
 	if line, _ := p.Line("counters"); Field(line, "relay", "bytes") != 0 {
 		t.Errorf("bytes are held though nothing is open: %v", line)
 	}
-	if _, accepted, refused := total(v); accepted == 0 || refused == 0 {
+	if _, accepted, refused := totals(v); accepted == 0 || refused == 0 {
 		t.Errorf("%d accepted, %d refused", accepted, refused)
 	}
 }
@@ -217,8 +217,8 @@
 	if err := ca.Write(filepath.Join(dir, "root.pem"), root.PEM(), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	d := put(t, 10*time.Millisecond, 64, func(c *partner.Config) { c.TLS = server })
-	p := d.relay(t, fmt.Sprintf(`tls { policy { name: "bank" root_file: %q client_certificate: %q client_key: %q } }`,
+	d := startDeployment(t, 10*time.Millisecond, 64, func(c *partner.Config) { c.TLS = server })
+	p := d.startRelay(t, fmt.Sprintf(`tls { policy { name: "bank" root_file: %q client_certificate: %q client_key: %q } }`,
 		filepath.Join(dir, "root.pem"), filepath.Join(dir, "client.pem"), filepath.Join(dir, "client.key")))
 	stop, stopped := make(chan struct{}), make(chan struct{})
 	go func() {
@@ -238,21 +238,21 @@
 			}
 		}
 	}()
-	d.hand(t, slots(200), 0, load.Step{For: 2 * time.Second, Rate: 150})
+	d.runLoad(t, twoStreams(200), 0, load.Step{For: 2 * time.Second, Rate: 150})
 	close(stop)
 	<-stopped
-	v := d.judge(t, p)
+	v := d.judgeRun(t, p)
 	line, _ := p.Line("tls counters")
-	if _, accepted, _ := total(v); accepted == 0 || Field(line, "tls", "handshakes") == 0 || Field(line, "tls", "reloads") == 0 {
+	if _, accepted, _ := totals(v); accepted == 0 || Field(line, "tls", "handshakes") == 0 || Field(line, "tls", "reloads") == 0 {
 		t.Errorf("%d accepted, %v", accepted, line)
 	}
 }
 
 // The laboratory sees what it is there to see: a relay that is killed and does not come back has lost what it took on.
-func TestLossIsSeen(t *testing.T) {
-	d := put(t, 300*time.Millisecond, 64)
-	p := d.relay(t, "")
-	d.hand(t, slots(100), 0, load.Step{For: 300 * time.Millisecond, Rate: 200})
+func TestLossIsDetected(t *testing.T) {
+	d := startDeployment(t, 300*time.Millisecond, 64)
+	p := d.startRelay(t, "")
+	d.runLoad(t, twoStreams(100), 0, load.Step{For: 300 * time.Millisecond, Rate: 200})
 	p.Kill()
 	d.Close()
 	v := d.Ledger.Judge(ledger.Usual(d.Classes), time.Now().Add(time.Hour))
--- a/internal/lab/partner/partner.go
+++ b/internal/lab/partner/partner.go
@@ -38,12 +38,12 @@
 	CV   float64 // coefficient of variation of a lognormal; 0 for always the mean
 }
 
-func (l Latency) draw(rng *rand.Rand) time.Duration {
+func (l Latency) sample(rng *rand.Rand) time.Duration {
 	if l.CV <= 0 {
 		return l.Mean
 	}
-	s2 := math.Log1p(l.CV * l.CV)
-	return time.Duration(float64(l.Mean) * math.Exp(rng.NormFloat64()*math.Sqrt(s2)-s2/2))
+	variance := math.Log1p(l.CV * l.CV)
+	return time.Duration(float64(l.Mean) * math.Exp(rng.NormFloat64()*math.Sqrt(variance)-variance/2))
 }
 
 // Phase is a stretch of an endpoint's life, until the next one begins.
@@ -60,22 +60,22 @@
 
 // Gate is the limit of a partner, over all its endpoints.
 type Gate struct {
-	mu     sync.Mutex
-	bucket float64
-	filled time.Time
-	recent []time.Time // arrivals in the last second, while cold
+	mu         sync.Mutex
+	tokens     float64
+	refilledAt time.Time
+	recent     []time.Time // arrivals in the last second, while cold
 }
 
-// begin fills it at the beginning of a phase.
-func (g *Gate) begin(p *Phase, now time.Time) {
+// reset fills it at the beginning of a phase.
+func (g *Gate) reset(p *Phase, now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.bucket, g.filled, g.recent = p.Rate, now, nil
+	g.tokens, g.refilledAt, g.recent = p.Rate, now, nil
 }
 
-// take lets a call in, or not; it says what the rate is just now, what share of it is left, and whether a cold partner is pushed
+// admit lets a call in, or not; it says what the rate is just now, what share of it is left, and whether a cold partner is pushed
 // over.
-func (g *Gate) take(p *Phase, age time.Duration, now time.Time) (in bool, rate, left float64, over bool) {
+func (g *Gate) admit(p *Phase, age time.Duration, now time.Time) (admitted bool, rate, left float64, overloaded bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if rate = p.Rate; p.Cold > 0 && age < p.Cold {
@@ -84,17 +84,17 @@
 		for len(g.recent) > 0 && now.Sub(g.recent[0]) > time.Second {
 			g.recent = g.recent[1:]
 		}
-		over = float64(len(g.recent)) > 2*rate+4
+		overloaded = float64(len(g.recent)) > 2*rate+4
 	}
 	if p.Rate <= 0 {
-		return true, 0, 1, over
+		return true, 0, 1, overloaded
 	}
-	g.bucket = min(g.bucket+rate*now.Sub(g.filled).Seconds(), max(rate, 1))
-	g.filled = now
-	if in = g.bucket >= 1 && p.Mode != Shut; in {
-		g.bucket--
+	g.tokens = min(g.tokens+rate*now.Sub(g.refilledAt).Seconds(), max(rate, 1))
+	g.refilledAt = now
+	if admitted = g.tokens >= 1 && p.Mode != Shut; admitted {
+		g.tokens--
 	}
-	return in, rate, max(g.bucket, 0) / max(rate, 1), over
+	return admitted, rate, max(g.tokens, 0) / max(rate, 1), overloaded
 }
 
 // Config says what an endpoint is.
@@ -123,18 +123,18 @@
 	addr  string
 	start time.Time
 
-	mu      sync.Mutex
-	ln      net.Listener
-	conns   map[net.Conn]bool // whether a call is under way
-	gen     int               // of connections
-	phase   Phase
-	since   time.Time // of the phase
-	closed  bool
-	calls   int64
-	shook   [2]int64 // handshakes in full, and resumed
-	changed chan struct{}
-	begun   chan struct{} // closed when the life begins anew
-	wg      sync.WaitGroup
+	mu         sync.Mutex
+	ln         net.Listener
+	conns      map[net.Conn]bool // whether a call is under way
+	generation int               // of connections
+	phase      Phase
+	phaseStart time.Time // of the phase
+	closed     bool
+	calls      int64
+	handshakes [2]int64 // handshakes in full, and resumed
+	done       chan struct{}
+	restarted  chan struct{} // closed when the life begins anew
+	wg         sync.WaitGroup
 }
 
 // Start opens an endpoint and begins its life.
@@ -145,15 +145,15 @@
 	if cfg.Gate == nil {
 		cfg.Gate = &Gate{}
 	}
-	s := &Server{cfg: cfg, start: time.Now(), conns: map[net.Conn]bool{}, changed: make(chan struct{}), begun: make(chan struct{})}
+	s := &Server{cfg: cfg, start: time.Now(), conns: map[net.Conn]bool{}, done: make(chan struct{}), restarted: make(chan struct{})}
 	ln, err := net.Listen("tcp", cfg.Addr)
 	if err != nil {
 		return nil, fmt.Errorf("partner %s: %w", cfg.Name, err)
 	}
 	s.addr, s.ln = ln.Addr().String(), ln
-	s.enter(cfg.Life[0])
+	s.enterPhase(cfg.Life[0])
 	s.wg.Go(func() { s.accept(ln) })
-	s.wg.Go(func() { s.live(s.begun) })
+	s.wg.Go(func() { s.runPhases(s.restarted) })
 	return s, nil
 }
 
@@ -164,13 +164,13 @@
 		s.mu.Unlock()
 		return
 	}
-	close(s.begun)
-	s.begun = make(chan struct{})
+	close(s.restarted)
+	s.restarted = make(chan struct{})
 	s.start = time.Now()
-	again := s.begun
+	restarted := s.restarted
 	s.mu.Unlock()
-	s.enter(s.cfg.Life[0])
-	s.wg.Go(func() { s.live(again) })
+	s.enterPhase(s.cfg.Life[0])
+	s.wg.Go(func() { s.runPhases(restarted) })
 }
 
 // Addr is where the endpoint listens, or will again.
@@ -187,7 +187,7 @@
 func (s *Server) Handshakes() (full, resumed int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.shook[0], s.shook[1]
+	return s.handshakes[0], s.handshakes[1]
 }
 
 // Close ends the endpoint and waits for its connections.
@@ -195,15 +195,15 @@
 	s.mu.Lock()
 	if !s.closed {
 		s.closed = true
-		close(s.changed)
+		close(s.done)
 	}
-	s.hush()
+	s.closeConnections()
 	s.mu.Unlock()
 	s.wg.Wait()
 }
 
-// hush closes listener and connections. It needs the lock.
-func (s *Server) hush() {
+// closeConnections closes listener and connections. It needs the lock.
+func (s *Server) closeConnections() {
 	if s.ln != nil {
 		s.ln.Close()
 		s.ln = nil
@@ -216,36 +216,36 @@
 	}
 }
 
-// live goes through the phases.
-func (s *Server) live(again chan struct{}) {
+// runPhases goes through the phases.
+func (s *Server) runPhases(restarted chan struct{}) {
 	s.mu.Lock()
 	start := s.start
 	s.mu.Unlock()
 	for _, p := range s.cfg.Life[1:] {
 		select {
-		case <-s.changed:
+		case <-s.done:
 			return
-		case <-again:
+		case <-restarted:
 			return
 		case <-time.After(time.Until(start.Add(p.From))):
 		}
-		s.enter(p)
+		s.enterPhase(p)
 	}
 }
 
-// Enter begins a phase at once; the script goes on as before.
-func (s *Server) Enter(p Phase) { s.enter(p) }
+// EnterPhase begins a phase at once; the script goes on as before.
+func (s *Server) EnterPhase(p Phase) { s.enterPhase(p) }
 
-func (s *Server) enter(p Phase) {
+func (s *Server) enterPhase(p Phase) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed {
 		return
 	}
-	s.phase, s.since = p, time.Now()
-	s.cfg.Gate.begin(&p, s.since)
+	s.phase, s.phaseStart = p, time.Now()
+	s.cfg.Gate.reset(&p, s.phaseStart)
 	if p.Mode == Refusing {
-		s.hush()
+		s.closeConnections()
 		return
 	}
 	if s.ln == nil {
@@ -275,54 +275,54 @@
 			continue
 		}
 		s.conns[c] = false
-		gen := s.gen
-		s.wg.Go(func() { s.serve(c, n, gen) })
+		generation := s.generation
+		s.wg.Go(func() { s.serve(c, n, generation) })
 		s.mu.Unlock()
 	}
 }
 
-// verdict is what becomes of one call.
-type verdict struct {
-	mode   Mode
-	status int
-	wait   time.Duration
-	after  time.Duration
-	cold   bool
-	report string
+// response is what becomes of one call.
+type response struct {
+	mode         Mode
+	status       int
+	wait         time.Duration
+	delay        time.Duration
+	coldOverload bool
+	loadReport   string
 }
 
-// rule decides on a call that has arrived.
-func (s *Server) rule(rng *rand.Rand) verdict {
+// decide decides on a call that has arrived.
+func (s *Server) decide(rng *rand.Rand) response {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.calls++
 	p, now := s.phase, time.Now()
-	v := verdict{mode: p.Mode, status: 200, after: p.Latency.draw(rng), report: s.cfg.Report}
-	in, rate, left, over := s.cfg.Gate.take(&p, now.Sub(s.since), now)
-	v.cold = over
+	v := response{mode: p.Mode, status: 200, delay: p.Latency.sample(rng), loadReport: s.cfg.Report}
+	admitted, rate, left, overloaded := s.cfg.Gate.admit(&p, now.Sub(s.phaseStart), now)
+	v.coldOverload = overloaded
 	switch {
 	case p.Mode == Shut:
-		v.status, v.after, v.wait = 503, 0, p.Wait
-	case !in:
-		v.status, v.after, v.wait = 429, 0, p.Wait
+		v.status, v.delay, v.wait = 503, 0, p.Wait
+	case !admitted:
+		v.status, v.delay, v.wait = 429, 0, p.Wait
 	}
 	if v.status == 200 && rng.Float64() < p.ErrorRate {
 		v.status = 500
 	}
-	if v.report == "" {
-		v.report = fmt.Sprintf("x0=%.3f,x1=%.3f", left, rate)
+	if v.loadReport == "" {
+		v.loadReport = fmt.Sprintf("x0=%.3f,x1=%.3f", left, rate)
 	}
 	return v
 }
 
-var errCall = errors.New("not a call")
+var errMalformedCall = errors.New("not a call")
 
 // request is what a call's head says.
 type request struct {
-	id    uint64
-	body  int
-	gone  bool // Connection: close
-	batch bool // it carries several
+	id         uint64
+	bodyBytes  int
+	closeAfter bool // Connection: close
+	batch      bool // it carries several
 }
 
 // readHead reads a call's head. first is when its first byte was there.
@@ -339,7 +339,7 @@
 		line = bytes.TrimRight(line, "\r\n")
 		if n == 0 {
 			if req.batch = bytes.HasPrefix(line, []byte("POST /hook/batch HTTP/1.1")); !req.batch && !bytes.HasPrefix(line, []byte("POST /hook HTTP/1.1")) {
-				return req, first, errCall
+				return req, first, errMalformedCall
 			}
 			continue
 		}
@@ -351,20 +351,20 @@
 		switch {
 		case bytes.EqualFold(name, []byte("X-Correlation-Id")):
 			if req.id, err = strconv.ParseUint(string(value), 16, 64); err != nil {
-				return req, first, errCall
+				return req, first, errMalformedCall
 			}
 		case bytes.EqualFold(name, []byte("Content-Length")):
-			if req.body, err = strconv.Atoi(string(value)); err != nil || req.body < 0 || req.body > 1<<20 {
-				return req, first, errCall
+			if req.bodyBytes, err = strconv.Atoi(string(value)); err != nil || req.bodyBytes < 0 || req.bodyBytes > 1<<20 {
+				return req, first, errMalformedCall
 			}
 		case bytes.EqualFold(name, []byte("Connection")):
-			req.gone = bytes.EqualFold(value, []byte("close"))
+			req.closeAfter = bytes.EqualFold(value, []byte("close"))
 		}
 	}
 }
 
-// several reads the body of a call that carries several: a line for each, with its id, key and length, and its bytes.
-func several(r *bufio.Reader, n int) (ids []string, err error) {
+// readBatch reads the body of a call that carries several: a line for each, with its id, key and length, and its bytes.
+func readBatch(r *bufio.Reader, n int) (ids []string, err error) {
 	text := make([]byte, n)
 	if _, err := io.ReadFull(r, text); err != nil {
 		return nil, err
@@ -373,19 +373,19 @@
 		line, rest, ok := bytes.Cut(text, []byte("\r\n"))
 		parts := bytes.Split(line, []byte(" "))
 		if !ok || len(parts) != 3 || slices.Contains(ids, string(parts[0])) {
-			return nil, errCall
+			return nil, errMalformedCall
 		}
 		size, err := strconv.Atoi(string(parts[2]))
 		if err != nil || size < 0 || len(rest) < size+2 || string(rest[size:size+2]) != "\r\n" {
-			return nil, errCall
+			return nil, errMalformedCall
 		}
 		ids, text = append(ids, string(parts[0])), rest[size+2:]
 	}
 	return ids, nil
 }
 
-// body reads past a body, and says whether it is one that is to be refused.
-func (s *Server) body(r *bufio.Reader, n int) (refuse bool, err error) {
+// readBody reads past a body, and says whether it is one that is to be refused.
+func (s *Server) readBody(r *bufio.Reader, n int) (refuse bool, err error) {
 	if n != len(s.cfg.Refuse) || n == 0 {
 		_, err = r.Discard(n)
 		return false, err
@@ -400,7 +400,7 @@
 func (s *Server) Recycle() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.gen++
+	s.generation++
 	for c, busy := range s.conns {
 		if !busy {
 			c.Close()
@@ -408,18 +408,18 @@
 	}
 }
 
-// busy notes whether a call is under way on a connection, and says whether it is of the present generation.
-func (s *Server) busy(c net.Conn, on bool, gen int) bool {
+// setBusy notes whether a call is under way on a connection, and says whether it is of the present generation.
+func (s *Server) setBusy(c net.Conn, underWay bool, generation int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if _, ok := s.conns[c]; ok {
-		s.conns[c] = on
+		s.conns[c] = underWay
 	}
-	return gen == s.gen
+	return generation == s.generation
 }
 
-func (s *Server) serve(raw net.Conn, n uint64, gen int) {
-	book := s.cfg.Ledger.Book()
+func (s *Server) serve(raw net.Conn, n uint64, generation int) {
+	book := s.cfg.Ledger.NewRecorder()
 	rng := rand.New(rand.NewPCG(s.cfg.Seed, n))
 	defer func() {
 		raw.Close()
@@ -429,24 +429,24 @@
 	}()
 	c := raw
 	if s.cfg.TLS != nil {
-		over := tls.Server(raw, s.cfg.TLS)
-		if over.Handshake() != nil {
+		tlsConn := tls.Server(raw, s.cfg.TLS)
+		if tlsConn.Handshake() != nil {
 			return
 		}
 		s.mu.Lock()
-		if over.ConnectionState().DidResume {
-			s.shook[1]++
+		if tlsConn.ConnectionState().DidResume {
+			s.handshakes[1]++
 		} else {
-			s.shook[0]++
+			s.handshakes[0]++
 		}
 		s.mu.Unlock()
-		c = over
+		c = tlsConn
 	}
 	r := bufio.NewReaderSize(c, 4096)
 	for {
 		req, first, err := readHead(r)
 		if err != nil {
-			if errors.Is(err, errCall) {
+			if errors.Is(err, errMalformedCall) {
 				_, _ = io.WriteString(c, "HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
 			}
 			return
@@ -454,37 +454,37 @@
 		var ids []string
 		var refuse bool
 		if req.batch {
-			if ids, err = several(r, req.body); err == nil && len(ids) > s.cfg.Batch {
-				err = errCall
+			if ids, err = readBatch(r, req.bodyBytes); err == nil && len(ids) > s.cfg.Batch {
+				err = errMalformedCall
 			}
 		} else {
-			refuse, err = s.body(r, req.body)
+			refuse, err = s.readBody(r, req.bodyBytes)
 		}
 		if err != nil {
-			if errors.Is(err, errCall) {
+			if errors.Is(err, errMalformedCall) {
 				_, _ = io.WriteString(c, "HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
 			}
 			return
 		}
-		s.busy(raw, true, gen)
+		s.setBusy(raw, true, generation)
 		call := ledger.Call{ID: req.id, Dest: s.cfg.Dest, Member: s.cfg.Name, First: first, Arrived: time.Now()}
 		record := func() { // a call for each that it carried
 			for _, id := range ids {
-				one := call
-				one.ID, _ = strconv.ParseUint(id, 16, 64)
-				book.Calls = append(book.Calls, one)
+				single := call
+				single.ID, _ = strconv.ParseUint(id, 16, 64)
+				book.Calls = append(book.Calls, single)
 			}
 			if !req.batch {
 				book.Calls = append(book.Calls, call)
 			}
 		}
-		v := s.rule(rng)
+		v := s.decide(rng)
 		if refuse {
-			v.status, v.after, v.wait = 429, 0, max(v.wait, s.cfg.Life[0].Wait)
+			v.status, v.delay, v.wait = 429, 0, max(v.wait, s.cfg.Life[0].Wait)
 		}
-		call.Cold = v.cold
-		if v.after > 0 {
-			time.Sleep(v.after)
+		call.Cold = v.coldOverload
+		if v.delay > 0 {
+			time.Sleep(v.delay)
 		}
 		switch v.mode {
 		case Silent:
@@ -505,11 +505,11 @@
 				body = append(body, id+" delivered\r\n"...)
 			}
 		}
-		text := fmt.Appendf(nil, "HTTP/1.1 %d .\r\nContent-Length: %d\r\nX-Backend-Load: %s\r\n", v.status, len(body), v.report)
+		head := fmt.Appendf(nil, "HTTP/1.1 %d .\r\nContent-Length: %d\r\nX-Backend-Load: %s\r\n", v.status, len(body), v.loadReport)
 		if v.wait > 0 {
-			text = fmt.Appendf(text, "X-Retry-In-Ms: %d\r\n", v.wait.Milliseconds())
+			head = fmt.Appendf(head, "X-Retry-In-Ms: %d\r\n", v.wait.Milliseconds())
 		}
-		_, err = c.Write(append(append(text, "\r\n"...), body...))
+		_, err = c.Write(append(append(head, "\r\n"...), body...))
 		if call.Answered = time.Now(); err != nil {
 			call.Status, call.Answered = 0, time.Time{}
 		}
@@ -517,7 +517,7 @@
 		if s.cfg.OnCall != nil {
 			s.cfg.OnCall(call)
 		}
-		if present := s.busy(raw, false, gen); err != nil || req.gone || !present {
+		if current := s.setBusy(raw, false, generation); err != nil || req.closeAfter || !current {
 			return
 		}
 	}
--- a/internal/lab/partner/partner_test.go
+++ b/internal/lab/partner/partner_test.go
@@ -38,14 +38,14 @@
 	return c
 }
 
-func text(id string, body string) string {
+func callText(id string, body string) string {
 	return fmt.Sprintf("POST /hook HTTP/1.1\r\nHost: m\r\nX-Correlation-Id: %s\r\nContent-Length: %d\r\n\r\n%s", id, len(body), body)
 }
 
 // call makes one call and returns its status, 0 where the connection ended.
 func call(t *testing.T, c net.Conn, r *bufio.Reader) (int, http.Header) {
 	t.Helper()
-	if _, err := c.Write([]byte(text("ab12", "body"))); err != nil {
+	if _, err := c.Write([]byte(callText("ab12", "body"))); err != nil {
 		return 0, nil
 	}
 	resp, err := http.ReadResponse(r, nil)
@@ -72,7 +72,7 @@
 }
 
 // Over its rate an endpoint refuses with the wait that the script has.
-func TestLimitTellsWaits(t *testing.T) {
+func TestRefusalCarriesRetryAfter(t *testing.T) {
 	s, _ := start(t, Phase{Rate: 2, Wait: 300 * time.Millisecond})
 	c := dial(t, s)
 	r := bufio.NewReader(c)
@@ -99,7 +99,7 @@
 	c := dial(t, s)
 	r := bufio.NewReader(c)
 	for _, body := range []string{"stop", "body"} {
-		if _, err := c.Write([]byte(text("1", body))); err != nil {
+		if _, err := c.Write([]byte(callText("1", body))); err != nil {
 			t.Fatal(err)
 		}
 		if _, err := http.ReadResponse(r, nil); err != nil {
@@ -165,7 +165,7 @@
 		want int
 	}{{Phase{Mode: Shut}, 503}, {Phase{Mode: Resetting}, 0}, {Phase{Mode: Silent}, 0}, {Phase{Mode: Refusing}, -1},
 		{Phase{Mode: Serving, ErrorRate: 1}, 500}, {Phase{}, 200}} {
-		s.Enter(step.p)
+		s.EnterPhase(step.p)
 		if got := serves(); got != step.want {
 			t.Errorf("mode %v: %d, want %d", step.p.Mode, got, step.want)
 		}
@@ -173,7 +173,7 @@
 }
 
 // A cold endpoint that is sent more than twice what it bears says so in the books.
-func TestColdEndpointIsPushedOver(t *testing.T) {
+func TestColdEndpointOverloaded(t *testing.T) {
 	s, l := start(t, Phase{Rate: 20, Cold: time.Hour, ColdFrom: 0.2})
 	c := dial(t, s)
 	r := bufio.NewReader(c)
@@ -187,29 +187,29 @@
 }
 
 // A head is read the same however it is cut; garbage never is a call with a body out of bounds.
-func TestHeadsInPiecesAndGarbage(t *testing.T) {
-	good := []byte(text("9b1f03aa5c7e2d41", "body"))
+func TestChunkedAndCorruptHeads(t *testing.T) {
+	good := []byte(callText("9b1f03aa5c7e2d41", "body"))
 	proptest.Check(t, func(t *rapid.T) {
-		var readers []byteReader
+		var readers []chunk
 		for _, p := range proptest.Pieces(t, good) {
-			readers = append(readers, byteReader(p))
+			readers = append(readers, chunk(p))
 		}
-		req, _, err := readHead(bufio.NewReaderSize(&pieces{readers}, 256))
-		if err != nil || req.id != 0x9b1f03aa5c7e2d41 || req.body != 4 {
+		req, _, err := readHead(bufio.NewReaderSize(&chunkReader{readers}, 256))
+		if err != nil || req.id != 0x9b1f03aa5c7e2d41 || req.bodyBytes != 4 {
 			t.Fatalf("%+v %v", req, err)
 		}
-		if req, _, err := readHead(bufio.NewReaderSize(bytes.NewReader(proptest.Garbage(t, good)), 256)); err == nil && (req.body < 0 || req.body > 1<<20) {
+		if req, _, err := readHead(bufio.NewReaderSize(bytes.NewReader(proptest.Garbage(t, good)), 256)); err == nil && (req.bodyBytes < 0 || req.bodyBytes > 1<<20) {
 			t.Fatalf("%+v", req)
 		}
 	})
 }
 
-type byteReader []byte
+type chunk []byte
 
-// pieces hands out one piece a read.
-type pieces struct{ list []byteReader }
+// chunkReader hands out one piece a read.
+type chunkReader struct{ list []chunk }
 
-func (p *pieces) Read(b []byte) (int, error) {
+func (p *chunkReader) Read(b []byte) (int, error) {
 	if len(p.list) == 0 {
 		return 0, fmt.Errorf("over")
 	}
@@ -220,10 +220,10 @@
 	return n, nil
 }
 
-func TestWhatIsNoCall(t *testing.T) {
+func TestMalformedCalls(t *testing.T) {
 	s, _ := start(t, Phase{})
-	for _, bad := range []string{"GET / HTTP/1.1\r\n\r\n", strings.Replace(text("1", ""), "Content-Length: 0", "Content-Length: -1", 1),
-		text("no-id", "")} {
+	for _, bad := range []string{"GET / HTTP/1.1\r\n\r\n", strings.Replace(callText("1", ""), "Content-Length: 0", "Content-Length: -1", 1),
+		callText("no-id", "")} {
 		c := dial(t, s)
 		if _, err := c.Write([]byte(bad)); err != nil {
 			t.Fatal(err)
--- a/internal/lab/platform/platform.go
+++ b/internal/lab/platform/platform.go
@@ -30,8 +30,8 @@
 	BornMS int64   `json:"born_ms"`
 }
 
-// list is what a watch is answered.
-type list struct {
+// hostList is what a watch is answered.
+type hostList struct {
 	Seq   int64  `json:"seq"`
 	Whole bool   `json:"whole"`
 	Hosts []Host `json:"hosts"`
@@ -39,26 +39,26 @@
 
 // Server is discovery and the platform.
 type Server struct {
-	ln     net.Listener
-	http   *http.Server
-	ledger *ledger.Ledger
-	book   *ledger.Book // under the lock
-
-	mu      sync.Mutex
-	seq     int64
-	hosts   []Host
-	changes []change
-	changed chan struct{} // closed at each change
-	silent  bool
-	onHook  func(ledger.Notice)
-	relays  map[netip.Addr]relay // by the address that it calls from; one alone needs none
-	stop    chan struct{}
-	once    sync.Once
+	ln       net.Listener
+	http     *http.Server
+	ledger   *ledger.Ledger
+	recorder *ledger.Recorder // under the lock
+
+	mu        sync.Mutex
+	sequence  int64
+	hosts     []Host
+	changes   []hostChange
+	changed   chan struct{} // closed at each change
+	silent    bool
+	onNotice  func(ledger.Notice)
+	relays    map[netip.Addr]relayRoute // by the address that it calls from; one alone needs none
+	stop      chan struct{}
+	closeOnce sync.Once
 }
 
-// relay is one that is told apart from the others: its drains count from when they were written to it, and what it reads as a
+// relayRoute is one that is told apart from the others: its drains count from when they were written to it, and what it reads as a
 // member's address is its own way there.
-type relay struct {
+type relayRoute struct {
 	number int
 	dial   func(Host) string
 }
@@ -68,13 +68,13 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.relays == nil {
-		s.relays = map[netip.Addr]relay{}
+		s.relays = map[netip.Addr]relayRoute{}
 	}
-	s.relays[from] = relay{number, dial}
+	s.relays[from] = relayRoute{number, dial}
 }
 
-// as is a list as a relay reads it.
-func as(hosts []Host, r relay) []Host {
+// hostsFor is a list as a relay reads it.
+func hostsFor(hosts []Host, r relayRoute) []Host {
 	if r.dial == nil {
 		return hosts
 	}
@@ -85,9 +85,9 @@
 	return hosts
 }
 
-type change struct {
-	seq  int64
-	host Host
+type hostChange struct {
+	sequence int64
+	host     Host
 }
 
 // Start opens a server. addr may leave the port to the system.
@@ -96,7 +96,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("platform: %w", err)
 	}
-	s := &Server{ln: ln, ledger: l, book: l.Book(), seq: 1, hosts: hosts, changed: make(chan struct{}), stop: make(chan struct{})}
+	s := &Server{ln: ln, ledger: l, recorder: l.NewRecorder(), sequence: 1, hosts: hosts, changed: make(chan struct{}), stop: make(chan struct{})}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /discovery/hosts", s.watch)
 	mux.HandleFunc("POST /v1/notices", s.notices)
@@ -110,7 +110,7 @@
 
 // Close ends it.
 func (s *Server) Close() {
-	s.once.Do(func() { close(s.stop) })
+	s.closeOnce.Do(func() { close(s.stop) })
 	_ = s.http.Close()
 }
 
@@ -118,7 +118,7 @@
 func (s *Server) OnNotice(f func(ledger.Notice)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.onHook = f
+	s.onNotice = f
 }
 
 // Known is the list as it stands, in the form that a relay's configuration holds.
@@ -128,7 +128,7 @@
 func (s *Server) KnownTo(from netip.Addr) json.RawMessage {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	raw, _ := json.Marshal(list{s.seq, true, as(s.hosts, s.relays[from])}) // it never fails
+	raw, _ := json.Marshal(hostList{s.sequence, true, hostsFor(s.hosts, s.relays[from])}) // it never fails
 	return raw
 }
 
@@ -136,21 +136,21 @@
 func (s *Server) Change(h Host) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.seq++
+	s.sequence++
 	s.hosts = slices.DeleteFunc(s.hosts, func(o Host) bool { return o.Host == h.Host })
 	if h.Health != "left" {
 		s.hosts = append(s.hosts, h)
 	}
-	s.changes = append(s.changes, change{s.seq, h})
+	s.changes = append(s.changes, hostChange{s.sequence, h})
 	if h.Health == "leaving" && s.relays == nil {
-		s.ledger.Leave(ledger.Leave{Member: h.Host, At: time.Now()})
+		s.ledger.RecordDrain(ledger.Drain{Member: h.Host, At: time.Now()})
 	}
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// Silence lets discovery say nothing, or speak again. Notices are answered all the same.
-func (s *Server) Silence(on bool) {
+// SetSilent lets discovery say nothing, or speak again. Notices are answered all the same.
+func (s *Server) SetSilent(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.silent = on
@@ -164,30 +164,30 @@
 	until := time.After(time.Duration(min(hold, 60_000)) * time.Millisecond)
 	at, _ := netip.ParseAddrPort(req.RemoteAddr)
 	s.mu.Lock()
-	caller, apart := s.relays[at.Addr().Unmap()]
+	caller, identified := s.relays[at.Addr().Unmap()]
 	s.mu.Unlock()
-	for over := hold == 0 || from == 0; ; {
+	for expired := hold == 0 || from == 0; ; {
 		s.mu.Lock()
 		changed, silent := s.changed, s.silent
-		answer := list{Seq: s.seq, Whole: from == 0 || from > s.seq, Hosts: []Host{}}
+		answer := hostList{Seq: s.sequence, Whole: from == 0 || from > s.sequence, Hosts: []Host{}}
 		if answer.Whole {
 			answer.Hosts = s.hosts
 		} else {
 			for _, c := range s.changes {
-				if c.seq > from {
+				if c.sequence > from {
 					answer.Hosts = append(answer.Hosts, c.host)
 				}
 			}
 		}
-		answer.Hosts = as(answer.Hosts, caller)
+		answer.Hosts = hostsFor(answer.Hosts, caller)
 		raw, _ := json.Marshal(answer)
 		s.mu.Unlock()
-		if !silent && (over || answer.Whole || len(answer.Hosts) > 0) {
+		if !silent && (expired || answer.Whole || len(answer.Hosts) > 0) {
 			w.Header().Set("Content-Type", "application/json")
 			_, _ = w.Write(raw)
 			for _, h := range answer.Hosts {
-				if h.Health == "leaving" && apart {
-					s.ledger.Leave(ledger.Leave{Member: h.Host, At: time.Now(), Relay: caller.number})
+				if h.Health == "leaving" && identified {
+					s.ledger.RecordDrain(ledger.Drain{Member: h.Host, At: time.Now(), Relay: caller.number})
 				}
 			}
 			return
@@ -195,7 +195,7 @@
 		select {
 		case <-changed:
 		case <-until:
-			over = true
+			expired = true
 		case <-req.Context().Done():
 			return
 		case <-s.stop:
@@ -228,8 +228,8 @@
 		got = append(got, ledger.Notice{ID: id, At: now, Outcome: n.Outcome, RetryIn: time.Duration(n.RetryIn) * time.Millisecond})
 	}
 	s.mu.Lock()
-	s.book.Notices = append(s.book.Notices, got...)
-	hook := s.onHook
+	s.recorder.Notices = append(s.recorder.Notices, got...)
+	hook := s.onNotice
 	if hook != nil {
 		for _, n := range got {
 			hook(n)
--- a/internal/lab/platform/platform_test.go
+++ b/internal/lab/platform/platform_test.go
@@ -22,7 +22,7 @@
 	return s, l
 }
 
-func get(t *testing.T, s *Server, query string) (got list) {
+func get(t *testing.T, s *Server, query string) (got hostList) {
 	t.Helper()
 	resp, err := http.Get("http://" + s.Addr() + "/discovery/hosts" + query)
 	if err != nil {
@@ -41,7 +41,7 @@
 	if got := get(t, s, ""); got.Seq != 1 || !got.Whole || len(got.Hosts) != 1 {
 		t.Errorf("%+v", got)
 	}
-	answer := make(chan list)
+	answer := make(chan hostList)
 	go func() { answer <- get(t, s, "?from=1&hold_ms=30000") }()
 	s.Change(Host{Host: "b", Health: "active"})
 	if got := <-answer; got.Whole || got.Seq != 2 || len(got.Hosts) != 1 || got.Hosts[0].Host != "b" {
@@ -58,7 +58,7 @@
 	if got := get(t, s, "?from=4&hold_ms=10"); got.Whole || len(got.Hosts) != 0 || got.Seq != 4 {
 		t.Errorf("a watch without news: %+v", got)
 	}
-	b := l.Book()
+	b := l.NewRecorder()
 	b.Calls = []ledger.Call{{ID: 1, Member: "a", First: time.Now().Add(time.Hour)}}
 	if v := l.Judge(ledger.Usual(nil), time.Now()); len(v.Breaches) != 1 || v.Breaches[0].Rule != "drains" {
 		t.Errorf("the ledger does not know of the drain: %+v", v.Breaches)
@@ -66,10 +66,10 @@
 }
 
 // Silent, discovery says nothing, and then everything.
-func TestSilence(t *testing.T) {
+func TestSilentDiscovery(t *testing.T) {
 	s, _ := start(t)
-	s.Silence(true)
-	answer := make(chan list)
+	s.SetSilent(true)
+	answer := make(chan hostList)
 	go func() { answer <- get(t, s, "?from=1&hold_ms=30000") }()
 	s.Change(Host{Host: "b", Health: "active"})
 	select {
@@ -77,7 +77,7 @@
 		t.Errorf("answered while silent: %+v", got)
 	case <-time.After(20 * time.Millisecond):
 	}
-	s.Silence(false)
+	s.SetSilent(false)
 	if got := <-answer; got.Seq != 2 {
 		t.Errorf("%+v", got)
 	}
--- a/internal/lab/process.go
+++ b/internal/lab/process.go
@@ -21,34 +21,34 @@
 
 // Process is a program under test, started by the laboratory and ended by it alone.
 type Process struct {
-	cmd  *exec.Cmd
-	log  *lines
-	done chan struct{}
-	err  error
-	proc procfs.Proc
+	command *exec.Cmd
+	output  *logBuffer
+	done    chan struct{}
+	err     error
+	stats   procfs.Proc
 }
 
-// lines keeps what a program wrote, and whether a text has come.
-type lines struct {
-	mu   sync.Mutex
-	text bytes.Buffer
-	more chan struct{}
+// logBuffer keeps what a program wrote, and whether a text has come.
+type logBuffer struct {
+	mu      sync.Mutex
+	text    bytes.Buffer
+	written chan struct{}
 }
 
-func (l *lines) Write(b []byte) (int, error) {
+func (l *logBuffer) Write(b []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.text.Len() < 8<<20 {
 		l.text.Write(b)
 	}
 	select {
-	case l.more <- struct{}{}:
+	case l.written <- struct{}{}:
 	default:
 	}
 	return len(b), nil
 }
 
-func (l *lines) String() string {
+func (l *logBuffer) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.String()
@@ -57,25 +57,25 @@
 // Run starts a program on the given processors, or on all with none. Its environment is that of the laboratory
 // and env.
 func Run(cpus []int, env []string, name string, args ...string) (*Process, error) {
-	p := &Process{cmd: exec.Command(name, args...), log: &lines{more: make(chan struct{}, 1)}, done: make(chan struct{})}
-	p.cmd.Env = append(os.Environ(), env...)
-	p.cmd.Stderr, p.cmd.Stdout = p.log, io.Discard
-	if err := Pinned(cpus, p.cmd.Start); err != nil {
+	p := &Process{command: exec.Command(name, args...), output: &logBuffer{written: make(chan struct{}, 1)}, done: make(chan struct{})}
+	p.command.Env = append(os.Environ(), env...)
+	p.command.Stderr, p.command.Stdout = p.output, io.Discard
+	if err := RunPinned(cpus, p.command.Start); err != nil {
 		return nil, fmt.Errorf("lab: %s: %w", name, err)
 	}
 	var err error
-	if p.proc, err = procfs.NewProc(p.cmd.Process.Pid); err != nil {
+	if p.stats, err = procfs.NewProc(p.command.Process.Pid); err != nil {
 		return nil, fmt.Errorf("lab: %w", err)
 	}
 	go func() {
-		p.err = p.cmd.Wait()
+		p.err = p.command.Wait()
 		close(p.done)
 	}()
 	return p, nil
 }
 
-// Pinned runs f on a thread that is bound to processors, so that a process which it starts is bound to them too.
-func Pinned(cpus []int, f func() error) error {
+// RunPinned runs f on a thread that is bound to processors, so that a process which it starts is bound to them too.
+func RunPinned(cpus []int, f func() error) error {
 	if len(cpus) == 0 {
 		return f()
 	}
@@ -114,24 +114,24 @@
 	return nil
 }
 
-// Await waits until the program has written a text.
-func (p *Process) Await(text string, deadline time.Time) error {
+// AwaitLog waits until the program has written a text.
+func (p *Process) AwaitLog(text string, deadline time.Time) error {
 	for {
-		if strings.Contains(p.log.String(), text) {
+		if strings.Contains(p.output.String(), text) {
 			return nil
 		}
 		select {
 		case <-p.done:
-			return fmt.Errorf("lab: ended before %q: %v\n%s", text, p.err, p.log)
-		case <-p.log.more:
+			return fmt.Errorf("lab: ended before %q: %v\n%s", text, p.err, p.output)
+		case <-p.output.written:
 		case <-time.After(time.Until(deadline)):
-			return fmt.Errorf("lab: no %q in time\n%s", text, p.log)
+			return fmt.Errorf("lab: no %q in time\n%s", text, p.output)
 		}
 	}
 }
 
 // Signal sends a signal.
-func (p *Process) Signal(s syscall.Signal) error { return p.cmd.Process.Signal(s) }
+func (p *Process) Signal(s syscall.Signal) error { return p.command.Process.Signal(s) }
 
 // Wait waits for the end of the program.
 func (p *Process) Wait() error { <-p.done; return p.err }
@@ -142,7 +142,7 @@
 	select {
 	case <-p.done:
 	case <-time.After(time.Until(deadline)):
-		_ = p.cmd.Process.Kill()
+		_ = p.command.Process.Kill()
 		<-p.done
 	}
 	return p.err
@@ -150,12 +150,12 @@
 
 // Kill ends the program at once.
 func (p *Process) Kill() {
-	_ = p.cmd.Process.Kill()
+	_ = p.command.Process.Kill()
 	<-p.done
 }
 
 // Log is what the program wrote to standard error.
-func (p *Process) Log() string { return p.log.String() }
+func (p *Process) Log() string { return p.output.String() }
 
 // Usage is what a program has used so far.
 type Usage struct {
@@ -166,14 +166,14 @@
 // Usage reads it; nought once the program is gone. The processor time is that of the process's own clock, in
 // nanoseconds, for the figures under /proc count ticks of 10 ms.
 func (p *Process) Usage() Usage {
-	s, err := p.proc.Stat()
+	s, err := p.stats.Stat()
 	if err != nil {
 		return Usage{}
 	}
 	u := Usage{CPU: time.Duration(s.CPUTime() * float64(time.Second)), RSS: int64(s.ResidentMemory())}
 	const sched = 2 // as clock_getcpuclockid(3) builds the clock of another process
 	var ts unix.Timespec
-	if unix.ClockGettime(int32(^p.cmd.Process.Pid<<3|sched), &ts) == nil {
+	if unix.ClockGettime(int32(^p.command.Process.Pid<<3|sched), &ts) == nil {
 		u.CPU = time.Duration(ts.Nano())
 	}
 	return u
@@ -182,7 +182,7 @@
 // Line finds the newest log line in JSON with a message, and decodes it.
 func (p *Process) Line(message string) (map[string]any, bool) {
 	var found map[string]any
-	for _, line := range strings.Split(p.log.String(), "\n") {
+	for _, line := range strings.Split(p.output.String(), "\n") {
 		var m map[string]any
 		if json.Unmarshal([]byte(line), &m) == nil && m["msg"] == message {
 			found = m
@@ -207,9 +207,9 @@
 // notices, for its program then does not start.
 func FreePort() (string, error) { return FreePortOn("127.0.0.1") }
 
-// given are the ports that were handed out: a relay that is told of one shares it with whoever else is, and hand-ins of one test
+// allocatedPorts are the ports that were handed out: a relay that is told of one shares it with whoever else is, and hand-ins of one test
 // would go to the relay of another.
-var given sync.Map
+var allocatedPorts sync.Map
 
 // FreePortOn asks for one on another address of the loopback. Where no connections are opened from there, nobody takes it.
 func FreePortOn(ip string) (string, error) {
@@ -220,7 +220,7 @@
 		}
 		addr := ln.Addr().String()
 		_ = ln.Close()
-		if _, taken := given.LoadOrStore(addr, true); !taken {
+		if _, taken := allocatedPorts.LoadOrStore(addr, true); !taken {
 			return addr, nil
 		}
 	}
--- a/internal/lab/scripted/scripted.go
+++ b/internal/lab/scripted/scripted.go
@@ -59,8 +59,8 @@
 	lc := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
 		var err error
 		if s.End == Vanish { // what is sent to one that reads no more is soon not acknowledged
-			if cerr := c.Control(func(fd uintptr) { err = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_RCVBUF, 2048) }); cerr != nil {
-				return cerr
+			if controlErr := c.Control(func(fd uintptr) { err = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_RCVBUF, 2048) }); controlErr != nil {
+				return controlErr
 			}
 		}
 		return err
@@ -162,7 +162,7 @@
 		if script.End != Never && n > 1 {
 			_ = nc.SetReadDeadline(time.Now().Add(script.Idle))
 			if _, err := r.Peek(1); errors.Is(err, os.ErrDeadlineExceeded) {
-				s.idled(nc, r, script.End)
+				s.endIdle(nc, r, script.End)
 				return
 			}
 			_ = nc.SetReadDeadline(time.Time{})
@@ -186,9 +186,9 @@
 	}
 }
 
-// idled ends a connection that has idled for too long.
-func (s *Server) idled(nc net.Conn, r *bufio.Reader, how End) {
-	switch how {
+// endIdle ends a connection that has idled for too long.
+func (s *Server) endIdle(nc net.Conn, r *bufio.Reader, end End) {
+	switch end {
 	case Reset:
 		_ = nc.SetReadDeadline(time.Time{})
 		if _, err := r.Peek(1); err == nil {
--- a/internal/lab/scripted/scripted_test.go
+++ b/internal/lab/scripted/scripted_test.go
@@ -36,7 +36,7 @@
 }
 
 // Each way in which an idle connection ends looks to the client as its name says.
-func TestEnds(t *testing.T) {
+func TestIdleEnds(t *testing.T) {
 	for end, want := range map[End]error{Close: io.EOF, Reset: syscall.ECONNRESET} {
 		_, nc := dial(t, Script{End: end, Idle: 20 * time.Millisecond})
 		if err := exchange(t, nc); err != nil {
@@ -55,7 +55,7 @@
 	}
 }
 
-func TestUsesAndCap(t *testing.T) {
+func TestCallAndConnectionLimits(t *testing.T) {
 	srv, nc := dial(t, Script{Uses: 2, Cap: 1})
 	for i := range 2 {
 		if err := exchange(t, nc); err != nil {
--- a/internal/lab/settings_test.go
+++ b/internal/lab/settings_test.go
@@ -15,68 +15,68 @@
 // Deployments whose settings are other than those of Bortsvi Tyre Service, each with a member that leaves under load: all that was
 // taken on ends in time, no rule is broken, and most of it is delivered.
 func TestOtherSettings(t *testing.T) {
-	one := func(name, repeat string) []Class {
+	oneClass := func(name, repeat string) []Class {
 		return []Class{{Name: name, Repeat: repeat, Worth: 2, LateWorth: 0.3, Memory: 4 * time.Second, Aim: 2 * time.Second, Deadline: 9 * time.Second}}
 	}
-	in := func(settings map[string]any, name string) map[string]any { return settings[name].(map[string]any) }
-	for what, c := range map[string]struct {
-		classes []Class
-		tenants []Tenant
-		grace   time.Duration
-		report  string  // of each answer; empty for one of the limit
-		limit   float64 // calls a second at each partner; 0 for none
-		batch   int     // messages in a call
-		edit    func(settings map[string]any)
+	section := func(settings map[string]any, name string) map[string]any { return settings[name].(map[string]any) }
+	for name, c := range map[string]struct {
+		classes        []Class
+		tenants        []Tenant
+		grace          time.Duration
+		loadReport     string  // of each answer; empty for one of the limit
+		callsPerSecond float64 // calls a second at each partner; 0 for none
+		batchSize      int     // messages in a call
+		edit           func(settings map[string]any)
 	}{
-		"asked for, 0.5 s, routes apart": {classes: one("fee", "unsafe"), tenants: []Tenant{{Name: "a", Share: 0.7}, {Name: "b", Share: 0.3}}, grace: 500 * time.Millisecond,
+		"asked for, 0.5 s, routes apart": {classes: oneClass("fee", "unsafe"), tenants: []Tenant{{Name: "a", Share: 0.7}, {Name: "b", Share: 0.3}}, grace: 500 * time.Millisecond,
 			edit: func(s map[string]any) {
 				s["membership-mode"], s["peers-total"], s["weights"], s["kinds"] = "on_request", 3, "none", []string{"first", "second"}
-				in(s, "family-info")["own-limits"] = []bool{true, false}
-				in(s, "safety")["ask-every-ms"] = 1000
+				section(s, "family-info")["own-limits"] = []bool{true, false}
+				section(s, "safety")["ask-every-ms"] = 1000
 			}},
-		"twenty in a call, four calls a second": {classes: one("notice", "keyed"), tenants: []Tenant{{Name: "t", Share: 1}}, grace: time.Second, limit: 4, batch: 20,
+		"twenty in a call, four calls a second": {classes: oneClass("notice", "keyed"), tenants: []Tenant{{Name: "t", Share: 1}}, grace: time.Second, callsPerSecond: 4, batchSize: 20,
 			edit: func(s map[string]any) {
-				in(s, "family-info")["bundle-max"], in(s, "family-info")["own-limits"] = []int{20, 20}, []bool{true, true}
+				section(s, "family-info")["bundle-max"], section(s, "family-info")["own-limits"] = []int{20, 20}, []bool{true, true}
 			}},
-		"pushed, 0.5 s, one safe class": {classes: one("x", "safe"), tenants: []Tenant{{Name: "t", Share: 1}}, grace: 500 * time.Millisecond, edit: func(s map[string]any) {
+		"pushed, 0.5 s, one safe class": {classes: oneClass("x", "safe"), tenants: []Tenant{{Name: "t", Share: 1}}, grace: 500 * time.Millisecond, edit: func(s map[string]any) {
 			s["peers-total"] = 1024
 			s["resolution-ms"] = 1
 		}},
 		"pushed, 5 s, no tenants": {classes: Usual(), grace: 5 * time.Second, edit: func(s map[string]any) {
 			s["orgs"], s["zone"], s["localities"] = nil, "there", []string{"there", "here"}
-			in(s, "family-info")["carriage"] = []float64{0, 0.01}
-			in(s, "family-info")["late"] = "line"
+			section(s, "family-info")["carriage"] = []float64{0, 0.01}
+			section(s, "family-info")["late"] = "line"
 		}},
-		"no reports, no told waits, one attempt": {classes: one("only", "keyed"), tenants: []Tenant{{Name: "t", Share: 1}}, grace: 2 * time.Second, report: "none",
+		"no reports, no told waits, one attempt": {classes: oneClass("only", "keyed"), tenants: []Tenant{{Name: "t", Share: 1}}, grace: 2 * time.Second, loadReport: "none",
 			edit: func(s map[string]any) {
 				s["telemetry"] = map[string]any{"how": "none"}
-				in(s, "limits")["retry-after"], in(s, "limits")["cancel"], in(s, "limits")["max-attempts"] = false, false, 1
+				section(s, "limits")["retry-after"], section(s, "limits")["cancel"], section(s, "limits")["max-attempts"] = false, false, 1
 			}},
 	} {
-		t.Run(what, func(t *testing.T) {
+		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			p := Place{Classes: c.classes, Tenants: c.tenants, MemoryMB: 64, DiskMB: 3, Sockets: 384, MaxOpen: 400, MaxCalls: 40, KeepAlive: 5 * time.Second, Seed: 3,
 				Kind: func(n int) string { return []string{"first", "second"}[n/2] },
 				Edit: func(s map[string]any) {
 					s["kinds"] = []string{"first", "second"}
-					in(s, "family-info")["own-limits"] = []bool{false, false}
-					in(s, "safety")["drain-grace-ms"] = c.grace.Milliseconds()
+					section(s, "family-info")["own-limits"] = []bool{false, false}
+					section(s, "safety")["drain-grace-ms"] = c.grace.Milliseconds()
 					c.edit(s)
 				}}
 			for n := range 4 {
-				p.Partners = append(p.Partners, partner.Config{Name: fmt.Sprint("p", n), Dest: n / 2, Seed: uint64(n), Report: c.report, Batch: c.batch,
-					Life: []partner.Phase{{Rate: c.limit, Latency: partner.Latency{Mean: 20 * time.Millisecond, CV: 0.5}}}})
+				p.Partners = append(p.Partners, partner.Config{Name: fmt.Sprint("p", n), Dest: n / 2, Seed: uint64(n), Report: c.loadReport, Batch: c.batchSize,
+					Life: []partner.Phase{{Rate: c.callsPerSecond, Latency: partner.Latency{Mean: 20 * time.Millisecond, CV: 0.5}}}})
 			}
 			d, err := Put(t.TempDir(), p)
 			if err != nil {
 				t.Fatal(err)
 			}
 			t.Cleanup(d.Close)
-			proc := d.relay(t, "")
-			leave := time.AfterFunc(time.Second, func() {
+			proc := d.startRelay(t, "")
+			drain := time.AfterFunc(time.Second, func() {
 				d.Platform.Change(platform.Host{Host: "p0", Dial: d.Partners[0].Addr(), Site: "here", Class: "first", Health: "leaving", Share: 20})
 			})
-			defer leave.Stop()
+			defer drain.Stop()
 			var streams []load.Stream
 			for i, class := range c.classes {
 				streams = append(streams, load.Stream{Class: i, Tenant: "t", Share: 1, Body: 200, Deadline: class.Deadline})
@@ -103,7 +103,7 @@
 			for _, pc := range v.Classes {
 				delivered += pc.Delivered
 			}
-			if offered, accepted, _ := total(v); accepted < offered*8/10 || delivered < accepted*8/10 {
+			if offered, accepted, _ := totals(v); accepted < offered*8/10 || delivered < accepted*8/10 {
 				t.Errorf("of %d messages, %d are taken on and %d delivered", offered, accepted, delivered)
 			}
 		})
