--- a/internal/lab/ledger/ledger.go
+++ b/internal/lab/ledger/ledger.go
@@ -1,8 +1,9 @@
-// Package ledger keeps what a test deployment saw of every message, and judges it: exactly one end for what was
-// taken on, in time, no run of what was refused, no repeat beyond the class, drains and told waits kept.
+// Package ledger records what a test deployment observed of every message and checks the delivery rules: an accepted message has
+// exactly one end and has it in time, a refused message never runs, a repeat is allowed by the class, and a relay observes drains
+// and retry-after waits.
 //
-// Recording takes no lock that another recorder holds: each client and each connection of a partner writes to a
-// Book of its own, and the books are joined when all is over.
+// Recording takes no shared lock: each client and each connection of a partner writes to its own Recorder. Judge joins the recorders
+// when the run is over.
 package ledger
 
 import (
@@ -12,66 +13,66 @@
 	"time"
 )
 
-// Effect is what a repeat of a class's message may do.
+// Effect says whether a message of a class may run more than once.
 type Effect int
 
-// The effects.
+// The repeat rules that a class can have.
 const (
-	Safe   Effect = iota // may run again and again
+	Safe   Effect = iota // may run any number of times
 	Keyed                // may run again within Memory of its first run
 	Unsafe               // may not run twice
 )
 
-// Class is what a verdict needs to know of a class.
+// Class holds the properties of a class that the rules and the totals depend on.
 type Class struct {
 	Name   string
 	Effect Effect
-	Memory time.Duration
+	Memory time.Duration // how long a destination remembers the key of a Keyed message
 	Worth  float64
-	Aim    time.Duration // a delivery within it earns the whole worth
+	Aim    time.Duration // a delivery within Aim earns the full worth, a later one half
 }
 
-// Answer is what a client read.
+// Answer is the relay's answer to a submission as the client saw it.
 type Answer int
 
-// The answers.
+// The answers to a submission.
 const (
-	NoAnswer Answer = iota // none within the client's patience, or the connection ended
+	NoAnswer Answer = iota // no answer within the client's patience, or the connection ended
 	Accepted
 	Refused
 	Failed
-	Unsent // no client was free to send it within its patience
+	Unsent // no client was free to send the message within the patience
 )
 
-// Submission is one hand-in, each under an id of its own.
+// Submission is one attempt of a client to hand a message to a relay. Each attempt has its own message id.
 type Submission struct {
 	ID           uint64
 	Class        int // index of Rules.Classes
 	Dest         int
-	Due          time.Time // when it was to be sent
+	Due          time.Time // scheduled send time
 	Sent         time.Time
 	Answered     time.Time
 	Deadline     time.Time
 	Answer       Answer
 	RetryIn      time.Duration
-	Resubmission bool // the same message was refused before
-	Relay        int  // which it was handed to; rules that bind one relay are judged by it
+	Resubmission bool // an earlier attempt of the same message was refused
+	Relay        int  // number of the relay that received the submission; the rules on waits and drains apply per relay
 }
 
-// Call is one call that a partner's endpoint read.
+// Call is one call that a partner's endpoint received.
 type Call struct {
 	ID       uint64
 	Dest     int
 	Member   string
 	First    time.Time // first byte
 	Arrived  time.Time // last byte
-	Answered time.Time // zero if it never was
+	Answered time.Time // zero if the call was not answered
 	Status   int
-	Wait     time.Duration // told with it
-	Cold     bool          // over what a cold partner bears
+	Wait     time.Duration // retry-after sent with the answer
+	Cold     bool          // the call exceeded the rate that a cold partner can take
 }
 
-// Notice is a line that the platform read.
+// Notice is one notice of a relay to the platform about the end of a message.
 type Notice struct {
 	ID      uint64
 	At      time.Time
@@ -79,28 +80,29 @@
 	RetryIn time.Duration
 }
 
-// Drain says that a member's draining was told to a relay.
+// Drain records when a relay was notified that a pool member is draining.
 type Drain struct {
 	Member string
 	At     time.Time
 	Relay  int
 }
 
-// Kill says that a relay was away, and since when it was ready again.
+// Kill records when a relay went down and when it was ready again.
 type Kill struct {
 	From, Ready time.Time
 	Relay       int
-	Stopped     bool // and went on with all that it knew: nothing but its deadlines is excused
+	Stopped     bool // the process was only paused and kept its state: only its deadlines are extended
 }
 
-// Recorder is what one recorder wrote. It belongs to one goroutine until its Ledger is closed.
+// Recorder holds the records of one client, partner connection or platform. Only its owner may write to it, and only until the
+// ledger is judged.
 type Recorder struct {
 	Submissions []Submission
 	Calls       []Call
 	Notices     []Notice
 }
 
-// Ledger hands out books.
+// Ledger collects the records of all recorders, the drain notices and the restarts of relays.
 type Ledger struct {
 	mu           sync.Mutex
 	recorders    []*Recorder
@@ -108,7 +110,7 @@
 	kills        []Kill
 }
 
-// NewRecorder returns a new book.
+// NewRecorder returns a new recorder whose records belong to the ledger.
 func (l *Ledger) NewRecorder() *Recorder {
 	b := &Recorder{}
 	l.mu.Lock()
@@ -117,68 +119,68 @@
 	return b
 }
 
-// RecordDrain notes that a member's draining was told.
+// RecordDrain records that a relay was notified of a drain.
 func (l *Ledger) RecordDrain(v Drain) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.drainNotices = append(l.drainNotices, v)
 }
 
-// Kill notes an absence of the relay.
+// Kill records that a relay was down.
 func (l *Ledger) Kill(v Kill) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.kills = append(l.kills, v)
 }
 
-// Rules are what a verdict checks against.
+// Rules holds the tolerances of the checks and the period that the totals cover.
 type Rules struct {
 	Classes    []Class
-	EndSlack   time.Duration // after a deadline, until an end is overdue
-	WaitSlack  time.Duration // after a told wait began, calls under way are let through
-	DrainGrace time.Duration // after a drain was told
-	ReadyGrace time.Duration // after a restart
-	From, To   time.Time     // of the due times that are summed up; zero for all. Rules are checked on all.
+	EndSlack   time.Duration // time after a deadline until a missing end is overdue
+	WaitSlack  time.Duration // calls in this time after the start of a wait are allowed: they may be under way already
+	DrainGrace time.Duration // calls in this time after the notification of a drain are allowed
+	ReadyGrace time.Duration // added to the time when a restarted relay is ready, for deadlines that fall into the restart
+	From, To   time.Time     // limits of the due times that the totals cover; zero for no limit. The rules are checked on all messages.
 }
 
-// Usual are the platform's figures.
+// Usual returns the rules with the tolerances that the platform sets.
 func Usual(classes []Class) Rules {
 	return Rules{Classes: classes, EndSlack: 350 * time.Millisecond, WaitSlack: 150 * time.Millisecond,
 		DrainGrace: 2050 * time.Millisecond, ReadyGrace: 1500 * time.Millisecond}
 }
 
-// Breach is one broken rule.
+// Breach is one violation of a rule by one message.
 type Breach struct {
 	Rule string
 	ID   uint64
 	Text string
 }
 
-// PerClass sums up one class.
+// PerClass holds the totals of one class.
 type PerClass struct {
 	Class                                                string
 	Offered, Accepted, Refused, Failed, NoAnswer, Unsent int
 	Delivered, InAim, GivenUp, HandedBack, Late          int
 	Worth                                                float64
-	ToAccept, ToRefuse, ToDeliver                        []time.Duration // since due; sorted
-	RefuseFromSent                                       []time.Duration
+	ToAccept, ToRefuse, ToDeliver                        []time.Duration // since the due time; sorted
+	RefuseFromSent                                       []time.Duration // from sending to the refusal; sorted
 }
 
-// Verdict is what a run came to.
+// Verdict is the result of a run: the violations and the totals.
 type Verdict struct {
 	Breaches []Breach
 	Classes  []PerClass
 	Calls    int
 }
 
-// history is what is known of one message by id.
+// history collects the calls and notices of one message id.
 type history struct {
 	calls   []*Call
 	notices []*Notice
 }
 
-// Judge joins the books. Nothing may be recorded any more. Messages whose time is not up at the end are not
-// judged for want of an end.
+// Judge joins the recorders, checks the rules and sums up the classes. All recording must be over. A message whose end is not yet
+// due at the time end may still lack it.
 func (l *Ledger) Judge(r Rules, end time.Time) Verdict {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -196,7 +198,7 @@
 		v.Classes[i].Class = c.Name
 	}
 	var calls []*Call
-	relayOf := map[uint64]int{} // who called, by message
+	relayOf := map[uint64]int{} // by message id
 	for _, b := range l.recorders {
 		for i := range b.Submissions {
 			relayOf[b.Submissions[i].ID] = b.Submissions[i].Relay
@@ -239,7 +241,7 @@
 	return v
 }
 
-// deliveredAt is when the first 200 was written; zero if none was.
+// deliveredAt returns the time of the first answer 200; zero if there is none.
 func (f *history) deliveredAt() (at time.Time) {
 	for _, c := range f.calls {
 		if c.Status == 200 && (at.IsZero() || c.Answered.Before(at)) {
@@ -249,7 +251,7 @@
 	return at
 }
 
-// possibleRuns are the calls that may have taken effect.
+// possibleRuns returns the calls that may have taken effect, in order of arrival.
 func (f *history) possibleRuns() (list []*Call) {
 	for _, c := range f.calls {
 		if c.Status != 429 && c.Status != 503 && c.Status != 504 && c.Status != 410 {
@@ -260,13 +262,14 @@
 	return list
 }
 
+// checkSubmission checks the rules on one submission, given the calls and notices of its message.
 func (l *Ledger) checkSubmission(r Rules, h *Submission, f *history, end time.Time) (out []Breach) {
 	report := func(rule, format string, args ...any) {
 		out = append(out, Breach{rule, h.ID, fmt.Sprintf(format, args...)})
 	}
 	ended := f.deliveredAt()
 	outcomes := map[string]bool{}
-	for _, n := range f.notices { // the same line may come twice, if its answer was lost
+	for _, n := range f.notices { // the relay sends the same notice again if the answer to the first was lost
 		outcomes[n.Outcome] = true
 		if ended.IsZero() || n.At.Before(ended) {
 			ended = n.At
@@ -276,29 +279,29 @@
 	switch h.Answer {
 	case Accepted:
 		if ended.IsZero() && due.Before(end) {
-			report("one end", "taken on at %v and never ended", h.Answered.Format(time.StampMicro))
+			report("one end", "accepted at %v, no end", h.Answered.Format(time.StampMicro))
 		} else if !ended.IsZero() && ended.After(due) {
-			report("in time", "ended %v after its time was up", ended.Sub(h.Deadline))
+			report("in time", "ended %v after the deadline", ended.Sub(h.Deadline))
 		}
 		if len(outcomes) > 1 {
 			report("one end", "%d different notices", len(outcomes))
 		}
 	case Refused:
 		if len(f.calls) > 0 {
-			report("refused is refused", "%d calls of a message that was refused", len(f.calls))
+			report("refused is refused", "%d calls of a refused message", len(f.calls))
 		}
 		if len(f.notices) > 0 {
-			report("refused is refused", "a notice of a message that was refused")
+			report("refused is refused", "notice of a refused message")
 		}
 	}
 	runs := f.possibleRuns()
 	class := r.Classes[h.Class]
 	if len(runs) > 1 && class.Effect == Unsafe {
-		report("repeats", "%d runs of a message that may run once", len(runs))
+		report("repeats", "%d runs of a message of an unsafe class", len(runs))
 	}
 	if len(runs) > 1 && class.Effect == Keyed {
 		if gap := runs[len(runs)-1].Arrived.Sub(runs[0].First); gap > class.Memory {
-			report("repeats", "run again after %v, remembered for %v", gap, class.Memory)
+			report("repeats", "run again after %v, but the key is remembered for %v", gap, class.Memory)
 		}
 	}
 	for i, c := range f.calls {
@@ -307,19 +310,19 @@
 			if b.Arrived.Before(a.Arrived) {
 				a, b = b, a
 			}
-			// The connection of a process that was killed is closed, whatever its partner still writes to it.
+			// A restart closes the connections of the old process: an answer that the partner writes later reaches no relay.
 			if !a.Answered.IsZero() && b.Arrived.Before(a.Answered) && !l.restartedBetween(h.Relay, a.Arrived, b.Arrived) {
-				report("one copy", "a second call while the first was out")
+				report("one copy", "second call before the first was answered")
 			}
 		}
 		if c.Dest != h.Dest {
-			report("destination", "sent to %d, not %d", c.Dest, h.Dest)
+			report("destination", "sent to destination %d instead of %d", c.Dest, h.Dest)
 		}
 	}
 	return out
 }
 
-// extendForRestart moves a time at which something is due behind the restart in which it falls.
+// extendForRestart moves a due time that falls into a restart of the relay to the end of the restart plus grace.
 func (l *Ledger) extendForRestart(relay int, due time.Time, grace time.Duration) time.Time {
 	for _, k := range l.kills {
 		if k.Relay == relay && !due.Before(k.From) && due.Before(k.Ready.Add(grace)) {
@@ -329,7 +332,8 @@
 	return due
 }
 
-// checkWaits finds calls that a relay began in a wait that it had been told. What other relays were told binds it by no rule.
+// checkWaits finds calls that a relay made during a retry-after wait that it had received itself. A wait that only another relay
+// received is no violation.
 func (l *Ledger) checkWaits(r Rules, calls []*Call, relayOf map[uint64]int) (out []Breach) {
 	type endpoint struct{ dest, relay int }
 	byEndpoint := map[endpoint][]*Call{}
@@ -340,7 +344,7 @@
 	for b, list := range byEndpoint {
 		callsDuringWaits(list, list, r.WaitSlack, func(c, w *Call) {
 			if !l.restartedBetween(b.relay, w.Answered, c.Arrived) {
-				out = append(out, Breach{"waits", c.ID, fmt.Sprintf("called destination %d %v into a wait of %v", b.dest,
+				out = append(out, Breach{"waits", c.ID, fmt.Sprintf("called destination %d after %v of a wait of %v", b.dest,
 					c.Arrived.Sub(w.Answered), w.Wait)})
 			}
 		})
@@ -348,8 +352,8 @@
 	return out
 }
 
-// callsDuringWaits finds the calls of a list that arrived in a wait that one of others was told, more than slack after it was told; once
-// for each call, with the first such wait.
+// callsDuringWaits reports the calls of list that arrived during a wait that an answer in waitCalls carried, and more than slack
+// after that answer. Each call is reported once, with the earliest of these waits.
 func callsDuringWaits(list, waitCalls []*Call, slack time.Duration, found func(call, withWait *Call)) {
 	var withWaits []*Call
 	for _, c := range waitCalls {
@@ -371,15 +375,15 @@
 	}
 }
 
-// Unheard is a call of a relay inside a wait that others had been told, and it had not.
+// Unheard is a call that a relay made during a wait that only other relays had received.
 type Unheard struct {
 	Relay, Dest int
-	Told        time.Time     // the first of the waits that it lay in
-	After       time.Duration // since then
+	Told        time.Time     // start of the earliest wait that the call falls into
+	After       time.Duration // from Told to the call
 }
 
-// Unheard finds the calls inside others' waits, and counts the waits: one that is told inside another is the same. No rule
-// forbids such calls; relays that tell each other make few.
+// Unheard returns the calls during waits of other relays, and the number of waits: a wait that starts during another counts as the
+// same wait. No rule forbids these calls, but relays that share their waits make few.
 func (l *Ledger) Unheard() (out []Unheard, waits int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -413,7 +417,7 @@
 	return out, waits
 }
 
-// restartedBetween says that a relay was started anew between two times: that ends its waits.
+// restartedBetween reports whether a relay was restarted between two times. A restart ends the waits of a relay.
 func (l *Ledger) restartedBetween(relay int, from, to time.Time) bool {
 	for _, k := range l.kills {
 		if k.Relay == relay && !k.Stopped && k.From.After(from) && k.From.Before(to) {
@@ -423,6 +427,7 @@
 	return false
 }
 
+// checkDrains finds calls to a member after its drain, and calls that overloaded a cold member.
 func (l *Ledger) checkDrains(r Rules, calls []*Call, relayOf map[uint64]int) (out []Breach) {
 	type notified struct {
 		member string
@@ -436,15 +441,16 @@
 	}
 	for _, c := range calls {
 		if at, ok := drainedAt[notified{c.Member, relayOf[c.ID]}]; ok && c.First.After(at.Add(r.DrainGrace)) {
-			out = append(out, Breach{"drains", c.ID, fmt.Sprintf("sent to %s %v after its drain", c.Member, c.First.Sub(at))})
+			out = append(out, Breach{"drains", c.ID, fmt.Sprintf("sent to %s %v after the drain of the member", c.Member, c.First.Sub(at))})
 		}
 		if c.Cold {
-			out = append(out, Breach{"cold returns", c.ID, fmt.Sprintf("%s was pushed over while cold", c.Member)})
+			out = append(out, Breach{"cold returns", c.ID, fmt.Sprintf("%s was overloaded while cold", c.Member)})
 		}
 	}
 	return out
 }
 
+// add counts one submission and the end of its message.
 func (p *PerClass) add(class *Class, h *Submission, f *history) {
 	p.Offered++
 	switch h.Answer {
@@ -489,7 +495,7 @@
 	}
 }
 
-// At is a quantile of sorted durations; 0 of none.
+// At returns the q-quantile of sorted durations; 0 for an empty list.
 func At(sorted []time.Duration, q float64) time.Duration {
 	if len(sorted) == 0 {
 		return 0
@@ -497,7 +503,7 @@
 	return sorted[min(int(q*float64(len(sorted))), len(sorted)-1)]
 }
 
-// Delivered counts the calls that were answered 200 since a time, by slots of a length. Nothing may be recorded any more.
+// Delivered counts the calls that were answered 200 from a time on, in slots of equal length. All recording must be over.
 func (l *Ledger) Delivered(since time.Time, slot time.Duration) (counts []int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -517,7 +523,7 @@
 	return counts
 }
 
-// Taken counts the hand-ins of each relay, and those that it took on.
+// Taken counts the submissions to each relay, and those that the relay accepted.
 func (l *Ledger) Taken() (offered, taken map[int]int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -534,8 +540,7 @@
 	return offered, taken
 }
 
-// Calls returns what partners' endpoints recorded, in order of arrival, with the relay that called. Nothing may be recorded any
-// more.
+// Calls returns the recorded calls in order of arrival, and for each call the relay that made it. All recording must be over.
 func (l *Ledger) Calls() (calls []Call, relays []int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/lab/ledger/ledger_test.go
+++ b/internal/lab/ledger/ledger_test.go
@@ -12,12 +12,15 @@
 		Aim: time.Second}, {Name: "unsafe", Effect: Unsafe, Worth: 1, Aim: time.Second}}
 )
 
+// at returns the time s seconds after the start of the test.
 func at(s float64) time.Time { return t0.Add(time.Duration(s * float64(time.Second))) }
 
+// accepted returns a submission at t0 that was accepted.
 func accepted(id uint64, class int) Submission {
 	return Submission{ID: id, Class: class, Dest: 7, Due: t0, Sent: t0, Answered: at(0.01), Deadline: at(5), Answer: Accepted}
 }
 
+// call returns a call between two times in seconds; status 0 leaves it unanswered.
 func call(id uint64, from, to float64, status int) Call {
 	c := Call{ID: id, Dest: 7, Member: "m", First: at(from), Arrived: at(from), Status: status}
 	if status != 0 {
@@ -26,7 +29,7 @@
 	return c
 }
 
-// Each rule is broken once, alone, and its neighbour that just holds breaks none.
+// Each rule is broken alone and reported, and a similar case that just complies is not reported.
 func TestEachRuleAlone(t *testing.T) {
 	refused := accepted(1, 0)
 	refused.Answer = Refused
@@ -48,25 +51,25 @@
 		"never ended":           {"one end", []Submission{accepted(1, 0)}, []Call{call(1, 1, 1.1, 500)}, nil, nil, nil},
 		"notice in time":        {"", []Submission{accepted(1, 0)}, nil, []Notice{{1, at(5.3), "handed_back", 0}}, nil, nil},
 		"notice late":           {"in time", []Submission{accepted(1, 0)}, nil, []Notice{{1, at(5.4), "given_up", 0}}, nil, nil},
-		"late after a restart":  {"", []Submission{accepted(1, 0)}, nil, []Notice{{1, at(7.4), "given_up", 0}}, nil, []Kill{{From: at(5), Ready: at(6)}}},
+		"late after restart":    {"", []Submission{accepted(1, 0)}, nil, []Notice{{1, at(7.4), "given_up", 0}}, nil, []Kill{{From: at(5), Ready: at(6)}}},
 		"the same notice twice": {"", []Submission{accepted(1, 0)}, nil, []Notice{{1, at(1), "given_up", 0}, {1, at(2), "given_up", 0}}, nil, nil},
 		"two ends":              {"one end", []Submission{accepted(1, 0)}, nil, []Notice{{1, at(1), "given_up", 0}, {1, at(2), "handed_back", 0}}, nil, nil},
 		"refused and called":    {"refused is refused", []Submission{refused}, []Call{call(1, 1, 1.1, 200)}, nil, nil, nil},
-		"refused and told":      {"refused is refused", []Submission{refused}, nil, []Notice{{1, at(1), "given_up", 0}}, nil, nil},
+		"refused, with notice":  {"refused is refused", []Submission{refused}, nil, []Notice{{1, at(1), "given_up", 0}}, nil, nil},
 		"unsafe twice":          {"repeats", []Submission{accepted(1, 2)}, []Call{call(1, 1, 1.1, 500), call(1, 2, 2.1, 200)}, nil, nil, nil},
-		"unsafe after a no":     {"", []Submission{accepted(1, 2)}, []Call{call(1, 1, 1.1, 503), call(1, 2, 2.1, 200)}, nil, nil, nil},
-		"keyed in its memory":   {"", []Submission{accepted(1, 1)}, []Call{call(1, 1, 1.1, 500), call(1, 2.9, 3, 200)}, nil, nil, nil},
-		"keyed too late":        {"repeats", []Submission{accepted(1, 1)}, []Call{call(1, 1, 1.1, 500), call(1, 3.1, 3.2, 200)}, nil, nil, nil},
+		"unsafe after refusal":  {"", []Submission{accepted(1, 2)}, []Call{call(1, 1, 1.1, 503), call(1, 2, 2.1, 200)}, nil, nil, nil},
+		"keyed within memory":   {"", []Submission{accepted(1, 1)}, []Call{call(1, 1, 1.1, 500), call(1, 2.9, 3, 200)}, nil, nil, nil},
+		"keyed after memory":    {"repeats", []Submission{accepted(1, 1)}, []Call{call(1, 1, 1.1, 500), call(1, 3.1, 3.2, 200)}, nil, nil, nil},
 		"two copies":            {"one copy", []Submission{accepted(1, 0)}, []Call{call(1, 1, 2, 500), call(1, 1.5, 2.5, 200)}, nil, nil, nil},
 		"a copy after a kill":   {"", []Submission{accepted(1, 0)}, []Call{call(1, 1, 2, 500), call(1, 1.5, 2.5, 200)}, nil, nil, []Kill{{From: at(1.2), Ready: at(1.4)}}},
-		"another's endpoint":    {"destination", []Submission{accepted(1, 0)}, []Call{other}, nil, nil, nil},
-		"into a wait":           {"waits", []Submission{accepted(1, 0)}, []Call{wait, call(1, 0.5, 0.6, 200)}, nil, nil, nil},
+		"other destination":     {"destination", []Submission{accepted(1, 0)}, []Call{other}, nil, nil, nil},
+		"during a wait":         {"waits", []Submission{accepted(1, 0)}, []Call{wait, call(1, 0.5, 0.6, 200)}, nil, nil, nil},
 		"as the wait begins":    {"", []Submission{accepted(1, 0)}, []Call{wait, call(1, 0.3, 0.4, 200)}, nil, nil, nil},
 		"after the wait":        {"", []Submission{accepted(1, 0)}, []Call{wait, call(1, 1.3, 1.4, 200)}, nil, nil, nil},
 		"a restart ends it":     {"", []Submission{accepted(1, 0)}, []Call{wait, call(1, 0.9, 1, 200)}, nil, nil, []Kill{{From: at(0.4), Ready: at(0.8)}}},
 		"after the drain":       {"drains", []Submission{accepted(1, 0)}, []Call{call(1, 3, 3.1, 200)}, nil, []Drain{{Member: "m", At: at(0.9)}}, nil},
 		"within the drain":      {"", []Submission{accepted(1, 0)}, []Call{call(1, 2.8, 3.1, 200)}, nil, []Drain{{Member: "m", At: at(0.9)}}, nil},
-		"pushed over":           {"cold returns", []Submission{accepted(1, 0)}, []Call{cold}, nil, nil, nil},
+		"overloaded while cold": {"cold returns", []Submission{accepted(1, 0)}, []Call{cold}, nil, nil, nil},
 	} {
 		l := &Ledger{drainNotices: c.leaves, kills: c.kills}
 		b := l.NewRecorder()
@@ -82,6 +85,7 @@
 	}
 }
 
+// The totals of a class cover the due times of the period, and each answer counts once.
 func TestClassTotals(t *testing.T) {
 	l := &Ledger{}
 	b := l.NewRecorder()
--- a/internal/lab/links/links.go
+++ b/internal/lab/links/links.go
@@ -1,6 +1,6 @@
-// Package links puts a fault injector of the laboratory's own between processes on loopback: TCP and UDP, each direction by
-// itself. A relay reaches every other party through an address of the injector's, which knows who calls by the address that the
-// call comes from, and to whom by where it comes in.
+// Package links is a network fault injector between processes on loopback. It forwards TCP and UDP and applies faults to each
+// direction separately. A relay reaches every other party through an address of the injector. The injector identifies the caller by
+// its source address and the callee by the address that was called.
 package links
 
 import (
@@ -16,57 +16,61 @@
 	"time"
 )
 
-// Fault is what is wrong with one direction of a link. The zero value is a good one.
+// Fault describes the faults of one direction of a link. The zero value is a link without faults.
 type Fault struct {
-	Delay, Jitter time.Duration // of every packet; the jitter is added evenly drawn
-	// Shares of packets; of streams, of pieces of up to 4 KB: one that is lost comes a retransmission later.
+	Delay, Jitter time.Duration // of every packet; the jitter is drawn uniformly and added
+	// Shares of packets. For streams, Loss and Corrupt apply to chunks of up to 4 KB: a lost chunk arrives later by retransmitDelay.
 	Loss, Duplicate, Reorder, Corrupt float64
-	Cut                               bool    // nothing passes; streams stand still
-	Bandwidth                         float64 // bytes a second; 0 for no bound
+	Cut                               bool    // drops all packets; streams are paused
+	Bandwidth                         float64 // bytes per second; 0 for no limit
 }
 
 const (
-	// reordered packets come so much later; a lost piece of a stream is sent again after retransmit.
-	reorderDelay, retransmitDelay = 30 * time.Millisecond, 200 * time.Millisecond
-	// maxQueueDelay is how long a packet waits for bandwidth before it is dropped.
+	// reorderDelay is the extra delay of a reordered packet.
+	reorderDelay = 30 * time.Millisecond
+	// retransmitDelay is the extra delay of a lost chunk of a stream.
+	retransmitDelay = 200 * time.Millisecond
+	// maxQueueDelay is the longest time that a packet waits for bandwidth. A packet that would wait longer is dropped.
 	maxQueueDelay = time.Second
-	chunkBytes    = 4096
+	// chunkBytes is the most that is read from a stream at once.
+	chunkBytes = 4096
 )
 
+// direction identifies one direction of a link by the names of its parties.
 type direction struct{ from, to string }
 
-// link is one direction.
+// link is the state of one direction of a link.
 type link struct {
 	fault  Fault
 	rng    *rand.Rand
-	idleAt time.Time // when what was sent before has gone out, where bandwidth is bounded
+	idleAt time.Time // with a limit of bandwidth, the time at which all earlier packets have been sent
 }
 
-// Net is the injector.
+// Net is a fault injector with its parties and links.
 type Net struct {
 	seed          uint64
 	mu            sync.Mutex
-	firstOctet    byte // second octet of the first of its addresses; 0 while it has none
+	blockOctet    byte // second octet of the first address of the reserved block; 0 until one is reserved
 	links         map[direction]*link
-	callerNames   map[netip.Addr]string     // who calls from an address
-	dialTimes     map[direction][]time.Time // connections that were asked for
-	recorded      map[direction][][]byte    // packets of links that are listened to, to be sent again
+	callerNames   map[netip.Addr]string     // party by source address
+	dialTimes     map[direction][]time.Time // times at which connections were accepted
+	recorded      map[direction][][]byte    // packets kept for Replay, for directions that Listen has named
 	senders       map[string]func([]byte)
 	closers       []func()
-	faultsChanged chan struct{} // closed at each change of a fault
+	faultsChanged chan struct{} // closed and replaced at each change of a fault
 	done          chan struct{}
 	wg            sync.WaitGroup
-	// Packets that passed, were lost, and were cut off.
+	// Packets forwarded, dropped for loss or lack of bandwidth, and dropped by a cut.
 	Passed, Lost, Blocked atomic.Int64
 }
 
-// New returns an injector whose chances come from the seed.
+// New returns an injector whose random decisions follow from the seed.
 func New(seed uint64) *Net {
 	return &Net{seed: seed, links: map[direction]*link{}, callerNames: map[netip.Addr]string{}, dialTimes: map[direction][]time.Time{}, recorded: map[direction][][]byte{}, senders: map[string]func([]byte){}, faultsChanged: make(chan struct{}),
 		done: make(chan struct{})}
 }
 
-// Close ends all links.
+// Close closes all listeners and connections and waits for their goroutines.
 func (n *Net) Close() {
 	n.mu.Lock()
 	select {
@@ -83,7 +87,7 @@
 	n.wg.Wait()
 }
 
-// Set puts a fault on one direction, instead of the one before.
+// Set replaces the fault of one direction.
 func (n *Net) Set(from, to string, f Fault) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -92,7 +96,7 @@
 	n.faultsChanged = make(chan struct{})
 }
 
-// Heal makes all links good.
+// Heal removes the faults of all links.
 func (n *Net) Heal() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -103,14 +107,14 @@
 	n.faultsChanged = make(chan struct{})
 }
 
-// Listen keeps the packets that pass from one party to another, up to a thousand, as one does who means to send them again.
+// Listen starts to record the packets from one party to another, up to a thousand, as an attacker does before a replay.
 func (n *Net) Listen(from, to string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.recorded[direction{from, to}] = [][]byte{}
 }
 
-// Replay sends what was kept once more, and says how many packets that were.
+// Replay sends the recorded packets again, ends the recording, and returns the number of packets.
 func (n *Net) Replay(from, to string) int {
 	n.mu.Lock()
 	kept, send := n.recorded[direction{from, to}], n.senders[to]
@@ -122,7 +126,7 @@
 	return len(kept)
 }
 
-// Know tells who calls from an address that no party was given.
+// Know names the party that calls from an address outside those that Party assigned.
 func (n *Net) Know(ip net.IP, name string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -131,7 +135,7 @@
 	}
 }
 
-// linkFor needs the lock.
+// linkFor returns the link of a direction and creates it at the first use. The caller holds n.mu.
 func (n *Net) linkFor(from, to string) *link {
 	l := n.links[direction{from, to}]
 	if l == nil {
@@ -143,7 +147,7 @@
 	return l
 }
 
-// Opened counts the connections that one party asked for to another in a span.
+// Opened counts the connections that one party opened to another in a period.
 func (n *Net) Opened(from, to string, since, until time.Time) (count int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -155,7 +159,8 @@
 	return count
 }
 
-// schedulePacket says what becomes of a packet: when its copies arrive, and whether a byte of it changes.
+// schedulePacket applies the fault of a direction to a packet. It returns the delay of each copy, none for a dropped packet, and the
+// index of the byte to corrupt, or -1.
 func (n *Net) schedulePacket(from, to string, size int) (delays []time.Duration, corruptAt int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -197,38 +202,44 @@
 	return delays, corruptAt
 }
 
-// Place is where a party that takes packets and streams listens, and where others reach it through the injector. Serve is an
-// address of its own for all else that it listens on: it makes no calls from there, whose ports could be those.
+// Place holds the addresses of a party. It listens on Bind for packets and streams, and others reach it at Reach through the
+// injector. Serve is a separate address for its other listeners: calls go out from the address of Bind, so that their ports cannot
+// collide with those of the listeners.
 type Place struct {
 	Bind, Reach netip.AddrPort
 	Serve       netip.Addr
 }
 
-// Blocks of addresses begin at 127.firstBlock, three second octets each; a listener at guardPort of a block's last address but one
-// holds it, so that injectors side by side, in one process or several, give no address twice.
-const firstBlock, blockCount, guardPort = 64, 60, 20009
+// Address blocks. A block spans three values of the second octet of 127.0.0.0/8. An injector reserves a block by listening at
+// guardPort of the last address but one of the first value. So concurrent injectors, in one process or several, never assign the same
+// address.
+const (
+	firstBlockOctet = 64
+	blockCount      = 60
+	guardPort       = 20009
+)
 
-// reserveBlock takes a block of addresses until Close.
+// reserveBlock reserves a free block of addresses until Close, or returns the one already reserved.
 func (n *Net) reserveBlock() (byte, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.firstOctet != 0 {
-		return n.firstOctet, nil
+	if n.blockOctet != 0 {
+		return n.blockOctet, nil
 	}
 	for index := range blockCount {
-		block := byte(firstBlock + 3*index)
+		block := byte(firstBlockOctet + 3*index)
 		guard, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, block, 255, 254), Port: guardPort})
 		if err == nil {
-			n.firstOctet = block
+			n.blockOctet = block
 			n.closers = append(n.closers, func() { guard.Close() })
 			return block, nil
 		}
 	}
-	return 0, errors.New("links: no block of addresses is free")
+	return 0, errors.New("links: all address blocks are in use")
 }
 
-// Party gives a party that others call, and that calls them from its address, both over TCP and UDP. Its number makes its
-// addresses, which are its own; ports are the system's.
+// Party adds a party that calls others, and is called by them, over TCP and UDP. The number selects the addresses, so each party
+// needs its own number. The system chooses the ports.
 func (n *Net) Party(name string, number int) (Place, error) {
 	var p Place
 	block, err := n.reserveBlock()
@@ -239,7 +250,7 @@
 		return netip.AddrFrom4([4]byte{127, block + i, byte(number >> 8), byte(number&0xff) + 1})
 	}
 	if number < 0 || number >= 1<<15 || number&0xff == 0xff {
-		return p, fmt.Errorf("links: %d makes no address", number)
+		return p, fmt.Errorf("links: party number %d is out of range", number)
 	}
 	bind, err := freePort(ip(0))
 	if err != nil {
@@ -260,7 +271,7 @@
 	return p, nil
 }
 
-// listen opens TCP and UDP at one port of the system's choice.
+// listen opens TCP and UDP on the same port, which the system chooses.
 func listen(ip netip.Addr) (*net.TCPListener, *net.UDPConn, error) {
 	for try := 0; ; try++ {
 		tcp, err := net.ListenTCP("tcp", &net.TCPAddr{IP: ip.AsSlice()})
@@ -278,6 +289,7 @@
 	}
 }
 
+// freePort returns an address whose port was free for both TCP and UDP.
 func freePort(ip netip.Addr) (netip.AddrPort, error) {
 	tcp, udp, err := listen(ip)
 	if err != nil {
@@ -288,6 +300,7 @@
 	return tcp.Addr().(*net.TCPAddr).AddrPort(), nil
 }
 
+// callerName returns the name of the party that calls from a source address.
 func (n *Net) callerName(a net.Addr) (string, bool) {
 	at, err := netip.ParseAddrPort(a.String())
 	if err != nil {
@@ -299,7 +312,7 @@
 	return name, ok
 }
 
-// forwardPackets carries UDP to one party.
+// forwardPackets forwards UDP packets to one party.
 func (n *Net) forwardPackets(udp *net.UDPConn, to string, bind netip.AddrPort) {
 	buf := make([]byte, 64<<10)
 	for {
@@ -308,7 +321,7 @@
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
-			continue // the party is away: the system says that its port is unreachable
+			continue // the party is down, and the system reports that its port is unreachable
 		}
 		name, ok := n.callerName(net.UDPAddrFromAddrPort(from))
 		if !ok {
@@ -334,8 +347,8 @@
 	}
 }
 
-// Forward opens an address through which one party reaches another that listens at target, over TCP. source is the
-// address that the target sees; the zero value for the system's choice.
+// Forward opens a TCP address through which one party reaches another that listens at target. The target sees connections from
+// source; with the zero value the system chooses.
 func (n *Net) Forward(from, to, target string, source netip.Addr) (string, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -352,6 +365,7 @@
 	return ln.Addr().String(), nil
 }
 
+// accept forwards each connection of a listener to target, and closes those of unknown callers.
 func (n *Net) accept(ln net.Listener, callerName func(net.Addr) (string, bool), to, target string, local net.Addr) {
 	for {
 		c, err := ln.Accept()
@@ -359,7 +373,7 @@
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
-			time.Sleep(10 * time.Millisecond) // out of descriptors for a moment
+			time.Sleep(10 * time.Millisecond) // probably out of descriptors
 			continue
 		}
 		from, ok := callerName(c.RemoteAddr())
@@ -374,7 +388,7 @@
 	}
 }
 
-// proxyConnection joins a connection to its target. What the target does to it, refuse or reset, is done to the caller.
+// proxyConnection connects an accepted connection to its target. If the target refuses or resets, the caller's connection is reset.
 func (n *Net) proxyConnection(c net.Conn, from, to, target string, local net.Addr) {
 	defer c.Close()
 	if !n.awaitUncut(from, to) {
@@ -389,7 +403,7 @@
 	defer targetConn.Close()
 	stop := make(chan struct{})
 	defer close(stop)
-	go func() { // whatever still reads ends with the links
+	go func() { // unblocks pending reads when the injector is closed
 		select {
 		case <-n.done:
 			c.Close()
@@ -403,6 +417,7 @@
 	directions.Wait()
 }
 
+// reset closes a connection with a TCP reset.
 func reset(c net.Conn) {
 	if tc, ok := c.(*net.TCPConn); ok {
 		_ = tc.SetLinger(0)
@@ -410,7 +425,7 @@
 	c.Close()
 }
 
-// awaitUncut waits while a direction is cut; it says no once the links end.
+// awaitUncut waits while a direction is cut. It returns false when the injector is closed.
 func (n *Net) awaitUncut(from, to string) bool {
 	for {
 		n.mu.Lock()
@@ -427,7 +442,7 @@
 	}
 }
 
-// copyStream carries one direction of a stream. An end is passed on as an end, and a reset as a reset of both.
+// copyStream copies one direction of a stream. It passes on the end of the stream; an error on one side resets the other.
 func (n *Net) copyStream(src, dst net.Conn, from, to string) {
 	buf := make([]byte, chunkBytes)
 	var idleAt time.Time
--- a/internal/lab/links/links_test.go
+++ b/internal/lab/links/links_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// twoParties parties that take packets, and what came at the second.
+// twoParties returns an injector with the parties a and b, their sockets, and the address at which a reaches b.
 func twoParties(t *testing.T) (n *Net, a, b *net.UDPConn, reach netip.AddrPort) {
 	t.Helper()
 	n = New(7)
@@ -31,6 +31,7 @@
 	return n, conns[0], conns[1], places[1].Reach
 }
 
+// readUntilQuiet returns the packets that arrive until none has come for a time.
 func readUntilQuiet(c *net.UDPConn, quiet time.Duration) (got [][]byte) {
 	buf := make([]byte, 2048)
 	for {
@@ -43,6 +44,7 @@
 	}
 }
 
+// Each fault of a direction shows in the packets that arrive, and a fault of the opposite direction does not.
 func TestPackets(t *testing.T) {
 	const sent = 160
 	for _, c := range []struct {
@@ -62,7 +64,7 @@
 	} {
 		n, a, b, reach := twoParties(t)
 		n.Set("a", "b", c.fault)
-		n.Set("b", "a", Fault{Cut: true}) // the other direction is another link
+		n.Set("b", "a", Fault{Cut: true}) // must not affect a to b
 		start := time.Now()
 		text := bytes.Repeat([]byte("x"), 50)
 		for range sent {
@@ -86,12 +88,12 @@
 			}
 		}
 		if !c.ok(got, corrupt, first) {
-			t.Errorf("%s: %d came of %d, %d spoilt, the first after %v", c.name, len(got), sent, corrupt, first)
+			t.Errorf("%s: %d packets arrived of %d, %d corrupt, the first after %v", c.name, len(got), sent, corrupt, first)
 		}
 	}
 }
 
-// A cut stream stands still and goes on; a target that is away refuses the caller, and one that resets resets it.
+// A cut pauses a stream, which continues afterwards. A target that is down has the caller's connection reset.
 func TestStreams(t *testing.T) {
 	n := New(3)
 	t.Cleanup(n.Close)
@@ -130,7 +132,7 @@
 	}
 	n.Set("b", "a", Fault{Cut: true})
 	if echo("held", 100*time.Millisecond) {
-		t.Error("an echo came through the cut")
+		t.Error("an echo arrived despite the cut")
 	}
 	n.Set("b", "a", Fault{})
 	_ = c.SetReadDeadline(time.Now().Add(5 * time.Second))
@@ -146,13 +148,14 @@
 	if c, err = net.Dial("tcp", addr); err == nil {
 		_ = c.SetReadDeadline(time.Now().Add(5 * time.Second))
 		if _, err = c.Read(buf); err == nil || err == io.EOF {
-			t.Errorf("a target that is away: %v", err)
+			t.Errorf("target down: %v", err)
 		}
 		c.Close()
 	}
 }
 
-// Injectors side by side give no address twice: what listens at one may share its port, and would get the other's calls.
+// Concurrent injectors assign different addresses. Listeners can share a port, so with a common address one party would receive calls
+// that are meant for another.
 func TestAddressesAreUnique(t *testing.T) {
 	seen := map[netip.Addr]bool{}
 	for range 3 {
@@ -165,7 +168,7 @@
 			}
 			for _, a := range []netip.Addr{p.Bind.Addr(), p.Reach.Addr(), p.Serve} {
 				if seen[a] {
-					t.Errorf("%v was given twice", a)
+					t.Errorf("%v was assigned twice", a)
 				}
 				seen[a] = true
 			}
