--- a/internal/lab/ca/ca.go
+++ b/internal/lab/ca/ca.go
@@ -1,5 +1,5 @@
-// Package ca makes authorities and certificates for tests: keys of several kinds, any dates, cross-signing. Nothing that
-// it makes is for use elsewhere.
+// Package ca creates certificate authorities and certificates for tests, with several kinds of keys, any validity period, and
+// cross-signing. Its certificates must not be used outside tests.
 package ca
 
 import (
@@ -21,20 +21,20 @@
 	"time"
 )
 
-// Kind is the kind of a key.
+// Kind is the algorithm and size of a key.
 type Kind string
 
-// The kinds.
+// The supported kinds of keys.
 const (
 	RSA2048 Kind = "rsa2048"
 	P256    Kind = "p256"
 	Ed25519 Kind = "ed25519"
 )
 
-// Kinds are all kinds.
+// Kinds lists all supported kinds of keys.
 var Kinds = []Kind{RSA2048, P256, Ed25519}
 
-// NewKey makes a key.
+// NewKey generates a private key.
 func NewKey(kind Kind) (crypto.Signer, error) {
 	switch kind {
 	case RSA2048:
@@ -45,17 +45,17 @@
 		_, key, err := ed25519.GenerateKey(rand.Reader)
 		return key, err
 	}
-	return nil, fmt.Errorf("ca: %q is not a kind of key", kind)
+	return nil, fmt.Errorf("ca: unsupported kind of key %q", kind)
 }
 
-// Pair is a certificate with its key, and the chain above it without the root.
+// Pair is a certificate with its private key and its chain of issuers without the root.
 type Pair struct {
 	Cert  *x509.Certificate
 	Key   crypto.Signer
 	Chain []*x509.Certificate
 }
 
-// Leaf says what a certificate is to be for. Zero dates are an hour ago and a day ahead.
+// Leaf describes a certificate to issue. A zero NotBefore means an hour ago, a zero NotAfter a day ahead.
 type Leaf struct {
 	Names     []string // host names and addresses
 	NotBefore time.Time
@@ -65,6 +65,7 @@
 	Kind      Kind          // P256 if empty
 }
 
+// validity replaces zero dates by an hour ago and a day ahead.
 func validity(from, to time.Time) (time.Time, time.Time) {
 	if from.IsZero() {
 		from = time.Now().Add(-time.Hour)
@@ -75,12 +76,13 @@
 	return from, to
 }
 
+// serial returns a random serial number.
 func serial() *big.Int {
-	n, _ := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), 120)) // it never fails
+	n, _ := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), 120)) // rand.Reader never fails
 	return n
 }
 
-// Root makes a root authority.
+// Root creates a self-signed root authority.
 func Root(name string, kind Kind) (*Pair, error) {
 	key, err := NewKey(kind)
 	if err != nil {
@@ -89,19 +91,20 @@
 	return sign(authority(name), key, nil)
 }
 
+// authority returns the template of an authority certificate that is valid for a year.
 func authority(name string) *x509.Certificate {
 	from, to := validity(time.Time{}, time.Now().Add(365*24*time.Hour))
 	return &x509.Certificate{SerialNumber: serial(), Subject: pkix.Name{CommonName: name}, NotBefore: from, NotAfter: to, IsCA: true,
 		BasicConstraintsValid: true, KeyUsage: x509.KeyUsageCertSign | x509.KeyUsageCRLSign}
 }
 
-// Cross has p certify another authority's key under the other's name: what that one has issued is then good for those
-// who trust p alone.
+// Cross returns a certificate of another authority's name and key that p has signed. Clients that trust only p then accept the
+// certificates that the other authority has issued.
 func (p *Pair) Cross(other *Pair) (*Pair, error) {
 	return sign(authority(other.Cert.Subject.CommonName), other.Key, p)
 }
 
-// Intermediate makes an authority below p.
+// Intermediate creates an authority that p has signed.
 func (p *Pair) Intermediate(name string, kind Kind) (*Pair, error) {
 	key, err := NewKey(kind)
 	if err != nil {
@@ -110,7 +113,7 @@
 	return sign(authority(name), key, p)
 }
 
-// Issue makes a certificate.
+// Issue creates a server or client certificate that p has signed.
 func (p *Pair) Issue(l Leaf) (*Pair, error) {
 	key := l.Key
 	if key == nil {
@@ -141,13 +144,13 @@
 	return sign(c, key, p)
 }
 
-// sign signs a certificate by an authority, or by itself.
+// sign creates a certificate that an issuer has signed; with a nil issuer it is self-signed.
 func sign(c *x509.Certificate, key crypto.Signer, issuer *Pair) (*Pair, error) {
 	out := &Pair{Key: key}
 	parent, signer := c, key
 	if issuer != nil {
 		parent, signer = issuer.Cert, issuer.Key
-		if issuer.Cert.CheckSignatureFrom(issuer.Cert) != nil { // not a root: it goes with the chain
+		if issuer.Cert.CheckSignatureFrom(issuer.Cert) != nil { // the issuer is not a root and belongs in the chain
 			out.Chain = append([]*x509.Certificate{issuer.Cert}, issuer.Chain...)
 		}
 	}
@@ -159,7 +162,7 @@
 	return out, err
 }
 
-// TLS is the pair as crypto/tls has it.
+// TLS returns the pair and its chain as a crypto/tls certificate.
 func (p *Pair) TLS() tls.Certificate {
 	c := tls.Certificate{Certificate: [][]byte{p.Cert.Raw}, PrivateKey: p.Key, Leaf: p.Cert}
 	for _, issuer := range p.Chain {
@@ -168,7 +171,7 @@
 	return c
 }
 
-// PEM is the certificate with its chain.
+// PEM returns the certificate and its chain in PEM.
 func (p *Pair) PEM() (text []byte) {
 	for _, c := range append([]*x509.Certificate{p.Cert}, p.Chain...) {
 		text = append(text, pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: c.Raw})...)
@@ -176,7 +179,7 @@
 	return text
 }
 
-// KeyPEM is the key.
+// KeyPEM returns the private key in PEM.
 func (p *Pair) KeyPEM() ([]byte, error) {
 	raw, err := x509.MarshalPKCS8PrivateKey(p.Key)
 	if err != nil {
@@ -185,7 +188,7 @@
 	return pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: raw}), nil
 }
 
-// Write writes a file as certificate tools do: beside its place, and then by a rename.
+// Write replaces a file atomically, as certificate tools do: it writes a temporary file in the same folder and renames it.
 func Write(path string, text []byte, mode os.FileMode) error {
 	temporary := filepath.Join(filepath.Dir(path), "."+filepath.Base(path)+".new")
 	if err := os.WriteFile(temporary, text, mode); err != nil {
@@ -194,7 +197,7 @@
 	return os.Rename(temporary, path)
 }
 
-// Files writes certificate and key.
+// Files writes the certificate with its chain, and the private key, in PEM.
 func (p *Pair) Files(cert, key string) error {
 	if err := Write(cert, p.PEM(), 0o644); err != nil {
 		return err
--- a/internal/lab/ledger/ledger_test.go
+++ b/internal/lab/ledger/ledger_test.go
@@ -37,8 +37,8 @@
 	wait.Wait = time.Second
 	cold := call(1, 1, 1.1, 200)
 	cold.Cold = true
-	other := call(1, 1, 1.1, 200)
-	other.Dest = 8
+	otherDestination := call(1, 1, 1.1, 200)
+	otherDestination.Dest = 8
 	for name, c := range map[string]struct {
 		rule    string
 		handIns []Submission
@@ -62,7 +62,7 @@
 		"keyed after memory":    {"repeats", []Submission{accepted(1, 1)}, []Call{call(1, 1, 1.1, 500), call(1, 3.1, 3.2, 200)}, nil, nil, nil},
 		"two copies":            {"one copy", []Submission{accepted(1, 0)}, []Call{call(1, 1, 2, 500), call(1, 1.5, 2.5, 200)}, nil, nil, nil},
 		"a copy after a kill":   {"", []Submission{accepted(1, 0)}, []Call{call(1, 1, 2, 500), call(1, 1.5, 2.5, 200)}, nil, nil, []Kill{{From: at(1.2), Ready: at(1.4)}}},
-		"other destination":     {"destination", []Submission{accepted(1, 0)}, []Call{other}, nil, nil, nil},
+		"other destination":     {"destination", []Submission{accepted(1, 0)}, []Call{otherDestination}, nil, nil, nil},
 		"during a wait":         {"waits", []Submission{accepted(1, 0)}, []Call{wait, call(1, 0.5, 0.6, 200)}, nil, nil, nil},
 		"as the wait begins":    {"", []Submission{accepted(1, 0)}, []Call{wait, call(1, 0.3, 0.4, 200)}, nil, nil, nil},
 		"after the wait":        {"", []Submission{accepted(1, 0)}, []Call{wait, call(1, 1.3, 1.4, 200)}, nil, nil, nil},
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -1,6 +1,6 @@
-// Package load hands messages in to a relay over RESP2, open-loop: messages fall due by a schedule whether or
-// not earlier ones were answered, and every time counts from when a message was due. So a relay that stalls
-// cannot hide its stall by keeping its clients from asking (coordinated omission).
+// Package load is an open-loop load generator that submits messages to a relay over RESP2. Messages become due by a schedule,
+// whether or not earlier ones were answered, and every latency counts from the due time. So a stalled relay cannot hide its stall by
+// blocking the clients (coordinated omission).
 package load
 
 import (
@@ -19,61 +19,61 @@
 	"slatemux/internal/lab/ledger"
 )
 
-// Stream is one part of the traffic.
+// Stream is a part of the traffic with messages of one class and tenant.
 type Stream struct {
-	Class    int // index of the classes
+	Class    int // index of Config.Classes
 	Tenant   string
-	Share    float64       // of the rate
-	Body     int           // bytes
-	Deadline time.Duration // that the message has
+	Share    float64       // weight among the streams
+	Body     int           // body size in bytes
+	Deadline time.Duration // since the first due time
 }
 
-// Step is a stretch of the schedule.
+// Step is a period of the schedule with a constant rate.
 type Step struct {
 	For  time.Duration
-	Rate float64 // messages a second
+	Rate float64 // messages per second
 }
 
-// Config says what is handed in.
+// Config describes the load.
 type Config struct {
 	Addr     string
 	Clients  int           // connections, each with one message at a time
-	Patience time.Duration // that a message waits for a client to send it, and then for its answer
+	Patience time.Duration // longest time that a message waits for a free client, and then for its answer
 	Classes  []ledger.Class
 	Streams  []Stream
 	Steps    []Step
 	Dests    []int
-	Retries  int     // times that a refused message is handed in again, after the time told
-	Honour   float64 // share of the refusals whose time is heeded; others come again at once
+	Retries  int     // submissions of a refused message after the first
+	Honour   float64 // share of the refusals whose retry-after is observed; the other retries follow at once
 	Seed     uint64
 	Ledger   *ledger.Ledger
-	Poisson  bool // gaps are exponential; else even
-	Relay    int  // which relay Addr is, for the ledger
+	Poisson  bool // gaps are exponentially distributed; otherwise constant
+	Relay    int  // number of the relay at Addr, for the ledger
 }
 
-// message is one hand-in to be.
+// message is a message that is due for submission.
 type message struct {
 	stream   int
 	dest     int
 	key      uint64
 	due      time.Time
-	deadline time.Time // its deadline, from its first due time
+	deadline time.Time // counted from the first due time
 	retries  int
 }
 
-// Load is a load under way.
+// Load is the state of one run.
 type Load struct {
 	cfg     Config
 	due     chan message
 	nextID  atomic.Uint64
-	pending sync.WaitGroup // of messages that fell due and are not over, those that come again included
+	pending sync.WaitGroup // messages that are due and not finished, including scheduled retries
 }
 
-// Run hands in by the schedule and returns once the last message has its answer or is out of patience, or when
-// ctx ends.
+// Run submits messages by the schedule. It returns when the last message has its answer or its patience is over. When ctx ends, no
+// further message becomes due.
 func Run(ctx context.Context, cfg Config) error {
 	if cfg.Clients < 1 || len(cfg.Streams) == 0 || len(cfg.Dests) == 0 || cfg.Patience <= 0 {
-		return errors.New("load: clients, streams, destinations or patience are missing")
+		return errors.New("load: clients, streams, destinations and patience must be set")
 	}
 	maxRate := 0.0
 	for _, s := range cfg.Steps {
@@ -92,10 +92,11 @@
 	return nil
 }
 
-// schedule lets messages fall due. One that no client can take before its patience ends is noted as unsent.
+// schedule queues each message at its due time. A message that finds the queue full is recorded as unsent: no client could take it
+// within its patience.
 func (l *Load) schedule(ctx context.Context) {
 	rng := rand.New(rand.NewPCG(l.cfg.Seed, 1))
-	book := l.cfg.Ledger.NewRecorder()
+	recorder := l.cfg.Ledger.NewRecorder()
 	total := 0.0
 	for _, s := range l.cfg.Streams {
 		total += s.Share
@@ -110,7 +111,7 @@
 		}
 		for gap := time.Duration(float64(time.Second) / step.Rate); dueAt.Before(end); {
 			if wait := time.Until(dueAt); wait > 0 {
-				time.Sleep(max(wait, time.Millisecond)) // messages of one millisecond share a timer
+				time.Sleep(max(wait, time.Millisecond)) // one timer for all messages that are due within a millisecond
 			}
 			if ctx.Err() != nil {
 				return
@@ -124,7 +125,7 @@
 				case l.due <- m:
 				default:
 					l.pending.Done()
-					book.Submissions = append(book.Submissions, l.record(m, ledger.Unsent))
+					recorder.Submissions = append(recorder.Submissions, l.record(m, ledger.Unsent))
 				}
 				if l.cfg.Poisson {
 					dueAt = dueAt.Add(time.Duration(rng.ExpFloat64() * float64(gap)))
@@ -137,6 +138,7 @@
 	}
 }
 
+// pickStream draws a stream by the shares, whose sum is total.
 func pickStream(rng *rand.Rand, streams []Stream, total float64) int {
 	x := rng.Float64() * total
 	for i, s := range streams {
@@ -147,21 +149,22 @@
 	return len(streams) - 1
 }
 
+// record returns a submission of a message under a new message id.
 func (l *Load) record(m message, a ledger.Answer) ledger.Submission {
 	return ledger.Submission{ID: l.nextID.Add(1), Class: l.cfg.Streams[m.stream].Class, Dest: m.dest, Due: m.due, Deadline: m.deadline,
 		Answer: a, Resubmission: m.retries > 0, Relay: l.cfg.Relay}
 }
 
-// client is one connection that hands in one message at a time.
+// client submits due messages on one connection, one at a time.
 func (l *Load) client(n uint64) {
-	c := &client{load: l, book: l.cfg.Ledger.NewRecorder(), rng: rand.New(rand.NewPCG(l.cfg.Seed, 1000+n))}
+	c := &client{load: l, recorder: l.cfg.Ledger.NewRecorder(), rng: rand.New(rand.NewPCG(l.cfg.Seed, 1000+n))}
 	defer c.disconnect()
 	for m := range l.due {
 		h := l.record(m, ledger.Unsent)
 		if time.Since(m.due) < l.cfg.Patience {
 			c.submit(m, &h)
 		}
-		c.book.Submissions = append(c.book.Submissions, h)
+		c.recorder.Submissions = append(c.recorder.Submissions, h)
 		if h.Answer == ledger.Refused && m.retries < l.cfg.Retries {
 			l.scheduleRetry(c.rng, m, h.RetryIn)
 		}
@@ -169,7 +172,8 @@
 	}
 }
 
-// scheduleRetry hands a refused message in once more, under a new id, when its time has come.
+// scheduleRetry makes a refused message due again after the wait, or at once for the share of refusals that Honour leaves out. A
+// message whose deadline would have passed by then is dropped.
 func (l *Load) scheduleRetry(rng *rand.Rand, m message, wait time.Duration) {
 	if rng.Float64() >= l.cfg.Honour {
 		wait = 0
@@ -182,51 +186,52 @@
 		m.due = time.Now()
 		select {
 		case l.due <- m:
-		default: // no client will be free in time
+		default: // the queue is full: no client will be free in time
 			l.pending.Done()
 		}
 	})
 }
 
+// client is one connection to the relay with its buffers.
 type client struct {
-	load *Load
-	book *ledger.Recorder
-	rng  *rand.Rand
-	nc   net.Conn
-	r    *bufio.Reader
-	buf  []byte
-	body []byte
+	load     *Load
+	recorder *ledger.Recorder
+	rng      *rand.Rand
+	conn     net.Conn
+	reader   *bufio.Reader
+	encoded  []byte
+	body     []byte
 }
 
 func (c *client) disconnect() {
-	if c.nc != nil {
-		c.nc.Close()
-		c.nc = nil
+	if c.conn != nil {
+		c.conn.Close()
+		c.conn = nil
 	}
 }
 
-// submit hands one message in and waits for its answer as long as its patience lasts. A connection that the relay
-// closed between requests is replaced once.
+// submit sends one message and waits for its answer within the patience. If the relay has closed a reused connection, submit opens
+// a new one and sends the message once more.
 func (c *client) submit(m message, h *ledger.Submission) {
 	s := &c.load.cfg.Streams[m.stream]
 	h.Answer = ledger.NoAnswer
 	h.Sent = time.Now()
 	until := h.Sent.Add(c.load.cfg.Patience)
 	for attempt := range 2 {
-		reused := c.nc != nil
+		reused := c.conn != nil
 		if !reused {
 			nc, err := net.DialTimeout("tcp", c.load.cfg.Addr, time.Until(until))
 			if err != nil {
 				return
 			}
-			c.nc, c.r = nc, bufio.NewReaderSize(nc, 256)
+			c.conn, c.reader = nc, bufio.NewReaderSize(nc, 256)
 		}
-		c.buf = c.command(c.buf[:0], m, h, s)
-		_ = c.nc.SetDeadline(until)
-		_, err := c.nc.Write(c.buf)
+		c.encoded = c.command(c.encoded[:0], m, h, s)
+		_ = c.conn.SetDeadline(until)
+		_, err := c.conn.Write(c.encoded)
 		var line string
 		if err == nil {
-			line, err = c.r.ReadString('\n')
+			line, err = c.reader.ReadString('\n')
 		}
 		if err == nil {
 			c.recordAnswer(h, strings.TrimSuffix(line, "\r\n"))
@@ -240,6 +245,7 @@
 	}
 }
 
+// recordAnswer parses an answer of the relay into a submission.
 func (c *client) recordAnswer(h *ledger.Submission, line string) {
 	h.Answered = time.Now()
 	switch {
@@ -254,7 +260,7 @@
 	}
 }
 
-// command encodes MSG.PUT.
+// command appends the MSG.PUT command of a message to b.
 func (c *client) command(b []byte, m message, h *ledger.Submission, s *Stream) []byte {
 	leftMillis := max(time.Until(m.deadline).Milliseconds(), 1)
 	fields := fmt.Sprintf("c=%s,t=%s,d=%d,k=%016x,dest=%d", c.load.cfg.Classes[s.Class].Name, s.Tenant, leftMillis, m.key, m.dest)
--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/load_test.go
@@ -15,7 +15,8 @@
 	"slatemux/internal/lab/ledger"
 )
 
-// startRelay answers hand-ins as f says; an empty answer is none.
+// startRelay starts a simulated relay that answers the n-th command with the result of f. It sends nothing for an empty result and
+// closes the connection for "close".
 func startRelay(t *testing.T, f func(n int64, cmd redcon.Command) string) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -52,6 +53,7 @@
 	return ln.Addr().String()
 }
 
+// run runs a load of 20 messages, changed by change, and returns the totals of its only class.
 func run(t *testing.T, addr string, change func(*Config)) *ledger.PerClass {
 	t.Helper()
 	l := &ledger.Ledger{}
@@ -68,7 +70,7 @@
 	return &v.Classes[0]
 }
 
-// What is handed in is what the protocol has, as often as the schedule says, each under an id of its own.
+// Submissions follow the protocol, are as many as the schedule says, and each has its own message id.
 func TestSchedule(t *testing.T) {
 	ids := make(chan string, 1000)
 	addr := startRelay(t, func(_ int64, cmd redcon.Command) string {
@@ -92,7 +94,7 @@
 	}
 }
 
-// A relay that says nothing holds its clients, and messages that find none still count.
+// A relay that does not answer blocks all clients. Messages that find no free client are counted all the same.
 func TestUnansweredMessagesAreCounted(t *testing.T) {
 	c := run(t, startRelay(t, func(int64, redcon.Command) string { return "" }), nil)
 	if c.Offered != 20 || c.NoAnswer == 0 || c.Accepted > 0 || c.NoAnswer+c.Unsent != 20 {
@@ -100,7 +102,7 @@
 	}
 }
 
-// Refused messages come again when they were told to, under new ids, marked so, and not for ever.
+// Refused messages are retried up to the limit, and each retry is marked as one.
 func TestRetries(t *testing.T) {
 	marked := atomic.Int64{}
 	c := run(t, startRelay(t, func(n int64, cmd redcon.Command) string {
@@ -114,7 +116,7 @@
 	}
 }
 
-// A connection that is closed between requests is replaced, and the request sent once more.
+// After the relay closes a connection between requests, the client sends the request again on a new connection.
 func TestConnectionClosedBetweenRequests(t *testing.T) {
 	c := run(t, startRelay(t, func(n int64, _ redcon.Command) string {
 		if n == 3 {
@@ -127,6 +129,7 @@
 	}
 }
 
+// Run returns an error for a load without clients, streams, destinations and patience.
 func TestEmptyLoadIsRejected(t *testing.T) {
 	if err := Run(context.Background(), Config{}); err == nil {
 		t.Error("an empty load was run")
--- a/internal/lab/partner/partner.go
+++ b/internal/lab/partner/partner.go
@@ -1,5 +1,5 @@
-// Package partner is a stand-in for an outside partner's endpoint: HTTP/1.1 on loopback, with a life that a
-// script sets. It speaks what the platform's protocol page says of endpoints, and records every call.
+// Package partner simulates an endpoint of an outside partner: an HTTP/1.1 server on loopback whose behaviour follows a script of
+// phases. It implements the endpoint side of the platform's protocol and records every call.
 package partner
 
 import (
@@ -20,14 +20,14 @@
 	"slatemux/internal/lab/ledger"
 )
 
-// Mode is what an endpoint does with a call.
+// Mode selects how an endpoint treats calls.
 type Mode int
 
-// The modes.
+// The modes of an endpoint.
 const (
 	Serving   Mode = iota
 	Refusing       // no listener; open connections are reset
-	Silent         // connections come up and calls are read, but nothing is answered
+	Silent         // connections are accepted and calls are read, but nothing is answered
 	Resetting      // calls are read, and then the connection is reset
 	Shut           // 503 for every call
 )
@@ -35,9 +35,10 @@
 // Latency is a distribution of service times.
 type Latency struct {
 	Mean time.Duration
-	CV   float64 // coefficient of variation of a lognormal; 0 for always the mean
+	CV   float64 // coefficient of variation of a lognormal distribution; 0 for the constant Mean
 }
 
+// sample draws one service time.
 func (l Latency) sample(rng *rand.Rand) time.Duration {
 	if l.CV <= 0 {
 		return l.Mean
@@ -46,35 +47,35 @@
 	return time.Duration(float64(l.Mean) * math.Exp(rng.NormFloat64()*math.Sqrt(variance)-variance/2))
 }
 
-// Phase is a stretch of an endpoint's life, until the next one begins.
+// Phase is a part of an endpoint's script. It lasts until the next phase begins.
 type Phase struct {
-	From      time.Duration // since the start
+	From      time.Duration // begin of the phase, since the start of the endpoint
 	Mode      Mode
 	Latency   Latency
-	Rate      float64       // calls a second that are let in; 0 for no limit
-	Wait      time.Duration // told with a refusal over Rate
-	ErrorRate float64       // share answered 500 after the work
-	Cold      time.Duration // the phase begins cold and is warm after this
-	ColdFrom  float64       // share of Rate that it has at once; it falls where twice that arrives
+	Rate      float64       // limit in calls per second; 0 for no limit
+	Wait      time.Duration // retry-after of refusals
+	ErrorRate float64       // share of the served calls that are answered 500 after the service time
+	Cold      time.Duration // length of the slow start of the phase; 0 for none
+	ColdFrom  float64       // share of Rate that the slow start begins with; twice the current rate overloads a cold partner
 }
 
-// Gate is the limit of a partner, over all its endpoints.
+// Gate is the rate limiter of a partner, shared by all its endpoints.
 type Gate struct {
 	mu         sync.Mutex
 	tokens     float64
-	refilledAt time.Time
+	refilledAt time.Time   // last refill of tokens
 	recent     []time.Time // arrivals in the last second, while cold
 }
 
-// reset fills it at the beginning of a phase.
+// reset fills the token bucket at the beginning of a phase.
 func (g *Gate) reset(p *Phase, now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.tokens, g.refilledAt, g.recent = p.Rate, now, nil
 }
 
-// admit lets a call in, or not; it says what the rate is just now, what share of it is left, and whether a cold partner is pushed
-// over.
+// admit decides whether a call is admitted. It also returns the current rate, the unused share of that rate, and whether the calls of
+// the last second overload a cold partner.
 func (g *Gate) admit(p *Phase, age time.Duration, now time.Time) (admitted bool, rate, left float64, overloaded bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -97,9 +98,9 @@
 	return admitted, rate, max(g.tokens, 0) / max(rate, 1), overloaded
 }
 
-// Config says what an endpoint is.
+// Config configures an endpoint.
 type Config struct {
-	Gate *Gate // shared with the partner's other endpoints; nil for one of its own
+	Gate *Gate // rate limiter shared with the partner's other endpoints; nil for a separate one
 
 	Name   string
 	Dest   int
@@ -107,14 +108,14 @@
 	Life   []Phase
 	Ledger *ledger.Ledger
 	Seed   uint64
-	Share  float64 // the rate that the list gives; 0 for that of the first phase, 20 at least
-	Report string  // of X-Backend-Load; empty for a report of the present limit
-	Batch  int     // how many a call may carry; 0 for one alone
+	Share  float64 // share value in discovery's list; 0 for the rate of the first phase, at least 20
+	Report string  // value of X-Backend-Load; empty to report the current limit
+	Batch  int     // most messages in a batch call; 0 if batches are refused
 
-	TLS *tls.Config // of a server; nil for plain
+	TLS *tls.Config // configuration of the server side; nil for plain TCP
 
-	Refuse string            // a body that is turned away with 429 and the phase's Wait; empty for none
-	OnCall func(ledger.Call) // is told of each call that was answered; nil for nobody
+	Refuse string            // calls with this body are refused with 429 and at least the Wait of the first phase; empty for none
+	OnCall func(ledger.Call) // receives each answered call; may be nil
 }
 
 // Server is one endpoint.
@@ -125,22 +126,22 @@
 
 	mu         sync.Mutex
 	ln         net.Listener
-	conns      map[net.Conn]bool // whether a call is under way
-	generation int               // of connections
+	conns      map[net.Conn]bool // true while a call is under way
+	generation int               // incremented by Recycle; a connection of an older generation ends after its answer
 	phase      Phase
-	phaseStart time.Time // of the phase
+	phaseStart time.Time
 	closed     bool
 	calls      int64
-	handshakes [2]int64 // handshakes in full, and resumed
+	handshakes [2]int64 // full and resumed TLS handshakes
 	done       chan struct{}
-	restarted  chan struct{} // closed when the life begins anew
+	restarted  chan struct{} // closed and replaced by Restart
 	wg         sync.WaitGroup
 }
 
-// Start opens an endpoint and begins its life.
+// Start opens an endpoint and begins its first phase.
 func Start(cfg Config) (*Server, error) {
 	if len(cfg.Life) == 0 {
-		return nil, errors.New("partner: a life needs a phase")
+		return nil, errors.New("partner: the script has no phase")
 	}
 	if cfg.Gate == nil {
 		cfg.Gate = &Gate{}
@@ -157,7 +158,7 @@
 	return s, nil
 }
 
-// Restart begins the life anew from now.
+// Restart begins the script again with its first phase.
 func (s *Server) Restart() {
 	s.mu.Lock()
 	if s.closed {
@@ -173,24 +174,24 @@
 	s.wg.Go(func() { s.runPhases(restarted) })
 }
 
-// Addr is where the endpoint listens, or will again.
+// Addr returns the address of the endpoint. It stays the same while the endpoint does not listen.
 func (s *Server) Addr() string { return s.addr }
 
-// Calls is how many calls were read.
+// Calls returns the number of calls that were read.
 func (s *Server) Calls() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls
 }
 
-// Handshakes is how many were made in full, and how many resumed a session.
+// Handshakes returns the number of full TLS handshakes and of those that resumed a session.
 func (s *Server) Handshakes() (full, resumed int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.handshakes[0], s.handshakes[1]
 }
 
-// Close ends the endpoint and waits for its connections.
+// Close closes the endpoint and waits for its connections.
 func (s *Server) Close() {
 	s.mu.Lock()
 	if !s.closed {
@@ -202,7 +203,7 @@
 	s.wg.Wait()
 }
 
-// closeConnections closes listener and connections. It needs the lock.
+// closeConnections closes the listener and resets all connections. The caller holds s.mu.
 func (s *Server) closeConnections() {
 	if s.ln != nil {
 		s.ln.Close()
@@ -216,7 +217,7 @@
 	}
 }
 
-// runPhases goes through the phases.
+// runPhases enters each phase after the first at its time. It ends when the endpoint closes or the script restarts.
 func (s *Server) runPhases(restarted chan struct{}) {
 	s.mu.Lock()
 	start := s.start
@@ -233,7 +234,7 @@
 	}
 }
 
-// EnterPhase begins a phase at once; the script goes on as before.
+// EnterPhase begins a phase at once. The phases of the script still follow at their times.
 func (s *Server) EnterPhase(p Phase) { s.enterPhase(p) }
 
 func (s *Server) enterPhase(p Phase) {
@@ -250,7 +251,7 @@
 	}
 	if s.ln == nil {
 		ln, err := net.Listen("tcp", s.addr)
-		for i := 0; err != nil && i < 50; i++ { // another may hold the port for a moment
+		for i := 0; err != nil && i < 50; i++ { // another process may hold the port briefly
 			time.Sleep(10 * time.Millisecond)
 			ln, err = net.Listen("tcp", s.addr)
 		}
@@ -262,6 +263,7 @@
 	}
 }
 
+// accept serves the connections of one listener until that listener is closed.
 func (s *Server) accept(ln net.Listener) {
 	for n := uint64(0); ; n++ {
 		c, err := ln.Accept()
@@ -281,7 +283,7 @@
 	}
 }
 
-// response is what becomes of one call.
+// response is the decision on one call.
 type response struct {
 	mode         Mode
 	status       int
@@ -291,7 +293,7 @@
 	loadReport   string
 }
 
-// decide decides on a call that has arrived.
+// decide determines the response to a call that has arrived, from the current phase and the rate limiter.
 func (s *Server) decide(rng *rand.Rand) response {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -315,17 +317,17 @@
 	return v
 }
 
-var errMalformedCall = errors.New("not a call")
+var errMalformedCall = errors.New("partner: malformed call")
 
-// request is what a call's head says.
+// request holds the fields of the head of a call.
 type request struct {
 	id         uint64
 	bodyBytes  int
 	closeAfter bool // Connection: close
-	batch      bool // it carries several
+	batch      bool // the call carries several messages
 }
 
-// readHead reads a call's head. first is when its first byte was there.
+// readHead reads the head of a call. first is the arrival time of its first byte.
 func readHead(r *bufio.Reader) (req request, first time.Time, err error) {
 	if _, err = r.Peek(1); err != nil {
 		return req, first, err
@@ -363,7 +365,8 @@
 	}
 }
 
-// readBatch reads the body of a call that carries several: a line for each, with its id, key and length, and its bytes.
+// readBatch reads the body of a batch call and returns the message ids. Each message is a line with id, key and length, followed by
+// its bytes.
 func readBatch(r *bufio.Reader, n int) (ids []string, err error) {
 	text := make([]byte, n)
 	if _, err := io.ReadFull(r, text); err != nil {
@@ -384,7 +387,7 @@
 	return ids, nil
 }
 
-// readBody reads past a body, and says whether it is one that is to be refused.
+// readBody reads a body and reports whether it equals Config.Refuse.
 func (s *Server) readBody(r *bufio.Reader, n int) (refuse bool, err error) {
 	if n != len(s.cfg.Refuse) || n == 0 {
 		_, err = r.Discard(n)
@@ -395,8 +398,8 @@
 	return string(text) == s.cfg.Refuse, err
 }
 
-// Recycle ends every connection as a terminator of TLS does that starts anew: idle ones at once, others behind the answer
-// of the call that is under way.
+// Recycle ends every connection, as a restarting TLS terminator does: idle connections at once, the others after the answer to the
+// call under way.
 func (s *Server) Recycle() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -408,7 +411,7 @@
 	}
 }
 
-// setBusy notes whether a call is under way on a connection, and says whether it is of the present generation.
+// setBusy records whether a call is under way on a connection. It reports whether the connection is of the current generation.
 func (s *Server) setBusy(c net.Conn, underWay bool, generation int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -418,8 +421,9 @@
 	return generation == s.generation
 }
 
+// serve reads, answers and records the calls of one connection. n is the number of the connection on its listener.
 func (s *Server) serve(raw net.Conn, n uint64, generation int) {
-	book := s.cfg.Ledger.NewRecorder()
+	recorder := s.cfg.Ledger.NewRecorder()
 	rng := rand.New(rand.NewPCG(s.cfg.Seed, n))
 	defer func() {
 		raw.Close()
@@ -468,14 +472,14 @@
 		}
 		s.setBusy(raw, true, generation)
 		call := ledger.Call{ID: req.id, Dest: s.cfg.Dest, Member: s.cfg.Name, First: first, Arrived: time.Now()}
-		record := func() { // a call for each that it carried
+		record := func() { // records one call for each message of a batch
 			for _, id := range ids {
 				single := call
 				single.ID, _ = strconv.ParseUint(id, 16, 64)
-				book.Calls = append(book.Calls, single)
+				recorder.Calls = append(recorder.Calls, single)
 			}
 			if !req.batch {
-				book.Calls = append(book.Calls, call)
+				recorder.Calls = append(recorder.Calls, call)
 			}
 		}
 		v := s.decide(rng)
@@ -489,7 +493,7 @@
 		switch v.mode {
 		case Silent:
 			record()
-			_, _ = io.Copy(io.Discard, r) // until the relay gives up
+			_, _ = io.Copy(io.Discard, r) // until the relay closes the connection
 			return
 		case Resetting:
 			record()
--- a/internal/lab/partner/partner_test.go
+++ b/internal/lab/partner/partner_test.go
@@ -38,11 +38,12 @@
 	return c
 }
 
+// callText returns the bytes of a call with a message id and a body.
 func callText(id string, body string) string {
 	return fmt.Sprintf("POST /hook HTTP/1.1\r\nHost: m\r\nX-Correlation-Id: %s\r\nContent-Length: %d\r\n\r\n%s", id, len(body), body)
 }
 
-// call makes one call and returns its status, 0 where the connection ended.
+// call makes one call and returns the status and the headers of the answer; 0 if the connection ended.
 func call(t *testing.T, c net.Conn, r *bufio.Reader) (int, http.Header) {
 	t.Helper()
 	if _, err := c.Write([]byte(callText("ab12", "body"))); err != nil {
@@ -55,6 +56,7 @@
 	return resp.StatusCode, resp.Header
 }
 
+// An endpoint without a limit serves each call, reports its load and records the calls.
 func TestServesAndRecords(t *testing.T) {
 	s, l := start(t, Phase{Latency: Latency{Mean: time.Millisecond, CV: 0.5}})
 	c := dial(t, s)
@@ -67,11 +69,11 @@
 	s.Close()
 	v := l.Judge(ledger.Usual(nil), time.Now())
 	if s.Calls() != 3 || v.Calls != 3 {
-		t.Errorf("%d calls read, %d in the books", s.Calls(), v.Calls)
+		t.Errorf("%d calls read, %d recorded", s.Calls(), v.Calls)
 	}
 }
 
-// Over its rate an endpoint refuses with the wait that the script has.
+// An endpoint refuses calls over its rate with the retry-after of the phase.
 func TestRefusalCarriesRetryAfter(t *testing.T) {
 	s, _ := start(t, Phase{Rate: 2, Wait: 300 * time.Millisecond})
 	c := dial(t, s)
@@ -88,11 +90,11 @@
 	}
 }
 
-// A body that the script refuses is turned away, another of the same length is not; whoever listens hears of both.
+// A call with the body Config.Refuse is refused, one with another body of the same length is served. OnCall receives both.
 func TestRefusedBody(t *testing.T) {
-	var heard []int
+	var statuses []int
 	s, err := Start(Config{Name: "m", Addr: "127.0.0.1:0", Life: []Phase{{Wait: time.Second}}, Ledger: &ledger.Ledger{}, Refuse: "stop",
-		OnCall: func(c ledger.Call) { heard = append(heard, c.Status) }})
+		OnCall: func(c ledger.Call) { statuses = append(statuses, c.Status) }})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -107,12 +109,12 @@
 		}
 	}
 	s.Close()
-	if fmt.Sprint(heard) != "[429 200]" {
-		t.Errorf("heard %v", heard)
+	if fmt.Sprint(statuses) != "[429 200]" {
+		t.Errorf("statuses %v", statuses)
 	}
 }
 
-// Recycling ends idle connections at once and others behind their answer; new ones stay.
+// Recycle ends idle connections at once and busy ones after their answer. New connections stay open.
 func TestRecycle(t *testing.T) {
 	s, _ := start(t, Phase{Latency: Latency{Mean: 50 * time.Millisecond}})
 	idle, busy := dial(t, s), dial(t, s)
@@ -136,7 +138,7 @@
 		t.Errorf("the call under way ended with %d", status)
 	}
 	if _, err := rb.ReadByte(); err == nil {
-		t.Error("the busy connection is open behind its answer")
+		t.Error("the busy connection is still open after its answer")
 	}
 	c := dial(t, s)
 	r := bufio.NewReader(c)
@@ -147,7 +149,7 @@
 	}
 }
 
-// Every mode of a life, entered one after another, and the return to service at the same address.
+// Each mode shows in the answers, and after all of them the endpoint serves again at the same address.
 func TestModes(t *testing.T) {
 	s, _ := start(t, Phase{})
 	serves := func() int {
@@ -172,7 +174,7 @@
 	}
 }
 
-// A cold endpoint that is sent more than twice what it bears says so in the books.
+// A cold endpoint that receives more than twice its current rate marks the calls as an overload in the ledger.
 func TestColdEndpointOverloaded(t *testing.T) {
 	s, l := start(t, Phase{Rate: 20, Cold: time.Hour, ColdFrom: 0.2})
 	c := dial(t, s)
@@ -186,7 +188,7 @@
 	}
 }
 
-// A head is read the same however it is cut; garbage never is a call with a body out of bounds.
+// A head is read correctly however it is split into reads. Corrupt input never yields a call with a body length out of bounds.
 func TestChunkedAndCorruptHeads(t *testing.T) {
 	good := []byte(callText("9b1f03aa5c7e2d41", "body"))
 	proptest.Check(t, func(t *rapid.T) {
@@ -206,12 +208,12 @@
 
 type chunk []byte
 
-// chunkReader hands out one piece a read.
+// chunkReader returns at most one chunk per read.
 type chunkReader struct{ list []chunk }
 
 func (p *chunkReader) Read(b []byte) (int, error) {
 	if len(p.list) == 0 {
-		return 0, fmt.Errorf("over")
+		return 0, fmt.Errorf("no chunks left")
 	}
 	n := copy(b, p.list[0])
 	if p.list[0] = p.list[0][n:]; len(p.list[0]) == 0 {
@@ -220,6 +222,7 @@
 	return n, nil
 }
 
+// Malformed calls are answered 400, and an endpoint without phases does not start.
 func TestMalformedCalls(t *testing.T) {
 	s, _ := start(t, Phase{})
 	for _, bad := range []string{"GET / HTTP/1.1\r\n\r\n", strings.Replace(callText("1", ""), "Content-Length: 0", "Content-Length: -1", 1),
@@ -233,6 +236,6 @@
 		}
 	}
 	if _, err := Start(Config{Addr: "127.0.0.1:0"}); err == nil {
-		t.Error("an endpoint without a life was started")
+		t.Error("an endpoint without phases was started")
 	}
 }
--- a/internal/lab/platform/platform.go
+++ b/internal/lab/platform/platform.go
@@ -1,5 +1,5 @@
-// Package platform is a stand-in for discovery and for the platform that takes notices: one HTTP server on
-// loopback, with a list that a test changes and that may fall silent.
+// Package platform simulates discovery and the receiver of notices with one HTTP server on loopback. A test changes discovery's list
+// and can stop discovery from answering.
 package platform
 
 import (
@@ -18,7 +18,7 @@
 	"slatemux/internal/lab/ledger"
 )
 
-// Host is an entry of the list, with the names that discovery uses.
+// Host is an entry of discovery's list, in the JSON form of discovery.
 type Host struct {
 	Host   string  `json:"host"`
 	Dial   string  `json:"dial"`
@@ -30,40 +30,40 @@
 	BornMS int64   `json:"born_ms"`
 }
 
-// hostList is what a watch is answered.
+// hostList is the answer to a watch: the full list (Whole) or the changes.
 type hostList struct {
 	Seq   int64  `json:"seq"`
 	Whole bool   `json:"whole"`
 	Hosts []Host `json:"hosts"`
 }
 
-// Server is discovery and the platform.
+// Server serves discovery's list and receives notices.
 type Server struct {
 	ln       net.Listener
 	http     *http.Server
 	ledger   *ledger.Ledger
-	recorder *ledger.Recorder // under the lock
+	recorder *ledger.Recorder // guarded by mu
 
 	mu        sync.Mutex
 	sequence  int64
 	hosts     []Host
 	changes   []hostChange
-	changed   chan struct{} // closed at each change
+	changed   chan struct{} // closed and replaced at each change of the list or of silent
 	silent    bool
 	onNotice  func(ledger.Notice)
-	relays    map[netip.Addr]relayRoute // by the address that it calls from; one alone needs none
+	relays    map[netip.Addr]relayRoute // by source address; nil for a single relay
 	stop      chan struct{}
 	closeOnce sync.Once
 }
 
-// relayRoute is one that is told apart from the others: its drains count from when they were written to it, and what it reads as a
-// member's address is its own way there.
+// relayRoute is a relay that is identified by its source address. A drain counts for this relay from the time at which its watch was
+// answered with the drain. dial returns the address at which this relay reaches a member.
 type relayRoute struct {
 	number int
 	dial   func(Host) string
 }
 
-// Relay tells a relay apart by the address that it calls from.
+// Relay registers a relay by its source address.
 func (s *Server) Relay(from netip.Addr, number int, dial func(Host) string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -73,7 +73,7 @@
 	s.relays[from] = relayRoute{number, dial}
 }
 
-// hostsFor is a list as a relay reads it.
+// hostsFor returns a list with the addresses at which one relay reaches the members.
 func hostsFor(hosts []Host, r relayRoute) []Host {
 	if r.dial == nil {
 		return hosts
@@ -85,12 +85,13 @@
 	return hosts
 }
 
+// hostChange is a change of one entry of the list.
 type hostChange struct {
 	sequence int64
 	host     Host
 }
 
-// Start opens a server. addr may leave the port to the system.
+// Start starts a server. With port 0 in addr the system chooses the port.
 func Start(addr string, l *ledger.Ledger, hosts []Host) (*Server, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -105,34 +106,34 @@
 	return s, nil
 }
 
-// Addr is where it listens.
+// Addr returns the address of the server.
 func (s *Server) Addr() string { return s.ln.Addr().String() }
 
-// Close ends it.
+// Close stops the server.
 func (s *Server) Close() {
 	s.closeOnce.Do(func() { close(s.stop) })
 	_ = s.http.Close()
 }
 
-// OnNotice has f called with each notice, one at a time.
+// OnNotice sets a function that is called with each notice, one at a time.
 func (s *Server) OnNotice(f func(ledger.Notice)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.onNotice = f
 }
 
-// Known is the list as it stands, in the form that a relay's configuration holds.
+// Known returns the current list in the form of a relay's configuration.
 func (s *Server) Known() json.RawMessage { return s.KnownTo(netip.Addr{}) }
 
-// KnownTo is the same for a relay that calls from an address of its own.
+// KnownTo returns the current list for the relay with a source address.
 func (s *Server) KnownTo(from netip.Addr) json.RawMessage {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	raw, _ := json.Marshal(hostList{s.sequence, true, hostsFor(s.hosts, s.relays[from])}) // it never fails
+	raw, _ := json.Marshal(hostList{s.sequence, true, hostsFor(s.hosts, s.relays[from])}) // cannot fail for these types
 	return raw
 }
 
-// Change replaces an entry of the list, adds it, or with health "left" takes it out.
+// Change adds or replaces an entry of the list. With health "left" it removes the entry.
 func (s *Server) Change(h Host) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -149,7 +150,7 @@
 	s.changed = make(chan struct{})
 }
 
-// SetSilent lets discovery say nothing, or speak again. Notices are answered all the same.
+// SetSilent stops discovery from answering watches, or lets it answer again. Notices are answered in both cases.
 func (s *Server) SetSilent(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -158,6 +159,7 @@
 	s.changed = make(chan struct{})
 }
 
+// watch answers a watch of discovery's list. It waits up to hold_ms for changes after the version from.
 func (s *Server) watch(w http.ResponseWriter, req *http.Request) {
 	from, _ := strconv.ParseInt(req.FormValue("from"), 10, 64)
 	hold, _ := strconv.Atoi(req.FormValue("hold_ms"))
@@ -204,6 +206,7 @@
 	}
 }
 
+// notices receives notices, one JSON object per line. A malformed line rejects the whole request.
 func (s *Server) notices(w http.ResponseWriter, req *http.Request) {
 	var got []ledger.Notice
 	now := time.Now()
--- a/internal/lab/platform/platform_test.go
+++ b/internal/lab/platform/platform_test.go
@@ -35,7 +35,7 @@
 	return got
 }
 
-// A watch waits for what is newer than it knows, and tells all that came in between.
+// A watch waits for changes after its version and returns all of them. With no version or an unknown one it returns the full list.
 func TestWatch(t *testing.T) {
 	s, l := start(t)
 	if got := get(t, s, ""); got.Seq != 1 || !got.Whole || len(got.Hosts) != 1 {
@@ -53,19 +53,19 @@
 		t.Errorf("%+v", got)
 	}
 	if got := get(t, s, "?from=9"); !got.Whole || len(got.Hosts) != 1 {
-		t.Errorf("after a version that there never was: %+v", got)
+		t.Errorf("watch from a version that does not exist: %+v", got)
 	}
 	if got := get(t, s, "?from=4&hold_ms=10"); got.Whole || len(got.Hosts) != 0 || got.Seq != 4 {
-		t.Errorf("a watch without news: %+v", got)
+		t.Errorf("a watch without changes: %+v", got)
 	}
 	b := l.NewRecorder()
 	b.Calls = []ledger.Call{{ID: 1, Member: "a", First: time.Now().Add(time.Hour)}}
 	if v := l.Judge(ledger.Usual(nil), time.Now()); len(v.Breaches) != 1 || v.Breaches[0].Rule != "drains" {
-		t.Errorf("the ledger does not know of the drain: %+v", v.Breaches)
+		t.Errorf("the ledger has no record of the drain: %+v", v.Breaches)
 	}
 }
 
-// Silent, discovery says nothing, and then everything.
+// Silent discovery answers no watch. Afterwards the answer contains the changes that were made in the meantime.
 func TestSilentDiscovery(t *testing.T) {
 	s, _ := start(t)
 	s.SetSilent(true)
@@ -83,10 +83,11 @@
 	}
 }
 
+// Well-formed notices reach the function of OnNotice. Malformed ones are answered 400.
 func TestNotices(t *testing.T) {
 	s, _ := start(t)
-	var heard []string
-	s.OnNotice(func(n ledger.Notice) { heard = append(heard, fmt.Sprint(n.ID, n.Outcome, n.RetryIn)) })
+	var received []string
+	s.OnNotice(func(n ledger.Notice) { received = append(received, fmt.Sprint(n.ID, n.Outcome, n.RetryIn)) })
 	post := func(text string) int {
 		resp, err := http.Post("http://"+s.Addr()+"/v1/notices", "", strings.NewReader(text))
 		if err != nil {
@@ -103,7 +104,7 @@
 			t.Errorf("%s: answered %d", bad, got)
 		}
 	}
-	if got := strings.Join(heard, " "); got != "10given_up0s 11handed_back500ms" {
-		t.Errorf("heard %s", got)
+	if got := strings.Join(received, " "); got != "10given_up0s 11handed_back500ms" {
+		t.Errorf("received %s", got)
 	}
 }
--- a/internal/lab/scripted/scripted.go
+++ b/internal/lab/scripted/scripted.go
@@ -1,5 +1,5 @@
-// Package scripted is a partner's server that keeps connections badly, as a script says: it drops idle ones in one way or
-// another, closes behind so many calls, or takes only so many.
+// Package scripted simulates a partner's HTTP server with faulty connection handling. A script selects how it drops idle
+// connections, after how many calls it closes a connection, and how many connections it accepts.
 package scripted
 
 import (
@@ -18,31 +18,32 @@
 	"golang.org/x/sys/unix"
 )
 
-// End is how a connection that idled too long ends.
+// End selects how the server ends a connection that was idle for too long.
 type End int
 
-// The ends.
+// The ends of an idle connection.
 const (
 	Never  End = iota
-	Close      // before the client's eyes
-	Reset      // unseen: the next byte is answered by a reset
-	Vanish     // unseen: nothing is acknowledged any more, as where a middlebox has dropped the flow
+	Close      // the server closes it, which the client can see
+	Reset      // the client sees nothing until its next byte is answered by a reset
+	Vanish     // nothing is acknowledged any more, as after a middlebox has dropped the connection
 )
 
-// Script says how a server behaves.
+// Script describes how a server behaves.
 type Script struct {
-	Service time.Duration // of a call
-	Connect time.Duration // until a new connection's first call is read, as where the way is long
+	Service time.Duration // service time of a call
+	Connect time.Duration // delay until the first call of a new connection is read, as with a long round-trip time
 	End     End
-	Idle    time.Duration // after which it ends
-	Uses    int           // calls behind which a connection is closed; 0 for any number
-	Cap     int           // connections at once: more are reset; 0 for any number
+	Idle    time.Duration // idle time after which a connection ends
+	Uses    int           // calls after which a connection is closed; 0 for no limit
+	Cap     int           // most open connections, further ones are reset; 0 for no limit
 }
 
-// Counters count since the start.
+// Counters holds counts since the start: accepted connections (those over the cap included), calls, connections over the cap, and
+// the most connections open at once.
 type Counters struct{ Accepted, Calls, Turned, Most int64 }
 
-// Server is one server.
+// Server is a running server.
 type Server struct {
 	ln     net.Listener
 	script atomic.Pointer[Script]
@@ -54,11 +55,11 @@
 	count Counters
 }
 
-// Start starts a server on a loopback port of the system's choice.
+// Start starts a server on a loopback port that the system chooses.
 func Start(s Script) (*Server, error) {
 	lc := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
 		var err error
-		if s.End == Vanish { // what is sent to one that reads no more is soon not acknowledged
+		if s.End == Vanish { // with a small receive buffer, data is soon no longer acknowledged once the server stops reading
 			if controlErr := c.Control(func(fd uintptr) { err = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_RCVBUF, 2048) }); controlErr != nil {
 				return controlErr
 			}
@@ -75,10 +76,10 @@
 	return srv, nil
 }
 
-// Addr is where it listens.
+// Addr returns the address of the server.
 func (s *Server) Addr() string { return s.ln.Addr().String() }
 
-// Set has it follow another script from now on.
+// Set replaces the script of the running server.
 func (s *Server) Set(script Script) { s.script.Store(&script) }
 
 // Counters returns the counters.
@@ -88,14 +89,14 @@
 	return s.count
 }
 
-// Open is how many connections it holds.
+// Open returns the number of open connections.
 func (s *Server) Open() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns)
 }
 
-// Stop ends it and waits for that.
+// Stop closes the server and waits for its connections.
 func (s *Server) Stop() {
 	close(s.done)
 	s.ln.Close()
@@ -107,6 +108,7 @@
 	s.wg.Wait()
 }
 
+// accept serves connections up to the cap and resets the others.
 func (s *Server) accept() {
 	for {
 		nc, err := s.ln.Accept()
@@ -135,12 +137,13 @@
 	}
 }
 
+// reset closes a connection with a TCP reset.
 func reset(nc net.Conn) {
 	_ = nc.(*net.TCPConn).SetLinger(0)
 	nc.Close()
 }
 
-// wait waits, false if the server ends meanwhile.
+// wait waits for a time. It returns false if the server is stopped meanwhile.
 func (s *Server) wait(d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -152,6 +155,7 @@
 	}
 }
 
+// serve answers the calls of one connection by the script.
 func (s *Server) serve(nc net.Conn) {
 	if !s.wait(s.script.Load().Connect) {
 		return
@@ -186,7 +190,7 @@
 	}
 }
 
-// endIdle ends a connection that has idled for too long.
+// endIdle ends a connection that was idle for too long.
 func (s *Server) endIdle(nc net.Conn, r *bufio.Reader, end End) {
 	switch end {
 	case Reset:
@@ -195,7 +199,7 @@
 			reset(nc)
 		}
 	case Vanish:
-		s.wait(3 * time.Second) // and reads nothing
+		s.wait(3 * time.Second) // without reading
 		reset(nc)
 	}
 }
--- a/internal/lab/scripted/scripted_test.go
+++ b/internal/lab/scripted/scripted_test.go
@@ -11,6 +11,7 @@
 
 const call = "POST /hook HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n"
 
+// dial starts a server and opens a connection to it.
 func dial(t *testing.T, s Script) (*Server, net.Conn) {
 	t.Helper()
 	srv, err := Start(s)
@@ -26,6 +27,7 @@
 	return srv, nc
 }
 
+// exchange makes one call and reads the answer.
 func exchange(t *testing.T, nc net.Conn) error {
 	t.Helper()
 	if _, err := io.WriteString(nc, call); err != nil {
@@ -35,7 +37,7 @@
 	return err
 }
 
-// Each way in which an idle connection ends looks to the client as its name says.
+// A client sees the end of an idle connection as the script selects it: as the end of the stream or as a reset at the next call.
 func TestIdleEnds(t *testing.T) {
 	for end, want := range map[End]error{Close: io.EOF, Reset: syscall.ECONNRESET} {
 		_, nc := dial(t, Script{End: end, Idle: 20 * time.Millisecond})
@@ -55,6 +57,7 @@
 	}
 }
 
+// A server closes a connection after Uses calls and resets connections over Cap.
 func TestCallAndConnectionLimits(t *testing.T) {
 	srv, nc := dial(t, Script{Uses: 2, Cap: 1})
 	for i := range 2 {
@@ -62,11 +65,11 @@
 			t.Fatal(err)
 		}
 		if i == 1 {
-			break // the server closes it now
+			break // the server closes the connection after this call
 		}
 		if other, err := net.Dial("tcp", srv.Addr()); err == nil {
 			if err := exchange(t, other); err == nil {
-				t.Error("one more connection was taken than the cap")
+				t.Error("a connection over the cap was served")
 			}
 			other.Close()
 		}
