--- a/internal/lab/deployment.go
+++ b/internal/lab/deployment.go
@@ -1,5 +1,5 @@
-// Package lab is the laboratory: it puts up a whole deployment on loopback (partners, discovery, platform, relay,
-// clients), lets a scripted load and scripted failures run, and judges what came of every message.
+// Package lab runs a complete test deployment on loopback: partners, discovery, platform, relay processes and clients. It applies a
+// scripted load and scripted failures, and checks the outcome of every message.
 package lab
 
 import (
@@ -18,7 +18,7 @@
 	"slatemux/internal/lab/platform"
 )
 
-// Class is a class as the platform's settings hold it.
+// Class is a class in the platform's settings.
 type Class struct {
 	Name      string
 	Repeat    string // safe, keyed or unsafe
@@ -29,7 +29,7 @@
 	Deadline  time.Duration
 }
 
-// Usual are the two classes that Bortsvi Tyre Service has.
+// Usual returns the two classes of the Bortsvi Tyre Service deployment.
 func Usual() []Class {
 	return []Class{
 		{Name: "order-payment", Repeat: "keyed", Worth: 1, LateWorth: 0.5, Memory: 15 * time.Second, Aim: 4 * time.Second, Deadline: 28 * time.Second},
@@ -37,18 +37,18 @@
 	}
 }
 
-// Tenant is a tenant as the settings hold it.
+// Tenant is a tenant in the platform's settings.
 type Tenant struct {
 	Name      string
 	Allowance float64
 	Share     float64
 }
 
-// Place is where a relay works.
+// Place describes a deployment: the settings of the relays and the partners.
 type Place struct {
 	Classes   []Class
 	Tenants   []Tenant
-	Partners  []partner.Config // Ledger is filled in
+	Partners  []partner.Config // Put sets the Ledger of each
 	MemoryMB  float64
 	DiskMB    float64
 	Sockets   int
@@ -56,32 +56,32 @@
 	MaxCalls  int
 	KeepAlive time.Duration
 	Seed      uint64
-	Relays    int // how many share the partners; 0 for one
+	Relays    int // number of relays that share the partners; 0 for one
 
-	Edit func(settings map[string]any) // changes the settings of other deployments; nil for nothing
+	Edit func(settings map[string]any) // changes the settings before they are written; may be nil
 	Kind func(n int) string            // kind of the n-th partner; nil for "partner"
 }
 
-// Deployment is everything around one relay, or around the seats of several.
+// Deployment holds the simulated parties around one relay or several, and the ledger of the run.
 type Deployment struct {
 	Place    Place
 	Ledger   *ledger.Ledger
 	Platform *platform.Server
 	Partners []*partner.Server
 	Classes  []ledger.Class
-	*Seat    // of the one relay
+	*Seat    // of the only relay
 }
 
-// Seat is where one relay works: its addresses, and the folder with its configuration and its state.
+// Seat holds the addresses of one relay, and the folder with its configuration and its state.
 type Seat struct {
 	Name      string
-	Number    int // among Place.Relays
+	Number    int // index of the relay, below Place.Relays
 	Listen    string
 	Discovery string
 	Dir       string
 }
 
-// Put puts a deployment up in a folder. Close ends it.
+// Put starts the partners and the platform of a deployment and writes the relay's configuration to a folder. Close stops them.
 func Put(dir string, p Place) (*Deployment, error) {
 	d := &Deployment{Place: p, Ledger: &ledger.Ledger{}, Seat: &Seat{Name: "lab", Dir: dir}}
 	for _, c := range p.Classes {
@@ -120,7 +120,7 @@
 	return d, nil
 }
 
-// Close ends partners and platform.
+// Close stops the partners and the platform.
 func (d *Deployment) Close() {
 	var wg sync.WaitGroup
 	for _, s := range d.Partners {
@@ -132,13 +132,13 @@
 	}
 }
 
-// Config and State are the platform's configuration file and the folder that lasts.
+// Config returns the path of the relay's configuration file.
 func (s *Seat) Config() string { return filepath.Join(s.Dir, "config.json") }
 
-// State is the folder that outlives a relay.
+// State returns the path of the folder that persists over restarts of the relay.
 func (s *Seat) State() string { return filepath.Join(s.Dir, "state") }
 
-// Furnish finds a relay its address and writes its configuration, with the pool as it last knew it.
+// Furnish writes the configuration of a relay with known as its last known pool, and chooses its client address if there is none.
 func (d *Deployment) Furnish(s *Seat, known json.RawMessage) (err error) {
 	p := d.Place
 	if s.Listen == "" {
@@ -146,16 +146,16 @@
 			return err
 		}
 	}
-	ms := func(t time.Duration) float64 { return float64(t) / float64(time.Millisecond) }
+	millis := func(t time.Duration) float64 { return float64(t) / float64(time.Millisecond) }
 	var classes, orgs []map[string]any
 	for _, c := range p.Classes {
-		classes = append(classes, map[string]any{"name": c.Name, "repeat": c.Repeat, "dedup-scope": "all", "memory-span-ms": ms(c.Memory),
-			"slo-ms": ms(c.Aim), "deadline-ms": ms(c.Deadline), "late-worth": c.LateWorth, "value": c.Worth})
+		classes = append(classes, map[string]any{"name": c.Name, "repeat": c.Repeat, "dedup-scope": "all", "memory-span-ms": millis(c.Memory),
+			"slo-ms": millis(c.Aim), "deadline-ms": millis(c.Deadline), "late-worth": c.LateWorth, "value": c.Worth})
 	}
 	for _, t := range p.Tenants {
 		orgs = append(orgs, map[string]any{"name": t.Name, "allowance-per-s": t.Allowance, "portion": t.Share})
 	}
-	file := map[string]any{
+	configuration := map[string]any{
 		"name": s.Name, "listen": s.Listen, "discovery": s.Discovery, "seed": fmt.Sprintf("%x", p.Seed+uint64(s.Number)<<32),
 		"limits": map[string]any{"cores": 1, "memory_mb": p.MemoryMB, "sockets": p.Sockets, "disk_mb": p.DiskMB},
 		"known":  known,
@@ -163,16 +163,16 @@
 			"classes": classes, "kinds": []string{"partner"}, "localities": []string{"here"}, "zone": "here", "orgs": orgs,
 			"over-share-worth": 0.1, "peers-total": max(p.Relays, 1), "self-index": s.Number, "resolution-ms": 5, "membership-mode": "pushed", "weights": "rough",
 			"family-info": map[string]any{"max-calls": p.MaxCalls, "late": "halves", "own-limits": []bool{false}, "carriage": []float64{0}},
-			"limits": map[string]any{"connect-timeout-ms": 1000, "keepalive-ms": ms(p.KeepAlive), "max-attempts": 8, "max-open": p.MaxOpen,
+			"limits": map[string]any{"connect-timeout-ms": 1000, "keepalive-ms": millis(p.KeepAlive), "max-attempts": 8, "max-open": p.MaxOpen,
 				"max-retry-after-ms": 3000, "retry-after": true, "cancel": true, "streams-per-conn": 1},
 			"safety":  map[string]any{"start-capacity": 0.23, "cold-ms": 13000, "fall-multiple": 1.5, "tip-after-ms": 1500},
 			"tariffs": map[string]any{"handshake": 0.02},
 		},
 	}
 	if p.Edit != nil {
-		p.Edit(file["settings"].(map[string]any))
+		p.Edit(configuration["settings"].(map[string]any))
 	}
-	raw, err := json.MarshalIndent(file, "", " ")
+	raw, err := json.MarshalIndent(configuration, "", " ")
 	if err != nil {
 		return fmt.Errorf("lab: %w", err)
 	}
@@ -185,14 +185,14 @@
 	return nil
 }
 
-// Relay starts a relay on processors and waits until it is ready. gateway is the text of its own settings; empty
-// for none.
+// Relay starts a relay process on the given processors and waits until it is ready. gateway is the text of the relay's own settings
+// file; empty for none.
 func (s *Seat) Relay(binary string, cpus []int, gateway string, flags ...string) (*Process, error) {
 	return s.RelayWith(binary, cpus, nil, gateway, flags...)
 }
 
-// RelayWith starts a relay as Relay does, with more of the environment: a second process beside the first
-// gets an operators' address of its own, and the first one's TMPDIR.
+// RelayWith starts a relay like Relay, with additional environment variables. A second process beside the first needs its own admin
+// endpoint and the TMPDIR of the first.
 func (s *Seat) RelayWith(binary string, cpus []int, env []string, gateway string, flags ...string) (*Process, error) {
 	args := append([]string{"--log-format", "json"}, flags...)
 	if gateway != "" {
@@ -206,7 +206,7 @@
 	if err != nil {
 		return nil, err
 	}
-	// The whole field: "address already in use" is not ready.
+	// Matches the complete JSON field, because the error "address already in use" contains the word ready, too.
 	if err := p.AwaitLog(`"msg":"ready"`, time.Now().Add(10*time.Second)); err != nil {
 		p.Kill()
 		return nil, err
@@ -214,18 +214,18 @@
 	return p, nil
 }
 
-// Load runs a load against the relay. Address, classes and ledger are filled in.
+// Load runs a load against the only relay. It sets the address, the classes, the ledger and the relay's number.
 func (d *Deployment) Load(ctx context.Context, cfg load.Config) error {
 	return d.LoadOn(ctx, d.Seat, cfg)
 }
 
-// LoadOn runs one against one of several relays.
+// LoadOn runs a load against one of several relays.
 func (d *Deployment) LoadOn(ctx context.Context, s *Seat, cfg load.Config) error {
 	cfg.Addr, cfg.Classes, cfg.Ledger, cfg.Relay = s.Listen, d.Classes, d.Ledger, s.Number
 	return load.Run(ctx, cfg)
 }
 
-// Judge judges what was recorded. Partners must be closed before.
+// Judge checks the recorded run with the usual rules. The partners must be closed.
 func (d *Deployment) Judge(end time.Time) ledger.Verdict {
 	return d.Ledger.Judge(ledger.Usual(d.Classes), end)
 }
--- a/internal/lab/handover_test.go
+++ b/internal/lab/handover_test.go
@@ -14,22 +14,21 @@
 	"slatemux/internal/lab/load"
 )
 
-// A second process is started beside the first on the same client address, says it is ready on its own
-// operators' address, and the first is ended by SIGTERM under load. The ledger of the stand-ins demands that
-// every message taken on had exactly one end and that none ran twice; the successor takes up what the first
-// left in its journal.
+// Handover under load: a second process starts on the client address of the first and reports ready on its own admin endpoint, then
+// the first process is ended by SIGTERM. Every accepted message must have exactly one end and none may run twice. The successor
+// recovers what the first process left in its journal.
 func TestHandover(t *testing.T) {
 	d := startDeployment(t, 30*time.Millisecond, 64)
 	tmp := t.TempDir()
-	opsOld, err := FreePort()
+	firstOps, err := FreePort()
 	if err != nil {
 		t.Fatal(err)
 	}
-	old, err := d.RelayWith(binary, nil, []string{"TMPDIR=" + tmp, "NODE_OPS=" + opsOld}, "")
+	first, err := d.RelayWith(binary, nil, []string{"TMPDIR=" + tmp, "NODE_OPS=" + firstOps}, "")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(old.Kill)
+	t.Cleanup(first.Kill)
 
 	loaded := make(chan error, 1)
 	go func() {
@@ -37,42 +36,42 @@
 			Steps: []load.Step{{For: 6 * time.Second, Rate: 150}}, Dests: []int{0, 1}, Retries: 2, Honour: 1, Seed: 9})
 	}()
 	time.Sleep(time.Second)
-	opsNew, err := FreePort()
+	successorOps, err := FreePort()
 	if err != nil {
 		t.Fatal(err)
 	}
-	next, err := d.RelayWith(binary, nil, []string{"TMPDIR=" + tmp, "NODE_OPS=" + opsNew}, "")
+	successor, err := d.RelayWith(binary, nil, []string{"TMPDIR=" + tmp, "NODE_OPS=" + successorOps}, "")
 	if err != nil {
 		t.Fatalf("the successor did not start beside the first: %v", err)
 	}
-	t.Cleanup(next.Kill)
+	t.Cleanup(successor.Kill)
 	deadline := time.Now().Add(6 * time.Second)
-	for !isReady(opsNew) {
+	for !isReady(successorOps) {
 		if time.Now().After(deadline) {
-			t.Fatalf("the successor never said it was ready\n%s", next.Log())
+			t.Fatalf("the successor did not become ready\n%s", successor.Log())
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	if err := old.Signal(syscall.SIGTERM); err != nil {
+	if err := first.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	if err := old.End(time.Now().Add(3700 * time.Millisecond)); err != nil {
+	if err := first.End(time.Now().Add(3700 * time.Millisecond)); err != nil {
 		t.Fatalf("the first process did not end before its SIGKILL: %v", err)
 	}
-	// Its exit closed its connections, and so gave up what was out on them: a partner that still answers into a
-	// closed connection does not make the successor's call a second copy.
+	// The exit of the first process closed its connections and ended the calls on them. A partner may still write an answer to a closed
+	// connection; the successor's call of the same message is then no concurrent second call.
 	exited := time.Now()
 	d.Ledger.Kill(ledger.Kill{From: exited, Ready: exited})
 	if err := <-loaded; err != nil {
 		t.Fatal(err)
 	}
-	if dir := os.Getenv("HANDOVER_LOGS"); dir != "" { // for a look at a failure
-		os.WriteFile(filepath.Join(dir, "old.log"), []byte(old.Log()), 0o600)
-		defer func() { os.WriteFile(filepath.Join(dir, "next.log"), []byte(next.Log()), 0o600) }()
+	if dir := os.Getenv("HANDOVER_LOGS"); dir != "" { // folder for the logs of both processes, to examine a failure
+		os.WriteFile(filepath.Join(dir, "old.log"), []byte(first.Log()), 0o600)
+		defer func() { os.WriteFile(filepath.Join(dir, "next.log"), []byte(successor.Log()), 0o600) }()
 	}
-	v := d.judgeRun(t, next)
+	v := d.judgeRun(t, successor)
 	if offered, accepted, _ := totals(v); accepted == 0 || offered == 0 {
-		t.Fatalf("nothing was served: %d of %d", accepted, offered)
+		t.Fatalf("no message was accepted: %d of %d", accepted, offered)
 	}
 	journals, _ := filepath.Glob(filepath.Join(d.State(), "journal*"))
 	if len(journals) != 1 {
@@ -83,6 +82,7 @@
 	}
 }
 
+// isReady reports whether the admin endpoint at addr answers that the relay is ready.
 func isReady(addr string) bool {
 	resp, err := http.Get("http://" + addr + "/ops/readiness")
 	if err != nil {
@@ -92,17 +92,18 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// A relay that cannot listen is not ready, whatever its error says: "address already in use" has the word in it.
+// A relay that cannot listen on its admin endpoint does not count as ready, although its error "address already in use" contains the
+// word ready.
 func TestNotReadyWhenOpsAddressIsTaken(t *testing.T) {
 	d := startDeployment(t, 30*time.Millisecond, 64)
-	taken, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer taken.Close()
-	p, err := d.RelayWith(binary, nil, []string{"TMPDIR=" + t.TempDir(), "NODE_OPS=" + taken.Addr().String()}, "")
+	defer listener.Close()
+	p, err := d.RelayWith(binary, nil, []string{"TMPDIR=" + t.TempDir(), "NODE_OPS=" + listener.Addr().String()}, "")
 	if err == nil {
 		p.Kill()
-		t.Error("a relay whose operators' address is taken passes for ready")
+		t.Error("a relay whose admin endpoint is in use counts as ready")
 	}
 }
--- a/internal/lab/idleclients_test.go
+++ b/internal/lab/idleclients_test.go
@@ -14,8 +14,9 @@
 	"slatemux/internal/lab/platform"
 )
 
-// Idle clients may fill the descriptors while discovery is down: with as few as a relay can have, and the system holding it to them,
-// messages are taken on and delivered meanwhile, discovery's connection is made at once when it is back, and nothing fails for want of one.
+// Idle clients use up their share of the descriptors while discovery is down. With the smallest number of descriptors that a relay can
+// have, enforced by the system, the relay still accepts messages, reconnects to discovery as soon as that is back, and no operation
+// fails for lack of a descriptor.
 func TestIdleClientsFillTheirPlaces(t *testing.T) {
 	t.Parallel()
 	const sockets = 64
@@ -29,7 +30,7 @@
 		t.Fatal(err)
 	}
 	d.Platform.SetSilent(true)
-	most, addr := 0, d.Seat.Listen
+	maxDescriptors, addr := 0, d.Seat.Listen
 	for n := range 300 {
 		nc, err := net.Dial("tcp", addr)
 		if err != nil {
@@ -39,36 +40,36 @@
 		_, _ = io.WriteString(nc, []string{"", "PING\r\n", "*5\r\n"}[n%3])
 		if n%30 == 29 {
 			if line := submitOne(t, addr, n); !strings.HasPrefix(line, "+OK") {
-				t.Errorf("behind %d idle clients, a hand-in is answered %q", n+1, line)
+				t.Errorf("with %d idle clients, a submission is answered %q", n+1, line)
 			}
 		}
-		most = max(most, readUsage(t, p).descriptors)
+		maxDescriptors = max(maxDescriptors, readUsage(t, p).descriptors)
 	}
 	d.Platform.Change(platform.Host{Host: "p1", Dial: d.Partners[1].Addr(), Site: "here", Class: "partner", Health: "leaving", Share: 20, Block: 1})
-	back := time.Now()
+	resumedAt := time.Now()
 	d.Platform.SetSilent(false)
-	heard := func() bool {
+	changeReceived := func() bool {
 		line, ok := p.Line("counters")
 		return ok && Field(line, "pool", "changes") > 0
 	}
-	for !heard() && time.Since(back) < 5*time.Second {
+	for !changeReceived() && time.Since(resumedAt) < 5*time.Second {
 		if err := p.Signal(unix.SIGUSR1); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	if took := time.Since(back); took > 2*time.Second {
-		t.Errorf("discovery is heard %v after it is back", took)
+	if took := time.Since(resumedAt); took > 2*time.Second {
+		t.Errorf("a change was received %v after discovery came back", took)
 	}
 	for _, line := range []string{"accept failed", "too many open files", "journal write failed"} {
 		if strings.Contains(p.Log(), line) {
-			t.Errorf("the log says %q", line)
+			t.Errorf("the log contains %q", line)
 		}
 	}
-	t.Logf("%d descriptors at most of %d", most, sockets)
+	t.Logf("%d descriptors at most of %d", maxDescriptors, sockets)
 }
 
-// submitOne hands in a message on a connection of its own and returns the answer.
+// submitOne submits a message on a new connection and returns the answer.
 func submitOne(t *testing.T, addr string, n int) string {
 	t.Helper()
 	nc, err := net.Dial("tcp", addr)
@@ -77,11 +78,11 @@
 	}
 	defer nc.Close()
 	id := fmt.Sprintf("%08x", n)
-	call := "*5\r\n"
+	command := "*5\r\n"
 	for _, a := range []string{"MSG.PUT", "0", id, "c=order-payment,t=acme,d=28000,k=" + id + ",dest=0", "body"} {
-		call += fmt.Sprintf("$%d\r\n%s\r\n", len(a), a)
+		command += fmt.Sprintf("$%d\r\n%s\r\n", len(a), a)
 	}
-	if _, err := io.WriteString(nc, call); err != nil {
+	if _, err := io.WriteString(nc, command); err != nil {
 		t.Fatal(err)
 	}
 	line, err := bufio.NewReader(nc).ReadString('\n')
--- a/internal/lab/manyservers_test.go
+++ b/internal/lab/manyservers_test.go
@@ -18,9 +18,9 @@
 	"time"
 )
 
-// A list of 24 to 5,000 servers, each a destination of its own, in the smallest machine that settings have named (32 MB, 384
-// descriptors): ready soon, and idle as with traffic to every one of them, memory and descriptors stay under the limits and each
-// message that was taken on is delivered.
+// A pool of 24 to 5,000 members, each a separate destination, on the smallest machine that settings have named (32 MB, 384
+// descriptors). Memory and descriptors stay under the limits, both idle and with traffic to every member. At least nine tenths of the
+// accepted messages are delivered, and the others end with a notice.
 func TestManyServers(t *testing.T) {
 	const memoryMB, sockets = 32, 384
 	for _, size := range []int{24, 300, 1024, 5000} {
@@ -33,7 +33,7 @@
 			}))
 			t.Cleanup(member.Close)
 			var notices atomic.Int64
-			agent := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
+			discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 				if req.Method == "POST" {
 					body, _ := io.ReadAll(req.Body)
 					notices.Add(int64(strings.Count(string(body), "\n")))
@@ -45,8 +45,8 @@
 				}
 			}))
 			t.Cleanup(func() {
-				agent.CloseClientConnections()
-				agent.Close()
+				discovery.CloseClientConnections()
+				discovery.Close()
 			})
 			var hosts []map[string]any
 			for i := range size {
@@ -59,48 +59,49 @@
 			}
 			d := &Deployment{Place: Place{Classes: Usual(), Tenants: []Tenant{{Name: "acme", Share: 1}}, MemoryMB: memoryMB, DiskMB: 3, Sockets: sockets,
 				MaxOpen: 1000, MaxCalls: 200, KeepAlive: 5 * time.Second, Seed: 3, Relays: 350}}
-			seat := &Seat{Name: "many", Dir: t.TempDir(), Discovery: agent.Listener.Addr().String()}
+			seat := &Seat{Name: "many", Dir: t.TempDir(), Discovery: discovery.Listener.Addr().String()}
 			if err := d.Furnish(seat, known); err != nil {
 				t.Fatal(err)
 			}
-			began := time.Now()
+			startedAt := time.Now()
 			p, err := seat.Relay(binary, nil, "")
 			if err != nil {
 				t.Fatal(err)
 			}
 			t.Cleanup(p.Kill)
-			ready := time.Since(began)
+			readyAfter := time.Since(startedAt)
 			idle := readUsage(t, p)
-			taken := submitToAll(t, seat.Listen, size)
-			for until := time.Now().Add(30 * time.Second); calls.Load()+notices.Load() < int64(taken) && time.Now().Before(until); {
+			accepted := submitToAll(t, seat.Listen, size)
+			for until := time.Now().Add(30 * time.Second); calls.Load()+notices.Load() < int64(accepted) && time.Now().Before(until); {
 				time.Sleep(20 * time.Millisecond)
 			}
 			busy := readUsage(t, p)
-			t.Logf("%d servers: ready after %v; idle %v; with %d messages to all %v; %d delivered", size, ready.Round(time.Millisecond), idle, taken, busy, calls.Load())
-			most := memoryMB << 20
-			if size == 5000 { // all called within seconds: docs/sizes.md
-				most = 40 << 20
+			t.Logf("%d servers: ready after %v; idle %v; with %d messages to all %v; %d delivered", size, readyAfter.Round(time.Millisecond), idle, accepted, busy, calls.Load())
+			maxPeakBytes := memoryMB << 20
+			if size == 5000 { // all members are called within seconds: docs/sizes.md
+				maxPeakBytes = 40 << 20
 			}
-			if busy.peakBytes > most || idle.peakBytes > memoryMB<<20 || busy.descriptors > sockets {
-				t.Errorf("over a limit: idle %v, busy %v", idle, busy)
+			if busy.peakBytes > maxPeakBytes || idle.peakBytes > memoryMB<<20 || busy.descriptors > sockets {
+				t.Errorf("memory or descriptors over the limit: idle %v, busy %v", idle, busy)
 			}
-			if taken < size*9/10 || calls.Load()+notices.Load() < int64(taken) || calls.Load() < int64(taken)*9/10 {
-				t.Errorf("of %d messages, %d are taken on, %d delivered and %d ended by a notice", size, taken, calls.Load(), notices.Load())
+			if accepted < size*9/10 || calls.Load()+notices.Load() < int64(accepted) || calls.Load() < int64(accepted)*9/10 {
+				t.Errorf("of %d messages, %d were accepted, %d delivered and %d ended by a notice", size, accepted, calls.Load(), notices.Load())
 			}
 			if err := p.Signal(syscall.SIGTERM); err != nil || p.Wait() != nil {
-				t.Errorf("ended badly: %v\n%s", err, p.Log())
+				t.Errorf("the relay did not end cleanly: %v\n%s", err, p.Log())
 			}
 		})
 	}
 }
 
-// memoryUsage is what a process holds.
+// memoryUsage is the memory of a process in bytes and its numbers of descriptors and threads.
 type memoryUsage struct{ rssBytes, peakBytes, descriptors, threads int }
 
 func (g memoryUsage) String() string {
 	return fmt.Sprintf("%.1f MB (peak %.1f), %d descriptors, %d threads", float64(g.rssBytes)/1e6, float64(g.peakBytes)/1e6, g.descriptors, g.threads)
 }
 
+// readUsage reads the current usage of a process from /proc.
 func readUsage(t *testing.T, p *Process) (g memoryUsage) {
 	t.Helper()
 	dir := fmt.Sprintf("/proc/%d", p.command.Process.Pid)
@@ -131,9 +132,10 @@
 	return g
 }
 
-// submitToAll hands in a message to each destination, and again where one is refused; it says how many were taken on.
-func submitToAll(t *testing.T, addr string, size int) (taken int) {
-	var n, done atomic.Int64
+// submitToAll submits a message for each destination and repeats refused ones, up to 200 attempts. It returns the number of accepted
+// messages.
+func submitToAll(t *testing.T, addr string, size int) (accepted int) {
+	var nextDest, acceptedCount atomic.Int64
 	var clients sync.WaitGroup
 	for range 20 {
 		clients.Go(func() {
@@ -145,17 +147,17 @@
 			defer nc.Close()
 			rd := bufio.NewReader(nc)
 			for {
-				dest := int(n.Add(1)) - 1
+				dest := int(nextDest.Add(1)) - 1
 				if dest >= size {
 					return
 				}
-				for try := range 200 {
-					id := fmt.Sprintf("%x%04x", dest+16, try)
-					call := "*5\r\n"
+				for attempt := range 200 {
+					id := fmt.Sprintf("%x%04x", dest+16, attempt)
+					command := "*5\r\n"
 					for _, a := range []string{"MSG.PUT", "0", id, fmt.Sprintf("c=order-payment,t=acme,d=28000,k=%s,dest=%d", id, dest), "body"} {
-						call += fmt.Sprintf("$%d\r\n%s\r\n", len(a), a)
+						command += fmt.Sprintf("$%d\r\n%s\r\n", len(a), a)
 					}
-					if _, err := io.WriteString(nc, call); err != nil {
+					if _, err := io.WriteString(nc, command); err != nil {
 						t.Error(err)
 						return
 					}
@@ -165,7 +167,7 @@
 						return
 					}
 					if strings.HasPrefix(line, "+OK") {
-						done.Add(1)
+						acceptedCount.Add(1)
 						break
 					}
 					time.Sleep(50 * time.Millisecond)
@@ -174,5 +176,5 @@
 		})
 	}
 	clients.Wait()
-	return int(done.Load())
+	return int(acceptedCount.Load())
 }
--- a/internal/lab/overload_test.go
+++ b/internal/lab/overload_test.go
@@ -18,9 +18,8 @@
 	"slatemux/internal/lab/partner"
 )
 
-// The tests here run the real program among stand-ins and cause what the overload control is meant for. What they
-// demand holds on a machine of any speed: every message that was taken on has exactly one end, what was refused never
-// ran, and nothing is left open. How much was served is a matter for slatelab, not for these.
+// These tests run the real program in a simulated deployment and cause overload. Their checks hold on a machine of any speed: every
+// accepted message has exactly one end, no refused message ran, and no message stays open. Throughput is measured by slatelab.
 
 var binary string
 
@@ -39,9 +38,10 @@
 	os.Exit(code)
 }
 
-// eagerShedding sheds at once, so that a test need not load the machine for it.
+// eagerShedding makes the relay shed at low load, so that a test need not load the machine.
 const eagerShedding = `overload { enabled: true target_busy: 0.1 confirm_ticks: 1 least_rate: 1 retry_least_ms: 50 }`
 
+// startDeployment starts a deployment with two partners of the given mean latency; change edits the configuration of each.
 func startDeployment(t *testing.T, latency time.Duration, memoryMB float64, change ...func(*partner.Config)) *Deployment {
 	t.Helper()
 	p := Place{Classes: Usual(), Tenants: []Tenant{{Name: "acme", Share: 1}}, MemoryMB: memoryMB, DiskMB: 64, Sockets: 512, MaxOpen: 2000,
@@ -63,6 +63,7 @@
 	return d
 }
 
+// startRelay starts the relay of the deployment and kills it at the end of the test.
 func (d *Deployment) startRelay(t *testing.T, gateway string) *Process {
 	t.Helper()
 	p, err := d.Relay(binary, nil, gateway)
@@ -73,6 +74,7 @@
 	return p
 }
 
+// runLoad runs a load of 60 clients to both destinations and returns when it is over.
 func (d *Deployment) runLoad(t *testing.T, streams []load.Stream, retries int, steps ...load.Step) {
 	t.Helper()
 	err := d.Load(context.Background(), load.Config{Clients: 60, Patience: 400 * time.Millisecond, Streams: streams, Steps: steps,
@@ -82,13 +84,14 @@
 	}
 }
 
+// twoStreams returns a stream for each of the two usual classes.
 func twoStreams(body int) []load.Stream {
 	return []load.Stream{{Class: 0, Tenant: "acme", Share: 0.6, Body: body, Deadline: 28 * time.Second},
 		{Class: 1, Tenant: "acme", Share: 0.4, Body: body, Deadline: 5 * time.Second}}
 }
 
-// judgeRun waits for the last end and demands that no rule is broken. Slow machines get time, no rule gets lenient
-// otherwise.
+// judgeRun waits until no message is open, stops the deployment and fails the test for each violated rule. EndSlack and ReadyGrace
+// are longer than usual for slow machines; no other tolerance is changed.
 func (d *Deployment) judgeRun(t *testing.T, p *Process) ledger.Verdict {
 	t.Helper()
 	if err := p.Settled(time.Now().Add(60 * time.Second)); err != nil {
@@ -107,6 +110,7 @@
 	return v
 }
 
+// totals adds up the classes of a verdict.
 func totals(v ledger.Verdict) (offered, accepted, refused int) {
 	for _, c := range v.Classes {
 		offered, accepted, refused = offered+c.Offered, accepted+c.Accepted, refused+c.Refused
@@ -114,8 +118,7 @@
 	return offered, accepted, refused
 }
 
-// A processor that is there for a tenth of the time: the relay is stopped and let go on, over and over, under a load
-// that jumps.
+// A CPU-starved relay under a load that rises tenfold at once: the process is paused repeatedly, so that it runs a tenth of the time.
 func TestStopAndGo(t *testing.T) {
 	d := startDeployment(t, 10*time.Millisecond, 64)
 	p := d.startRelay(t, eagerShedding)
@@ -138,7 +141,7 @@
 	}
 }
 
-// SIGKILL while messages are shed and others are out, and a new start on the same folder.
+// The relay is ended by SIGKILL while it sheds messages and calls are under way, and starts again on the same folder.
 func TestKilledWhileShedding(t *testing.T) {
 	d := startDeployment(t, 60*time.Millisecond, 64)
 	p := d.startRelay(t, eagerShedding)
@@ -148,49 +151,48 @@
 		d.runLoad(t, twoStreams(200), 3, load.Step{For: 2500 * time.Millisecond, Rate: 1500})
 	}()
 	time.Sleep(time.Second)
-	from := time.Now()
+	killedAt := time.Now()
 	p.Kill()
 	p = d.startRelay(t, eagerShedding)
-	d.Ledger.Kill(ledger.Kill{From: from, Ready: time.Now()})
+	d.Ledger.Kill(ledger.Kill{From: killedAt, Ready: time.Now()})
 	<-loaded
 	if _, accepted, refused := totals(d.judgeRun(t, p)); accepted == 0 || refused == 0 {
 		t.Errorf("%d accepted, %d refused: the test caused no overload, or no service", accepted, refused)
 	}
 }
 
-// Partners so slow that large bodies pile up under the smallest limit of memory: the relay stays under it, and turns
-// the large ones away.
+// Slow partners make large bodies accumulate under the smallest memory limit. The relay stays under the limit and refuses messages.
 func TestSlowPartnersFillMemory(t *testing.T) {
 	d := startDeployment(t, 700*time.Millisecond, 32)
 	p := d.startRelay(t, `overload { enabled: true }`)
-	var most int64
+	var peakBytes int64
 	ctx, cancel := context.WithCancel(context.Background())
 	watched := make(chan struct{})
 	go func() {
 		defer close(watched)
 		for ; ctx.Err() == nil; time.Sleep(20 * time.Millisecond) {
-			most = max(most, p.Usage().RSS)
+			peakBytes = max(peakBytes, p.Usage().RSS)
 		}
 	}()
-	large := []load.Stream{{Class: 1, Tenant: "acme", Share: 0.8, Body: 60_000, Deadline: 5 * time.Second},
+	largeBodies := []load.Stream{{Class: 1, Tenant: "acme", Share: 0.8, Body: 60_000, Deadline: 5 * time.Second},
 		{Class: 1, Tenant: "acme", Share: 0.2, Body: 300, Deadline: 5 * time.Second}}
-	d.runLoad(t, large, 0, load.Step{For: 3 * time.Second, Rate: 300})
+	d.runLoad(t, largeBodies, 0, load.Step{For: 3 * time.Second, Rate: 300})
 	cancel()
 	<-watched
 	v := d.judgeRun(t, p)
-	if most > 32e6 {
-		t.Errorf("%d bytes resident under a limit of 32 MB", most)
+	if peakBytes > 32e6 {
+		t.Errorf("%d bytes resident under a limit of 32 MB", peakBytes)
 	}
 	if line, _ := p.Line("counters"); Field(line, "relay", "bytes") != 0 {
-		t.Errorf("bytes are held though nothing is open: %v", line)
+		t.Errorf("bytes are still counted although no message is open: %v", line)
 	}
 	if _, accepted, refused := totals(v); accepted == 0 || refused == 0 {
 		t.Errorf("%d accepted, %d refused", accepted, refused)
 	}
 }
 
-// Partners over TLS that ask for a certificate of ours, whose files and roots are renewed under load, wait told or not:
-// nothing is lost, nothing doubled, and new connections go by the new files.
+// Partners over TLS require a client certificate, and the relay's certificate files are renewed repeatedly under load, each time with
+// SIGHUP. No message is lost or runs twice, and the relay loads the new files and makes handshakes.
 func TestRenewalsUnderLoad(t *testing.T) {
 	dir := t.TempDir()
 	root, err := ca.Root("root", ca.P256)
@@ -248,7 +250,7 @@
 	}
 }
 
-// The laboratory sees what it is there to see: a relay that is killed and does not come back has lost what it took on.
+// The ledger detects lost messages: a relay that is killed and not restarted loses the messages that it has accepted.
 func TestLossIsDetected(t *testing.T) {
 	d := startDeployment(t, 300*time.Millisecond, 64)
 	p := d.startRelay(t, "")
@@ -257,6 +259,6 @@
 	d.Close()
 	v := d.Ledger.Judge(ledger.Usual(d.Classes), time.Now().Add(time.Hour))
 	if len(v.Breaches) == 0 {
-		t.Error("no breach where messages were lost")
+		t.Error("no violation was reported although messages were lost")
 	}
 }
--- a/internal/lab/process.go
+++ b/internal/lab/process.go
@@ -19,7 +19,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// Process is a program under test, started by the laboratory and ended by it alone.
+// Process is a program under test that the laboratory has started.
 type Process struct {
 	command *exec.Cmd
 	output  *logBuffer
@@ -28,7 +28,7 @@
 	stats   procfs.Proc
 }
 
-// logBuffer keeps what a program wrote, and whether a text has come.
+// logBuffer keeps the first 8 MB of a program's output and signals each write on written.
 type logBuffer struct {
 	mu      sync.Mutex
 	text    bytes.Buffer
@@ -54,8 +54,7 @@
 	return l.text.String()
 }
 
-// Run starts a program on the given processors, or on all with none. Its environment is that of the laboratory
-// and env.
+// Run starts a program on the given processors, or on all if cpus is empty. env is added to the environment of the laboratory.
 func Run(cpus []int, env []string, name string, args ...string) (*Process, error) {
 	p := &Process{command: exec.Command(name, args...), output: &logBuffer{written: make(chan struct{}, 1)}, done: make(chan struct{})}
 	p.command.Env = append(os.Environ(), env...)
@@ -74,14 +73,14 @@
 	return p, nil
 }
 
-// RunPinned runs f on a thread that is bound to processors, so that a process which it starts is bound to them too.
+// RunPinned runs f on a thread that is bound to processors. A process that f starts inherits the binding.
 func RunPinned(cpus []int, f func() error) error {
 	if len(cpus) == 0 {
 		return f()
 	}
 	errs := make(chan error)
 	go func() {
-		runtime.LockOSThread() // and never unlocked: the thread ends with the goroutine
+		runtime.LockOSThread() // stays locked, so that the thread ends with the goroutine
 		var set unix.CPUSet
 		for _, c := range cpus {
 			set.Set(c)
@@ -95,7 +94,7 @@
 	return <-errs
 }
 
-// Keep binds all threads of this program to processors; those that it makes later inherit that.
+// Keep binds all threads of this process to processors. Later threads inherit the binding.
 func Keep(cpus []int) error {
 	var set unix.CPUSet
 	for _, c := range cpus {
@@ -107,14 +106,14 @@
 	}
 	for _, t := range tasks {
 		if tid, err := strconv.Atoi(t.Name()); err == nil {
-			_ = unix.SchedSetaffinity(tid, &set) // a thread may be gone by now
+			_ = unix.SchedSetaffinity(tid, &set) // the thread may have ended
 		}
 	}
 	runtime.GOMAXPROCS(len(cpus))
 	return nil
 }
 
-// AwaitLog waits until the program has written a text.
+// AwaitLog waits until the program's output contains a text.
 func (p *Process) AwaitLog(text string, deadline time.Time) error {
 	for {
 		if strings.Contains(p.output.String(), text) {
@@ -122,23 +121,23 @@
 		}
 		select {
 		case <-p.done:
-			return fmt.Errorf("lab: ended before %q: %v\n%s", text, p.err, p.output)
+			return fmt.Errorf("lab: process ended before it logged %q: %v\n%s", text, p.err, p.output)
 		case <-p.output.written:
 		case <-time.After(time.Until(deadline)):
-			return fmt.Errorf("lab: no %q in time\n%s", text, p.output)
+			return fmt.Errorf("lab: process did not log %q before the deadline\n%s", text, p.output)
 		}
 	}
 }
 
-// Signal sends a signal.
+// Signal sends a signal to the program.
 func (p *Process) Signal(s syscall.Signal) error { return p.command.Process.Signal(s) }
 
 // Wait waits for the end of the program.
 func (p *Process) Wait() error { <-p.done; return p.err }
 
-// End asks the program to end, and ends it if it has not by the deadline.
+// End sends SIGTERM, and SIGKILL if the program has not ended by the deadline.
 func (p *Process) End(deadline time.Time) error {
-	_ = p.Signal(syscall.SIGTERM) // it may be gone already
+	_ = p.Signal(syscall.SIGTERM) // the program may have ended already
 	select {
 	case <-p.done:
 	case <-time.After(time.Until(deadline)):
@@ -148,30 +147,30 @@
 	return p.err
 }
 
-// Kill ends the program at once.
+// Kill ends the program with SIGKILL and waits for its end.
 func (p *Process) Kill() {
 	_ = p.command.Process.Kill()
 	<-p.done
 }
 
-// Log is what the program wrote to standard error.
+// Log returns what the program wrote to standard error, up to 8 MB.
 func (p *Process) Log() string { return p.output.String() }
 
-// Usage is what a program has used so far.
+// Usage is the processor time that a program has used so far and its resident memory in bytes.
 type Usage struct {
 	CPU time.Duration
 	RSS int64
 }
 
-// Usage reads it; nought once the program is gone. The processor time is that of the process's own clock, in
-// nanoseconds, for the figures under /proc count ticks of 10 ms.
+// Usage returns the current usage; zero once the program has ended. The processor time comes from the CPU clock of the process, in
+// nanoseconds, because the times under /proc have a resolution of 10 ms.
 func (p *Process) Usage() Usage {
 	s, err := p.stats.Stat()
 	if err != nil {
 		return Usage{}
 	}
 	u := Usage{CPU: time.Duration(s.CPUTime() * float64(time.Second)), RSS: int64(s.ResidentMemory())}
-	const sched = 2 // as clock_getcpuclockid(3) builds the clock of another process
+	const sched = 2 // CPUCLOCK_SCHED: the clock id is built as in clock_getcpuclockid(3)
 	var ts unix.Timespec
 	if unix.ClockGettime(int32(^p.command.Process.Pid<<3|sched), &ts) == nil {
 		u.CPU = time.Duration(ts.Nano())
@@ -179,7 +178,7 @@
 	return u
 }
 
-// Line finds the newest log line in JSON with a message, and decodes it.
+// Line decodes the newest JSON log line with a message. It returns false if there is none.
 func (p *Process) Line(message string) (map[string]any, bool) {
 	var found map[string]any
 	for _, line := range strings.Split(p.output.String(), "\n") {
@@ -191,7 +190,7 @@
 	return found, found != nil
 }
 
-// Field follows names into nested objects of a log line; nought where there is no such number.
+// Field returns the number at a path of nested objects of a log line; 0 if there is none.
 func Field(m map[string]any, path ...string) float64 {
 	for i, name := range path {
 		if i == len(path)-1 {
@@ -203,15 +202,16 @@
 	return 0
 }
 
-// FreePort asks the system for a port on loopback. Another may take it before it is used again; the caller
-// notices, for its program then does not start.
+// FreePort returns a loopback address with a free port. Another process may take the port before it is used: then the program of the
+// caller does not start.
 func FreePort() (string, error) { return FreePortOn("127.0.0.1") }
 
-// allocatedPorts are the ports that were handed out: a relay that is told of one shares it with whoever else is, and hand-ins of one test
-// would go to the relay of another.
+// allocatedPorts holds the addresses that FreePortOn has returned, to return none twice. Relays share a client port that both are
+// configured with, so submissions of one test would reach the relay of another.
 var allocatedPorts sync.Map
 
-// FreePortOn asks for one on another address of the loopback. Where no connections are opened from there, nobody takes it.
+// FreePortOn returns a free port on a given loopback address. If no connections are opened from that address, no other process takes
+// the port.
 func FreePortOn(ip string) (string, error) {
 	for {
 		ln, err := net.Listen("tcp", net.JoinHostPort(ip, "0"))
@@ -226,7 +226,7 @@
 	}
 }
 
-// Settled waits until the relay says that nothing is open and no notice is owed any more.
+// Settled waits until the relay's counters show no open message and no pending notice.
 func (p *Process) Settled(deadline time.Time) error {
 	for {
 		if err := p.Signal(syscall.SIGUSR1); err != nil {
@@ -239,7 +239,7 @@
 			return nil
 		}
 		if time.Now().After(deadline) {
-			return fmt.Errorf("lab: still open at the deadline: %v", line)
+			return fmt.Errorf("lab: relay has open messages or pending notices at the deadline: %v", line)
 		}
 	}
 }
--- a/internal/lab/settings_test.go
+++ b/internal/lab/settings_test.go
@@ -12,8 +12,8 @@
 	"slatemux/internal/lab/platform"
 )
 
-// Deployments whose settings are other than those of Bortsvi Tyre Service, each with a member that leaves under load: all that was
-// taken on ends in time, no rule is broken, and most of it is delivered.
+// Deployments with settings other than those of Bortsvi Tyre Service, each with a member that leaves under load. Every accepted message
+// ends in time, no rule is violated, and most messages are accepted and delivered.
 func TestOtherSettings(t *testing.T) {
 	oneClass := func(name, repeat string) []Class {
 		return []Class{{Name: name, Repeat: repeat, Worth: 2, LateWorth: 0.3, Memory: 4 * time.Second, Aim: 2 * time.Second, Deadline: 9 * time.Second}}
@@ -23,31 +23,31 @@
 		classes        []Class
 		tenants        []Tenant
 		grace          time.Duration
-		loadReport     string  // of each answer; empty for one of the limit
-		callsPerSecond float64 // calls a second at each partner; 0 for none
-		batchSize      int     // messages in a call
+		loadReport     string  // X-Backend-Load of each answer; empty to report the current limit
+		callsPerSecond float64 // limit of each partner; 0 for none
+		batchSize      int     // most messages in a batch call; 0 for none
 		edit           func(settings map[string]any)
 	}{
-		"asked for, 0.5 s, routes apart": {classes: oneClass("fee", "unsafe"), tenants: []Tenant{{Name: "a", Share: 0.7}, {Name: "b", Share: 0.3}}, grace: 500 * time.Millisecond,
+		"discovery on request, 0.5 s of drain grace, two kinds": {classes: oneClass("fee", "unsafe"), tenants: []Tenant{{Name: "a", Share: 0.7}, {Name: "b", Share: 0.3}}, grace: 500 * time.Millisecond,
 			edit: func(s map[string]any) {
 				s["membership-mode"], s["peers-total"], s["weights"], s["kinds"] = "on_request", 3, "none", []string{"first", "second"}
 				section(s, "family-info")["own-limits"] = []bool{true, false}
 				section(s, "safety")["ask-every-ms"] = 1000
 			}},
-		"twenty in a call, four calls a second": {classes: oneClass("notice", "keyed"), tenants: []Tenant{{Name: "t", Share: 1}}, grace: time.Second, callsPerSecond: 4, batchSize: 20,
+		"20 messages a call, 4 calls a second": {classes: oneClass("notice", "keyed"), tenants: []Tenant{{Name: "t", Share: 1}}, grace: time.Second, callsPerSecond: 4, batchSize: 20,
 			edit: func(s map[string]any) {
 				section(s, "family-info")["bundle-max"], section(s, "family-info")["own-limits"] = []int{20, 20}, []bool{true, true}
 			}},
-		"pushed, 0.5 s, one safe class": {classes: oneClass("x", "safe"), tenants: []Tenant{{Name: "t", Share: 1}}, grace: 500 * time.Millisecond, edit: func(s map[string]any) {
+		"pushed discovery, 0.5 s of drain grace, one safe class": {classes: oneClass("x", "safe"), tenants: []Tenant{{Name: "t", Share: 1}}, grace: 500 * time.Millisecond, edit: func(s map[string]any) {
 			s["peers-total"] = 1024
 			s["resolution-ms"] = 1
 		}},
-		"pushed, 5 s, no tenants": {classes: Usual(), grace: 5 * time.Second, edit: func(s map[string]any) {
+		"pushed discovery, 5 s of drain grace, no tenants": {classes: Usual(), grace: 5 * time.Second, edit: func(s map[string]any) {
 			s["orgs"], s["zone"], s["localities"] = nil, "there", []string{"there", "here"}
 			section(s, "family-info")["carriage"] = []float64{0, 0.01}
 			section(s, "family-info")["late"] = "line"
 		}},
-		"no reports, no told waits, one attempt": {classes: oneClass("only", "keyed"), tenants: []Tenant{{Name: "t", Share: 1}}, grace: 2 * time.Second, loadReport: "none",
+		"no load reports, no retry-after, one attempt": {classes: oneClass("only", "keyed"), tenants: []Tenant{{Name: "t", Share: 1}}, grace: 2 * time.Second, loadReport: "none",
 			edit: func(s map[string]any) {
 				s["telemetry"] = map[string]any{"how": "none"}
 				section(s, "limits")["retry-after"], section(s, "limits")["cancel"], section(s, "limits")["max-attempts"] = false, false, 1
@@ -104,7 +104,7 @@
 				delivered += pc.Delivered
 			}
 			if offered, accepted, _ := totals(v); accepted < offered*8/10 || delivered < accepted*8/10 {
-				t.Errorf("of %d messages, %d are taken on and %d delivered", offered, accepted, delivered)
+				t.Errorf("of %d messages, %d were accepted and %d delivered", offered, accepted, delivered)
 			}
 		})
 	}
