--- a/internal/lab/deployment.go
+++ b/internal/lab/deployment.go
@@ -58,8 +58,8 @@
 	Seed      uint64
 	Relays    int // number of relays that share the partners; 0 for one
 
-	Edit func(settings map[string]any) // changes the settings before they are written; may be nil
-	Kind func(n int) string            // kind of the n-th partner; nil for "partner"
+	EditSettings func(settings map[string]any) // changes the settings before they are written; may be nil
+	Kind         func(n int) string            // kind of the n-th partner; nil for "partner"
 }
 
 // Deployment holds the simulated parties around one relay or several, and the ledger of the run.
@@ -135,8 +135,8 @@
 // Config returns the path of the relay's configuration file.
 func (s *Seat) Config() string { return filepath.Join(s.Dir, "config.json") }
 
-// State returns the path of the folder that persists over restarts of the relay.
-func (s *Seat) State() string { return filepath.Join(s.Dir, "state") }
+// StateDir returns the path of the folder that persists over restarts of the relay.
+func (s *Seat) StateDir() string { return filepath.Join(s.Dir, "state") }
 
 // Furnish writes the configuration of a relay with known as its last known pool, and chooses its client address if there is none.
 func (d *Deployment) Furnish(s *Seat, known json.RawMessage) (err error) {
@@ -169,14 +169,14 @@
 			"tariffs": map[string]any{"handshake": 0.02},
 		},
 	}
-	if p.Edit != nil {
-		p.Edit(configuration["settings"].(map[string]any))
+	if p.EditSettings != nil {
+		p.EditSettings(configuration["settings"].(map[string]any))
 	}
 	raw, err := json.MarshalIndent(configuration, "", " ")
 	if err != nil {
 		return fmt.Errorf("lab: %w", err)
 	}
-	if err := os.MkdirAll(s.State(), 0o700); err != nil {
+	if err := os.MkdirAll(s.StateDir(), 0o700); err != nil {
 		return fmt.Errorf("lab: %w", err)
 	}
 	if err := os.WriteFile(s.Config(), raw, 0o600); err != nil {
@@ -202,7 +202,7 @@
 		}
 		args = append(args, "--config", path)
 	}
-	p, err := Run(cpus, append([]string{"NODE_CONFIG=" + s.Config(), "NODE_STATE=" + s.State()}, env...), binary, args...)
+	p, err := Run(cpus, append([]string{"NODE_CONFIG=" + s.Config(), "NODE_STATE=" + s.StateDir()}, env...), binary, args...)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/lab/handover_test.go
+++ b/internal/lab/handover_test.go
@@ -73,7 +73,7 @@
 	if offered, accepted, _ := totals(v); accepted == 0 || offered == 0 {
 		t.Fatalf("no message was accepted: %d of %d", accepted, offered)
 	}
-	journals, _ := filepath.Glob(filepath.Join(d.State(), "journal*"))
+	journals, _ := filepath.Glob(filepath.Join(d.StateDir(), "journal*"))
 	if len(journals) != 1 {
 		t.Errorf("journals left in the state folder: %v", journals)
 	}
--- a/internal/lab/ledger/ledger.go
+++ b/internal/lab/ledger/ledger.go
@@ -61,15 +61,15 @@
 
 // Call is one call that a partner's endpoint received.
 type Call struct {
-	ID       uint64
-	Dest     int
-	Member   string
-	First    time.Time // first byte
-	Arrived  time.Time // last byte
-	Answered time.Time // zero if the call was not answered
-	Status   int
-	Wait     time.Duration // retry-after sent with the answer
-	Cold     bool          // the call exceeded the rate that a cold partner can take
+	ID           uint64
+	Dest         int
+	Member       string
+	First        time.Time // first byte
+	Arrived      time.Time // last byte
+	Answered     time.Time // zero if the call was not answered
+	Status       int
+	Wait         time.Duration // retry-after sent with the answer
+	ColdOverload bool          // the call exceeded the rate that a cold partner can take
 }
 
 // Notice is one notice of a relay to the platform about the end of a message.
@@ -112,25 +112,25 @@
 
 // NewRecorder returns a new recorder whose records belong to the ledger.
 func (l *Ledger) NewRecorder() *Recorder {
-	b := &Recorder{}
+	recorder := &Recorder{}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.recorders = append(l.recorders, b)
-	return b
+	l.recorders = append(l.recorders, recorder)
+	return recorder
 }
 
 // RecordDrain records that a relay was notified of a drain.
-func (l *Ledger) RecordDrain(v Drain) {
+func (l *Ledger) RecordDrain(drain Drain) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.drainNotices = append(l.drainNotices, v)
+	l.drainNotices = append(l.drainNotices, drain)
 }
 
 // Kill records that a relay was down.
-func (l *Ledger) Kill(v Kill) {
+func (l *Ledger) Kill(kill Kill) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.kills = append(l.kills, v)
+	l.kills = append(l.kills, kill)
 }
 
 // Rules holds the tolerances of the checks and the period that the totals cover.
@@ -173,8 +173,8 @@
 	Calls    int
 }
 
-// history collects the calls and notices of one message id.
-type history struct {
+// messageHistory collects the calls and notices of one message id.
+type messageHistory struct {
 	calls   []*Call
 	notices []*Notice
 }
@@ -184,14 +184,14 @@
 func (l *Ledger) Judge(r Rules, end time.Time) Verdict {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	histories := map[uint64]*history{}
-	historyOf := func(id uint64) *history {
-		f := histories[id]
-		if f == nil {
-			f = &history{}
-			histories[id] = f
+	histories := map[uint64]*messageHistory{}
+	historyOf := func(id uint64) *messageHistory {
+		history := histories[id]
+		if history == nil {
+			history = &messageHistory{}
+			histories[id] = history
 		}
-		return f
+		return history
 	}
 	v := Verdict{Classes: make([]PerClass, len(r.Classes))}
 	for i, c := range r.Classes {
@@ -199,35 +199,35 @@
 	}
 	var calls []*Call
 	relayOf := map[uint64]int{} // by message id
-	for _, b := range l.recorders {
-		for i := range b.Submissions {
-			relayOf[b.Submissions[i].ID] = b.Submissions[i].Relay
+	for _, recorder := range l.recorders {
+		for i := range recorder.Submissions {
+			relayOf[recorder.Submissions[i].ID] = recorder.Submissions[i].Relay
 		}
 	}
-	for _, b := range l.recorders {
-		for i := range b.Calls {
-			f := historyOf(b.Calls[i].ID)
-			f.calls = append(f.calls, &b.Calls[i])
-			calls = append(calls, &b.Calls[i])
+	for _, recorder := range l.recorders {
+		for i := range recorder.Calls {
+			history := historyOf(recorder.Calls[i].ID)
+			history.calls = append(history.calls, &recorder.Calls[i])
+			calls = append(calls, &recorder.Calls[i])
 		}
-		for i := range b.Notices {
-			f := historyOf(b.Notices[i].ID)
-			f.notices = append(f.notices, &b.Notices[i])
+		for i := range recorder.Notices {
+			history := historyOf(recorder.Notices[i].ID)
+			history.notices = append(history.notices, &recorder.Notices[i])
 		}
 	}
 	v.Calls = len(calls)
-	for _, b := range l.recorders {
-		for i := range b.Submissions {
-			h := &b.Submissions[i]
-			f := histories[h.ID]
-			if f == nil {
-				f = &history{}
+	for _, recorder := range l.recorders {
+		for i := range recorder.Submissions {
+			submission := &recorder.Submissions[i]
+			history := histories[submission.ID]
+			if history == nil {
+				history = &messageHistory{}
 			}
-			v.Breaches = append(v.Breaches, l.checkSubmission(r, h, f, end)...)
-			if !r.From.IsZero() && h.Due.Before(r.From) || !r.To.IsZero() && !h.Due.Before(r.To) {
+			v.Breaches = append(v.Breaches, l.checkSubmission(r, submission, history, end)...)
+			if !r.From.IsZero() && submission.Due.Before(r.From) || !r.To.IsZero() && !submission.Due.Before(r.To) {
 				continue
 			}
-			v.Classes[h.Class].add(&r.Classes[h.Class], h, f)
+			v.Classes[submission.Class].add(&r.Classes[submission.Class], submission, history)
 		}
 	}
 	v.Breaches = append(v.Breaches, l.checkWaits(r, calls, relayOf)...)
@@ -242,8 +242,8 @@
 }
 
 // deliveredAt returns the time of the first answer 200; zero if there is none.
-func (f *history) deliveredAt() (at time.Time) {
-	for _, c := range f.calls {
+func (history *messageHistory) deliveredAt() (at time.Time) {
+	for _, c := range history.calls {
 		if c.Status == 200 && (at.IsZero() || c.Answered.Before(at)) {
 			at = c.Answered
 		}
@@ -252,8 +252,8 @@
 }
 
 // possibleRuns returns the calls that may have taken effect, in order of arrival.
-func (f *history) possibleRuns() (list []*Call) {
-	for _, c := range f.calls {
+func (history *messageHistory) possibleRuns() (list []*Call) {
+	for _, c := range history.calls {
 		if c.Status != 429 && c.Status != 503 && c.Status != 504 && c.Status != 410 {
 			list = append(list, c)
 		}
@@ -263,39 +263,39 @@
 }
 
 // checkSubmission checks the rules on one submission, given the calls and notices of its message.
-func (l *Ledger) checkSubmission(r Rules, h *Submission, f *history, end time.Time) (out []Breach) {
+func (l *Ledger) checkSubmission(r Rules, submission *Submission, history *messageHistory, end time.Time) (out []Breach) {
 	report := func(rule, format string, args ...any) {
-		out = append(out, Breach{rule, h.ID, fmt.Sprintf(format, args...)})
+		out = append(out, Breach{rule, submission.ID, fmt.Sprintf(format, args...)})
 	}
-	ended := f.deliveredAt()
+	ended := history.deliveredAt()
 	outcomes := map[string]bool{}
-	for _, n := range f.notices { // the relay sends the same notice again if the answer to the first was lost
+	for _, n := range history.notices { // the relay sends the same notice again if the answer to the first was lost
 		outcomes[n.Outcome] = true
 		if ended.IsZero() || n.At.Before(ended) {
 			ended = n.At
 		}
 	}
-	due := l.extendForRestart(h.Relay, h.Deadline.Add(r.EndSlack), r.ReadyGrace)
-	switch h.Answer {
+	due := l.extendForRestart(submission.Relay, submission.Deadline.Add(r.EndSlack), r.ReadyGrace)
+	switch submission.Answer {
 	case Accepted:
 		if ended.IsZero() && due.Before(end) {
-			report("one end", "accepted at %v, no end", h.Answered.Format(time.StampMicro))
+			report("one end", "accepted at %v, no end", submission.Answered.Format(time.StampMicro))
 		} else if !ended.IsZero() && ended.After(due) {
-			report("in time", "ended %v after the deadline", ended.Sub(h.Deadline))
+			report("in time", "ended %v after the deadline", ended.Sub(submission.Deadline))
 		}
 		if len(outcomes) > 1 {
 			report("one end", "%d different notices", len(outcomes))
 		}
 	case Refused:
-		if len(f.calls) > 0 {
-			report("refused is refused", "%d calls of a refused message", len(f.calls))
+		if len(history.calls) > 0 {
+			report("refused is refused", "%d calls of a refused message", len(history.calls))
 		}
-		if len(f.notices) > 0 {
+		if len(history.notices) > 0 {
 			report("refused is refused", "notice of a refused message")
 		}
 	}
-	runs := f.possibleRuns()
-	class := r.Classes[h.Class]
+	runs := history.possibleRuns()
+	class := r.Classes[submission.Class]
 	if len(runs) > 1 && class.Effect == Unsafe {
 		report("repeats", "%d runs of a message of an unsafe class", len(runs))
 	}
@@ -304,19 +304,19 @@
 			report("repeats", "run again after %v, but the key is remembered for %v", gap, class.Memory)
 		}
 	}
-	for i, c := range f.calls {
-		for _, o := range f.calls[i+1:] {
-			a, b := c, o
-			if b.Arrived.Before(a.Arrived) {
-				a, b = b, a
+	for i, c := range history.calls {
+		for _, other := range history.calls[i+1:] {
+			earlier, later := c, other
+			if later.Arrived.Before(earlier.Arrived) {
+				earlier, later = later, earlier
 			}
 			// A restart closes the connections of the old process: an answer that the partner writes later reaches no relay.
-			if !a.Answered.IsZero() && b.Arrived.Before(a.Answered) && !l.restartedBetween(h.Relay, a.Arrived, b.Arrived) {
+			if !earlier.Answered.IsZero() && later.Arrived.Before(earlier.Answered) && !l.restartedBetween(submission.Relay, earlier.Arrived, later.Arrived) {
 				report("one copy", "second call before the first was answered")
 			}
 		}
-		if c.Dest != h.Dest {
-			report("destination", "sent to destination %d instead of %d", c.Dest, h.Dest)
+		if c.Dest != submission.Dest {
+			report("destination", "sent to destination %d instead of %d", c.Dest, submission.Dest)
 		}
 	}
 	return out
@@ -335,16 +335,16 @@
 // checkWaits finds calls that a relay made during a retry-after wait that it had received itself. A wait that only another relay
 // received is no violation.
 func (l *Ledger) checkWaits(r Rules, calls []*Call, relayOf map[uint64]int) (out []Breach) {
-	type endpoint struct{ dest, relay int }
-	byEndpoint := map[endpoint][]*Call{}
+	type route struct{ dest, relay int }
+	byRoute := map[route][]*Call{}
 	for _, c := range calls {
-		b := endpoint{c.Dest, relayOf[c.ID]}
-		byEndpoint[b] = append(byEndpoint[b], c)
+		key := route{c.Dest, relayOf[c.ID]}
+		byRoute[key] = append(byRoute[key], c)
 	}
-	for b, list := range byEndpoint {
+	for key, list := range byRoute {
 		callsDuringWaits(list, list, r.WaitSlack, func(c, w *Call) {
-			if !l.restartedBetween(b.relay, w.Answered, c.Arrived) {
-				out = append(out, Breach{"waits", c.ID, fmt.Sprintf("called destination %d after %v of a wait of %v", b.dest,
+			if !l.restartedBetween(key.relay, w.Answered, c.Arrived) {
+				out = append(out, Breach{"waits", c.ID, fmt.Sprintf("called destination %d after %v of a wait of %v", key.dest,
 					c.Arrived.Sub(w.Answered), w.Wait)})
 			}
 		})
@@ -389,12 +389,12 @@
 	defer l.mu.Unlock()
 	relayOf := map[uint64]int{}
 	byDest := map[int][]*Call{}
-	for _, b := range l.recorders {
-		for i := range b.Submissions {
-			relayOf[b.Submissions[i].ID] = b.Submissions[i].Relay
+	for _, recorder := range l.recorders {
+		for i := range recorder.Submissions {
+			relayOf[recorder.Submissions[i].ID] = recorder.Submissions[i].Relay
 		}
-		for i := range b.Calls {
-			byDest[b.Calls[i].Dest] = append(byDest[b.Calls[i].Dest], &b.Calls[i])
+		for i := range recorder.Calls {
+			byDest[recorder.Calls[i].Dest] = append(byDest[recorder.Calls[i].Dest], &recorder.Calls[i])
 		}
 	}
 	for dest, list := range byDest {
@@ -443,7 +443,7 @@
 		if at, ok := drainedAt[notified{c.Member, relayOf[c.ID]}]; ok && c.First.After(at.Add(r.DrainGrace)) {
 			out = append(out, Breach{"drains", c.ID, fmt.Sprintf("sent to %s %v after the drain of the member", c.Member, c.First.Sub(at))})
 		}
-		if c.Cold {
+		if c.ColdOverload {
 			out = append(out, Breach{"cold returns", c.ID, fmt.Sprintf("%s was overloaded while cold", c.Member)})
 		}
 	}
@@ -451,16 +451,16 @@
 }
 
 // add counts one submission and the end of its message.
-func (p *PerClass) add(class *Class, h *Submission, f *history) {
+func (p *PerClass) add(class *Class, submission *Submission, history *messageHistory) {
 	p.Offered++
-	switch h.Answer {
+	switch submission.Answer {
 	case Accepted:
 		p.Accepted++
-		p.ToAccept = append(p.ToAccept, h.Answered.Sub(h.Due))
+		p.ToAccept = append(p.ToAccept, submission.Answered.Sub(submission.Due))
 	case Refused:
 		p.Refused++
-		p.ToRefuse = append(p.ToRefuse, h.Answered.Sub(h.Due))
-		p.RefuseFromSent = append(p.RefuseFromSent, h.Answered.Sub(h.Sent))
+		p.ToRefuse = append(p.ToRefuse, submission.Answered.Sub(submission.Due))
+		p.RefuseFromSent = append(p.RefuseFromSent, submission.Answered.Sub(submission.Sent))
 		return
 	case Failed:
 		p.Failed++
@@ -472,22 +472,22 @@
 		p.NoAnswer++
 		return
 	}
-	if len(f.notices) > 0 && f.notices[0].Outcome == "given_up" {
+	if len(history.notices) > 0 && history.notices[0].Outcome == "given_up" {
 		p.GivenUp++
-	} else if len(f.notices) > 0 {
+	} else if len(history.notices) > 0 {
 		p.HandedBack++
 	}
-	at := f.deliveredAt()
+	at := history.deliveredAt()
 	if at.IsZero() {
 		return
 	}
-	if at.After(h.Deadline) {
+	if at.After(submission.Deadline) {
 		p.Late++
 		return
 	}
 	p.Delivered++
-	p.ToDeliver = append(p.ToDeliver, at.Sub(h.Due))
-	if at.Sub(h.Due) <= class.Aim {
+	p.ToDeliver = append(p.ToDeliver, at.Sub(submission.Due))
+	if at.Sub(submission.Due) <= class.Aim {
 		p.InAim++
 		p.Worth += class.Worth
 	} else {
@@ -507,9 +507,9 @@
 func (l *Ledger) Delivered(since time.Time, slot time.Duration) (counts []int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, b := range l.recorders {
-		for i := range b.Calls {
-			c := &b.Calls[i]
+	for _, recorder := range l.recorders {
+		for i := range recorder.Calls {
+			c := &recorder.Calls[i]
 			if c.Status != 200 || c.Answered.Before(since) {
 				continue
 			}
@@ -528,12 +528,12 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	offered, taken = map[int]int{}, map[int]int{}
-	for _, b := range l.recorders {
-		for i := range b.Submissions {
-			h := &b.Submissions[i]
-			offered[h.Relay]++
-			if h.Answer == Accepted {
-				taken[h.Relay]++
+	for _, recorder := range l.recorders {
+		for i := range recorder.Submissions {
+			submission := &recorder.Submissions[i]
+			offered[submission.Relay]++
+			if submission.Answer == Accepted {
+				taken[submission.Relay]++
 			}
 		}
 	}
@@ -545,11 +545,11 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	relayOf := map[uint64]int{}
-	for _, b := range l.recorders {
-		for i := range b.Submissions {
-			relayOf[b.Submissions[i].ID] = b.Submissions[i].Relay
+	for _, recorder := range l.recorders {
+		for i := range recorder.Submissions {
+			relayOf[recorder.Submissions[i].ID] = recorder.Submissions[i].Relay
 		}
-		calls = append(calls, b.Calls...)
+		calls = append(calls, recorder.Calls...)
 	}
 	slices.SortFunc(calls, func(a, b Call) int { return a.Arrived.Compare(b.Arrived) })
 	for i := range calls {
--- a/internal/lab/ledger/ledger_test.go
+++ b/internal/lab/ledger/ledger_test.go
@@ -36,7 +36,7 @@
 	wait := call(2, 0.1, 0.2, 429)
 	wait.Wait = time.Second
 	cold := call(1, 1, 1.1, 200)
-	cold.Cold = true
+	cold.ColdOverload = true
 	otherDestination := call(1, 1, 1.1, 200)
 	otherDestination.Dest = 8
 	for name, c := range map[string]struct {
--- a/internal/lab/links/links.go
+++ b/internal/lab/links/links.go
@@ -210,7 +210,7 @@
 	Serve       netip.Addr
 }
 
-// Address blocks. A block spans three values of the second octet of 127.0.0.0/8. An injector reserves a block by listening at
+// Address blocks. A block spans three values of the second octet of addresses that begin with 127. An injector reserves a block by listening at
 // guardPort of the last address but one of the first value. So concurrent injectors, in one process or several, never assign the same
 // address.
 const (
@@ -246,21 +246,21 @@
 	if err != nil {
 		return p, err
 	}
-	ip := func(i byte) netip.Addr {
+	address := func(i byte) netip.Addr {
 		return netip.AddrFrom4([4]byte{127, block + i, byte(number >> 8), byte(number&0xff) + 1})
 	}
 	if number < 0 || number >= 1<<15 || number&0xff == 0xff {
 		return p, fmt.Errorf("links: party number %d is out of range", number)
 	}
-	bind, err := freePort(ip(0))
+	bind, err := freePort(address(0))
 	if err != nil {
 		return p, err
 	}
-	tcp, udp, err := listen(ip(1))
+	tcp, udp, err := listen(address(1))
 	if err != nil {
 		return p, err
 	}
-	p = Place{Bind: bind, Reach: tcp.Addr().(*net.TCPAddr).AddrPort(), Serve: ip(2)}
+	p = Place{Bind: bind, Reach: tcp.Addr().(*net.TCPAddr).AddrPort(), Serve: address(2)}
 	n.mu.Lock()
 	n.callerNames[bind.Addr()] = name
 	n.senders[name] = func(b []byte) { _, _ = udp.WriteToUDPAddrPort(b, bind) }
@@ -302,13 +302,13 @@
 
 // callerName returns the name of the party that calls from a source address.
 func (n *Net) callerName(a net.Addr) (string, bool) {
-	at, err := netip.ParseAddrPort(a.String())
+	caller, err := netip.ParseAddrPort(a.String())
 	if err != nil {
 		return "", false
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	name, ok := n.callerNames[at.Addr().Unmap()]
+	name, ok := n.callerNames[caller.Addr().Unmap()]
 	return name, ok
 }
 
--- a/internal/lab/links/links_test.go
+++ b/internal/lab/links/links_test.go
@@ -50,12 +50,12 @@
 	for _, c := range []struct {
 		name  string
 		fault Fault
-		ok    func(got [][]byte, spoilt int, first time.Duration) bool
+		ok    func(got [][]byte, corrupt int, first time.Duration) bool
 	}{
-		{"good", Fault{}, func(got [][]byte, spoilt int, _ time.Duration) bool { return len(got) == sent && spoilt == 0 }},
+		{"good", Fault{}, func(got [][]byte, corrupt int, _ time.Duration) bool { return len(got) == sent && corrupt == 0 }},
 		{"loss", Fault{Loss: 0.5}, func(got [][]byte, _ int, _ time.Duration) bool { return len(got) > sent/4 && len(got) < 3*sent/4 }},
 		{"duplicates", Fault{Duplicate: 0.5}, func(got [][]byte, _ int, _ time.Duration) bool { return len(got) > sent+sent/4 }},
-		{"corruption", Fault{Corrupt: 0.5}, func(got [][]byte, spoilt int, _ time.Duration) bool { return len(got) == sent && spoilt > sent/4 }},
+		{"corruption", Fault{Corrupt: 0.5}, func(got [][]byte, corrupt int, _ time.Duration) bool { return len(got) == sent && corrupt > sent/4 }},
 		{"delay", Fault{Delay: 80 * time.Millisecond}, func(got [][]byte, _ int, first time.Duration) bool {
 			return len(got) == sent && first >= 80*time.Millisecond
 		}},
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -64,7 +64,7 @@
 // Load is the state of one run.
 type Load struct {
 	cfg     Config
-	due     chan message
+	queue   chan message
 	nextID  atomic.Uint64
 	pending sync.WaitGroup // messages that are due and not finished, including scheduled retries
 }
@@ -79,7 +79,7 @@
 	for _, s := range cfg.Steps {
 		maxRate = max(maxRate, s.Rate)
 	}
-	l := &Load{cfg: cfg, due: make(chan message, int(maxRate*cfg.Patience.Seconds())+cfg.Clients)}
+	l := &Load{cfg: cfg, queue: make(chan message, int(maxRate*cfg.Patience.Seconds())+cfg.Clients)}
 	l.nextID.Store(cfg.Seed << 40)
 	var clients sync.WaitGroup
 	for i := range cfg.Clients {
@@ -87,7 +87,7 @@
 	}
 	l.schedule(ctx)
 	l.pending.Wait()
-	close(l.due)
+	close(l.queue)
 	clients.Wait()
 	return nil
 }
@@ -122,7 +122,7 @@
 				m.deadline = dueAt.Add(l.cfg.Streams[m.stream].Deadline)
 				l.pending.Add(1)
 				select {
-				case l.due <- m:
+				case l.queue <- m:
 				default:
 					l.pending.Done()
 					recorder.Submissions = append(recorder.Submissions, l.record(m, ledger.Unsent))
@@ -159,14 +159,14 @@
 func (l *Load) client(n uint64) {
 	c := &client{load: l, recorder: l.cfg.Ledger.NewRecorder(), rng: rand.New(rand.NewPCG(l.cfg.Seed, 1000+n))}
 	defer c.disconnect()
-	for m := range l.due {
-		h := l.record(m, ledger.Unsent)
+	for m := range l.queue {
+		submission := l.record(m, ledger.Unsent)
 		if time.Since(m.due) < l.cfg.Patience {
-			c.submit(m, &h)
+			c.submit(m, &submission)
 		}
-		c.recorder.Submissions = append(c.recorder.Submissions, h)
-		if h.Answer == ledger.Refused && m.retries < l.cfg.Retries {
-			l.scheduleRetry(c.rng, m, h.RetryIn)
+		c.recorder.Submissions = append(c.recorder.Submissions, submission)
+		if submission.Answer == ledger.Refused && m.retries < l.cfg.Retries {
+			l.scheduleRetry(c.rng, m, submission.RetryIn)
 		}
 		l.pending.Done()
 	}
@@ -185,7 +185,7 @@
 	time.AfterFunc(wait, func() {
 		m.due = time.Now()
 		select {
-		case l.due <- m:
+		case l.queue <- m:
 		default: // the queue is full: no client will be free in time
 			l.pending.Done()
 		}
@@ -212,21 +212,21 @@
 
 // submit sends one message and waits for its answer within the patience. If the relay has closed a reused connection, submit opens
 // a new one and sends the message once more.
-func (c *client) submit(m message, h *ledger.Submission) {
-	s := &c.load.cfg.Streams[m.stream]
-	h.Answer = ledger.NoAnswer
-	h.Sent = time.Now()
-	until := h.Sent.Add(c.load.cfg.Patience)
+func (c *client) submit(m message, submission *ledger.Submission) {
+	stream := &c.load.cfg.Streams[m.stream]
+	submission.Answer = ledger.NoAnswer
+	submission.Sent = time.Now()
+	until := submission.Sent.Add(c.load.cfg.Patience)
 	for attempt := range 2 {
 		reused := c.conn != nil
 		if !reused {
-			nc, err := net.DialTimeout("tcp", c.load.cfg.Addr, time.Until(until))
+			conn, err := net.DialTimeout("tcp", c.load.cfg.Addr, time.Until(until))
 			if err != nil {
 				return
 			}
-			c.conn, c.reader = nc, bufio.NewReaderSize(nc, 256)
+			c.conn, c.reader = conn, bufio.NewReaderSize(conn, 256)
 		}
-		c.encoded = c.command(c.encoded[:0], m, h, s)
+		c.encoded = c.command(c.encoded[:0], m, submission, stream)
 		_ = c.conn.SetDeadline(until)
 		_, err := c.conn.Write(c.encoded)
 		var line string
@@ -234,7 +234,7 @@
 			line, err = c.reader.ReadString('\n')
 		}
 		if err == nil {
-			c.recordAnswer(h, strings.TrimSuffix(line, "\r\n"))
+			c.recordAnswer(submission, strings.TrimSuffix(line, "\r\n"))
 			return
 		}
 		c.disconnect()
@@ -246,34 +246,34 @@
 }
 
 // recordAnswer parses an answer of the relay into a submission.
-func (c *client) recordAnswer(h *ledger.Submission, line string) {
-	h.Answered = time.Now()
+func (c *client) recordAnswer(submission *ledger.Submission, line string) {
+	submission.Answered = time.Now()
 	switch {
 	case strings.HasPrefix(line, "+"):
-		h.Answer = ledger.Accepted
+		submission.Answer = ledger.Accepted
 	case strings.HasPrefix(line, "-BUSY"):
-		h.Answer = ledger.Refused
+		submission.Answer = ledger.Refused
 		ms, _ := strconv.Atoi(strings.TrimSpace(strings.TrimPrefix(line, "-BUSY")))
-		h.RetryIn = time.Duration(ms) * time.Millisecond
+		submission.RetryIn = time.Duration(ms) * time.Millisecond
 	default:
-		h.Answer = ledger.Failed
+		submission.Answer = ledger.Failed
 	}
 }
 
 // command appends the MSG.PUT command of a message to b.
-func (c *client) command(b []byte, m message, h *ledger.Submission, s *Stream) []byte {
+func (c *client) command(b []byte, m message, submission *ledger.Submission, stream *Stream) []byte {
 	leftMillis := max(time.Until(m.deadline).Milliseconds(), 1)
-	fields := fmt.Sprintf("c=%s,t=%s,d=%d,k=%016x,dest=%d", c.load.cfg.Classes[s.Class].Name, s.Tenant, leftMillis, m.key, m.dest)
+	fields := fmt.Sprintf("c=%s,t=%s,d=%d,k=%016x,dest=%d", c.load.cfg.Classes[stream.Class].Name, stream.Tenant, leftMillis, m.key, m.dest)
 	if m.retries > 0 {
 		fields += ",r=1"
 	}
-	if len(c.body) != s.Body {
-		c.body = make([]byte, s.Body)
+	if len(c.body) != stream.Body {
+		c.body = make([]byte, stream.Body)
 		for i := range c.body {
 			c.body[i] = 'a' + byte(i%26)
 		}
 	}
 	b = append(b, "*5\r\n$7\r\nMSG.PUT\r\n$1\r\n0\r\n$16\r\n"...)
-	b = fmt.Appendf(b, "%016x\r\n$%d\r\n%s\r\n$%d\r\n", h.ID, len(fields), fields, len(c.body))
+	b = fmt.Appendf(b, "%016x\r\n$%d\r\n%s\r\n$%d\r\n", submission.ID, len(fields), fields, len(c.body))
 	return append(append(b, c.body...), '\r', '\n')
 }
--- a/internal/lab/partner/partner.go
+++ b/internal/lab/partner/partner.go
@@ -102,15 +102,15 @@
 type Config struct {
 	Gate *Gate // rate limiter shared with the partner's other endpoints; nil for a separate one
 
-	Name   string
-	Dest   int
-	Addr   string // "127.0.0.1:0" for a port that the system chooses
-	Life   []Phase
-	Ledger *ledger.Ledger
-	Seed   uint64
-	Share  float64 // share value in discovery's list; 0 for the rate of the first phase, at least 20
-	Report string  // value of X-Backend-Load; empty to report the current limit
-	Batch  int     // most messages in a batch call; 0 if batches are refused
+	Name     string
+	Dest     int
+	Addr     string // "127.0.0.1:0" for a port that the system chooses
+	Life     []Phase
+	Ledger   *ledger.Ledger
+	Seed     uint64
+	Share    float64 // share value in discovery's list; 0 for the rate of the first phase, at least 20
+	Report   string  // value of X-Backend-Load; empty to report the current limit
+	MaxBatch int     // most messages in a batch call; 0 if batches are refused
 
 	TLS *tls.Config // configuration of the server side; nil for plain TCP
 
@@ -299,22 +299,22 @@
 	defer s.mu.Unlock()
 	s.calls++
 	p, now := s.phase, time.Now()
-	v := response{mode: p.Mode, status: 200, delay: p.Latency.sample(rng), loadReport: s.cfg.Report}
+	resp := response{mode: p.Mode, status: 200, delay: p.Latency.sample(rng), loadReport: s.cfg.Report}
 	admitted, rate, left, overloaded := s.cfg.Gate.admit(&p, now.Sub(s.phaseStart), now)
-	v.coldOverload = overloaded
+	resp.coldOverload = overloaded
 	switch {
 	case p.Mode == Shut:
-		v.status, v.delay, v.wait = 503, 0, p.Wait
+		resp.status, resp.delay, resp.wait = 503, 0, p.Wait
 	case !admitted:
-		v.status, v.delay, v.wait = 429, 0, p.Wait
+		resp.status, resp.delay, resp.wait = 429, 0, p.Wait
 	}
-	if v.status == 200 && rng.Float64() < p.ErrorRate {
-		v.status = 500
+	if resp.status == 200 && rng.Float64() < p.ErrorRate {
+		resp.status = 500
 	}
-	if v.loadReport == "" {
-		v.loadReport = fmt.Sprintf("x0=%.3f,x1=%.3f", left, rate)
+	if resp.loadReport == "" {
+		resp.loadReport = fmt.Sprintf("x0=%.3f,x1=%.3f", left, rate)
 	}
-	return v
+	return resp
 }
 
 var errMalformedCall = errors.New("partner: malformed call")
@@ -458,7 +458,7 @@
 		var ids []string
 		var refuse bool
 		if req.batch {
-			if ids, err = readBatch(r, req.bodyBytes); err == nil && len(ids) > s.cfg.Batch {
+			if ids, err = readBatch(r, req.bodyBytes); err == nil && len(ids) > s.cfg.MaxBatch {
 				err = errMalformedCall
 			}
 		} else {
@@ -482,15 +482,15 @@
 				recorder.Calls = append(recorder.Calls, call)
 			}
 		}
-		v := s.decide(rng)
+		resp := s.decide(rng)
 		if refuse {
-			v.status, v.delay, v.wait = 429, 0, max(v.wait, s.cfg.Life[0].Wait)
+			resp.status, resp.delay, resp.wait = 429, 0, max(resp.wait, s.cfg.Life[0].Wait)
 		}
-		call.Cold = v.coldOverload
-		if v.delay > 0 {
-			time.Sleep(v.delay)
+		call.ColdOverload = resp.coldOverload
+		if resp.delay > 0 {
+			time.Sleep(resp.delay)
 		}
-		switch v.mode {
+		switch resp.mode {
 		case Silent:
 			record()
 			_, _ = io.Copy(io.Discard, r) // until the relay closes the connection
@@ -502,16 +502,16 @@
 			}
 			return
 		}
-		call.Status, call.Wait = v.status, v.wait
+		call.Status, call.Wait = resp.status, resp.wait
 		var body []byte
-		if v.status == 200 {
+		if resp.status == 200 {
 			for _, id := range ids {
 				body = append(body, id+" delivered\r\n"...)
 			}
 		}
-		head := fmt.Appendf(nil, "HTTP/1.1 %d .\r\nContent-Length: %d\r\nX-Backend-Load: %s\r\n", v.status, len(body), v.loadReport)
-		if v.wait > 0 {
-			head = fmt.Appendf(head, "X-Retry-In-Ms: %d\r\n", v.wait.Milliseconds())
+		head := fmt.Appendf(nil, "HTTP/1.1 %d .\r\nContent-Length: %d\r\nX-Backend-Load: %s\r\n", resp.status, len(body), resp.loadReport)
+		if resp.wait > 0 {
+			head = fmt.Appendf(head, "X-Retry-In-Ms: %d\r\n", resp.wait.Milliseconds())
 		}
 		_, err = c.Write(append(append(head, "\r\n"...), body...))
 		if call.Answered = time.Now(); err != nil {
--- a/internal/lab/settings_test.go
+++ b/internal/lab/settings_test.go
@@ -57,14 +57,14 @@
 			t.Parallel()
 			p := Place{Classes: c.classes, Tenants: c.tenants, MemoryMB: 64, DiskMB: 3, Sockets: 384, MaxOpen: 400, MaxCalls: 40, KeepAlive: 5 * time.Second, Seed: 3,
 				Kind: func(n int) string { return []string{"first", "second"}[n/2] },
-				Edit: func(s map[string]any) {
+				EditSettings: func(s map[string]any) {
 					s["kinds"] = []string{"first", "second"}
 					section(s, "family-info")["own-limits"] = []bool{false, false}
 					section(s, "safety")["drain-grace-ms"] = c.grace.Milliseconds()
 					c.edit(s)
 				}}
 			for n := range 4 {
-				p.Partners = append(p.Partners, partner.Config{Name: fmt.Sprint("p", n), Dest: n / 2, Seed: uint64(n), Report: c.loadReport, Batch: c.batchSize,
+				p.Partners = append(p.Partners, partner.Config{Name: fmt.Sprint("p", n), Dest: n / 2, Seed: uint64(n), Report: c.loadReport, MaxBatch: c.batchSize,
 					Life: []partner.Phase{{Rate: c.callsPerSecond, Latency: partner.Latency{Mean: 20 * time.Millisecond, CV: 0.5}}}})
 			}
 			d, err := Put(t.TempDir(), p)
