--- a/internal/lab/ledger/ledger.go
+++ b/internal/lab/ledger/ledger.go
@@ -375,10 +375,10 @@
 	}
 }
 
-// Unheard is a call that a relay made during a wait that only other relays had received.
+// Unheard is a call that a relay made during a retry-after wait that another relay had received.
 type Unheard struct {
 	Relay, Dest int
-	Told        time.Time     // start of the earliest wait that the call falls into
+	Told        time.Time     // start of that wait
 	After       time.Duration // from Told to the call
 }
 
@@ -429,18 +429,18 @@
 
 // checkDrains finds calls to a member after its drain, and calls that overloaded a cold member.
 func (l *Ledger) checkDrains(r Rules, calls []*Call, relayOf map[uint64]int) (out []Breach) {
-	type notified struct {
+	type memberAndRelay struct {
 		member string
 		relay  int
 	}
-	drainedAt := map[notified]time.Time{}
+	drainedAt := map[memberAndRelay]time.Time{}
 	for _, v := range l.drainNotices {
-		if t := (notified{v.Member, v.Relay}); drainedAt[t].IsZero() {
-			drainedAt[t] = v.At
+		if key := (memberAndRelay{v.Member, v.Relay}); drainedAt[key].IsZero() {
+			drainedAt[key] = v.At
 		}
 	}
 	for _, c := range calls {
-		if at, ok := drainedAt[notified{c.Member, relayOf[c.ID]}]; ok && c.First.After(at.Add(r.DrainGrace)) {
+		if at, ok := drainedAt[memberAndRelay{c.Member, relayOf[c.ID]}]; ok && c.First.After(at.Add(r.DrainGrace)) {
 			out = append(out, Breach{"drains", c.ID, fmt.Sprintf("sent to %s %v after the drain of the member", c.Member, c.First.Sub(at))})
 		}
 		if c.ColdOverload {
--- a/internal/lab/links/links.go
+++ b/internal/lab/links/links.go
@@ -210,9 +210,9 @@
 	Serve       netip.Addr
 }
 
-// Address blocks. A block spans three values of the second octet of addresses that begin with 127. An injector reserves a block by listening at
-// guardPort of the last address but one of the first value. So concurrent injectors, in one process or several, never assign the same
-// address.
+// Address blocks. A block spans three values of the second octet of addresses that begin with 127. An injector reserves a block by
+// listening at guardPort of the last address but one of the first value. So concurrent injectors, in one process or several, never
+// assign the same address.
 const (
 	firstBlockOctet = 64
 	blockCount      = 60
