--- a/internal/lab/overload_test.go
+++ b/internal/lab/overload_test.go
@@ -192,7 +192,8 @@
 }
 
 // Partners over TLS require a client certificate, and the relay's certificate files are renewed repeatedly under load, each time with
-// SIGHUP. No message is lost or runs twice, and the relay loads the new files and makes handshakes.
+// SIGHUP; once, the partners end all connections. No message is lost or runs twice, and the relay loads the new files and makes
+// handshakes.
 func TestRenewalsUnderLoad(t *testing.T) {
 	dir := t.TempDir()
 	root, err := ca.Root("root", ca.P256)
