--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,5 +1,5 @@
-// Package gateway reads the program's own settings, protobuf text format by the schema under proto/, and checks
-// them. Without a file every setting has the value that the program had before there was one.
+// Package gateway reads and checks the gateway settings: the relay's own settings file, in protobuf text format, with the schema under
+// proto/. Settings that the file leaves out keep their defaults, which are the values from before the settings file existed.
 package gateway
 
 import (
@@ -23,7 +23,7 @@
 
 //go:generate protoc -I ../../proto --go_out=../.. --go_opt=module=slatemux ../../proto/slatemux/gateway/v1/gateway.proto
 
-// Config is what the file says, with defaults where it says nothing.
+// Config holds the gateway settings. Settings that the file leaves out have their defaults.
 type Config struct {
 	Overload Overload
 	Log      Log
@@ -32,45 +32,47 @@
 	Fleet    Fleet
 }
 
-// Fleet holds the settings of this relay's part in its fleet.
+// Fleet holds the settings of this relay's membership in its fleet.
 type Fleet struct {
-	Enabled         bool
-	Name            string
-	Bind, Advertise netip.AddrPort
-	Join            []netip.AddrPort
-	KeyFile         string
-	Agree           int
-	Exchange        time.Duration
-	Bytes           float64 // a second
-	DivideLimits    bool
-	Configuration   Configuration
+	Enabled          bool
+	Name             string
+	Bind, Advertise  netip.AddrPort   // where this relay listens; where other relays reach it, if that differs
+	Join             []netip.AddrPort // addresses of some other relays
+	KeyFile          string
+	Quorum           int // relays that must agree before a member counts as down or is excluded
+	ExchangeInterval time.Duration
+	BytesPerSecond   float64 // bound of what this relay sends to its fleet
+	DivideLimits     bool
+	Configuration    Configuration
 }
 
 // Conns holds the settings of connections to pool members.
 type Conns struct {
-	Keep                 conns.Config // without how many there may be and how long they may idle, which the platform's settings give
+	Keep conns.Config // without the maximum number and the idle time of connections, which the platform's settings give
+	// HeldMost bounds how long a call waits for a connection while no new one may be opened. StuckAfter is how long a peer may leave
+	// written bytes unacknowledged before the connection is closed; 0 disables the check.
 	HeldMost, StuckAfter time.Duration
 	LookUpNames          bool
 }
 
-// TLS holds the settings of connections over TLS.
+// TLS holds the settings of TLS connections.
 type TLS struct {
-	Policies tlspolicy.Table
-	Watch    bool
-	Gate     tlspolicy.GateConfig
+	Policies   tlspolicy.Table
+	WatchFiles bool
+	Gate       tlspolicy.GateConfig
 }
 
-// Overload holds the settings of the program's own overload.
+// Overload holds the settings of the relay's overload control.
 type Overload struct {
 	Enabled, Brownout bool
 	Tick              time.Duration
 	Control           overload.Config // without classes, tenants and bounds, which the platform's settings give
 }
 
-// Format is how log lines are written.
+// Format is the format of log lines.
 type Format int
 
-// The formats. Auto is colour on a terminal, else text.
+// The log formats. Auto means Colour on a terminal and Text otherwise.
 const (
 	Auto Format = iota
 	Text
@@ -85,14 +87,14 @@
 	LinesPerSecond int
 }
 
-// Default is the configuration without a file.
+// Default returns the settings without a file.
 func Default() Config {
 	return Config{Overload: Overload{Brownout: true, Tick: 50 * time.Millisecond, Control: overload.Defaults()},
-		Log: Log{LinesPerSecond: 5}, TLS: TLS{Watch: true, Gate: tlspolicy.GateDefaults()}, Conns: Conns{Keep: conns.Defaults(), HeldMost: 250 * time.Millisecond},
-		Fleet: Fleet{Agree: 2, Exchange: time.Second, Bytes: 4096, DivideLimits: true, Configuration: defaultConfiguration()}}
+		Log: Log{LinesPerSecond: 5}, TLS: TLS{WatchFiles: true, Gate: tlspolicy.GateDefaults()}, Conns: Conns{Keep: conns.Defaults(), HeldMost: 250 * time.Millisecond},
+		Fleet: Fleet{Quorum: 2, ExchangeInterval: time.Second, BytesPerSecond: 4096, DivideLimits: true, Configuration: defaultConfiguration()}}
 }
 
-// Load reads a file. An empty path is no file.
+// Load reads the settings file at path. An empty path means that there is no file.
 func Load(path string) (Config, error) {
 	if path == "" {
 		return Default(), nil
@@ -104,36 +106,37 @@
 	return Parse(path, raw)
 }
 
-// Parse decodes a file's text. Errors name the file, and the line and column or the field.
+// Parse decodes the text of a settings file. Its errors name the file and the line, and the column or the field.
 func Parse(path string, raw []byte) (Config, error) {
 	var g gatewayv1.Gateway
 	if err := prototext.Unmarshal(raw, &g); err != nil {
-		return Config{}, fmt.Errorf("%s: %s", path, syntax(err))
+		return Config{}, fmt.Errorf("%s: %s", path, stableSyntaxError(err))
 	}
 	c := Default()
-	if err := errors.Join(c.Overload.take(g.GetOverload()), c.Log.take(g.GetLog()), c.TLS.take(g.GetTls()), c.Conns.take(g.GetConnections()),
-		c.Fleet.take(g.GetFleet())); err != nil {
-		return Config{}, placed(path, raw, err)
+	if err := errors.Join(c.Overload.apply(g.GetOverload()), c.Log.apply(g.GetLog()), c.TLS.apply(g.GetTls()), c.Conns.apply(g.GetConnections()),
+		c.Fleet.apply(g.GetFleet())); err != nil {
+		return Config{}, locateErrors(path, raw, err)
 	}
 	return c, nil
 }
 
-// syntax tells a parser's error in words that do not change from one build to the next: prototext puts a
-// no-break space into its own on purpose.
-func syntax(err error) string {
+// stableSyntaxError returns the text of a parser error without its deliberate instability: prototext puts no-break spaces into error
+// texts, which differ from one build to the next.
+func stableSyntaxError(err error) string {
 	text := strings.ReplaceAll(err.Error(), "\u00a0", " ")
 	return strings.TrimPrefix(text, "proto: ")
 }
 
-// number is an optional field, its range and where its value goes.
-type number struct {
-	field       string
-	value       *float64
-	least, most float64
-	to          func(float64)
+// numberField is an optional numeric field with its valid range and the function that stores its value.
+type numberField struct {
+	field    string
+	value    *float64
+	min, max float64
+	set      func(float64)
 }
 
-func (o *Overload) take(p *gatewayv1.Overload) error {
+// apply overrides the settings with the fields that are present in p, and checks them.
+func (o *Overload) apply(p *gatewayv1.Overload) error {
 	if p == nil {
 		return nil
 	}
@@ -142,24 +145,24 @@
 		o.Brownout = *p.Brownout
 	}
 	c := &o.Control
-	set := func(to *float64) func(float64) { return func(x float64) { *to = x } }
-	whole := func(to *int) func(float64) { return func(x float64) { *to = int(x) } }
-	millis := func(to *time.Duration) func(float64) {
+	setFloat := func(to *float64) func(float64) { return func(x float64) { *to = x } }
+	setInt := func(to *int) func(float64) { return func(x float64) { *to = int(x) } }
+	setMillis := func(to *time.Duration) func(float64) {
 		return func(x float64) { *to = time.Duration(x * float64(time.Millisecond)) }
 	}
-	errs := numbers("overload", []number{
-		{"target_busy", p.TargetBusy, 0.1, 1, set(&c.TargetBusy)},
-		{"target_delay_ms", p.TargetDelayMs, 1, 300, millis(&c.TargetDelay)},
-		{"tick_ms", p.TickMs, 20, 500, millis(&o.Tick)},
-		{"confirm_ticks", float(p.ConfirmTicks), 1, 100, whole(&c.Confirm)},
-		{"least_rate", p.LeastRate, 0, 1e6, set(&c.LeastRate)},
-		{"class_floor", p.ClassFloor, 0, 0.2, set(&c.Floor)},
-		{"body_work_bytes", float(p.BodyWorkBytes), 64, 1e9, whole(&c.BodyWork)},
-		{"refusal_share", p.RefusalShare, 0.01, 0.9, set(&c.RefusalShare)},
-		{"most_pace_ms", p.MostPaceMs, 0, 300, millis(&c.MostPace)},
-		{"retry_least_ms", p.RetryLeastMs, 1, 60_000, millis(&c.RetryLeast)},
-		{"memory_high", p.MemoryHigh, 0.1, 1, set(&c.MemoryHigh)},
-		{"memory_full", p.MemoryFull, 0.1, 1, set(&c.MemoryFull)},
+	errs := applyNumbers("overload", []numberField{
+		{"target_busy", p.TargetBusy, 0.1, 1, setFloat(&c.TargetBusy)},
+		{"target_delay_ms", p.TargetDelayMs, 1, 300, setMillis(&c.TargetDelay)},
+		{"tick_ms", p.TickMs, 20, 500, setMillis(&o.Tick)},
+		{"confirm_ticks", toFloat(p.ConfirmTicks), 1, 100, setInt(&c.Confirm)},
+		{"least_rate", p.LeastRate, 0, 1e6, setFloat(&c.LeastRate)},
+		{"class_floor", p.ClassFloor, 0, 0.2, setFloat(&c.Floor)},
+		{"body_work_bytes", toFloat(p.BodyWorkBytes), 64, 1e9, setInt(&c.BodyWork)},
+		{"refusal_share", p.RefusalShare, 0.01, 0.9, setFloat(&c.RefusalShare)},
+		{"most_pace_ms", p.MostPaceMs, 0, 300, setMillis(&c.MostPace)},
+		{"retry_least_ms", p.RetryLeastMs, 1, 60_000, setMillis(&c.RetryLeast)},
+		{"memory_high", p.MemoryHigh, 0.1, 1, setFloat(&c.MemoryHigh)},
+		{"memory_full", p.MemoryFull, 0.1, 1, setFloat(&c.MemoryFull)},
 	})
 	if c.MemoryHigh >= c.MemoryFull {
 		errs = append(errs, fmt.Errorf("overload.memory_high: %v is not below memory_full, %v", c.MemoryHigh, c.MemoryFull))
@@ -167,7 +170,8 @@
 	return errors.Join(errs...)
 }
 
-func (l *Log) take(p *gatewayv1.Log) error {
+// apply overrides the settings with those of p, and checks them.
+func (l *Log) apply(p *gatewayv1.Log) error {
 	if p == nil {
 		return nil
 	}
@@ -182,44 +186,46 @@
 	}
 	l.Level = map[gatewayv1.Level]slog.Level{gatewayv1.Level_DEBUG: slog.LevelDebug, gatewayv1.Level_WARN: slog.LevelWarn,
 		gatewayv1.Level_ERROR: slog.LevelError}[p.GetLevel()]
-	return errors.Join(append(errs, numbers("log", []number{{"lines_per_second", float(p.LinesPerSecond), 1, 100_000,
+	return errors.Join(append(errs, applyNumbers("log", []numberField{{"lines_per_second", toFloat(p.LinesPerSecond), 1, 100_000,
 		func(x float64) { l.LinesPerSecond = int(x) }}})...)...)
 }
 
-func (c *Conns) take(p *gatewayv1.Connections) error {
+// apply overrides the settings with the fields that are present in p, and checks them.
+func (c *Conns) apply(p *gatewayv1.Connections) error {
 	if p == nil {
 		return nil
 	}
-	span := func(to *time.Duration, unit time.Duration) func(float64) {
+	setDuration := func(to *time.Duration, unit time.Duration) func(float64) {
 		return func(x float64) { *to = time.Duration(x * float64(unit)) }
 	}
 	c.Keep.Ahead, c.LookUpNames = p.GetAhead(), p.GetLookUpNames()
-	list := []number{
-		{"max_age_s", p.MaxAgeS, 1, 1e6, span(&c.Keep.MaxAge, time.Second)},
-		{"keep_s", p.KeepS, 0.1, 3600, span(&c.Keep.Keep, time.Second)},
+	list := []numberField{
+		{"max_age_s", p.MaxAgeS, 1, 1e6, setDuration(&c.Keep.MaxAge, time.Second)},
+		{"keep_s", p.KeepS, 0.1, 3600, setDuration(&c.Keep.Keep, time.Second)},
 		{"stale_share", p.StaleShare, 1e-5, 0.5, func(x float64) { c.Keep.StaleMost = x }},
 		{"open_price", p.OpenPrice, 1e-4, 1, func(x float64) { c.Keep.OpenPrice = x * c.Keep.LossPrice }},
-		{"held_most_ms", p.HeldMostMs, 1, 10_000, span(&c.HeldMost, time.Millisecond)},
-		{"stuck_after_ms", p.StuckAfterMs, 100, 60_000, span(&c.StuckAfter, time.Millisecond)},
+		{"held_most_ms", p.HeldMostMs, 1, 10_000, setDuration(&c.HeldMost, time.Millisecond)},
+		{"stuck_after_ms", p.StuckAfterMs, 100, 60_000, setDuration(&c.StuckAfter, time.Millisecond)},
 	}
-	for i, n := range list { // 0 switches these off
+	for i, n := range list { // 0 is valid for these fields and disables the feature
 		if (n.field == "max_age_s" || n.field == "stuck_after_ms") && n.value != nil && *n.value == 0 {
-			list[i].least = 0
+			list[i].min = 0
 		}
 	}
-	return errors.Join(numbers("connections", list)...)
+	return errors.Join(applyNumbers("connections", list)...)
 }
 
-func (t *TLS) take(p *gatewayv1.Tls) error {
+// apply overrides the settings with the fields that are present in p, and checks them.
+func (t *TLS) apply(p *gatewayv1.Tls) error {
 	if p == nil {
 		return nil
 	}
 	if p.WatchFiles != nil {
-		t.Watch = *p.WatchFiles
+		t.WatchFiles = *p.WatchFiles
 	}
 	var errs []error
 	for i, row := range p.GetPolicy() {
-		policy, err := takePolicy(row)
+		policy, err := parsePolicy(row)
 		if err == nil {
 			err = policy.Check()
 		}
@@ -238,102 +244,105 @@
 	if h == nil {
 		h = &gatewayv1.Handshakes{}
 	}
-	return errors.Join(append(errs, numbers("tls.handshakes", []number{
+	return errors.Join(append(errs, applyNumbers("tls.handshakes", []numberField{
 		{"core_share", h.CoreShare, 0.01, 1, func(x float64) { t.Gate.Share = x }},
 		{"least_per_second", h.LeastPerSecond, 0.1, 10_000, func(x float64) { t.Gate.Least = x }},
-		{"per_member", float(h.PerMember), 1, 1000, func(x float64) { t.Gate.PerEndpoint = int(x) }},
+		{"per_member", toFloat(h.PerMember), 1, 1000, func(x float64) { t.Gate.PerEndpoint = int(x) }},
 	})...)...)
 }
 
-func takePolicy(p *gatewayv1.TlsPolicy) (tlspolicy.Policy, error) {
-	out := tlspolicy.Policy{Name: p.GetName(), Hosts: p.GetHost(), Plain: p.GetPlain(), ServerName: p.GetServerName(), RootFiles: p.GetRootFile(),
+// parsePolicy converts a TLS policy of the file. The caller checks the result.
+func parsePolicy(p *gatewayv1.TlsPolicy) (tlspolicy.Policy, error) {
+	policy := tlspolicy.Policy{Name: p.GetName(), Hosts: p.GetHost(), Plain: p.GetPlain(), ServerName: p.GetServerName(), RootFiles: p.GetRootFile(),
 		RootDirs: p.GetRootDir(), SystemRoots: p.GetSystemRoots(), MinVersion: tls.VersionTLS12, Certificate: p.GetClientCertificate(),
 		Key: p.GetClientKey(), Sessions: 16}
-	if out.Name == "" {
-		return out, errors.New("name is missing")
+	if policy.Name == "" {
+		return policy, errors.New("name is missing")
 	}
 	for _, d := range p.GetDestination() {
 		if d < 0 {
-			return out, fmt.Errorf("destination: %d is negative", d)
+			return policy, fmt.Errorf("destination: %d is negative", d)
 		}
-		out.Destinations = append(out.Destinations, int(d))
+		policy.Destinations = append(policy.Destinations, int(d))
 	}
 	switch p.GetMinVersion() {
 	case gatewayv1.Version_VERSION_UNSPECIFIED, gatewayv1.Version_TLS_1_2:
 	case gatewayv1.Version_TLS_1_3:
-		out.MinVersion = tls.VersionTLS13
+		policy.MinVersion = tls.VersionTLS13
 	default:
-		return out, fmt.Errorf("min_version: %d is not a version", p.GetMinVersion())
+		return policy, fmt.Errorf("min_version: %d is not a version", p.GetMinVersion())
 	}
 	for _, text := range p.GetPin() {
 		pin, err := tlspolicy.ParsePin(text)
 		if err != nil {
-			return out, fmt.Errorf("pin: %w", err)
+			return policy, fmt.Errorf("pin: %w", err)
 		}
-		out.Pins = append(out.Pins, pin)
+		policy.Pins = append(policy.Pins, pin)
 	}
 	if p.Sessions != nil {
-		out.Sessions = int(*p.Sessions)
+		policy.Sessions = int(*p.Sessions)
 	}
-	return out, nil
+	return policy, nil
 }
 
-func (f *Fleet) take(p *gatewayv1.Fleet) error {
+// apply overrides the settings with the fields that are present in p, and checks them.
+func (f *Fleet) apply(p *gatewayv1.Fleet) error {
 	if p == nil {
 		return nil
 	}
 	f.Enabled, f.Name, f.KeyFile = p.GetEnabled(), p.GetName(), p.GetKeyFile()
 	f.DivideLimits = p.DivideLimits == nil || *p.DivideLimits
-	errs := numbers("fleet", []number{
-		{"agree", float(p.Agree), 1, 64, func(x float64) { f.Agree = int(x) }},
-		{"exchange_ms", p.ExchangeMs, 100, 60_000, func(x float64) { f.Exchange = time.Duration(x * float64(time.Millisecond)) }},
-		{"bytes_per_s", p.BytesPerS, 256, 1e9, func(x float64) { f.Bytes = x }},
+	errs := applyNumbers("fleet", []numberField{
+		{"agree", toFloat(p.Agree), 1, 64, func(x float64) { f.Quorum = int(x) }},
+		{"exchange_ms", p.ExchangeMs, 100, 60_000, func(x float64) { f.ExchangeInterval = time.Duration(x * float64(time.Millisecond)) }},
+		{"bytes_per_s", p.BytesPerS, 256, 1e9, func(x float64) { f.BytesPerSecond = x }},
 	})
-	address := func(field, text string, to *netip.AddrPort) {
+	setAddress := func(field, text string, to *netip.AddrPort) {
 		a, err := netip.ParseAddrPort(text)
 		if err == nil && (a.Port() == 0 || a.Addr().IsUnspecified() || a.Addr().IsMulticast()) {
-			err = errors.New("an address that others could reach is wanted, with its port")
+			err = errors.New("not an address with a port that other relays can reach")
 		}
 		if *to = a; err != nil {
 			errs = append(errs, fmt.Errorf("fleet.%s: %q: %w", field, text, err))
 		}
 	}
 	if p.GetAdvertise() != "" {
-		address("advertise", p.GetAdvertise(), &f.Advertise)
+		setAddress("advertise", p.GetAdvertise(), &f.Advertise)
 	}
 	for i, text := range p.GetJoin() {
 		f.Join = append(f.Join, netip.AddrPort{})
-		address(fmt.Sprintf("join[%d]", i), text, &f.Join[i])
+		setAddress(fmt.Sprintf("join[%d]", i), text, &f.Join[i])
 	}
 	if p.GetBind() != "" || f.Enabled {
-		address("bind", p.GetBind(), &f.Bind)
+		setAddress("bind", p.GetBind(), &f.Bind)
 	}
 	if f.Enabled && (f.Name == "" || len(f.Name) > 64) {
-		errs = append(errs, fmt.Errorf("fleet.name: %q: 1 to 64 bytes are wanted", f.Name))
+		errs = append(errs, fmt.Errorf("fleet.name: %q: length is not within 1 to 64 bytes", f.Name))
 	}
 	if f.Enabled && f.KeyFile == "" {
-		errs = append(errs, errors.New("fleet.key_file: missing; what relays tell each other is sealed"))
+		errs = append(errs, errors.New("fleet.key_file: missing; messages between relays are encrypted"))
 	}
-	errs = append(errs, f.Configuration.take(p.GetConfiguration(), f.Enabled))
+	errs = append(errs, f.Configuration.apply(p.GetConfiguration(), f.Enabled))
 	return errors.Join(errs...)
 }
 
-// numbers takes over fields that are present and within their ranges.
-func numbers(message string, list []number) (errs []error) {
+// applyNumbers stores the fields that are present and within their ranges, and returns an error for each field that is out of range.
+func applyNumbers(message string, list []numberField) (errs []error) {
 	for _, n := range list {
 		if n.value == nil {
 			continue
 		}
-		if x := *n.value; !(x >= n.least && x <= n.most) || math.IsNaN(x) {
-			errs = append(errs, fmt.Errorf("%s.%s: %v is not within %v to %v", message, n.field, x, n.least, n.most))
+		if x := *n.value; !(x >= n.min && x <= n.max) || math.IsNaN(x) {
+			errs = append(errs, fmt.Errorf("%s.%s: %v is not within %v to %v", message, n.field, x, n.min, n.max))
 			continue
 		}
-		n.to(*n.value)
+		n.set(*n.value)
 	}
 	return errs
 }
 
-func float(p *int32) *float64 {
+// toFloat converts an optional integer field.
+func toFloat(p *int32) *float64 {
 	if p == nil {
 		return nil
 	}
--- a/internal/lab/capacity/slopes/list.go
+++ b/internal/lab/capacity/slopes/list.go
@@ -8,48 +8,50 @@
 	"slatemux/internal/traffic"
 )
 
-// encodeList writes the entries of the destinations from first to before last as discovery does.
-func encodeList(seq int64, whole bool, first, last int) ([]byte, error) {
+// encodeList returns a discovery answer with the entries of the destinations from first to last-1.
+func encodeList(seq int64, full bool, first, last int) ([]byte, error) {
 	hosts := make([]pool.Host, 0, last-first)
 	for i := first; i < last; i++ {
-		hosts = append(hosts, pool.Host{Host: memberName(i), Dial: memberAddress(i), Site: zoneName, Class: kindName, Block: &i, Health: "active", Share: 100})
+		hosts = append(hosts, pool.Host{Host: memberName(i), Dial: memberAddress(i), Site: zoneName, Class: kindName, Block: &i,
+			Health: "active", Share: 100})
 	}
 	return json.Marshal(struct {
 		Seq   int64       `json:"seq"`
 		Whole bool        `json:"whole"`
 		Hosts []pool.Host `json:"hosts"`
-	}{seq, whole, hosts})
+	}{seq, full, hosts})
 }
 
-// measureList measures a whole list on the wire and in memory, and a change in it. It returns the list and the heap that it takes
-// with the book that is kept of it.
+// measureList measures the size and the parse time of a full list and of a change of one member. It returns the parsed list and the heap
+// bytes of the list and its book.
 func measureList(size int, record recordFunc) (list pool.List, heap float64, err error) {
-	whole, err := encodeList(1, true, 0, size)
+	fullList, err := encodeList(1, true, 0, size)
 	if err != nil {
 		return list, 0, err
 	}
-	change, err := encodeList(2, false, size-1, size)
+	listChange, err := encodeList(2, false, size-1, size)
 	if err != nil {
 		return list, 0, err
 	}
 	book := pool.NewBook(pool.List{})
-	before := heapBytes()
-	took := onThread(func() { list, err = takeList(book, whole) })
+	heapBefore := heapBytes()
+	parseTime := measureThreadCPU(func() { list, err = applyList(book, fullList) })
 	if err != nil {
 		return list, 0, err
 	}
-	heap = heapBytes() - before
-	changeTook := onThread(func() { _, err = takeList(book, change) })
+	heap = heapBytes() - heapBefore
+	changeParseTime := measureThreadCPU(func() { _, err = applyList(book, listChange) })
 	if err != nil {
 		return list, 0, err
 	}
-	runtime.KeepAlive(whole) // it was there before and is not counted
-	return list, heap, recordAll(record, []measured{{listBytes, float64(len(whole))}, {listParse, milliseconds(took)}, {bookHeap, heap},
-		{changeBytes, float64(len(change))}, {changeParse, microseconds(changeTook)}})
+	runtime.KeepAlive(fullList) // allocated before the first heap reading, so it must not be freed before the second
+	return list, heap, recordAll(record, []quantityValue{{listBytes, float64(len(fullList))},
+		{listParse, milliseconds(parseTime)}, {bookHeap, heap},
+		{changeBytes, float64(len(listChange))}, {changeParse, microseconds(changeParseTime)}})
 }
 
-// takeList does what the watcher does with an answer's body.
-func takeList(book *pool.Book, raw []byte) (pool.List, error) {
+// applyList parses the body of a discovery answer and applies it to the book, as the pool watcher does.
+func applyList(book *pool.Book, raw []byte) (pool.List, error) {
 	list, err := pool.Parse(raw)
 	if err != nil {
 		return list, err
@@ -58,13 +60,14 @@
 	return list, err
 }
 
-// measured is the value of a quantity.
-type measured struct {
+// quantityValue is a measured value of a quantity.
+type quantityValue struct {
 	quantity Quantity
 	value    float64
 }
 
-func recordAll(record recordFunc, values []measured) error {
+// recordAll records the values in sequence and stops at the first error.
+func recordAll(record recordFunc, values []quantityValue) error {
 	for _, v := range values {
 		if err := record(v.quantity, v.value); err != nil {
 			return err
@@ -73,16 +76,16 @@
 	return nil
 }
 
-// measureFlows returns the heap that the flows take for members without a connection.
-func measureFlows(news traffic.PoolNews, record recordFunc) (float64, error) {
-	before := heapBytes()
-	flows, err := newFlows()
+// measureFlows returns the heap bytes of a flow manager that knows the pool members but has no connections.
+func measureFlows(poolUpdate traffic.PoolNews, record recordFunc) (float64, error) {
+	heapBefore := heapBytes()
+	flows, err := newFlowManager()
 	if err != nil {
 		return 0, err
 	}
 	defer flows.Close()
-	flows.Pool(news)
-	heap := heapBytes() - before
-	runtime.KeepAlive(news)
+	flows.Pool(poolUpdate)
+	heap := heapBytes() - heapBefore
+	runtime.KeepAlive(poolUpdate)
 	return heap, record(flowsHeap, heap)
 }
