--- a/internal/lab/emulator/gossip/gossip.go
+++ b/internal/lab/emulator/gossip/gossip.go
@@ -91,7 +91,7 @@
 	d.Judge = verdicts.NewJudge(d.Name, n.cfg.Agree, d.Store)
 	d.Announcer = verdicts.NewAnnouncer(d.Name, incarnation)
 	var err error
-	d.Spread, err = spread.New(spread.Config{Self: d.Name, Exchange: n.cfg.Exchange, Bytes: n.cfg.Bytes, Size: wire.Size, Packet: 1300,
+	d.Spread, err = spread.New(spread.Config{Self: d.Name, ExchangeInterval: n.cfg.Exchange, BytesPerSecond: n.cfg.Bytes, PacketBytes: wire.Size, MaxPacketBytes: 1300,
 		Seed: uint64(d.i) + uint64(d.gen)<<32}, 0, d.Store, incarnation)
 	if err != nil {
 		return fmt.Errorf("gossip: %w", err)
@@ -136,7 +136,7 @@
 	}
 }
 
-func (d *Node) send(list []spread.Send) {
+func (d *Node) send(list []spread.OutgoingPacket) {
 	n := d.net
 	for _, s := range list {
 		d.Bytes += int64(wire.Size(&s.Packet))
--- a/internal/lab/emulator/gossip/gossip_test.go
+++ b/internal/lab/emulator/gossip/gossip_test.go
@@ -89,7 +89,7 @@
 		n.Nodes[0].Announce(ban(n.Nodes[0], 1))
 		n.Nodes[9].Announce(ban(n.Nodes[9], 2))
 		n.run(3 * time.Second)
-		if b := n.Nodes[11].Store; len(b.From(n.Nodes[11].Now(), "relay-0")) != 0 {
+		if b := n.Nodes[11].Store; len(b.ForOrigin(n.Nodes[11].Now(), "relay-0")) != 0 {
 			t.Errorf("%s: news came through the cut", name)
 		}
 		n.Cut = nil
@@ -124,7 +124,7 @@
 	told := n.Sim.Now()
 	for i, length := range []time.Duration{800 * ms, 900 * ms, 14 * time.Second, 15 * time.Second} {
 		o := n.Nodes[5+i]
-		s, _ := o.Announcer.Wait(o.Now(), o.Store, verdicts.Observation{Outcome: verdicts.Refused, Destination: i / 2, Wait: length})
+		s, _ := o.Announcer.Wait(o.Now(), o.Store, verdicts.Observation{Outcome: verdicts.Refused, Destination: i / 2, RetryAfter: length})
 		o.Announce(s)
 	}
 	n.run(10 * time.Second)
@@ -161,13 +161,13 @@
 		t.Fatal(err)
 	}
 	n.run(3 * time.Second)
-	held.Count += 1000
-	held.News[0].Seq += 1000
+	held.Sequence += 1000
+	held.Statements[0].Seq += 1000
 	if news, _, _ = b.Spread.Receive(b.Now(), held); len(news) != 0 {
 		t.Error("a packet of an earlier incarnation was taken")
 	}
 	held.From = "nobody"
-	if news, _, _ = b.Spread.Receive(b.Now(), held); len(news) != 0 || b.Spread.Counters().Strangers != 1 {
+	if news, _, _ = b.Spread.Receive(b.Now(), held); len(news) != 0 || b.Spread.Counters().UnknownSenders != 1 {
 		t.Error("a stranger's packet was taken")
 	}
 }
@@ -188,7 +188,7 @@
 	a.Announce(a.Announcer.Ban(1, "m", false))
 	n.run(3 * time.Second)
 	for _, d := range n.Nodes[1:] {
-		if list := d.Store.From(d.Now(), a.Name); len(list) != 1 || !list[0].Over {
+		if list := d.Store.ForOrigin(d.Now(), a.Name); len(list) != 1 || !list[0].Withdrawn {
 			t.Errorf("%s still believes the process before: %v", d.Name, list)
 		}
 	}
@@ -208,7 +208,7 @@
 			t.Errorf("%s sent %d bytes in %v", d.Name, d.Bytes, d.Now())
 		}
 	}
-	if n.Nodes[0].Spread.Counters().Short == 0 {
+	if n.Nodes[0].Spread.Counters().Unsent == 0 {
 		t.Error("nothing was short: the test caused no want of bytes")
 	}
 }
--- a/internal/lab/emulator/workload/fleet.go
+++ b/internal/lab/emulator/workload/fleet.go
@@ -71,18 +71,18 @@
 // restrain hands the module what the others' word comes to.
 func (p *part) restrain(now time.Duration, come []verdicts.Restraint) {
 	for _, c := range come {
-		ev := dispatch.Told{Destination: c.Destination, Endpoint: c.Member, Age: max(now-c.At, 0)}
+		ev := dispatch.FleetReport{Destination: c.Destination, Endpoint: c.Member, Age: max(now-c.At, 0)}
 		switch c.Order {
-		case verdicts.Hold:
-			ev.Kind, ev.For = dispatch.ToldWait, max(c.At-now, 0)
-		case verdicts.Out:
-			ev.Kind = dispatch.ToldOut
+		case verdicts.OrderWait:
+			ev.Kind, ev.For = dispatch.ReportedWait, max(c.At-now, 0)
+		case verdicts.OrderOutage:
+			ev.Kind = dispatch.ReportedOutage
 			p.heard[c.Member] = true
-		case verdicts.Back:
-			ev.Kind = dispatch.ToldBack
+		case verdicts.OrderRecovery:
+			ev.Kind = dispatch.ReportedRecovery
 			delete(p.heard, c.Member)
-		case verdicts.Free:
-			ev.Kind = dispatch.ToldNothing
+		case verdicts.OrderRelease:
+			ev.Kind = dispatch.ReportLapsed
 			delete(p.heard, c.Member)
 		}
 		p.post(ev)
@@ -99,12 +99,12 @@
 	}
 	for _, o := range outcomes {
 		d := dest(o.ID)
-		s := verdicts.Observation{Destination: d, Member: o.Endpoint, Begun: now - o.Latency}
+		s := verdicts.Observation{Destination: d, Member: o.Endpoint, StartedAt: now - o.Latency}
 		switch o.Status {
 		case dispatch.OK:
 			s.Outcome = verdicts.Succeeded
-		case dispatch.Full:
-			s.Outcome, s.Wait = verdicts.Refused, o.Wait
+		case dispatch.Refused:
+			s.Outcome, s.RetryAfter = verdicts.Refused, o.RetryAfter
 		default:
 			s.Outcome = verdicts.Failed
 		}
@@ -112,7 +112,7 @@
 		if st, ok := p.node.Announcer.Wait(now, p.node.Store, s); ok {
 			say(st)
 		}
-		p.sender.Health(d, func(id string, since time.Duration) {
+		p.sender.EachHealth(d, func(id string, since time.Duration) {
 			was, out := p.outs[id], since >= 0
 			switch {
 			case out && (!was || o.Status != dispatch.OK):
--- a/internal/lab/emulator/workload/workload.go
+++ b/internal/lab/emulator/workload/workload.go
@@ -142,7 +142,7 @@
 			decider = d.Mutate(s)
 		}
 		relays[i] = &relay{i: i, s: decider, waits: map[int]emulator.Time{}, stepAt: -1, last: -emulator.Time(set.Resolution)}
-		relays[i].pending = append(relays[i].pending, dispatch.Members{Whole: true, Endpoints: eps})
+		relays[i].pending = append(relays[i].pending, dispatch.MembershipUpdate{Full: true, Endpoints: eps})
 	}
 	servers := make([]*servermodel.FIFO, len(d.Destinations))
 	work := make([]interface{ ExpFloat64() float64 }, len(d.Destinations))
@@ -161,12 +161,12 @@
 			return res, fmt.Errorf("play: %w", err)
 		}
 	}
-	report := func(dest int) *dispatch.Report {
+	report := func(dest int) *dispatch.LimitReport {
 		if !d.Reports {
 			return nil
 		}
 		b := &d.Destinations[dest].Limit
-		return &dispatch.Report{Left: b.Left(sim.Now()), Limit: b.Rate}
+		return &dispatch.LimitReport{LeftShare: b.Left(sim.Now()), Rate: b.Rate}
 	}
 	type call struct {
 		r       *relay
@@ -224,9 +224,9 @@
 					answer(time.Millisecond, dispatch.Outcome{Status: dispatch.ConnectFailed})
 				case state == servermodel.Silent: // the call reached a machine that says nothing: it may have run
 					rec.MayHaveRun = true
-					answer(max(a.TimeOut, time.Millisecond), dispatch.Outcome{Status: dispatch.TimedOut})
+					answer(max(a.Timeout, time.Millisecond), dispatch.Outcome{Status: dispatch.TimedOut})
 				case !ok:
-					answer(time.Millisecond, dispatch.Outcome{Status: dispatch.Full, Wait: wait, Report: report(dest)})
+					answer(time.Millisecond, dispatch.Outcome{Status: dispatch.Refused, RetryAfter: wait, Report: report(dest)})
 				default:
 					n := nextCall
 					nextCall++
@@ -234,8 +234,8 @@
 					calls[n] = call{r, a.ID, attempt, sim.Now(), over}
 					// The relay waits so long, or until the message's time is up; the call may run on at the server.
 					until := rec.Due
-					if a.TimeOut > 0 {
-						until = min(until, sim.Now()+emulator.Time(a.TimeOut))
+					if a.Timeout > 0 {
+						until = min(until, sim.Now()+emulator.Time(a.Timeout))
 					}
 					sim.At(max(until, sim.Now()), kindServer, func() {
 						if _, out := calls[n]; out && !*over {
@@ -263,7 +263,7 @@
 				rec.EndedAt = sim.Now()
 			case dispatch.Wake:
 				at := max(emulator.Time(a.At), sim.Now())
-				sim.At(at, kindStep, func() { post(r, dispatch.Woken{}) })
+				sim.At(at, kindStep, func() { post(r, dispatch.WakeDue{}) })
 			}
 		}
 		if fleet != nil {
@@ -277,9 +277,9 @@
 		}
 		// A wait runs from the step that brought it; what that step sent is excused.
 		for _, ev := range events {
-			if o, ok := ev.(dispatch.Outcome); ok && o.Status == dispatch.Full && o.Wait > 0 {
+			if o, ok := ev.(dispatch.Outcome); ok && o.Status == dispatch.Refused && o.RetryAfter > 0 {
 				dest := res.Messages[o.ID].Destination
-				r.waits[dest] = max(r.waits[dest], sim.Now()+emulator.Time(o.Wait))
+				r.waits[dest] = max(r.waits[dest], sim.Now()+emulator.Time(o.RetryAfter))
 			}
 		}
 	}
@@ -294,12 +294,12 @@
 			*c.over = true
 			o := dispatch.Outcome{ID: c.id, Attempt: c.attempt, Endpoint: fmt.Sprint("e", i), Latency: (sim.Now() - c.sent).Duration()}
 			if served {
-				o.Status, o.Settled, o.Report = dispatch.OK, true, report(i)
+				o.Status, o.Closed, o.Report = dispatch.OK, true, report(i)
 				if rec := res.Messages[c.id]; !rec.Delivered && rec.Ends == 0 {
 					rec.Delivered, rec.Ends, rec.EndedAt = true, rec.Ends+1, sim.Now()
 				}
 			} else {
-				o.Status = dispatch.Full
+				o.Status = dispatch.Refused
 			}
 			post(c.r, o)
 		})
@@ -320,7 +320,7 @@
 			}
 			r := relays[n]
 			res.Messages[id] = &Record{Relay: r.i, Destination: i, Due: sim.Now() + emulator.Time(d.TimeLeft), Aim: sim.Now() + aim}
-			post(r, dispatch.Request{ID: id, Destination: i, Class: d.Class, TimeLeft: d.TimeLeft, Size: 100})
+			post(r, dispatch.Request{ID: id, Destination: i, Class: d.Class, TimeLeft: d.TimeLeft, SizeBytes: 100})
 			sim.After(time.Duration(arrivals.ExpFloat64()/dest.Rate*1e9), emulator.Any, next)
 		}
 		sim.At(0, emulator.Any, next)
@@ -333,12 +333,12 @@
 			row := eps[dr.Destination]
 			row.State = dispatch.Draining
 			for _, r := range relays {
-				post(r, dispatch.Members{Endpoints: []dispatch.Endpoint{row}})
+				post(r, dispatch.MembershipUpdate{Endpoints: []dispatch.Endpoint{row}})
 			}
 		})
 	}
 	for _, r := range relays {
-		post(r, dispatch.Woken{})
+		post(r, dispatch.WakeDue{})
 	}
 	sim.Run(emulator.Time(d.Length + 10*d.TimeLeft))
 	for _, p := range fleet {
--- a/internal/lab/explore/explore.go
+++ b/internal/lab/explore/explore.go
@@ -226,7 +226,7 @@
 		if x.a == w.loaded {
 			want = 2 * limit
 		}
-		demands := []allowance.Demand{{Destination: destination, Rates: [allowance.Levels]float64{want}}}
+		demands := []allowance.Demand{{Destination: destination, Rates: [allowance.PriorityLevels]float64{want}}}
 		readings := []allowance.Reading{{Destination: destination, Limit: limit}}
 		c := r.holder.Claim(w.now, 0, w.relays[x.b].name, r.number, demands, readings)
 		if x.a == x.b {
@@ -310,12 +310,12 @@
 			b = append(b, '>', byte(m.from), byte(m.to))
 			if c := m.claim; c != nil {
 				b = num(b, allowance.ClaimSequence, from, c.Sequence)
-				b = num(b, allowance.GrantSequence, to, c.LastGrant)
+				b = num(b, allowance.GrantSequence, to, c.LastGrantSequence)
 				b = fmt.Append(b, c.LoanDuration, c.Demands)
 				continue
 			}
 			b = num(b, allowance.GrantSequence, from, m.grant.Sequence)
-			b = num(b, allowance.ClaimSequence, to, m.grant.LastClaim)
+			b = num(b, allowance.ClaimSequence, to, m.grant.LastClaimSequence)
 			b = fmt.Append(b, m.grant.Shares)
 		}
 		return b
--- a/internal/lab/fleets/fleets_test.go
+++ b/internal/lab/fleets/fleets_test.go
@@ -275,7 +275,7 @@
 at { at_s: 0 links { from: "relays" to: "relays" loss: 0.3 duplicate: 0.05 reorder: 0.1 corrupt: 0.02 delay_ms: 5 jitter_ms: 10 } }`, heal(t))
 	news := int64(0)
 	for _, g := range r.Figures {
-		news += g.Spread.News
+		news += g.Spread.NewStatements
 	}
 	if news == 0 || r.fleet.Net.Lost.Load() == 0 {
 		t.Errorf("%d news, %d packets lost: the test caused nothing", news, r.fleet.Net.Lost.Load())
--- a/internal/lab/fleets/liar.go
+++ b/internal/lab/fleets/liar.go
@@ -57,7 +57,7 @@
 			if on {
 				seq++
 				news = append(news, verdicts.Statement{Origin: "liar", Version: verdicts.Version{Incarnation: 1, Seq: seq}, Subject: s, Length: length,
-					List: 1 << 40, Life: 60 * time.Second})
+					ListVersion: 1 << 40, Lifetime: 60 * time.Second})
 			}
 		}
 		for _, p := range f.Scenario.Partner {
@@ -72,7 +72,7 @@
 		for _, m := range l.list.Members() {
 			for i := 0; i < len(news) && m.Name != "liar"; i += 20 {
 				seq++
-				b, err := wire.Append(nil, &spread.Packet{From: "liar", Incarnation: 1, Uptime: time.Since(began), Count: seq, News: news[i:min(i+20, len(news))]})
+				b, err := wire.Append(nil, &spread.Packet{From: "liar", Incarnation: 1, Uptime: time.Since(began), Sequence: seq, Statements: news[i:min(i+20, len(news))]})
 				if err == nil {
 					_ = l.list.SendBestEffort(m, b)
 				}
--- a/internal/lab/partner/partner_test.go
+++ b/internal/lab/partner/partner_test.go
@@ -193,14 +193,14 @@
 	good := []byte(callText("9b1f03aa5c7e2d41", "body"))
 	proptest.Check(t, func(t *rapid.T) {
 		var readers []chunk
-		for _, p := range proptest.Pieces(t, good) {
+		for _, p := range proptest.Split(t, good) {
 			readers = append(readers, chunk(p))
 		}
 		req, _, err := readHead(bufio.NewReaderSize(&chunkReader{readers}, 256))
 		if err != nil || req.id != 0x9b1f03aa5c7e2d41 || req.bodyBytes != 4 {
 			t.Fatalf("%+v %v", req, err)
 		}
-		if req, _, err := readHead(bufio.NewReaderSize(bytes.NewReader(proptest.Garbage(t, good)), 256)); err == nil && (req.bodyBytes < 0 || req.bodyBytes > 1<<20) {
+		if req, _, err := readHead(bufio.NewReaderSize(bytes.NewReader(proptest.Malformed(t, good)), 256)); err == nil && (req.bodyBytes < 0 || req.bodyBytes > 1<<20) {
 			t.Fatalf("%+v", req)
 		}
 	})
