--- a/internal/lab/links/links.go
+++ b/internal/lab/links/links.go
@@ -1,6 +1,6 @@
-// Package links puts a fault injector of the laboratory's own between processes on loopback: TCP and UDP, each direction by
-// itself. A relay reaches every other party through an address of the injector's, which knows who calls by the address that the
-// call comes from, and to whom by where it comes in.
+// Package links is a network fault injector between processes on loopback. It forwards TCP and UDP and applies faults to each
+// direction separately. A relay reaches every other party through an address of the injector. The injector identifies the caller by
+// its source address and the callee by the address that was called.
 package links
 
 import (
@@ -16,57 +16,61 @@
 	"time"
 )
 
-// Fault is what is wrong with one direction of a link. The zero value is a good one.
+// Fault describes the faults of one direction of a link. The zero value is a link without faults.
 type Fault struct {
-	Delay, Jitter time.Duration // of every packet; the jitter is added evenly drawn
-	// Shares of packets; of streams, of pieces of up to 4 KB: one that is lost comes a retransmission later.
+	Delay, Jitter time.Duration // of every packet; the jitter is drawn uniformly and added
+	// Shares of packets. For streams, Loss and Corrupt apply to chunks of up to 4 KB: a lost chunk arrives later by retransmitDelay.
 	Loss, Duplicate, Reorder, Corrupt float64
-	Cut                               bool    // nothing passes; streams stand still
-	Bandwidth                         float64 // bytes a second; 0 for no bound
+	Cut                               bool    // drops all packets; streams are paused
+	Bandwidth                         float64 // bytes per second; 0 for no limit
 }
 
 const (
-	// reordered packets come so much later; a lost piece of a stream is sent again after retransmit.
-	reorderBy, retransmit = 30 * time.Millisecond, 200 * time.Millisecond
-	// queueMost is how long a packet waits for bandwidth before it is dropped.
-	queueMost = time.Second
-	piece     = 4096
+	// reorderDelay is the extra delay of a reordered packet.
+	reorderDelay = 30 * time.Millisecond
+	// retransmitDelay is the extra delay of a lost chunk of a stream.
+	retransmitDelay = 200 * time.Millisecond
+	// maxQueueDelay is the longest time that a packet waits for bandwidth. A packet that would wait longer is dropped.
+	maxQueueDelay = time.Second
+	// chunkBytes is the most that is read from a stream at once.
+	chunkBytes = 4096
 )
 
-type pair struct{ from, to string }
+// direction identifies one direction of a link by the names of its parties.
+type direction struct{ from, to string }
 
-// link is one direction.
+// link is the state of one direction of a link.
 type link struct {
-	fault Fault
-	rng   *rand.Rand
-	free  time.Time // when what was sent before has gone out, where bandwidth is bounded
+	fault  Fault
+	rng    *rand.Rand
+	idleAt time.Time // with a limit of bandwidth, the time at which all earlier packets have been sent
 }
 
-// Net is the injector.
+// Net is a fault injector with its parties and links.
 type Net struct {
-	seed   uint64
-	mu     sync.Mutex
-	block  byte // second octet of the first of its addresses; 0 while it has none
-	links  map[pair]*link
-	names  map[netip.Addr]string // who calls from an address
-	opened map[pair][]time.Time  // connections that were asked for
-	kept   map[pair][][]byte     // packets of links that are listened to, to be sent again
-	send   map[string]func([]byte)
-	closes []func()
-	moved  chan struct{} // closed at each change of a fault
-	done   chan struct{}
-	wg     sync.WaitGroup
-	// Packets that passed, were lost, and were cut off.
-	Passed, Lost, CutOff atomic.Int64
+	seed          uint64
+	mu            sync.Mutex
+	blockOctet    byte // second octet of the first address of the reserved block; 0 until one is reserved
+	links         map[direction]*link
+	callerNames   map[netip.Addr]string     // party by source address
+	dialTimes     map[direction][]time.Time // times at which connections were accepted
+	recorded      map[direction][][]byte    // packets kept for Replay, for directions that Listen has named
+	senders       map[string]func([]byte)
+	closers       []func()
+	faultsChanged chan struct{} // closed and replaced at each change of a fault
+	done          chan struct{}
+	wg            sync.WaitGroup
+	// Packets forwarded, dropped for loss or lack of bandwidth, and dropped by a cut.
+	Passed, Lost, Blocked atomic.Int64
 }
 
-// New returns an injector whose chances come from the seed.
+// New returns an injector whose random decisions follow from the seed.
 func New(seed uint64) *Net {
-	return &Net{seed: seed, links: map[pair]*link{}, names: map[netip.Addr]string{}, opened: map[pair][]time.Time{}, kept: map[pair][][]byte{}, send: map[string]func([]byte){}, moved: make(chan struct{}),
+	return &Net{seed: seed, links: map[direction]*link{}, callerNames: map[netip.Addr]string{}, dialTimes: map[direction][]time.Time{}, recorded: map[direction][][]byte{}, senders: map[string]func([]byte){}, faultsChanged: make(chan struct{}),
 		done: make(chan struct{})}
 }
 
-// Close ends all links.
+// Close closes all listeners and connections and waits for their goroutines.
 func (n *Net) Close() {
 	n.mu.Lock()
 	select {
@@ -74,8 +78,8 @@
 	default:
 		close(n.done)
 	}
-	closes := n.closes
-	n.closes = nil
+	closes := n.closers
+	n.closers = nil
 	n.mu.Unlock()
 	for _, c := range closes {
 		c()
@@ -83,38 +87,38 @@
 	n.wg.Wait()
 }
 
-// Set puts a fault on one direction, instead of the one before.
+// Set replaces the fault of one direction.
 func (n *Net) Set(from, to string, f Fault) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.at(from, to).fault = f
-	close(n.moved)
-	n.moved = make(chan struct{})
+	n.linkFor(from, to).fault = f
+	close(n.faultsChanged)
+	n.faultsChanged = make(chan struct{})
 }
 
-// Heal makes all links good.
+// Heal removes the faults of all links.
 func (n *Net) Heal() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, l := range n.links {
 		l.fault = Fault{}
 	}
-	close(n.moved)
-	n.moved = make(chan struct{})
+	close(n.faultsChanged)
+	n.faultsChanged = make(chan struct{})
 }
 
-// Listen keeps the packets that pass from one party to another, up to a thousand, as one does who means to send them again.
+// Listen starts to record the packets from one party to another, up to a thousand, as an attacker does before a replay.
 func (n *Net) Listen(from, to string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.kept[pair{from, to}] = [][]byte{}
+	n.recorded[direction{from, to}] = [][]byte{}
 }
 
-// Replay sends what was kept once more, and says how many packets that were.
+// Replay sends the recorded packets again, ends the recording, and returns the number of packets.
 func (n *Net) Replay(from, to string) int {
 	n.mu.Lock()
-	kept, send := n.kept[pair{from, to}], n.send[to]
-	delete(n.kept, pair{from, to})
+	kept, send := n.recorded[direction{from, to}], n.senders[to]
+	delete(n.recorded, direction{from, to})
 	n.mu.Unlock()
 	for _, b := range kept {
 		send(b)
@@ -122,32 +126,32 @@
 	return len(kept)
 }
 
-// Know tells who calls from an address that no party was given.
+// Know names the party that calls from an address outside those that Party assigned.
 func (n *Net) Know(ip net.IP, name string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if a, ok := netip.AddrFromSlice(ip); ok {
-		n.names[a.Unmap()] = name
+		n.callerNames[a.Unmap()] = name
 	}
 }
 
-// at needs the lock.
-func (n *Net) at(from, to string) *link {
-	l := n.links[pair{from, to}]
+// linkFor returns the link of a direction and creates it at the first use. The caller holds n.mu.
+func (n *Net) linkFor(from, to string) *link {
+	l := n.links[direction{from, to}]
 	if l == nil {
 		h := fnv.New64a()
 		_, _ = fmt.Fprintf(h, "%s > %s", from, to)
 		l = &link{rng: rand.New(rand.NewPCG(n.seed, h.Sum64()))}
-		n.links[pair{from, to}] = l
+		n.links[direction{from, to}] = l
 	}
 	return l
 }
 
-// Opened counts the connections that one party asked for to another in a span.
+// Opened counts the connections that one party opened to another in a period.
 func (n *Net) Opened(from, to string, since, until time.Time) (count int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for _, at := range n.opened[pair{from, to}] {
+	for _, at := range n.dialTimes[direction{from, to}] {
 		if !at.Before(since) && at.Before(until) {
 			count++
 		}
@@ -155,112 +159,119 @@
 	return count
 }
 
-// plan says what becomes of a packet: when its copies arrive, and whether a byte of it changes.
-func (n *Net) plan(from, to string, size int) (after []time.Duration, spoil int) {
+// schedulePacket applies the fault of a direction to a packet. It returns the delay of each copy, none for a dropped packet, and the
+// index of the byte to corrupt, or -1.
+func (n *Net) schedulePacket(from, to string, size int) (delays []time.Duration, corruptAt int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	l := n.at(from, to)
+	l := n.linkFor(from, to)
 	f, r := l.fault, l.rng
-	spoil = -1
+	corruptAt = -1
 	switch {
 	case f.Cut:
-		n.CutOff.Add(1)
-		return nil, spoil
+		n.Blocked.Add(1)
+		return nil, corruptAt
 	case r.Float64() < f.Loss:
 		n.Lost.Add(1)
-		return nil, spoil
+		return nil, corruptAt
 	}
 	delay := f.Delay + time.Duration(r.Float64()*float64(f.Jitter))
 	if f.Bandwidth > 0 {
 		now := time.Now()
-		if l.free.Before(now) {
-			l.free = now
+		if l.idleAt.Before(now) {
+			l.idleAt = now
 		}
-		if l.free.Sub(now) > queueMost {
+		if l.idleAt.Sub(now) > maxQueueDelay {
 			n.Lost.Add(1)
-			return nil, spoil
+			return nil, corruptAt
 		}
-		l.free = l.free.Add(time.Duration(float64(size) / f.Bandwidth * float64(time.Second)))
-		delay += l.free.Sub(now)
+		l.idleAt = l.idleAt.Add(time.Duration(float64(size) / f.Bandwidth * float64(time.Second)))
+		delay += l.idleAt.Sub(now)
 	}
 	if r.Float64() < f.Reorder {
-		delay += reorderBy
+		delay += reorderDelay
 	}
 	if r.Float64() < f.Corrupt && size > 0 {
-		spoil = r.IntN(size)
+		corruptAt = r.IntN(size)
 	}
 	n.Passed.Add(1)
-	after = []time.Duration{delay}
+	delays = []time.Duration{delay}
 	if r.Float64() < f.Duplicate {
-		after = append(after, delay+time.Duration(r.Float64()*float64(reorderBy)))
+		delays = append(delays, delay+time.Duration(r.Float64()*float64(reorderDelay)))
 	}
-	return after, spoil
+	return delays, corruptAt
 }
 
-// Place is where a party that takes packets and streams listens, and where others reach it through the injector. Serve is an
-// address of its own for all else that it listens on: it makes no calls from there, whose ports could be those.
+// Place holds the addresses of a party. It listens on Bind for packets and streams, and others reach it at Reach through the
+// injector. Serve is a separate address for its other listeners: calls go out from the address of Bind, so that their ports cannot
+// collide with those of the listeners.
 type Place struct {
 	Bind, Reach netip.AddrPort
 	Serve       netip.Addr
 }
 
-// Blocks of addresses begin at 127.firstBlock, three second octets each; a listener at guardPort of a block's last address but one
-// holds it, so that injectors side by side, in one process or several, give no address twice.
-const firstBlock, blocks, guardPort = 64, 60, 20009
+// Address blocks. A block spans three values of the second octet of addresses that begin with 127. An injector reserves a block by
+// listening at guardPort of the last address but one of the first value. So concurrent injectors, in one process or several, never
+// assign the same address.
+const (
+	firstBlockOctet = 64
+	blockCount      = 60
+	guardPort       = 20009
+)
 
-// hold takes a block of addresses until Close.
-func (n *Net) hold() (byte, error) {
+// reserveBlock reserves a free block of addresses until Close, or returns the one already reserved.
+func (n *Net) reserveBlock() (byte, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.block != 0 {
-		return n.block, nil
+	if n.blockOctet != 0 {
+		return n.blockOctet, nil
 	}
-	for b := range blocks {
-		block := byte(firstBlock + 3*b)
+	for index := range blockCount {
+		block := byte(firstBlockOctet + 3*index)
 		guard, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, block, 255, 254), Port: guardPort})
 		if err == nil {
-			n.block = block
-			n.closes = append(n.closes, func() { guard.Close() })
+			n.blockOctet = block
+			n.closers = append(n.closers, func() { guard.Close() })
 			return block, nil
 		}
 	}
-	return 0, errors.New("links: no block of addresses is free")
+	return 0, errors.New("links: all address blocks are in use")
 }
 
-// Party gives a party that others call, and that calls them from its address, both over TCP and UDP. Its number makes its
-// addresses, which are its own; ports are the system's.
+// Party adds a party that calls others, and is called by them, over TCP and UDP. The number selects the addresses, so each party
+// needs its own number. The system chooses the ports.
 func (n *Net) Party(name string, number int) (Place, error) {
 	var p Place
-	block, err := n.hold()
+	block, err := n.reserveBlock()
 	if err != nil {
 		return p, err
 	}
-	ip := func(i byte) netip.Addr {
+	address := func(i byte) netip.Addr {
 		return netip.AddrFrom4([4]byte{127, block + i, byte(number >> 8), byte(number&0xff) + 1})
 	}
 	if number < 0 || number >= 1<<15 || number&0xff == 0xff {
-		return p, fmt.Errorf("links: %d makes no address", number)
+		return p, fmt.Errorf("links: party number %d is out of range", number)
 	}
-	bind, err := freePort(ip(0))
+	bind, err := freePort(address(0))
 	if err != nil {
 		return p, err
 	}
-	tcp, udp, err := listen(ip(1))
+	tcp, udp, err := listen(address(1))
 	if err != nil {
 		return p, err
 	}
-	p = Place{Bind: bind, Reach: tcp.Addr().(*net.TCPAddr).AddrPort(), Serve: ip(2)}
+	p = Place{Bind: bind, Reach: tcp.Addr().(*net.TCPAddr).AddrPort(), Serve: address(2)}
 	n.mu.Lock()
-	n.names[bind.Addr()] = name
-	n.send[name] = func(b []byte) { _, _ = udp.WriteToUDPAddrPort(b, bind) }
-	n.closes = append(n.closes, func() { tcp.Close() }, func() { udp.Close() })
+	n.callerNames[bind.Addr()] = name
+	n.senders[name] = func(b []byte) { _, _ = udp.WriteToUDPAddrPort(b, bind) }
+	n.closers = append(n.closers, func() { tcp.Close() }, func() { udp.Close() })
 	n.mu.Unlock()
-	n.wg.Go(func() { n.packets(udp, name, bind) })
-	n.wg.Go(func() { n.accept(tcp, n.who, name, bind.String(), nil) })
+	n.wg.Go(func() { n.forwardPackets(udp, name, bind) })
+	n.wg.Go(func() { n.accept(tcp, n.callerName, name, bind.String(), nil) })
 	return p, nil
 }
 
-// listen opens TCP and UDP at one port of the system's choice.
+// listen opens TCP and UDP on the same port, which the system chooses.
 func listen(ip netip.Addr) (*net.TCPListener, *net.UDPConn, error) {
 	for try := 0; ; try++ {
 		tcp, err := net.ListenTCP("tcp", &net.TCPAddr{IP: ip.AsSlice()})
@@ -278,6 +289,7 @@
 	}
 }
 
+// freePort returns an address whose port was free for both TCP and UDP.
 func freePort(ip netip.Addr) (netip.AddrPort, error) {
 	tcp, udp, err := listen(ip)
 	if err != nil {
@@ -288,19 +300,20 @@
 	return tcp.Addr().(*net.TCPAddr).AddrPort(), nil
 }
 
-func (n *Net) who(a net.Addr) (string, bool) {
-	at, err := netip.ParseAddrPort(a.String())
+// callerName returns the name of the party that calls from a source address.
+func (n *Net) callerName(a net.Addr) (string, bool) {
+	caller, err := netip.ParseAddrPort(a.String())
 	if err != nil {
 		return "", false
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	name, ok := n.names[at.Addr().Unmap()]
+	name, ok := n.callerNames[caller.Addr().Unmap()]
 	return name, ok
 }
 
-// packets carries UDP to one party.
-func (n *Net) packets(udp *net.UDPConn, to string, bind netip.AddrPort) {
+// forwardPackets forwards UDP packets to one party.
+func (n *Net) forwardPackets(udp *net.UDPConn, to string, bind netip.AddrPort) {
 	buf := make([]byte, 64<<10)
 	for {
 		size, from, err := udp.ReadFromUDPAddrPort(buf)
@@ -308,22 +321,22 @@
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
-			continue // the party is away: the system says that its port is unreachable
+			continue // the party is down, and the system reports that its port is unreachable
 		}
-		name, ok := n.who(net.UDPAddrFromAddrPort(from))
+		name, ok := n.callerName(net.UDPAddrFromAddrPort(from))
 		if !ok {
 			continue
 		}
 		n.mu.Lock()
-		if kept, ok := n.kept[pair{name, to}]; ok && len(kept) < 1000 {
-			n.kept[pair{name, to}] = append(kept, append([]byte(nil), buf[:size]...))
+		if kept, ok := n.recorded[direction{name, to}]; ok && len(kept) < 1000 {
+			n.recorded[direction{name, to}] = append(kept, append([]byte(nil), buf[:size]...))
 		}
 		n.mu.Unlock()
-		after, spoil := n.plan(name, to, size)
-		for _, d := range after {
+		delays, corruptAt := n.schedulePacket(name, to, size)
+		for _, d := range delays {
 			b := append([]byte(nil), buf[:size]...)
-			if spoil >= 0 {
-				b[spoil] ^= 0x55
+			if corruptAt >= 0 {
+				b[corruptAt] ^= 0x55
 			}
 			if d <= 0 {
 				_, _ = udp.WriteToUDPAddrPort(b, bind)
@@ -334,15 +347,15 @@
 	}
 }
 
-// Forward opens an address through which one party reaches another that listens at target, over TCP. source is the
-// address that the target sees; the zero value for the system's choice.
+// Forward opens a TCP address through which one party reaches another that listens at target. The target sees connections from
+// source; with the zero value the system chooses.
 func (n *Net) Forward(from, to, target string, source netip.Addr) (string, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", fmt.Errorf("links: %w", err)
 	}
 	n.mu.Lock()
-	n.closes = append(n.closes, func() { ln.Close() })
+	n.closers = append(n.closers, func() { ln.Close() })
 	n.mu.Unlock()
 	var local net.Addr
 	if source.IsValid() {
@@ -352,57 +365,59 @@
 	return ln.Addr().String(), nil
 }
 
-func (n *Net) accept(ln net.Listener, who func(net.Addr) (string, bool), to, target string, local net.Addr) {
+// accept forwards each connection of a listener to target, and closes those of unknown callers.
+func (n *Net) accept(ln net.Listener, callerName func(net.Addr) (string, bool), to, target string, local net.Addr) {
 	for {
 		c, err := ln.Accept()
 		if err != nil {
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
-			time.Sleep(10 * time.Millisecond) // out of descriptors for a moment
+			time.Sleep(10 * time.Millisecond) // probably out of descriptors
 			continue
 		}
-		from, ok := who(c.RemoteAddr())
+		from, ok := callerName(c.RemoteAddr())
 		if !ok {
 			c.Close()
 			continue
 		}
 		n.mu.Lock()
-		n.opened[pair{from, to}] = append(n.opened[pair{from, to}], time.Now())
+		n.dialTimes[direction{from, to}] = append(n.dialTimes[direction{from, to}], time.Now())
 		n.mu.Unlock()
-		n.wg.Go(func() { n.carry(c, from, to, target, local) })
+		n.wg.Go(func() { n.proxyConnection(c, from, to, target, local) })
 	}
 }
 
-// carry joins a connection to its target. What the target does to it, refuse or reset, is done to the caller.
-func (n *Net) carry(c net.Conn, from, to, target string, local net.Addr) {
+// proxyConnection connects an accepted connection to its target. If the target refuses or resets, the caller's connection is reset.
+func (n *Net) proxyConnection(c net.Conn, from, to, target string, local net.Addr) {
 	defer c.Close()
-	if !n.open(from, to) {
+	if !n.awaitUncut(from, to) {
 		return
 	}
 	d := net.Dialer{Timeout: 5 * time.Second, LocalAddr: local}
-	t, err := d.Dial("tcp", target)
+	targetConn, err := d.Dial("tcp", target)
 	if err != nil {
 		reset(c)
 		return
 	}
-	defer t.Close()
+	defer targetConn.Close()
 	stop := make(chan struct{})
 	defer close(stop)
-	go func() { // whatever still reads ends with the links
+	go func() { // unblocks pending reads when the injector is closed
 		select {
 		case <-n.done:
 			c.Close()
-			t.Close()
+			targetConn.Close()
 		case <-stop:
 		}
 	}()
-	var both sync.WaitGroup
-	both.Go(func() { n.pump(c, t, from, to) })
-	both.Go(func() { n.pump(t, c, to, from) })
-	both.Wait()
+	var directions sync.WaitGroup
+	directions.Go(func() { n.copyStream(c, targetConn, from, to) })
+	directions.Go(func() { n.copyStream(targetConn, c, to, from) })
+	directions.Wait()
 }
 
+// reset closes a connection with a TCP reset.
 func reset(c net.Conn) {
 	if tc, ok := c.(*net.TCPConn); ok {
 		_ = tc.SetLinger(0)
@@ -410,39 +425,39 @@
 	c.Close()
 }
 
-// open waits while a direction is cut; it says no once the links end.
-func (n *Net) open(from, to string) bool {
+// awaitUncut waits while a direction is cut. It returns false when the injector is closed.
+func (n *Net) awaitUncut(from, to string) bool {
 	for {
 		n.mu.Lock()
-		cut, moved := n.at(from, to).fault.Cut, n.moved
+		cut, changed := n.linkFor(from, to).fault.Cut, n.faultsChanged
 		n.mu.Unlock()
 		if !cut {
 			return true
 		}
 		select {
-		case <-moved:
+		case <-changed:
 		case <-n.done:
 			return false
 		}
 	}
 }
 
-// pump carries one direction of a stream. An end is passed on as an end, and a reset as a reset of both.
-func (n *Net) pump(src, dst net.Conn, from, to string) {
-	buf := make([]byte, piece)
-	var free time.Time
+// copyStream copies one direction of a stream. It passes on the end of the stream; an error on one side resets the other.
+func (n *Net) copyStream(src, dst net.Conn, from, to string) {
+	buf := make([]byte, chunkBytes)
+	var idleAt time.Time
 	for {
 		size, err := src.Read(buf)
 		if size > 0 {
-			if !n.open(from, to) {
+			if !n.awaitUncut(from, to) {
 				return
 			}
 			n.mu.Lock()
-			l := n.at(from, to)
+			l := n.linkFor(from, to)
 			f := l.fault
 			delay := f.Delay + time.Duration(l.rng.Float64()*float64(f.Jitter))
 			if l.rng.Float64() < f.Loss {
-				delay += retransmit
+				delay += retransmitDelay
 			}
 			if l.rng.Float64() < f.Corrupt {
 				buf[l.rng.IntN(size)] ^= 0x55
@@ -450,11 +465,11 @@
 			n.mu.Unlock()
 			if f.Bandwidth > 0 {
 				now := time.Now()
-				if free.Before(now) {
-					free = now
+				if idleAt.Before(now) {
+					idleAt = now
 				}
-				free = free.Add(time.Duration(float64(size) / f.Bandwidth * float64(time.Second)))
-				delay += free.Sub(now)
+				idleAt = idleAt.Add(time.Duration(float64(size) / f.Bandwidth * float64(time.Second)))
+				delay += idleAt.Sub(now)
 			}
 			if delay > 0 {
 				select {
--- a/internal/lab/partner/partner.go
+++ b/internal/lab/partner/partner.go
@@ -1,5 +1,5 @@
-// Package partner is a stand-in for an outside partner's endpoint: HTTP/1.1 on loopback, with a life that a
-// script sets. It speaks what the platform's protocol page says of endpoints, and records every call.
+// Package partner simulates an endpoint of an outside partner: an HTTP/1.1 server on loopback whose behaviour follows a script of
+// phases. It implements the endpoint side of the platform's protocol and records every call.
 package partner
 
 import (
@@ -20,14 +20,14 @@
 	"slatemux/internal/lab/ledger"
 )
 
-// Mode is what an endpoint does with a call.
+// Mode selects how an endpoint treats calls.
 type Mode int
 
-// The modes.
+// The modes of an endpoint.
 const (
 	Serving   Mode = iota
 	Refusing       // no listener; open connections are reset
-	Silent         // connections come up and calls are read, but nothing is answered
+	Silent         // connections are accepted and calls are read, but nothing is answered
 	Resetting      // calls are read, and then the connection is reset
 	Shut           // 503 for every call
 )
@@ -35,47 +35,48 @@
 // Latency is a distribution of service times.
 type Latency struct {
 	Mean time.Duration
-	CV   float64 // coefficient of variation of a lognormal; 0 for always the mean
+	CV   float64 // coefficient of variation of a lognormal distribution; 0 for the constant Mean
 }
 
-func (l Latency) draw(rng *rand.Rand) time.Duration {
+// sample draws one service time.
+func (l Latency) sample(rng *rand.Rand) time.Duration {
 	if l.CV <= 0 {
 		return l.Mean
 	}
-	s2 := math.Log1p(l.CV * l.CV)
-	return time.Duration(float64(l.Mean) * math.Exp(rng.NormFloat64()*math.Sqrt(s2)-s2/2))
+	variance := math.Log1p(l.CV * l.CV)
+	return time.Duration(float64(l.Mean) * math.Exp(rng.NormFloat64()*math.Sqrt(variance)-variance/2))
 }
 
-// Phase is a stretch of an endpoint's life, until the next one begins.
+// Phase is a part of an endpoint's script. It lasts until the next phase begins.
 type Phase struct {
-	From      time.Duration // since the start
+	From      time.Duration // begin of the phase, since the start of the endpoint
 	Mode      Mode
 	Latency   Latency
-	Rate      float64       // calls a second that are let in; 0 for no limit
-	Wait      time.Duration // told with a refusal over Rate
-	ErrorRate float64       // share answered 500 after the work
-	Cold      time.Duration // the phase begins cold and is warm after this
-	ColdFrom  float64       // share of Rate that it has at once; it falls where twice that arrives
+	Rate      float64       // limit in calls per second; 0 for no limit
+	Wait      time.Duration // retry-after of refusals
+	ErrorRate float64       // share of the served calls that are answered 500 after the service time
+	Cold      time.Duration // length of the slow start of the phase; 0 for none
+	ColdFrom  float64       // share of Rate that the slow start begins with; twice the current rate overloads a cold partner
 }
 
-// Gate is the limit of a partner, over all its endpoints.
+// Gate is the rate limiter of a partner, shared by all its endpoints.
 type Gate struct {
-	mu     sync.Mutex
-	bucket float64
-	filled time.Time
-	recent []time.Time // arrivals in the last second, while cold
+	mu         sync.Mutex
+	tokens     float64
+	refilledAt time.Time   // last refill of tokens
+	recent     []time.Time // arrivals in the last second, while cold
 }
 
-// begin fills it at the beginning of a phase.
-func (g *Gate) begin(p *Phase, now time.Time) {
+// reset fills the token bucket at the beginning of a phase.
+func (g *Gate) reset(p *Phase, now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.bucket, g.filled, g.recent = p.Rate, now, nil
+	g.tokens, g.refilledAt, g.recent = p.Rate, now, nil
 }
 
-// take lets a call in, or not; it says what the rate is just now, what share of it is left, and whether a cold partner is pushed
-// over.
-func (g *Gate) take(p *Phase, age time.Duration, now time.Time) (in bool, rate, left float64, over bool) {
+// admit decides whether a call is admitted. It also returns the current rate, the unused share of that rate, and whether the calls of
+// the last second overload a cold partner.
+func (g *Gate) admit(p *Phase, age time.Duration, now time.Time) (admitted bool, rate, left float64, overloaded bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if rate = p.Rate; p.Cold > 0 && age < p.Cold {
@@ -84,37 +85,37 @@
 		for len(g.recent) > 0 && now.Sub(g.recent[0]) > time.Second {
 			g.recent = g.recent[1:]
 		}
-		over = float64(len(g.recent)) > 2*rate+4
+		overloaded = float64(len(g.recent)) > 2*rate+4
 	}
 	if p.Rate <= 0 {
-		return true, 0, 1, over
+		return true, 0, 1, overloaded
 	}
-	g.bucket = min(g.bucket+rate*now.Sub(g.filled).Seconds(), max(rate, 1))
-	g.filled = now
-	if in = g.bucket >= 1 && p.Mode != Shut; in {
-		g.bucket--
+	g.tokens = min(g.tokens+rate*now.Sub(g.refilledAt).Seconds(), max(rate, 1))
+	g.refilledAt = now
+	if admitted = g.tokens >= 1 && p.Mode != Shut; admitted {
+		g.tokens--
 	}
-	return in, rate, max(g.bucket, 0) / max(rate, 1), over
+	return admitted, rate, max(g.tokens, 0) / max(rate, 1), overloaded
 }
 
-// Config says what an endpoint is.
+// Config configures an endpoint.
 type Config struct {
-	Gate *Gate // shared with the partner's other endpoints; nil for one of its own
-
-	Name   string
-	Dest   int
-	Addr   string // "127.0.0.1:0" for a port that the system chooses
-	Life   []Phase
-	Ledger *ledger.Ledger
-	Seed   uint64
-	Share  float64 // the rate that the list gives; 0 for that of the first phase, 20 at least
-	Report string  // of X-Backend-Load; empty for a report of the present limit
-	Batch  int     // how many a call may carry; 0 for one alone
-
-	TLS *tls.Config // of a server; nil for plain
-
-	Refuse string            // a body that is turned away with 429 and the phase's Wait; empty for none
-	OnCall func(ledger.Call) // is told of each call that was answered; nil for nobody
+	Gate *Gate // rate limiter shared with the partner's other endpoints; nil for a separate one
+
+	Name     string
+	Dest     int
+	Addr     string // "127.0.0.1:0" for a port that the system chooses
+	Life     []Phase
+	Ledger   *ledger.Ledger
+	Seed     uint64
+	Share    float64 // share value in discovery's list; 0 for the rate of the first phase, at least 20
+	Report   string  // value of X-Backend-Load; empty to report the current limit
+	MaxBatch int     // most messages in a batch call; 0 if batches are refused
+
+	TLS *tls.Config // configuration of the server side; nil for plain TCP
+
+	Refuse string            // calls with this body are refused with 429 and at least the Wait of the first phase; empty for none
+	OnCall func(ledger.Call) // receives each answered call; may be nil
 }
 
 // Server is one endpoint.
@@ -123,87 +124,87 @@
 	addr  string
 	start time.Time
 
-	mu      sync.Mutex
-	ln      net.Listener
-	conns   map[net.Conn]bool // whether a call is under way
-	gen     int               // of connections
-	phase   Phase
-	since   time.Time // of the phase
-	closed  bool
-	calls   int64
-	shook   [2]int64 // handshakes in full, and resumed
-	changed chan struct{}
-	begun   chan struct{} // closed when the life begins anew
-	wg      sync.WaitGroup
+	mu         sync.Mutex
+	ln         net.Listener
+	conns      map[net.Conn]bool // true while a call is under way
+	generation int               // incremented by Recycle; a connection of an older generation ends after its answer
+	phase      Phase
+	phaseStart time.Time
+	closed     bool
+	calls      int64
+	handshakes [2]int64 // full and resumed TLS handshakes
+	done       chan struct{}
+	restarted  chan struct{} // closed and replaced by Restart
+	wg         sync.WaitGroup
 }
 
-// Start opens an endpoint and begins its life.
+// Start opens an endpoint and begins its first phase.
 func Start(cfg Config) (*Server, error) {
 	if len(cfg.Life) == 0 {
-		return nil, errors.New("partner: a life needs a phase")
+		return nil, errors.New("partner: the script has no phase")
 	}
 	if cfg.Gate == nil {
 		cfg.Gate = &Gate{}
 	}
-	s := &Server{cfg: cfg, start: time.Now(), conns: map[net.Conn]bool{}, changed: make(chan struct{}), begun: make(chan struct{})}
+	s := &Server{cfg: cfg, start: time.Now(), conns: map[net.Conn]bool{}, done: make(chan struct{}), restarted: make(chan struct{})}
 	ln, err := net.Listen("tcp", cfg.Addr)
 	if err != nil {
 		return nil, fmt.Errorf("partner %s: %w", cfg.Name, err)
 	}
 	s.addr, s.ln = ln.Addr().String(), ln
-	s.enter(cfg.Life[0])
+	s.enterPhase(cfg.Life[0])
 	s.wg.Go(func() { s.accept(ln) })
-	s.wg.Go(func() { s.live(s.begun) })
+	s.wg.Go(func() { s.runPhases(s.restarted) })
 	return s, nil
 }
 
-// Restart begins the life anew from now.
+// Restart begins the script again with its first phase.
 func (s *Server) Restart() {
 	s.mu.Lock()
 	if s.closed {
 		s.mu.Unlock()
 		return
 	}
-	close(s.begun)
-	s.begun = make(chan struct{})
+	close(s.restarted)
+	s.restarted = make(chan struct{})
 	s.start = time.Now()
-	again := s.begun
+	restarted := s.restarted
 	s.mu.Unlock()
-	s.enter(s.cfg.Life[0])
-	s.wg.Go(func() { s.live(again) })
+	s.enterPhase(s.cfg.Life[0])
+	s.wg.Go(func() { s.runPhases(restarted) })
 }
 
-// Addr is where the endpoint listens, or will again.
+// Addr returns the address of the endpoint. It stays the same while the endpoint does not listen.
 func (s *Server) Addr() string { return s.addr }
 
-// Calls is how many calls were read.
+// Calls returns the number of calls that were read.
 func (s *Server) Calls() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls
 }
 
-// Handshakes is how many were made in full, and how many resumed a session.
+// Handshakes returns the number of full TLS handshakes and of those that resumed a session.
 func (s *Server) Handshakes() (full, resumed int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.shook[0], s.shook[1]
+	return s.handshakes[0], s.handshakes[1]
 }
 
-// Close ends the endpoint and waits for its connections.
+// Close closes the endpoint and waits for its connections.
 func (s *Server) Close() {
 	s.mu.Lock()
 	if !s.closed {
 		s.closed = true
-		close(s.changed)
+		close(s.done)
 	}
-	s.hush()
+	s.closeConnections()
 	s.mu.Unlock()
 	s.wg.Wait()
 }
 
-// hush closes listener and connections. It needs the lock.
-func (s *Server) hush() {
+// closeConnections closes the listener and resets all connections. The caller holds s.mu.
+func (s *Server) closeConnections() {
 	if s.ln != nil {
 		s.ln.Close()
 		s.ln = nil
@@ -216,41 +217,41 @@
 	}
 }
 
-// live goes through the phases.
-func (s *Server) live(again chan struct{}) {
+// runPhases enters each phase after the first at its time. It ends when the endpoint closes or the script restarts.
+func (s *Server) runPhases(restarted chan struct{}) {
 	s.mu.Lock()
 	start := s.start
 	s.mu.Unlock()
 	for _, p := range s.cfg.Life[1:] {
 		select {
-		case <-s.changed:
+		case <-s.done:
 			return
-		case <-again:
+		case <-restarted:
 			return
 		case <-time.After(time.Until(start.Add(p.From))):
 		}
-		s.enter(p)
+		s.enterPhase(p)
 	}
 }
 
-// Enter begins a phase at once; the script goes on as before.
-func (s *Server) Enter(p Phase) { s.enter(p) }
+// EnterPhase begins a phase at once. The phases of the script still follow at their times.
+func (s *Server) EnterPhase(p Phase) { s.enterPhase(p) }
 
-func (s *Server) enter(p Phase) {
+func (s *Server) enterPhase(p Phase) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed {
 		return
 	}
-	s.phase, s.since = p, time.Now()
-	s.cfg.Gate.begin(&p, s.since)
+	s.phase, s.phaseStart = p, time.Now()
+	s.cfg.Gate.reset(&p, s.phaseStart)
 	if p.Mode == Refusing {
-		s.hush()
+		s.closeConnections()
 		return
 	}
 	if s.ln == nil {
 		ln, err := net.Listen("tcp", s.addr)
-		for i := 0; err != nil && i < 50; i++ { // another may hold the port for a moment
+		for i := 0; err != nil && i < 50; i++ { // another process may hold the port briefly
 			time.Sleep(10 * time.Millisecond)
 			ln, err = net.Listen("tcp", s.addr)
 		}
@@ -262,6 +263,7 @@
 	}
 }
 
+// accept serves the connections of one listener until that listener is closed.
 func (s *Server) accept(ln net.Listener) {
 	for n := uint64(0); ; n++ {
 		c, err := ln.Accept()
@@ -275,57 +277,57 @@
 			continue
 		}
 		s.conns[c] = false
-		gen := s.gen
-		s.wg.Go(func() { s.serve(c, n, gen) })
+		generation := s.generation
+		s.wg.Go(func() { s.serve(c, n, generation) })
 		s.mu.Unlock()
 	}
 }
 
-// verdict is what becomes of one call.
-type verdict struct {
-	mode   Mode
-	status int
-	wait   time.Duration
-	after  time.Duration
-	cold   bool
-	report string
+// response is the decision on one call.
+type response struct {
+	mode         Mode
+	status       int
+	wait         time.Duration
+	delay        time.Duration
+	coldOverload bool
+	loadReport   string
 }
 
-// rule decides on a call that has arrived.
-func (s *Server) rule(rng *rand.Rand) verdict {
+// decide determines the response to a call that has arrived, from the current phase and the rate limiter.
+func (s *Server) decide(rng *rand.Rand) response {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.calls++
 	p, now := s.phase, time.Now()
-	v := verdict{mode: p.Mode, status: 200, after: p.Latency.draw(rng), report: s.cfg.Report}
-	in, rate, left, over := s.cfg.Gate.take(&p, now.Sub(s.since), now)
-	v.cold = over
+	resp := response{mode: p.Mode, status: 200, delay: p.Latency.sample(rng), loadReport: s.cfg.Report}
+	admitted, rate, left, overloaded := s.cfg.Gate.admit(&p, now.Sub(s.phaseStart), now)
+	resp.coldOverload = overloaded
 	switch {
 	case p.Mode == Shut:
-		v.status, v.after, v.wait = 503, 0, p.Wait
-	case !in:
-		v.status, v.after, v.wait = 429, 0, p.Wait
+		resp.status, resp.delay, resp.wait = 503, 0, p.Wait
+	case !admitted:
+		resp.status, resp.delay, resp.wait = 429, 0, p.Wait
 	}
-	if v.status == 200 && rng.Float64() < p.ErrorRate {
-		v.status = 500
+	if resp.status == 200 && rng.Float64() < p.ErrorRate {
+		resp.status = 500
 	}
-	if v.report == "" {
-		v.report = fmt.Sprintf("x0=%.3f,x1=%.3f", left, rate)
+	if resp.loadReport == "" {
+		resp.loadReport = fmt.Sprintf("x0=%.3f,x1=%.3f", left, rate)
 	}
-	return v
+	return resp
 }
 
-var errCall = errors.New("not a call")
+var errMalformedCall = errors.New("partner: malformed call")
 
-// request is what a call's head says.
+// request holds the fields of the head of a call.
 type request struct {
-	id    uint64
-	body  int
-	gone  bool // Connection: close
-	batch bool // it carries several
+	id         uint64
+	bodyBytes  int
+	closeAfter bool // Connection: close
+	batch      bool // the call carries several messages
 }
 
-// readHead reads a call's head. first is when its first byte was there.
+// readHead reads the head of a call. first is the arrival time of its first byte.
 func readHead(r *bufio.Reader) (req request, first time.Time, err error) {
 	if _, err = r.Peek(1); err != nil {
 		return req, first, err
@@ -339,7 +341,7 @@
 		line = bytes.TrimRight(line, "\r\n")
 		if n == 0 {
 			if req.batch = bytes.HasPrefix(line, []byte("POST /hook/batch HTTP/1.1")); !req.batch && !bytes.HasPrefix(line, []byte("POST /hook HTTP/1.1")) {
-				return req, first, errCall
+				return req, first, errMalformedCall
 			}
 			continue
 		}
@@ -351,20 +353,21 @@
 		switch {
 		case bytes.EqualFold(name, []byte("X-Correlation-Id")):
 			if req.id, err = strconv.ParseUint(string(value), 16, 64); err != nil {
-				return req, first, errCall
+				return req, first, errMalformedCall
 			}
 		case bytes.EqualFold(name, []byte("Content-Length")):
-			if req.body, err = strconv.Atoi(string(value)); err != nil || req.body < 0 || req.body > 1<<20 {
-				return req, first, errCall
+			if req.bodyBytes, err = strconv.Atoi(string(value)); err != nil || req.bodyBytes < 0 || req.bodyBytes > 1<<20 {
+				return req, first, errMalformedCall
 			}
 		case bytes.EqualFold(name, []byte("Connection")):
-			req.gone = bytes.EqualFold(value, []byte("close"))
+			req.closeAfter = bytes.EqualFold(value, []byte("close"))
 		}
 	}
 }
 
-// several reads the body of a call that carries several: a line for each, with its id, key and length, and its bytes.
-func several(r *bufio.Reader, n int) (ids []string, err error) {
+// readBatch reads the body of a batch call and returns the message ids. Each message is a line with id, key and length, followed by
+// its bytes.
+func readBatch(r *bufio.Reader, n int) (ids []string, err error) {
 	text := make([]byte, n)
 	if _, err := io.ReadFull(r, text); err != nil {
 		return nil, err
@@ -373,19 +376,19 @@
 		line, rest, ok := bytes.Cut(text, []byte("\r\n"))
 		parts := bytes.Split(line, []byte(" "))
 		if !ok || len(parts) != 3 || slices.Contains(ids, string(parts[0])) {
-			return nil, errCall
+			return nil, errMalformedCall
 		}
 		size, err := strconv.Atoi(string(parts[2]))
 		if err != nil || size < 0 || len(rest) < size+2 || string(rest[size:size+2]) != "\r\n" {
-			return nil, errCall
+			return nil, errMalformedCall
 		}
 		ids, text = append(ids, string(parts[0])), rest[size+2:]
 	}
 	return ids, nil
 }
 
-// body reads past a body, and says whether it is one that is to be refused.
-func (s *Server) body(r *bufio.Reader, n int) (refuse bool, err error) {
+// readBody reads a body and reports whether it equals Config.Refuse.
+func (s *Server) readBody(r *bufio.Reader, n int) (refuse bool, err error) {
 	if n != len(s.cfg.Refuse) || n == 0 {
 		_, err = r.Discard(n)
 		return false, err
@@ -395,12 +398,12 @@
 	return string(text) == s.cfg.Refuse, err
 }
 
-// Recycle ends every connection as a terminator of TLS does that starts anew: idle ones at once, others behind the answer
-// of the call that is under way.
+// Recycle ends every connection, as a restarting TLS terminator does: idle connections at once, the others after the answer to the
+// call under way.
 func (s *Server) Recycle() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.gen++
+	s.generation++
 	for c, busy := range s.conns {
 		if !busy {
 			c.Close()
@@ -408,18 +411,19 @@
 	}
 }
 
-// busy notes whether a call is under way on a connection, and says whether it is of the present generation.
-func (s *Server) busy(c net.Conn, on bool, gen int) bool {
+// setBusy records whether a call is under way on a connection. It reports whether the connection is of the current generation.
+func (s *Server) setBusy(c net.Conn, underWay bool, generation int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if _, ok := s.conns[c]; ok {
-		s.conns[c] = on
+		s.conns[c] = underWay
 	}
-	return gen == s.gen
+	return generation == s.generation
 }
 
-func (s *Server) serve(raw net.Conn, n uint64, gen int) {
-	book := s.cfg.Ledger.Book()
+// serve reads, answers and records the calls of one connection. n is the number of the connection on its listener.
+func (s *Server) serve(raw net.Conn, n uint64, generation int) {
+	recorder := s.cfg.Ledger.NewRecorder()
 	rng := rand.New(rand.NewPCG(s.cfg.Seed, n))
 	defer func() {
 		raw.Close()
@@ -429,24 +433,24 @@
 	}()
 	c := raw
 	if s.cfg.TLS != nil {
-		over := tls.Server(raw, s.cfg.TLS)
-		if over.Handshake() != nil {
+		tlsConn := tls.Server(raw, s.cfg.TLS)
+		if tlsConn.Handshake() != nil {
 			return
 		}
 		s.mu.Lock()
-		if over.ConnectionState().DidResume {
-			s.shook[1]++
+		if tlsConn.ConnectionState().DidResume {
+			s.handshakes[1]++
 		} else {
-			s.shook[0]++
+			s.handshakes[0]++
 		}
 		s.mu.Unlock()
-		c = over
+		c = tlsConn
 	}
 	r := bufio.NewReaderSize(c, 4096)
 	for {
 		req, first, err := readHead(r)
 		if err != nil {
-			if errors.Is(err, errCall) {
+			if errors.Is(err, errMalformedCall) {
 				_, _ = io.WriteString(c, "HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
 			}
 			return
@@ -454,42 +458,42 @@
 		var ids []string
 		var refuse bool
 		if req.batch {
-			if ids, err = several(r, req.body); err == nil && len(ids) > s.cfg.Batch {
-				err = errCall
+			if ids, err = readBatch(r, req.bodyBytes); err == nil && len(ids) > s.cfg.MaxBatch {
+				err = errMalformedCall
 			}
 		} else {
-			refuse, err = s.body(r, req.body)
+			refuse, err = s.readBody(r, req.bodyBytes)
 		}
 		if err != nil {
-			if errors.Is(err, errCall) {
+			if errors.Is(err, errMalformedCall) {
 				_, _ = io.WriteString(c, "HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
 			}
 			return
 		}
-		s.busy(raw, true, gen)
+		s.setBusy(raw, true, generation)
 		call := ledger.Call{ID: req.id, Dest: s.cfg.Dest, Member: s.cfg.Name, First: first, Arrived: time.Now()}
-		record := func() { // a call for each that it carried
+		record := func() { // records one call for each message of a batch
 			for _, id := range ids {
-				one := call
-				one.ID, _ = strconv.ParseUint(id, 16, 64)
-				book.Calls = append(book.Calls, one)
+				single := call
+				single.ID, _ = strconv.ParseUint(id, 16, 64)
+				recorder.Calls = append(recorder.Calls, single)
 			}
 			if !req.batch {
-				book.Calls = append(book.Calls, call)
+				recorder.Calls = append(recorder.Calls, call)
 			}
 		}
-		v := s.rule(rng)
+		resp := s.decide(rng)
 		if refuse {
-			v.status, v.after, v.wait = 429, 0, max(v.wait, s.cfg.Life[0].Wait)
+			resp.status, resp.delay, resp.wait = 429, 0, max(resp.wait, s.cfg.Life[0].Wait)
 		}
-		call.Cold = v.cold
-		if v.after > 0 {
-			time.Sleep(v.after)
+		call.ColdOverload = resp.coldOverload
+		if resp.delay > 0 {
+			time.Sleep(resp.delay)
 		}
-		switch v.mode {
+		switch resp.mode {
 		case Silent:
 			record()
-			_, _ = io.Copy(io.Discard, r) // until the relay gives up
+			_, _ = io.Copy(io.Discard, r) // until the relay closes the connection
 			return
 		case Resetting:
 			record()
@@ -498,18 +502,18 @@
 			}
 			return
 		}
-		call.Status, call.Wait = v.status, v.wait
+		call.Status, call.Wait = resp.status, resp.wait
 		var body []byte
-		if v.status == 200 {
+		if resp.status == 200 {
 			for _, id := range ids {
 				body = append(body, id+" delivered\r\n"...)
 			}
 		}
-		text := fmt.Appendf(nil, "HTTP/1.1 %d .\r\nContent-Length: %d\r\nX-Backend-Load: %s\r\n", v.status, len(body), v.report)
-		if v.wait > 0 {
-			text = fmt.Appendf(text, "X-Retry-In-Ms: %d\r\n", v.wait.Milliseconds())
+		head := fmt.Appendf(nil, "HTTP/1.1 %d .\r\nContent-Length: %d\r\nX-Backend-Load: %s\r\n", resp.status, len(body), resp.loadReport)
+		if resp.wait > 0 {
+			head = fmt.Appendf(head, "X-Retry-In-Ms: %d\r\n", resp.wait.Milliseconds())
 		}
-		_, err = c.Write(append(append(text, "\r\n"...), body...))
+		_, err = c.Write(append(append(head, "\r\n"...), body...))
 		if call.Answered = time.Now(); err != nil {
 			call.Status, call.Answered = 0, time.Time{}
 		}
@@ -517,7 +521,7 @@
 		if s.cfg.OnCall != nil {
 			s.cfg.OnCall(call)
 		}
-		if present := s.busy(raw, false, gen); err != nil || req.gone || !present {
+		if current := s.setBusy(raw, false, generation); err != nil || req.closeAfter || !current {
 			return
 		}
 	}
