--- a/internal/lab/explore/explore.go
+++ b/internal/lab/explore/explore.go
@@ -1,6 +1,7 @@
-// Package explore goes through every interleaving of a small fleet that divides a limit: claims and grants that are delayed,
-// overtaken or lost, crashes and restarts, relays that disagree about the owner, leases and loans that run out. The relays run the
-// program's own code; after each step the rates that all of them may use at that moment must sum to no more than the limit.
+// Package explore searches all interleavings of events in a small fleet that divides a rate limit: claims and grants that are
+// delayed, reordered or lost, crashes and restarts, relays that disagree about the owner, and leases and loans that expire. The
+// relays run the production code of internal/allowance. After each event the search checks the safety property: the sum of the rates
+// that all relays may use at that moment is at most the limit.
 package explore
 
 import (
@@ -15,8 +16,10 @@
 	"slatemux/internal/allowance"
 )
 
-// Holder and Owner are the two sides, as the program has them, or with a rule planted out.
+// Holder and Owner are the two roles of a relay in the division of a limit. An implementation is the production code, or a mutant
+// without one of its rules.
 type (
+	// Holder claims shares of the limit and uses the rates that it is granted.
 	Holder interface {
 		Claim(now time.Duration, shard int, owner string, sequence uint64, demands []allowance.Demand, readings []allowance.Reading) allowance.Claim
 		ReceiveGrant(now time.Duration, from string, g allowance.Grant) bool
@@ -24,6 +27,7 @@
 		AppendState(b []byte, now time.Duration, num allowance.AppendSequence) []byte
 		Copy() Holder
 	}
+	// Owner answers the claims on one shard with grants.
 	Owner interface {
 		ReceiveClaim(now time.Duration, from string, c allowance.Claim) bool
 		Grant(now time.Duration, shard int, to string) allowance.Grant
@@ -35,359 +39,376 @@
 // Config bounds a search.
 type Config struct {
 	Relays int
-	Owners int // the first so many may be asked as owners
-	Steps  int // how long a path is
-	// Rounds of claims that all make of the first, and that are answered, come before.
+	// Owners is the number of relays that receive claims as owners, counted from the first relay.
+	Owners int
+	// Steps is the number of events on a path.
+	Steps int
+	// Rounds is the number of rounds before the search begins. In a round, each relay claims from the first relay, and all messages
+	// are delivered.
 	Rounds int
-	// What a path may have at most: messages lost, relays restarted, times that the load moves to another relay, grants that
-	// nobody has claimed just before.
+	// Losses, Restarts, Jumps and Pushes are the highest numbers of events of one type on a path: lost messages, restarted relays,
+	// moves of the load to another relay, and grants that do not answer a claim.
 	Losses, Restarts, Jumps, Pushes int
-	// Flight is how many messages may be under way.
-	Flight    int
-	Often     bool // a relay may claim twice at one moment
-	Limits    allowance.Config
+	// Flight is the highest number of messages in flight.
+	Flight int
+	// Often allows a relay to claim again before the heartbeat interval has passed.
+	Often bool
+	// Limits configures the division of the limit.
+	Limits allowance.Config
+	// NewHolder and NewOwner create the roles of a relay's new process.
 	NewHolder func(cfg *allowance.Config, lentUntil time.Duration) Holder
 	NewOwner  func(cfg *allowance.Config, firstSequence uint64, grantsFrom time.Duration) Owner
 }
 
-// Tick is how far the clock goes on in a step.
+// Tick is the step of the virtual clock.
 const Tick = 100 * time.Millisecond
 
 const (
-	limit       = 120.0
-	destination = 1
-	shards      = 64 // of the states that were seen: a lock each
+	destinationLimit = 120.0
+	destination      = 1
+	// stateShards is the number of parts of the set of visited states. Each part has its own lock.
+	stateShards = 64
 )
 
-// Result is what a search saw.
+// Result is the outcome of a search.
 type Result struct {
-	States int64    // that differ
-	Steps  int64    // that were taken
-	Most   float64  // the highest sum of rates, as a share of the limit
-	Breach []string // a path over the limit; nil for none
+	States int64    // distinct states
+	Steps  int64    // applied events
+	Most   float64  // highest sum of rates, as a share of the limit
+	Breach []string // events of a path that exceeds the limit; nil if none was found
 }
 
-// act is one thing that happens.
-type act struct {
-	kind kind
-	a, b int // relays, or the message's place among those under way
+// event is one transition between two states of the fleet.
+type event struct {
+	kind          eventKind
+	first, second int // indexes of relays; for a delivered or lost message, first is its index in state.messages
 }
 
-type kind byte
+// eventKind is the type of an event. The comments name its arguments, first and second, in parentheses.
+type eventKind byte
 
 const (
-	claim   kind = iota // a claims of b
-	deliver             // message number a arrives
-	lose                // message number a is lost
-	restart             // relay a is killed and starts again
-	push                // owner a grants b something unasked
-	jump                // the load moves to relay a
-	pass                // the clock goes on
+	sendClaim      eventKind = iota // relay (first) claims from owner (second)
+	deliverMessage                  // the message at index (first) arrives
+	loseMessage                     // the message at index (first) is lost
+	restartRelay                    // relay (first) is killed and starts again
+	pushGrant                       // owner (first) grants relay (second) a share without a claim
+	moveLoad                        // the load moves to relay (first)
+	advanceClock                    // the clock advances by one Tick
 )
 
-func (x act) String() string {
+func (x event) String() string {
 	switch x.kind {
-	case claim:
-		return fmt.Sprintf("relay %d claims of %d", x.a, x.b)
-	case deliver:
-		return fmt.Sprintf("message %d arrives", x.a)
-	case lose:
-		return fmt.Sprintf("message %d is lost", x.a)
-	case restart:
-		return fmt.Sprintf("relay %d starts again", x.a)
-	case push:
-		return fmt.Sprintf("relay %d grants %d unasked", x.a, x.b)
-	case jump:
-		return fmt.Sprintf("the load moves to relay %d", x.a)
+	case sendClaim:
+		return fmt.Sprintf("relay %d claims from %d", x.first, x.second)
+	case deliverMessage:
+		return fmt.Sprintf("message %d arrives", x.first)
+	case loseMessage:
+		return fmt.Sprintf("message %d is lost", x.first)
+	case restartRelay:
+		return fmt.Sprintf("relay %d restarts", x.first)
+	case pushGrant:
+		return fmt.Sprintf("relay %d grants %d a share without a claim", x.first, x.second)
+	case moveLoad:
+		return fmt.Sprintf("the load moves to relay %d", x.first)
 	}
 	return "time passes"
 }
 
-// message is under way.
+// message is a claim or a grant in flight.
 type message struct {
 	from, to int
 	claim    *allowance.Claim
 	grant    *allowance.Grant
 }
 
-// trace is how a state came to be.
+// trace is the list of events that led to a state, the newest first.
 type trace struct {
-	before *trace
-	act    act
+	previous *trace
+	event    event
 }
 
-func (t *trace) list() (list []string) {
-	for ; t != nil; t = t.before {
-		list = append(list, t.act.String())
+// descriptions returns the events in the order in which they happened, as texts.
+func (t *trace) descriptions() (list []string) {
+	for ; t != nil; t = t.previous {
+		list = append(list, t.event.String())
 	}
 	slices.Reverse(list)
 	return list
 }
 
-// world is a state.
-type world struct {
-	cfg      *Config
-	now      time.Duration
-	relays   []relay
-	messages []message
-	loaded   int // the relay that wants more than there is
-	losses   int
-	restarts int
-	jumps    int
-	pushes   int
-	trace    *trace
+// state is one state of the whole fleet, with the path that led to it.
+type state struct {
+	cfg          *Config
+	now          time.Duration
+	relays       []relay
+	messages     []message
+	loadedRelay  int // index of the relay that demands more than the limit
+	losses       int
+	restarts     int
+	loadMoves    int
+	pushedGrants int
+	trace        *trace
 }
 
+// relay is one relay with both roles.
 type relay struct {
-	name    string
-	holder  Holder
-	owner   Owner
-	number  uint64
-	starts  uint64
-	claimed time.Duration
+	name          string
+	holder        Holder
+	owner         Owner
+	claimSequence uint64
+	starts        uint64
+	lastClaimAt   time.Duration
 }
 
-func newWorld(cfg *Config) *world {
-	w := &world{cfg: cfg, relays: make([]relay, cfg.Relays), loaded: cfg.Relays - 1}
-	for i := range w.relays {
-		w.relays[i] = relay{name: fmt.Sprint("r", i), claimed: -time.Hour}
-		w.begin(&w.relays[i], false)
+// newState returns the state of a new fleet after the rounds of claims that come before a search.
+func newState(cfg *Config) *state {
+	s := &state{cfg: cfg, relays: make([]relay, cfg.Relays), loadedRelay: cfg.Relays - 1}
+	for i := range s.relays {
+		s.relays[i] = relay{name: fmt.Sprint("r", i), lastClaimAt: -time.Hour}
+		s.startProcess(&s.relays[i], false)
 	}
 	for n := range cfg.Rounds {
 		if n > 0 {
-			w.do(act{kind: pass})
+			s.apply(event{kind: advanceClock})
 		}
-		for i := range w.relays {
-			w.do(act{claim, i, 0})
-			for len(w.messages) > 0 {
-				w.do(act{deliver, 0, 0})
+		for i := range s.relays {
+			s.apply(event{sendClaim, i, 0})
+			for len(s.messages) > 0 {
+				s.apply(event{deliverMessage, 0, 0})
 			}
 		}
 	}
-	return w
+	return s
 }
 
-// begin starts a process. It waits out what one before it may have lent and granted.
-func (w *world) begin(r *relay, again bool) {
-	var loans, leases time.Duration
-	if again {
-		loans, leases = w.now+w.cfg.Limits.LoanDuration, w.now+w.cfg.Limits.LeaseDuration
+// startProcess starts a process of a relay. After a restart, the new process waits until the loans and leases that its predecessor
+// may have given have expired.
+func (s *state) startProcess(r *relay, restarted bool) {
+	var lentUntil, grantsFrom time.Duration
+	if restarted {
+		lentUntil, grantsFrom = s.now+s.cfg.Limits.LoanDuration, s.now+s.cfg.Limits.LeaseDuration
 	}
 	r.starts++
-	r.number = r.starts << 32
-	r.holder = w.cfg.NewHolder(&w.cfg.Limits, loans)
-	r.owner = w.cfg.NewOwner(&w.cfg.Limits, r.starts<<32, leases)
+	r.claimSequence = r.starts << 32
+	r.holder = s.cfg.NewHolder(&s.cfg.Limits, lentUntil)
+	r.owner = s.cfg.NewOwner(&s.cfg.Limits, r.starts<<32, grantsFrom)
 }
 
-// acts are the things that may happen next.
-func (w *world) acts() (list []act) {
-	for i := range w.relays {
-		for o := range w.cfg.Owners {
-			if (w.cfg.Often || w.now-w.relays[i].claimed >= w.cfg.Limits.HeartbeatInterval) && len(w.messages) < w.cfg.Flight {
-				list = append(list, act{claim, i, o})
+// possibleEvents returns the events that may happen next.
+func (s *state) possibleEvents() (list []event) {
+	for i := range s.relays {
+		for o := range s.cfg.Owners {
+			if (s.cfg.Often || s.now-s.relays[i].lastClaimAt >= s.cfg.Limits.HeartbeatInterval) && len(s.messages) < s.cfg.Flight {
+				list = append(list, event{sendClaim, i, o})
 			}
 		}
 	}
-	for i := range w.messages {
-		list = append(list, act{deliver, i, 0})
-		if w.losses < w.cfg.Losses {
-			list = append(list, act{lose, i, 0})
+	for i := range s.messages {
+		list = append(list, event{deliverMessage, i, 0})
+		if s.losses < s.cfg.Losses {
+			list = append(list, event{loseMessage, i, 0})
 		}
 	}
-	if w.restarts < w.cfg.Restarts {
-		for i := range w.relays {
-			list = append(list, act{restart, i, 0})
+	if s.restarts < s.cfg.Restarts {
+		for i := range s.relays {
+			list = append(list, event{restartRelay, i, 0})
 		}
 	}
-	if w.pushes < w.cfg.Pushes && len(w.messages) < w.cfg.Flight {
-		for o := range w.cfg.Owners {
-			for i := range w.relays {
-				list = append(list, act{push, o, i})
+	if s.pushedGrants < s.cfg.Pushes && len(s.messages) < s.cfg.Flight {
+		for o := range s.cfg.Owners {
+			for i := range s.relays {
+				list = append(list, event{pushGrant, o, i})
 			}
 		}
 	}
-	if w.jumps < w.cfg.Jumps {
-		for i := range w.relays {
-			if i != w.loaded {
-				list = append(list, act{jump, i, 0})
+	if s.loadMoves < s.cfg.Jumps {
+		for i := range s.relays {
+			if i != s.loadedRelay {
+				list = append(list, event{moveLoad, i, 0})
 			}
 		}
 	}
-	return append(list, act{kind: pass})
+	return append(list, event{kind: advanceClock})
 }
 
-func (w *world) do(x act) {
+// apply changes the state by an event.
+func (s *state) apply(x event) {
 	switch x.kind {
-	case claim:
-		r := &w.relays[x.a]
-		r.number++
-		r.claimed = w.now
+	case sendClaim:
+		r := &s.relays[x.first]
+		r.claimSequence++
+		r.lastClaimAt = s.now
 		want := 10.0
-		if x.a == w.loaded {
-			want = 2 * limit
+		if x.first == s.loadedRelay {
+			want = 2 * destinationLimit
 		}
 		demands := []allowance.Demand{{Destination: destination, Rates: [allowance.Levels]float64{want}}}
-		readings := []allowance.Reading{{Destination: destination, Limit: limit}}
-		c := r.holder.Claim(w.now, 0, w.relays[x.b].name, r.number, demands, readings)
-		if x.a == x.b {
-			w.claimed(x.a, x.b, &c)
+		readings := []allowance.Reading{{Destination: destination, Limit: destinationLimit}}
+		c := r.holder.Claim(s.now, 0, s.relays[x.second].name, r.claimSequence, demands, readings)
+		if x.first == x.second {
+			s.receiveClaim(x.first, x.second, &c)
 			return
 		}
-		w.messages = append(w.messages, message{from: x.a, to: x.b, claim: &c})
-	case deliver, lose:
-		m := w.messages[x.a]
-		w.messages = slices.Delete(slices.Clone(w.messages), x.a, x.a+1)
+		s.messages = append(s.messages, message{from: x.first, to: x.second, claim: &c})
+	case deliverMessage, loseMessage:
+		m := s.messages[x.first]
+		s.messages = slices.Delete(slices.Clone(s.messages), x.first, x.first+1)
 		switch {
-		case x.kind == lose:
-			w.losses++
+		case x.kind == loseMessage:
+			s.losses++
 		case m.claim != nil:
-			w.claimed(m.from, m.to, m.claim)
+			s.receiveClaim(m.from, m.to, m.claim)
 		default:
-			w.relays[m.to].holder.ReceiveGrant(w.now, w.relays[m.from].name, *m.grant)
+			s.relays[m.to].holder.ReceiveGrant(s.now, s.relays[m.from].name, *m.grant)
 		}
-	case restart:
-		w.restarts++
-		w.begin(&w.relays[x.a], true)
-	case push:
-		w.pushes++
-		w.grant(x.a, x.b)
-	case jump:
-		w.jumps++
-		w.loaded = x.a
-	case pass:
-		w.now += Tick
+	case restartRelay:
+		s.restarts++
+		s.startProcess(&s.relays[x.first], true)
+	case pushGrant:
+		s.pushedGrants++
+		s.sendGrant(x.first, x.second)
+	case moveLoad:
+		s.loadMoves++
+		s.loadedRelay = x.first
+	case advanceClock:
+		s.now += Tick
 	}
 }
 
-func (w *world) claimed(from, to int, c *allowance.Claim) {
-	if w.relays[to].owner.ReceiveClaim(w.now, w.relays[from].name, *c) {
-		w.grant(to, from)
+// receiveClaim hands a claim to its owner, which answers an accepted claim with a grant.
+func (s *state) receiveClaim(from, to int, c *allowance.Claim) {
+	if s.relays[to].owner.ReceiveClaim(s.now, s.relays[from].name, *c) {
+		s.sendGrant(to, from)
 	}
 }
 
-func (w *world) grant(from, to int) {
-	o := &w.relays[from]
-	g := o.owner.Grant(w.now, 0, w.relays[to].name)
+// sendGrant grants a relay its share of the limit. A relay receives its own grant at once.
+func (s *state) sendGrant(from, to int) {
+	o := &s.relays[from]
+	g := o.owner.Grant(s.now, 0, s.relays[to].name)
 	if from == to {
-		o.holder.ReceiveGrant(w.now, o.name, g)
+		o.holder.ReceiveGrant(s.now, o.name, g)
 		return
 	}
-	w.messages = append(w.messages, message{from: from, to: to, grant: &g})
+	s.messages = append(s.messages, message{from: from, to: to, grant: &g})
 }
 
-// sum is what all relays may use at this moment.
-func (w *world) sum() (sum float64) {
-	for i := range w.relays {
-		rate, _, _ := w.relays[i].holder.Rate(w.now, destination, limit)
+// rateSum returns the sum of the rates that the relays may use at this moment.
+func (s *state) rateSum() (sum float64) {
+	for i := range s.relays {
+		rate, _, _ := s.relays[i].holder.Rate(s.now, destination, destinationLimit)
 		sum += rate
 	}
 	return sum
 }
 
-// key tells a state from others, whenever it comes. Numbers stand there by their order alone.
-func (w *world) key() [16]byte {
-	type series struct {
+// key returns a hash that is equal for equivalent states at different times. It replaces each sequence number by its rank among the
+// numbers of its sequence space in this state.
+func (s *state) key() [16]byte {
+	// A sequenceSpace holds the numbers of one kind that one relay assigns.
+	type sequenceSpace struct {
 		kind allowance.SequenceKind
 		of   string
 	}
-	seen := map[series][]uint64{}
-	state := func(num allowance.AppendSequence) []byte {
+	numbers := map[sequenceSpace][]uint64{}
+	encode := func(appendNumber allowance.AppendSequence) []byte {
 		b := make([]byte, 0, 1024)
-		b = append(b, byte(w.losses), byte(w.restarts), byte(w.jumps), byte(w.pushes), byte(w.loaded))
-		for i := range w.relays {
-			r := &w.relays[i]
-			own := func(b []byte, kind allowance.SequenceKind, of string, n uint64) []byte {
+		b = append(b, byte(s.losses), byte(s.restarts), byte(s.loadMoves), byte(s.pushedGrants), byte(s.loadedRelay))
+		for i := range s.relays {
+			r := &s.relays[i]
+			appendSequence := func(b []byte, kind allowance.SequenceKind, of string, n uint64) []byte {
 				if of == "" {
 					of = r.name
 				}
-				return num(b, kind, of, n)
+				return appendNumber(b, kind, of, n)
 			}
-			b = append(r.holder.AppendState(append(b, '#'), w.now, own), '/')
-			b = append(r.owner.AppendState(b, w.now, own), byte(min(w.now-r.claimed, Tick)/Tick))
+			b = append(r.holder.AppendState(append(b, '#'), s.now, appendSequence), '/')
+			b = append(r.owner.AppendState(b, s.now, appendSequence), byte(min(s.now-r.lastClaimAt, Tick)/Tick))
 		}
-		for _, m := range w.messages {
-			from, to := w.relays[m.from].name, w.relays[m.to].name
+		for _, m := range s.messages {
+			from, to := s.relays[m.from].name, s.relays[m.to].name
 			b = append(b, '>', byte(m.from), byte(m.to))
 			if c := m.claim; c != nil {
-				b = num(b, allowance.ClaimSequence, from, c.Sequence)
-				b = num(b, allowance.GrantSequence, to, c.LastGrant)
+				b = appendNumber(b, allowance.ClaimSequence, from, c.Sequence)
+				b = appendNumber(b, allowance.GrantSequence, to, c.LastGrant)
 				b = fmt.Append(b, c.LoanDuration, c.Demands)
 				continue
 			}
-			b = num(b, allowance.GrantSequence, from, m.grant.Sequence)
-			b = num(b, allowance.ClaimSequence, to, m.grant.LastClaim)
+			b = appendNumber(b, allowance.GrantSequence, from, m.grant.Sequence)
+			b = appendNumber(b, allowance.ClaimSequence, to, m.grant.LastClaim)
 			b = fmt.Append(b, m.grant.Shares)
 		}
 		return b
 	}
-	state(func(b []byte, kind allowance.SequenceKind, of string, n uint64) []byte {
-		k := series{kind, of}
-		seen[k] = append(seen[k], n)
+	encode(func(b []byte, kind allowance.SequenceKind, of string, n uint64) []byte {
+		k := sequenceSpace{kind, of}
+		numbers[k] = append(numbers[k], n)
 		return b
 	})
-	for k, list := range seen {
+	for k, list := range numbers {
 		slices.Sort(list)
-		seen[k] = slices.Compact(list)
+		numbers[k] = slices.Compact(list)
 	}
 	h := fnv.New128a()
-	_, _ = h.Write(state(func(b []byte, kind allowance.SequenceKind, of string, n uint64) []byte {
-		if n == 0 { // none
+	_, _ = h.Write(encode(func(b []byte, kind allowance.SequenceKind, of string, n uint64) []byte {
+		if n == 0 { // no sequence number
 			return append(b, 0xff)
 		}
-		rank, _ := slices.BinarySearch(seen[series{kind, of}], n)
+		rank, _ := slices.BinarySearch(numbers[sequenceSpace{kind, of}], n)
 		return append(b, byte(rank))
 	}))
 	return [16]byte(h.Sum(nil))
 }
 
-// next is what comes of an act.
-func (w *world) next(x act) *world {
-	c := *w
-	c.relays, c.messages = slices.Clone(w.relays), slices.Clone(w.messages)
+// successor returns the state after an event. The receiver stays unchanged.
+func (s *state) successor(x event) *state {
+	c := *s
+	c.relays, c.messages = slices.Clone(s.relays), slices.Clone(s.messages)
 	for i := range c.relays {
-		c.relays[i].holder, c.relays[i].owner = w.relays[i].holder.Copy(), w.relays[i].owner.Copy()
+		c.relays[i].holder, c.relays[i].owner = s.relays[i].holder.Copy(), s.relays[i].owner.Copy()
 	}
-	c.do(x)
-	c.trace = &trace{w.trace, x}
+	c.apply(x)
+	c.trace = &trace{s.trace, x}
 	return &c
 }
 
-// Run goes through all states within so many steps, those that are nearest first, each once.
+// Run searches breadth-first through all states that can be reached in cfg.Steps events, and visits each state once.
 func Run(cfg Config) (res Result) {
-	var seen [shards]struct {
+	var seen [stateShards]struct {
 		sync.Mutex
 		m map[[16]byte]bool
 	}
 	for i := range seen {
 		seen[i].m = map[[16]byte]bool{}
 	}
-	level := []*world{newWorld(&cfg)}
+	level := []*state{newState(&cfg)}
 	for step := 1; step <= cfg.Steps && res.Breach == nil; step++ {
 		var wg sync.WaitGroup
 		var mu sync.Mutex
-		var below []*world
+		var nextLevel []*state
 		workers := runtime.GOMAXPROCS(0)
 		for i := range workers {
 			wg.Go(func() {
-				var own []*world
+				var found []*state
 				var part Result
 				for j := i; j < len(level); j += workers {
-					for _, x := range level[j].acts() {
-						n := level[j].next(x)
+					for _, x := range level[j].possibleEvents() {
+						n := level[j].successor(x)
 						part.Steps++
 						if !part.check(n) {
 							continue
 						}
-						k := n.key()
-						s := &seen[k[0]%shards]
-						s.Lock()
-						known := s.m[k]
-						s.m[k] = true
-						s.Unlock()
+						key := n.key()
+						shard := &seen[key[0]%stateShards]
+						shard.Lock()
+						known := shard.m[key]
+						shard.m[key] = true
+						shard.Unlock()
 						if !known {
 							part.States++
 							if step < cfg.Steps {
-								own = append(own, n)
+								found = append(found, n)
 							}
 						}
 					}
@@ -395,16 +416,16 @@
 				mu.Lock()
 				defer mu.Unlock()
 				res.add(part)
-				below = append(below, own...)
+				nextLevel = append(nextLevel, found...)
 			})
 		}
 		wg.Wait()
-		level = below
+		level = nextLevel
 	}
 	return res
 }
 
-// Walk goes along paths of chance, longer than all of which could be gone through.
+// Walk follows random paths. They can be longer than an exhaustive search allows.
 func Walk(cfg Config, walks int, seed uint64) (res Result) {
 	var wg sync.WaitGroup
 	var mu sync.Mutex
@@ -414,14 +435,14 @@
 			var part Result
 			for j := i; j < walks && part.Breach == nil; j += workers {
 				rng := rand.New(rand.NewPCG(seed, uint64(j)))
-				w := newWorld(&cfg)
+				s := newState(&cfg)
 				for range cfg.Steps {
-					acts := w.acts()
-					x := acts[rng.IntN(len(acts))]
-					w.do(x)
-					w.trace = &trace{w.trace, x}
+					events := s.possibleEvents()
+					x := events[rng.IntN(len(events))]
+					s.apply(x)
+					s.trace = &trace{s.trace, x}
 					part.Steps++
-					if !part.check(w) {
+					if !part.check(s) {
 						break
 					}
 				}
@@ -435,19 +456,20 @@
 	return res
 }
 
-// check notes the sum of a state's rates, and says whether it is within the limit.
-func (r *Result) check(w *world) bool {
-	share := w.sum() / limit
+// check records the sum of a state's rates and reports whether the sum is within the limit.
+func (r *Result) check(s *state) bool {
+	share := s.rateSum() / destinationLimit
 	r.Most = max(r.Most, share)
 	if share <= 1+1e-9 {
 		return true
 	}
 	if r.Breach == nil {
-		r.Breach = w.trace.list()
+		r.Breach = s.trace.descriptions()
 	}
 	return false
 }
 
+// add merges the result of one worker. Of two breaches it keeps the shorter path.
 func (r *Result) add(o Result) {
 	r.States += o.States
 	r.Steps += o.Steps
@@ -457,7 +479,7 @@
 	}
 }
 
-// Real is the program's own code.
+// Real returns cfg with the roles of the production code.
 func Real(cfg Config) Config {
 	cfg.NewHolder = func(c *allowance.Config, lentUntil time.Duration) Holder {
 		return realHolder{allowance.NewHolder(c, lentUntil)}
@@ -468,10 +490,12 @@
 	return cfg
 }
 
+// realHolder is the production holder.
 type realHolder struct{ *allowance.Holder }
 
 func (h realHolder) Copy() Holder { return realHolder{h.Clone()} }
 
+// realOwner is the production owner.
 type realOwner struct{ *allowance.Owner }
 
 func (o realOwner) Copy() Owner { return realOwner{o.Clone()} }
--- a/internal/lab/limits/simulation.go
+++ b/internal/lab/limits/simulation.go
@@ -1,6 +1,6 @@
-// Package limits simulates the division of one destination's rate limit in virtual time: many relays with the program's
-// own allocators, over links that delay, lose and partition. Each relay sends as much as it may and has; nothing else of a
-// relay is simulated.
+// Package limits simulates in virtual time how many relays divide the rate limit of one destination. The relays run the production
+// allocators, over links that delay and lose messages and can be partitioned. Each relay makes as many calls as its load and its rate
+// allow. The simulation covers nothing else of a relay.
 package limits
 
 import (
@@ -16,7 +16,7 @@
 const (
 	// Destination is the destination whose limit is divided.
 	Destination = 7
-	// quorum is how many relays have to read a limit.
+	// quorum is the number of relays that have to read a limit before the relays divide it.
 	quorum = 2
 	// tick is the step of the virtual clock.
 	tick = 10 * time.Millisecond
@@ -24,7 +24,7 @@
 	maxDelayTicks = 2
 	// readingShare is the share of steps with a call in which an answer reports the limit.
 	readingShare = 0.2
-	// minReading and readingRange spread the reported limits: 0.99 to 1.01 of the true one.
+	// minReading and readingRange bound the reported limits: 0.99 to 1.01 of the true limit.
 	minReading   = 0.99
 	readingRange = 0.02
 	// warmUpRelays is how many relays read the limit at the beginning.
@@ -40,7 +40,7 @@
 
 // Simulation is a fleet of allocators that divide one limit.
 type Simulation struct {
-	// Allocators are those of the relays, by index.
+	// Allocators holds the allocator of each relay, by index.
 	Allocators []*allowance.Allocator
 	// Now is the virtual time.
 	Now time.Duration
@@ -48,27 +48,27 @@
 	PacketLoss float64
 	// Partitioned reports whether messages from one relay to another are lost.
 	Partitioned func(from, to int) bool
-	// Limit is the destination's, in calls a second. Answers report it with a small error.
+	// Limit is the rate limit of the destination, in calls a second. Answers report it with a small error.
 	Limit float64
 	// Load is the load of each relay.
 	Load LoadFunc
-	// Used counts the calls of each relay since it was last cleared.
+	// Used counts the calls of each relay since Used was last cleared.
 	Used []float64
-	// PeakRate is the highest sum of the relays' rates since it was last cleared, in calls a second.
+	// PeakRate is the highest sum of the relays' rates since PeakRate was last cleared, in calls a second.
 	PeakRate float64
 	// BytesSent counts the bytes that each relay sent, encrypted and with headers.
 	BytesSent []int
 	// Stopped marks relays that neither receive nor act.
 	Stopped map[int]bool
 
-	rng       *rand.Rand
-	inFlight  map[time.Duration][]delivery // by arrival time
-	allocated []allocation                 // by relay
-	backlog   [][allowance.Levels]float64  // calls that wait, by relay
+	rng               *rand.Rand
+	inFlight          map[time.Duration][]packet  // by arrival time
+	latestAllocations []allocation                // by relay
+	backlog           [][allowance.Levels]float64 // waiting calls, by relay
 }
 
-// delivery is a message on its way.
-type delivery struct {
+// packet is a message in flight.
+type packet struct {
 	from, to int
 	allowance.Message
 }
@@ -76,12 +76,12 @@
 // allocation is a relay's newest allocation.
 type allocation struct {
 	allowance.Allocation
-	at time.Duration
+	receivedAt time.Duration
 }
 
-// rate is the rate that a relay may send at.
+// rate returns the rate at which a relay may send now, in calls a second.
 func (a *allocation) rate(now time.Duration) float64 {
-	if now < a.at+a.Duration {
+	if now < a.receivedAt+a.Duration {
 		return a.Rate
 	}
 	return 0
@@ -96,19 +96,19 @@
 	return index
 }
 
-// New returns a simulation of so many relays without load, for a limit in calls a second.
+// New returns a simulation of relays without load. The limit is in calls a second.
 func New(relays int, limit float64, seed uint64) (*Simulation, error) {
 	s := &Simulation{
-		Limit:       limit,
-		Partitioned: func(int, int) bool { return false },
-		Load:        func(int) [allowance.Levels]float64 { return [allowance.Levels]float64{} },
-		Used:        make([]float64, relays),
-		BytesSent:   make([]int, relays),
-		Stopped:     map[int]bool{},
-		rng:         rand.New(rand.NewPCG(seed, simulationStream)),
-		inFlight:    map[time.Duration][]delivery{},
-		allocated:   make([]allocation, relays),
-		backlog:     make([][allowance.Levels]float64, relays),
+		Limit:             limit,
+		Partitioned:       func(int, int) bool { return false },
+		Load:              func(int) [allowance.Levels]float64 { return [allowance.Levels]float64{} },
+		Used:              make([]float64, relays),
+		BytesSent:         make([]int, relays),
+		Stopped:           map[int]bool{},
+		rng:               rand.New(rand.NewPCG(seed, simulationStream)),
+		inFlight:          map[time.Duration][]packet{},
+		latestAllocations: make([]allocation, relays),
+		backlog:           make([][allowance.Levels]float64, relays),
 	}
 	cfg := allowance.DefaultConfig(relays, quorum)
 	for i := range relays {
@@ -135,7 +135,7 @@
 	}
 }
 
-// send puts messages on their way, as far as they are not lost.
+// send sends messages. Lost messages count as sent bytes, but are not delivered.
 func (s *Simulation) send(from int, messages []allowance.Message) {
 	for _, m := range messages {
 		to := relayIndex(m.To)
@@ -145,11 +145,11 @@
 		}
 		delay := tick * time.Duration(1+s.rng.IntN(maxDelayTicks))
 		arrival := s.Now + delay
-		s.inFlight[arrival] = append(s.inFlight[arrival], delivery{from: from, to: to, Message: m})
+		s.inFlight[arrival] = append(s.inFlight[arrival], packet{from: from, to: to, Message: m})
 	}
 }
 
-// packetSize is what a message takes on the network.
+// packetSize returns the size of a message on the network, in bytes.
 func (s *Simulation) packetSize(from int, m *allowance.Message) int {
 	const typicalCount = 1000 // a packet number of an ordinary length
 	return wire.Size(&spread.Packet{
@@ -162,7 +162,7 @@
 	})
 }
 
-// Run advances the virtual clock. Calls that arrive and may not be sent wait for a second at most.
+// Run advances the virtual clock. A relay queues at most the arrivals of one second that it may not send yet.
 func (s *Simulation) Run(duration time.Duration) {
 	for end := s.Now + duration; s.Now < end; {
 		s.Now += tick
@@ -172,13 +172,13 @@
 			if !s.Stopped[i] {
 				s.stepRelay(i)
 			}
-			sum += s.allocated[i].rate(s.Now)
+			sum += s.latestAllocations[i].rate(s.Now)
 		}
 		s.PeakRate = max(s.PeakRate, sum)
 	}
 }
 
-// deliver hands over the messages that arrive now, and sends the answers.
+// deliver gives the messages that arrive now to the allocators and sends their answers.
 func (s *Simulation) deliver() {
 	for _, d := range s.inFlight[s.Now] {
 		if s.Stopped[d.to] {
@@ -195,16 +195,16 @@
 	delete(s.inFlight, s.Now)
 }
 
-// stepRelay sends what a relay may send, and reports the rest to its allocator.
+// stepRelay makes the calls that a relay may make in this tick, and reports the remaining demand to its allocator.
 func (s *Simulation) stepRelay(i int) {
 	a := s.Allocators[i]
 	load := s.Load(i)
-	free := s.allocated[i].rate(s.Now) * tick.Seconds()
+	allowed := s.latestAllocations[i].rate(s.Now) * tick.Seconds()
 	var waiting, arrived [allowance.Levels]int
 	for level, rate := range load {
-		longest := rate // a second of arrivals
-		s.backlog[i][level] = min(s.backlog[i][level]+rate*tick.Seconds(), longest)
-		free -= s.call(i, level, free)
+		maxWaiting := rate // a second of arrivals
+		s.backlog[i][level] = min(s.backlog[i][level]+rate*tick.Seconds(), maxWaiting)
+		allowed -= s.call(i, level, allowed)
 		arrived[level] = int(s.Now.Seconds()*rate) - int((s.Now-tick).Seconds()*rate)
 		waiting[level] = int(s.backlog[i][level])
 	}
@@ -212,12 +212,12 @@
 	allocations := a.Tick(s.Now)
 	s.send(i, a.TakeMessages())
 	for _, next := range allocations {
-		s.allocated[i] = allocation{Allocation: next, at: s.Now}
+		s.latestAllocations[i] = allocation{Allocation: next, receivedAt: s.Now}
 	}
 }
 
-// call makes the waiting calls of a level as far as they are allowed, and returns how many it made. Now and then an answer
-// reports the limit.
+// call makes up to the allowed number of waiting calls of a level, and returns how many it made. A share of the steps, readingShare,
+// has an answer that reports the limit.
 func (s *Simulation) call(i, level int, allowed float64) float64 {
 	calls := min(s.backlog[i][level], allowed)
 	if calls <= 0 {
@@ -232,7 +232,7 @@
 	return calls
 }
 
-// Utilization runs the simulation, and returns the calls that were made as a share of a rate in calls a second.
+// Utilization runs the simulation and returns the number of calls as a share of the calls that a rate, in calls a second, allows.
 func (s *Simulation) Utilization(duration time.Duration, rate float64) float64 {
 	clear(s.Used)
 	s.Run(duration)
@@ -243,7 +243,7 @@
 	return sum / (rate * duration.Seconds())
 }
 
-// ConstantLoad is a load at one priority level, given by relay. The last rate is that of all further relays.
+// ConstantLoad returns a load at one priority level, with one rate for each relay. The last rate also applies to all further relays.
 func ConstantLoad(level int, rates ...float64) LoadFunc {
 	return func(relay int) (load [allowance.Levels]float64) {
 		load[level] = rates[min(relay, len(rates)-1)]
@@ -251,7 +251,7 @@
 	}
 }
 
-// WarmUp lets some relays read the limit, and all find their rates.
+// WarmUp lets some relays read the limit and runs until all relays have their rates.
 func (s *Simulation) WarmUp() {
 	for _, a := range s.Allocators[:warmUpRelays] {
 		a.ObserveLimit(s.Now, Destination, s.Limit)
