--- a/internal/lab/fleets/configuration_test.go
+++ b/internal/lab/fleets/configuration_test.go
@@ -18,33 +18,33 @@
 	"slatemux/internal/fleet"
 )
 
-// postChange hands a signed change in at a relay.
-func (s *seat) postChange(key ed25519.PrivateKey, change configsync.Change) error {
+// postConfigurationChange signs a configuration change and submits it to a relay.
+func (node *relayNode) postConfigurationChange(key ed25519.PrivateKey, change configsync.Change) error {
 	configsync.Sign(&change, key)
 	body, err := json.Marshal(fleet.ConfigurationChange{Source: change.Source, Sequence: change.Sequence, Revision: change.Revision, Key: change.Key,
 		Value: string(change.Value), Signature: change.Signature})
 	if err != nil {
 		return err
 	}
-	resp, err := http.Post("http://"+s.ops+"/ops/fleet/configuration", "application/json", bytes.NewReader(body))
+	resp, err := http.Post("http://"+node.adminAddress+"/ops/fleet/configuration", "application/json", bytes.NewReader(body))
 	if err != nil {
 		return err
 	}
 	defer resp.Body.Close()
 	text, err := io.ReadAll(resp.Body)
 	if err == nil && resp.StatusCode != http.StatusOK {
-		err = fmt.Errorf("%s answered %d: %s", s.name, resp.StatusCode, text)
+		err = fmt.Errorf("%s answered %d: %s", node.name, resp.StatusCode, text)
 	}
 	return err
 }
 
-// obeys reports whether a relay has an entry in force, and sends nothing new to one endpoint for it.
-func (s *seat) obeys(key string) bool {
+// hasDisabledEndpoint reports whether a relay has applied a configuration entry and has disabled one endpoint.
+func (node *relayNode) hasDisabledEndpoint(key string) bool {
 	var state fleet.ConfigurationState
 	var stats struct {
 		Disabled int `json:"targets_disabled"`
 	}
-	if s.get("/ops/fleet/configuration", &state) != nil || s.get("/ops/stats", &stats) != nil {
+	if node.getJSON("/ops/fleet/configuration", &state) != nil || node.getJSON("/ops/stats", &stats) != nil {
 		return false
 	}
 	for _, entry := range state.Entries {
@@ -55,11 +55,11 @@
 	return false
 }
 
-// A change is handed in at one relay while another is dead, and 1 % of the packets between relays is lost. It is in force at
-// all within 7 s, at the one that was dead too.
-func TestConfigurationReachesAll(t *testing.T) {
+// Guards against a configuration change that does not reach all relays. The change is submitted to one relay while another one has no
+// process, and 1 % of the packets between relays are lost. All relays must apply the change within 7 s, the restarted one too.
+func TestConfigurationReachesAllRelays(t *testing.T) {
 	t.Parallel()
-	const relays, within = 6, 7 * time.Second
+	const relays, maxDelay = 6, 7 * time.Second
 	key := ed25519.NewKeyFromSeed(bytes.Repeat([]byte{3}, ed25519.SeedSize))
 	trusted := filepath.Join(t.TempDir(), "trusted")
 	line := "control " + base64.StdEncoding.EncodeToString(key.Public().(ed25519.PublicKey)) + "\n"
@@ -74,7 +74,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f, err := Put(t.TempDir(), binary, sc, func(line string) { t.Log(line) })
+	f, err := Put(t.TempDir(), relayBinary, sc, func(line string) { t.Log(line) })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -84,20 +84,20 @@
 	}
 	played := make(chan error, 1)
 	go func() { played <- f.Play(context.Background()) }()
-	time.Sleep(1500 * time.Millisecond) // r2 is dead by now
+	time.Sleep(1500 * time.Millisecond) // r2 has been killed by now
 	posted := time.Now()
 	change := configsync.Change{Source: "control", Sequence: 1, Revision: 1, Key: "endpoint/p-0", Value: []byte("down")}
-	if err := f.seats[0].postChange(key, change); err != nil {
+	if err := f.nodes[0].postConfigurationChange(key, change); err != nil {
 		t.Fatal(err)
 	}
-	err = f.each(nil, func(s *seat) error {
-		for !s.obeys(change.Key) {
-			if time.Since(posted) > within {
-				return fmt.Errorf("%s does not obey after %v\n%s", s.name, within, tail(s.proc.Log(), 2000))
+	err = f.forEachNode(nil, func(node *relayNode) error {
+		for !node.hasDisabledEndpoint(change.Key) {
+			if time.Since(posted) > maxDelay {
+				return fmt.Errorf("%s has not disabled the endpoint after %v\n%s", node.name, maxDelay, lastBytes(node.process.Log(), 2000))
 			}
 			time.Sleep(5 * time.Millisecond)
 		}
-		t.Logf("%s obeys after at most %v", s.name, time.Since(posted))
+		t.Logf("%s disabled the endpoint after at most %v", node.name, time.Since(posted))
 		return nil
 	})
 	if err != nil {
@@ -114,8 +114,8 @@
 		t.Errorf("%s: message %016x: %s", b.Rule, b.ID, b.Text)
 	}
 	for i, c := range r.Calls {
-		if c.Member == "p-0" && c.First.Sub(posted) > within {
-			t.Errorf("r%d called the endpoint %v after it was taken down", r.Relays[i], c.First.Sub(posted))
+		if c.Member == "p-0" && c.First.Sub(posted) > maxDelay {
+			t.Errorf("r%d called the endpoint %v after it was taken down", r.CallingRelays[i], c.First.Sub(posted))
 		}
 	}
 }
--- a/internal/lab/fleets/fleets.go
+++ b/internal/lab/fleets/fleets.go
@@ -28,187 +28,189 @@
 	"slatemux/internal/lab/platform"
 )
 
-// Fleet is a fleet of real processes on loopback.
+// Fleet is a fleet of real relay processes on loopback addresses, with stand-in partners and fault injectors on all links.
 type Fleet struct {
-	Scenario *labv1.FleetScenario
-	D        *lab.Deployment
-	Net      *links.Net
-	Began    time.Time // of the load
-
-	dir, binary string
-	seats       []*seat
-	liar        *liar
-	note        func(string)
+	Scenario   *labv1.FleetScenario
+	Deployment *lab.Deployment
+	Links      *links.Net
+	// Began is the start of the load.
+	Began time.Time
+
+	dir, binary    string
+	nodes          []*relayNode
+	lyingPeer      *lyingPeer
+	reportProgress func(string)
 }
 
-// seat is one relay's place, and its process while it has one.
-type seat struct {
+// relayNode is one relay of the fleet: its configuration, and its process while it has one.
+type relayNode struct {
 	*lab.Seat
-	name    string
-	place   links.Place
-	ops     string
-	fleet   bool
-	mu      sync.Mutex
-	proc    *lab.Process
-	killed  time.Time // since when it is away by our doing
-	stopped bool
-	halted  time.Time
-	cpu     time.Duration // used up to the beginning of the load
-	sent    int64         // bytes to other relays, up to then
-	used    time.Duration // by processes that were killed
-	lone    [][2]time.Time
+	name             string
+	addresses        links.Place
+	adminAddress     string
+	inFleet          bool
+	mu               sync.Mutex
+	process          *lab.Process
+	killedAt         time.Time     // when the scenario killed the process; zero while a process runs
+	stopped          bool          // by SIGSTOP
+	stoppedAt        time.Time     // time of the last SIGSTOP
+	initialCPU       time.Duration // CPU time of the current process before the load began
+	initialSentBytes int64         // bytes that the current process sent to other relays before the load began
+	endedCPU         time.Duration // CPU time of killed processes during the load
+	aloneSpans       [][2]time.Time
 }
 
-// keys are the fleet's, by number: nothing secret is sealed with them.
-func key(n int32) []byte { return bytes.Repeat([]byte{byte(n + 1)}, 32) }
+// fleetKey returns a key of the fleet by its number. The keys are predictable: the laboratory encrypts nothing secret with them.
+func fleetKey(n int32) []byte { return bytes.Repeat([]byte{byte(n + 1)}, 32) }
 
-// Put puts a fleet up in a folder: partners, discovery and links; relays come with Start. Progress is told to note, which may be
-// nil.
-func Put(dir, binary string, sc *labv1.FleetScenario, note func(string)) (*Fleet, error) {
-	if note == nil {
-		note = func(string) {}
+// Put creates a fleet in a folder: partners, discovery and links. Start starts the relays. reportProgress receives one line for each
+// event and may be nil.
+func Put(dir, binary string, sc *labv1.FleetScenario, reportProgress func(string)) (*Fleet, error) {
+	if reportProgress == nil {
+		reportProgress = func(string) {}
 	}
-	f := &Fleet{Scenario: sc, Net: links.New(sc.Seed), dir: dir, binary: binary, note: note}
-	p := lab.Place{Classes: lab.Usual(), Tenants: []lab.Tenant{{Name: "acme", Share: 1}}, MemoryMB: 64, DiskMB: 16, Sockets: 512, MaxOpen: 2000, MaxCalls: 60,
+	f := &Fleet{Scenario: sc, Links: links.New(sc.Seed), dir: dir, binary: binary, reportProgress: reportProgress}
+	place := lab.Place{Classes: lab.Usual(), Tenants: []lab.Tenant{{Name: "acme", Share: 1}}, MemoryMB: 64, DiskMB: 16, Sockets: 512, MaxOpen: 2000, MaxCalls: 60,
 		KeepAlive: 5 * time.Second, Seed: sc.Seed, Relays: int(sc.Relays)}
 	for i, pt := range sc.Partner {
 		gate := &partner.Gate{}
-		for j, name := range endpoints(pt) {
-			p.Partners = append(p.Partners, partner.Config{Gate: gate, Name: name, Dest: int(pt.Destination), Life: life(pt), Seed: sc.Seed ^ uint64(i<<8|j), Share: pt.Phase[0].Rate})
+		for j, name := range endpointNames(pt) {
+			place.Partners = append(place.Partners, partner.Config{Gate: gate, Name: name, Dest: int(pt.Destination), Life: partnerPhases(pt), Seed: sc.Seed ^ uint64(i<<8|j), Share: pt.Phase[0].Rate})
 		}
 	}
 	var err error
-	if f.D, err = lab.Put(dir, p); err != nil {
-		f.Net.Close()
+	if f.Deployment, err = lab.Put(dir, place); err != nil {
+		f.Links.Close()
 		return nil, err
 	}
 	for i, name := range relayNames(sc) {
-		s := &seat{name: name, fleet: i < int(sc.Relays-sc.WithoutFleet), Seat: &lab.Seat{Name: name, Number: i, Dir: filepath.Join(dir, name)}}
-		if err := f.furnish(s); err != nil {
+		node := &relayNode{name: name, inFleet: i < int(sc.Relays-sc.WithoutFleet), Seat: &lab.Seat{Name: name, Number: i, Dir: filepath.Join(dir, name)}}
+		if err := f.prepareNode(node); err != nil {
 			f.Close()
 			return nil, err
 		}
-		f.seats = append(f.seats, s)
+		f.nodes = append(f.nodes, node)
 	}
 	return f, nil
 }
 
-// furnish leads all that a relay reaches through the links.
-func (f *Fleet) furnish(s *seat) (err error) {
-	if s.place, err = f.Net.Party(s.name, s.Number); err != nil {
+// prepareNode creates a link from a relay to each partner endpoint and to discovery, and writes the relay's configuration.
+func (f *Fleet) prepareNode(node *relayNode) (err error) {
+	if node.addresses, err = f.Links.Party(node.name, node.Number); err != nil {
 		return err
 	}
-	ways := map[string]string{}
-	for i, p := range f.D.Partners {
-		name := f.D.Place.Partners[i].Name
-		if ways[name], err = f.Net.Forward(s.name, name, p.Addr(), netip.Addr{}); err != nil {
+	forwardAddresses := map[string]string{}
+	for i, partner := range f.Deployment.Partners {
+		name := f.Deployment.Place.Partners[i].Name
+		if forwardAddresses[name], err = f.Links.Forward(node.name, name, partner.Addr(), netip.Addr{}); err != nil {
 			return err
 		}
 	}
-	source := netip.AddrFrom4([4]byte{127, 62, byte(s.Number >> 8), byte(s.Number&0xff) + 1})
-	if s.Discovery, err = f.Net.Forward(s.name, "discovery", f.D.Platform.Addr(), source); err != nil {
+	source := netip.AddrFrom4([4]byte{127, 62, byte(node.Number >> 8), byte(node.Number&0xff) + 1})
+	if node.Discovery, err = f.Links.Forward(node.name, "discovery", f.Deployment.Platform.Addr(), source); err != nil {
 		return err
 	}
-	f.D.Platform.Relay(source, s.Number, func(h platform.Host) string { return ways[h.Host] })
-	for _, to := range []*string{&s.Listen, &s.ops} {
-		if *to, err = lab.FreePortOn(s.place.Serve.String()); err != nil {
+	f.Deployment.Platform.Relay(source, node.Number, func(h platform.Host) string { return forwardAddresses[h.Host] })
+	for _, to := range []*string{&node.Listen, &node.adminAddress} {
+		if *to, err = lab.FreePortOn(node.addresses.Serve.String()); err != nil {
 			return err
 		}
 	}
-	if err := f.D.Furnish(s.Seat, f.D.Platform.KnownTo(source)); err != nil {
+	if err := f.Deployment.Furnish(node.Seat, f.Deployment.Platform.KnownTo(source)); err != nil {
 		return err
 	}
-	for _, dir := range []string{s.tmp()} {
+	for _, dir := range []string{node.tempDir()} {
 		if err := os.MkdirAll(dir, 0o700); err != nil {
 			return fmt.Errorf("fleets: %w", err)
 		}
 	}
-	return f.writeKeys(s, 0)
+	return f.writeKeys(node, 0)
 }
 
-func (s *seat) tmp() string { return filepath.Join(s.Dir, "tmp") }
+func (node *relayNode) tempDir() string { return filepath.Join(node.Dir, "tmp") }
 
-func (s *seat) keyFile() string { return filepath.Join(s.Dir, "keys") }
+func (node *relayNode) keyFile() string { return filepath.Join(node.Dir, "keys") }
 
-func (f *Fleet) writeKeys(s *seat, numbers ...int32) error {
+// writeKeys writes the key file of a relay, with the fleet's keys of these numbers.
+func (f *Fleet) writeKeys(node *relayNode, numbers ...int32) error {
 	var text strings.Builder
 	for _, n := range numbers {
-		text.WriteString(base64.StdEncoding.EncodeToString(key(n)) + "\n")
+		text.WriteString(base64.StdEncoding.EncodeToString(fleetKey(n)) + "\n")
 	}
-	if err := os.WriteFile(s.keyFile(), []byte(text.String()), 0o600); err != nil {
+	if err := os.WriteFile(node.keyFile(), []byte(text.String()), 0o600); err != nil {
 		return fmt.Errorf("fleets: %w", err)
 	}
 	return nil
 }
 
-// gateway is the text of a relay's own settings. It joins by the first relays but itself.
-func (f *Fleet) gateway(s *seat) string {
+// gatewaySettings returns the text of a relay's settings. A relay joins the fleet through the first three relays, itself excluded.
+func (f *Fleet) gatewaySettings(node *relayNode) string {
 	text := f.Scenario.Settings + "\n"
-	if !s.fleet {
+	if !node.inFleet {
 		return text
 	}
-	text += fmt.Sprintf("fleet {\n enabled: true name: \"lab\" bind: %q advertise: %q key_file: %q\n", s.place.Bind, s.place.Reach, s.keyFile())
-	for i := range min(3, len(f.seats)) {
-		if f.seats[i] != s {
-			text += fmt.Sprintf(" join: %q\n", f.seats[i].place.Reach)
+	text += fmt.Sprintf("fleet {\n enabled: true name: \"lab\" bind: %q advertise: %q key_file: %q\n", node.addresses.Bind, node.addresses.Reach, node.keyFile())
+	for i := range min(3, len(f.nodes)) {
+		if f.nodes[i] != node {
+			text += fmt.Sprintf(" join: %q\n", f.nodes[i].addresses.Reach)
 		}
 	}
 	return text + f.Scenario.FleetSettings + "\n}\n"
 }
 
-// start starts one relay and waits until it serves.
-func (f *Fleet) start(s *seat) error {
-	p, err := s.RelayWith(f.binary, nil, []string{"TMPDIR=" + s.tmp(), "NODE_OPS=" + s.ops}, f.gateway(s))
+// startNode starts the process of one relay and waits until it serves clients.
+func (f *Fleet) startNode(node *relayNode) error {
+	p, err := node.RelayWith(f.binary, nil, []string{"TMPDIR=" + node.tempDir(), "NODE_OPS=" + node.adminAddress}, f.gatewaySettings(node))
 	if err != nil {
-		return fmt.Errorf("%s: %w", s.name, err)
+		return fmt.Errorf("%s: %w", node.name, err)
 	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.proc = p
-	if !s.killed.IsZero() {
-		f.D.Ledger.Kill(ledger.Kill{From: s.killed, Ready: time.Now(), Relay: s.Number})
-		s.killed = time.Time{}
+	node.mu.Lock()
+	defer node.mu.Unlock()
+	node.process = p
+	if !node.killedAt.IsZero() {
+		f.Deployment.Ledger.Kill(ledger.Kill{From: node.killedAt, Ready: time.Now(), Relay: node.Number})
+		node.killedAt = time.Time{}
 	}
 	return nil
 }
 
-// each does something with all relays, or those named, side by side.
-func (f *Fleet) each(names []string, do func(*seat) error) error {
+// forEachNode calls do in parallel for the named relays, or for all relays if names is nil.
+func (f *Fleet) forEachNode(names []string, do func(*relayNode) error) error {
 	var wg sync.WaitGroup
-	errs := make([]error, len(f.seats))
-	for i, s := range f.seats {
-		if names == nil || slices.Contains(names, s.name) {
-			wg.Go(func() { errs[i] = do(s) })
+	errs := make([]error, len(f.nodes))
+	for i, node := range f.nodes {
+		if names == nil || slices.Contains(names, node.name) {
+			wg.Go(func() { errs[i] = do(node) })
 		}
 	}
 	wg.Wait()
 	return errors.Join(errs...)
 }
 
-// Start starts all relays and waits until those of the fleet know each other.
+// Start starts all relays and waits until the relays of the fleet know each other.
 func (f *Fleet) Start() error {
-	if err := f.each(nil, f.start); err != nil {
+	if err := f.forEachNode(nil, f.startNode); err != nil {
 		return err
 	}
-	return f.Assembled(time.Now().Add(60 * time.Second))
+	return f.WaitForMembers(time.Now().Add(60 * time.Second))
 }
 
-// Assembled waits until every relay that lives and takes part counts all others that do.
-func (f *Fleet) Assembled(deadline time.Time) error {
+// WaitForMembers waits until each live relay with a fleet part counts all live relays with a fleet part as members.
+func (f *Fleet) WaitForMembers(deadline time.Time) error {
 	want := 0
-	for _, s := range f.seats {
-		if s.fleet && s.alive() {
+	for _, node := range f.nodes {
+		if node.inFleet && node.alive() {
 			want++
 		}
 	}
-	return f.each(nil, func(s *seat) error {
-		for s.fleet && s.alive() {
-			g, err := f.figures(s)
-			if err == nil && g.Members >= want {
+	return f.forEachNode(nil, func(node *relayNode) error {
+		for node.inFleet && node.alive() {
+			metrics, err := f.fetchMetrics(node)
+			if err == nil && metrics.Members >= want {
 				return nil
 			}
 			if time.Now().After(deadline) {
-				return fmt.Errorf("fleets: %s counts %d members of %d: %v\n%s", s.name, g.Members, want, err, tail(s.proc.Log(), 1000))
+				return fmt.Errorf("fleets: %s knows %d of %d members: %v\n%s", node.name, metrics.Members, want, err, lastBytes(node.process.Log(), 1000))
 			}
 			time.Sleep(50 * time.Millisecond)
 		}
@@ -216,16 +218,18 @@
 	})
 }
 
-func (s *seat) alive() bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.proc != nil && s.killed.IsZero() && !s.stopped
+// alive reports whether the relay has a process that runs.
+func (node *relayNode) alive() bool {
+	node.mu.Lock()
+	defer node.mu.Unlock()
+	return node.process != nil && node.killedAt.IsZero() && !node.stopped
 }
 
-func (s *seat) get(path string, into any) error {
+// getJSON reads a JSON document from the admin endpoint of a relay.
+func (node *relayNode) getJSON(path string, into any) error {
 	ctx, cancel := context.WithDeadline(context.Background(), time.Now().Add(3*time.Second))
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+s.ops+path, nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+node.adminAddress+path, nil)
 	if err != nil {
 		return err
 	}
@@ -235,7 +239,7 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return fmt.Errorf("%s answered %d", path, resp.StatusCode)
+		return fmt.Errorf("GET %s: status %d", path, resp.StatusCode)
 	}
 	raw, err := io.ReadAll(resp.Body)
 	if err != nil {
@@ -244,50 +248,51 @@
 	return json.Unmarshal(raw, into)
 }
 
-func (f *Fleet) figures(s *seat) (fleet.Figures, error) {
+// fetchMetrics returns the metrics of a relay's part in the fleet.
+func (f *Fleet) fetchMetrics(node *relayNode) (fleet.Figures, error) {
 	var stats struct{ Fleet fleet.Figures }
-	err := s.get("/ops/stats", &stats)
+	err := node.getJSON("/ops/stats", &stats)
 	return stats.Fleet, err
 }
 
-// Figures are a relay's own, of its part in the fleet.
-func (f *Fleet) Figures(relay int) (fleet.Figures, error) { return f.figures(f.seats[relay]) }
+// Figures returns the metrics of a relay's part in the fleet.
+func (f *Fleet) Figures(relay int) (fleet.Figures, error) { return f.fetchMetrics(f.nodes[relay]) }
 
-// Verdicts are what a relay holds of the others' word.
+// Verdicts returns the statements of other relays that a relay holds.
 func (f *Fleet) Verdicts(relay int) (list []fleet.Verdict, err error) {
-	err = f.seats[relay].get("/ops/fleet/verdicts", &list)
+	err = f.nodes[relay].getJSON("/ops/fleet/verdicts", &list)
 	return list, err
 }
 
-// Process is a relay's present one.
+// Process returns the current process of a relay.
 func (f *Fleet) Process(relay int) *lab.Process {
-	s := f.seats[relay]
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.proc
+	node := f.nodes[relay]
+	node.mu.Lock()
+	defer node.mu.Unlock()
+	return node.process
 }
 
-// Play lets the load run, with the faults of the timeline.
+// Play runs the load and causes the events of the scenario's timeline.
 func (f *Fleet) Play(ctx context.Context) error {
 	sc := f.Scenario
-	for _, s := range f.seats {
-		s.cpu = s.proc.Usage().CPU
-		if g, err := f.figures(s); err == nil {
-			s.sent = g.SentBytes
+	for _, node := range f.nodes {
+		node.initialCPU = node.process.Usage().CPU
+		if metrics, err := f.fetchMetrics(node); err == nil {
+			node.initialSentBytes = metrics.SentBytes
 		}
 	}
 	f.Began = time.Now()
-	for _, p := range f.D.Partners {
-		p.Restart() // its script counts from here
+	for _, p := range f.Deployment.Partners {
+		p.Restart() // the script of the partner starts now
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	var parts sync.WaitGroup
-	errs := make([]error, len(f.seats)+1)
-	for i, s := range f.seats {
-		parts.Go(func() { errs[i] = f.load(ctx, s) })
+	var tasks sync.WaitGroup
+	errs := make([]error, len(f.nodes)+1)
+	for i, node := range f.nodes {
+		tasks.Go(func() { errs[i] = f.runClients(ctx, node) })
 	}
-	parts.Go(func() {
+	tasks.Go(func() {
 		for _, e := range sc.At {
 			select {
 			case <-ctx.Done():
@@ -295,15 +300,16 @@
 			case <-time.After(time.Until(f.Began.Add(seconds(e.AtS)))):
 			}
 			if err := f.Do(e); err != nil {
-				errs[len(f.seats)] = errors.Join(errs[len(f.seats)], err)
+				errs[len(f.nodes)] = errors.Join(errs[len(f.nodes)], err)
 			}
 		}
 	})
-	parts.Wait()
+	tasks.Wait()
 	return errors.Join(errs...)
 }
 
-func (f *Fleet) load(ctx context.Context, s *seat) error {
+// runClients runs the clients of one relay.
+func (f *Fleet) runClients(ctx context.Context, node *relayNode) error {
 	l := f.Scenario.Load
 	streams := []load.Stream{{Class: 0, Tenant: "acme", Share: 1 - l.Status, Body: 200, Deadline: 28 * time.Second},
 		{Class: 1, Tenant: "acme", Share: l.Status, Body: 200, Deadline: 5 * time.Second}}
@@ -321,12 +327,13 @@
 	if honour == 0 {
 		honour = 1
 	}
-	return f.D.LoadOn(ctx, s.Seat, load.Config{Clients: clients, Patience: 400 * time.Millisecond, Streams: streams, Dests: dests, Retries: int(l.Retries),
-		Steps: steps(f.Scenario, s.Number), Honour: honour, Seed: f.Scenario.Seed<<10 + uint64(s.Number) + 1, Poisson: true})
+	return f.Deployment.LoadOn(ctx, node.Seat, load.Config{Clients: clients, Patience: 400 * time.Millisecond, Streams: streams, Dests: dests, Retries: int(l.Retries),
+		Steps: loadSteps(f.Scenario, node.Number), Honour: honour, Seed: f.Scenario.Seed<<10 + uint64(node.Number) + 1, Poisson: true})
 }
 
-// steps are what a relay is handed.
-func steps(sc *labv1.FleetScenario, relay int) (list []load.Step) {
+// loadSteps returns the rates at which clients submit messages to a relay. With JumpS, the relay with the hot share of the load
+// changes at that interval.
+func loadSteps(sc *labv1.FleetScenario, relay int) (list []load.Step) {
 	l, n := sc.Load, int(sc.Relays)
 	span := sc.LengthS
 	if l.JumpS > 0 {
@@ -344,165 +351,171 @@
 	return list
 }
 
-// Do makes one event happen.
+// Do causes one event of the timeline.
 func (f *Fleet) Do(e *labv1.Event) error {
-	f.note(fmt.Sprintf("%6.2f s  %v", time.Since(f.Began).Seconds(), strings.ReplaceAll(e.String(), "\u00a0", " ")))
+	f.reportProgress(fmt.Sprintf("%6.2f s  %v", time.Since(f.Began).Seconds(), strings.ReplaceAll(e.String(), "\u00a0", " ")))
 	sc := f.Scenario
 	signal := func(names []string, sig syscall.Signal, stopped bool) error {
-		return f.each(all(sc, names), func(s *seat) error {
-			s.mu.Lock()
-			defer s.mu.Unlock()
-			return f.halt(s, sig, stopped)
+		return f.forEachNode(expandParties(sc, names), func(node *relayNode) error {
+			node.mu.Lock()
+			defer node.mu.Unlock()
+			return f.setStopped(node, sig, stopped)
 		})
 	}
-	switch w := e.What.(type) {
+	switch what := e.What.(type) {
 	case *labv1.Event_Links:
-		l := w.Links
-		fault := links.Fault{Delay: millis(l.DelayMs), Jitter: millis(l.JitterMs), Loss: l.Loss, Duplicate: l.Duplicate, Reorder: l.Reorder,
+		l := what.Links
+		fault := links.Fault{Delay: milliseconds(l.DelayMs), Jitter: milliseconds(l.JitterMs), Loss: l.Loss, Duplicate: l.Duplicate, Reorder: l.Reorder,
 			Corrupt: l.Corrupt, Cut: l.Cut, Bandwidth: l.BytesPerS}
-		for _, from := range all(sc, l.From) {
-			for _, to := range all(sc, l.To) {
+		for _, from := range expandParties(sc, l.From) {
+			for _, to := range expandParties(sc, l.To) {
 				if from == to {
 					continue
 				}
-				f.Net.Set(from, to, fault)
+				f.Links.Set(from, to, fault)
 				if l.Both {
-					f.Net.Set(to, from, fault)
+					f.Links.Set(to, from, fault)
 				}
 			}
 		}
 	case *labv1.Event_Heal:
-		f.Net.Heal()
+		f.Links.Heal()
 	case *labv1.Event_Stop:
-		return signal(w.Stop.Party, syscall.SIGSTOP, true)
+		return signal(what.Stop.Party, syscall.SIGSTOP, true)
 	case *labv1.Event_Go:
-		return signal(w.Go.Party, syscall.SIGCONT, false)
+		return signal(what.Go.Party, syscall.SIGCONT, false)
 	case *labv1.Event_Kill:
-		return f.each(all(sc, w.Kill.Party), func(s *seat) error {
-			s.mu.Lock()
-			defer s.mu.Unlock()
-			s.used += s.proc.Usage().CPU - s.cpu
-			s.killed, s.stopped, s.cpu, s.sent = time.Now(), false, 0, 0
-			s.proc.Kill()
+		return f.forEachNode(expandParties(sc, what.Kill.Party), func(node *relayNode) error {
+			node.mu.Lock()
+			defer node.mu.Unlock()
+			node.endedCPU += node.process.Usage().CPU - node.initialCPU
+			node.killedAt, node.stopped, node.initialCPU, node.initialSentBytes = time.Now(), false, 0, 0
+			node.process.Kill()
 			return nil
 		})
 	case *labv1.Event_Start:
-		return f.each(all(sc, w.Start.Party), func(s *seat) error {
+		return f.forEachNode(expandParties(sc, what.Start.Party), func(node *relayNode) error {
 			from := time.Now()
-			if err := f.start(s); err != nil {
+			if err := f.startNode(node); err != nil {
 				return err
 			}
-			if s.fleet {
-				f.meets(s, from)
+			if node.inFleet {
+				f.recordAloneSpan(node, from)
 			}
 			return nil
 		})
 	case *labv1.Event_Drain:
-		return f.drain(w.Drain)
+		return f.drainEndpoint(what.Drain)
 	case *labv1.Event_Operators:
-		return f.operators(w.Operators)
+		return f.setEndpointState(what.Operators)
 	case *labv1.Event_Keys:
-		return f.each(all(sc, w.Keys.Relay), func(s *seat) error {
-			if err := f.writeKeys(s, w.Keys.Key...); err != nil {
+		return f.forEachNode(expandParties(sc, what.Keys.Relay), func(node *relayNode) error {
+			if err := f.writeKeys(node, what.Keys.Key...); err != nil {
 				return err
 			}
-			return s.proc.Signal(syscall.SIGHUP)
+			return node.process.Signal(syscall.SIGHUP)
 		})
 	case *labv1.Event_Listen:
-		f.Net.Listen(w.Listen.From, w.Listen.To)
+		f.Links.Listen(what.Listen.From, what.Listen.To)
 	case *labv1.Event_Replay:
-		f.note(fmt.Sprintf("          %d packets", f.Net.Replay(w.Replay.From, w.Replay.To)))
+		f.reportProgress(fmt.Sprintf("          %d packets", f.Links.Replay(what.Replay.From, what.Replay.To)))
 	case *labv1.Event_Lies:
-		if !f.seats[0].fleet {
-			return nil // nobody to lie to
+		if !f.nodes[0].inFleet {
+			return nil // no relay has a fleet part
 		}
-		l, err := f.lie(w.Lies)
-		f.liar = l
+		peer, err := f.startLyingPeer(what.Lies)
+		f.lyingPeer = peer
 		return err
 	}
 	return nil
 }
 
-// halt stops a process, or lets it go on: its deadlines are excused for that long. It needs the seat's lock.
-func (f *Fleet) halt(s *seat, sig syscall.Signal, stopped bool) error {
+// setStopped suspends or resumes a process. The ledger excuses deadlines that the relay misses in that time. The caller must hold
+// node.mu.
+func (f *Fleet) setStopped(node *relayNode, sig syscall.Signal, stopped bool) error {
 	if stopped {
-		s.halted = time.Now()
-	} else if s.stopped {
-		f.D.Ledger.Kill(ledger.Kill{From: s.halted, Ready: time.Now(), Relay: s.Number, Stopped: true})
+		node.stoppedAt = time.Now()
+	} else if node.stopped {
+		f.Deployment.Ledger.Kill(ledger.Kill{From: node.stoppedAt, Ready: time.Now(), Relay: node.Number, Stopped: true})
 	}
-	s.stopped = stopped
-	return s.proc.Signal(sig)
+	node.stopped = stopped
+	return node.process.Signal(sig)
 }
 
-func (f *Fleet) drain(endpoint string) error {
-	for i, p := range f.D.Place.Partners {
+// drainEndpoint makes discovery announce that an endpoint leaves.
+func (f *Fleet) drainEndpoint(endpoint string) error {
+	for i, p := range f.Deployment.Place.Partners {
 		if p.Name == endpoint {
-			f.D.Platform.Change(platform.Host{Host: p.Name, Dial: f.D.Partners[i].Addr(), Site: "here", Class: "partner", Block: p.Dest, Health: "leaving", Share: p.Share})
+			f.Deployment.Platform.Change(platform.Host{Host: p.Name, Dial: f.Deployment.Partners[i].Addr(), Site: "here", Class: "partner", Block: p.Dest, Health: "leaving", Share: p.Share})
 			return nil
 		}
 	}
-	return fmt.Errorf("fleets: there is no endpoint %s", endpoint)
+	return fmt.Errorf("fleets: endpoint %s does not exist", endpoint)
 }
 
-func (f *Fleet) operators(o *labv1.Operators) error {
-	return f.each(all(f.Scenario, []string{o.Relay}), func(s *seat) error {
+// setEndpointState marks an endpoint as up or down at the admin endpoints of relays, as an operator does.
+func (f *Fleet) setEndpointState(o *labv1.Operators) error {
+	return f.forEachNode(expandParties(f.Scenario, []string{o.Relay}), func(node *relayNode) error {
 		verb := "down/"
 		if o.Up {
 			verb = "up/"
 		}
-		resp, err := http.Post("http://"+s.ops+"/ops/endpoints/"+verb+o.Endpoint, "", nil)
+		resp, err := http.Post("http://"+node.adminAddress+"/ops/endpoints/"+verb+o.Endpoint, "", nil)
 		if err != nil {
 			return err
 		}
 		defer resp.Body.Close()
 		if resp.StatusCode != http.StatusOK {
-			return fmt.Errorf("fleets: %s answered %d to operators", s.name, resp.StatusCode)
+			return fmt.Errorf("fleets: %s answered a change of an endpoint's state with status %d", node.name, resp.StatusCode)
 		}
 		return nil
 	})
 }
 
-// Settle heals what is broken and waits until no relay holds anything open any more.
+// Settle removes all link faults, resumes stopped relays and waits until no relay has pending messages.
 func (f *Fleet) Settle(deadline time.Time) error {
-	f.Net.Heal()
-	for _, s := range f.seats {
-		s.mu.Lock()
-		if s.stopped {
-			_ = f.halt(s, syscall.SIGCONT, false)
+	f.Links.Heal()
+	for _, node := range f.nodes {
+		node.mu.Lock()
+		if node.stopped {
+			_ = f.setStopped(node, syscall.SIGCONT, false)
 		}
-		s.mu.Unlock()
+		node.mu.Unlock()
 	}
-	return f.each(nil, func(s *seat) error {
-		if !s.alive() {
+	return f.forEachNode(nil, func(node *relayNode) error {
+		if !node.alive() {
 			return nil
 		}
-		if err := s.proc.Settled(deadline); err != nil {
-			return fmt.Errorf("%s: %w\n%s", s.name, err, tail(s.proc.Log(), 2000))
+		if err := node.process.Settled(deadline); err != nil {
+			return fmt.Errorf("%s: %w\n%s", node.name, err, lastBytes(node.process.Log(), 2000))
 		}
 		return nil
 	})
 }
 
-func tail(text string, most int) string { return text[max(len(text)-most, 0):] }
+// lastBytes returns the end of a text.
+func lastBytes(text string, maxBytes int) string { return text[max(len(text)-maxBytes, 0):] }
 
 // Close ends all processes and servers.
 func (f *Fleet) Close() {
-	if f.liar != nil {
-		f.liar.close()
-		f.liar = nil
+	if f.lyingPeer != nil {
+		f.lyingPeer.close()
+		f.lyingPeer = nil
 	}
-	_ = f.each(nil, func(s *seat) error {
-		if p := s.proc; p != nil {
+	_ = f.forEachNode(nil, func(node *relayNode) error {
+		if p := node.process; p != nil {
 			p.Kill()
 		}
 		return nil
 	})
-	f.D.Close()
-	f.Net.Close()
+	f.Deployment.Close()
+	f.Links.Close()
 }
 
-// Get asks a relay's operators' address.
-func (f *Fleet) Get(relay int, path string, into any) error { return f.seats[relay].get(path, into) }
+// Get reads a JSON document from the admin endpoint of a relay.
+func (f *Fleet) Get(relay int, path string, into any) error {
+	return f.nodes[relay].getJSON(path, into)
+}
 
-// Ops is a relay's operators' address.
-func (f *Fleet) Ops(relay int) string { return f.seats[relay].ops }
+// Ops returns the address of a relay's admin endpoint.
+func (f *Fleet) Ops(relay int) string { return f.nodes[relay].adminAddress }
--- a/internal/lab/fleets/report.go
+++ b/internal/lab/fleets/report.go
@@ -13,92 +13,96 @@
 	"slatemux/internal/lab/ledger"
 )
 
-// Report is what a run came to, over the whole fleet.
+// Report is the result of a run, over the whole fleet.
 type Report struct {
 	Verdict ledger.Verdict
-	// Worth is what was delivered, as a share of what was asked for.
-	Worth float64
-	// Unheard are calls inside waits that other relays had been told.
-	Unheard []ledger.Unheard
-	Waits   int // that were told, those inside others not counted
-	Calls   []ledger.Call
-	Relays  []int // that made them
-	// Of each relay: what it used, and its part in the fleet.
-	CPU     []float64 // share of a core during the load
-	RSS     []int64
-	Figures []fleet.Figures
-	Span    time.Duration // of the load
-	begun   time.Time
-	fleet   *Fleet
+	// WorthShare is the worth of the delivered messages, as a share of the worth of the submitted messages.
+	WorthShare float64
+	// CallsInOtherWaits are the calls of a relay during a retry-after wait that the destination had sent to another relay.
+	CallsInOtherWaits []ledger.Unheard
+	// Waits is the number of retry-after waits. A wait that begins within another one is not counted.
+	Waits int
+	// Calls are the calls that reached the partners. CallingRelays holds the relay of each call, by the same index.
+	Calls         []ledger.Call
+	CallingRelays []int
+	// CPUShares, ResidentBytes and Metrics have one entry for each relay.
+	CPUShares     []float64 // share of a core during the load
+	ResidentBytes []int64
+	Metrics       []fleet.Figures
+	LoadDuration  time.Duration
+	loadStart     time.Time
+	fleet         *Fleet
 }
 
-// Judge ends the fleet and judges what was recorded.
+// Judge ends the fleet and evaluates the recorded messages and calls.
 func (f *Fleet) Judge() *Report {
-	r := &Report{Span: time.Since(f.Began), begun: f.Began, fleet: f, CPU: make([]float64, len(f.seats)), RSS: make([]int64, len(f.seats)),
-		Figures: make([]fleet.Figures, len(f.seats))}
-	_ = f.each(nil, func(s *seat) error {
-		if s.proc != nil {
-			u := s.proc.Usage()
-			r.CPU[s.Number], r.RSS[s.Number] = (s.used+u.CPU-s.cpu).Seconds()/r.Span.Seconds(), u.RSS
+	r := &Report{LoadDuration: time.Since(f.Began), loadStart: f.Began, fleet: f, CPUShares: make([]float64, len(f.nodes)), ResidentBytes: make([]int64, len(f.nodes)),
+		Metrics: make([]fleet.Figures, len(f.nodes))}
+	_ = f.forEachNode(nil, func(node *relayNode) error {
+		if node.process != nil {
+			u := node.process.Usage()
+			r.CPUShares[node.Number], r.ResidentBytes[node.Number] = (node.endedCPU+u.CPU-node.initialCPU).Seconds()/r.LoadDuration.Seconds(), u.RSS
 		}
-		if g, err := f.figures(s); err == nil {
-			g.SentBytes -= s.sent
-			r.Figures[s.Number] = g
+		if metrics, err := f.fetchMetrics(node); err == nil {
+			metrics.SentBytes -= node.initialSentBytes
+			r.Metrics[node.Number] = metrics
 		}
 		return nil
 	})
 	f.Close()
-	rules := ledger.Usual(f.D.Classes)
-	r.Verdict = f.D.Ledger.Judge(rules, time.Now())
-	r.Unheard, r.Waits = f.D.Ledger.Unheard()
-	r.Calls, r.Relays = f.D.Ledger.Calls()
-	worth, asked := 0.0, 0.0
+	rules := ledger.Usual(f.Deployment.Classes)
+	r.Verdict = f.Deployment.Ledger.Judge(rules, time.Now())
+	r.CallsInOtherWaits, r.Waits = f.Deployment.Ledger.Unheard()
+	r.Calls, r.CallingRelays = f.Deployment.Ledger.Calls()
+	deliveredWorth, offeredWorth := 0.0, 0.0
 	for i, c := range r.Verdict.Classes {
-		worth += c.Worth
-		asked += float64(c.Offered) * f.D.Classes[i].Worth
+		deliveredWorth += c.Worth
+		offeredWorth += float64(c.Offered) * f.Deployment.Classes[i].Worth
 	}
-	r.Worth = worth / max(asked, 1)
+	r.WorthShare = deliveredWorth / max(offeredWorth, 1)
 	return r
 }
 
-// Connections counts those that all relays asked a partner's endpoints for, from and until seconds of the load.
+// Connections counts the connections that all relays requested to a partner's endpoints, between two times in seconds
+// of the load.
 func (r *Report) Connections(p *labv1.Partner, from, until float64) (n int) {
-	for _, s := range r.fleet.seats {
-		for _, e := range endpoints(p) {
-			n += r.fleet.Net.Opened(s.name, e, r.begun.Add(seconds(from)), r.begun.Add(seconds(until)))
+	for _, node := range r.fleet.nodes {
+		for _, e := range endpointNames(p) {
+			n += r.fleet.Links.Opened(node.name, e, r.loadStart.Add(seconds(from)), r.loadStart.Add(seconds(until)))
 		}
 	}
 	return n
 }
 
-// Tried tells how many connections each relay asked a partner for in a span, by quarters of a second.
+// Tried writes how many connections each relay requested to a partner in each quarter of a second of a span.
 func (r *Report) Tried(w io.Writer, p *labv1.Partner, from, until float64) {
-	for _, s := range r.fleet.seats {
+	for _, node := range r.fleet.nodes {
 		var line strings.Builder
 		for at := from; at < until; at += 0.25 {
 			n := 0
-			for _, e := range endpoints(p) {
-				n += r.fleet.Net.Opened(s.name, e, r.begun.Add(seconds(at)), r.begun.Add(seconds(at+0.25)))
+			for _, e := range endpointNames(p) {
+				n += r.fleet.Links.Opened(node.name, e, r.loadStart.Add(seconds(at)), r.loadStart.Add(seconds(at+0.25)))
 			}
 			fmt.Fprintf(&line, " %3d", n)
 		}
-		fmt.Fprintf(w, "%4s%s\n", s.name, line.String())
+		fmt.Fprintf(w, "%4s%s\n", node.name, line.String())
 	}
 }
 
-// Answered counts a partner's calls by status, arrived from and until seconds of the load; 0 for those without an answer.
-func (r *Report) Answered(p *labv1.Partner, from, until float64) map[int]int {
+// CallsByStatus counts the calls that reached a partner between two times in seconds of the load, by status. Calls without an answer
+// have status 0.
+func (r *Report) CallsByStatus(p *labv1.Partner, from, until float64) map[int]int {
 	n := map[int]int{}
 	for _, c := range r.Calls {
-		if at := c.Arrived.Sub(r.begun).Seconds(); c.Dest == int(p.Destination) && at >= from && at < until {
+		if at := c.Arrived.Sub(r.loadStart).Seconds(); c.Dest == int(p.Destination) && at >= from && at < until {
 			n[c.Status]++
 		}
 	}
 	return n
 }
 
-// outages are the spans of a partner's script in which it does not serve.
-func outages(p *labv1.Partner, length float64) (spans [][2]float64) {
+// outageSpans returns the spans of a partner's script in which the partner does not serve, in seconds of the load.
+func outageSpans(p *labv1.Partner, length float64) (spans [][2]float64) {
 	for i, ph := range p.Phase {
 		end := length
 		if i+1 < len(p.Phase) {
@@ -111,7 +115,7 @@
 	return spans
 }
 
-// Print writes the report for a person.
+// Print writes the report as text.
 func (r *Report) Print(w io.Writer) error {
 	sc := r.fleet.Scenario
 	t := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
@@ -121,54 +125,54 @@
 			c.Offered, c.Accepted, c.Refused, c.NoAnswer+c.Unsent, c.Delivered, c.InAim, c.HandedBack, c.GivenUp, ledger.At(c.ToDeliver, 0.99).Round(time.Millisecond))
 		total.Offered += c.Offered
 	}
-	fmt.Fprintf(t, "worth\t%.3f of what was asked for\n", r.Worth)
+	fmt.Fprintf(t, "worth\t%.3f of what was asked for\n", r.WorthShare)
 	for _, p := range sc.Partner {
-		n := r.Answered(p, 0, sc.LengthS)
+		callsByStatus := r.CallsByStatus(p, 0, sc.LengthS)
 		all := 0
-		for _, x := range n {
+		for _, x := range callsByStatus {
 			all += x
 		}
-		fmt.Fprintf(t, "partner %s\t%d calls, %d answered 200, %d refused, %d without an answer; %d connections\n", p.Name, all, n[200], n[429]+n[503], n[0],
+		fmt.Fprintf(t, "partner %s\t%d calls, %d answered 200, %d refused, %d without an answer; %d connections\n", p.Name, all, callsByStatus[200], callsByStatus[429]+callsByStatus[503], callsByStatus[0],
 			r.Connections(p, 0, sc.LengthS))
-		if most := Capacity(p, 0, sc.LengthS); most > 0 {
-			fmt.Fprintf(t, "\t%.3f of what its limit allowed\n", float64(n[200])/most)
+		if maxCalls := CallCapacity(p, 0, sc.LengthS); maxCalls > 0 {
+			fmt.Fprintf(t, "\t%.3f of what its limit allowed\n", float64(callsByStatus[200])/maxCalls)
 		}
-		r.limits(t, p)
-		for _, o := range outages(p, sc.LengthS) {
+		r.printLimitUse(t, p)
+		for _, o := range outageSpans(p, sc.LengthS) {
 			fmt.Fprintf(t, "\tout from %.1f to %.1f s: %d connections; in the second after, %d", o[0], o[1], r.Connections(p, o[0], o[1]), r.Connections(p, o[1], o[1]+1))
-			if end := min(o[1]+8, sc.LengthS); end > o[1] && Capacity(p, o[1], end) > 0 {
-				fmt.Fprintf(t, "; in 8 s, %.3f of what it took\n", float64(r.Answered(p, o[1], end)[200])/Capacity(p, o[1], end))
+			if end := min(o[1]+8, sc.LengthS); end > o[1] && CallCapacity(p, o[1], end) > 0 {
+				fmt.Fprintf(t, "; in 8 s, %.3f of what it took\n", float64(r.CallsByStatus(p, o[1], end)[200])/CallCapacity(p, o[1], end))
 			} else {
 				fmt.Fprintln(t)
 			}
 		}
 	}
-	if first, others := r.TakenOn(); sc.Load.Hot > 0 {
+	if first, others := r.AcceptedShares(); sc.Load.Hot > 0 {
 		fmt.Fprintf(t, "taken on\t%.3f of what the first relay was handed, %.3f of what the others were\n", first, others)
 	}
-	late, worst, each := time.Duration(0), 0, map[time.Time]int{}
-	for _, u := range r.Unheard {
-		late = max(late, u.After)
-		each[u.Told]++
-		worst = max(worst, each[u.Told])
+	latest, maxCallsInWait, callsInWait := time.Duration(0), 0, map[time.Time]int{}
+	for _, u := range r.CallsInOtherWaits {
+		latest = max(latest, u.After)
+		callsInWait[u.Told]++
+		maxCallsInWait = max(maxCallsInWait, callsInWait[u.Told])
 	}
-	fmt.Fprintf(t, "in others' waits\t%d calls in %d waits (%d in one), the latest %v after the wait was told\n", len(r.Unheard), r.Waits, worst,
-		late.Round(time.Millisecond))
+	fmt.Fprintf(t, "in others' waits\t%d calls in %d waits (%d in one), the latest %v after the wait was told\n", len(r.CallsInOtherWaits), r.Waits, maxCallsInWait,
+		latest.Round(time.Millisecond))
 	var sent, cpu, rss float64
-	var most float64
+	var maxSentRate float64
 	drops := fleet.Drops{}
-	for i, g := range r.Figures {
-		sent += float64(g.SentBytes) / r.Span.Seconds() / float64(len(r.Figures))
-		most = max(most, float64(g.SentBytes)/r.Span.Seconds())
-		cpu += r.CPU[i] / float64(len(r.CPU))
-		rss += float64(r.RSS[i]) / float64(len(r.RSS))
+	for i, g := range r.Metrics {
+		sent += float64(g.SentBytes) / r.LoadDuration.Seconds() / float64(len(r.Metrics))
+		maxSentRate = max(maxSentRate, float64(g.SentBytes)/r.LoadDuration.Seconds())
+		cpu += r.CPUShares[i] / float64(len(r.CPUShares))
+		rss += float64(r.ResidentBytes[i]) / float64(len(r.ResidentBytes))
 		drops.Forged += g.Drops.Forged
 		drops.Replayed += g.Drops.Replayed
 		drops.Strangers += g.Drops.Strangers
 		drops.Short += g.Drops.Short
 		drops.Overrun += g.Drops.Overrun
 	}
-	fmt.Fprintf(t, "each relay\t%.2f %% of a core (most %.2f), %.1f MB resident, %.0f bytes a second sent to others (most %.0f)\n", 100*cpu, 100*slices.Max(r.CPU), rss/1e6, sent, most)
+	fmt.Fprintf(t, "each relay\t%.2f %% of a core (most %.2f), %.1f MB resident, %.0f bytes a second sent to others (most %.0f)\n", 100*cpu, 100*slices.Max(r.CPUShares), rss/1e6, sent, maxSentRate)
 	fmt.Fprintf(t, "dropped\tforged %d, replayed %d, strangers' %d, for want of bytes %d, overrun %d\n", drops.Forged, drops.Replayed, drops.Strangers, drops.Short, drops.Overrun)
 	rules := map[string]int{}
 	for _, b := range r.Verdict.Breaches {
@@ -183,28 +187,28 @@
 	return t.Flush()
 }
 
-// Beliefs writes what relays hold of each other's word just now, beside what is so.
+// Beliefs writes how many relays currently hold each kind of statement about each partner, next to the partner's real state.
 func (f *Fleet) Beliefs(w io.Writer) {
 	at := time.Since(f.Began).Seconds()
-	type count struct{ out, waits, barred, silent int }
-	byDest := map[int]*count{}
+	type verdictCounts struct{ outages, waits, exclusions, failedQueries int }
+	byDest := map[int]*verdictCounts{}
 	for _, p := range f.Scenario.Partner {
-		byDest[int(p.Destination)] = &count{}
+		byDest[int(p.Destination)] = &verdictCounts{}
 	}
 	asked, alive := 0, 0
-	for i, s := range f.seats {
-		if !s.fleet || !s.alive() {
+	for i, node := range f.nodes {
+		if !node.inFleet || !node.alive() {
 			continue
 		}
 		alive++
-		if i%max(len(f.seats)/8, 1) != 0 { // a few of many
+		if i%max(len(f.nodes)/8, 1) != 0 { // query only a few relays of a large fleet
 			continue
 		}
 		asked++
 		list, err := f.Verdicts(i)
 		if err != nil {
 			for _, c := range byDest {
-				c.silent++
+				c.failedQueries++
 			}
 			continue
 		}
@@ -218,11 +222,11 @@
 			}
 			switch v.Kind {
 			case "health":
-				c.out++
+				c.outages++
 			case "wait":
 				c.waits++
 			case "drain", "ban":
-				c.barred++
+				c.exclusions++
 			}
 		}
 	}
@@ -235,9 +239,9 @@
 			}
 		}
 		c := byDest[int(p.Destination)]
-		text := fmt.Sprintf("%s is %s: told out %d, wait %d", p.Name, strings.ToLower(mode.String()), c.out, c.waits)
-		if c.barred > 0 {
-			text += fmt.Sprintf(", leaving %d", c.barred)
+		text := fmt.Sprintf("%s is %s: told out %d, wait %d", p.Name, strings.ToLower(mode.String()), c.outages, c.waits)
+		if c.exclusions > 0 {
+			text += fmt.Sprintf(", leaving %d", c.exclusions)
 		}
 		parts = append(parts, text)
 	}
