--- a/internal/lab/emulator/emulator.go
+++ b/internal/lab/emulator/emulator.go
@@ -1,6 +1,6 @@
-// Package emulator is the laboratory's discrete-event core: one queue of events in virtual time, and one random
-// stream for each actor. A run is a function of its seed alone: events at one instant run in a stated order (by
-// kind, then in the order of their scheduling), and no goroutine or clock of the machine takes part.
+// Package emulator is a discrete-event simulator: one queue of events in virtual time, and one random stream for each actor. A run
+// depends only on its seed: simultaneous events run in a fixed order (by priority, then in the order in which they were scheduled),
+// and the simulator uses no goroutines and no real clock.
 package emulator
 
 import (
@@ -14,92 +14,92 @@
 // Time is virtual time, in nanoseconds from the start of a run.
 type Time int64
 
-// Duration turns it into one of the standard library.
+// Duration returns the time since the start of the run.
 func (t Time) Duration() time.Duration { return time.Duration(t) }
 
-// Kind ranks events that fall on one instant: a lower kind runs first. The ranks are the scenario's to name;
-// Any is for events whose order among others does not matter, and runs last.
-type Kind uint8
+// Priority orders simultaneous events: an event with a lower priority number runs first. The users of the package define the numbers.
+type Priority uint8
 
-// Any is the last of the kinds.
-const Any Kind = 255
+// Any is the highest priority number. It is for events whose order among simultaneous events does not matter.
+const Any Priority = 255
 
+// event is a scheduled function.
 type event struct {
-	at   Time
-	kind Kind
-	seq  uint64
-	do   func()
+	at       Time
+	priority Priority
+	sequence uint64
+	run      func()
 }
 
-type queue []event
+// eventQueue is a heap of events in the order in which they run.
+type eventQueue []event
 
-func (q queue) Len() int { return len(q) }
-func (q queue) Less(i, j int) bool {
+func (q eventQueue) Len() int { return len(q) }
+func (q eventQueue) Less(i, j int) bool {
 	a, b := q[i], q[j]
 	if a.at != b.at {
 		return a.at < b.at
 	}
-	if a.kind != b.kind {
-		return a.kind < b.kind
+	if a.priority != b.priority {
+		return a.priority < b.priority
 	}
-	return a.seq < b.seq
+	return a.sequence < b.sequence
 }
-func (q queue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-func (q *queue) Push(x any)   { *q = append(*q, x.(event)) }
-func (q *queue) Pop() any {
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q *eventQueue) Push(x any)   { *q = append(*q, x.(event)) }
+func (q *eventQueue) Pop() any {
 	old := *q
 	e := old[len(old)-1]
 	*q = old[:len(old)-1]
 	return e
 }
 
-// Sim runs events in order of time.
+// Sim is a simulation. It runs events in the order of virtual time.
 type Sim struct {
-	seed uint64
-	now  Time
-	seq  uint64
-	q    queue
-	done uint64
+	seed         uint64
+	now          Time
+	lastSequence uint64
+	queue        eventQueue
+	eventCount   uint64
 }
 
-// New returns a Sim at time 0.
+// New returns a simulation at time 0.
 func New(seed uint64) *Sim { return &Sim{seed: seed} }
 
-// Now is the time of the event that runs.
+// Now returns the virtual time: while an event runs, the time for which it was scheduled.
 func (s *Sim) Now() Time { return s.now }
 
-// Events counts the events that have run.
-func (s *Sim) Events() uint64 { return s.done }
+// EventCount returns the number of events that have run.
+func (s *Sim) EventCount() uint64 { return s.eventCount }
 
-// At schedules do at a time, which may not lie before now: virtual time never goes back.
-func (s *Sim) At(at Time, kind Kind, do func()) {
+// At schedules do at a time. It panics if the time is in the past: virtual time never goes back.
+func (s *Sim) At(at Time, kind Priority, do func()) {
 	if at < s.now {
-		panic(fmt.Sprintf("world: an event at %v is scheduled at %v, in the past", at.Duration(), s.now.Duration()))
+		panic(fmt.Sprintf("emulator: event scheduled for %v in the past: the time is %v", at.Duration(), s.now.Duration()))
 	}
-	s.seq++
-	heap.Push(&s.q, event{at: at, kind: kind, seq: s.seq, do: do})
+	s.lastSequence++
+	heap.Push(&s.queue, event{at: at, priority: kind, sequence: s.lastSequence, run: do})
 }
 
 // After schedules do after a span of virtual time.
-func (s *Sim) After(d time.Duration, kind Kind, do func()) { s.At(s.now+Time(max(d, 0)), kind, do) }
+func (s *Sim) After(d time.Duration, kind Priority, do func()) { s.At(s.now+Time(max(d, 0)), kind, do) }
 
-// Run runs the events due until the time, and leaves the clock there. It returns how many ran.
+// Run runs all events up to and including the time until, and sets the clock to that time. It returns the number of events.
 func (s *Sim) Run(until Time) uint64 {
-	from := s.done
-	for len(s.q) > 0 && s.q[0].at <= until {
-		e := heap.Pop(&s.q).(event)
+	from := s.eventCount
+	for len(s.queue) > 0 && s.queue[0].at <= until {
+		e := heap.Pop(&s.queue).(event)
 		s.now = e.at
-		s.done++
-		e.do()
+		s.eventCount++
+		e.run()
 	}
 	if until > s.now {
 		s.now = until
 	}
-	return s.done - from
+	return s.eventCount - from
 }
 
-// Stream is the random stream of an actor: the same name under the same seed gives the same numbers, whatever
-// other actors draw.
+// Stream returns the random stream of an actor. The same name and seed give the same numbers, whatever other actors draw.
 func (s *Sim) Stream(name string) *rand.Rand {
 	h := fnv.New64a()
 	h.Write([]byte(name))
--- a/internal/lab/emulator/gossip/gossip.go
+++ b/internal/lab/emulator/gossip/gossip.go
@@ -1,5 +1,5 @@
-// Package gossip plays the fleet's news in virtual time: relays with the real verdicts and spread over modelled links. It decides
-// nothing for them; it delays, loses and cuts, and counts.
+// Package gossip simulates the gossip of a fleet in virtual time: relays with the production packages verdicts and spread, over modelled
+// links. The package makes no decision for the relays. It delays and loses packets, partitions the network, and counts.
 package gossip
 
 import (
@@ -13,67 +13,67 @@
 	"slatemux/internal/verdicts"
 )
 
-// Links are the same between all relays.
+// Links describes the links between relays. All links are alike.
 type Links struct {
-	Delay, Jitter time.Duration // one way; the jitter is added evenly drawn
-	Loss          float64       // of each packet by itself
+	Delay, Jitter time.Duration // one way; each packet has an additional delay between 0 and Jitter, uniformly distributed
+	Loss          float64       // probability that a packet is lost, independent of other packets
 }
 
-// Config is a fleet.
+// Config configures a fleet.
 type Config struct {
-	Relays   int
-	Links    Links
-	Exchange time.Duration
-	Bytes    float64 // a second and relay
-	Agree    int
+	Relays           int
+	Links            Links
+	ExchangeInterval time.Duration // of the anti-entropy exchanges of a relay
+	BytesPerSecond   float64       // that each relay may send
+	Quorum           int           // number of relays that have to agree on an outage
 }
 
-// Node is one relay's share in it.
+// Node is the gossip of one relay.
 type Node struct {
 	Name      string
 	Store     *verdicts.Store
 	Spread    *spread.Spread
 	Judge     *verdicts.Judge
 	Announcer *verdicts.Announcer
-	// Heard is told of what is new here and what it comes to; nil for nobody.
-	Heard func(now time.Duration, news []verdicts.Statement, come []verdicts.Restraint)
-	// Bytes and Packets are what it sent.
-	Bytes, Packets int64
-
-	net     *Net
-	i       int
-	began   emulator.Time // of its process
-	stopped bool
-	kept    []spread.Packet // that came while it was stopped
-	gen     int             // of its ticks
+	// OnReceive is called with the new statements that the relay receives and the restraints that follow from them; may be nil.
+	OnReceive func(now time.Duration, newStatements []verdicts.Statement, restraints []verdicts.Restraint)
+	// SentBytes and SentPackets count the traffic that the relay sends.
+	SentBytes, SentPackets int64
+
+	network     *Network
+	index       int
+	startedAt   emulator.Time // start of the current process
+	suspended   bool
+	heldPackets []spread.Packet // received while suspended
+	generation  int             // number of the current process
 }
 
-// Net is the fleet.
-type Net struct {
+// Network is the gossip of a whole fleet.
+type Network struct {
 	Sim   *emulator.Sim
 	Nodes []*Node
-	// Cut says whether nothing passes from one to another just now; nil for never.
-	Cut func(from, to int) bool
+	// Partitioned reports whether packets from one relay to another are lost now; nil for never.
+	Partitioned func(from, to int) bool
 
-	cfg   Config
-	names []string
-	at    map[string]int
-	rng   *rand.Rand
+	cfg         Config
+	names       []string
+	indexByName map[string]int
+	rng         *rand.Rand
 }
 
-// kind orders packets among simultaneous events.
-const kind = emulator.Kind(1)
+// eventPriority is the priority of arriving packets and ticks among simultaneous events.
+const eventPriority = emulator.Priority(1)
 
 // New starts a fleet whose relays know each other.
-func New(sim *emulator.Sim, cfg Config) (*Net, error) {
-	n := &Net{Sim: sim, cfg: cfg, at: map[string]int{}, rng: sim.Stream("links")}
+func New(sim *emulator.Sim, cfg Config) (*Network, error) {
+	n := &Network{Sim: sim, cfg: cfg, indexByName: map[string]int{}, rng: sim.Stream("links")}
 	for i := range cfg.Relays {
 		name := fmt.Sprint("relay-", i)
 		n.names = append(n.names, name)
-		n.at[name] = i
+		n.indexByName[name] = i
 	}
 	for i := range cfg.Relays {
-		node := &Node{Name: n.names[i], net: n, i: i}
+		node := &Node{Name: n.names[i], network: n, index: i}
 		n.Nodes = append(n.Nodes, node)
 		if err := node.Start(1); err != nil {
 			return nil, err
@@ -82,102 +82,105 @@
 	return n, nil
 }
 
-// Start begins a process of the relay, with nothing known but who is a member.
+// Start starts a new process of the relay. The process knows the members of the fleet and no statements.
 func (d *Node) Start(incarnation uint64) error {
-	n := d.net
-	d.began, d.stopped, d.kept = n.Sim.Now(), false, nil
-	d.gen++
+	n := d.network
+	d.startedAt, d.suspended, d.heldPackets = n.Sim.Now(), false, nil
+	d.generation++
 	d.Store = verdicts.NewStore()
-	d.Judge = verdicts.NewJudge(d.Name, n.cfg.Agree, d.Store)
+	d.Judge = verdicts.NewJudge(d.Name, n.cfg.Quorum, d.Store)
 	d.Announcer = verdicts.NewAnnouncer(d.Name, incarnation)
 	var err error
-	d.Spread, err = spread.New(spread.Config{Self: d.Name, Exchange: n.cfg.Exchange, Bytes: n.cfg.Bytes, Size: wire.Size, Packet: 1300,
-		Seed: uint64(d.i) + uint64(d.gen)<<32}, 0, d.Store, incarnation)
+	d.Spread, err = spread.New(spread.Config{Self: d.Name, Exchange: n.cfg.ExchangeInterval, Bytes: n.cfg.BytesPerSecond, Size: wire.Size, Packet: 1300,
+		Seed: uint64(d.index) + uint64(d.generation)<<32}, 0, d.Store, incarnation)
 	if err != nil {
 		return fmt.Errorf("gossip: %w", err)
 	}
 	d.Spread.SetMembers(n.names)
-	d.tick(d.gen)
+	d.tick(d.generation)
 	return nil
 }
 
-// Now is the relay's own clock: what its process has run.
-func (d *Node) Now() time.Duration { return (d.net.Sim.Now() - d.began).Duration() }
+// Now returns the time since the start of the relay's process.
+func (d *Node) Now() time.Duration { return (d.network.Sim.Now() - d.startedAt).Duration() }
 
-func (d *Node) tick(gen int) {
-	if gen != d.gen {
+// tick does the periodic work of the relay and schedules the next tick. Ticks of earlier processes end here.
+func (d *Node) tick(generation int) {
+	if generation != d.generation {
 		return
 	}
-	if !d.stopped {
-		lost := d.Store.Sweep(d.Now())
-		d.heard(nil, d.Judge.Expired(d.Now(), lost))
+	if !d.suspended {
+		expired := d.Store.Sweep(d.Now())
+		d.notifyReceived(nil, d.Judge.Expired(d.Now(), expired))
 		d.send(d.Spread.Tick(d.Now()))
 	}
-	d.net.Sim.After(max(d.Spread.Due()-d.Now(), time.Millisecond), kind, func() { d.tick(gen) })
+	d.network.Sim.After(max(d.Spread.Due()-d.Now(), time.Millisecond), eventPriority, func() { d.tick(generation) })
 }
 
-// Announce sends the fleet a statement of this relay.
+// Announce sends a statement of this relay to the fleet.
 func (d *Node) Announce(s verdicts.Statement) {
 	if d.Store.Merge(d.Now(), s) {
 		d.send(d.Spread.Announce(d.Now(), []verdicts.Statement{s}))
 	}
 }
 
-// Stop and Go are SIGSTOP and SIGCONT: what comes meanwhile waits, and the clock goes on.
-func (d *Node) Stop() { d.stopped = true }
+// Suspend stops the relay as SIGSTOP does: its clock continues, and packets wait until Resume.
+func (d *Node) Suspend() { d.suspended = true }
 
-// Go lets it run on.
-func (d *Node) Go() {
-	d.stopped = false
-	kept := d.kept
-	d.kept = nil
-	for _, p := range kept {
+// Resume continues a suspended relay as SIGCONT does.
+func (d *Node) Resume() {
+	d.suspended = false
+	heldPackets := d.heldPackets
+	d.heldPackets = nil
+	for _, p := range heldPackets {
 		d.receive(p)
 	}
 }
 
-func (d *Node) send(list []spread.Send) {
-	n := d.net
-	for _, s := range list {
-		d.Bytes += int64(wire.Size(&s.Packet))
-		d.Packets++
-		to := n.at[s.To]
+// send sends packets over the links.
+func (d *Node) send(sends []spread.Send) {
+	n := d.network
+	for _, s := range sends {
+		d.SentBytes += int64(wire.Size(&s.Packet))
+		d.SentPackets++
+		to := n.indexByName[s.To]
 		lost := n.rng.Float64() < n.cfg.Links.Loss
-		after := n.cfg.Links.Delay + time.Duration(n.rng.Float64()*float64(n.cfg.Links.Jitter))
-		if lost || n.Cut != nil && n.Cut(d.i, to) {
+		delay := n.cfg.Links.Delay + time.Duration(n.rng.Float64()*float64(n.cfg.Links.Jitter))
+		if lost || n.Partitioned != nil && n.Partitioned(d.index, to) {
 			continue
 		}
 		p := s.Packet
-		gen := n.Nodes[to].gen
-		n.Sim.After(after, kind, func() {
-			if node := n.Nodes[to]; node.gen == gen {
+		generation := n.Nodes[to].generation
+		n.Sim.After(delay, eventPriority, func() {
+			if node := n.Nodes[to]; node.generation == generation {
 				node.receive(p)
 			}
 		})
 	}
 }
 
+// receive handles an arriving packet.
 func (d *Node) receive(p spread.Packet) {
-	if d.stopped {
-		d.kept = append(d.kept, p)
+	if d.suspended {
+		d.heldPackets = append(d.heldPackets, p)
 		return
 	}
-	news, own, out := d.Spread.Receive(d.Now(), p)
-	for _, s := range own {
+	newStatements, ownStatements, replies := d.Spread.Receive(d.Now(), p)
+	for _, s := range ownStatements {
 		if d.Announcer.Supersede(s.Version) {
 			d.Spread.SetIncarnation(d.Announcer.Incarnation())
 		}
 	}
-	var come []verdicts.Restraint
-	for _, s := range news {
-		come = append(come, d.Judge.Receive(d.Now(), s)...)
+	var restraints []verdicts.Restraint
+	for _, s := range newStatements {
+		restraints = append(restraints, d.Judge.Receive(d.Now(), s)...)
 	}
-	d.heard(news, come)
-	d.send(out)
+	d.notifyReceived(newStatements, restraints)
+	d.send(replies)
 }
 
-func (d *Node) heard(news []verdicts.Statement, come []verdicts.Restraint) {
-	if d.Heard != nil && len(news)+len(come) > 0 {
-		d.Heard(d.Now(), news, come)
+func (d *Node) notifyReceived(newStatements []verdicts.Statement, restraints []verdicts.Restraint) {
+	if d.OnReceive != nil && len(newStatements)+len(restraints) > 0 {
+		d.OnReceive(d.Now(), newStatements, restraints)
 	}
 }
--- a/internal/lab/emulator/servermodel/health.go
+++ b/internal/lab/emulator/servermodel/health.go
@@ -6,32 +6,32 @@
 	"slatemux/internal/lab/emulator"
 )
 
-// State is how a server stands at a moment.
+// State is the reachability of a server.
 type State uint8
 
 const (
 	Up     State = iota
-	Down         // its process is gone: connections are refused
-	Silent       // its machine is cut off: nothing comes back, connections never come up
+	Down         // the process has ended: the machine refuses connections
+	Silent       // the machine is partitioned: calls get no answer, and connections cannot be established
 )
 
-// Spell is a span of a server's life with a fault: an outage, or a gray failure that only slows it.
+// Spell is a span of time with a fault: an outage, or a gray failure that only slows the server down.
 type Spell struct {
 	From, To emulator.Time
-	State    State   // Down or Silent for an outage; Up for a gray failure
-	Slower   float64 // work is multiplied by this in a gray failure; 0 or 1 for none
+	State    State   // Down or Silent for an outage, Up for a gray failure
+	Slowdown float64 // factor by which a gray failure multiplies the work of a call; 0 or 1 for no slowdown
 }
 
-// Health is a server's timeline: spells of faults, and after each outage a cold start in which its capacity
-// grows from StartShare to all of it, evenly, over Cold: caches and connections are warmed again after a
-// restart. A gray failure leaves it up but slower.
+// Health is the timeline of a server's faults. After each outage the server starts cold: its share of the full capacity grows linearly
+// from StartShare to 1 over the time Cold, as caches fill and connections are established. In a gray failure the server is up but
+// slower.
 type Health struct {
-	Spells     []Spell // in order of time, not overlapping
+	Spells     []Spell // in order of time, without overlaps
 	StartShare float64
 	Cold       time.Duration
 }
 
-// At says how the server stands at now: its state, and the share of its capacity that it has.
+// At returns the state of the server at a time, and the available share of its capacity.
 func (h *Health) At(now emulator.Time) (State, float64) {
 	share := 1.0
 	for _, s := range h.Spells {
@@ -41,8 +41,8 @@
 		case now < s.To && s.State != Up:
 			return s.State, 0
 		case now < s.To:
-			if s.Slower > 1 {
-				share = min(share, 1/s.Slower)
+			if s.Slowdown > 1 {
+				share = min(share, 1/s.Slowdown)
 			}
 			return Up, share
 		case s.State != Up && h.Cold > 0 && now < s.To+emulator.Time(h.Cold):
--- a/internal/lab/emulator/servermodel/health_test.go
+++ b/internal/lab/emulator/servermodel/health_test.go
@@ -8,11 +8,12 @@
 	"slatemux/internal/lab/emulator"
 )
 
-func TestHealth(t *testing.T) {
+// Checks the state and the capacity before, during and after outages, in cold starts and in a gray failure.
+func TestHealthTimeline(t *testing.T) {
 	s := func(d time.Duration) emulator.Time { return emulator.Time(d) }
 	h := Health{StartShare: 0.25, Cold: 10 * time.Second, Spells: []Spell{
 		{From: s(5 * time.Second), To: s(10 * time.Second), State: Down},
-		{From: s(30 * time.Second), To: s(40 * time.Second), State: Up, Slower: 4},
+		{From: s(30 * time.Second), To: s(40 * time.Second), State: Up, Slowdown: 4},
 		{From: s(50 * time.Second), To: s(55 * time.Second), State: Silent},
 	}}
 	for _, c := range []struct {
@@ -26,7 +27,7 @@
 	} {
 		state, share := h.At(s(c.at))
 		if state != c.state || math.Abs(share-c.share) > 1e-9 {
-			t.Errorf("at %v: %v and %.3f, want %v and %.3f", c.at, state, share, c.state, c.share)
+			t.Errorf("at %v: state %v and share %.3f, want %v and %.3f", c.at, state, share, c.state, c.share)
 		}
 	}
 }
--- a/internal/lab/emulator/servermodel/limit.go
+++ b/internal/lab/emulator/servermodel/limit.go
@@ -7,43 +7,43 @@
 	"slatemux/internal/lab/emulator"
 )
 
-// Limit is a partner's limit of calls from all senders together. A call that it turns away is told a wait
-// where Tells says so; where Draws is set, a refused call uses up the limit too.
+// Limit is a partner's limit on the calls of all senders together.
 type Limit interface {
-	// Take says whether a call at now is let in, and if not, how long until there is room (0: not told).
+	// Take reports whether a call is accepted now. For a refused call it returns the wait until the limit has room, or 0 if the limit
+	// does not report waits.
 	Take(now emulator.Time) (ok bool, wait time.Duration)
 }
 
-// Bucket is a token bucket: Rate calls a second, Burst at once (Tanenbaum, Computer Networks, 5th ed., 5.4.2).
+// Bucket is a token bucket: Rate calls a second, and up to Burst calls at once (Tanenbaum, Computer Networks, 5th ed., 5.4.2).
 type Bucket struct {
 	Rate, Burst float64
-	Tells       bool // a refusal says when the next token comes
-	Draws       bool // a refusal takes a token too, where there is one to take later: the balance goes below nought
+	Tells       bool // a refusal reports the wait until the next token
+	Draws       bool // a refusal takes a token in advance, so that the balance can become negative
 	tokens      float64
-	at          emulator.Time
+	updatedAt   emulator.Time
 	started     bool
 }
 
-// Left is the share of the burst that is there.
+// Left returns the available tokens as a share of Burst.
 func (b *Bucket) Left(now emulator.Time) float64 {
 	if !b.started {
 		return 1
 	}
-	return max(min(b.tokens+(now-b.at).Duration().Seconds()*b.Rate, b.Burst), 0) / b.Burst
+	return max(min(b.tokens+(now-b.updatedAt).Duration().Seconds()*b.Rate, b.Burst), 0) / b.Burst
 }
 
 // Take implements Limit.
 func (b *Bucket) Take(now emulator.Time) (bool, time.Duration) {
 	if !b.started {
-		b.tokens, b.at, b.started = b.Burst, now, true
+		b.tokens, b.updatedAt, b.started = b.Burst, now, true
 	}
-	b.tokens = min(b.tokens+(now-b.at).Duration().Seconds()*b.Rate, b.Burst)
-	b.at = now
+	b.tokens = min(b.tokens+(now-b.updatedAt).Duration().Seconds()*b.Rate, b.Burst)
+	b.updatedAt = now
 	if b.tokens >= 1 {
 		b.tokens--
 		return true, 0
 	}
-	wait := time.Duration(math.Ceil((1 - b.tokens) / b.Rate * 1e9)) // up: at its end the token is whole
+	wait := time.Duration(math.Ceil((1 - b.tokens) / b.Rate * 1e9)) // rounded up, so that a whole token is available at the end of the wait
 	if b.Draws {
 		b.tokens--
 	}
@@ -53,30 +53,32 @@
 	return false, wait
 }
 
-// Window counts calls in fixed spans: at most Most in each Span, counted from time 0.
+// Window is a fixed-window counter: at most MaxCalls calls in each window of the given Length. The first window begins at time 0.
 type Window struct {
-	Most  int
-	Span  time.Duration
-	Tells bool
-	Draws bool
-	span  int64
-	used  int
+	MaxCalls int
+	Length   time.Duration
+	// ReportsWait makes a refusal report the wait until the next window.
+	ReportsWait bool
+	// ChargesRefusals makes a refused call count as well.
+	ChargesRefusals bool
+	index           int64
+	usedCalls       int
 }
 
 // Take implements Limit.
 func (w *Window) Take(now emulator.Time) (bool, time.Duration) {
-	if s := int64(now) / int64(w.Span); s != w.span {
-		w.span, w.used = s, 0
+	if index := int64(now) / int64(w.Length); index != w.index {
+		w.index, w.usedCalls = index, 0
 	}
-	if w.used < w.Most {
-		w.used++
+	if w.usedCalls < w.MaxCalls {
+		w.usedCalls++
 		return true, 0
 	}
-	if w.Draws {
-		w.used++
+	if w.ChargesRefusals {
+		w.usedCalls++
 	}
-	if !w.Tells {
+	if !w.ReportsWait {
 		return false, 0
 	}
-	return false, time.Duration((w.span+1)*int64(w.Span) - int64(now))
+	return false, time.Duration((w.index+1)*int64(w.Length) - int64(now))
 }
--- a/internal/lab/emulator/servermodel/limit_test.go
+++ b/internal/lab/emulator/servermodel/limit_test.go
@@ -8,15 +8,16 @@
 	"slatemux/internal/lab/emulator"
 )
 
+// limits returns constructors of a limit of each type, all with a rate of 10 calls a second.
 func limits() map[string]func() Limit {
 	return map[string]func() Limit{
 		"bucket": func() Limit { return &Bucket{Rate: 10, Burst: 5, Tells: true} },
-		"window": func() Limit { return &Window{Most: 10, Span: time.Second, Tells: true} },
+		"window": func() Limit { return &Window{MaxCalls: 10, Length: time.Second, ReportsWait: true} },
 	}
 }
 
-// Offered twice its rate for a minute, a limit lets in its rate, and a little more for its burst.
-func TestLimits(t *testing.T) {
+// Checks that a limit accepts its rate, and little more for its burst, when twice the rate is offered for a minute.
+func TestLimitsAcceptTheirRate(t *testing.T) {
 	for name, limit := range limits() {
 		l := limit()
 		const offered, minute = 20.0, 60 * time.Second
@@ -27,13 +28,13 @@
 			}
 		}
 		if want := 10 * minute.Seconds(); math.Abs(float64(in)-want) > 0.01*want+5 {
-			t.Errorf("%s: %d let in over a minute, want about %.0f", name, in, want)
+			t.Errorf("%s: %d calls accepted in a minute, want about %.0f", name, in, want)
 		}
 	}
 }
 
-// The waits that a limit tells are true: a call at the end of one is let in, and one just before is not.
-func TestToldWaitsAreHonest(t *testing.T) {
+// Checks that the waits of a limit are exact: a call at the end of a wait is accepted, and a call just before it is refused.
+func TestReportedWaitsAreExact(t *testing.T) {
 	for name, limit := range limits() {
 		for _, at := range []time.Duration{0, 333 * time.Millisecond, 2500 * time.Millisecond} {
 			l := limit()
@@ -45,22 +46,22 @@
 			if wait <= 0 {
 				t.Fatalf("%s: refused without a wait", name)
 			}
-			early := limit()
+			earlyLimit := limit()
 			for ok := true; ok; {
-				ok, _ = early.Take(now)
+				ok, _ = earlyLimit.Take(now)
 			}
-			if ok, _ := early.Take(now + emulator.Time(wait) - emulator.Time(time.Millisecond)); ok {
-				t.Errorf("%s at %v: let in before the end of the wait of %v", name, at, wait)
+			if ok, _ := earlyLimit.Take(now + emulator.Time(wait) - emulator.Time(time.Millisecond)); ok {
+				t.Errorf("%s at %v: call accepted before the end of the wait of %v", name, at, wait)
 			}
 			if ok, _ := l.Take(now + emulator.Time(wait)); !ok {
-				t.Errorf("%s at %v: no room at the end of the wait of %v", name, at, wait)
+				t.Errorf("%s at %v: call refused at the end of the wait of %v", name, at, wait)
 			}
 		}
 	}
 }
 
-// Where refused calls draw on the limit, a sender that keeps calling gets less than the rate.
-func TestRefusalsDraw(t *testing.T) {
+// Checks that a sender which keeps calling gets less than the rate if refused calls use up the limit.
+func TestRefusalsUseTheLimit(t *testing.T) {
 	b := &Bucket{Rate: 10, Burst: 1, Draws: true}
 	in := 0
 	for i := range 3000 { // 50 a second for a minute
@@ -69,6 +70,6 @@
 		}
 	}
 	if in >= 300 {
-		t.Fatalf("%d let in, as many as without drawing", in)
+		t.Fatalf("%d calls accepted, as many as if refused calls were free", in)
 	}
 }
--- a/internal/lab/emulator/servermodel/queue.go
+++ b/internal/lab/emulator/servermodel/queue.go
@@ -1,6 +1,6 @@
-// Package servermodel holds the laboratory's servers. Each is driven by emulator's events and reports when a job leaves;
-// the formulas that test them are in the textbooks named beside each (Kleinrock, Queueing Systems, vol. 1,
-// 1975; Harchol-Balter, Performance Modeling and Design of Computer Systems, 2013).
+// Package servermodel models the servers of partners in virtual time: queues, rate limits and faults. The events of a simulation drive
+// each queue, and the queue reports each job that leaves it. The tests compare the queues with closed formulas from Kleinrock, Queueing
+// Systems, vol. 1, 1975, and Harchol-Balter, Performance Modeling and Design of Computer Systems, 2013.
 package servermodel
 
 import (
@@ -10,50 +10,51 @@
 	"slatemux/internal/lab/emulator"
 )
 
-// Done is told when a job leaves: served, or turned away where the queue is full.
-type Done func(job int, served bool, sojourn time.Duration)
+// DepartureFunc is called when a job leaves a queue: served after its sojourn time, or refused because the queue is full.
+type DepartureFunc func(job int, served bool, sojourn time.Duration)
 
-// FIFO is c servers and a queue of at most Limit jobs in front of them (M/M/c/K, Kleinrock ch. 3); Limit 0
-// means no bound.
+// FIFO is a number of servers with one queue in front of them (M/M/c/K, Kleinrock ch. 3).
 type FIFO struct {
-	sim     *emulator.Sim
-	servers int
-	Limit   int
-	busy    int
-	queue   []waiting
-	done    Done
+	sim       *emulator.Sim
+	servers   int
+	MaxQueued int // 0 for an unbounded queue
+	busy      int
+	queue     []queuedJob
+	departed  DepartureFunc
 }
 
-type waiting struct {
+// queuedJob is a job that waits or is served.
+type queuedJob struct {
 	job     int
 	work    time.Duration
 	arrived emulator.Time
 }
 
 // NewFIFO returns a FIFO server.
-func NewFIFO(sim *emulator.Sim, servers int, done Done) *FIFO {
-	return &FIFO{sim: sim, servers: max(servers, 1), done: done}
+func NewFIFO(sim *emulator.Sim, servers int, done DepartureFunc) *FIFO {
+	return &FIFO{sim: sim, servers: max(servers, 1), departed: done}
 }
 
-// Arrive brings a job of so much work.
+// Arrive adds a job with the given work.
 func (f *FIFO) Arrive(job int, work time.Duration) {
-	w := waiting{job, work, f.sim.Now()}
+	w := queuedJob{job, work, f.sim.Now()}
 	if f.busy < f.servers {
 		f.start(w)
 		return
 	}
-	if f.Limit > 0 && len(f.queue) >= f.Limit {
-		f.done(job, false, 0)
+	if f.MaxQueued > 0 && len(f.queue) >= f.MaxQueued {
+		f.departed(job, false, 0)
 		return
 	}
 	f.queue = append(f.queue, w)
 }
 
-func (f *FIFO) start(w waiting) {
+// start serves a job on a free server.
+func (f *FIFO) start(w queuedJob) {
 	f.busy++
 	f.sim.After(w.work, emulator.Any, func() {
 		f.busy--
-		f.done(w.job, true, (f.sim.Now() - w.arrived).Duration())
+		f.departed(w.job, true, (f.sim.Now() - w.arrived).Duration())
 		if len(f.queue) > 0 {
 			next := f.queue[0]
 			f.queue = f.queue[1:]
@@ -62,35 +63,37 @@
 	})
 }
 
-// Len is the number of jobs in it.
+// Len returns the number of jobs that wait or are served.
 func (f *FIFO) Len() int { return f.busy + len(f.queue) }
 
-// PS shares one server evenly among all jobs in it (M/G/1-PS, Harchol-Balter ch. 22). It keeps the service
-// that each job would have had since the start, so that a change in the number of jobs costs one heap step.
+// PS is one server with processor sharing: all jobs are served at once with equal shares (M/G/1-PS, Harchol-Balter ch. 22). It counts
+// the service that a job present since the start would have received, so that a change in the number of jobs costs one heap operation.
 type PS struct {
-	sim      *emulator.Sim
-	done     Done
-	attained float64 // service a job that was there all along would have had, in seconds
-	at       emulator.Time
-	jobs     tags
-	gen      uint64 // of the departure that is scheduled; older ones are void
+	sim                 *emulator.Sim
+	departed            DepartureFunc
+	attainedSeconds     float64 // service, in seconds, that a job present since the start would have received
+	updatedAt           emulator.Time
+	jobs                jobHeap
+	departureGeneration uint64 // number of the scheduled departure; earlier ones are void
 }
 
-type tag struct {
-	finish  float64 // attained service at which the job is done
-	job     int
-	arrived emulator.Time
+// sharedJob is a job of a processor-sharing server.
+type sharedJob struct {
+	finishSeconds float64 // value of attainedSeconds at which the job is finished
+	job           int
+	arrived       emulator.Time
 }
 
-type tags []tag
+// jobHeap is a heap of jobs in the order in which they finish.
+type jobHeap []sharedJob
 
-func (t tags) Len() int { return len(t) }
-func (t tags) Less(i, j int) bool {
-	return t[i].finish < t[j].finish || t[i].finish == t[j].finish && t[i].job < t[j].job
+func (t jobHeap) Len() int { return len(t) }
+func (t jobHeap) Less(i, j int) bool {
+	return t[i].finishSeconds < t[j].finishSeconds || t[i].finishSeconds == t[j].finishSeconds && t[i].job < t[j].job
 }
-func (t tags) Swap(i, j int) { t[i], t[j] = t[j], t[i] }
-func (t *tags) Push(x any)   { *t = append(*t, x.(tag)) }
-func (t *tags) Pop() any {
+func (t jobHeap) Swap(i, j int) { t[i], t[j] = t[j], t[i] }
+func (t *jobHeap) Push(x any)   { *t = append(*t, x.(sharedJob)) }
+func (t *jobHeap) Pop() any {
 	old := *t
 	x := old[len(old)-1]
 	*t = old[:len(old)-1]
@@ -98,38 +101,40 @@
 }
 
 // NewPS returns a processor-sharing server.
-func NewPS(sim *emulator.Sim, done Done) *PS { return &PS{sim: sim, done: done} }
+func NewPS(sim *emulator.Sim, done DepartureFunc) *PS { return &PS{sim: sim, departed: done} }
 
+// advance adds the service since the last update.
 func (p *PS) advance() {
 	if n := len(p.jobs); n > 0 {
-		p.attained += (p.sim.Now() - p.at).Duration().Seconds() / float64(n)
+		p.attainedSeconds += (p.sim.Now() - p.updatedAt).Duration().Seconds() / float64(n)
 	}
-	p.at = p.sim.Now()
+	p.updatedAt = p.sim.Now()
 }
 
-// Arrive brings a job of so much work.
+// Arrive adds a job with the given work.
 func (p *PS) Arrive(job int, work time.Duration) {
 	p.advance()
-	heap.Push(&p.jobs, tag{p.attained + work.Seconds(), job, p.sim.Now()})
+	heap.Push(&p.jobs, sharedJob{p.attainedSeconds + work.Seconds(), job, p.sim.Now()})
 	p.schedule()
 }
 
+// schedule schedules the next departure and voids the one scheduled before.
 func (p *PS) schedule() {
-	p.gen++
+	p.departureGeneration++
 	if len(p.jobs) == 0 {
 		return
 	}
-	gen, left := p.gen, p.jobs[0].finish-p.attained
-	p.sim.After(time.Duration(max(left, 0)*float64(len(p.jobs))*1e9), emulator.Any, func() {
-		if gen != p.gen {
+	generation, remainingSeconds := p.departureGeneration, p.jobs[0].finishSeconds-p.attainedSeconds
+	p.sim.After(time.Duration(max(remainingSeconds, 0)*float64(len(p.jobs))*1e9), emulator.Any, func() {
+		if generation != p.departureGeneration {
 			return
 		}
 		p.advance()
-		t := heap.Pop(&p.jobs).(tag)
-		p.done(t.job, true, (p.sim.Now() - t.arrived).Duration())
+		t := heap.Pop(&p.jobs).(sharedJob)
+		p.departed(t.job, true, (p.sim.Now() - t.arrived).Duration())
 		p.schedule()
 	})
 }
 
-// Len is the number of jobs in it.
+// Len returns the number of jobs that wait or are served.
 func (p *PS) Len() int { return len(p.jobs) }
--- a/internal/lab/emulator/servermodel/queue_test.go
+++ b/internal/lab/emulator/servermodel/queue_test.go
@@ -8,20 +8,20 @@
 	"slatemux/internal/lab/emulator"
 )
 
-// server is what the closed forms are checked against.
+// server is a queue that is compared with a closed formula.
 type server interface {
 	Arrive(job int, work time.Duration)
 }
 
-// sojourn feeds Poisson arrivals at rate lambda and works drawn by size, and returns the mean time in the system.
-func sojourn(t *testing.T, jobs int, lambda float64, size func(*emulator.Sim) time.Duration,
-	make func(*emulator.Sim, Done) server) float64 {
+// meanSojourn returns the mean time in the system for Poisson arrivals at rate lambda, in jobs a second, with work from drawWork.
+func meanSojourn(t *testing.T, jobs int, lambda float64, drawWork func(*emulator.Sim) time.Duration,
+	newServer func(*emulator.Sim, DepartureFunc) server) float64 {
 	t.Helper()
 	sim := emulator.New(11)
 	arrivals := sim.Stream("arrivals")
 	var sum float64
 	var served int
-	s := make(sim, func(_ int, ok bool, d time.Duration) {
+	s := newServer(sim, func(_ int, ok bool, d time.Duration) {
 		if ok {
 			sum += d.Seconds()
 			served++
@@ -32,7 +32,7 @@
 		if i == jobs {
 			return
 		}
-		s.Arrive(i, size(sim))
+		s.Arrive(i, drawWork(sim))
 		sim.After(time.Duration(arrivals.ExpFloat64()/lambda*1e9), emulator.Any, func() { next(i + 1) })
 	}
 	sim.At(0, emulator.Any, func() { next(0) })
@@ -43,7 +43,8 @@
 	return sum / float64(served)
 }
 
-func exp(mean float64) func(*emulator.Sim) time.Duration {
+// exponentialWork returns a function that draws exponentially distributed work with a mean in seconds.
+func exponentialWork(mean float64) func(*emulator.Sim) time.Duration {
 	var r interface{ ExpFloat64() float64 }
 	return func(sim *emulator.Sim) time.Duration {
 		if r == nil {
@@ -53,16 +54,17 @@
 	}
 }
 
-func within(t *testing.T, name string, got, want, share float64) {
+// checkMean checks that a mean differs from its closed formula by at most a relative tolerance.
+func checkMean(t *testing.T, name string, got, want, tolerance float64) {
 	t.Helper()
-	if math.Abs(got-want) > share*want {
+	if math.Abs(got-want) > tolerance*want {
 		t.Errorf("%s: mean sojourn %.4f s, closed form %.4f s", name, got, want)
 	} else {
 		t.Logf("%s: mean sojourn %.4f s, closed form %.4f s", name, got, want)
 	}
 }
 
-// erlangC is the chance that a job waits in M/M/c (Kleinrock, eq. 3.40).
+// erlangC returns the probability that a job waits in M/M/c (Kleinrock, eq. 3.40).
 func erlangC(c int, a float64) float64 {
 	sum, term := 0.0, 1.0
 	for k := range c {
@@ -71,43 +73,44 @@
 		}
 		sum += term
 	}
-	last := term * a / float64(c) / (1 - a/float64(c))
-	return last / (sum + last)
+	waitingTerm := term * a / float64(c) / (1 - a/float64(c))
+	return waitingTerm / (sum + waitingTerm)
 }
 
-func TestClosedForms(t *testing.T) {
+// Checks the mean sojourn times of FIFO and PS against the closed formulas of queueing theory.
+func TestMeanSojournMatchesClosedForms(t *testing.T) {
 	const jobs = 1_000_000
-	fifo1 := func(sim *emulator.Sim, d Done) server { return NewFIFO(sim, 1, d) }
-	within(t, "M/M/1", sojourn(t, jobs, 0.5, exp(1), fifo1), 1/(1-0.5), 0.01)
-	fifo3 := func(sim *emulator.Sim, d Done) server { return NewFIFO(sim, 3, d) }
+	fifo1 := func(sim *emulator.Sim, d DepartureFunc) server { return NewFIFO(sim, 1, d) }
+	checkMean(t, "M/M/1", meanSojourn(t, jobs, 0.5, exponentialWork(1), fifo1), 1/(1-0.5), 0.01)
+	fifo3 := func(sim *emulator.Sim, d DepartureFunc) server { return NewFIFO(sim, 3, d) }
 	lambda, mu, c := 2.4, 1.0, 3
 	want := erlangC(c, lambda/mu)/(float64(c)*mu-lambda) + 1/mu
-	within(t, "M/M/3", sojourn(t, jobs, lambda, exp(1), fifo3), want, 0.01)
-	ps := func(sim *emulator.Sim, d Done) server { return NewPS(sim, d) }
-	// M/G/1-PS is insensitive to the shape of the work: E[T] = E[S] / (1 - rho), here with fixed work.
+	checkMean(t, "M/M/3", meanSojourn(t, jobs, lambda, exponentialWork(1), fifo3), want, 0.01)
+	ps := func(sim *emulator.Sim, d DepartureFunc) server { return NewPS(sim, d) }
+	// M/G/1-PS depends only on the mean of the work, not on its distribution: E[T] = E[S] / (1 - rho). Here the work is constant.
 	fixed := func(*emulator.Sim) time.Duration { return 200 * time.Millisecond }
-	within(t, "M/D/1-PS", sojourn(t, jobs, 2.5, fixed, ps), 0.2/(1-0.5), 0.01)
-	within(t, "M/M/1-PS", sojourn(t, jobs, 2.5, exp(0.2), ps), 0.2/(1-0.5), 0.01)
+	checkMean(t, "M/D/1-PS", meanSojourn(t, jobs, 2.5, fixed, ps), 0.2/(1-0.5), 0.01)
+	checkMean(t, "M/M/1-PS", meanSojourn(t, jobs, 2.5, exponentialWork(0.2), ps), 0.2/(1-0.5), 0.01)
 }
 
-// A full queue turns jobs away, and they are told at once.
-func TestQueueLimit(t *testing.T) {
+// Checks that a full queue refuses jobs and reports them at once.
+func TestFullQueueRefusesJobs(t *testing.T) {
 	sim := emulator.New(1)
-	var away int
+	var refused int
 	f := NewFIFO(sim, 1, func(_ int, ok bool, _ time.Duration) {
 		if !ok {
-			away++
+			refused++
 		}
 	})
-	f.Limit = 2
+	f.MaxQueued = 2
 	for i := range 5 {
 		f.Arrive(i, time.Second)
 	}
-	if away != 2 || f.Len() != 3 {
-		t.Fatalf("%d turned away, %d in", away, f.Len())
+	if refused != 2 || f.Len() != 3 {
+		t.Fatalf("%d jobs refused, %d in the system, want 2 and 3", refused, f.Len())
 	}
 	sim.Run(emulator.Time(10 * time.Second))
 	if f.Len() != 0 {
-		t.Fatalf("%d left in", f.Len())
+		t.Fatalf("%d jobs left in the system", f.Len())
 	}
 }
--- a/internal/lab/emulator/workload/fleet.go
+++ b/internal/lab/emulator/workload/fleet.go
@@ -10,126 +10,129 @@
 	"slatemux/internal/verdicts"
 )
 
-// Fleet lets a day's relays tell each other what they find out, over modelled links.
+// Fleet configures the gossip between the relays of a simulation.
 type Fleet struct {
 	Links    gossip.Links
-	Exchange time.Duration
-	Bytes    float64
-	Agree    int
-	// Cut says whether nothing passes between two relays at a time; nil for never.
-	Cut func(from, to int, now emulator.Time) bool
+	Exchange time.Duration // interval of the anti-entropy exchanges
+	Bytes    float64       // bytes a second that each relay may send
+	Agree    int           // number of relays that have to agree on an outage
+	// Partitioned reports whether packets from one relay to another are lost at a time; nil for never.
+	Partitioned func(from, to int, now emulator.Time) bool
 }
 
-// Told is how a day's news travelled.
+// Told has the metrics of the gossip in a simulation.
 type Told struct {
-	Spread []time.Duration // from a statement until a relay knew it, for each relay and statement
-	Bytes  int64           // sent by all relays
-	Said   int             // statements
+	Spread     []time.Duration // time from the announcement of a statement until a relay receives it, for each relay and statement
+	Bytes      int64           // bytes that all relays sent
+	Statements int             // number of announced statements
 }
 
-// statement names one.
-type statement struct {
-	origin string
-	seq    uint64
+// statementID identifies a statement.
+type statementID struct {
+	origin   string
+	sequence uint64
 }
 
-// part is a relay's in the fleet: it does what internal/fleet and the relay's seam do in the program, with the same decisions.
-type part struct {
-	node   *gossip.Node
-	sender *dispatch.Sender
-	post   func(dispatch.Event)
-	said   map[statement]emulator.Time
-	now    func() emulator.Time
-	outs   map[string]bool
-	heard  map[string]bool
+// fleetMember is the fleet part of a relay. It connects the decision module to the gossip, with the same decisions as internal/fleet and
+// its connection to the relay in production.
+type fleetMember struct {
+	node            *gossip.Node
+	sender          *dispatch.Sender
+	post            func(dispatch.Event)
+	announcedAt     map[statementID]emulator.Time
+	now             func() emulator.Time
+	ownOutages      map[string]bool
+	receivedOutages map[string]bool
 }
 
-// parts joins all relays of a day.
-func parts(sim *emulator.Sim, f *Fleet, relays []*relay, senders []*dispatch.Sender, post func(*relay, dispatch.Event), told *Told) ([]*part, error) {
-	net, err := gossip.New(sim, gossip.Config{Relays: len(relays), Links: f.Links, Exchange: f.Exchange, Bytes: f.Bytes, Agree: f.Agree})
+// joinFleet creates the fleet parts of all relays.
+func joinFleet(sim *emulator.Sim, f *Fleet, relays []*relay, senders []*dispatch.Sender, post func(*relay, dispatch.Event), told *Told) ([]*fleetMember, error) {
+	net, err := gossip.New(sim, gossip.Config{Relays: len(relays), Links: f.Links, ExchangeInterval: f.Exchange, BytesPerSecond: f.Bytes, Quorum: f.Agree})
 	if err != nil {
 		return nil, err
 	}
-	if f.Cut != nil {
-		net.Cut = func(from, to int) bool { return f.Cut(from, to, sim.Now()) }
+	if f.Partitioned != nil {
+		net.Partitioned = func(from, to int) bool { return f.Partitioned(from, to, sim.Now()) }
 	}
-	list, said := make([]*part, len(relays)), map[statement]emulator.Time{}
+	members, announcedAt := make([]*fleetMember, len(relays)), map[statementID]emulator.Time{}
 	for i, r := range relays {
-		p := &part{node: net.Nodes[i], sender: senders[i], post: func(ev dispatch.Event) { post(r, ev) }, outs: map[string]bool{}, heard: map[string]bool{}}
-		p.said, p.now = said, sim.Now
-		p.node.Heard = func(now time.Duration, news []verdicts.Statement, come []verdicts.Restraint) {
-			for _, s := range news {
-				told.Spread = append(told.Spread, (sim.Now() - said[statement{s.Origin, s.Seq}]).Duration())
+		p := &fleetMember{node: net.Nodes[i], sender: senders[i], post: func(ev dispatch.Event) { post(r, ev) }, ownOutages: map[string]bool{}, receivedOutages: map[string]bool{}}
+		p.announcedAt, p.now = announcedAt, sim.Now
+		p.node.OnReceive = func(now time.Duration, newStatements []verdicts.Statement, restraints []verdicts.Restraint) {
+			for _, s := range newStatements {
+				told.Spread = append(told.Spread, (sim.Now() - announcedAt[statementID{s.Origin, s.Seq}]).Duration())
 			}
-			p.restrain(now, come)
+			p.applyRestraints(now, restraints)
 		}
-		list[i] = p
+		members[i] = p
 	}
-	return list, nil
+	return members, nil
 }
 
-// restrain hands the module what the others' word comes to.
-func (p *part) restrain(now time.Duration, come []verdicts.Restraint) {
-	for _, c := range come {
+// applyRestraints passes the restraints that follow from other relays' statements to the decision module.
+func (p *fleetMember) applyRestraints(now time.Duration, restraints []verdicts.Restraint) {
+	for _, c := range restraints {
 		ev := dispatch.Told{Destination: c.Destination, Endpoint: c.Member, Age: max(now-c.At, 0)}
 		switch c.Order {
 		case verdicts.Hold:
 			ev.Kind, ev.For = dispatch.ToldWait, max(c.At-now, 0)
 		case verdicts.Out:
 			ev.Kind = dispatch.ToldOut
-			p.heard[c.Member] = true
+			p.receivedOutages[c.Member] = true
 		case verdicts.Back:
 			ev.Kind = dispatch.ToldBack
-			delete(p.heard, c.Member)
+			delete(p.receivedOutages, c.Member)
 		case verdicts.Free:
 			ev.Kind = dispatch.ToldNothing
-			delete(p.heard, c.Member)
+			delete(p.receivedOutages, c.Member)
 		}
 		p.post(ev)
 	}
 }
 
-// met takes in the outcomes of a step, by the destinations of their messages.
-func (p *part) met(outcomes []dispatch.Outcome, dest func(id string) int, told *Told) {
+// observe records the outcomes of the calls that ended before a step, and announces the statements that follow from them. dest returns
+// the destination of a message.
+func (p *fleetMember) observe(outcomes []dispatch.Outcome, dest func(id string) int, told *Told) {
 	now := p.node.Now()
-	say := func(s verdicts.Statement) {
-		told.Said++
-		p.said[statement{s.Origin, s.Seq}] = p.now()
+	announce := func(s verdicts.Statement) {
+		told.Statements++
+		p.announcedAt[statementID{s.Origin, s.Seq}] = p.now()
 		p.node.Announce(s)
 	}
 	for _, o := range outcomes {
 		d := dest(o.ID)
-		s := verdicts.Observation{Destination: d, Member: o.Endpoint, Begun: now - o.Latency}
+		observation := verdicts.Observation{Destination: d, Member: o.Endpoint, Begun: now - o.Latency}
 		switch o.Status {
 		case dispatch.OK:
-			s.Outcome = verdicts.Succeeded
+			observation.Outcome = verdicts.Succeeded
 		case dispatch.Full:
-			s.Outcome, s.Wait = verdicts.Refused, o.Wait
+			observation.Outcome, observation.Wait = verdicts.Refused, o.Wait
 		default:
-			s.Outcome = verdicts.Failed
+			observation.Outcome = verdicts.Failed
 		}
-		p.restrain(now, p.node.Judge.Observe(now, s))
-		if st, ok := p.node.Announcer.Wait(now, p.node.Store, s); ok {
-			say(st)
+		p.applyRestraints(now, p.node.Judge.Observe(now, observation))
+		if st, ok := p.node.Announcer.Wait(now, p.node.Store, observation); ok {
+			announce(st)
 		}
-		p.sender.Health(d, func(id string, since time.Duration) {
-			was, out := p.outs[id], since >= 0
+		p.sender.Health(d, func(endpoint string, since time.Duration) {
+			wasOut, isOut := p.ownOutages[endpoint], since >= 0
 			switch {
-			case out && (!was || o.Status != dispatch.OK):
-				p.restrain(now, p.node.Judge.SetOwnHealth(now, d, id, true, since))
-				say(p.node.Announcer.Outage(d, id, now-since))
-			case !out && (was || o.Status == dispatch.OK && p.heard[id]):
-				p.restrain(now, p.node.Judge.SetOwnHealth(now, d, id, false, 0))
-				if st, ok := p.node.Announcer.Recovery(now, p.node.Store, d, id); ok {
-					say(st)
+			case isOut && (!wasOut || o.Status != dispatch.OK):
+				p.applyRestraints(now, p.node.Judge.SetOwnHealth(now, d, endpoint, true, since))
+				announce(p.node.Announcer.Outage(d, endpoint, now-since))
+			case !isOut && (wasOut || o.Status == dispatch.OK && p.receivedOutages[endpoint]):
+				p.applyRestraints(now, p.node.Judge.SetOwnHealth(now, d, endpoint, false, 0))
+				if st, ok := p.node.Announcer.Recovery(now, p.node.Store, d, endpoint); ok {
+					announce(st)
 				}
-				delete(p.heard, id)
+				delete(p.receivedOutages, endpoint)
 			}
-			if p.outs[id] = true; !out {
-				delete(p.outs, id)
+			if p.ownOutages[endpoint] = true; !isOut {
+				delete(p.ownOutages, endpoint)
 			}
 		})
 	}
 }
 
-func endpoint(i int) string { return fmt.Sprint("e", i) }
+// endpointID returns the name of the only endpoint of a destination.
+func endpointID(i int) string { return fmt.Sprint("e", i) }
--- a/internal/lab/emulator/workload/workload.go
+++ b/internal/lab/emulator/workload/workload.go
@@ -1,7 +1,7 @@
-// Package workload runs relays with the real decision module against the laboratory's modelled servers, in virtual
-// time: clients hand messages in, each relay's module steps as the real relay steps it, and servers answer as
-// their models say. It decides nothing for the module; it records what every message met, for invariants that
-// are judged apart from the module.
+// Package workload runs relays with the production decision module, dispatch.Sender, against modelled servers in virtual time. Clients
+// submit messages, each relay steps its module as the production relay does, and the servers answer according to their models. The
+// package makes no decision for the module. It records what happens to each message, so that invariants are checked independently of
+// the module.
 package workload
 
 import (
@@ -14,71 +14,73 @@
 	"slatemux/internal/lab/emulator/servermodel"
 )
 
-// Destination is one partner with one endpoint: c servers, a limit of calls, a timeline of health.
+// Destination is one partner with one endpoint: a number of servers, a limit on calls and a timeline of faults.
 type Destination struct {
 	Servers int
-	Work    time.Duration // mean work of a call, drawn exponential
+	Work    time.Duration // mean of the exponentially distributed work of a call
 	Limit   servermodel.Bucket
 	Health  servermodel.Health
-	Rate    float64 // messages a second that clients hand in for it, over all relays
+	Rate    float64 // submitted messages a second, over all relays
 }
 
-// Decider is what steps for a relay: the real module, or in tests a planted defect around it.
-type Decider interface {
+// Module makes the decisions of a relay. It is the production module, or in tests the production module with a planted defect.
+type Module interface {
 	Step(now time.Duration, events []dispatch.Event) []dispatch.Action
 }
 
-// Day is what is played.
+// Day is the configuration of a simulation.
 type Day struct {
-	// Mutate wraps each relay's module, for tests that plant a defect; nil plays the module as it is.
-	Mutate       func(*dispatch.Sender) Decider
+	// Mutate wraps the module of each relay, for tests that plant a defect; nil for the module without a defect.
+	Mutate       func(*dispatch.Sender) Module
 	Seed         uint64
 	Relays       int
 	Settings     dispatch.Settings // of every relay; Peers is set to Relays
 	Destinations []Destination
-	Length       time.Duration // of the hand-ins; the day runs on until all has ended
+	Length       time.Duration // time during which clients submit messages; the simulation continues until all messages have ended
 	Class        string        // of every message
 	TimeLeft     time.Duration
-	Drains       []Drain // discovery tells every relay that an endpoint drains
-	Fleet        *Fleet  // nil for relays that are each alone
-	// Hot is the share of all messages that the first relay is handed; 0 for an even share.
-	Hot float64
-	// Reports have answers tell what is left of the limit, and lists its rate.
+	Drains       []Drain // discovery notifies all relays that an endpoint drains
+	Fleet        *Fleet  // nil for relays without a fleet part
+	// HotShare is the share of all messages that clients submit to the first relay; 0 for an even distribution.
+	HotShare float64
+	// Reports makes answers report the remaining limit, and discovery list the rate of each limit as the weight of the endpoint.
 	Reports bool
 }
 
-// Drain is a destination's endpoint told as draining, at a time: nothing new may go to it after the grace.
+// Drain is the drain of a destination's endpoint. Relays may send no calls to the endpoint later than DrainGrace after discovery's
+// notification.
 type Drain struct {
 	Destination int
 	At          emulator.Time
 }
 
-// DrainGrace is how long after the telling a send to a draining endpoint is still allowed.
+// DrainGrace is how long after the notification a relay may still send calls to a draining endpoint.
 const DrainGrace = 2 * time.Second
 
-// Record is what one message met.
+// Record is what happened to one message.
 type Record struct {
-	Relay, Destination int
-	Sends, Ends        int  // sends to servers; final answers given
-	SentAfterEnd       bool // a send came after the message had ended
-	SentInWait         bool // a send went to a destination that had told this relay to wait, before the wait was over
-	SentDrained        bool // a send went to an endpoint later than the grace after its drain was told
-	MayHaveRun         bool // a call of it may have taken effect: it was served, or left without an answer
-	SentAfterRun       bool // a send came after that, where the class must never take effect twice
-	Delivered          bool
-	EndedAt, Due       emulator.Time
-	Aim                emulator.Time // an end by then earns the full worth
+	Relay, Destination  int
+	Sends, FinalAnswers int  // number of calls to servers, and of final answers to the client
+	SentAfterEnd        bool // a call was sent after the message had ended
+	SentInWait          bool // a call was sent during a retry-after wait that the destination had sent to this relay
+	SentAfterDrain      bool // a call was sent to an endpoint later than DrainGrace after the notification of its drain
+	MayHaveRun          bool // a call of the message may have taken effect: it was served or got no answer
+	SentAfterRun        bool // a call was sent after MayHaveRun, in a class whose messages must never take effect twice
+	Delivered           bool
+	EndedAt, Due        emulator.Time
+	Aim                 emulator.Time // a delivery until this time earns the full worth
 }
 
-// Result is the day's record, by message id.
+// Result is the result of a simulation.
 type Result struct {
-	Messages map[string]*Record
-	Events   uint64
-	Calls    []Call
-	Told     Told
+	Messages   map[string]*Record // by message ID
+	EventCount uint64
+	Calls      []Call
+	Told       Told
 }
 
-// Worth is the share of the worth that was earned: all of it within the aim, half of it later.
+// Worth returns the earned share of the worth of all messages. A delivery within the aim earns the full worth, a later delivery within
+// the deadline half of it.
 func (r *Result) Worth() float64 {
 	earned := 0.0
 	for _, m := range r.Messages {
@@ -91,94 +93,96 @@
 	return earned / max(float64(len(r.Messages)), 1)
 }
 
-// Call is one that a relay made.
+// Call is a call that a relay made.
 type Call struct {
 	At                 emulator.Time
 	Relay, Destination int
-	Refused, Failed    bool // turned away; met a machine that is down or silent
+	Refused, Failed    bool // refused by the limit; sent to a machine that is down or silent
 }
 
+// Of simultaneous events, answers of servers run before steps of relays.
 const (
-	kindServer emulator.Kind = iota // answers first, then
-	kindStep                        // the steps of relays
+	serverPriority emulator.Priority = iota
+	stepPriority
 )
 
+// relay is a simulated relay.
 type relay struct {
-	i       int
-	s       Decider
-	waits   map[int]emulator.Time // by destination: told to wait until
-	pending []dispatch.Event
-	stepAt  emulator.Time // of the step that is scheduled; -1 for none
-	last    emulator.Time
+	index         int
+	module        Module
+	waitUntil     map[int]emulator.Time // end of the retry-after wait, by destination
+	pendingEvents []dispatch.Event
+	nextStepAt    emulator.Time // time of the scheduled step; -1 for none
+	lastStepAt    emulator.Time
 }
 
-// Play plays a day.
-func Play(d Day) (Result, error) {
+// Simulate runs a simulation from start to end.
+func Simulate(d Day) (Result, error) {
 	sim := emulator.New(d.Seed)
-	res := Result{Messages: map[string]*Record{}}
-	// The models keep state as they are played: a day is played on copies, so that it can be played again.
+	result := Result{Messages: map[string]*Record{}}
+	// The models of the destinations change their state. The simulation uses copies, so that the same Day can be simulated again.
 	d.Destinations = slices.Clone(d.Destinations)
-	set := d.Settings
-	set.Peers = d.Relays
-	var eps []dispatch.Endpoint
+	settings := d.Settings
+	settings.Peers = d.Relays
+	var endpoints []dispatch.Endpoint
 	for i := range d.Destinations {
-		e := dispatch.Endpoint{ID: endpoint(i), Destination: i, Kind: set.Kinds[0].Name, Zone: set.Zone}
+		e := dispatch.Endpoint{ID: endpointID(i), Destination: i, Kind: settings.Kinds[0].Name, Zone: settings.Zone}
 		if d.Reports {
 			e.Weight = d.Destinations[i].Limit.Rate
 		}
-		eps = append(eps, e)
+		endpoints = append(endpoints, e)
 	}
 	relays := make([]*relay, d.Relays)
 	senders := make([]*dispatch.Sender, d.Relays)
-	var fleet []*part
+	var members []*fleetMember
 	for i := range relays {
-		s, err := dispatch.New(set, int64(sim.Stream(fmt.Sprint("relay seed ", i)).Uint64()>>1))
+		s, err := dispatch.New(settings, int64(sim.Stream(fmt.Sprint("relay seed ", i)).Uint64()>>1))
 		if err != nil {
-			return res, fmt.Errorf("play: %w", err)
+			return result, fmt.Errorf("workload: %w", err)
 		}
 		senders[i] = s
-		var decider Decider = s
+		var module Module = s
 		if d.Mutate != nil {
-			decider = d.Mutate(s)
+			module = d.Mutate(s)
 		}
-		relays[i] = &relay{i: i, s: decider, waits: map[int]emulator.Time{}, stepAt: -1, last: -emulator.Time(set.Resolution)}
-		relays[i].pending = append(relays[i].pending, dispatch.Members{Whole: true, Endpoints: eps})
+		relays[i] = &relay{index: i, module: module, waitUntil: map[int]emulator.Time{}, nextStepAt: -1, lastStepAt: -emulator.Time(settings.Resolution)}
+		relays[i].pendingEvents = append(relays[i].pendingEvents, dispatch.Members{Whole: true, Endpoints: endpoints})
 	}
 	servers := make([]*servermodel.FIFO, len(d.Destinations))
 	work := make([]interface{ ExpFloat64() float64 }, len(d.Destinations))
 	var step func(r *relay)
 	post := func(r *relay, ev dispatch.Event) {
-		r.pending = append(r.pending, ev)
-		if r.stepAt >= 0 {
+		r.pendingEvents = append(r.pendingEvents, ev)
+		if r.nextStepAt >= 0 {
 			return
 		}
-		r.stepAt = max(sim.Now(), r.last+emulator.Time(set.Resolution))
-		sim.At(r.stepAt, kindStep, func() { step(r) })
+		r.nextStepAt = max(sim.Now(), r.lastStepAt+emulator.Time(settings.Resolution))
+		sim.At(r.nextStepAt, stepPriority, func() { step(r) })
 	}
 	if d.Fleet != nil {
 		var err error
-		if fleet, err = parts(sim, d.Fleet, relays, senders, post, &res.Told); err != nil {
-			return res, fmt.Errorf("play: %w", err)
+		if members, err = joinFleet(sim, d.Fleet, relays, senders, post, &result.Told); err != nil {
+			return result, fmt.Errorf("workload: %w", err)
 		}
 	}
 	report := func(dest int) *dispatch.Report {
 		if !d.Reports {
 			return nil
 		}
-		b := &d.Destinations[dest].Limit
-		return &dispatch.Report{Left: b.Left(sim.Now()), Limit: b.Rate}
+		bucket := &d.Destinations[dest].Limit
+		return &dispatch.Report{Left: bucket.Left(sim.Now()), Limit: bucket.Rate}
 	}
 	type call struct {
-		r       *relay
+		caller  *relay
 		id      string
 		attempt int
 		sent    emulator.Time
-		over    *bool // the relay stopped waiting: its time-out came first
+		ended   *bool // the call has ended for the relay, by its answer or its timeout
 	}
 	calls := map[int]call{}
-	drained := map[int]emulator.Time{} // by destination: when its endpoint's drain was told
+	drained := map[int]emulator.Time{} // time of the notification of a drain, by destination
 	unsafe, aim := false, emulator.Time(d.TimeLeft)
-	for _, c := range set.Classes {
+	for _, c := range settings.Classes {
 		if c.Name == d.Class {
 			aim = emulator.Time(c.Aim)
 		}
@@ -187,67 +191,67 @@
 	nextCall := 0
 	attempts := map[string]int{}
 	step = func(r *relay) {
-		r.stepAt, r.last = -1, sim.Now()
-		events := r.pending
-		r.pending = nil
-		for _, a := range r.s.Step(sim.Now().Duration(), events) {
+		r.nextStepAt, r.lastStepAt = -1, sim.Now()
+		events := r.pendingEvents
+		r.pendingEvents = nil
+		for _, a := range r.module.Step(sim.Now().Duration(), events) {
 			switch a := a.(type) {
 			case dispatch.Send:
-				rec := res.Messages[a.ID]
-				rec.Sends++
-				if rec.Ends > 0 {
-					rec.SentAfterEnd = true
+				record := result.Messages[a.ID]
+				record.Sends++
+				if record.FinalAnswers > 0 {
+					record.SentAfterEnd = true
 				}
 				attempt := attempts[a.ID]
 				attempts[a.ID]++
-				dest := rec.Destination
-				if rec.MayHaveRun && unsafe {
-					rec.SentAfterRun = true
+				dest := record.Destination
+				if record.MayHaveRun && unsafe {
+					record.SentAfterRun = true
 				}
 				if at, ok := drained[dest]; ok && sim.Now() > at+emulator.Time(DrainGrace) {
-					rec.SentDrained = true
+					record.SentAfterDrain = true
 				}
-				// What the reply to the step that brought the wait sends is excused; later steps are not.
-				if sim.Now() < r.waits[dest] {
-					rec.SentInWait = true
+				// Calls from the step that receives the wait are allowed; calls from later steps are not.
+				if sim.Now() < r.waitUntil[dest] {
+					record.SentInWait = true
 				}
 				state, share := d.Destinations[dest].Health.At(sim.Now())
 				answer := func(after time.Duration, o dispatch.Outcome) {
 					o.ID, o.Attempt, o.Endpoint, o.Latency = a.ID, attempt, a.Endpoint, after
-					sim.After(after, kindServer, func() { post(r, o) })
+					sim.After(after, serverPriority, func() { post(r, o) })
 				}
 				ok, wait := d.Destinations[dest].Limit.Take(sim.Now())
-				down := state == servermodel.Down || state == servermodel.Silent
-				res.Calls = append(res.Calls, Call{sim.Now(), r.i, dest, !down && !ok, down})
+				unreachable := state == servermodel.Down || state == servermodel.Silent
+				result.Calls = append(result.Calls, Call{sim.Now(), r.index, dest, !unreachable && !ok, unreachable})
 				switch {
 				case state == servermodel.Down:
 					answer(time.Millisecond, dispatch.Outcome{Status: dispatch.ConnectFailed})
-				case state == servermodel.Silent: // the call reached a machine that says nothing: it may have run
-					rec.MayHaveRun = true
+				case state == servermodel.Silent: // the call may have run: it reached a machine that does not answer
+					record.MayHaveRun = true
 					answer(max(a.TimeOut, time.Millisecond), dispatch.Outcome{Status: dispatch.TimedOut})
 				case !ok:
 					answer(time.Millisecond, dispatch.Outcome{Status: dispatch.Full, Wait: wait, Report: report(dest)})
 				default:
-					n := nextCall
+					callID := nextCall
 					nextCall++
-					over := new(bool)
-					calls[n] = call{r, a.ID, attempt, sim.Now(), over}
-					// The relay waits so long, or until the message's time is up; the call may run on at the server.
-					until := rec.Due
+					ended := new(bool)
+					calls[callID] = call{r, a.ID, attempt, sim.Now(), ended}
+					// The relay waits until the per-call timeout or the message's deadline. The server may still run the call later.
+					timeoutAt := record.Due
 					if a.TimeOut > 0 {
-						until = min(until, sim.Now()+emulator.Time(a.TimeOut))
+						timeoutAt = min(timeoutAt, sim.Now()+emulator.Time(a.TimeOut))
 					}
-					sim.At(max(until, sim.Now()), kindServer, func() {
-						if _, out := calls[n]; out && !*over {
-							*over = true
+					sim.At(max(timeoutAt, sim.Now()), serverPriority, func() {
+						if _, running := calls[callID]; running && !*ended {
+							*ended = true
 							post(r, dispatch.Outcome{ID: a.ID, Attempt: attempt, Endpoint: a.Endpoint, Status: dispatch.TimedOut,
-								Latency: (sim.Now() - calls[n].sent).Duration()})
+								Latency: (sim.Now() - calls[callID].sent).Duration()})
 						}
 					})
-					w := time.Duration(work[dest].ExpFloat64() * float64(d.Destinations[dest].Work) / max(share, 0.01))
-					servers[dest].Arrive(n, w)
-					if _, in := calls[n]; in { // not turned away: it may run, whatever the relay hears
-						rec.MayHaveRun = true
+					callWork := time.Duration(work[dest].ExpFloat64() * float64(d.Destinations[dest].Work) / max(share, 0.01))
+					servers[dest].Arrive(callID, callWork)
+					if _, accepted := calls[callID]; accepted { // the server has not refused the call, which may run even if the relay gets no answer
+						record.MayHaveRun = true
 					}
 				}
 			case dispatch.Refuse, dispatch.Fail:
@@ -258,82 +262,82 @@
 				case dispatch.Fail:
 					id = a.ID
 				}
-				rec := res.Messages[id]
-				rec.Ends++
-				rec.EndedAt = sim.Now()
+				record := result.Messages[id]
+				record.FinalAnswers++
+				record.EndedAt = sim.Now()
 			case dispatch.Wake:
 				at := max(emulator.Time(a.At), sim.Now())
-				sim.At(at, kindStep, func() { post(r, dispatch.Woken{}) })
+				sim.At(at, stepPriority, func() { post(r, dispatch.Woken{}) })
 			}
 		}
-		if fleet != nil {
+		if members != nil {
 			var ended []dispatch.Outcome
 			for _, ev := range events {
 				if o, ok := ev.(dispatch.Outcome); ok {
 					ended = append(ended, o)
 				}
 			}
-			fleet[r.i].met(ended, func(id string) int { return res.Messages[id].Destination }, &res.Told)
+			members[r.index].observe(ended, func(id string) int { return result.Messages[id].Destination }, &result.Told)
 		}
-		// A wait runs from the step that brought it; what that step sent is excused.
+		// A wait begins after the step that receives it: the calls of that step are allowed.
 		for _, ev := range events {
 			if o, ok := ev.(dispatch.Outcome); ok && o.Status == dispatch.Full && o.Wait > 0 {
-				dest := res.Messages[o.ID].Destination
-				r.waits[dest] = max(r.waits[dest], sim.Now()+emulator.Time(o.Wait))
+				dest := result.Messages[o.ID].Destination
+				r.waitUntil[dest] = max(r.waitUntil[dest], sim.Now()+emulator.Time(o.Wait))
 			}
 		}
 	}
 	for i, dest := range d.Destinations {
 		work[i] = sim.Stream(fmt.Sprint("work ", i))
 		servers[i] = servermodel.NewFIFO(sim, dest.Servers, func(job int, served bool, _ time.Duration) {
-			c := calls[job]
+			finishedCall := calls[job]
 			delete(calls, job)
-			if *c.over {
-				return // its answer finds nobody
+			if *finishedCall.ended {
+				return // the relay no longer waits for the answer
 			}
-			*c.over = true
-			o := dispatch.Outcome{ID: c.id, Attempt: c.attempt, Endpoint: fmt.Sprint("e", i), Latency: (sim.Now() - c.sent).Duration()}
+			*finishedCall.ended = true
+			o := dispatch.Outcome{ID: finishedCall.id, Attempt: finishedCall.attempt, Endpoint: fmt.Sprint("e", i), Latency: (sim.Now() - finishedCall.sent).Duration()}
 			if served {
 				o.Status, o.Settled, o.Report = dispatch.OK, true, report(i)
-				if rec := res.Messages[c.id]; !rec.Delivered && rec.Ends == 0 {
-					rec.Delivered, rec.Ends, rec.EndedAt = true, rec.Ends+1, sim.Now()
+				if record := result.Messages[finishedCall.id]; !record.Delivered && record.FinalAnswers == 0 {
+					record.Delivered, record.FinalAnswers, record.EndedAt = true, record.FinalAnswers+1, sim.Now()
 				}
 			} else {
 				o.Status = dispatch.Full
 			}
-			post(c.r, o)
+			post(finishedCall.caller, o)
 		})
-		arrivals, pick := sim.Stream(fmt.Sprint("arrivals ", i)), sim.Stream(fmt.Sprint("front ", i))
-		seq := 0
+		arrivals, relayChoice := sim.Stream(fmt.Sprint("arrivals ", i)), sim.Stream(fmt.Sprint("front ", i))
+		sequence := 0
 		var next func()
 		next = func() {
 			if sim.Now() > emulator.Time(d.Length) {
 				return
 			}
-			seq++
-			id := fmt.Sprintf("%04x%012x", i, seq)
-			n := pick.IntN(len(relays))
-			if d.Hot > 0 && len(relays) > 1 {
-				if n = 0; pick.Float64() >= d.Hot {
-					n = 1 + pick.IntN(len(relays)-1)
+			sequence++
+			id := fmt.Sprintf("%04x%012x", i, sequence)
+			index := relayChoice.IntN(len(relays))
+			if d.HotShare > 0 && len(relays) > 1 {
+				if index = 0; relayChoice.Float64() >= d.HotShare {
+					index = 1 + relayChoice.IntN(len(relays)-1)
 				}
 			}
-			r := relays[n]
-			res.Messages[id] = &Record{Relay: r.i, Destination: i, Due: sim.Now() + emulator.Time(d.TimeLeft), Aim: sim.Now() + aim}
+			r := relays[index]
+			result.Messages[id] = &Record{Relay: r.index, Destination: i, Due: sim.Now() + emulator.Time(d.TimeLeft), Aim: sim.Now() + aim}
 			post(r, dispatch.Request{ID: id, Destination: i, Class: d.Class, TimeLeft: d.TimeLeft, Size: 100})
 			sim.After(time.Duration(arrivals.ExpFloat64()/dest.Rate*1e9), emulator.Any, next)
 		}
 		sim.At(0, emulator.Any, next)
 	}
-	for _, dr := range d.Drains {
-		sim.At(dr.At, kindServer, func() {
-			if _, ok := drained[dr.Destination]; !ok {
-				drained[dr.Destination] = sim.Now()
+	for _, drain := range d.Drains {
+		sim.At(drain.At, serverPriority, func() {
+			if _, ok := drained[drain.Destination]; !ok {
+				drained[drain.Destination] = sim.Now()
 			}
-			row := eps[dr.Destination]
-			row.State = dispatch.Draining
+			endpoint := endpoints[drain.Destination]
+			endpoint.State = dispatch.Draining
 			for _, r := range relays {
-				post(r, dispatch.Members{Endpoints: []dispatch.Endpoint{row}})
+				post(r, dispatch.Members{Endpoints: []dispatch.Endpoint{endpoint}})
 			}
 		})
 	}
@@ -341,15 +345,15 @@
 		post(r, dispatch.Woken{})
 	}
 	sim.Run(emulator.Time(d.Length + 10*d.TimeLeft))
-	for _, p := range fleet {
-		res.Told.Bytes += p.node.Bytes
+	for _, p := range members {
+		result.Told.Bytes += p.node.SentBytes
 	}
-	res.Events = sim.Events()
-	return res, nil
+	result.EventCount = sim.EventCount()
+	return result, nil
 }
 
-// Many plays days side by side on so many workers. Each day is played by one goroutine from start to end, so
-// that its result is the same bytes whatever the number of workers; results come in the order of the days.
+// Many runs simulations in parallel on a number of workers. One goroutine runs each simulation from start to end, so that its result
+// does not depend on the number of workers. The results are in the order of days.
 func Many(days []Day, workers int) ([]Result, error) {
 	results, errs := make([]Result, len(days)), make([]error, len(days))
 	next := make(chan int)
@@ -358,7 +362,7 @@
 		go func() {
 			defer func() { done <- struct{}{} }()
 			for i := range next {
-				results[i], errs[i] = Play(days[i])
+				results[i], errs[i] = Simulate(days[i])
 			}
 		}()
 	}
--- a/internal/lab/emulator/workload/workload_test.go
+++ b/internal/lab/emulator/workload/workload_test.go
@@ -13,7 +13,8 @@
 	"slatemux/internal/lab/emulator/servermodel"
 )
 
-func day(seed uint64) Day {
+// testDay returns a simulation of 3 relays and 20 destinations. A fifth of the destinations has an outage with a cold start.
+func testDay(seed uint64) Day {
 	set := dispatch.Settings{
 		Classes:    []dispatch.Class{{Name: "slot", Aim: time.Second, Deadline: 5 * time.Second, Worth: 3}},
 		Kinds:      []dispatch.Kind{{Name: "partner"}},
@@ -25,7 +26,7 @@
 	for i := range 20 {
 		dest := Destination{Servers: 4, Work: 200 * time.Millisecond, Rate: 3,
 			Limit: servermodel.Bucket{Rate: 4, Burst: 4, Tells: true}}
-		if i%5 == 0 { // an outage with a cold return
+		if i%5 == 0 { // an outage with a cold start
 			dest.Health = servermodel.Health{StartShare: 0.25, Cold: 5 * time.Second,
 				Spells: []servermodel.Spell{{From: emulator.Time(10 * time.Second), To: emulator.Time(15 * time.Second), State: servermodel.Down}}}
 		}
@@ -34,6 +35,7 @@
 	return d
 }
 
+// summary returns the main numbers of a result as text.
 func summary(r Result) string {
 	ids := slices.Sorted(maps.Keys(r.Messages))
 	var delivered, sends int
@@ -44,20 +46,20 @@
 			delivered++
 		}
 	}
-	return fmt.Sprintf("%d messages, %d delivered, %d sends, %d events", len(ids), delivered, sends, r.Events)
+	return fmt.Sprintf("%d messages, %d delivered, %d sends, %d events", len(ids), delivered, sends, r.EventCount)
 }
 
-// Every message handed in gets exactly one final answer before its time is up, and nothing is sent after it.
-// The module decides; these records come from the clients' and servers' side.
+// Guards against messages without exactly one final answer before their deadline, and against calls after the final answer. The records
+// come from the simulated clients and servers, not from the module.
 func TestEveryMessageEndsOnce(t *testing.T) {
-	r, err := Play(day(3))
+	r, err := Simulate(testDay(3))
 	if err != nil {
 		t.Fatal(err)
 	}
 	const slack = emulator.Time(20 * time.Millisecond)
 	delivered := 0
 	for id, m := range r.Messages {
-		if m.Ends != 1 || m.EndedAt > m.Due+slack || m.SentAfterEnd {
+		if m.FinalAnswers != 1 || m.EndedAt > m.Due+slack || m.SentAfterEnd {
 			t.Fatalf("message %s: %+v", id, m)
 		}
 		if m.Delivered {
@@ -65,68 +67,70 @@
 		}
 	}
 	if len(r.Messages) < 1000 || delivered < len(r.Messages)/2 {
-		t.Fatalf("%s: too little was played or served", summary(r))
+		t.Fatalf("%s: too few messages submitted or delivered", summary(r))
 	}
 	t.Log(summary(r))
 }
 
-// The same seed gives the same day.
+// Checks that the same seed gives the same result, and another seed another result.
 func TestSameSeedSameDay(t *testing.T) {
-	a, err := Play(day(5))
+	a, err := Simulate(testDay(5))
 	if err != nil {
 		t.Fatal(err)
 	}
-	b, _ := Play(day(5))
-	c, _ := Play(day(6))
+	b, _ := Simulate(testDay(5))
+	c, _ := Simulate(testDay(6))
 	if summary(a) != summary(b) {
 		t.Fatalf("%s, then %s", summary(a), summary(b))
 	}
 	if summary(a) == summary(c) {
-		t.Fatalf("another seed gave the same day: %s", summary(a))
+		t.Fatalf("another seed gave the same result: %s", summary(a))
 	}
 }
 
-// resending is a planted defect around the real module: an outcome that pleases it sends that message again at
-// the next step, whatever the module would do.
-type resending struct {
-	s     *dispatch.Sender
-	when  func(dispatch.Outcome) bool
-	again []dispatch.Action
+// resendingModule is the production module with a planted defect: after an outcome for which shouldResend is true, it sends the message
+// again in the next step, whatever the module decides.
+type resendingModule struct {
+	module       *dispatch.Sender
+	shouldResend func(dispatch.Outcome) bool
+	queuedSends  []dispatch.Action
 }
 
-func (r *resending) Step(now time.Duration, events []dispatch.Event) []dispatch.Action {
-	acts := append(r.s.Step(now, events), r.again...)
-	r.again = nil
+func (r *resendingModule) Step(now time.Duration, events []dispatch.Event) []dispatch.Action {
+	acts := append(r.module.Step(now, events), r.queuedSends...)
+	r.queuedSends = nil
 	for _, ev := range events {
-		if o, ok := ev.(dispatch.Outcome); ok && r.when(o) {
-			r.again = append(r.again, dispatch.Send{ID: o.ID, Endpoint: o.Endpoint})
+		if o, ok := ev.(dispatch.Outcome); ok && r.shouldResend(o) {
+			r.queuedSends = append(r.queuedSends, dispatch.Send{ID: o.ID, Endpoint: o.Endpoint})
 		}
 	}
 	return acts
 }
 
-func resend(when func(dispatch.Outcome) bool) func(*dispatch.Sender) Decider {
-	return func(s *dispatch.Sender) Decider { return &resending{s: s, when: when} }
+// withResends returns a Day.Mutate that plants the defect of resendingModule.
+func withResends(when func(dispatch.Outcome) bool) func(*dispatch.Sender) Module {
+	return func(s *dispatch.Sender) Module { return &resendingModule{module: s, shouldResend: when} }
 }
 
-// deaf is a planted defect: the module never hears that an endpoint drains.
-type deaf struct{ s *dispatch.Sender }
+// drainIgnoringModule is the production module with a planted defect: it is never notified that an endpoint drains.
+type drainIgnoringModule struct{ module *dispatch.Sender }
 
-func (d deaf) Step(now time.Duration, events []dispatch.Event) []dispatch.Action {
+func (d drainIgnoringModule) Step(now time.Duration, events []dispatch.Event) []dispatch.Action {
 	kept := events[:0:0]
 	for _, ev := range events {
 		if m, ok := ev.(dispatch.Members); !ok || m.Whole {
 			kept = append(kept, ev)
 		}
 	}
-	return d.s.Step(now, kept)
+	return d.module.Step(now, kept)
 }
 
-// caught plays a day with the real module, which must mark no message, and with a planted defect, which must.
-func caught(t *testing.T, d Day, mark func(*Record) bool, defect func(*dispatch.Sender) Decider) {
+// checkDefectIsDetected runs a simulation with the production module, for which mark must be true of no message, and with a planted
+// defect, for which mark must be true of some message.
+func checkDefectIsDetected(t *testing.T, d Day, mark func(*Record) bool, defect func(*dispatch.Sender) Module) {
 	t.Helper()
 	marked := func(d Day) (n int) {
-		r, err := Play(d)
+		r, err := Simulate(d)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -138,62 +142,63 @@
 		return n
 	}
 	if n := marked(d); n != 0 {
-		t.Fatalf("the module itself broke the rule for %d messages", n)
+		t.Fatalf("the production module broke the rule for %d messages", n)
 	}
 	if d.Mutate = defect; marked(d) == 0 {
-		t.Fatal("the planted defect was not caught")
+		t.Fatal("the planted defect was not detected")
 	}
 }
 
-// tight is the test day with every destination offered twice its limit: waits are told all day.
-func tight(seed uint64) Day {
-	d := day(seed)
+// overloadedDay returns testDay with twice the limit offered to each destination, so that destinations ask for waits all the time.
+func overloadedDay(seed uint64) Day {
+	d := testDay(seed)
 	for i := range d.Destinations {
 		d.Destinations[i].Rate = 8
 	}
 	return d
 }
 
-// Told waits are kept; a module that sends a call again into the wait it was told is caught.
-func TestWaitsAreKept(t *testing.T) {
-	caught(t, tight(3), func(m *Record) bool { return m.SentInWait },
-		resend(func(o dispatch.Outcome) bool { return o.Status == dispatch.Full && o.Wait > 0 }))
+// Guards against calls during a retry-after wait. The planted defect repeats a call in the wait that its refusal asked for.
+func TestRetryAfterWaitsAreKept(t *testing.T) {
+	checkDefectIsDetected(t, overloadedDay(3), func(m *Record) bool { return m.SentInWait },
+		withResends(func(o dispatch.Outcome) bool { return o.Status == dispatch.Full && o.Wait > 0 }))
 }
 
-// The most attempts a message are kept; a module that retries whatever failed, without end, is caught.
+// Guards against more calls for a message than MaxAttempts. The planted defect retries each failed call without end.
 func TestAttemptsAreBounded(t *testing.T) {
-	d := tight(4)
-	caught(t, d, func(m *Record) bool { return m.Sends > d.Settings.MaxAttempts },
-		resend(func(o dispatch.Outcome) bool { return o.Status != dispatch.OK }))
+	d := overloadedDay(4)
+	checkDefectIsDetected(t, d, func(m *Record) bool { return m.Sends > d.Settings.MaxAttempts },
+		withResends(func(o dispatch.Outcome) bool { return o.Status != dispatch.OK }))
 }
 
-// Nothing new goes to a draining endpoint after the grace; a module that does not hear of drains is caught.
-func TestDrainsAreKept(t *testing.T) {
-	d := day(7)
+// Guards against calls to a draining endpoint after the grace. The planted defect ignores drains.
+func TestDrainsAreRespected(t *testing.T) {
+	d := testDay(7)
 	for i := range 5 {
 		d.Drains = append(d.Drains, Drain{Destination: i, At: emulator.Time(8 * time.Second)})
 	}
-	caught(t, d, func(m *Record) bool { return m.SentDrained }, func(s *dispatch.Sender) Decider { return deaf{s} })
+	checkDefectIsDetected(t, d, func(m *Record) bool { return m.SentAfterDrain }, func(s *dispatch.Sender) Module { return drainIgnoringModule{s} })
 }
 
-// A payment that may have run is never sent again; a module that resends what got no answer is caught.
+// Guards against a payment that runs twice: after a call that may have run, the payment must not be sent again. The planted defect
+// repeats calls that got no answer.
 func TestPaymentsRunOnce(t *testing.T) {
-	d := day(8)
+	d := testDay(8)
 	d.Settings.Classes = []dispatch.Class{{Name: "pay", Effect: dispatch.Unsafe, Aim: 4 * time.Second, Deadline: 28 * time.Second, Worth: 1}}
 	d.Class, d.TimeLeft = "pay", 28*time.Second
-	for i := range 5 { // silent machines: calls that reach them may have run
+	for i := range 5 { // machines that do not answer: the calls that reach them may have run
 		d.Destinations[i].Health = servermodel.Health{StartShare: 0.25, Cold: 5 * time.Second,
 			Spells: []servermodel.Spell{{From: emulator.Time(8 * time.Second), To: emulator.Time(16 * time.Second), State: servermodel.Silent}}}
 	}
-	caught(t, d, func(m *Record) bool { return m.SentAfterRun },
-		resend(func(o dispatch.Outcome) bool { return o.Status == dispatch.TimedOut }))
+	checkDefectIsDetected(t, d, func(m *Record) bool { return m.SentAfterRun },
+		withResends(func(o dispatch.Outcome) bool { return o.Status == dispatch.TimedOut }))
 }
 
-// Days played side by side give what each gives alone: the same records at 1 and 4 workers.
-func TestWorkers(t *testing.T) {
+// Guards against simulations that influence each other when they run in parallel: 1 and 4 workers must give the same records.
+func TestResultsIndependentOfWorkers(t *testing.T) {
 	var days []Day
 	for seed := range uint64(6) {
-		days = append(days, day(seed))
+		days = append(days, testDay(seed))
 	}
 	one, err := Many(days, 1)
 	if err != nil {
@@ -205,20 +210,20 @@
 	}
 	for i := range days {
 		if !reflect.DeepEqual(one[i], four[i]) {
-			t.Fatalf("day %d: %s alone, %s beside others", i, summary(one[i]), summary(four[i]))
+			t.Fatalf("simulation %d: %s with 1 worker, %s with 4", i, summary(one[i]), summary(four[i]))
 		}
 	}
 }
 
-// BenchmarkDay plays the test day and reports the events it ran a second of the machine's time.
+// BenchmarkDay runs testDay and reports the simulated events per second of real time.
 func BenchmarkDay(b *testing.B) {
 	var events uint64
 	for i := range b.N {
-		r, err := Play(day(uint64(i)))
+		r, err := Simulate(testDay(uint64(i)))
 		if err != nil {
 			b.Fatal(err)
 		}
-		events += r.Events
+		events += r.EventCount
 	}
 	b.ReportMetric(float64(events)/b.Elapsed().Seconds(), "events/s")
 }
