--- a/internal/lab/fleets/fleets.go
+++ b/internal/lab/fleets/fleets.go
@@ -51,13 +51,13 @@
 	inFleet          bool
 	mu               sync.Mutex
 	process          *lab.Process
-	killedAt         time.Time     // when the scenario killed the process; zero while a process runs
-	stopped          bool          // by SIGSTOP
-	stoppedAt        time.Time     // time of the last SIGSTOP
-	initialCPU       time.Duration // CPU time of the current process before the load began
-	initialSentBytes int64         // bytes that the current process sent to other relays before the load began
-	endedCPU         time.Duration // CPU time of killed processes during the load
-	aloneSpans       [][2]time.Time
+	killedAt         time.Time      // when the scenario killed the process; zero while a process runs
+	stopped          bool           // by SIGSTOP
+	stoppedAt        time.Time      // time of the last SIGSTOP
+	initialCPU       time.Duration  // CPU time of the current process before the load began
+	initialSentBytes int64          // bytes that the current process sent to other relays before the load began
+	endedCPU         time.Duration  // CPU time of killed processes during the load
+	aloneSpans       [][2]time.Time // after restarts, until the relay received allocations from other members
 }
 
 // fleetKey returns a key of the fleet by its number. The keys are predictable: the laboratory encrypts nothing secret with them.
--- a/internal/lab/fleets/report.go
+++ b/internal/lab/fleets/report.go
@@ -63,8 +63,7 @@
 	return r
 }
 
-// Connections counts the connections that all relays requested to a partner's endpoints, between two times in seconds
-// of the load.
+// Connections counts the connection attempts of all relays to a partner's endpoints, between two times in seconds of the load.
 func (r *Report) Connections(p *labv1.Partner, from, until float64) (n int) {
 	for _, node := range r.fleet.nodes {
 		for _, e := range endpointNames(p) {
@@ -74,7 +73,7 @@
 	return n
 }
 
-// Tried writes how many connections each relay requested to a partner in each quarter of a second of a span.
+// Tried writes the number of connection attempts of each relay to a partner in each quarter of a second of a span.
 func (r *Report) Tried(w io.Writer, p *labv1.Partner, from, until float64) {
 	for _, node := range r.fleet.nodes {
 		var line strings.Builder
@@ -158,21 +157,21 @@
 	}
 	fmt.Fprintf(t, "in others' waits\t%d calls in %d waits (%d in one), the latest %v after the wait was told\n", len(r.CallsInOtherWaits), r.Waits, maxCallsInWait,
 		latest.Round(time.Millisecond))
-	var sent, cpu, rss float64
+	var meanSentRate, meanCPUShare, meanResidentBytes float64
 	var maxSentRate float64
 	drops := fleet.Drops{}
 	for i, g := range r.Metrics {
-		sent += float64(g.SentBytes) / r.LoadDuration.Seconds() / float64(len(r.Metrics))
+		meanSentRate += float64(g.SentBytes) / r.LoadDuration.Seconds() / float64(len(r.Metrics))
 		maxSentRate = max(maxSentRate, float64(g.SentBytes)/r.LoadDuration.Seconds())
-		cpu += r.CPUShares[i] / float64(len(r.CPUShares))
-		rss += float64(r.ResidentBytes[i]) / float64(len(r.ResidentBytes))
+		meanCPUShare += r.CPUShares[i] / float64(len(r.CPUShares))
+		meanResidentBytes += float64(r.ResidentBytes[i]) / float64(len(r.ResidentBytes))
 		drops.Forged += g.Drops.Forged
 		drops.Replayed += g.Drops.Replayed
 		drops.Strangers += g.Drops.Strangers
 		drops.Short += g.Drops.Short
 		drops.Overrun += g.Drops.Overrun
 	}
-	fmt.Fprintf(t, "each relay\t%.2f %% of a core (most %.2f), %.1f MB resident, %.0f bytes a second sent to others (most %.0f)\n", 100*cpu, 100*slices.Max(r.CPUShares), rss/1e6, sent, maxSentRate)
+	fmt.Fprintf(t, "each relay\t%.2f %% of a core (most %.2f), %.1f MB resident, %.0f bytes a second sent to others (most %.0f)\n", 100*meanCPUShare, 100*slices.Max(r.CPUShares), meanResidentBytes/1e6, meanSentRate, maxSentRate)
 	fmt.Fprintf(t, "dropped\tforged %d, replayed %d, strangers' %d, for want of bytes %d, overrun %d\n", drops.Forged, drops.Replayed, drops.Strangers, drops.Short, drops.Overrun)
 	rules := map[string]int{}
 	for _, b := range r.Verdict.Breaches {
@@ -195,16 +194,16 @@
 	for _, p := range f.Scenario.Partner {
 		byDest[int(p.Destination)] = &verdictCounts{}
 	}
-	asked, alive := 0, 0
+	queried, aliveCount := 0, 0
 	for i, node := range f.nodes {
 		if !node.inFleet || !node.alive() {
 			continue
 		}
-		alive++
+		aliveCount++
 		if i%max(len(f.nodes)/8, 1) != 0 { // query only a few relays of a large fleet
 			continue
 		}
-		asked++
+		queried++
 		list, err := f.Verdicts(i)
 		if err != nil {
 			for _, c := range byDest {
@@ -245,5 +244,5 @@
 		}
 		parts = append(parts, text)
 	}
-	fmt.Fprintf(w, "%6.2f s  %d relays live, %d asked; %s\n", at, alive, asked, strings.Join(parts, "; "))
+	fmt.Fprintf(w, "%6.2f s  %d relays live, %d asked; %s\n", at, aliveCount, queried, strings.Join(parts, "; "))
 }
