--- a/internal/lab/emulator/gossip/gossip_test.go
+++ b/internal/lab/emulator/gossip/gossip_test.go
@@ -153,26 +153,26 @@
 	n.run(3 * time.Second)
 	a, b := n.Nodes[0], n.Nodes[1]
 	statement := banStatement(a, 1)
-	held := a.Spread.Announce(a.Now(), []verdicts.Statement{statement})[0].Packet
+	delayedPacket := a.Spread.Announce(a.Now(), []verdicts.Statement{statement})[0].Packet
 	n.run(8 * time.Second)
-	news, _, _ := b.Spread.Receive(b.Now(), held)
-	if len(news) != 1 || news[0].Age < 8*time.Second-5*ms { // 5 ms for clock drift
-		t.Errorf("packet delayed for 8 s, statements merged as %v", news)
+	received, _, _ := b.Spread.Receive(b.Now(), delayedPacket)
+	if len(received) != 1 || received[0].Age < 8*time.Second-5*ms { // 5 ms for clock drift
+		t.Errorf("packet delayed for 8 s, statements merged as %v", received)
 	}
-	if news, _, _ = b.Spread.Receive(b.Now(), held); len(news) != 0 || b.Spread.Counters().Replayed != 1 {
-		t.Errorf("packet accepted twice: %v, %+v", news, b.Spread.Counters())
+	if received, _, _ = b.Spread.Receive(b.Now(), delayedPacket); len(received) != 0 || b.Spread.Counters().Replayed != 1 {
+		t.Errorf("packet accepted twice: %v, %+v", received, b.Spread.Counters())
 	}
 	if err := a.Start(2); err != nil {
 		t.Fatal(err)
 	}
 	n.run(3 * time.Second)
-	held.Count += 1000
-	held.News[0].Seq += 1000
-	if news, _, _ = b.Spread.Receive(b.Now(), held); len(news) != 0 {
+	delayedPacket.Count += 1000
+	delayedPacket.News[0].Seq += 1000
+	if received, _, _ = b.Spread.Receive(b.Now(), delayedPacket); len(received) != 0 {
 		t.Error("a packet of an earlier incarnation was accepted")
 	}
-	held.From = "nobody"
-	if news, _, _ = b.Spread.Receive(b.Now(), held); len(news) != 0 || b.Spread.Counters().Strangers != 1 {
+	delayedPacket.From = "nobody"
+	if received, _, _ = b.Spread.Receive(b.Now(), delayedPacket); len(received) != 0 || b.Spread.Counters().Strangers != 1 {
 		t.Error("a packet from a sender that is not a member was accepted")
 	}
 }
