--- a/cmd/slatelab/connections.go
+++ b/cmd/slatelab/connections.go
@@ -241,27 +241,27 @@
 	seq    atomic.Int64
 	stop   context.CancelFunc
 	addrs  map[string]string // name by address
-	states []conns.State
+	states []conns.EndpointState
 }
 
 func newKeeper(addrs map[string]string) (caller, error) {
 	k := &keeper{addrs: map[string]string{}}
 	cfg := conns.Defaults()
-	cfg.Most, cfg.IdleMost, cfg.Ahead = 500, idleMost, true
+	cfg.MaxConns, cfg.MaxIdle, cfg.Preconnect = 500, idleMost, true
 	var err error
-	k.g, err = flow.New(flow.Config{ConnectWithin: time.Second, MostFlows: 10_000, Conns: cfg, StuckAfter: 300 * time.Millisecond}, func(e traffic.FlowEnd) {
+	k.g, err = flow.New(flow.Config{ConnectTimeout: time.Second, MaxCalls: 10_000, Conns: cfg, UnackedTimeout: 300 * time.Millisecond}, func(e traffic.FlowEnd) {
 		to, _ := k.ends.LoadAndDelete(e.ID)
 		to.(chan traffic.FlowEnd) <- e
 	})
 	if err != nil {
 		return nil, err
 	}
-	news := traffic.PoolNews{Whole: true}
+	news := traffic.PoolUpdate{Full: true}
 	for name, addr := range addrs {
 		k.addrs[addr] = name
-		news.Members = append(news.Members, traffic.Member{Host: name, Dial: addr, Destination: len(news.Members)})
+		news.Members = append(news.Members, traffic.Member{Host: name, Address: addr, Destination: len(news.Members)})
 	}
-	k.g.Pool(news)
+	k.g.UpdatePool(news)
 	ctx, stop := context.WithCancel(context.Background())
 	k.stop = stop
 	go k.g.Sweep(ctx)
@@ -273,7 +273,7 @@
 		end := make(chan traffic.FlowEnd, 1)
 		id := fmt.Sprint(k.seq.Add(1))
 		k.ends.Store(id, end)
-		k.g.Start(traffic.Flow{ID: id, Member: k.addrs[addr], Group: traffic.Group{Member: addr}, Body: body, Begun: time.Now(), Deadline: by})
+		k.g.Start(traffic.Flow{ID: id, Member: k.addrs[addr], Group: traffic.Group{Member: addr}, Body: body, StartedAt: time.Now(), Deadline: by})
 		e := <-end
 		if e.Status == traffic.Unsent && time.Now().Before(by) { // held back, and not sent: the decision module would send it again
 			continue
@@ -286,9 +286,9 @@
 }
 
 func (k *keeper) close() {
-	k.states = k.g.Connections()
+	k.states = k.g.EndpointStates()
 	k.stop()
-	k.g.FreeIdle(true)
+	k.g.SetCloseIdle(true)
 }
 
 // transport is net/http's. A call bears no Idempotency-Key, so that it does not go out again by itself once it may have run.
--- a/cmd/slatelab/limits.go
+++ b/cmd/slatelab/limits.go
@@ -167,7 +167,7 @@
 		return r, err
 	}
 	s.PacketLoss = loss
-	s.Load = func(relay int) (rates [allowance.Levels]float64) {
+	s.Load = func(relay int) (rates [allowance.PriorityLevels]float64) {
 		rates[limitsLevel] = load(relay)
 		return rates
 	}
--- a/cmd/slatelab/scale.go
+++ b/cmd/slatelab/scale.go
@@ -53,8 +53,8 @@
 		Classes: []dispatch.Class{{Name: "slot", Effect: dispatch.Safe, Aim: time.Second, Deadline: 5 * time.Second, Worth: 1, LateWorth: 0.1}},
 		Kinds:   []dispatch.Kind{{Name: "partner"}}, Zones: []dispatch.Zone{{Name: "z"}}, Zone: "z", Resolution: 5 * time.Millisecond,
 		MaxCalls: 30, MaxOpen: 400, MaxAttempts: 8, ConnectTimeout: time.Second, KeepAlive: 5 * time.Second, CallsPerConn: 1,
-		MaxRetryAfter: 3 * time.Second, RetryAfter: true, Cancel: true, Weights: dispatch.Rough, LateByHalves: true,
-		Safety: dispatch.Safety{StartCapacity: 0.23, Cold: 13 * time.Second, FallMultiple: 1.5, TipAfter: 1500 * time.Millisecond}}
+		MaxRetryAfter: 3 * time.Second, SendRetryAfter: true, CanCancel: true, Weights: dispatch.RoughWeights, LateByHalves: true,
+		Safety: dispatch.Safety{MinStartCapacityShare: 0.23, Ramp: 13 * time.Second, OverloadMultiple: 1.5, OverloadFor: 1500 * time.Millisecond}}
 	d := workload.Day{Seed: seed, Relays: relays, Settings: set, Length: 30 * time.Second, Class: "slot", TimeLeft: 5 * time.Second, Fleet: fleet, Reports: true}
 	for i := range 10 {
 		demand := float64(relays) * 2 / 10
--- a/cmd/slatemux/cli.go
+++ b/cmd/slatemux/cli.go
@@ -213,7 +213,7 @@
 	fmt.Fprintf(table, "known pool members\t%d\n", len(cfg.known.Hosts))
 	limits := cfg.resourceLimits()
 	fmt.Fprintf(table, "memory, bytes\t%d, of them %d for open messages, collector's limit %d\n", cfg.memoryBytes, limits.openBytes, limits.heapBytes)
-	fmt.Fprintf(table, "descriptors\t%d: %d clients, %d to pool members\n", cfg.sockets, limits.clients.Clients, limits.memberConns)
+	fmt.Fprintf(table, "descriptors\t%d: %d clients, %d to pool members\n", cfg.sockets, limits.clients.MaxConns, limits.memberConns)
 	for _, class := range cfg.settings.Classes {
 		fmt.Fprintf(table, "class %s\tworth %v, aim %v, deadline %v\n", class.Name, class.Worth, class.Aim, class.Deadline)
 	}
@@ -234,7 +234,7 @@
 	}
 	if c := replicationConfig(&cfg); c != nil {
 		fmt.Fprintf(table, "fleet configuration\ton: keys in %s, region %q, zone %q, an exchange each %v, %.0f bytes a second, of them %.0f of repairs, %d entries\n",
-			c.TrustedKeyFile, c.Region, c.Zone, c.Replication.Exchange, c.Replication.BytesPerSecond, c.Replication.RepairBytesPerSecond, c.MaxEntries)
+			c.TrustedKeyFile, c.Region, c.Zone, c.Replication.ExchangeInterval, c.Replication.BytesPerSecond, c.Replication.RepairBytesPerSecond, c.MaxEntries)
 	} else {
 		fmt.Fprintf(table, "fleet configuration\toff\n")
 	}
--- a/cmd/slatemux/config.go
+++ b/cmd/slatemux/config.go
@@ -135,7 +135,7 @@
 			return c, fmt.Errorf("known: %w", err)
 		}
 	}
-	c.known.Whole = true
+	c.known.Full = true
 	return c, nil
 }
 
@@ -170,7 +170,7 @@
 	const fileCopies = 2 // compaction writes a second file beside the old one
 	return resourceLimits{heapBytes: c.memoryBytes / 2, openBytes: c.memoryBytes / 8, journalBytes: c.diskBytes - learned - fileCopies*configuration, learnedBytes: learned, configurationBytes: configuration, flows: min(c.settings.MaxCalls, n/4),
 		memberConns: n / 4,
-		clients:     front.Limits{Clients: n / 2, Used: n / 4, Buffered: c.memoryBytes / 8}}
+		clients:     front.Limits{MaxConns: n / 2, MaxUsedConns: n / 4, MaxBufferedBytes: c.memoryBytes / 8}}
 }
 
 // configurationFileBytes returns the bound of the file that stores the fleet configuration: the size of the maximum number of entries,
@@ -198,15 +198,15 @@
 }
 
 // discoveryTerms returns the settings of discovery.
-func (c *config) discoveryTerms() pool.Terms {
-	return pool.Terms{Pushed: !c.settings.OnRequest, Peers: c.settings.Peers, Grace: c.settings.Safety.DrainGrace, Asked: c.settings.Safety.AskEvery}
+func (c *config) discoveryTerms() pool.DiscoveryConfig {
+	return pool.DiscoveryConfig{Pushed: !c.settings.WatchRequired, Peers: c.settings.Peers, DrainGrace: c.settings.Safety.DrainGrace, NotifiedAfter: c.settings.Safety.NotifyInterval}
 }
 
 // overloadConfig returns the configuration of the overload controller: the gateway settings, with the classes and tenants of the
 // platform's settings.
 func (c *config) overloadConfig() overload.Config {
 	o := c.gateway.Overload.Control
-	o.OverShare, o.LateByHalves, o.OpenMost = c.settings.OverShareWorth, c.settings.LateByHalves, c.settings.MaxOpen
+	o.OverShareFactor, o.LateByHalves, o.MaxOpen = c.settings.OverShareWorth, c.settings.LateByHalves, c.settings.MaxOpen
 	o.Seed = uint64(c.seed)
 	for _, k := range c.settings.Classes {
 		o.Classes = append(o.Classes, overload.Class{Name: k.Name, Worth: k.Worth, LateWorth: k.LateWorth, Aim: k.Aim,
@@ -218,7 +218,7 @@
 	// A platform whose clients do not honour retry-after waits sets a maximum. Refused clients are given no longer wait, unless the
 	// minimum RetryLeast is longer.
 	if maxWait := c.settings.MaxRetryAfter; maxWait > 0 {
-		o.RetryMost = max(maxWait, o.RetryLeast)
+		o.MaxRetryIn = max(maxWait, o.MinRetryIn)
 	}
 	return o
 }
--- a/cmd/slatemux/fleet.go
+++ b/cmd/slatemux/fleet.go
@@ -24,14 +24,14 @@
 // relayForwarder implements fleet.Relay. It forwards the fleet's decisions to the relay, which is created after the fleet member.
 type relayForwarder func() *relay.Relay
 
-// Restrain implements fleet.Relay.
-func (t relayForwarder) Restrain(list []traffic.Restraint) { t().Restrain(list) }
+// ApplyRestraints implements fleet.Relay.
+func (t relayForwarder) ApplyRestraints(list []traffic.Restraint) { t().ApplyRestraints(list) }
 
-// Allow implements fleet.Relay.
-func (t relayForwarder) Allow(list []traffic.Allowance) { t().Allow(list) }
+// SetAllowances implements fleet.Relay.
+func (t relayForwarder) SetAllowances(list []traffic.Allowance) { t().SetAllowances(list) }
 
-// Bar implements fleet.Relay.
-func (t relayForwarder) Bar(bars []traffic.Bar) { t().Bar(bars) }
+// SetExclusions implements fleet.Relay.
+func (t relayForwarder) SetExclusions(bars []traffic.Exclusion) { t().SetExclusions(bars) }
 
 // joinFleet creates the relay's member of its fleet. It returns nil if the fleet is off.
 func joinFleet(cfg *config, r relayForwarder) (*fleet.Fleet, error) {
@@ -161,13 +161,13 @@
 		if s.AgeMS >= 0 {
 			read = fmt.Sprintf("%.1f s ago", s.AgeMS/1000)
 		}
-		if s.Own {
+		if s.OwnShare {
 			use += " (its own)"
 		}
 		if s.Lenders > 0 {
-			lent, dealt, spare = fmt.Sprint(s.Lenders), fmt.Sprintf("%.1f", s.Dealt), fmt.Sprintf("%.1f", max(s.Spare, 0))
+			lent, dealt, spare = fmt.Sprint(s.Lenders), fmt.Sprintf("%.1f", s.GrantedRate), fmt.Sprintf("%.1f", max(s.UngrantedRate, 0))
 		}
-		fmt.Fprintf(w, "%d\t%.1f\t%s\t%s\t%.1f\t%s\t%.1f s\t%s\t%s\t%s\t%.0f\n", s.Destination, s.Limit, read, s.Owner, s.Wants, use, s.LeftMS/1000, lent,
+		fmt.Fprintf(w, "%d\t%.1f\t%s\t%s\t%.1f\t%s\t%.1f s\t%s\t%s\t%s\t%.0f\n", s.Destination, s.Limit, read, s.Owner, s.Demand, use, s.LeftMS/1000, lent,
 			dealt, spare, s.Bound)
 	}
 	return nil
--- a/cmd/slatemux/main.go
+++ b/cmd/slatemux/main.go
@@ -113,8 +113,8 @@
 	var admission front.Admission // a nil interface if overload control is off
 	if overload := cfg.gateway.Overload; overload.Enabled {
 		gov, err = governor.New(governor.Config{Control: cfg.overloadConfig(), Tick: overload.Tick, Brownout: overload.Brownout,
-			Step: cfg.settings.Resolution, Memory: cfg.memoryBytes, Meters: meters,
-			Quiet: func(on bool) { setQuietLogging(on, cfg.gateway.Log.Level) }})
+			StepInterval: cfg.settings.Resolution, MemoryLimit: cfg.memoryBytes, Meters: meters,
+			SuppressLogs: func(on bool) { setQuietLogging(on, cfg.gateway.Log.Level) }})
 		if err != nil {
 			return err
 		}
@@ -122,7 +122,7 @@
 	}
 
 	var tlsManager *secure.Manager
-	var flowTLS flow.Secure // a nil interface if there are no TLS policies
+	var flowTLS flow.TLSConnector // a nil interface if there are no TLS policies
 	if len(cfg.gateway.TLS.Policies) > 0 {
 		if tlsManager, err = secure.New(cfg.gateway.TLS.Policies); err != nil {
 			return err
@@ -133,17 +133,17 @@
 		if gov == nil {
 			return 0
 		}
-		return gov.State().Reading.Busy
+		return gov.State().Reading.BusyShare
 	}
 
-	var sharedWaits flow.Waits // a nil interface if no waits are shared
+	var sharedWaits flow.RetryAfterWaits // a nil interface if no waits are shared
 	if table, err := retryafter.Open(os.TempDir()); err != nil {
 		slog.Warn("told waits not shared with a successor", "err", err)
 	} else {
 		defer table.Close()
 		sharedWaits = table
 	}
-	var turns relay.Turns // a nil interface if the order of keys is not shared
+	var turns relay.KeyOrder // a nil interface if the order of keys is not shared
 	if anyOrderedByKey(&cfg.settings) {
 		if table, err := keyorder.Open(os.TempDir(), fmt.Sprint(os.Getpid(), cfg.startTime.UnixNano())); err != nil {
 			slog.Warn("the order of keys is not shared with a successor", "err", err)
@@ -163,33 +163,33 @@
 		flowFleet, relayFleet = member, member
 	}
 	connsConfig := cfg.gateway.Conns.Keep
-	connsConfig.Most, connsConfig.IdleMost, connsConfig.Seed = limits.memberConns, cfg.settings.KeepAlive, uint64(cfg.seed)
+	connsConfig.MaxConns, connsConfig.MaxIdle, connsConfig.Seed = limits.memberConns, cfg.settings.KeepAlive, uint64(cfg.seed)
 	var resolver flow.Resolver // a nil interface if no names are looked up
 	if cfg.gateway.Conns.LookUpNames {
 		resolver = net.DefaultResolver
 	}
-	flows, err := flow.New(flow.Config{Names: resolver, Secure: flowTLS, Gate: cfg.gateway.TLS.Gate, Busy: cpuBusy, ConnectWithin: cfg.settings.ConnectTimeout,
-		MostFlows: limits.flows, Settle: connRestTime, Conns: connsConfig, HeldMost: cfg.gateway.Conns.HeldMost, StuckAfter: cfg.gateway.Conns.StuckAfter,
-		OwnDelay: meters.Wait, Shared: sharedWaits, Fleet: flowFleet}, func(end traffic.FlowEnd) { r.FlowEnded(end) })
+	flows, err := flow.New(flow.Config{Resolver: resolver, TLS: flowTLS, HandshakeGate: cfg.gateway.TLS.Gate, ProgramLoad: cpuBusy, ConnectTimeout: cfg.settings.ConnectTimeout,
+		MaxCalls: limits.flows, SettleTime: connRestTime, Conns: connsConfig, MaxConnWait: cfg.gateway.Conns.HeldMost, UnackedTimeout: cfg.gateway.Conns.StuckAfter,
+		LocalDelay: meters.ProbeWait, SharedWaits: sharedWaits, Fleet: flowFleet}, func(end traffic.FlowEnd) { r.FlowEnded(end) })
 	if err != nil {
 		return err
 	}
 	defer flows.Close() // runs before the deferred store.Close releases the journal
-	var preconnector relay.Ahead
-	if connsConfig.Ahead {
+	var preconnector relay.Preconnector
+	if connsConfig.Preconnect {
 		preconnector = flows
 	}
 	limitStore := limitstore.Open(cfg.stateDir, limits.learnedBytes, time.Now())
 	notices := notice.New(discovery, func(ids []string) { r.NoticesAnswered(ids) })
-	r, err = relay.New(relay.Config{Meters: meters, Settings: cfg.settings, Seed: cfg.seed, MostBytes: limits.openBytes, Store: store,
-		Flows: flows, Notices: notices, Ahead: preconnector, Lessons: limitStore, Heir: store, Fleet: relayFleet, Turns: turns, Banned: bans})
+	r, err = relay.New(relay.Config{Meters: meters, Settings: cfg.settings, Seed: cfg.seed, MaxOpenBytes: limits.openBytes, Store: store,
+		Flows: flows, Notices: notices, Preconnector: preconnector, LimitRecorder: limitStore, Recoverer: store, Fleet: relayFleet, KeyOrder: turns, Banned: bans})
 	if err != nil {
 		return err
 	}
-	cfg.known.Log()
+	cfg.known.LogInvalid()
 	knownPool := cfg.known.News()
-	flows.Pool(knownPool)
-	openMessages, pendingNotices := store.Owed()
+	flows.UpdatePool(knownPool)
+	openMessages, pendingNotices := store.Pending()
 	slog.Info("started", "discovery", cfg.discovery, "members", len(knownPool.Members), "recovered", len(openMessages), "notices", len(pendingNotices),
 		"limits", len(limitStore.Limits()))
 	partsBuilt := time.Now()
@@ -203,7 +203,7 @@
 	workers.Go(func() { notices.Run(ctx) })
 	workers.Go(func() { flows.Sweep(ctx) })
 	workers.Go(func() { limitStore.Run(ctx) })
-	watcher := pool.NewWatcher(discovery, pool.NewPace(cfg.discoveryTerms(), cfg.seed), cfg.known, cfg.startTime, r)
+	watcher := pool.NewWatcher(discovery, pool.NewCallSchedule(cfg.discoveryTerms(), cfg.seed), cfg.known, cfg.startTime, r)
 	workers.Go(func() { watcher.Run(ctx) })
 	fleetCtx, leaveFleet := context.WithCancel(ctx)
 	defer leaveFleet()
@@ -218,7 +218,7 @@
 		return err
 	}
 	if gov != nil {
-		meters.Probe(ctx)
+		meters.StartProbes(ctx)
 		workers.Go(func() { gov.Run(ctx, r, server, flows) })
 	}
 	if tlsManager != nil && cfg.gateway.TLS.WatchFiles {
@@ -257,19 +257,19 @@
 			return
 		}
 		reloads++
-		moved := newer.fileDiscovery != cfg.fileDiscovery && discovery.Move(newer.fileDiscovery)
+		moved := newer.fileDiscovery != cfg.fileDiscovery && discovery.Set(newer.fileDiscovery)
 		if newLimits := newer.resourceLimits(); newLimits != limits {
 			limits = newLimits
 			debug.SetMemoryLimit(newLimits.heapBytes)
-			store.Limit(newLimits.journalBytes)
-			r.Limit(newLimits.openBytes)
-			flows.Limit(newLimits.flows, newLimits.memberConns)
+			store.SetLimit(newLimits.journalBytes)
+			r.SetMemoryLimit(newLimits.openBytes)
+			flows.SetLimits(newLimits.flows, newLimits.memberConns)
 			if gov != nil {
-				gov.Limit(newer.memoryBytes)
+				gov.SetMemoryLimit(newer.memoryBytes)
 			}
-			server.Limit(newLimits.clients)
+			server.SetLimits(newLimits.clients)
 		}
-		discoveryAddr, _ := discovery.Now()
+		discoveryAddr, _ := discovery.Current()
 		slog.Info("configuration read again", "discovery", discoveryAddr, "moved", moved, "restart_for", cfg.restartOnlyChanges(&newer))
 		cfg.fileDiscovery = newer.fileDiscovery
 	}
@@ -282,7 +282,7 @@
 		}
 		if tlsManager != nil {
 			gate, waiting := flows.Handshakes()
-			slog.Log(ctx, level, "tls counters", "why", cause, "tls", tlsManager.Counters(), "asked", gate.Asked, "begun", gate.Begun, "carried", gate.Carried,
+			slog.Log(ctx, level, "tls counters", "why", cause, "tls", tlsManager.Counters(), "asked", gate.Requested, "begun", gate.Started, "carried", gate.Reused,
 				"out_of_time", gate.Expired, "waiting", waiting)
 		}
 		if member != nil {
@@ -307,10 +307,10 @@
 			logCounters("interval")
 		case <-sig.logConnections:
 			level := max(slog.LevelInfo, min(logLevel.Level(), slog.LevelWarn))
-			for _, s := range flows.Connections() {
+			for _, s := range flows.EndpointStates() {
 				slog.Log(ctx, level, "member's connections", "state", s)
 			}
-			slog.Log(ctx, level, "idle at their ends", "connections", flows.Ends())
+			slog.Log(ctx, level, "idle at their ends", "connections", flows.IdleTimes())
 		case <-sig.reload:
 			reload()
 		case received := <-sig.terminate:
@@ -333,11 +333,11 @@
 			serveEnded = nil
 		}
 	}
-	server.End()
+	server.Shutdown()
 	stopStepping()
 	cancel()
 	workers.Wait()
-	server.Drained(time.Now().Add(finalAnswersTimeout))
+	server.WaitDrained(time.Now().Add(finalAnswersTimeout))
 	logCounters("exit")
 	return nil
 }
--- a/cmd/slatemux/main_test.go
+++ b/cmd/slatemux/main_test.go
@@ -230,8 +230,8 @@
 		cfg := config{sockets: sockets, memoryBytes: 32e6}
 		cfg.settings.MaxCalls = 38
 		c := cfg.resourceLimits()
-		if all := c.clients.Clients + c.clients.Clients/4 + c.memberConns + reservedDescriptors; all > sockets ||
-			sockets > 64 && c.clients.Clients < sockets/3 || c.clients.Used >= sockets/3 || c.flows < 1 || c.flows > c.memberConns {
+		if all := c.clients.MaxConns + c.clients.MaxConns/4 + c.memberConns + reservedDescriptors; all > sockets ||
+			sockets > 64 && c.clients.MaxConns < sockets/3 || c.clients.MaxUsedConns >= sockets/3 || c.flows < 1 || c.flows > c.memberConns {
 			t.Errorf("%d descriptors: limits %+v allow %d", sockets, c, all)
 		}
 	}
--- a/cmd/slatemux/ops_handler.go
+++ b/cmd/slatemux/ops_handler.go
@@ -33,7 +33,7 @@
 	if !h.ready.Load() {
 		return ops.Stats{Success: map[string]int64{}, Overload: map[string]int64{}, Error: map[string]int64{}}
 	}
-	counters := h.relay.Figures()
+	counters := h.relay.Stats()
 	overload := map[string]int64{}
 	for class, n := range counters.Overload {
 		overload[class] += n
@@ -51,8 +51,8 @@
 	return stats
 }
 
-// Fleet returns the named part of what this relay knows about its fleet, or nil. It implements ops.Relay.
-func (h *opsHandler) Fleet(what string) any {
+// FleetState returns the named part of what this relay knows about its fleet, or nil. It implements ops.Relay.
+func (h *opsHandler) FleetState(what string) any {
 	if !h.ready.Load() || h.fleet == nil {
 		return nil
 	}
@@ -85,15 +85,15 @@
 	if !h.ready.Load() {
 		return errNotReady
 	}
-	if !h.relay.Known(id) && !h.bans.Banned()[id] {
-		return ops.ErrUnknown
+	if !h.relay.HasMember(id) && !h.bans.Banned()[id] {
+		return ops.ErrUnknownEndpoint
 	}
 	set, err := h.bans.Set(id, down)
 	if err != nil {
 		return err
 	}
 	select {
-	case <-h.relay.Ban(set):
+	case <-h.relay.SetBans(set):
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
@@ -110,7 +110,7 @@
 			return
 		case <-tick.C:
 			if set, changed := h.bans.Changed(); changed {
-				h.relay.Ban(set)
+				h.relay.SetBans(set)
 			}
 		}
 	}
--- a/cmd/slatemux/tls.go
+++ b/cmd/slatemux/tls.go
@@ -53,7 +53,7 @@
 				}
 			}
 			if addr != "" {
-				members = []traffic.Member{{Host: addr, Dial: addr, Destination: dest}}
+				members = []traffic.Member{{Host: addr, Address: addr, Destination: dest}}
 			}
 			if len(members) == 0 {
 				return fmt.Errorf("tls check: the configuration lists no member of destination %d; name one with --address", dest)
@@ -61,7 +61,7 @@
 			var failures error
 			for i := range members {
 				if err := checkMember(cmd.Context(), cmd.OutOrStdout(), manager, &members[i]); err != nil {
-					failures = errors.Join(failures, fmt.Errorf("%s at %s: %w", members[i].Host, members[i].Dial, err))
+					failures = errors.Join(failures, fmt.Errorf("%s at %s: %w", members[i].Host, members[i].Address, err))
 				}
 			}
 			return failures
@@ -83,7 +83,7 @@
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(w, "%s at %s: %s, %s, accepted in %v\n", member.Host, member.Dial, tls.VersionName(first.Version), tls.CipherSuiteName(first.CipherSuite), took[0].Round(10*time.Microsecond))
+	fmt.Fprintf(w, "%s at %s: %s, %s, accepted in %v\n", member.Host, member.Address, tls.VersionName(first.Version), tls.CipherSuiteName(first.CipherSuite), took[0].Round(10*time.Microsecond))
 	for i, c := range first.PeerCertificates {
 		fmt.Fprintf(w, "  %d  %s\n     issued by %s\n     valid %s to %s (%s left), pin %v\n", i, c.Subject, c.Issuer, c.NotBefore.UTC().Format(time.DateTime),
 			c.NotAfter.UTC().Format(time.DateTime), time.Until(c.NotAfter).Round(time.Hour), tlspolicy.PinOf(c))
--- a/internal/allowance/allocator.go
+++ b/internal/allowance/allocator.go
@@ -153,7 +153,7 @@
 
 // ReportDemand records the calls that have arrived for a destination since the last report, and the queued calls, for each priority
 // level.
-func (a *Allocator) ReportDemand(now time.Duration, destination int, arrived, queued [Levels]int) {
+func (a *Allocator) ReportDemand(now time.Duration, destination int, arrived, queued [PriorityLevels]int) {
 	d := a.destination(now, destination)
 	changed := queued != d.queued
 	d.addDemand(now, arrived, queued)
--- a/internal/allowance/claims.go
+++ b/internal/allowance/claims.go
@@ -91,7 +91,7 @@
 func (a *Allocator) avoid(now time.Duration, s *shardState, owner string) {
 	duration := min(max(2*s.avoided[owner].duration, a.cfg.LoanDuration), maxAvoidance)
 	s.avoided[owner] = avoidance{until: now + duration, duration: duration}
-	a.counters.Avoided++
+	a.counters.OwnersAvoided++
 }
 
 // claimContents returns the demands for the destinations of a shard, the greatest first, and the valid readings of their limits.
@@ -159,7 +159,7 @@
 // ReceiveClaim processes a relay's claim, and answers a new one with a grant.
 func (a *Allocator) ReceiveClaim(now time.Duration, from string, claim Claim) {
 	if !isShard(claim.Shard) || !slices.Contains(a.members, from) {
-		a.counters.Strays++
+		a.counters.Rejected++
 		return
 	}
 	a.removeForeign(&claim)
@@ -173,20 +173,20 @@
 }
 
 // isShard reports whether a number is that of a shard.
-func isShard(n int) bool { return n >= 0 && n < Shards }
+func isShard(n int) bool { return n >= 0 && n < ShardCount }
 
 // removeForeign removes the destinations of other shards from a claim.
 func (a *Allocator) removeForeign(claim *Claim) {
 	before := len(claim.Demands) + len(claim.Readings)
 	claim.Demands = slices.DeleteFunc(claim.Demands, func(d Demand) bool { return Shard(d.Destination) != claim.Shard })
 	claim.Readings = slices.DeleteFunc(claim.Readings, func(r Reading) bool { return Shard(r.Destination) != claim.Shard })
-	a.counters.Foreign += int64(before - len(claim.Demands) - len(claim.Readings))
+	a.counters.ForeignDestinations += int64(before - len(claim.Demands) - len(claim.Readings))
 }
 
 // ReceiveGrant processes an owner's grant.
 func (a *Allocator) ReceiveGrant(now time.Duration, from string, grant Grant) {
 	if !isShard(grant.Shard) {
-		a.counters.Strays++
+		a.counters.Rejected++
 		return
 	}
 	a.removeForeignShares(&grant)
@@ -199,7 +199,7 @@
 		delete(s.avoided, from)
 		a.counters.GrantsAccepted++
 	} else {
-		a.counters.Strays++
+		a.counters.Rejected++
 	}
 	if s.holder.hasLoweredLease(now, before) {
 		s.mustAcknowledge = true
@@ -211,7 +211,7 @@
 	before := len(grant.Shares)
 	grant.Shares = slices.DeleteFunc(grant.Shares, func(s Share) bool { return Shard(s.Destination) != grant.Shard })
 	grant.Shares = grant.Shares[:min(len(grant.Shares), maxGranted)]
-	a.counters.Foreign += int64(before - len(grant.Shares))
+	a.counters.ForeignDestinations += int64(before - len(grant.Shares))
 }
 
 // isPoll reports whether a grant is from the owner of its shard, requests a claim, and the claim may be sent now.
--- a/internal/allowance/config.go
+++ b/internal/allowance/config.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// Levels is the number of priority levels of messages. Level 0 is the highest.
-const Levels = 4
+// PriorityLevels is the number of priority levels of messages. Level 0 is the highest.
+const PriorityLevels = 4
 
 // never is a time before all others.
 const never = time.Duration(-1 << 62)
--- a/internal/allowance/demand.go
+++ b/internal/allowance/demand.go
@@ -21,9 +21,9 @@
 
 // localDestination is an allocator's record of a destination.
 type localDestination struct {
-	rates       [Levels]float64 // average arrivals a second by priority level
-	arrived     [Levels]float64 // arrivals since updatedAt
-	queued      [Levels]int     // calls queued at the last report
+	rates       [PriorityLevels]float64 // average arrivals a second by priority level
+	arrived     [PriorityLevels]float64 // arrivals since updatedAt
+	queued      [PriorityLevels]int     // calls queued at the last report
 	updatedAt   time.Duration
 	limit       float64 // limit that this relay has read, in calls a second; 0 for none
 	limitReadAt time.Duration
@@ -43,8 +43,8 @@
 }
 
 // addDemand adds arrivals and replaces the numbers of queued calls.
-func (d *localDestination) addDemand(now time.Duration, arrived, queued [Levels]int) {
-	for i := range Levels {
+func (d *localDestination) addDemand(now time.Duration, arrived, queued [PriorityLevels]int) {
+	for i := range PriorityLevels {
 		d.arrived[i] += float64(arrived[i])
 	}
 	d.queued = queued
@@ -65,7 +65,7 @@
 	averaging := averagedArrivalCount / max(total, minArrivalRate)
 	averaging = min(max(averaging, minAveragingTime.Seconds()), maxAveragingTime.Seconds())
 	decay := math.Exp(-elapsed / averaging)
-	for i := range Levels {
+	for i := range PriorityLevels {
 		d.rates[i] = d.rates[i]*decay + (1-decay)*d.arrived[i]/elapsed
 		d.arrived[i] = 0
 	}
@@ -74,7 +74,7 @@
 // demand returns the rate that serves the arrivals, and the queued calls within backlogDrainTime.
 func (d *localDestination) demand(destination int) Demand {
 	demand := Demand{Destination: destination}
-	for i := range Levels {
+	for i := range PriorityLevels {
 		demand.Rates[i] = d.rates[i] + float64(d.queued[i])/backlogDrainTime.Seconds()
 	}
 	return demand
--- a/internal/allowance/divide.go
+++ b/internal/allowance/divide.go
@@ -22,7 +22,7 @@
 		return
 	}
 	left := rate
-	for level := range Levels {
+	for level := range PriorityLevels {
 		lowerDemand := total
 		for higher := range level + 1 {
 			lowerDemand -= levelDemands[higher]
@@ -48,7 +48,7 @@
 }
 
 // sumDemands returns the sums of all relays' demands for each priority level and in total.
-func sumDemands(names []string, demandOf func(string) *Demand) (levelDemands [Levels]float64, total float64) {
+func sumDemands(names []string, demandOf func(string) *Demand) (levelDemands [PriorityLevels]float64, total float64) {
 	for _, name := range names {
 		demand := demandOf(name)
 		if demand == nil {
--- a/internal/allowance/grants.go
+++ b/internal/allowance/grants.go
@@ -20,12 +20,12 @@
 	r.lastGrantAt = now
 	r.grantsSinceHeard++
 	grant := Grant{
-		Shard:         shard,
-		Sequence:      o.sequence,
-		LastClaim:     r.lastClaimSequence,
-		LeaseDuration: o.cfg.LeaseDuration,
+		Shard:             shard,
+		Sequence:          o.sequence,
+		LastClaimSequence: r.lastClaimSequence,
+		LeaseDuration:     o.cfg.LeaseDuration,
 	}
-	if grant.LastClaim == 0 {
+	if grant.LastClaimSequence == 0 {
 		return grant
 	}
 	grant.Shares = o.shares(now, to)
--- a/internal/allowance/holder.go
+++ b/internal/allowance/holder.go
@@ -73,11 +73,11 @@
 		h.ownerHeardAt = now
 	}
 	claim := Claim{
-		Shard:     shard,
-		Sequence:  sequence,
-		LastGrant: h.grantsSeen[owner].sequence,
-		Demands:   demands,
-		Readings:  readings,
+		Shard:             shard,
+		Sequence:          sequence,
+		LastGrantSequence: h.grantsSeen[owner].sequence,
+		Demands:           demands,
+		Readings:          readings,
 	}
 	if h.mayLend(now, owner) {
 		claim.LoanDuration = h.cfg.LoanDuration
@@ -125,7 +125,7 @@
 // grant answers, and the owner counts them from a later time. If the grant answers none of recentClaims, the end is 0.
 func (h *Holder) leaseEnd(grant *Grant) (until time.Duration) {
 	for _, c := range h.recentClaims {
-		if c.sequence == grant.LastClaim && grant.LastClaim > 0 {
+		if c.sequence == grant.LastClaimSequence && grant.LastClaimSequence > 0 {
 			until = c.at + h.cfg.shortenForDrift(min(grant.LeaseDuration, h.cfg.LeaseDuration))
 		}
 	}
--- a/internal/allowance/messages.go
+++ b/internal/allowance/messages.go
@@ -5,7 +5,7 @@
 // Demand is the rate that a relay could send to a destination, in calls a second, for each priority level.
 type Demand struct {
 	Destination int
-	Rates       [Levels]float64
+	Rates       [PriorityLevels]float64
 }
 
 // total returns the sum over all priority levels.
@@ -29,7 +29,7 @@
 	// Sequence increases with each claim of the relay, whatever owner the claim goes to.
 	Sequence uint64
 	// LastGrant is the sequence number of the newest grant that the relay has received from this owner; 0 for none.
-	LastGrant uint64
+	LastGrantSequence uint64
 	// LoanDuration is how long the relay lends its shares of the shard's limits to the owner; 0 if it does not lend them.
 	LoanDuration time.Duration
 	Demands      []Demand
@@ -44,9 +44,9 @@
 	// Sequence increases with each grant of the owner, also across restarts.
 	Sequence uint64
 	// LastClaim is the sequence number of the newest claim that the owner has received from the relay; 0 for none.
-	LastClaim     uint64
-	LeaseDuration time.Duration
-	Shares        []Share
+	LastClaimSequence uint64
+	LeaseDuration     time.Duration
+	Shares            []Share
 }
 
 // Share is a relay's lease on a destination's limit.
--- a/internal/allowance/owner.go
+++ b/internal/allowance/owner.go
@@ -11,7 +11,7 @@
 	// rate that one relay gives up is available to another only after a round trip.
 	rateToleranceRatio = 0.1
 	// maxOwnedDestinations is the maximum number of destinations that an owner keeps for a shard.
-	maxOwnedDestinations = maxDestinations / Shards
+	maxOwnedDestinations = maxDestinations / ShardCount
 	// relayRetentionLoans is how long an owner keeps a sent grant, a silent relay and demand, in loan durations.
 	relayRetentionLoans = 2
 	// destinationRetentionLoans is how long an owner keeps a destination without demand, in loan durations.
@@ -91,7 +91,7 @@
 	r.grantsSinceHeard = 0
 	o.extendLoan(r, &claim)
 	// The relay no longer uses the grants before the one that the claim acknowledges.
-	r.outstanding = slices.DeleteFunc(r.outstanding, func(g sentGrant) bool { return g.sequence < claim.LastGrant })
+	r.outstanding = slices.DeleteFunc(r.outstanding, func(g sentGrant) bool { return g.sequence < claim.LastGrantSequence })
 	o.recordDemands(now, r, claim.Demands)
 	o.recordReadings(now, from, claim.Readings)
 	return true
@@ -101,7 +101,7 @@
 // lender counts the loan from the time at which it sent the claim, which is after the lender received the grant. The owner
 // therefore never considers a loan valid after the lender does.
 func (o *Owner) extendLoan(r *relayState, claim *Claim) {
-	sentAt, ok := o.sentAt[claim.LastGrant]
+	sentAt, ok := o.sentAt[claim.LastGrantSequence]
 	if !ok || claim.LoanDuration <= 0 {
 		return
 	}
--- a/internal/allowance/shard.go
+++ b/internal/allowance/shard.go
@@ -6,13 +6,13 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Shards is the number of shards that the destinations are hashed into. Each shard has one owner.
-const Shards = 256
+// ShardCount is the number of shards that the destinations are hashed into. Each shard has one owner.
+const ShardCount = 256
 
 // Shard returns the shard of a destination.
 func Shard(destination int) int {
 	key := binary.LittleEndian.AppendUint64(nil, uint64(destination))
-	return int(xxhash.Sum64(key) % Shards)
+	return int(xxhash.Sum64(key) % ShardCount)
 }
 
 // OwnerOf returns the owner of a destination's shard if all the given relays are alive.
--- a/internal/allowance/simulation_test.go
+++ b/internal/allowance/simulation_test.go
@@ -44,11 +44,11 @@
 func TestMovingLoad(t *testing.T) {
 	s := newSimulation(t, 8, 1)
 	hot := 0
-	s.Load = func(i int) [allowance.Levels]float64 {
+	s.Load = func(i int) [allowance.PriorityLevels]float64 {
 		if i == hot {
-			return [allowance.Levels]float64{150}
+			return [allowance.PriorityLevels]float64{150}
 		}
-		return [allowance.Levels]float64{2}
+		return [allowance.PriorityLevels]float64{2}
 	}
 	s.WarmUp()
 	for range 5 {
@@ -64,11 +64,11 @@
 // starve.
 func TestHigherWorthGoesFirst(t *testing.T) {
 	s := newSimulation(t, 8, 1)
-	s.Load = func(i int) [allowance.Levels]float64 {
+	s.Load = func(i int) [allowance.PriorityLevels]float64 {
 		if i < 4 {
-			return [allowance.Levels]float64{45}
+			return [allowance.PriorityLevels]float64{45}
 		}
-		return [allowance.Levels]float64{0, 0, 45}
+		return [allowance.PriorityLevels]float64{0, 0, 45}
 	}
 	s.WarmUp()
 	utilization := s.Utilization(5*time.Second, s.Limit)
@@ -174,7 +174,7 @@
 		s.PeakRate = 0
 		for end := s.Now + span; s.Now < end; {
 			s.Allocators[1].ObserveLimit(s.Now, limits.Destination, 100*s.Limit)
-			s.Allocators[1].ReportDemand(s.Now, limits.Destination, [allowance.Levels]int{0, 1000}, [allowance.Levels]int{0, 100000})
+			s.Allocators[1].ReportDemand(s.Now, limits.Destination, [allowance.PriorityLevels]int{0, 1000}, [allowance.PriorityLevels]int{0, 100000})
 			s.Run(20 * time.Millisecond)
 		}
 		return s.Used[1] / span.Seconds()
@@ -208,13 +208,13 @@
 	runOwner := func(span time.Duration, rate, limit float64) {
 		for end := now + span; now < end; now += tick {
 			allocator.ObserveLimit(now, destination, 100)
-			allocator.ReportDemand(now, destination, [allowance.Levels]int{1}, [allowance.Levels]int{50})
+			allocator.ReportDemand(now, destination, [allowance.PriorityLevels]int{1}, [allowance.PriorityLevels]int{50})
 			for _, a := range allocator.Tick(now) {
 				allocations[a.Destination] = a
 			}
 			for _, p := range allocator.TakeMessages() {
 				if c := p.Claim; c != nil && limit > 0 {
-					allocator.ReceiveGrant(now, falseOwner, allowance.Grant{Shard: c.Shard, Sequence: uint64(now), LastClaim: c.Sequence, LeaseDuration: time.Hour,
+					allocator.ReceiveGrant(now, falseOwner, allowance.Grant{Shard: c.Shard, Sequence: uint64(now), LastClaimSequence: c.Sequence, LeaseDuration: time.Hour,
 						Shares: []allowance.Share{{Destination: destination, Rate: rate, Limit: limit}, {Destination: otherShardDestination, Rate: rate, Limit: limit}}})
 				}
 			}
@@ -224,7 +224,7 @@
 	if a := allocations[destination]; a.Rate > 100 || a.Rate < 90 || a.Duration > cfg.LeaseDuration {
 		t.Errorf("allocation %+v with a read limit of 100 calls a second and a grant of a million", a)
 	}
-	if _, ok := allocations[otherShardDestination]; ok || allocator.Counters().Foreign == 0 || allocator.Counters().Capped == 0 {
+	if _, ok := allocations[otherShardDestination]; ok || allocator.Counters().ForeignDestinations == 0 || allocator.Counters().Capped == 0 {
 		t.Errorf("allocation %+v of a destination of another shard; counters %+v", allocations[otherShardDestination], allocator.Counters())
 	}
 	runOwner(time.Second, 0, 1)
--- a/internal/allowance/status.go
+++ b/internal/allowance/status.go
@@ -11,18 +11,18 @@
 
 // State is the state of a destination's limit, for operators.
 type State struct {
-	Destination int     `json:"destination"`
-	Limit       float64 `json:"limit"` // limit of the whole fleet, in calls a second
-	Rate        float64 `json:"rate"`  // rate that this relay may use, in calls a second
-	Own         bool    `json:"own"`   // Rate is the relay's own share, which it has not lent
-	Wants       float64 `json:"wants"` // demand of this relay, in calls a second
-	Owner       string  `json:"owner"`
-	LeftMS      float64 `json:"left_ms"`           // time until the lease or the loan ends
-	AgeMS       float64 `json:"age_ms"`            // age of this relay's newest reading; negative for none
-	Lenders     int     `json:"lenders,omitempty"` // at the owner: number of relays that lend it their shares
-	Dealt       float64 `json:"dealt,omitempty"`   // at the owner: granted rate that relays may use, in calls a second
-	Spare       float64 `json:"spare,omitempty"`   // at the owner: lent rate that is not granted, in calls a second
-	Bound       float64 `json:"bound"`             // maximum number of calls that all relays together may send in a second
+	Destination   int     `json:"destination"`
+	Limit         float64 `json:"limit"` // limit of the whole fleet, in calls a second
+	Rate          float64 `json:"rate"`  // rate that this relay may use, in calls a second
+	OwnShare      bool    `json:"own"`   // Rate is the relay's own share, which it has not lent
+	Demand        float64 `json:"wants"` // demand of this relay, in calls a second
+	Owner         string  `json:"owner"`
+	LeftMS        float64 `json:"left_ms"`           // time until the lease or the loan ends
+	AgeMS         float64 `json:"age_ms"`            // age of this relay's newest reading; negative for none
+	Lenders       int     `json:"lenders,omitempty"` // at the owner: number of relays that lend it their shares
+	GrantedRate   float64 `json:"dealt,omitempty"`   // at the owner: granted rate that relays may use, in calls a second
+	UngrantedRate float64 `json:"spare,omitempty"`   // at the owner: lent rate that is not granted, in calls a second
+	Bound         float64 `json:"bound"`             // maximum number of calls that all relays together may send in a second
 }
 
 // States returns the states of all known limits, sorted by destination.
@@ -44,8 +44,8 @@
 		Destination: n,
 		Limit:       limit,
 		Rate:        rate,
-		Own:         own,
-		Wants:       d.demand(n).total(),
+		OwnShare:    own,
+		Demand:      d.demand(n).total(),
 		Owner:       a.ownerOf(now, Shard(n), s),
 		AgeMS:       unknownAgeMillis,
 		Bound:       Bound(limit, a.cfg.Relays, time.Second),
@@ -68,9 +68,9 @@
 		if r.loanUntil > now {
 			s.Lenders++
 		}
-		s.Dealt += r.outstandingRate(now, s.Destination)
+		s.GrantedRate += r.outstandingRate(now, s.Destination)
 	}
-	s.Spare = s.Limit*float64(s.Lenders)/float64(o.cfg.Relays) - s.Dealt
+	s.UngrantedRate = s.Limit*float64(s.Lenders)/float64(o.cfg.Relays) - s.GrantedRate
 }
 
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
--- a/internal/configsync/config.go
+++ b/internal/configsync/config.go
@@ -58,11 +58,11 @@
 	// Self is the relay's name, unique in the fleet.
 	Self string
 	// Exchange is the mean interval between two anti-entropy exchanges.
-	Exchange time.Duration
+	ExchangeInterval time.Duration
 	// AckTimeout is how long a push waits for its acknowledgement before another member of its scope is tried.
 	AckTimeout time.Duration
 	// Attempts is the maximum number of members of one scope that are tried.
-	Attempts int
+	MaxAttempts int
 	// FanOut is the number of parts into which a relay divides its scope.
 	FanOut int
 	// BytesPerSecond limits everything that this relay sends, as measured by Size.
@@ -73,7 +73,7 @@
 	// MaxPacketBytes is the maximum size of a packet.
 	MaxPacketBytes int
 	// Size returns the bytes that a message takes on the network, including all headers.
-	Size func(*Message) int
+	MessageBytes func(*Message) int
 	// Seed initializes the random number generator.
 	Seed uint64
 }
@@ -81,9 +81,9 @@
 // Defaults returns the parameters that the relay uses unless its settings override them. Self, Size and Seed are unset.
 func Defaults() Config {
 	return Config{
-		Exchange:             defaultExchangeInterval,
+		ExchangeInterval:     defaultExchangeInterval,
 		AckTimeout:           defaultAckTimeout,
-		Attempts:             defaultAttempts,
+		MaxAttempts:          defaultAttempts,
 		FanOut:               defaultFanOut,
 		BytesPerSecond:       defaultBytesPerSecond,
 		RepairBytesPerSecond: defaultRepairBytesPerSecond,
@@ -95,11 +95,11 @@
 	switch {
 	case c.Self == "":
 		return errors.New("configsync: Self is empty")
-	case c.Exchange < time.Millisecond || c.AckTimeout < time.Millisecond:
+	case c.ExchangeInterval < time.Millisecond || c.AckTimeout < time.Millisecond:
 		return errors.New("configsync: Exchange or AckTimeout is under a millisecond")
-	case c.Attempts < 1 || c.FanOut < 2:
+	case c.MaxAttempts < 1 || c.FanOut < 2:
 		return errors.New("configsync: Attempts is under 1 or FanOut under 2")
-	case c.Size == nil || c.MaxPacketBytes < minPacketLimitBytes:
+	case c.MessageBytes == nil || c.MaxPacketBytes < minPacketLimitBytes:
 		return errors.New("configsync: Size is unset or MaxPacketBytes is too small")
 	case !(c.BytesPerSecond*burstSeconds >= 2*float64(c.MaxPacketBytes)):
 		return errors.New("configsync: BytesPerSecond is too small for MaxPacketBytes")
@@ -112,7 +112,7 @@
 // boundMissProbability is the probability that a change takes longer than its bound.
 const boundMissProbability = 1.0 / 1000
 
-// Bound returns the time within which all relays that stay up hold a change. The probability of exceeding the bound is one in
+// PropagationBound returns the time within which all relays that stay up hold a change. The probability of exceeding the bound is one in
 // 1,000. members is the size of the fleet, delay is the one-way delay including a relay's own scheduling delay, and loss is the
 // independent loss probability of each packet. The bound holds as long as the byte budgets are not used up. If every packet is
 // lost, no bound exists.
@@ -133,7 +133,7 @@
 // smallest n of at least 1 with members*m*r^n <= 1/2000. Exchanges that other relays begin with the missed relay are not
 // counted. The last 3*delay covers the packets of the successful exchange. The bound does not include a repair that is postponed
 // because the answer was cut to the size of a packet.
-func (c Config) Bound(members int, delay time.Duration, loss float64) time.Duration {
+func (c Config) PropagationBound(members int, delay time.Duration, loss float64) time.Duration {
 	if members < 2 {
 		return 0
 	}
@@ -148,7 +148,7 @@
 	retries := c.maxPathRetries(members, depth, loss)
 	exchanges := c.maxRepairExchanges(members, depth, loss)
 	bound += time.Duration(retries) * c.AckTimeout
-	bound += time.Duration(exchanges * (1 + exchangeJitterShare) * float64(c.Exchange))
+	bound += time.Duration(exchanges * (1 + exchangeJitterShare) * float64(c.ExchangeInterval))
 	return bound + 3*delay
 }
 
@@ -164,7 +164,7 @@
 // maxPathRetries returns the maximum number of retries on any path of the tree. The probability of exceeding it is half of
 // boundMissProbability.
 func (c Config) maxPathRetries(members, depth int, loss float64) int {
-	maxRetries := depth * (c.Attempts - 1)
+	maxRetries := depth * (c.MaxAttempts - 1)
 	probability := float64(members)
 	for k := 1; k <= maxRetries; k++ {
 		probability *= loss * float64(depth+k-1) / float64(k)
@@ -178,7 +178,7 @@
 // maxRepairExchanges returns the number of exchanges that repair every relay that the tree missed. The probability of exceeding
 // it is half of boundMissProbability.
 func (c Config) maxRepairExchanges(members, depth int, loss float64) float64 {
-	missProbability := 1 - math.Pow(1-math.Pow(loss, float64(c.Attempts)), float64(depth))
+	missProbability := 1 - math.Pow(1-math.Pow(loss, float64(c.MaxAttempts)), float64(depth))
 	failureProbability := 1 - (1-missProbability)*(1-loss)*(1-loss)
 	unrepairedRatio := 2 / boundMissProbability * float64(members) * missProbability
 	if unrepairedRatio <= 1 || failureProbability <= 0 {
--- a/internal/configsync/exchange.go
+++ b/internal/configsync/exchange.go
@@ -18,7 +18,7 @@
 // beginExchange sends this relay's version vector to a random member.
 func (r *Replica) beginExchange(now time.Duration) {
 	jitterFactor := 1 + exchangeJitterShare*(2*r.random.Float64()-1)
-	r.nextExchange = now + time.Duration(jitterFactor*float64(r.config.Exchange))
+	r.nextExchange = now + time.Duration(jitterFactor*float64(r.config.ExchangeInterval))
 	if r.countOthers() == 0 {
 		return
 	}
@@ -27,7 +27,7 @@
 		index++
 	}
 	request := r.vectorExchange()
-	request.Reply = true
+	request.WantsReply = true
 	if r.send(now, r.membership.members[index].Name, Message{Exchange: request}) {
 		r.counters.Exchanges++
 	}
@@ -44,7 +44,7 @@
 	for i := range exchange.Deltas {
 		applied = append(applied, r.mergeDelta(&exchange.Deltas[i])...)
 	}
-	if (exchange.Reply || len(exchange.Versions) > 0) && !r.store.faults.noAnswer {
+	if (exchange.WantsReply || len(exchange.Versions) > 0) && !r.store.faults.noAnswer {
 		r.answerVector(now, from, exchange)
 	}
 	return applied
@@ -83,7 +83,7 @@
 func (r *Replica) answerVector(now time.Duration, from string, received *Exchange) {
 	diverged := r.hasDiverged(received)
 	answer := &Exchange{}
-	if received.Reply && (diverged || r.mayLack(received)) {
+	if received.WantsReply && (diverged || r.mayLack(received)) {
 		answer = r.vectorExchange()
 		answer.Versions = withSources(answer.Versions, received.Versions)
 	}
@@ -170,7 +170,7 @@
 	if limit == 0 || len(r.store.sourceNames) == 0 {
 		return
 	}
-	builder := deltaBuilder{store: r.store, random: r.random, size: r.config.Size, maxBytes: limit, peerVersions: received.Versions,
+	builder := deltaBuilder{store: r.store, random: r.random, size: r.config.MessageBytes, maxBytes: limit, peerVersions: received.Versions,
 		includeBeyond: received.Digest != r.store.Digest()}
 	builder.build(answer)
 	if len(answer.Deltas) == 0 && builder.full && len(answer.Versions) > 0 {
@@ -201,6 +201,6 @@
 	}
 	message := Message{Exchange: answer}
 	if r.send(now, to, message) && len(answer.Deltas) > 0 {
-		r.repairBudget.take(r.config.Size(&message))
+		r.repairBudget.take(r.config.MessageBytes(&message))
 	}
 }
--- a/internal/configsync/fleet_test.go
+++ b/internal/configsync/fleet_test.go
@@ -109,7 +109,7 @@
 	n.run(n.now + 30*time.Second)
 	n.logCounters(t, "ordinary")
 	slowestTimes := ordinary.slowestPerChange(t, n, isNodeUp)
-	bound := n.config.Bound(maxFleetRelays, maxOneWayDelay, n.lossProbability)
+	bound := n.config.PropagationBound(maxFleetRelays, maxOneWayDelay, n.lossProbability)
 	t.Logf("ordinary: changes reached all relays after %v, bound %v", slowestTimes, bound)
 	if slowestTimes[len(slowestTimes)-1] > bound {
 		t.Errorf("change reached all relays after %v, above the bound of %v", slowestTimes[len(slowestTimes)-1], bound)
@@ -200,7 +200,7 @@
 			n.schedule(time.Duration(i+1)*3*time.Second, func() { latencies.publish(n, n.nodes[i%c.relays], source) })
 		}
 		n.run((changes + 20) * 3 * time.Second)
-		bound := n.config.Bound(c.relays, maxOneWayDelay, c.loss)
+		bound := n.config.PropagationBound(c.relays, maxOneWayDelay, c.loss)
 		slowestTimes := latencies.slowestPerChange(t, n, isNodeUp)
 		t.Logf("%d relays, loss %.2f: median %v, 99th of 100 %v, slowest %v, bound %v", c.relays, c.loss, slowestTimes[changes/2],
 			slowestTimes[changes-2], slowestTimes[changes-1], bound)
@@ -248,7 +248,7 @@
 func TestTreeSendsOnceWithoutLoss(t *testing.T) {
 	const relays = 500
 	n := newNetwork(9, fleetMembers(relays, 3, 3), acceptAll{}, injectedFaults{})
-	n.config.Exchange = time.Hour
+	n.config.ExchangeInterval = time.Hour
 	n.startAll()
 	latencies := recordLatencies(n)
 	source := &controller{source: "control-1"}
--- a/internal/configsync/membership_test.go
+++ b/internal/configsync/membership_test.go
@@ -109,6 +109,6 @@
 
 func ExampleDefaults() {
 	config := Defaults()
-	fmt.Println(config.Exchange, config.AckTimeout, config.Attempts, config.FanOut, config.MaxPacketBytes)
+	fmt.Println(config.ExchangeInterval, config.AckTimeout, config.MaxAttempts, config.FanOut, config.MaxPacketBytes)
 	// Output: 1s 400ms 3 4 1200
 }
--- a/internal/configsync/message.go
+++ b/internal/configsync/message.go
@@ -53,7 +53,7 @@
 // Exchange is one message of an anti-entropy exchange.
 type Exchange struct {
 	// Reply asks the receiver to answer with its own version vector.
-	Reply bool
+	WantsReply bool
 	// Versions is the sender's version vector. An answer without a vector compares nothing. An answer with a vector names every
 	// source that the receiver's vector named, if necessary with version 0.
 	Versions VersionVector
@@ -75,8 +75,8 @@
 	Changes        []Change
 }
 
-// Send is a message and the member that it is addressed to.
-type Send struct {
+// OutgoingMessage is a message and the member that it is addressed to.
+type OutgoingMessage struct {
 	To      string
 	Message Message
 }
--- a/internal/configsync/properties_test.go
+++ b/internal/configsync/properties_test.go
@@ -257,8 +257,8 @@
 	h := newHistory(random)
 	count := 2 + random.IntN(200)
 	n := newNetwork(seed, fleetMembers(count, 1+random.IntN(3), 1+random.IntN(3)), h.signers, faults)
-	n.config.Exchange = time.Hour
-	n.config.Attempts = 8
+	n.config.ExchangeInterval = time.Hour
+	n.config.MaxAttempts = 8
 	n.config.FanOut = 2 + random.IntN(4)
 	n.lossProbability = 0.05
 	n.duplicateProbability = 0.05
@@ -325,7 +325,7 @@
 	}
 	n.run(faultsEnd)
 	n.heal()
-	n.run(faultsEnd + n.config.Bound(count, maxDelay, n.lossProbability) + n.repairTime(h))
+	n.run(faultsEnd + n.config.PropagationBound(count, maxDelay, n.lossProbability) + n.repairTime(h))
 	if n.err != nil {
 		return n.err
 	}
@@ -345,7 +345,7 @@
 	for i := range h.changes {
 		bytes += headerBytes + 40 + changesSize(h.changes[i:i+1])
 	}
-	return time.Duration(2*float64(bytes)/n.config.RepairBytesPerSecond*float64(time.Second)) + 20*n.config.Exchange
+	return time.Duration(2*float64(bytes)/n.config.RepairBytesPerSecond*float64(time.Second)) + 20*n.config.ExchangeInterval
 }
 
 // scheduleFaults schedules a random set of faults that begin before the given time. heal ends them, except for a node that
@@ -393,7 +393,7 @@
 func (n *network) ackWithoutForwarding(muted *node) {
 	muted.intercept = func(from string, message Message) bool {
 		if message.Push != nil {
-			n.transmit(muted, Send{To: from, Message: Message{Ack: &Ack{Number: message.Push.Number}}})
+			n.transmit(muted, OutgoingMessage{To: from, Message: Message{Ack: &Ack{Number: message.Push.Number}}})
 		}
 		return true
 	}
@@ -466,9 +466,9 @@
 		forged.Revision, forged.Value, forged.Removed = 1<<40, []byte("forged"), false
 		message.Push = &Push{Number: 1, Scope: Scope{Low: firstPosition, High: lastPosition}, Changes: []Change{forged}}
 	case 3:
-		message.Exchange = &Exchange{Reply: true, Versions: VersionVector{signed.Source: 1 << 50, "nobody": 7}, Digest: 1}
+		message.Exchange = &Exchange{WantsReply: true, Versions: VersionVector{signed.Source: 1 << 50, "nobody": 7}, Digest: 1}
 	case 4:
-		message.Exchange = &Exchange{Reply: true, Versions: victim.store.Versions(), Digest: random.Uint64()}
+		message.Exchange = &Exchange{WantsReply: true, Versions: victim.store.Versions(), Digest: random.Uint64()}
 	}
 	n.schedule(n.now, func() { n.receive(hostile, victim, message) })
 }
--- a/internal/configsync/push.go
+++ b/internal/configsync/push.go
@@ -61,7 +61,7 @@
 	longest := r.membership.longestPosition
 	scope := Scope{Salt: math.MaxUint64, Low: longest + "~", High: longest} // see lowerEndWithoutSelf
 	push := Push{Number: math.MaxUint64, Scope: scope, Changes: changes}
-	return r.config.Size(&Message{Push: &push})
+	return r.config.MessageBytes(&Message{Push: &push})
 }
 
 // distribute sends changes to all members in a scope, or postpones the push until enough bytes are available.
@@ -168,7 +168,7 @@
 }
 
 func (r *Replica) retry(now time.Duration, d *delivery) {
-	if len(d.tried) >= r.config.Attempts {
+	if len(d.tried) >= r.config.MaxAttempts {
 		r.counters.Abandoned++
 		r.deliveries.remove(d)
 		return
@@ -225,9 +225,9 @@
 // that this store has no room for are included in the second list.
 func (r *Replica) mergePushed(changes []Change) (applied, valid []Change) {
 	for i := range changes {
-		fullBefore := r.counters.Full
+		fullBefore := r.counters.StoreFull
 		result, err := r.merge(&changes[i])
-		if err != nil && r.counters.Full == fullBefore {
+		if err != nil && r.counters.StoreFull == fullBefore {
 			continue
 		}
 		valid = append(valid, changes[i])
--- a/internal/configsync/replica.go
+++ b/internal/configsync/replica.go
@@ -12,22 +12,22 @@
 
 // Counters holds counts since the start of the replica.
 type Counters struct {
-	SentPackets int64 `json:"sent_packets"`
-	SentBytes   int64 `json:"sent_bytes"`
-	Pushes      int64 `json:"pushes"`      // pushes sent, including retries
-	Retries     int64 `json:"retries"`     // pushes sent again to another member because no acknowledgement arrived
-	Abandoned   int64 `json:"abandoned"`   // scopes left to anti-entropy after all attempts
-	Exchanges   int64 `json:"exchanges"`   // exchanges begun by this relay
-	Repaired    int64 `json:"repaired"`    // new changes received in a delta
-	Applied     int64 `json:"applied"`     // changes that came into force
-	Duplicates  int64 `json:"duplicates"`  // changes that were already known
-	Untrusted   int64 `json:"untrusted"`   // changes dropped because of the signature or the source
-	Invalid     int64 `json:"invalid"`     // malformed changes or messages that were dropped
-	Strangers   int64 `json:"strangers"`   // messages dropped because the sender is not a member
-	OverBudget  int64 `json:"over_budget"` // sends postponed or dropped because bytes were short
-	Diverged    int64 `json:"diverged"`    // exchanges with equal vectors and different digests
-	Rewinds     int64 `json:"rewinds"`     // times that everything was pulled again because stores had diverged
-	Full        int64 `json:"full"`        // changes dropped because the store was full
+	SentPackets    int64 `json:"sent_packets"`
+	SentBytes      int64 `json:"sent_bytes"`
+	Pushes         int64 `json:"pushes"`      // pushes sent, including retries
+	Retries        int64 `json:"retries"`     // pushes sent again to another member because no acknowledgement arrived
+	Abandoned      int64 `json:"abandoned"`   // scopes left to anti-entropy after all attempts
+	Exchanges      int64 `json:"exchanges"`   // exchanges begun by this relay
+	Repaired       int64 `json:"repaired"`    // new changes received in a delta
+	Applied        int64 `json:"applied"`     // changes that came into force
+	Duplicates     int64 `json:"duplicates"`  // changes that were already known
+	Untrusted      int64 `json:"untrusted"`   // changes dropped because of the signature or the source
+	Invalid        int64 `json:"invalid"`     // malformed changes or messages that were dropped
+	UnknownSenders int64 `json:"strangers"`   // messages dropped because the sender is not a member
+	OverBudget     int64 `json:"over_budget"` // sends postponed or dropped because bytes were short
+	Diverged       int64 `json:"diverged"`    // exchanges with equal vectors and different digests
+	Rewinds        int64 `json:"rewinds"`     // times that everything was pulled again because stores had diverged
+	StoreFull      int64 `json:"full"`        // changes dropped because the store was full
 }
 
 // Replica replicates configuration on behalf of one relay. It is not safe for concurrent use.
@@ -40,7 +40,7 @@
 	sendBudget   tokenBucket
 	repairBudget tokenBucket
 	counters     Counters
-	outgoing     []Send // messages to send, of the current call
+	outgoing     []OutgoingMessage // messages to send, of the current call
 
 	queue     []Change // published changes that are not yet sent
 	lastFlush time.Duration
@@ -84,9 +84,9 @@
 	return r, nil
 }
 
-// Members replaces the set of live members. The set must include this relay's own entry, which provides the relay's region and
+// SetMembers replaces the set of live members. The set must include this relay's own entry, which provides the relay's region and
 // zone.
-func (r *Replica) Members(now time.Duration, members []Member) {
+func (r *Replica) SetMembers(now time.Duration, members []Member) {
 	r.SetMembership(now, NewMembership(members))
 }
 
@@ -113,7 +113,7 @@
 
 // Publish accepts a change that an operator has submitted to this relay, and sends the change to the fleet. If Publish returns
 // an error, nothing has changed. The error describes what is wrong with the change.
-func (r *Replica) Publish(now time.Duration, change Change) ([]Send, error) {
+func (r *Replica) Publish(now time.Duration, change Change) ([]OutgoingMessage, error) {
 	r.outgoing = nil
 	if err := r.checkPacketSize(&change); err != nil {
 		r.counters.Invalid++
@@ -143,7 +143,7 @@
 	result, err := r.store.merge(change)
 	switch {
 	case errors.Is(err, ErrFull):
-		r.counters.Full++
+		r.counters.StoreFull++
 	case errors.Is(err, ErrUntrusted):
 		r.counters.Untrusted++
 	case err != nil:
@@ -158,10 +158,10 @@
 
 // Receive processes a message from another member. It returns the changes that came into force and the messages to send. The
 // replica keeps the slices of the message, so that nobody may modify them afterwards.
-func (r *Replica) Receive(now time.Duration, from string, message Message) (applied []Change, out []Send) {
+func (r *Replica) Receive(now time.Duration, from string, message Message) (applied []Change, out []OutgoingMessage) {
 	r.outgoing = nil
 	if _, isMember := r.membership.index(from); !isMember || from == r.config.Self {
-		r.counters.Strangers++
+		r.counters.UnknownSenders++
 		return nil, nil
 	}
 	if message.validate() != nil {
@@ -180,9 +180,9 @@
 }
 
 // Tick sends everything that is due: retries, postponed pushes, queued changes and exchanges.
-func (r *Replica) Tick(now time.Duration) []Send {
+func (r *Replica) Tick(now time.Duration) []OutgoingMessage {
 	r.outgoing = nil
-	if now < r.Due() {
+	if now < r.NextTick() {
 		return nil
 	}
 	r.retryDeliveries(now)
@@ -196,8 +196,8 @@
 	return r.outgoing
 }
 
-// Due returns the time at which Tick next has work to do.
-func (r *Replica) Due() time.Duration {
+// NextTick returns the time at which Tick next has work to do.
+func (r *Replica) NextTick() time.Duration {
 	due := r.nextExchange
 	if deadline, ok := r.deliveries.firstDeadline(); ok {
 		due = min(due, deadline)
@@ -216,7 +216,7 @@
 
 // shortRandomDelay returns a short random delay. It spreads the first exchanges of relays that start at the same time.
 func (r *Replica) shortRandomDelay() time.Duration {
-	return time.Duration(r.random.Float64() * float64(r.config.Exchange) / 4)
+	return time.Duration(r.random.Float64() * float64(r.config.ExchangeInterval) / 4)
 }
 
 // ackReserveBytes returns the number of bytes that are reserved for acknowledgements.
@@ -232,7 +232,7 @@
 
 // send sends a message if it fits a packet and the available bytes, and reports whether it did.
 func (r *Replica) send(now time.Duration, to string, message Message) bool {
-	size := r.config.Size(&message)
+	size := r.config.MessageBytes(&message)
 	available := r.spendableBytes(now)
 	if message.Ack != nil {
 		available += r.ackReserveBytes()
@@ -244,6 +244,6 @@
 	r.sendBudget.take(size)
 	r.counters.SentPackets++
 	r.counters.SentBytes += int64(size)
-	r.outgoing = append(r.outgoing, Send{To: to, Message: message})
+	r.outgoing = append(r.outgoing, OutgoingMessage{To: to, Message: message})
 	return true
 }
--- a/internal/configsync/replica_test.go
+++ b/internal/configsync/replica_test.go
@@ -16,7 +16,7 @@
 func newTestReplica(t *testing.T, members []Member, adjust func(*Config)) *Replica {
 	t.Helper()
 	config := Defaults()
-	config.Self, config.Size = members[0].Name, messageSize
+	config.Self, config.MessageBytes = members[0].Name, messageSize
 	if adjust != nil {
 		adjust(&config)
 	}
@@ -24,15 +24,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.Members(0, members)
+	r.SetMembers(0, members)
 	return r
 }
 
-func withoutExchanges(c *Config) { c.Exchange = 24 * time.Hour }
+func withoutExchanges(c *Config) { c.ExchangeInterval = 24 * time.Hour }
 
 // pushes returns the pushes among sends.
-func pushes(sends []Send) []Send {
-	var found []Send
+func pushes(sends []OutgoingMessage) []OutgoingMessage {
+	var found []OutgoingMessage
 	for _, send := range sends {
 		if send.Message.Push != nil {
 			found = append(found, send)
@@ -44,11 +44,11 @@
 func TestNewReplicaValidatesConfig(t *testing.T) {
 	cases := map[string]func(*Config){
 		"self":      func(c *Config) { c.Self = "" },
-		"exchange":  func(c *Config) { c.Exchange = 0 },
+		"exchange":  func(c *Config) { c.ExchangeInterval = 0 },
 		"timeout":   func(c *Config) { c.AckTimeout = 0 },
-		"attempts":  func(c *Config) { c.Attempts = 0 },
+		"attempts":  func(c *Config) { c.MaxAttempts = 0 },
 		"fan-out":   func(c *Config) { c.FanOut = 1 },
-		"size":      func(c *Config) { c.Size = nil },
+		"size":      func(c *Config) { c.MessageBytes = nil },
 		"packet":    func(c *Config) { c.MaxPacketBytes = 10 },
 		"bytes":     func(c *Config) { c.BytesPerSecond = 100 },
 		"NaN bytes": func(c *Config) { c.BytesPerSecond = math.NaN() },
@@ -56,14 +56,14 @@
 	}
 	for name, corrupt := range cases {
 		config := Defaults()
-		config.Self, config.Size = "a", messageSize
+		config.Self, config.MessageBytes = "a", messageSize
 		corrupt(&config)
 		if _, err := NewReplica(config, 0, NewStore(acceptAll{}, 1)); err == nil {
 			t.Errorf("invalid %s: no error", name)
 		}
 	}
 	config := Defaults()
-	config.Self, config.Size = "a", messageSize
+	config.Self, config.MessageBytes = "a", messageSize
 	if _, err := NewReplica(config, 0, nil); err == nil {
 		t.Error("nil store: no error")
 	}
@@ -84,7 +84,7 @@
 			t.Fatalf("%d sends within the batch interval, error %v", len(out), err)
 		}
 	}
-	if due := r.Due(); due != time.Second+batchInterval {
+	if due := r.NextTick(); due != time.Second+batchInterval {
 		t.Errorf("batch due at %v", due)
 	}
 	if out := r.Tick(time.Second + batchInterval - 1); len(out) != 0 {
@@ -159,7 +159,7 @@
 	})
 	out, _ := r.Publish(time.Second, change("a", 1, 1, "k", "v"))
 	tried := map[uint64][]Member{}
-	recordTried := func(sends []Send) {
+	recordTried := func(sends []OutgoingMessage) {
 		for _, send := range pushes(sends) {
 			index, _ := r.membership.index(send.To)
 			number := send.Message.Push.Number
@@ -171,7 +171,7 @@
 		recordTried(r.Tick(now))
 	}
 	for number, members := range tried {
-		if len(members) != r.config.Attempts {
+		if len(members) != r.config.MaxAttempts {
 			t.Errorf("push %d: %d attempts", number, len(members))
 		}
 		if members[0].Zone == members[1].Zone {
@@ -238,7 +238,7 @@
 	r.store.maxEntries = 0
 	push := Push{Number: 1, Scope: Scope{Low: firstPosition, High: lastPosition}, Changes: []Change{change("a", 1, 1, "k", "v")}}
 	applied, out := r.Receive(time.Second, members[1].Name, Message{Push: &push})
-	if len(applied) != 0 || len(pushes(out)) != r.config.FanOut || r.Counters().Full != 1 {
+	if len(applied) != 0 || len(pushes(out)) != r.config.FanOut || r.Counters().StoreFull != 1 {
 		t.Errorf("%d applied, %d pushes, counters %+v", len(applied), len(pushes(out)), r.Counters())
 	}
 }
@@ -263,7 +263,7 @@
 	}
 	sent := 0
 	for range 1000 {
-		now := r.Due()
+		now := r.NextTick()
 		if now > 10*time.Second {
 			break
 		}
@@ -290,7 +290,7 @@
 			t.Errorf("from %q: %d applied, %d sent", from, len(applied), len(out))
 		}
 	}
-	if r.Counters().Strangers != 3 {
+	if r.Counters().UnknownSenders != 3 {
 		t.Errorf("counters %+v", r.Counters())
 	}
 	tooMany := VersionVector{}
@@ -352,7 +352,7 @@
 		message.Ack = &Ack{Number: number.Draw(rt, "number")}
 	}
 	if rapid.IntRange(0, 1).Draw(rt, "exchange") == 0 {
-		message.Exchange = &Exchange{Reply: rapid.Bool().Draw(rt, "reply"), Digest: number.Draw(rt, "digest"),
+		message.Exchange = &Exchange{WantsReply: rapid.Bool().Draw(rt, "reply"), Digest: number.Draw(rt, "digest"),
 			Ahead:    rapid.IntRange(-1, 3).Draw(rt, "ahead"),
 			Versions: rapid.MapOfN(name, number, 0, 4).Draw(rt, "versions")}
 		for range rapid.IntRange(0, 2).Draw(rt, "deltas") {
@@ -392,8 +392,8 @@
 					rt.Fatalf("sent %d bytes, %v: %+v", size, out[i].Message.validate(), out[i].Message)
 				}
 			}
-			if r.Due() <= now {
-				rt.Fatalf("due at %v after Tick at %v", r.Due(), now)
+			if r.NextTick() <= now {
+				rt.Fatalf("due at %v after Tick at %v", r.NextTick(), now)
 			}
 		}
 	})
@@ -407,7 +407,7 @@
 	mustApply(t, a.store, change("x", 1, 1, "k1", "1"), change("x", 2, 3, "k2", "2"))
 	mustApply(t, b.store, change("y", 1, 2, "k2", "1"), change("y", 2, 4, "k3", "2"), change("y", 3, 5, "k3", "3"))
 	request := a.Tick(time.Second)
-	if len(request) != 1 || !request[0].Message.Exchange.Reply {
+	if len(request) != 1 || !request[0].Message.Exchange.WantsReply {
 		t.Fatalf("sent %+v", request)
 	}
 	_, answer := b.Receive(time.Second, members[0].Name, request[0].Message)
@@ -424,7 +424,7 @@
 	if a.store.Digest() != b.store.Digest() || !equalVersions(a.store.Versions(), b.store.Versions()) {
 		t.Errorf("stores differ: vectors %v and %v", a.store.Versions(), b.store.Versions())
 	}
-	if _, out := b.Receive(2*time.Second, members[0].Name, Message{Exchange: &Exchange{Reply: true, Versions: a.store.Versions(),
+	if _, out := b.Receive(2*time.Second, members[0].Name, Message{Exchange: &Exchange{WantsReply: true, Versions: a.store.Versions(),
 		Digest: a.store.Digest()}}); len(out) != 0 {
 		t.Errorf("replicas with equal stores exchange %+v", out)
 	}
@@ -435,8 +435,8 @@
 func TestEmptyReplicaAnswersWithVector(t *testing.T) {
 	members := fleetMembers(2, 1, 1)
 	empty := newTestReplica(t, members, nil)
-	_, answer := empty.Receive(0, members[1].Name, Message{Exchange: &Exchange{Reply: true, Versions: VersionVector{"x": 4}, Digest: 9}})
-	if len(answer) != 1 || len(answer[0].Message.Exchange.Versions) != 1 || answer[0].Message.Exchange.Reply {
+	_, answer := empty.Receive(0, members[1].Name, Message{Exchange: &Exchange{WantsReply: true, Versions: VersionVector{"x": 4}, Digest: 9}})
+	if len(answer) != 1 || len(answer[0].Message.Exchange.Versions) != 1 || answer[0].Message.Exchange.WantsReply {
 		t.Errorf("answered %+v", answer)
 	}
 	if len(empty.store.Versions()) != 0 {
@@ -450,7 +450,7 @@
 	r := newTestReplica(t, members, nil)
 	mustApply(t, r.store, change("x", 1, 1, "k1", "1"))
 	r.store.SetVersions(VersionVector{"x": 2})
-	same := Message{Exchange: &Exchange{Reply: true, Versions: VersionVector{"x": 2}, Digest: 1}}
+	same := Message{Exchange: &Exchange{WantsReply: true, Versions: VersionVector{"x": 2}, Digest: 1}}
 	_, out := r.Receive(time.Second, members[1].Name, same)
 	if len(out) != 1 || out[0].Message.Exchange.Versions["x"] != 2 {
 		t.Fatalf("answered %+v", out)
@@ -485,43 +485,43 @@
 func TestFirstExchangeIsSoon(t *testing.T) {
 	members := fleetMembers(3, 1, 1)
 	r := newTestReplica(t, members, nil)
-	if r.Due() > r.config.Exchange/4 {
-		t.Errorf("first exchange due at %v", r.Due())
+	if r.NextTick() > r.config.ExchangeInterval/4 {
+		t.Errorf("first exchange due at %v", r.NextTick())
 	}
-	r.Members(0, members[:1])
+	r.SetMembers(0, members[:1])
 	for range 3 {
-		r.Tick(r.Due())
+		r.Tick(r.NextTick())
 	}
 	if r.Counters().Exchanges != 0 {
 		t.Error("exchange counted without other members")
 	}
-	now := r.Due() - r.config.Exchange/2
-	r.Members(now, members)
-	if r.Due() > now+r.config.Exchange/4 {
-		t.Errorf("exchange due %v after the first members appeared", r.Due()-now)
+	now := r.NextTick() - r.config.ExchangeInterval/2
+	r.SetMembers(now, members)
+	if r.NextTick() > now+r.config.ExchangeInterval/4 {
+		t.Errorf("exchange due %v after the first members appeared", r.NextTick()-now)
 	}
 }
 
 // TestBoundGrowsWithItsArguments checks that Bound never falls when the members, the delay or the loss grow.
 func TestBoundGrowsWithItsArguments(t *testing.T) {
 	config := Defaults()
-	if config.Bound(1, time.Second, 0.5) != 0 {
+	if config.PropagationBound(1, time.Second, 0.5) != 0 {
 		t.Error("bound of a single relay is not 0")
 	}
 	proptest.Check(t, func(rt *rapid.T) {
 		members := rapid.IntRange(2, 4000).Draw(rt, "members")
 		delay := time.Duration(rapid.IntRange(1, 1000).Draw(rt, "delay")) * time.Millisecond
 		loss := rapid.Float64Range(0, 0.3).Draw(rt, "loss")
-		bound := config.Bound(members, delay, loss)
+		bound := config.PropagationBound(members, delay, loss)
 		if bound < delay || bound > 2*time.Minute {
 			rt.Fatalf("bound %v", bound)
 		}
-		if config.Bound(members, 2*delay, loss) < bound || config.Bound(members*2, delay, loss) < bound ||
-			config.Bound(members, delay, loss*1.5) < bound {
+		if config.PropagationBound(members, 2*delay, loss) < bound || config.PropagationBound(members*2, delay, loss) < bound ||
+			config.PropagationBound(members, delay, loss*1.5) < bound {
 			rt.Fatalf("the bound %v falls when an argument grows", bound)
 		}
 	})
-	if bound := config.Bound(maxFleetRelays, 100*time.Millisecond, 0.01); bound > maxTimeToAll {
+	if bound := config.PropagationBound(maxFleetRelays, 100*time.Millisecond, 0.01); bound > maxTimeToAll {
 		t.Errorf("bound of the full fleet %v", bound)
 	}
 }
@@ -545,7 +545,7 @@
 	}
 	now := time.Duration(0)
 	for a.store.Digest() != b.store.Digest() {
-		now = b.Due()
+		now = b.NextTick()
 		if now > 10*time.Minute {
 			t.Fatalf("stores not equal after %v", now)
 		}
--- a/internal/configsync/simulation_test.go
+++ b/internal/configsync/simulation_test.go
@@ -124,7 +124,7 @@
 func newNetwork(seed uint64, members []Member, verifier Verifier, faults injectedFaults) *network {
 	n := &network{random: rand.New(rand.NewPCG(seed, 1)), config: Defaults(), faults: faults, verifier: verifier, maxEntries: 32768,
 		byName: map[string]*node{}, handledScopes: map[handledScope]bool{}, fullMembership: NewMembership(members)}
-	n.config.Size = messageSize
+	n.config.MessageBytes = messageSize
 	n.config.Seed = seed
 	n.delay = func(from, to *node) time.Duration { return oneWayDelay(n.random, from, to) }
 	for _, member := range members {
@@ -214,7 +214,7 @@
 
 // scheduleTick plans a node's next Tick.
 func (n *network) scheduleTick(on *node) {
-	due := max(on.replica.Due(), n.now)
+	due := max(on.replica.NextTick(), n.now)
 	if on.scheduledTick >= n.now && on.scheduledTick <= due {
 		return
 	}
@@ -230,7 +230,7 @@
 }
 
 // sendAll sends a node's messages over the network.
-func (n *network) sendAll(from *node, sends []Send) {
+func (n *network) sendAll(from *node, sends []OutgoingMessage) {
 	for _, send := range sends {
 		n.recordSent(from, &send.Message)
 		n.transmit(from, send)
@@ -255,7 +255,7 @@
 	from.peakSecondBytes = max(from.peakSecondBytes, from.meteredBytes)
 }
 
-func (n *network) transmit(from *node, send Send) {
+func (n *network) transmit(from *node, send OutgoingMessage) {
 	to := n.byName[send.To]
 	if to == nil || n.isCut != nil && n.isCut(from, to) {
 		return
@@ -291,7 +291,7 @@
 
 // checkForwarding counts the members to which a node forwards a push. If the node had the same scope before, the count has to
 // be 0.
-func (n *network) checkForwarding(on *node, message *Message, sends []Send) {
+func (n *network) checkForwarding(on *node, message *Message, sends []OutgoingMessage) {
 	pushes, acknowledged := 0, false
 	for _, send := range sends {
 		if send.Message.Push != nil {
--- a/internal/configsync/store.go
+++ b/internal/configsync/store.go
@@ -213,8 +213,8 @@
 // Digest summarizes the entries. It does not depend on the order in which they arrived.
 func (s *Store) Digest() uint64 { return s.digest }
 
-// Next returns the sequence and the revision for the next change of a source.
-func (s *Store) Next(source string) (sequence, revision uint64) {
+// NextNumbers returns the sequence and the revision for the next change of a source.
+func (s *Store) NextNumbers(source string) (sequence, revision uint64) {
 	sequence = 1
 	if index := s.sources[source]; index != nil {
 		sequence = index.highestSequence() + 1
--- a/internal/configsync/store_test.go
+++ b/internal/configsync/store_test.go
@@ -122,10 +122,10 @@
 	if ahead := s.countAhead(); ahead != 3 {
 		t.Errorf("%d changes known beyond the watermark", ahead)
 	}
-	if sequence, revision := s.Next("a"); sequence != 7 || revision != 7 {
+	if sequence, revision := s.NextNumbers("a"); sequence != 7 || revision != 7 {
 		t.Errorf("next sequence %d, revision %d", sequence, revision)
 	}
-	if sequence, revision := s.Next("b"); sequence != 1 || revision != 7 {
+	if sequence, revision := s.NextNumbers("b"); sequence != 1 || revision != 7 {
 		t.Errorf("next of another source: sequence %d, revision %d", sequence, revision)
 	}
 	mustApply(t, s, change("a", 2, 2, "k2", ""))
--- a/internal/conns/bench_test.go
+++ b/internal/conns/bench_test.go
@@ -8,12 +8,12 @@
 // BenchmarkCall measures the decisions of one call on a reused connection, with 20 idle connections.
 func BenchmarkCall(b *testing.B) {
 	cfg := testConfig()
-	cfg.MaxAge, cfg.IdleMost = 0, time.Hour
+	cfg.MaxAge, cfg.MaxIdle = 0, time.Hour
 	p, err := New(cfg)
 	if err != nil {
 		b.Fatal(err)
 	}
-	p.Endpoint("e", "addr", 0, true)
+	p.UpdateEndpoint("e", "addr", 0, true)
 	now := time.Second
 	var ids []ID
 	for range 20 {
@@ -22,7 +22,7 @@
 		ids = append(ids, id)
 	}
 	for _, id := range ids {
-		p.Done(now, id, Answered, 20*ms)
+		p.CallEnded(now, id, Answered, 20*ms)
 	}
 	b.ReportAllocs()
 	for b.Loop() {
@@ -31,6 +31,6 @@
 		if v != Use {
 			b.Fatal(v)
 		}
-		p.Done(now, id, Answered, 20*ms)
+		p.CallEnded(now, id, Answered, 20*ms)
 	}
 }
--- a/internal/conns/conns.go
+++ b/internal/conns/conns.go
@@ -21,15 +21,15 @@
 
 // Config holds the limits and prices that a Pool works with.
 type Config struct {
-	Most     int           // maximum number of connections in all, including those that are being opened
-	IdleMost time.Duration // idle time after which servers are known to close a connection
-	MaxAge   time.Duration // approximate age at which a connection is closed; 0 for no limit
-	Keep     time.Duration // half-life of the number of connections that are kept after a peak of calls
-	Ahead    bool          // connections are opened before calls need them
+	MaxConns     int           // maximum number of connections in all, including those that are being opened
+	MaxIdle      time.Duration // idle time after which servers are known to close a connection
+	MaxAge       time.Duration // approximate age at which a connection is closed; 0 for no limit
+	PeakHalfLife time.Duration // half-life of the number of connections that are kept after a peak of calls
+	Preconnect   bool          // connections are opened before calls need them
 	// LossPrice is the price of a call that fails on a dead connection, OpenPrice that of a new connection. A connection is
 	// reused while LossPrice times the probability that the connection is dead is less than OpenPrice.
 	LossPrice, OpenPrice float64
-	StaleMost            float64       // maximum share of calls that may fail on dead connections; near this share, less risk is taken
+	MaxStaleShare        float64       // maximum share of calls that may fail on dead connections; near this share, less risk is taken
 	MinBackoff           time.Duration // first wait before the next preconnect to an endpoint after a failed opening; each failure doubles it
 	MaxBackoff           time.Duration // maximum of that wait
 	Seed                 uint64
@@ -37,20 +37,20 @@
 
 // Defaults returns the configuration of a relay. The caller adds the maximum number of connections and their maximum idle time.
 func Defaults() Config {
-	return Config{MaxAge: 10 * time.Minute, Keep: 15 * time.Second, LossPrice: 1, OpenPrice: 0.02, StaleMost: 0.001,
+	return Config{MaxAge: 10 * time.Minute, PeakHalfLife: 15 * time.Second, LossPrice: 1, OpenPrice: 0.02, MaxStaleShare: 0.001,
 		MinBackoff: 200 * time.Millisecond, MaxBackoff: 30 * time.Second}
 }
 
 // Check returns an error that describes the first invalid value.
 func (c *Config) Check() error {
 	switch {
-	case c.Most < 1:
-		return fmt.Errorf("conns: maximum number of connections is %d, must be at least 1", c.Most)
-	case c.IdleMost <= 0:
-		return fmt.Errorf("conns: maximum idle time is %v, must be positive", c.IdleMost)
-	case c.MaxAge < 0 || c.Keep <= 0:
-		return fmt.Errorf("conns: maximum age %v is negative, or half-life of a peak %v is not positive", c.MaxAge, c.Keep)
-	case !(c.LossPrice > 0) || !(c.OpenPrice > 0) || !(c.StaleMost > 0 && c.StaleMost < 1):
+	case c.MaxConns < 1:
+		return fmt.Errorf("conns: maximum number of connections is %d, must be at least 1", c.MaxConns)
+	case c.MaxIdle <= 0:
+		return fmt.Errorf("conns: maximum idle time is %v, must be positive", c.MaxIdle)
+	case c.MaxAge < 0 || c.PeakHalfLife <= 0:
+		return fmt.Errorf("conns: maximum age %v is negative, or half-life of a peak %v is not positive", c.MaxAge, c.PeakHalfLife)
+	case !(c.LossPrice > 0) || !(c.OpenPrice > 0) || !(c.MaxStaleShare > 0 && c.MaxStaleShare < 1):
 		return fmt.Errorf("conns: price of a loss, price of an opening or maximum share of stale calls is out of range")
 	case c.MinBackoff <= 0 || c.MaxBackoff < c.MinBackoff:
 		return fmt.Errorf("conns: minimum backoff %v is not positive, or maximum backoff %v is below the minimum", c.MinBackoff, c.MaxBackoff)
@@ -137,7 +137,7 @@
 	ReasonMoved                      // the endpoint has a new address
 	ReasonServerClosed               // the server announced that it closes the connection
 	ReasonPressure                   // memory is short
-	Trust                            // the trust settings under which the connection was opened have changed
+	ReasonTrust                      // the trust settings under which the connection was opened have changed
 	reasonCount
 )
 
@@ -146,10 +146,10 @@
 // String returns the name of the reason in log lines.
 func (r Reason) String() string { return reasonNames[r] }
 
-// Give is a connection that the caller has to close, and the reason.
-type Give struct {
-	ID  ID
-	Why Reason
+// Eviction is a connection that the caller has to close, and the reason.
+type Eviction struct {
+	ID     ID
+	Reason Reason
 }
 
 // state is what a connection is doing.
@@ -278,13 +278,13 @@
 	recentCalls  float64 // calls in the window of staleWindowCalls
 	staleCalls   float64 // of recentCalls, those that failed on dead connections
 	counters     Counters
-	idleTimes    Ends
+	idleTimes    IdleTimes
 }
 
 // Counters counts events since the start.
 type Counters struct {
 	Opened       int64 // openings begun
-	Ahead        int64 // of Opened, those in advance of calls
+	Preconnected int64 // of Opened, those in advance of calls
 	NeverUsed    int64 // connections opened in advance that ended without a call
 	Calls        int64
 	Reused       int64 // of Calls, those on connections that had been idle
@@ -312,12 +312,12 @@
 // Len returns the number of connections, including those that are being opened.
 func (p *Pool) Len() int { return len(p.conns) }
 
-// Limit sets the maximum number of connections in all. A connection beyond the maximum is closed when its call ends.
-func (p *Pool) Limit(maxConns int) { p.cfg.Most = maxConns }
+// SetMaxConns sets the maximum number of connections in all. A connection beyond the maximum is closed when its call ends.
+func (p *Pool) SetMaxConns(maxConns int) { p.cfg.MaxConns = maxConns }
 
-// Endpoint adds, changes or drains an endpoint. An endpoint with a new address loses what was learned, because another server runs
+// UpdateEndpoint adds, changes or drains an endpoint. An endpoint with a new address loses what was learned, because another server runs
 // there. The result lists the idle connections that the caller has to close. Busy connections close when their calls end.
-func (p *Pool) Endpoint(name, addr string, dest int, acceptsCalls bool) (evict []Give) {
+func (p *Pool) UpdateEndpoint(name, addr string, dest int, acceptsCalls bool) (evict []Eviction) {
 	e := p.endpoints[name]
 	if e == nil {
 		if !acceptsCalls {
@@ -446,7 +446,7 @@
 }
 
 // evictAllIdle evicts all idle connections of an endpoint.
-func (p *Pool) evictAllIdle(e *endpoint, reason Reason) (evict []Give) {
+func (p *Pool) evictAllIdle(e *endpoint, reason Reason) (evict []Eviction) {
 	for len(e.idleConns) > 0 {
 		evict = append(evict, p.evict(e.idleConns[0], reason))
 	}
@@ -454,7 +454,7 @@
 }
 
 // evict removes a connection, counts the reason, and returns the connection for the caller to close.
-func (p *Pool) evict(c *conn, reason Reason) Give {
+func (p *Pool) evict(c *conn, reason Reason) Eviction {
 	p.counters.Evicted[reason]++
 	c.owner.evicted[reason]++
 	if c.state == stateIdle {
@@ -462,7 +462,7 @@
 		p.idleTimes.Evicted[reason].add(p.clock - c.idleSince)
 	}
 	p.remove(c)
-	return Give{c.id, reason}
+	return Eviction{c.id, reason}
 }
 
 // remove deletes a connection from the pool, and its endpoint if that is drained.
@@ -496,18 +496,18 @@
 
 // Call decides which connection a call to an endpoint uses. It also returns the connections that the caller has to close, to make room
 // for the call or because they are no longer usable.
-func (p *Pool) Call(now time.Duration, name string) (v Verdict, id ID, evict []Give) {
+func (p *Pool) Call(now time.Duration, name string) (v Verdict, id ID, evict []Eviction) {
 	p.advanceClock(now)
 	e := p.endpoints[name]
 	if e == nil || !e.acceptsCalls {
 		return Wait, 0, nil
 	}
 	e.arrivals++
-	return p.Again(now, name)
+	return p.RetryCall(now, name)
 }
 
-// Again repeats the decision for a call that waited, or whose connection turned out to be closed.
-func (p *Pool) Again(now time.Duration, name string) (v Verdict, id ID, evict []Give) {
+// RetryCall repeats the decision for a call that waited, or whose connection turned out to be closed.
+func (p *Pool) RetryCall(now time.Duration, name string) (v Verdict, id ID, evict []Eviction) {
 	p.advanceClock(now)
 	e := p.endpoints[name]
 	if e == nil || !e.acceptsCalls {
@@ -531,9 +531,9 @@
 	return Open, c.id, evict
 }
 
-// Unused takes back a connection that did not carry its call after all. The connection remains idle as if it had not been taken. If the
+// ReturnUnused takes back a connection that did not carry its call after all. The connection remains idle as if it had not been taken. If the
 // connection must be closed instead, the result is false and the reason.
-func (p *Pool) Unused(now time.Duration, id ID) (idle bool, reason Reason) {
+func (p *Pool) ReturnUnused(now time.Duration, id ID) (idle bool, reason Reason) {
 	p.advanceClock(now)
 	c := p.conns[id]
 	if c == nil || c.state != stateBusy {
@@ -556,9 +556,9 @@
 	return false, reason
 }
 
-// Gone reports that the server had closed a connection before the first byte of its call was sent. No call failed, so this counts as a
+// ClosedBeforeUse reports that the server had closed a connection before the first byte of its call was sent. No call failed, so this counts as a
 // visible closing.
-func (p *Pool) Gone(now time.Duration, id ID) {
+func (p *Pool) ClosedBeforeUse(now time.Duration, id ID) {
 	p.advanceClock(now)
 	c := p.conns[id]
 	if c == nil || c.state != stateBusy {
@@ -581,8 +581,8 @@
 	}
 }
 
-// Cancel reports that the opening of a connection was canceled.
-func (p *Pool) Cancel(now time.Duration, id ID) {
+// OpeningCanceled reports that the opening of a connection was canceled.
+func (p *Pool) OpeningCanceled(now time.Duration, id ID) {
 	p.advanceClock(now)
 	if c := p.conns[id]; c != nil && c.state == stateOpening {
 		p.counters.Canceled++
@@ -590,8 +590,8 @@
 	}
 }
 
-// Drop evicts one idle connection. It returns false if the connection is not idle.
-func (p *Pool) Drop(now time.Duration, id ID, reason Reason) bool {
+// EvictIdle evicts one idle connection. It returns false if the connection is not idle.
+func (p *Pool) EvictIdle(now time.Duration, id ID, reason Reason) bool {
 	p.advanceClock(now)
 	c := p.conns[id]
 	if c == nil || c.state != stateIdle {
@@ -601,8 +601,8 @@
 	return true
 }
 
-// Frugal sets whether connections are closed instead of becoming idle. It returns the idle connections that the caller has to close.
-func (p *Pool) Frugal(now time.Duration, on bool) (evict []Give) {
+// SetKeepNoIdle sets whether connections are closed instead of becoming idle. It returns the idle connections that the caller has to close.
+func (p *Pool) SetKeepNoIdle(now time.Duration, on bool) (evict []Eviction) {
 	if p.keepNoIdle = on; on {
 		evict = p.Shed(now, len(p.conns))
 	}
@@ -657,11 +657,11 @@
 
 // makeRoom makes room for one more connection within the limit of the pool. It evicts an idle connection of the endpoint that exceeds
 // its fair share the most. An endpoint beyond its own fair share takes nothing from an endpoint within its share.
-func (p *Pool) makeRoom(e *endpoint) (evict []Give, ok bool) {
-	if len(p.conns) < p.cfg.Most {
+func (p *Pool) makeRoom(e *endpoint) (evict []Eviction, ok bool) {
+	if len(p.conns) < p.cfg.MaxConns {
 		return nil, true
 	}
-	fair := float64(p.cfg.Most) / float64(max(len(p.endpoints), 1))
+	fair := float64(p.cfg.MaxConns) / float64(max(len(p.endpoints), 1))
 	var worst *conn
 	largestExcess := math.Inf(-1)
 	for _, o := range p.endpoints {
@@ -678,13 +678,13 @@
 	if worst == nil || largestExcess <= 0 && float64(len(e.conns)) >= fair {
 		return nil, false
 	}
-	return []Give{p.evict(worst, ReasonRoom)}, true
+	return []Eviction{p.evict(worst, ReasonRoom)}, true
 }
 
 // bestIdle returns the idle connection that is least likely dead, or nil if none is worth the risk, and evicts those that are unusable.
 // If no connection is within the limit, one that was idle for longer is used from time to time as a trial, because a server's idle
 // timeout can change.
-func (p *Pool) bestIdle(e *endpoint) (bestIdle *conn, evicted []Give) {
+func (p *Pool) bestIdle(e *endpoint) (bestIdle *conn, evicted []Eviction) {
 	if e.limitsComputedAt == 0 || p.clock-e.limitsComputedAt > limitsRefreshInterval {
 		e.limitsComputedAt = max(p.clock, 1)
 		e.deadShares = &emptyDeadShares
@@ -773,7 +773,7 @@
 // below a quarantined idle time. The hard limit lies below the configured idle time of servers and the idle time after which this
 // server was seen to close connections.
 func (p *Pool) idleLimits(e *endpoint) (soft, hard time.Duration) {
-	hard = time.Duration(float64(p.cfg.IdleMost) * (1 - closeMarginShare))
+	hard = time.Duration(float64(p.cfg.MaxIdle) * (1 - closeMarginShare))
 	if survived, ok := e.closeHistory.survivedIdle(minSurvivalShare); ok {
 		hard = min(hard, time.Duration(float64(survived)*(1-closeMarginShare)))
 	}
@@ -787,7 +787,7 @@
 // acceptableRisk returns the highest acceptable probability that a reused connection is dead. The prices set the upper bound of this
 // probability. It falls as the share of recent losses approaches the configured maximum.
 func (p *Pool) acceptableRisk() float64 {
-	remainingShare := 1 - p.staleCalls/max(p.recentCalls*p.cfg.StaleMost, 1)
+	remainingShare := 1 - p.staleCalls/max(p.recentCalls*p.cfg.MaxStaleShare, 1)
 	return p.cfg.OpenPrice / p.cfg.LossPrice * min(max(remainingShare, 0.05), 1)
 }
 
@@ -812,9 +812,9 @@
 	p.recentCalls++
 }
 
-// Failed reports that a connection could not be established; refused says that the server refused or reset it. If other connections to
+// OpeningFailed reports that a connection could not be established; refused says that the server refused or reset it. If other connections to
 // the endpoint are open and one was opened recently, the server may accept no more.
-func (p *Pool) Failed(now time.Duration, id ID, refused bool) {
+func (p *Pool) OpeningFailed(now time.Duration, id ID, refused bool) {
 	p.advanceClock(now)
 	c := p.conns[id]
 	if c == nil {
@@ -848,20 +848,20 @@
 	return true
 }
 
-// End says how a call on a connection ended.
-type End int
+// CallEnd says how a call on a connection ended.
+type CallEnd int
 
 // The ends.
 const (
-	Answered End = iota // answered, and the connection may carry another call
-	Last                // answered, and the server closes the connection
-	Cut                 // aborted by the relay, or the answer was malformed
-	Dead                // the connection broke before the first byte of the answer
-	Broken              // the connection broke after the first byte of the answer
+	Answered           CallEnd = iota // answered, and the connection may carry another call
+	AnsweredLast                      // answered, and the server closes the connection
+	Aborted                           // aborted by the relay, or the answer was malformed
+	BrokenBeforeAnswer                // the connection broke before the first byte of the answer
+	BrokenDuringAnswer                // the connection broke after the first byte of the answer
 )
 
-// Done reports the end of a call. It returns whether the connection becomes idle, and if not, the reason to close it.
-func (p *Pool) Done(now time.Duration, id ID, end End, duration time.Duration) (idle bool, reason Reason) {
+// CallEnded reports the end of a call. It returns whether the connection becomes idle, and if not, the reason to close it.
+func (p *Pool) CallEnded(now time.Duration, id ID, end CallEnd, duration time.Duration) (idle bool, reason Reason) {
 	p.advanceClock(now)
 	c := p.conns[id]
 	if c == nil || c.state != stateBusy {
@@ -879,7 +879,7 @@
 	if end == Answered && c.calls == 1 {
 		e.consecutiveRefusals = 0
 	}
-	if end == Answered || end == Last {
+	if end == Answered || end == AnsweredLast {
 		e.recordServiceTime(duration.Seconds())
 	}
 	if c.isTrial {
@@ -894,7 +894,7 @@
 		reason = ReasonAge
 	case e.maxUses > 0 && c.calls >= e.maxUses && c.id%connsPerUsesTrial != 0:
 		reason = ReasonUses
-	case len(p.conns) > p.cfg.Most:
+	case len(p.conns) > p.cfg.MaxConns:
 		reason = ReasonRoom
 	case p.keepNoIdle:
 		reason = ReasonPressure
@@ -903,33 +903,33 @@
 		e.addIdle(c, p.clock)
 		return true, 0
 	}
-	if end == Last {
+	if end == AnsweredLast {
 		p.recordClosingUses(e, c.calls)
 	}
 	p.counters.Evicted[reason]++
 	c.owner.evicted[reason]++
 	p.remove(c)
-	if end == Dead && c.idleBeforeCall == 0 {
+	if end == BrokenBeforeAnswer && c.idleBeforeCall == 0 {
 		p.noteRefusal(e)
 	}
 	return false, reason
 }
 
 // recordIdleOutcome records what the end of a call shows about the idle time before that call.
-func (p *Pool) recordIdleOutcome(c *conn, end End) {
+func (p *Pool) recordIdleOutcome(c *conn, end CallEnd) {
 	e := c.owner
 	d := p.destinations[e.dest]
 	if d.recentCalls++; d.recentCalls > staleWindowCalls {
 		d.recentCalls, d.recentUnrelatedLosses = d.recentCalls/2, d.recentUnrelatedLosses/2
 	}
 	if c.idleBeforeCall == 0 {
-		if end == Dead {
+		if end == BrokenBeforeAnswer {
 			d.recentUnrelatedLosses++
 		}
 		return
 	}
-	if end != Dead {
-		if end != Cut { // an aborted call shows nothing
+	if end != BrokenBeforeAnswer {
+		if end != Aborted { // an aborted call shows nothing
 			e.suspectedIdles = slices.DeleteFunc(e.suspectedIdles, func(idle time.Duration) bool {
 				if idle <= c.idleBeforeCall {
 					d.recentUnrelatedLosses++ // idling was not the reason
@@ -1060,7 +1060,7 @@
 
 // Tick updates the state of all endpoints. The caller calls it about every quarter of a second, closes the connections of the first
 // result, and opens those of the second in advance of calls.
-func (p *Pool) Tick(now time.Duration) (evict []Give, preconnects []ID) {
+func (p *Pool) Tick(now time.Duration) (evict []Eviction, preconnects []ID) {
 	p.advanceClock(now)
 	seconds := (p.clock - p.lastTickAt).Seconds()
 	p.lastTickAt = p.clock
@@ -1070,7 +1070,7 @@
 	names := slices.Sorted(maps.Keys(p.endpoints))
 	for _, name := range names {
 		e := p.endpoints[name]
-		e.decayDemand(seconds, p.cfg.Keep)
+		e.decayDemand(seconds, p.cfg.PeakHalfLife)
 		if p.clock-e.evidenceDecayedAt >= evidenceDecayInterval {
 			decayFactor := math.Exp2(-(p.clock - e.evidenceDecayedAt).Seconds() / evidenceHalfLife.Seconds())
 			e.evidenceDecayedAt = p.clock
@@ -1085,7 +1085,7 @@
 		surplus := float64(len(e.conns)) - e.targetConns()
 		candidates := slices.Clone(e.idleConns)
 		// The more file descriptors are in use, the sooner surplus connections are closed: after minSurplusIdle once half are in use.
-		surplusAfter := max(minSurplusIdle, time.Duration((1-2*float64(len(p.conns))/float64(p.cfg.Most))*float64(soft)))
+		surplusAfter := max(minSurplusIdle, time.Duration((1-2*float64(len(p.conns))/float64(p.cfg.MaxConns))*float64(soft)))
 		var trial *conn // the newest connection beyond the limit, kept for a trial
 		if p.trialAllowed(e) && surplus < 1 {
 			for _, c := range candidates {
@@ -1109,7 +1109,7 @@
 		}
 	}
 	for _, name := range names {
-		if e := p.endpoints[name]; e != nil && p.cfg.Ahead {
+		if e := p.endpoints[name]; e != nil && p.cfg.Preconnect {
 			preconnects = append(preconnects, p.preconnect(e)...)
 		}
 	}
@@ -1162,10 +1162,10 @@
 	if e.slowStart || e.openFailures > 0 || e.lastOpenedAt == 0 { // the endpoint is new or recovering
 		wanted = min(wanted, 1-openingCount)
 	}
-	for ; wanted > 0 && !e.atConnLimit(p.clock) && len(p.conns) < p.cfg.Most; wanted-- { // evicts no other connection
+	for ; wanted > 0 && !e.atConnLimit(p.clock) && len(p.conns) < p.cfg.MaxConns; wanted-- { // evicts no other connection
 		c := p.openConn(e)
 		c.preconnected = true
-		p.counters.Ahead++
+		p.counters.Preconnected++
 		ids = append(ids, c.id)
 	}
 	return ids
@@ -1188,7 +1188,7 @@
 
 // Shed evicts up to maxEvicted idle connections while memory or file descriptors are short, those of the endpoints with the largest
 // surplus first.
-func (p *Pool) Shed(now time.Duration, maxEvicted int) (evict []Give) {
+func (p *Pool) Shed(now time.Duration, maxEvicted int) (evict []Eviction) {
 	p.advanceClock(now)
 	var idleConns []*conn
 	for _, e := range p.endpoints {
@@ -1245,14 +1245,14 @@
 	return slog.GroupValue(attrs...)
 }
 
-// Ends holds histograms of idle times at the end of connections: evicted, by reason; closed by the server; and dead during a call.
-type Ends struct {
+// IdleTimes holds histograms of idle times at the end of connections: evicted, by reason; closed by the server; and dead during a call.
+type IdleTimes struct {
 	Evicted      [reasonCount]Histogram
 	Closed, Dead Histogram
 }
 
 // LogValue lists the histograms by cause.
-func (e Ends) LogValue() slog.Value {
+func (e IdleTimes) LogValue() slog.Value {
 	attrs := []slog.Attr{slog.Any("closed", e.Closed), slog.Any("dead", e.Dead)}
 	for w, h := range e.Evicted {
 		attrs = append(attrs, slog.Any(Reason(w).String(), h))
@@ -1260,11 +1260,11 @@
 	return slog.GroupValue(attrs...)
 }
 
-// Ends returns the histograms of idle times at the end of connections.
-func (p *Pool) Ends() Ends { return p.idleTimes }
+// IdleTimes returns the histograms of idle times at the end of connections.
+func (p *Pool) IdleTimes() IdleTimes { return p.idleTimes }
 
-// State is the state of one endpoint, for operators.
-type State struct {
+// EndpointState is the state of one endpoint, for operators.
+type EndpointState struct {
 	Endpoint                         string
 	AcceptsCalls, SlowStart          bool
 	Opening, Busy, Idle              int
@@ -1279,7 +1279,7 @@
 }
 
 // LogValue lists the fields for a log line.
-func (s State) LogValue() slog.Value {
+func (s EndpointState) LogValue() slog.Value {
 	return slog.GroupValue(slog.String("member", s.Endpoint), slog.Bool("open", s.AcceptsCalls), slog.Bool("cold", s.SlowStart),
 		slog.Int("opening", s.Opening), slog.Int("busy", s.Busy), slog.Int("idle", s.Idle), slog.Int("target", s.Target),
 		slog.Float64("rate", s.CallsPerSecond), slog.Duration("service", s.Service), slog.Duration("spread", s.Spread),
@@ -1290,7 +1290,7 @@
 
 // LogValue lists the counters for a log line.
 func (c Counters) LogValue() slog.Value {
-	return slog.GroupValue(slog.Int64("opened", c.Opened), slog.Int64("ahead", c.Ahead), slog.Int64("unused", c.NeverUsed),
+	return slog.GroupValue(slog.Int64("opened", c.Opened), slog.Int64("ahead", c.Preconnected), slog.Int64("unused", c.NeverUsed),
 		slog.Int64("called_off", c.Canceled), slog.Int64("failed", c.OpenFailures), slog.Int64("calls", c.Calls), slog.Int64("reused", c.Reused),
 		slog.Int64("stale", c.Stale), slog.Int64("bans", c.Quarantines), slog.Int64("waited", c.Waited), slog.Int64("closed", c.Closed),
 		slog.Any("given", evictedByReason(c.Evicted)))
@@ -1310,12 +1310,12 @@
 	return slog.GroupValue(attrs...)
 }
 
-// States returns the states of all endpoints, sorted by name.
-func (p *Pool) States() (list []State) {
+// EndpointStates returns the states of all endpoints, sorted by name.
+func (p *Pool) EndpointStates() (list []EndpointState) {
 	for _, name := range slices.Sorted(maps.Keys(p.endpoints)) {
 		e := p.endpoints[name]
 		soft, _ := p.idleLimits(e)
-		s := State{Endpoint: name, AcceptsCalls: e.acceptsCalls, SlowStart: e.slowStart, Target: int(e.targetConns()),
+		s := EndpointState{Endpoint: name, AcceptsCalls: e.acceptsCalls, SlowStart: e.slowStart, Target: int(e.targetConns()),
 			CallsPerSecond: e.callsPerSecond, Service: time.Duration(e.serviceSeconds * 1e9),
 			Spread: time.Duration(e.serviceSpreadSeconds * 1e9), IdleLimit: soft, MaxUses: e.maxUses, ConnLimit: e.connLimit,
 			OpenFailures: e.openFailures, Evicted: e.evicted, Stale: e.staleCalls}
--- a/internal/conns/conns_test.go
+++ b/internal/conns/conns_test.go
@@ -17,7 +17,7 @@
 // testConfig returns the defaults with limits that most tests do not reach.
 func testConfig() Config {
 	c := Defaults()
-	c.Most, c.IdleMost, c.Seed = 1000, 60*time.Second, 1
+	c.MaxConns, c.MaxIdle, c.Seed = 1000, 60*time.Second, 1
 	return c
 }
 
@@ -29,7 +29,7 @@
 		t.Fatal(err)
 	}
 	for i, e := range endpoints {
-		p.Endpoint(e, "addr "+e, i, true)
+		p.UpdateEndpoint(e, "addr "+e, i, true)
 	}
 	return p
 }
@@ -96,7 +96,7 @@
 }
 
 // closeEvicted closes the connections that the pool evicted. They must be open and idle.
-func (s *server) closeEvicted(evicted []Give) {
+func (s *server) closeEvicted(evicted []Eviction) {
 	for _, g := range evicted {
 		if c := s.conns[g.ID]; c == nil || c.busy {
 			s.t.Fatalf("evicted, but busy or unknown: %v", g)
@@ -125,7 +125,7 @@
 			idle := s.now - c.idleSince
 			if s.silentCloseAfter > 0 && idle >= s.silentCloseAfter || s.rng.Float64() < s.breakShare {
 				s.staleCalls++
-				s.p.Done(s.now, id, Dead, 0)
+				s.p.CallEnded(s.now, id, BrokenBeforeAnswer, 0)
 				delete(s.conns, id)
 				continue
 			}
@@ -143,7 +143,7 @@
 	s.now += s.service
 	c := s.conns[id]
 	c.calls++
-	if staysOpen, _ := s.p.Done(s.now, id, Answered, s.service); !staysOpen {
+	if staysOpen, _ := s.p.CallEnded(s.now, id, Answered, s.service); !staysOpen {
 		delete(s.conns, id)
 		return
 	}
@@ -195,13 +195,13 @@
 	s := newServer(t, p, "e")
 	s.visibleCloseAfter = 3 * time.Second
 	s.makeCalls(3000, 6*time.Second)
-	if limit := p.States()[0].IdleLimit; limit > 3*time.Second || limit < time.Second {
+	if limit := p.EndpointStates()[0].IdleLimit; limit > 3*time.Second || limit < time.Second {
 		t.Errorf("idle limit %v, want 1 to 3 s", limit)
 	}
 	if c := p.Counters(); c.Stale > 0 || c.Evicted[ReasonIdle] == 0 {
 		t.Errorf("stale calls, or no eviction for idling: %+v", c)
 	}
-	if e := p.Ends(); e.Evicted[ReasonIdle][3] == 0 || e.Closed[3] == 0 || e.Dead != (Histogram{}) { // the class of 1 to 10 s
+	if e := p.IdleTimes(); e.Evicted[ReasonIdle][3] == 0 || e.Closed[3] == 0 || e.Dead != (Histogram{}) { // the class of 1 to 10 s
 		t.Errorf("histograms of idle times: %+v", e)
 	}
 }
@@ -224,7 +224,7 @@
 	s := newServer(t, p, "e")
 	s.closeAfterCalls = 7
 	s.makeCalls(500, 100*ms)
-	if u := p.States()[0].MaxUses; u != 7 {
+	if u := p.EndpointStates()[0].MaxUses; u != 7 {
 		t.Errorf("learned a limit of %d calls per connection", u)
 	}
 	closed := p.Counters().Closed
@@ -253,7 +253,7 @@
 func finishCalls(t *testing.T, p *Pool, now time.Duration, ids []ID) {
 	t.Helper()
 	for _, id := range ids {
-		if staysOpen, reason := p.Done(now, id, Answered, 20*ms); !staysOpen {
+		if staysOpen, reason := p.CallEnded(now, id, Answered, 20*ms); !staysOpen {
 			t.Fatalf("connection %d was closed: %v", id, reason)
 		}
 	}
@@ -264,7 +264,7 @@
 func TestSurplusEvictionAndBurst(t *testing.T) {
 	unlimited := newPool(t, testConfig(), "e")
 	cfg := testConfig()
-	cfg.Most = 100 // few connections are allowed
+	cfg.MaxConns = 100 // few connections are allowed
 	p := newPool(t, cfg, "e")
 	now := time.Second
 	finishCalls(t, p, now, startCalls(t, p, now, "e", 60))
@@ -301,10 +301,10 @@
 		if v != Open {
 			t.Errorf("%v after fewer than two refusals", v)
 		}
-		p.Failed(now, fifth, true)
+		p.OpeningFailed(now, fifth, true)
 	}
-	if v, _, _ := p.Call(now, "e"); v != Wait || p.States()[0].ConnLimit != 4 {
-		t.Errorf("%v with a connection limit of %d", v, p.States()[0].ConnLimit)
+	if v, _, _ := p.Call(now, "e"); v != Wait || p.EndpointStates()[0].ConnLimit != 4 {
+		t.Errorf("%v with a connection limit of %d", v, p.EndpointStates()[0].ConnLimit)
 	}
 	finishCalls(t, p, now, ids[:1])
 	if !p.Claim(now, ids[0]) || p.Claim(now, ids[0]) {
@@ -326,22 +326,22 @@
 	s := newServer(t, p, "a")
 	s.silentCloseAfter = 2 * time.Second
 	s.makeCalls(300, 5*time.Second)
-	learnedLimit := p.States()[0].IdleLimit
+	learnedLimit := p.EndpointStates()[0].IdleLimit
 	if learnedLimit >= 2*time.Second {
 		t.Fatalf("idle limit %v, want less than 2 s", learnedLimit)
 	}
-	evicted := p.Endpoint("a", "elsewhere", 0, true)
+	evicted := p.UpdateEndpoint("a", "elsewhere", 0, true)
 	s.closeEvicted(evicted)
-	if limit := p.States()[0].IdleLimit; limit < 30*time.Second || p.Len() != 0 {
+	if limit := p.EndpointStates()[0].IdleLimit; limit < 30*time.Second || p.Len() != 0 {
 		t.Errorf("after the move: idle limit %v and %d connections", limit, p.Len())
 	}
 	s.makeCalls(300, 5*time.Second)
-	p.Endpoint("b", "addr b", 0, true)
-	if limit := p.States()[1].IdleLimit; limit > 5*time.Second {
+	p.UpdateEndpoint("b", "addr b", 0, true)
+	if limit := p.EndpointStates()[1].IdleLimit; limit > 5*time.Second {
 		t.Errorf("a new endpoint of the same destination starts with idle limit %v", limit)
 	}
-	p.Endpoint("c", "addr c", 1, true)
-	if limit := p.States()[2].IdleLimit; limit < 30*time.Second {
+	p.UpdateEndpoint("c", "addr c", 1, true)
+	if limit := p.EndpointStates()[2].IdleLimit; limit < 30*time.Second {
 		t.Errorf("an endpoint of another destination starts with idle limit %v", limit)
 	}
 }
@@ -350,10 +350,10 @@
 // connections must not take any from an endpoint with few.
 func TestMoreEndpointsThanConnections(t *testing.T) {
 	cfg := testConfig()
-	cfg.Most = 256
+	cfg.MaxConns = 256
 	p := newPool(t, cfg)
 	for i := range 300 {
-		p.Endpoint(fmt.Sprint(i), fmt.Sprint(i), i, true)
+		p.UpdateEndpoint(fmt.Sprint(i), fmt.Sprint(i), i, true)
 	}
 	rng, now := rand.New(rand.NewPCG(1, 2)), time.Second
 	for range 20_000 {
@@ -369,7 +369,7 @@
 		if p.Len() > 256 {
 			t.Fatalf("%d connections, at most 256 are allowed", p.Len())
 		}
-		p.Done(now+ms, id, Answered, ms)
+		p.CallEnded(now+ms, id, Answered, ms)
 		if rng.IntN(50) == 0 {
 			p.Tick(now)
 		}
@@ -387,7 +387,7 @@
 		busy = append(busy, id)
 	}
 	others := 0
-	for _, s := range p.States() {
+	for _, s := range p.EndpointStates() {
 		if s.Endpoint != "0" {
 			others += s.Busy + s.Idle
 		}
@@ -404,14 +404,14 @@
 	now := time.Second
 	ids := startCalls(t, p, now, "e", 60)
 	finishCalls(t, p, now, ids[50:])
-	if evicted := p.Endpoint("e", "addr e", 0, false); len(evicted) != 10 || evicted[0].Why != ReasonDraining {
+	if evicted := p.UpdateEndpoint("e", "addr e", 0, false); len(evicted) != 10 || evicted[0].Reason != ReasonDraining {
 		t.Errorf("want 10 evictions for draining: %v", evicted)
 	}
 	if v, _, _ := p.Call(now, "e"); v != Wait || p.Len() != 50 {
 		t.Errorf("%v, %d connections left", v, p.Len())
 	}
 	for i, id := range ids[:50] {
-		if staysOpen, reason := p.Done(now+time.Second, id, Answered, time.Second); staysOpen || reason != ReasonDraining {
+		if staysOpen, reason := p.CallEnded(now+time.Second, id, Answered, time.Second); staysOpen || reason != ReasonDraining {
 			t.Errorf("connection %d stays open at a draining endpoint, or another reason: %v", i, reason)
 		}
 	}
@@ -424,7 +424,7 @@
 // time. Openings that no call needs any more may be canceled.
 func TestPreconnect(t *testing.T) {
 	cfg := testConfig()
-	cfg.Ahead = true
+	cfg.Preconnect = true
 	p := newPool(t, cfg, "e", "cold")
 	now := time.Second
 	finishCalls(t, p, now, startCalls(t, p, now, "e", 1)) // a new endpoint would get only one connection in advance
@@ -451,7 +451,7 @@
 		if name, _ := p.EndpointOf(id); name == "e" {
 			p.Opened(now+300*ms, id, false)
 		} else {
-			p.Failed(now+300*ms, id, true)
+			p.OpeningFailed(now+300*ms, id, true)
 		}
 	}
 	p.Hint("cold", false, 5)
@@ -464,12 +464,12 @@
 	if v, _, _ := p.Call(now+600*ms, "cold"); v != Open {
 		t.Errorf("a call has to wait because a preconnect failed: %v", v)
 	}
-	p.Frugal(now+600*ms, true)
+	p.SetKeepNoIdle(now+600*ms, true)
 	p.Hint("e", false, 50)
 	if _, ids := p.Tick(now + time.Second); len(ids) != 0 {
 		t.Errorf("%d preconnects although no connection may be idle", len(ids))
 	}
-	if c := p.Counters(); c.Ahead != 14 {
+	if c := p.Counters(); c.Preconnected != 14 {
 		t.Errorf("want 14 preconnects: %+v", c)
 	}
 }
@@ -480,7 +480,7 @@
 	now := time.Second
 	finishCalls(t, p, now, startCalls(t, p, now, "e", 20))
 	finishCalls(t, p, now, startCalls(t, p, now, "f", 2))
-	if evicted := p.Shed(now, 5); len(evicted) != 5 || evicted[0].Why != ReasonPressure || p.Len() != 17 {
+	if evicted := p.Shed(now, 5); len(evicted) != 5 || evicted[0].Reason != ReasonPressure || p.Len() != 17 {
 		t.Errorf("evicted %v, %d connections left", evicted, p.Len())
 	}
 	closed := map[time.Duration]int64{}
@@ -502,8 +502,8 @@
 func TestRandomEventsKeepInvariants(t *testing.T) {
 	proptest.Check(t, func(t *rapid.T) {
 		cfg := testConfig()
-		cfg.Most = rapid.IntRange(1, 12).Draw(t, "most")
-		cfg.Ahead = rapid.Bool().Draw(t, "ahead")
+		cfg.MaxConns = rapid.IntRange(1, 12).Draw(t, "most")
+		cfg.Preconnect = rapid.Bool().Draw(t, "ahead")
 		p, err := New(cfg)
 		if err != nil {
 			t.Fatal(err)
@@ -513,7 +513,7 @@
 		owner := map[ID]string{}
 		listed := map[string]bool{}
 		now := time.Duration(0)
-		removeEvicted := func(evicted []Give) {
+		removeEvicted := func(evicted []Eviction) {
 			for _, g := range evicted {
 				if conns[g.ID] != idle {
 					t.Fatalf("evicted in state %d: %v", conns[g.ID], g)
@@ -540,7 +540,7 @@
 			switch rapid.IntRange(0, 9).Draw(t, "event") {
 			case 0:
 				open := rapid.Bool().Draw(t, "open")
-				removeEvicted(p.Endpoint(name, rapid.SampledFrom([]string{"x", "y"}).Draw(t, "addr"), 1, open))
+				removeEvicted(p.UpdateEndpoint(name, rapid.SampledFrom([]string{"x", "y"}).Draw(t, "addr"), 1, open))
 				listed[name] = open
 			case 1, 2, 3:
 				v, id, evicted := p.Call(now, name)
@@ -565,13 +565,13 @@
 				}
 			case 5:
 				if id, ok := pick(opening); ok {
-					p.Failed(now, id, rapid.Bool().Draw(t, "refused"))
+					p.OpeningFailed(now, id, rapid.Bool().Draw(t, "refused"))
 					delete(conns, id)
 				}
 			case 6, 7:
 				if id, ok := pick(busy); ok {
-					end := rapid.SampledFrom([]End{Answered, Answered, Last, Cut, Dead, Broken}).Draw(t, "end")
-					if staysOpen, _ := p.Done(now, id, end, 10*ms); staysOpen {
+					end := rapid.SampledFrom([]CallEnd{Answered, Answered, AnsweredLast, Aborted, BrokenBeforeAnswer, BrokenDuringAnswer}).Draw(t, "end")
+					if staysOpen, _ := p.CallEnded(now, id, end, 10*ms); staysOpen {
 						if end != Answered {
 							t.Fatalf("the connection stays open after %v", end)
 						}
@@ -594,16 +594,16 @@
 					conns[id] = opening
 				}
 			}
-			if p.Len() != len(conns) || len(conns) > cfg.Most {
-				t.Fatalf("the pool has %d connections, the test %d, and %d are allowed", p.Len(), len(conns), cfg.Most)
+			if p.Len() != len(conns) || len(conns) > cfg.MaxConns {
+				t.Fatalf("the pool has %d connections, the test %d, and %d are allowed", p.Len(), len(conns), cfg.MaxConns)
 			}
 			sum := Counters{}
-			for _, s := range p.States() {
+			for _, s := range p.EndpointStates() {
 				if s.Opening+s.Busy+s.Idle == 0 && !listed[s.Endpoint] {
 					t.Fatalf("endpoint %s is kept although it is neither listed nor has connections", s.Endpoint)
 				}
 				sum.Opened += int64(s.Opening + s.Busy + s.Idle)
-				if s.IdleLimit < 0 || s.IdleLimit > cfg.IdleMost || s.Target < 0 {
+				if s.IdleLimit < 0 || s.IdleLimit > cfg.MaxIdle || s.Target < 0 {
 					t.Fatalf("state out of range: %+v", s)
 				}
 			}
@@ -616,8 +616,8 @@
 
 // New must reject each configuration with an invalid field.
 func TestInvalidConfigurations(t *testing.T) {
-	for i, change := range []func(*Config){func(c *Config) { c.Most = 0 }, func(c *Config) { c.IdleMost = 0 }, func(c *Config) { c.Keep = 0 },
-		func(c *Config) { c.LossPrice = 0 }, func(c *Config) { c.StaleMost = 1 }, func(c *Config) { c.MaxBackoff = 0 }} {
+	for i, change := range []func(*Config){func(c *Config) { c.MaxConns = 0 }, func(c *Config) { c.MaxIdle = 0 }, func(c *Config) { c.PeakHalfLife = 0 },
+		func(c *Config) { c.LossPrice = 0 }, func(c *Config) { c.MaxStaleShare = 1 }, func(c *Config) { c.MaxBackoff = 0 }} {
 		c := testConfig()
 		change(&c)
 		if _, err := New(c); err == nil {
--- a/internal/conns/happy_eyeballs.go
+++ b/internal/conns/happy_eyeballs.go
@@ -54,9 +54,9 @@
 	}
 }
 
-// Race runs the Happy Eyeballs algorithm (RFC 8305) on the addresses of one endpoint. The next address is tried after
+// Attempts runs the Happy Eyeballs algorithm (RFC 8305) on the addresses of one endpoint. The next address is tried after
 // connectionAttemptDelay, or at once if the previous attempt failed, until one attempt succeeds.
-type Race struct {
+type Attempts struct {
 	addresses  *Addresses
 	order      []netip.AddrPort // in the order of the attempts
 	startedAt  []time.Duration  // start of the attempt to each address of order
@@ -66,9 +66,9 @@
 	connected  bool
 }
 
-// Race starts connection attempts to a list of addresses. Recently failed addresses come last. The others alternate between the address
+// StartAttempts starts connection attempts to a list of addresses. Recently failed addresses come last. The others alternate between the address
 // families, starting with the family of the address that connects fastest, or with IPv6 if no connect time is known.
-func (a *Addresses) Race(now time.Duration, addrs []netip.AddrPort) *Race {
+func (a *Addresses) StartAttempts(now time.Duration, addrs []netip.AddrPort) *Attempts {
 	var ipv6, ipv4, recentlyFailed []netip.AddrPort
 	for _, addr := range addrs {
 		switch s := a.entry(now, addr); {
@@ -96,7 +96,7 @@
 	if len(ipv6) > 0 && len(ipv4) > 0 && a.known[ipv4[0]].connectTime > 0 && compareConnectTimes(ipv4[0], ipv6[0]) < 0 {
 		ipv6, ipv4 = ipv4, ipv6 // below, the family that ipv6 holds goes first
 	}
-	r := &Race{addresses: a, nextDueAt: now}
+	r := &Attempts{addresses: a, nextDueAt: now}
 	for i := range max(len(ipv6), len(ipv4)) {
 		if i < len(ipv6) {
 			r.order = append(r.order, ipv6[i])
@@ -112,7 +112,7 @@
 
 // Next returns the address to try now, if one is due. Otherwise it returns the wait until the next one is due, or 0 if none will be. The
 // result exhausted says that all attempts have failed.
-func (r *Race) Next(now time.Duration) (addr netip.AddrPort, try bool, wait time.Duration, exhausted bool) {
+func (r *Attempts) Next(now time.Duration) (addr netip.AddrPort, try bool, wait time.Duration, exhausted bool) {
 	if r.connected || r.next == len(r.order) {
 		return addr, false, 0, !r.connected && r.inProgress == 0
 	}
@@ -128,7 +128,7 @@
 }
 
 // Failed reports that the attempt to connect to an address failed. The next address is due at once.
-func (r *Race) Failed(now time.Duration, addr netip.AddrPort) {
+func (r *Attempts) Failed(now time.Duration, addr netip.AddrPort) {
 	r.inProgress--
 	r.nextDueAt = now
 	s := r.addresses.entry(now, addr)
@@ -136,8 +136,8 @@
 	s.penalizedUntil = now + min(minPenalty<<min(s.consecutiveFailures-1, 20), maxPenalty)
 }
 
-// Won reports that an address accepted the connection. It returns true for the first one; the caller closes any other.
-func (r *Race) Won(now time.Duration, addr netip.AddrPort) bool {
+// Connected reports that an address accepted the connection. It returns true for the first one; the caller closes any other.
+func (r *Attempts) Connected(now time.Duration, addr netip.AddrPort) bool {
 	r.inProgress--
 	s := r.addresses.entry(now, addr)
 	s.consecutiveFailures, s.penalizedUntil = 0, 0
--- a/internal/conns/happy_eyeballs_test.go
+++ b/internal/conns/happy_eyeballs_test.go
@@ -20,7 +20,7 @@
 
 // attemptOrder runs connection attempts that never get an answer. It returns the addresses in the order of the attempts, and their times.
 func attemptOrder(a *Addresses, now time.Duration, list []netip.AddrPort) (tried []netip.AddrPort, at []time.Duration) {
-	for r := a.Race(now, list); ; {
+	for r := a.StartAttempts(now, list); ; {
 		addr, try, wait, _ := r.Next(now)
 		switch {
 		case try:
@@ -54,7 +54,7 @@
 	a := NewAddresses()
 	list := parseAddrs("[2001:db8::1]:1", "192.0.2.1:1")
 	now := time.Second
-	r := a.Race(now, list)
+	r := a.StartAttempts(now, list)
 	first, _, _, _ := r.Next(now)
 	now += 10 * time.Millisecond
 	r.Failed(now, first)
@@ -62,7 +62,7 @@
 	if first != list[0] || second != list[1] || !try {
 		t.Fatalf("first address %v, then %v", first, second)
 	}
-	if !r.Won(now+ms, second) {
+	if !r.Connected(now+ms, second) {
 		t.Error("the only address that answered is not the first")
 	}
 	if _, try, _, exhausted := r.Next(now + time.Second); try || exhausted {
@@ -82,7 +82,7 @@
 
 // The attempts are exhausted only when all of them have failed, or when there is no address.
 func TestAllAddressesFailed(t *testing.T) {
-	r := NewAddresses().Race(0, parseAddrs("192.0.2.1:1"))
+	r := NewAddresses().StartAttempts(0, parseAddrs("192.0.2.1:1"))
 	addr, _, _, _ := r.Next(0)
 	if _, _, _, exhausted := r.Next(0); exhausted {
 		t.Error("exhausted while an attempt is in progress")
@@ -91,7 +91,7 @@
 	if _, try, _, exhausted := r.Next(1); try || !exhausted {
 		t.Error("not exhausted although all attempts have failed")
 	}
-	if _, _, _, exhausted := NewAddresses().Race(0, nil).Next(0); !exhausted {
+	if _, _, _, exhausted := NewAddresses().StartAttempts(0, nil).Next(0); !exhausted {
 		t.Error("not exhausted without any address")
 	}
 }
@@ -105,7 +105,7 @@
 		now := time.Duration(0)
 		for range rapid.IntRange(1, 5).Draw(t, "races") {
 			list := rapid.SliceOfN(rapid.SampledFrom(all), 0, 8).Draw(t, "addresses")
-			r := a.Race(now, list)
+			r := a.StartAttempts(now, list)
 			tried, inProgress, wins := map[netip.AddrPort]bool{}, []netip.AddrPort{}, 0
 			for range 100 {
 				addr, try, wait, exhausted := r.Next(now)
@@ -128,7 +128,7 @@
 					addr := inProgress[i]
 					inProgress = append(inProgress[:i], inProgress[i+1:]...)
 					if rapid.Bool().Draw(t, "answers") {
-						if r.Won(now, addr) {
+						if r.Connected(now, addr) {
 							wins++
 						}
 					} else {
--- a/internal/discoveryaddr/discoveryaddr.go
+++ b/internal/discoveryaddr/discoveryaddr.go
@@ -7,8 +7,8 @@
 	"sync"
 )
 
-// Place is an address that may change.
-type Place struct {
+// Address is an address that may change.
+type Address struct {
 	mu         sync.Mutex
 	addr       string
 	current    context.Context
@@ -16,22 +16,22 @@
 }
 
 // New returns a Place with the initial address addr.
-func New(addr string) *Place {
-	p := &Place{addr: addr}
+func New(addr string) *Address {
+	p := &Address{addr: addr}
 	p.current, p.endCurrent = context.WithCancel(context.Background())
 	return p
 }
 
-// Now returns the address and a context. The context ends when the address changes, so that connections to the old address, and
+// Current returns the address and a context. The context ends when the address changes, so that connections to the old address, and
 // waits for it, end too.
-func (p *Place) Now() (string, context.Context) {
+func (p *Address) Current() (string, context.Context) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.addr, p.current
 }
 
-// Move sets the address and reports whether it has changed.
-func (p *Place) Move(addr string) bool {
+// Set sets the address and reports whether it has changed.
+func (p *Address) Set(addr string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.addr == addr {
--- a/internal/dispatch/cold_fleet_test.go
+++ b/internal/dispatch/cold_fleet_test.go
@@ -13,7 +13,7 @@
 	f := fleetSettings(1).Safety
 	for _, peers := range []int{2, 6, 20, 30, 60, 300} {
 		for _, limit := range []float64{4, 8, 20} {
-			for fails, after := range map[Status]time.Duration{ConnectFailed: 40 * ms, TimedOut: 0, Errored: 50 * ms, Full: 30 * ms} {
+			for fails, after := range map[Status]time.Duration{ConnectFailed: 40 * ms, TimedOut: 0, Errored: 50 * ms, Refused: 30 * ms} {
 				t.Run(fmt.Sprintf("%d senders, %.0f a second, status %d", peers, limit, fails), func(t *testing.T) {
 					t.Parallel()
 					for seed := uint64(1); seed <= 4; seed++ {
--- a/internal/dispatch/example_test.go
+++ b/internal/dispatch/example_test.go
@@ -17,14 +17,14 @@
 		Resolution: 5 * time.Millisecond,
 		MaxCalls:   8, MaxOpen: 100, MaxAttempts: 5,
 		ConnectTimeout: time.Second, KeepAlive: 15 * time.Second,
-		Safety: dispatch.Safety{StartCapacity: 0.2, Cold: 10 * time.Second, FallMultiple: 2,
-			TipAfter: 2 * time.Second},
+		Safety: dispatch.Safety{MinStartCapacityShare: 0.2, Ramp: 10 * time.Second, OverloadMultiple: 2,
+			OverloadFor: 2 * time.Second},
 	}, 1)
 	if err != nil {
 		fmt.Println(err)
 		return
 	}
-	s.Step(0, []dispatch.Event{dispatch.Members{Whole: true, Endpoints: []dispatch.Endpoint{
+	s.Step(0, []dispatch.Event{dispatch.MembershipUpdate{Full: true, Endpoints: []dispatch.Endpoint{
 		{ID: "https://partner.example/in", Kind: "partner", Destination: 7}}}})
 	for _, a := range s.Step(time.Millisecond, []dispatch.Event{
 		dispatch.Request{ID: "m1", Destination: 7, Class: "update", TimeLeft: 20 * time.Second}}) {
@@ -36,7 +36,7 @@
 		}
 	}
 	s.Step(90*time.Millisecond, []dispatch.Event{dispatch.Outcome{ID: "m1", Endpoint: "https://partner.example/in",
-		Status: dispatch.OK, Settled: true, Latency: 89 * time.Millisecond}})
+		Status: dispatch.OK, Closed: true, Latency: 89 * time.Millisecond}})
 	// Output:
 	// call https://partner.example/in for m1
 	// step again at 21ms
--- a/internal/dispatch/fleet_test.go
+++ b/internal/dispatch/fleet_test.go
@@ -26,7 +26,7 @@
 	wait                  time.Duration
 	tokens                float64
 	updatedAt, reportedAt time.Duration
-	report                Report
+	report                LimitReport
 
 	outFrom, outTo time.Duration // no call succeeds from outFrom to outTo, and the destination is cold after that
 	outageStatus   Status        // how calls end during the outage
@@ -47,7 +47,7 @@
 	if b.outTo == 0 || now < b.outTo {
 		return 1
 	}
-	return min(1, f.StartCapacity+(1-f.StartCapacity)*float64(now-b.outTo)/float64(f.Cold))
+	return min(1, f.MinStartCapacityShare+(1-f.MinStartCapacityShare)*float64(now-b.outTo)/float64(f.Ramp))
 }
 
 func (b *bucketModel) limitAt(now time.Duration) float64 {
@@ -58,7 +58,7 @@
 }
 
 // call reports whether a call is accepted. The report is up to 800 ms old and slightly noisy.
-func (b *bucketModel) call(now time.Duration, rng *rand.Rand) (ok bool, r Report) {
+func (b *bucketModel) call(now time.Duration, rng *rand.Rand) (ok bool, r LimitReport) {
 	limit := b.limitAt(now)
 	b.tokens = min(b.tokens+limit*(now-b.updatedAt).Seconds(), limit)
 	b.updatedAt = now
@@ -68,7 +68,7 @@
 	r = b.report
 	if now-b.reportedAt > 800*ms || b.reportedAt == 0 {
 		noise := func() float64 { return math.Exp(0.08 * rng.NormFloat64()) }
-		b.report, b.reportedAt = Report{Left: min(b.tokens/limit*noise(), 1), Limit: limit * noise()}, now
+		b.report, b.reportedAt = LimitReport{LeftShare: min(b.tokens/limit*noise(), 1), Rate: limit * noise()}, now
 	}
 	return ok, r
 }
@@ -116,12 +116,12 @@
 func fleetSettings(peers int) Settings {
 	set := testSettings()
 	set.Classes = []Class{
-		{Name: "keyed", Effect: Keyed, Memory: 6 * time.Second, Aim: 4 * time.Second, Deadline: 12 * time.Second, Worth: 1, LateWorth: 0.5},
+		{Name: "keyed", Effect: Keyed, DedupTTL: 6 * time.Second, Aim: 4 * time.Second, Deadline: 12 * time.Second, Worth: 1, LateWorth: 0.5},
 		{Name: "safe", Effect: Safe, Aim: time.Second, Deadline: 5 * time.Second, Worth: 3, LateWorth: 0.1},
 	}
 	set.Peers, set.MaxCalls, set.MaxOpen, set.Resolution = peers, 5, 49, ms
-	set.Weights, set.MaxAttempts = Rough, 8
-	set.Safety.Cold, set.Safety.TipAfter, set.Safety.StartCapacity, set.Safety.FallMultiple = 13*time.Second, 1500*ms, 0.23, 1.5
+	set.Weights, set.MaxAttempts = RoughWeights, 8
+	set.Safety.Ramp, set.Safety.OverloadFor, set.Safety.MinStartCapacityShare, set.Safety.OverloadMultiple = 13*time.Second, 1500*ms, 0.23, 1.5
 	return set
 }
 
@@ -143,7 +143,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		s.Step(0, []Event{Members{Whole: true, Endpoints: c.endpoints}})
+		s.Step(0, []Event{MembershipUpdate{Full: true, Endpoints: c.endpoints}})
 		c.senders, c.accepted = append(c.senders, s), append(c.accepted, map[string]Request{})
 	}
 	return c
@@ -195,7 +195,7 @@
 func (c *fleetModel) act(now time.Duration, sender int, a Action) {
 	switch a := a.(type) {
 	case Wake:
-		c.schedule(max(a.At, now+ms), sender, Woken{})
+		c.schedule(max(a.At, now+ms), sender, WakeDue{})
 	case Send:
 		n := c.attempts[a.ID]
 		c.attempts[a.ID]++
@@ -206,8 +206,8 @@
 		d.arrivals = append(d.arrivals, arrival{now + rtt/2, c.sawOutage[[2]int{sender, d.id}]})
 		if d.isOut(now + rtt/2) {
 			took := d.outageLatency
-			if d.outageStatus == TimedOut && a.TimeOut > 0 {
-				took = a.TimeOut
+			if d.outageStatus == TimedOut && a.Timeout > 0 {
+				took = a.Timeout
 			} else if d.outageStatus == TimedOut {
 				took = 5 * time.Second
 			}
@@ -216,15 +216,15 @@
 			return
 		}
 		ok, rep := d.call(now+rtt/2, c.rng)
-		o := Outcome{ID: a.ID, Attempt: n, Endpoint: a.Endpoint, Report: &rep, Status: Full}
+		o := Outcome{ID: a.ID, Attempt: n, Endpoint: a.Endpoint, Report: &rep, Status: Refused}
 		if ok {
-			o.Status, o.Settled = OK, true
+			o.Status, o.Closed = OK, true
 			rtt += time.Duration(math.Exp(math.Log(200)+0.5*c.rng.NormFloat64())) * ms
 			delete(c.accepted[sender], a.ID)
 		} else {
 			c.refusedCalls[d.id][sec]++
 			if c.rng.Float64() < d.waitShare {
-				o.Wait = d.wait
+				o.RetryAfter = d.wait
 			}
 		}
 		o.Latency = rtt
@@ -264,10 +264,10 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		events := []Event{Members{Whole: true, Endpoints: c.endpoints}}
+		events := []Event{MembershipUpdate{Full: true, Endpoints: c.endpoints}}
 		if remember {
 			for _, d := range c.destinations {
-				events = append(events, Recalled{Destination: d.id, Limit: d.limitAt(now)})
+				events = append(events, RestoredLimit{Destination: d.id, Limit: d.limitAt(now)})
 			}
 		}
 		for _, id := range slices.Sorted(maps.Keys(c.accepted[i])) {
@@ -299,7 +299,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		acts := s.Step(0, []Event{Members{Whole: true, Endpoints: []Endpoint{ep("a", 1), ep("b", 1)}}, req("m", "safe", 1)})
+		acts := s.Step(0, []Event{MembershipUpdate{Full: true, Endpoints: []Endpoint{ep("a", 1), ep("b", 1)}}, req("m", "safe", 1)})
 		for _, a := range acts {
 			if a, ok := a.(Send); ok {
 				first[a.Endpoint]++
@@ -353,10 +353,10 @@
 func (b *bucketModel) overload(f Safety) (at time.Duration, calls, aware int, capacity float64) {
 	from := 0
 	for i, last := range b.arrivals {
-		if last.at < b.outTo || last.at > b.outTo+f.Cold { // during the outage the destination is down, not cold
+		if last.at < b.outTo || last.at > b.outTo+f.Ramp { // during the outage the destination is down, not cold
 			continue
 		}
-		for b.arrivals[from].at <= max(last.at-f.TipAfter, b.outTo-1) {
+		for b.arrivals[from].at <= max(last.at-f.OverloadFor, b.outTo-1) {
 			from++
 		}
 		n := 0
@@ -365,7 +365,7 @@
 				n++
 			}
 		}
-		budget := f.FallMultiple * b.warmShare(max(last.at-f.TipAfter/2, b.outTo), f) * b.limit * f.TipAfter.Seconds()
+		budget := f.OverloadMultiple * b.warmShare(max(last.at-f.OverloadFor/2, b.outTo), f) * b.limit * f.OverloadFor.Seconds()
 		capacity := budget + 2*math.Sqrt(budget) + 2
 		if all := i + 1 - from; float64(all) > capacity {
 			if 3*n > 2*all {
--- a/internal/dispatch/sender.go
+++ b/internal/dispatch/sender.go
@@ -62,7 +62,7 @@
 )
 
 // trustedWeightShare is the share of a listed weight that a sender relies on.
-var trustedWeightShare = map[Weights]float64{Nominal: 1, Rough: 1 / 1.5}
+var trustedWeightShare = map[Weights]float64{NominalWeights: 1, RoughWeights: 1 / 1.5}
 
 // Sender makes the decisions of one sender. The package comment lists the duties of its caller.
 type Sender struct {
@@ -158,7 +158,7 @@
 		s.classes[set.Classes[i].Name] = &set.Classes[i]
 	}
 	for _, k := range set.Kinds {
-		s.kinds[k.Name] = &kind{ownLimits: k.OwnLimits, maxBundle: k.Bundle}
+		s.kinds[k.Name] = &kind{ownLimits: k.OwnLimits, maxBundle: k.MaxBundle}
 	}
 	for _, z := range set.Zones {
 		s.fees[z.Name] = z.Fee
@@ -176,27 +176,27 @@
 	s.now, s.actions = max(now, s.now), nil
 	for _, ev := range events {
 		switch ev := ev.(type) {
-		case Members:
+		case MembershipUpdate:
 			s.updateMembers(ev)
-		case MembersLost:
+		case MembershipLost:
 			s.watchAt = s.now + watchRetryPause
-		case Recalled:
+		case RestoredLimit:
 			s.restoreLimit(ev)
-		case Told:
+		case FleetReport:
 			s.applyFleetReport(ev)
 		case Request:
 			s.accept(ev)
 		case Outcome:
 			s.handleOutcome(ev)
 		case HoldCap:
-			s.holdCap, s.sizeWeight = min(max(ev.Messages, 1), s.cfg.MaxOpen), ev.Heavy
-		case Hangup:
+			s.holdCap, s.sizeWeight = min(max(ev.MaxMessages, 1), s.cfg.MaxOpen), ev.SizeWeight
+		case Withdrawal:
 			if m := s.messages[ev.ID]; m != nil {
 				s.closeMessage(m)
 			}
 		}
 	}
-	if s.cfg.OnRequest && s.now >= s.watchAt {
+	if s.cfg.WatchRequired && s.now >= s.watchAt {
 		s.watchAt = math.MaxInt64
 		s.emit(Watch{})
 	}
@@ -223,8 +223,8 @@
 func (s *Sender) pollInterval() time.Duration { return pollSteps * s.cfg.Resolution }
 
 // updateMembers applies list entries. An endpoint that drains or is gone gets nothing new from this step on.
-func (s *Sender) updateMembers(ev Members) {
-	if ev.Whole {
+func (s *Sender) updateMembers(ev MembershipUpdate) {
+	if ev.Full {
 		for _, e := range s.endpoints {
 			e.state = Gone
 		}
@@ -245,7 +245,7 @@
 				s.markOutage(e) // a new endpoint is cold and must not get all waiting messages
 			}
 		}
-		if row.Cold && row.State == Listed && e.state != Listed {
+		if row.Restarted && row.State == Listed && e.state != Listed {
 			e.ramping, e.rampSince = true, s.now // cold, as after an outage
 		}
 		e.state, e.zone = row.State, row.Zone
@@ -258,7 +258,7 @@
 
 // restoreLimit continues with a limit that an earlier process learned, so that the destination does not count
 // as unlimited. Random tokens spread the first calls of senders that start together with messages to deliver.
-func (s *Sender) restoreLimit(ev Recalled) {
+func (s *Sender) restoreLimit(ev RestoredLimit) {
 	d := s.destinations[ev.Destination]
 	if d == nil || d.shared == nil || d.shared.kind.ownLimits || d.shared.limit > 0 || !(ev.Limit > 0) {
 		return
@@ -270,10 +270,10 @@
 
 // applyFleetReport applies what other senders found out. All receive it at once, so chance spreads reactions.
 // Reports end an outage known from reports alone. In one seen here, trials come no sooner than without.
-func (s *Sender) applyFleetReport(ev Told) {
+func (s *Sender) applyFleetReport(ev FleetReport) {
 	e, from, d := s.endpoints[ev.Endpoint], s.now-ev.Age, s.destinations[ev.Destination]
 	switch {
-	case ev.Kind == ToldWait && d != nil:
+	case ev.Kind == ReportedWait && d != nil:
 		for _, o := range d.endpoints {
 			if l := o.limiter; ev.Endpoint == "" || o == e {
 				l.fleetWait = s.now + ev.For
@@ -281,15 +281,15 @@
 				l.fleetWait += time.Duration(s.rng.Float64() * min(1e9*l.peers/l.capacity(), float64(ev.For)))
 			}
 		}
-	case ev.Kind == ToldShare && d != nil && d.shared != nil && !d.shared.kind.ownLimits:
+	case ev.Kind == GrantedShare && d != nil && d.shared != nil && !d.shared.kind.ownLimits:
 		d.shared.estimate(s.now)
 		d.shared.grant, d.shared.grantUntil = ev.Rate, s.now+ev.For
-	case e == nil || ev.Kind == ToldOut && e.lastAnswered >= from:
-	case ev.Kind == ToldOut: // senders take turns, a gap after a failed trial, so that all hear of each one
+	case e == nil || ev.Kind == ReportedOutage && e.lastAnswered >= from:
+	case ev.Kind == ReportedOutage: // senders take turns, a gap after a failed trial, so that all hear of each one
 		if !e.outage {
 			e.outage, e.ramping, e.reportedOnly, e.outageSince = true, false, true, from
 		}
-		gap := min(float64(s.now-e.outageSince)*fleetTrialAges, maxFleetTrialShare*float64(s.cfg.Safety.Cold))
+		gap := min(float64(s.now-e.outageSince)*fleetTrialAges, maxFleetTrialShare*float64(s.cfg.Safety.Ramp))
 		gap = max(gap, float64(s.coldGap(e, s.now))/e.limiter.peers)
 		spread := min(e.limiter.peers, e.limiter.capacity()) * float64(s.pollInterval())
 		e.limiter.nextTrial = s.now + time.Duration(gap+s.rng.Float64()*max(gap, spread))
@@ -297,9 +297,9 @@
 			e.limiter.nextTrial = max(e.limiter.nextTrial, e.limiter.ownTrial)
 		}
 	case e.outage && e.reportedOnly:
-		e.outage, e.reportedOnly, e.ramping, e.rampSince = false, false, ev.Kind == ToldBack, from
+		e.outage, e.reportedOnly, e.ramping, e.rampSince = false, false, ev.Kind == ReportedRecovery, from
 		e.lastSent = s.now - time.Duration(s.rng.Float64()*float64(s.coldGap(e, s.now)))
-	case e.outage && ev.Kind == ToldBack:
+	case e.outage && ev.Kind == ReportedRecovery:
 		soon := s.now + time.Duration(s.rng.Float64()*float64(s.coldGap(e, s.now)))
 		e.limiter.nextTrial = min(e.limiter.nextTrial, max(e.limiter.ownTrial, soon))
 	}
@@ -341,7 +341,7 @@
 	s.lastSeq++
 	m := &message{id: ev.ID, class: c, dest: s.destinationFor(ev.Destination), seq: s.lastSeq,
 		arrived: s.now, deadline: s.now + ev.TimeLeft, worth: c.Worth, trialDraw: s.rng.Float64(),
-		attempts: ev.Attempts, sizeBytes: ev.Size, mayHaveRun: ev.MayHaveRun, firstSent: ev.FirstSent}
+		attempts: ev.Attempts, sizeBytes: ev.SizeBytes, mayHaveRun: ev.MayHaveRun, firstSent: ev.FirstSent}
 	if t := s.tenants[ev.Tenant]; t != nil {
 		t.tokens, t.updatedAt = min(t.tokens+t.rate*(s.now-t.updatedAt).Seconds(), t.rate*2), s.now
 		if t.tokens < 1 {
@@ -387,7 +387,7 @@
 	waitEnd, fleetWait        time.Duration // end of a wait that this sender, or another one, was asked for
 	nextTrial, ownTrial       time.Duration // next trial call in an outage; the same without reports
 	refusals                  int           // in a row
-	lastReport                Report
+	lastReport                LimitReport
 	evenShares                float64       // even shares it may take: from 1 up to peers, as if alone
 	sharesAt                  time.Duration // last change of evenShares
 	successes, successRate    float64       // in the running window; calls a second in the last ones
@@ -403,16 +403,16 @@
 }
 
 // applyReport takes in the report of an attempt sent at sent. The report may not include later spends.
-func (l *limiter) applyReport(r *Report, sent, now time.Duration) {
-	if r == nil || !(r.Limit > 0) || math.IsInf(r.Limit, 0) || !(r.Left >= 0) {
-		if r != nil && r.Limit == 0 {
+func (l *limiter) applyReport(r *LimitReport, sent, now time.Duration) {
+	if r == nil || !(r.Rate > 0) || math.IsInf(r.Rate, 0) || !(r.LeftShare >= 0) {
+		if r != nil && r.Rate == 0 {
 			l.limit = 0
 		}
 		return
 	}
-	l.limit = cmp.Or(l.limit, r.Limit)
-	if l.limit += limitWeight * (r.Limit - l.limit); math.Abs(r.Limit-l.limit) > limitStepShare*l.limit {
-		l.limit = r.Limit // a change: a sender that calls seldom must not need many reports to follow it
+	l.limit = cmp.Or(l.limit, r.Rate)
+	if l.limit += limitWeight * (r.Rate - l.limit); math.Abs(r.Rate-l.limit) > limitStepShare*l.limit {
+		l.limit = r.Rate // a change: a sender that calls seldom must not need many reports to follow it
 	}
 	if sent < l.reportSentAt || *r == l.lastReport || now < l.grantUntil {
 		return // an older attempt or an unrefreshed report says nothing new
@@ -424,7 +424,7 @@
 	// Others do not use a limit that reads nearly full. One that reads nearly empty, or is too small for all,
 	// is shared. The more senders there are, the nearer to full it must read before one acts as if alone. A
 	// report that shows room for a call allows one call, since it includes the spends of all senders.
-	left := min(r.Left, 1)
+	left := min(r.LeftShare, 1)
 	room := left * l.limit * l.kind.burstSeconds
 	l.evenShares *= math.Exp(excessGrowthRate * min(now-l.sharesAt, maxGrowthTime).Seconds() *
 		max(left-steadyShare, 0))
@@ -491,7 +491,7 @@
 	id, zone                   string
 	dest                       *destination
 	limiter                    *limiter
-	state                      State
+	state                      MembershipState
 	calls                      []*call         // out, in order of sending
 	idleSince                  []time.Duration // start of idleness of each idle connection, oldest first
 	meanSeconds, spreadSeconds float64         // of the latency; 0 before the first call
@@ -543,17 +543,17 @@
 //     the cold time t. To f first calls a second, senders that saw it add f (1 + ln(A/t)) / sparseTrialAges,
 //     f/2 at A = 4 t, or f in the ramp. This is half of the 2 f that make two thirds, at any capacity.
 func (s *Sender) coldGap(e *endpoint, at time.Duration) time.Duration {
-	f, peers, warm := s.cfg.Safety, float64(s.cfg.Peers), s.cfg.Safety.StartCapacity
-	if e.ramping && f.Cold > 0 {
-		warm = min(1, warm+(1-warm)*float64(at-e.rampSince)/float64(f.Cold))
+	f, peers, warm := s.cfg.Safety, float64(s.cfg.Peers), s.cfg.Safety.MinStartCapacityShare
+	if e.ramping && f.Ramp > 0 {
+		warm = min(1, warm+(1-warm)*float64(at-e.rampSince)/float64(f.Ramp))
 		if s.now < e.limiter.grantUntil { // the grants divide what the destination bears
 			return time.Duration(1e9 / max(e.limiter.grant*warm, 1e-3))
 		}
 		at = e.rampSince
 	}
-	age, rate, tip := max(at-e.outageSince, f.Cold/4).Seconds(), e.limiter.capacity(), f.TipAfter.Seconds()
+	age, rate, tip := max(at-e.outageSince, f.Ramp/4).Seconds(), e.limiter.capacity(), f.OverloadFor.Seconds()
 	expectedCalls := 2 * rate * age / peers
-	fallRate := rate * f.FallMultiple * warm
+	fallRate := rate * f.OverloadMultiple * warm
 	budget := tip * (fallRate - min(peers/age/math.E, fallRate/3))
 	safeBudget := max(math.Pow(math.Sqrt(budget+0.25)-0.5, 2), budget-math.Sqrt(peers)/2)
 	listed, outages, failing := 0.0, 0.0, 1.0
@@ -568,7 +568,7 @@
 			failing++
 		}
 	}
-	share, sparse := 1.0, sparseTrialAges*failing*max(at-e.outageSince, f.Cold/5).Seconds()
+	share, sparse := 1.0, sparseTrialAges*failing*max(at-e.outageSince, f.Ramp/5).Seconds()
 	if noCalls := math.Exp(-expectedCalls); e.ramping {
 		share, outages = max(1-noCalls-expectedCalls*noCalls, 1e-3), 1
 		sparse = listed * share * peers / (rate * noCalls)
@@ -634,7 +634,7 @@
 		s.log("out: " + e.id)
 	}
 	e.outage, e.ramping, e.reportedOnly = true, false, false
-	opens, maxGap := max(s.now, e.limiter.waitEnd), time.Duration(maxTrialShare*float64(s.cfg.Safety.Cold))
+	opens, maxGap := max(s.now, e.limiter.waitEnd), time.Duration(maxTrialShare*float64(s.cfg.Safety.Ramp))
 	gap := max(min((opens-e.outageSince)/2, maxGap), s.coldGap(e, opens))
 	chance := s.rng.Float64()
 	if opens == s.now {
@@ -646,7 +646,7 @@
 
 // withoutRecentSuccess reports rare calls and no success within TipAfter: a second failure would come late.
 func (s *Sender) withoutRecentSuccess(e *endpoint) bool {
-	return s.now-e.limiter.lastSuccess > s.cfg.Safety.TipAfter && e.limiter.sparseness() > 0
+	return s.now-e.limiter.lastSuccess > s.cfg.Safety.OverloadFor && e.limiter.sparseness() > 0
 }
 
 // recordSuccess notes a success. After an outage the endpoint is cold and its ramp starts.
@@ -655,7 +655,7 @@
 	s.missedShare -= missedWeight * s.missedShare
 	e.failureShare -= failureWeight * e.failureShare
 	e.lastAnswered = max(e.lastAnswered, sent)
-	l, now, window := e.limiter, s.now, max(s.cfg.Safety.TipAfter, time.Second)
+	l, now, window := e.limiter, s.now, max(s.cfg.Safety.OverloadFor, time.Second)
 	if now-l.windowStart >= window {
 		if l.windowStart > 0 {
 			l.successRate = max(l.successRate*0.9,
@@ -689,7 +689,7 @@
 func (s *Sender) recordRefusal(e *endpoint, wait time.Duration) {
 	e.limiter.applyRefusal(wait, s.now, e.refusals == 0 && !e.outage && !e.ramping, s.rng.Float64())
 	e.refusals++
-	maxStreak, tip := refusalStreak, s.cfg.Safety.TipAfter
+	maxStreak, tip := refusalStreak, s.cfg.Safety.OverloadFor
 	if s.withoutRecentSuccess(e) { // rare callers with one refusal each would push over a cold one
 		maxStreak = 1
 	}
@@ -724,7 +724,7 @@
 		late := (s.now - m.arrived).Seconds() > (m.deadline-m.arrived).Seconds()*(0.25+m.trialDraw/2)
 		return out == 0 && s.now >= e.limiter.nextTrial && (m.class.Effect != Unsafe || late)
 	}
-	e.ramping = e.ramping && s.now-e.rampSince < s.cfg.Safety.Cold
+	e.ramping = e.ramping && s.now-e.rampSince < s.cfg.Safety.Ramp
 	if e.ramping && s.now-e.lastSent < s.coldGap(e, s.now) {
 		return false
 	}
@@ -820,13 +820,13 @@
 	}
 	m.call = e.calls[len(e.calls)-1]
 	m.call.pending++
-	s.emit(Send{ID: m.id, Endpoint: e.id, TimeOut: s.callTimeout(m, e)})
+	s.emit(Send{ID: m.id, Endpoint: e.id, Timeout: s.callTimeout(m, e)})
 }
 
 // callTimeout ends a call early for a retry. A message that may not be retried waits (see reclaimSlot).
 func (s *Sender) callTimeout(m *message, e *endpoint) time.Duration {
 	limit := max(time.Duration(minTimeoutAims*float64(m.class.Aim)), s.missedAfter(e))
-	if m.class.Effect == Unsafe && s.cfg.Cancel || m.class.Effect == Keyed && limit > m.class.Memory/2 ||
+	if m.class.Effect == Unsafe && s.cfg.CanCancel || m.class.Effect == Keyed && limit > m.class.DedupTTL/2 ||
 		limit >= m.deadline-s.now {
 		return 0
 	}
@@ -836,7 +836,7 @@
 // reclaimSlot cancels the longest missed call when all slots are taken and messages wait, since lost answers
 // must not hold slots. The disadvantage: an unsafe message loses an answer that would still have come.
 func (s *Sender) reclaimSlot() {
-	if !s.cfg.Cancel || s.callsOut < s.cfg.MaxCalls || len(s.queue) == 0 {
+	if !s.cfg.CanCancel || s.callsOut < s.cfg.MaxCalls || len(s.queue) == 0 {
 		return
 	}
 	var worst *message
@@ -858,8 +858,8 @@
 	switch ev.Status {
 	case OK:
 		s.recordSuccess(e, c.sentAt, ev.Latency)
-	case Full:
-		s.recordRefusal(e, ev.Wait)
+	case Refused:
+		s.recordRefusal(e, ev.RetryAfter)
 	case ConnectFailed, Errored, Reset:
 		// A broken idle connection says nothing about the endpoint: the next call fails if it is down.
 		if ev.Status != Reset || c.idleFor == 0 {
@@ -872,7 +872,7 @@
 		s.recordFailure(e, c, ev)
 		e.window = max(e.window*windowShrinkFactor, 1)
 	}
-	if ev.Status == OK || ev.Status == Full || ev.Status == Errored {
+	if ev.Status == OK || ev.Status == Refused || ev.Status == Errored {
 		e.idleSince = append(e.idleSince, s.now)
 	}
 }
@@ -898,11 +898,11 @@
 	if m.keyQueue != nil && (ev.Status == TimedOut || ev.Status == Reset || ev.Status == Cancelled) {
 		m.keyQueue.restUntil = s.now + s.cfg.Safety.OrderPause
 	}
-	if ev.Settled || ev.Status == OK || m.closed {
+	if ev.Closed || ev.Status == OK || m.closed {
 		s.closeMessage(m)
 		return
 	}
-	if ev.Status != Full && ev.Status != ConnectFailed && ev.Status != Moot && !m.mayHaveRun {
+	if ev.Status != Refused && ev.Status != ConnectFailed && ev.Status != NotSent && !m.mayHaveRun {
 		m.mayHaveRun, m.firstSent, m.zone = true, c.sentAt, e.zone
 	}
 	m.notBefore = s.now + m.class.Aim*time.Duration(m.attempts)/16
@@ -912,7 +912,7 @@
 // repeatable reports whether the message may run once more. A keyed one may while repeats are dropped.
 func (s *Sender) repeatable(m *message) bool {
 	return !m.mayHaveRun || m.class.Effect == Safe ||
-		m.class.Effect == Keyed && s.now+2*s.cfg.Resolution < m.firstSent+m.class.Memory
+		m.class.Effect == Keyed && s.now+2*s.cfg.Resolution < m.firstSent+m.class.DedupTTL
 }
 
 // safeToReturn reports whether the client could submit the message again without harm.
@@ -923,7 +923,7 @@
 // finish gives the final answer to a message without an attempt out: a Refuse where that is safe.
 func (s *Sender) finish(m *message, wait time.Duration) {
 	if s.safeToReturn(m) {
-		if !s.cfg.RetryAfter {
+		if !s.cfg.SendRetryAfter {
 			wait = 0
 		}
 		s.emit(Refuse{ID: m.id, RetryAfter: min(wait, s.cfg.MaxRetryAfter)})
--- a/internal/dispatch/sender_test.go
+++ b/internal/dispatch/sender_test.go
@@ -37,19 +37,19 @@
 	return Settings{
 		Classes: []Class{
 			{Name: "safe", Effect: Safe, Aim: time.Second, Deadline: 10 * time.Second, Worth: 1},
-			{Name: "keyed", Effect: Keyed, Memory: 4 * time.Second, Aim: time.Second, Deadline: 12 * time.Second,
+			{Name: "keyed", Effect: Keyed, DedupTTL: 4 * time.Second, Aim: time.Second, Deadline: 12 * time.Second,
 				Worth: 2, LateWorth: 0.5},
-			{Name: "zoned", Effect: Keyed, ZoneScope: true, Memory: 4 * time.Second, Aim: time.Second,
+			{Name: "zoned", Effect: Keyed, ZoneScope: true, DedupTTL: 4 * time.Second, Aim: time.Second,
 				Deadline: 12 * time.Second, Worth: 2},
 			{Name: "unsafe", Effect: Unsafe, Aim: 2 * time.Second, Deadline: 14 * time.Second, Worth: 4},
-			{Name: "ordered", Effect: Keyed, Memory: 4 * time.Second, OrderedByKey: true, Aim: 2 * time.Second,
+			{Name: "ordered", Effect: Keyed, DedupTTL: 4 * time.Second, OrderedByKey: true, Aim: 2 * time.Second,
 				Deadline: 12 * time.Second, Worth: 1},
 		},
 		Kinds: []Kind{{Name: "shared"}, {Name: "apart", OwnLimits: true}},
 		Zones: []Zone{{Name: "a"}, {Name: "b", Fee: 0.02}}, Zone: "a", Peers: 2, Resolution: 5 * ms,
 		MaxCalls: 8, MaxOpen: 40, MaxAttempts: 5, ConnectTimeout: 500 * ms, KeepAlive: 5 * time.Second,
-		CallsPerConn: 1, MaxRetryAfter: 3 * time.Second, RetryAfter: true, Cancel: true,
-		Safety: Safety{StartCapacity: 0.2, Cold: 10 * time.Second, FallMultiple: 2, TipAfter: 2 * time.Second,
+		CallsPerConn: 1, MaxRetryAfter: 3 * time.Second, SendRetryAfter: true, CanCancel: true,
+		Safety: Safety{MinStartCapacityShare: 0.2, Ramp: 10 * time.Second, OverloadMultiple: 2, OverloadFor: 2 * time.Second,
 			OrderPause: 300 * ms},
 	}
 }
@@ -60,7 +60,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.Step(0, []Event{Members{Whole: true, Endpoints: eps}})
+	s.Step(0, []Event{MembershipUpdate{Full: true, Endpoints: eps}})
 	return s
 }
 
@@ -74,7 +74,7 @@
 }
 
 func answer(id string, attempt int, endpoint string, st Status) Outcome {
-	return Outcome{ID: id, Attempt: attempt, Endpoint: endpoint, Status: st, Settled: st == OK,
+	return Outcome{ID: id, Attempt: attempt, Endpoint: endpoint, Status: st, Closed: st == OK,
 		Latency: 100 * ms}
 }
 
@@ -118,7 +118,7 @@
 		"MaxOpen":     func(s *Settings) { s.MaxOpen = -1 },
 		"MaxAttempts": func(s *Settings) { s.MaxAttempts = 0 },
 		"Resolution":  func(s *Settings) { s.Resolution = 0 },
-		"Safety":      func(s *Settings) { s.Safety.Cold = -1 },
+		"Safety":      func(s *Settings) { s.Safety.Ramp = -1 },
 	} {
 		set := testSettings()
 		invalidate(&set)
@@ -132,7 +132,7 @@
 func TestDeadlineOrder(t *testing.T) {
 	s := newSender(t, testSettings(), ep("e", 1))
 	s.Step(0, []Event{req("first", "safe", 1)})
-	s.Step(100*ms, []Event{Outcome{ID: "first", Endpoint: "e", Status: Full, Wait: 500 * ms}})
+	s.Step(100*ms, []Event{Outcome{ID: "first", Endpoint: "e", Status: Refused, RetryAfter: 500 * ms}})
 	s.Step(110*ms, []Event{req("u", "unsafe", 1), req("k", "keyed", 1), req("s", "safe", 1)})
 	got := sends(run(s, 115*ms, 4*time.Second))
 	if len(got) < 2 || got[0] != "first" || got[1] != "s" {
@@ -144,7 +144,7 @@
 func TestEmptyEstimateBlocksSends(t *testing.T) {
 	s := newSender(t, testSettings(), ep("e", 1))
 	s.Step(0, []Event{req("a", "safe", 1)})
-	s.Step(100*ms, []Event{Outcome{ID: "a", Endpoint: "e", Settled: true, Report: &Report{Left: 0, Limit: 4}}})
+	s.Step(100*ms, []Event{Outcome{ID: "a", Endpoint: "e", Closed: true, Report: &LimitReport{LeftShare: 0, Rate: 4}}})
 	if got := sends(s.Step(110*ms, []Event{req("b", "safe", 1)})); got != nil {
 		t.Errorf("sent %v with an empty allowance", got)
 	}
@@ -157,7 +157,7 @@
 func TestSpendWithoutReportFades(t *testing.T) {
 	s := newSender(t, testSettings(), ep("e", 1))
 	s.Step(0, []Event{req("a", "safe", 1)})
-	s.Step(100*ms, []Event{Outcome{ID: "a", Endpoint: "e", Settled: true, Report: &Report{Left: 1, Limit: 1.9}}})
+	s.Step(100*ms, []Event{Outcome{ID: "a", Endpoint: "e", Closed: true, Report: &LimitReport{LeftShare: 1, Rate: 1.9}}})
 	s.Step(200*ms, []Event{req("b", "keyed", 1)})
 	s.Step(1600*ms, []Event{Outcome{ID: "b", Endpoint: "e", Status: TimedOut}})
 	if got := sends(run(s, 1605*ms, 5*time.Second)); len(got) == 0 {
@@ -167,11 +167,11 @@
 
 // Reports with invalid values have no effect.
 func TestInvalidReports(t *testing.T) {
-	for _, r := range []Report{{math.NaN(), 5}, {-1, 5}, {9, 5}, {0.5, math.NaN()}, {0.5, -3},
+	for _, r := range []LimitReport{{math.NaN(), 5}, {-1, 5}, {9, 5}, {0.5, math.NaN()}, {0.5, -3},
 		{0.5, math.Inf(1)}, {math.Inf(1), 5}, {}} {
 		s := newSender(t, testSettings(), ep("e", 1))
 		s.Step(0, []Event{req("a", "safe", 1)})
-		s.Step(100*ms, []Event{Outcome{ID: "a", Endpoint: "e", Settled: true, Report: &r}})
+		s.Step(100*ms, []Event{Outcome{ID: "a", Endpoint: "e", Closed: true, Report: &r}})
 		s.Step(200*ms, []Event{req("b", "safe", 1)})
 		s.Step(300*ms, []Event{answer("b", 0, "e", OK)})
 		s.Step(310*ms, []Event{req("c", "safe", 1)})
@@ -188,7 +188,7 @@
 func TestMissedAimYields(t *testing.T) {
 	s := newSender(t, testSettings(), ep("e", 1))
 	s.Step(0, []Event{req("a", "safe", 1)})
-	s.Step(10*ms, []Event{Outcome{ID: "a", Endpoint: "e", Status: Full, Wait: 2 * time.Second}})
+	s.Step(10*ms, []Event{Outcome{ID: "a", Endpoint: "e", Status: Refused, RetryAfter: 2 * time.Second}})
 	s.Step(1900*ms, []Event{req("b", "unsafe", 1)})
 	if got := sends(run(s, 1905*ms, 2100*ms)); len(got) == 0 || got[0] != "b" {
 		t.Errorf("sent in the order %v", got)
@@ -198,7 +198,7 @@
 // Every message ends once and in time: without listed endpoints, with an unknown destination, or after all endpoints are gone.
 func TestAnswerAtDeadline(t *testing.T) {
 	s := newSender(t, testSettings(), ep("e", 1))
-	s.Step(0, []Event{Members{Endpoints: []Endpoint{{ID: "e", Kind: "shared", Destination: 1, State: Gone}}},
+	s.Step(0, []Event{MembershipUpdate{Endpoints: []Endpoint{{ID: "e", Kind: "shared", Destination: 1, State: Gone}}},
 		req("gone", "safe", 1), req("unknown", "unsafe", 77)})
 	results := ends(run(s, 5*ms, 15*time.Second))
 	if results["gone"] != "refused" || results["unknown"] != "refused" {
@@ -228,8 +228,8 @@
 		again bool
 		end   string // when the message is not sent again
 	}{
-		{"safe", Errored, true, ""}, {"safe", Full, true, ""}, {"keyed", TimedOut, true, ""},
-		{"unsafe", Full, true, ""}, {"unsafe", ConnectFailed, true, ""}, {"unsafe", Moot, true, ""},
+		{"safe", Errored, true, ""}, {"safe", Refused, true, ""}, {"keyed", TimedOut, true, ""},
+		{"unsafe", Refused, true, ""}, {"unsafe", ConnectFailed, true, ""}, {"unsafe", NotSent, true, ""},
 		{"unsafe", Errored, false, "failed"}, {"unsafe", Reset, false, "failed"},
 		{"unsafe", TimedOut, false, "failed"}, {"unsafe", Cancelled, false, "failed"},
 	} {
@@ -258,7 +258,7 @@
 	s := newSender(t, testSettings(), ep("e", 1), Endpoint{ID: "f", Zone: "b", Kind: "shared", Destination: 1})
 	s.Step(0, []Event{req("m", "zoned", 1)})
 	acts := s.Step(100*ms, []Event{answer("m", 0, "e", Errored),
-		Members{Endpoints: []Endpoint{{ID: "e", Zone: "a", Kind: "shared", Destination: 1, State: Draining}}}})
+		MembershipUpdate{Endpoints: []Endpoint{{ID: "e", Zone: "a", Kind: "shared", Destination: 1, State: Draining}}}})
 	acts = append(acts, run(s, 105*ms, 12*time.Second)...)
 	if len(sends(acts)) != 0 || ends(acts)["m"] != "failed" {
 		t.Errorf("not kept to its zone: %v", acts)
@@ -267,10 +267,10 @@
 
 // No call goes to an endpoint that drains or is gone, whether a change, a full list or a removal says so.
 func TestDrain(t *testing.T) {
-	for name, ev := range map[string]Members{
+	for name, ev := range map[string]MembershipUpdate{
 		"cordoned": {Endpoints: []Endpoint{{ID: "e", Kind: "shared", Destination: 1, State: Draining}}},
 		"gone":     {Endpoints: []Endpoint{{ID: "e", Kind: "shared", Destination: 1, State: Gone}}},
-		"whole":    {Whole: true},
+		"whole":    {Full: true},
 	} {
 		s := newSender(t, testSettings(), ep("e", 1))
 		if got := sends(s.Step(10*ms, []Event{ev, req("m", "safe", 1)})); got != nil {
@@ -283,9 +283,9 @@
 func TestRetryAfterBindsAllEndpoints(t *testing.T) {
 	s := newSender(t, testSettings(), ep("e", 1), ep("f", 1))
 	s.Step(0, []Event{req("a", "safe", 1), req("b", "safe", 1)})
-	s.Step(50*ms, []Event{Outcome{ID: "a", Endpoint: "e", Status: Full, Wait: 900 * ms},
-		Outcome{ID: "b", Endpoint: "e", Status: Full, Wait: 100 * ms},
-		Outcome{ID: "b", Endpoint: "f", Status: Full, Wait: 100 * ms}})
+	s.Step(50*ms, []Event{Outcome{ID: "a", Endpoint: "e", Status: Refused, RetryAfter: 900 * ms},
+		Outcome{ID: "b", Endpoint: "e", Status: Refused, RetryAfter: 100 * ms},
+		Outcome{ID: "b", Endpoint: "f", Status: Refused, RetryAfter: 100 * ms}})
 	if got := sends(append(s.Step(60*ms, []Event{req("c", "safe", 1)}), run(s, 65*ms, 945*ms)...)); got != nil {
 		t.Errorf("sent %v during the wait", got)
 	}
@@ -299,7 +299,7 @@
 	s := newSender(t, testSettings(), Endpoint{ID: "e", Zone: "a", Kind: "apart", Destination: 1},
 		Endpoint{ID: "f", Zone: "b", Kind: "apart", Destination: 1})
 	s.Step(0, []Event{req("a", "safe", 1)})
-	acts := s.Step(50*ms, []Event{Outcome{ID: "a", Endpoint: "e", Status: Full, Wait: 900 * ms}, req("c", "safe", 1)})
+	acts := s.Step(50*ms, []Event{Outcome{ID: "a", Endpoint: "e", Status: Refused, RetryAfter: 900 * ms}, req("c", "safe", 1)})
 	for _, a := range acts {
 		if a, ok := a.(Send); ok && a.Endpoint == "e" {
 			t.Errorf("sent %v during the wait", a)
@@ -318,11 +318,11 @@
 	if got := sends(s.Step(0, []Event{a, b})); !reflect.DeepEqual(got, []string{"a"}) {
 		t.Fatalf("sent %v", got)
 	}
-	s.Step(100*ms, []Event{Hangup{ID: "a"}})
+	s.Step(100*ms, []Event{Withdrawal{ID: "a"}})
 	if got := sends(run(s, 105*ms, time.Second)); got != nil {
 		t.Errorf("sent %v while the first message of the key has an attempt out", got)
 	}
-	s.Step(1100*ms, []Event{Outcome{ID: "a", Endpoint: "e", Status: TimedOut, Settled: true}})
+	s.Step(1100*ms, []Event{Outcome{ID: "a", Endpoint: "e", Status: TimedOut, Closed: true}})
 	if got := sends(run(s, 1105*ms, 1395*ms)); got != nil {
 		t.Errorf("sent %v during the pause", got)
 	}
@@ -333,7 +333,7 @@
 
 // An outage gets few calls. In the ramp after it, the calls stay under this sender's part of the cold budget.
 func TestColdBudget(t *testing.T) {
-	for _, st := range []Status{Errored, Full, ConnectFailed, TimedOut} {
+	for _, st := range []Status{Errored, Refused, ConnectFailed, TimedOut} {
 		s := newSender(t, testSettings(), ep("e", 1))
 		var times []time.Duration
 		type call struct {
@@ -348,7 +348,7 @@
 			for _, c := range out {
 				o := Outcome{ID: c.id, Attempt: c.n, Endpoint: "e", Status: st, Latency: 50 * ms}
 				if now < 7*time.Second || now > back {
-					o.Status, o.Settled = OK, true
+					o.Status, o.Closed = OK, true
 				}
 				evs = append(evs, o)
 			}
@@ -370,12 +370,12 @@
 		for i := range times {
 			in := 0
 			for _, x := range times[i:] {
-				if x < times[i]+f.TipAfter {
+				if x < times[i]+f.OverloadFor {
 					in++
 				}
 			}
-			warm := f.StartCapacity + (1-f.StartCapacity)*max(0, float64(times[i]-back)/float64(f.Cold))
-			if budget := f.FallMultiple * min(warm, 1) * seen / 2 * f.TipAfter.Seconds(); float64(in) > budget+1 {
+			warm := f.MinStartCapacityShare + (1-f.MinStartCapacityShare)*max(0, float64(times[i]-back)/float64(f.Ramp))
+			if budget := f.OverloadMultiple * min(warm, 1) * seen / 2 * f.OverloadFor.Seconds(); float64(in) > budget+1 {
 				t.Errorf("%v: %d calls from %v, budget %.1f", st, in, times[i], budget)
 			}
 		}
@@ -389,8 +389,8 @@
 func TestSilentDestinationHoldsFewSlots(t *testing.T) {
 	s := newSender(t, testSettings(), ep("e", 1), ep("f", 2))
 	s.Step(0, []Event{req("first", "safe", 1)})
-	s.Step(100*ms, []Event{Outcome{ID: "first", Endpoint: "e", Settled: true, Latency: 100 * ms,
-		Report: &Report{Left: 1, Limit: 50}}})
+	s.Step(100*ms, []Event{Outcome{ID: "first", Endpoint: "e", Closed: true, Latency: 100 * ms,
+		Report: &LimitReport{LeftShare: 1, Rate: 50}}})
 	for i := range 50 {
 		now := 200*ms + time.Duration(i)*200*ms
 		acts := s.Step(now, []Event{req(fmt.Sprint("h", i), "unsafe", 1), req(fmt.Sprint("g", i), "safe", 2)})
@@ -444,7 +444,7 @@
 	for _, at := range []time.Duration{100 * ms, 200 * ms, 300 * ms} {
 		l.spend(at)
 	}
-	l.applyReport(&Report{Left: 0.5, Limit: 10}, 100*ms, 400*ms)
+	l.applyReport(&LimitReport{LeftShare: 0.5, Rate: 10}, 100*ms, 400*ms)
 	if got := l.estimate(400 * ms); got > 3.01 {
 		t.Errorf("5 reported as left, 2 spent since: estimate %.2f", got)
 	}
@@ -471,7 +471,7 @@
 // Near the hold cap, messages of the least worth are refused at once, with a time to come back.
 func TestShed(t *testing.T) {
 	s := newSender(t, testSettings(), ep("e", 1))
-	s.Step(0, []Event{Members{Whole: true}})
+	s.Step(0, []Event{MembershipUpdate{Full: true}})
 	var acts []Action
 	for i := range 40 {
 		class := []string{"safe", "unsafe"}[i%2]
@@ -491,7 +491,7 @@
 // Events for unknown messages and repeated outcomes are ignored.
 func TestStrayEvents(t *testing.T) {
 	s := newSender(t, testSettings(), ep("e", 1))
-	s.Step(0, []Event{answer("x", 0, "e", OK), Hangup{ID: "x"}, Woken{}, ProbeResult{Endpoint: "x"}, MembersLost{}})
+	s.Step(0, []Event{answer("x", 0, "e", OK), Withdrawal{ID: "x"}, WakeDue{}, ProbeResult{Endpoint: "x"}, MembershipLost{}})
 	s.Step(5*ms, []Event{req("a", "safe", 1)})
 	s.Step(9*ms, []Event{answer("a", 0, "e", OK), answer("a", 0, "e", OK)})
 	if s.callsOut != 0 || s.destinations[1].callsOut != 0 {
@@ -526,7 +526,7 @@
 func runRandomEvents(t *testing.T, seed uint64) []string {
 	r := rand.New(rand.NewPCG(seed, 7))
 	set := testSettings()
-	set.Cancel = seed%3 != 0
+	set.CanCancel = seed%3 != 0
 	set.Peers = []int{2, 1, 350, 1024, 2, math.MaxInt}[seed%6]
 	var eps []Endpoint
 	for i := range 6 {
@@ -534,7 +534,7 @@
 			Kind: []string{"shared", "apart"}[i/2%2], Destination: i / 2})
 	}
 	s := newSender(t, set, eps...)
-	state := map[string]State{}
+	state := map[string]MembershipState{}
 	waits := map[string]time.Duration{}
 	messages := map[string]*modelMessage{}
 	rest := map[int64]time.Duration{}
@@ -557,9 +557,9 @@
 		}
 		if r.IntN(400) == 0 {
 			e := eps[r.IntN(len(eps))]
-			e.State = State(r.IntN(3))
+			e.State = MembershipState(r.IntN(3))
 			state[e.ID] = e.State
-			evs = append(evs, Members{Endpoints: []Endpoint{e}})
+			evs = append(evs, MembershipUpdate{Endpoints: []Endpoint{e}})
 		}
 		kept := out[:0]
 		for _, p := range out {
@@ -574,7 +574,7 @@
 			m.inFlight = false
 			switch p.o.Status {
 			case OK:
-				p.o.Settled, m.ended = true, true
+				p.o.Closed, m.ended = true, true
 			case Errored, TimedOut, Reset, Cancelled:
 				if !m.mayHaveRun {
 					m.mayHaveRun, m.firstSent = true, p.at-p.o.Latency
@@ -582,18 +582,18 @@
 				if p.o.Status != Errored && m.class.OrderedByKey {
 					rest[m.key] = now + set.Safety.OrderPause
 				}
-			case Full:
+			case Refused:
 				if r.IntN(2) == 0 {
-					p.o.Wait = time.Duration(r.IntN(900)) * ms
+					p.o.RetryAfter = time.Duration(r.IntN(900)) * ms
 					for _, e := range eps {
 						if e.ID == p.o.Endpoint || e.Kind == "shared" && e.Destination == m.dest {
-							waits[e.ID] = max(waits[e.ID], now+p.o.Wait)
+							waits[e.ID] = max(waits[e.ID], now+p.o.RetryAfter)
 						}
 					}
 				}
 			}
 			if r.IntN(3) > 0 {
-				p.o.Report = &Report{Left: r.Float64(), Limit: float64(r.IntN(9))}
+				p.o.Report = &LimitReport{LeftShare: r.Float64(), Rate: float64(r.IntN(9))}
 			}
 			evs = append(evs, p.o)
 		}
@@ -616,7 +616,7 @@
 					bad = "has had its attempts"
 				case m.mayHaveRun && m.class.Effect == Unsafe:
 					bad = "may have run and is unsafe"
-				case m.mayHaveRun && m.class.Effect == Keyed && now >= m.firstSent+m.class.Memory:
+				case m.mayHaveRun && m.class.Effect == Keyed && now >= m.firstSent+m.class.DedupTTL:
 					bad = "is past its keyed window"
 				case state[a.Endpoint] != Listed:
 					bad = "goes to an endpoint that drains"
@@ -637,10 +637,10 @@
 				}
 				m.inFlight = true
 				took := time.Duration(20+r.IntN(600)) * ms
-				if a.TimeOut > 0 {
-					took = min(took, a.TimeOut)
+				if a.Timeout > 0 {
+					took = min(took, a.Timeout)
 				}
-				st := []Status{OK, OK, OK, OK, Errored, Full, TimedOut, ConnectFailed, Reset}[r.IntN(9)]
+				st := []Status{OK, OK, OK, OK, Errored, Refused, TimedOut, ConnectFailed, Reset}[r.IntN(9)]
 				if r.IntN(20) == 0 {
 					took = time.Hour
 				}
@@ -648,7 +648,7 @@
 					Status: st, Latency: took}})
 				m.attempts++
 			case Cancel:
-				if !set.Cancel {
+				if !set.CanCancel {
 					t.Fatalf("seed %d: a cancel that is not permitted", seed)
 				}
 				for i := range out {
@@ -689,10 +689,10 @@
 // The size of an allowance is learned from refusals: a full allowance may hold less than one second of the limit.
 func TestAllowanceIsLearned(t *testing.T) {
 	l := &limiter{kind: &kind{burstSeconds: defaultBurstSeconds}, peers: 1}
-	l.applyReport(&Report{Left: 1, Limit: 20}, 0, 0)
+	l.applyReport(&LimitReport{LeftShare: 1, Rate: 20}, 0, 0)
 	before := l.estimate(0)
 	l.applyRefusal(0, 0, true, 0.5)
-	l.applyReport(&Report{Left: 1, Limit: 20}, 0, 0)
+	l.applyReport(&LimitReport{LeftShare: 1, Rate: 20}, 0, 0)
 	if after := l.estimate(0); !(after < before) {
 		t.Errorf("a full allowance is taken as %.1f calls before a refusal and %.1f after", before, after)
 	}
@@ -702,7 +702,7 @@
 func TestReportIsShared(t *testing.T) {
 	for _, c := range []struct{ left, limit, most float64 }{{0.5, 12, 3.1}, {1, 3, 2.5}} {
 		l := &limiter{kind: &kind{burstSeconds: 1}, peers: 4}
-		l.applyReport(&Report{Left: c.left, Limit: c.limit}, 0, 0)
+		l.applyReport(&LimitReport{LeftShare: c.left, Rate: c.limit}, 0, 0)
 		if got := l.estimate(0); got > c.most {
 			t.Errorf("%.1f left of %.0f: one of four senders takes %.1f", c.left, c.limit, got)
 		}
@@ -717,11 +717,11 @@
 		if sends(s.Step(now, []Event{req(id, "safe", 1)})) == nil {
 			continue
 		}
-		st := Full
+		st := Refused
 		if i%4 == 0 {
 			st = OK
 		}
-		s.Step(now+20*ms, []Event{answer(id, 0, "e", st), Hangup{ID: id}})
+		s.Step(now+20*ms, []Event{answer(id, 0, "e", st), Withdrawal{ID: id}})
 	}
 	if s.endpoints["e"].outage {
 		t.Error("refusals over the limit caused an outage")
@@ -747,7 +747,7 @@
 // If list changes come only on request, the sender subscribes at once, and again some time after a failure.
 func TestWatch(t *testing.T) {
 	set := testSettings()
-	set.OnRequest = true
+	set.WatchRequired = true
 	s, err := New(set, 1)
 	if err != nil {
 		t.Fatal(err)
@@ -763,7 +763,7 @@
 	if n := watches(append(s.Step(0, nil), run(s, 5*ms, time.Second)...)); n != 1 {
 		t.Errorf("subscribed %d times", n)
 	}
-	if n := watches(s.Step(time.Second, []Event{MembersLost{}})); n != 0 {
+	if n := watches(s.Step(time.Second, []Event{MembershipLost{}})); n != 0 {
 		t.Error("subscribed again at once")
 	}
 	if n := watches(run(s, time.Second, 5*time.Second)); n != 1 {
@@ -785,7 +785,7 @@
 		want bool
 	}{{1, true}, {0.5, true}, {0.1, false}} {
 		l := &limiter{kind: &kind{burstSeconds: 1}, peers: 400, evenShares: 400}
-		l.applyReport(&Report{Left: c.left, Limit: 4}, 0, 0)
+		l.applyReport(&LimitReport{LeftShare: c.left, Rate: 4}, 0, 0)
 		if got := l.estimate(100 * ms); got >= 1 != c.want {
 			t.Errorf("%.1f of 4 left: estimate %.2f for one of 400 senders", c.left, got)
 		}
@@ -830,12 +830,12 @@
 	e := s.endpoints["e"]
 	e.limiter.limit = 4
 	early, late := s.coldGap(e, e.outageSince), s.coldGap(e, e.outageSince+10*time.Second)
-	if early < s.cfg.Safety.TipAfter || late < 2*early || late > 5*s.cfg.Safety.Cold {
+	if early < s.cfg.Safety.OverloadFor || late < 2*early || late > 5*s.cfg.Safety.Ramp {
 		t.Errorf("gap %v at first, %v after ten seconds", early, late)
 	}
 	e.limiter.limit = 400 // every sender sees the outage and all share the budget
 	f := s.cfg.Safety
-	least := time.Duration(400 / (f.FallMultiple * f.StartCapacity * 400) * float64(time.Second))
+	least := time.Duration(400 / (f.OverloadMultiple * f.MinStartCapacityShare * 400) * float64(time.Second))
 	if got := s.coldGap(e, e.outageSince+10*time.Second); got < least {
 		t.Errorf("gap %v where all senders saw the outage, want at least %v", got, least)
 	}
@@ -850,8 +850,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		s.Step(0, []Event{Members{Whole: true, Endpoints: []Endpoint{ep("e", 1), ep("f", 1)}}, req("a", "safe", 1)})
-		s.Step(50*ms, []Event{Outcome{ID: "a", Endpoint: "e", Status: Full, Wait: 5 * time.Second}})
+		s.Step(0, []Event{MembershipUpdate{Full: true, Endpoints: []Endpoint{ep("e", 1), ep("f", 1)}}, req("a", "safe", 1)})
+		s.Step(50*ms, []Event{Outcome{ID: "a", Endpoint: "e", Status: Refused, RetryAfter: 5 * time.Second}})
 		for _, e := range s.endpoints {
 			if !e.outage || e.limiter.nextTrial < 5050*ms {
 				t.Errorf("seed %d: %s out: %v, next try %v", seed, e.id, e.outage, e.limiter.nextTrial)
@@ -872,7 +872,7 @@
 		l.spend(at)
 	}
 	l.applyReport(nil, 300*ms, 390*ms)
-	l.applyReport(&Report{Left: 0.5, Limit: 10}, 100*ms, 400*ms)
+	l.applyReport(&LimitReport{LeftShare: 0.5, Rate: 10}, 100*ms, 400*ms)
 	if got := l.estimate(400 * ms); got > 3.01 {
 		t.Errorf("5 reported as left, 2 spent since: estimate %.2f", got)
 	}
@@ -888,7 +888,7 @@
 	s := newSender(t, manySenders(), ep("e", 1))
 	s.Step(10*time.Second, []Event{req("a", "safe", 1)})
 	s.Step(10100*ms, []Event{answer("a", 0, "e", ConnectFailed)})
-	acts := s.Step(11*time.Second, []Event{Members{Endpoints: []Endpoint{ep("f", 1)}}})
+	acts := s.Step(11*time.Second, []Event{MembershipUpdate{Endpoints: []Endpoint{ep("f", 1)}}})
 	if got := sends(acts); got != nil || !s.endpoints["f"].outage {
 		t.Errorf("sent %v to a new endpoint; outage: %v", got, s.endpoints["f"].outage)
 	}
@@ -902,7 +902,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		s.Step(0, []Event{Members{Whole: true, Endpoints: []Endpoint{ep("e", 1)}}})
+		s.Step(0, []Event{MembershipUpdate{Full: true, Endpoints: []Endpoint{ep("e", 1)}}})
 		s.Step(10*time.Second, []Event{req("a", "unsafe", 1)})
 		s.Step(10050*ms, []Event{answer("a", 0, "e", ConnectFailed)})
 		s.endpoints["e"].limiter.nextTrial = 0
@@ -932,8 +932,8 @@
 		{all, Outcome{Status: ConnectFailed, Latency: 500 * ms}},
 		{all[:2], Outcome{Status: TimedOut, Latency: 800 * ms}},
 		{all[:2], Outcome{Status: Errored, Latency: 50 * ms}},
-		{all[:2], Outcome{Status: Full, Latency: 50 * ms}},
-		{all[:2], Outcome{Status: Full, Latency: 50 * ms, Report: &Report{Limit: 6}}},
+		{all[:2], Outcome{Status: Refused, Latency: 50 * ms}},
+		{all[:2], Outcome{Status: Refused, Latency: 50 * ms, Report: &LimitReport{Rate: 6}}},
 	} {
 		set := manySenders()
 		set.Classes[0].Deadline = 28 * time.Second
@@ -948,7 +948,7 @@
 		for now := time.Duration(0); now <= 24*time.Second; now += 50 * ms {
 			if now%(200*ms) == 0 {
 				s, _ := New(set, int64(now))
-				s.Step(now, []Event{Members{Whole: true, Endpoints: c.eps}})
+				s.Step(now, []Event{MembershipUpdate{Full: true, Endpoints: c.eps}})
 				ask := req("a", "safe", 1)
 				ask.TimeLeft = 28 * time.Second
 				senders = append(senders, &sender{Sender: s, from: now, evs: map[time.Duration][]Event{now: {ask}}})
@@ -971,7 +971,7 @@
 		if 2*aware > 3*unaware { // two standard deviations below two thirds
 			t.Errorf("%d endpoints, %+v: %d calls of senders that saw the outage, %d of others", len(c.eps), c.outcome, aware, unaware)
 		}
-		if aware == 0 && c.outcome.Status != Full { // calls after refusals have a budget of their own
+		if aware == 0 && c.outcome.Status != Refused { // calls after refusals have a budget of their own
 			t.Errorf("%d endpoints, %+v: no trial calls", len(c.eps), c.outcome)
 		}
 	}
@@ -1000,7 +1000,7 @@
 						aware += step * c.demand * unawareShare * math.Exp(-perSender*(age-a)) / gap(a)
 					}
 					unaware := c.demand * unawareShare * math.Exp(-perSender*age)
-					budget := set.Safety.FallMultiple * set.Safety.StartCapacity * capacity
+					budget := set.Safety.OverloadMultiple * set.Safety.MinStartCapacityShare * capacity
 					if aware > max(2*unaware, budget-unaware) {
 						t.Errorf("%d senders, capacity %.1f, %+v, age %.0f s: %.2f calls a second from those that "+
 							"saw it, %.2f from others, budget %.2f", peers, capacity, c, age, aware, unaware, budget)
@@ -1042,7 +1042,7 @@
 	if got := sends(s.Step(11*time.Second, []Event{req("a", "safe", 1)})); got != nil {
 		t.Errorf("sent %v at the start of the ramp", got)
 	}
-	if got := sends(run(s, 11*time.Second, 10*time.Second+s.cfg.Safety.Cold)); len(got) == 0 {
+	if got := sends(run(s, 11*time.Second, 10*time.Second+s.cfg.Safety.Ramp)); len(got) == 0 {
 		t.Error("held after the cold time")
 	}
 }
@@ -1052,7 +1052,7 @@
 func TestUndeliverableIsRefusedAtOnce(t *testing.T) {
 	s := newSender(t, testSettings(), ep("e", 1))
 	s.Step(0, []Event{req("a", "safe", 1)})
-	for _, a := range s.Step(100*ms, []Event{Outcome{ID: "a", Endpoint: "e", Status: Full, Wait: 30 * time.Second}}) {
+	for _, a := range s.Step(100*ms, []Event{Outcome{ID: "a", Endpoint: "e", Status: Refused, RetryAfter: 30 * time.Second}}) {
 		if r, ok := a.(Refuse); ok && (r.ID != "a" || r.RetryAfter != 3*time.Second) {
 			t.Errorf("%+v", r)
 		}
@@ -1062,8 +1062,8 @@
 	}
 	s = newSender(t, testSettings(), ep("e", 1))
 	s.Step(0, []Event{req("first", "safe", 1)})
-	s.Step(100*ms, []Event{Outcome{ID: "first", Endpoint: "e", Status: OK, Settled: true, Latency: 100 * ms,
-		Report: &Report{Left: 0, Limit: 2}}}) // this sender's part: one call a second
+	s.Step(100*ms, []Event{Outcome{ID: "first", Endpoint: "e", Status: OK, Closed: true, Latency: 100 * ms,
+		Report: &LimitReport{LeftShare: 0, Rate: 2}}}) // this sender's part: one call a second
 	var batch []Event
 	for i := range 20 {
 		batch = append(batch, req(fmt.Sprint("m", i), "safe", 1))
@@ -1079,8 +1079,8 @@
 func TestLateMessagesCountAllAhead(t *testing.T) {
 	s := newSender(t, testSettings(), ep("e", 1))
 	s.Step(0, []Event{req("first", "safe", 1)})
-	s.Step(100*ms, []Event{Outcome{ID: "first", Endpoint: "e", Status: OK, Settled: true, Latency: 100 * ms,
-		Report: &Report{Left: 0, Limit: 2}}}) // this sender's part: one call a second
+	s.Step(100*ms, []Event{Outcome{ID: "first", Endpoint: "e", Status: OK, Closed: true, Latency: 100 * ms,
+		Report: &LimitReport{LeftShare: 0, Rate: 2}}}) // this sender's part: one call a second
 	var batch []Event
 	for i := range 12 {
 		late := req(fmt.Sprint("late", i), "safe", 1)
@@ -1133,7 +1133,7 @@
 	now := time.Duration(0)
 	for i := range 50 {
 		id, name := fmt.Sprint("e", i), fmt.Sprint("m", i)
-		s.Step(now, []Event{Members{Endpoints: []Endpoint{ep(id, i%3)}}})
+		s.Step(now, []Event{MembershipUpdate{Endpoints: []Endpoint{ep(id, i%3)}}})
 		if s.endpoints[id].outage {
 			t.Fatalf("%s is in an outage before its first call", id)
 		}
@@ -1144,7 +1144,7 @@
 		}
 		gone := ep(id, i%3)
 		gone.State = Gone
-		s.Step(now, []Event{Members{Endpoints: []Endpoint{gone}}})
+		s.Step(now, []Event{MembershipUpdate{Endpoints: []Endpoint{gone}}})
 		if s.endpoints[id] == nil {
 			t.Fatal("an endpoint with a call out was forgotten")
 		}
@@ -1192,7 +1192,7 @@
 // room is granted once, not with each answer. Otherwise many senders would use the limit many times over.
 func TestRepeatedReport(t *testing.T) {
 	l := &limiter{kind: &kind{burstSeconds: 1}, peers: 80, evenShares: 80}
-	half := &Report{Left: 0.5, Limit: 200}
+	half := &LimitReport{LeftShare: 0.5, Rate: 200}
 	l.applyReport(half, 0, 0)
 	granted := l.available
 	l.spend(10 * ms)
@@ -1201,7 +1201,7 @@
 	if l.available > granted-1.9 {
 		t.Errorf("%.2f calls were left of %.2f, with the same report as before: %.2f", granted-2, granted, l.available)
 	}
-	l.applyReport(&Report{Left: 0.6, Limit: 200}, 30*ms, 150*ms)
+	l.applyReport(&LimitReport{LeftShare: 0.6, Rate: 200}, 30*ms, 150*ms)
 	if l.available < granted {
 		t.Errorf("a new report grants %.2f", l.available)
 	}
@@ -1214,18 +1214,18 @@
 		s := newSender(t, testSettings(), ep("e", 1))
 		out := ep("e", 1)
 		out.State = Draining
-		s.Step(time.Second, []Event{Members{Endpoints: []Endpoint{out}}})
+		s.Step(time.Second, []Event{MembershipUpdate{Endpoints: []Endpoint{out}}})
 		back := ep("e", 1)
-		back.Cold = cold
-		s.Step(20*time.Second, []Event{Members{Endpoints: []Endpoint{back}}})
+		back.Restarted = cold
+		s.Step(20*time.Second, []Event{MembershipUpdate{Endpoints: []Endpoint{back}}})
 		if e := s.endpoints["e"]; e.ramping != cold || cold && e.rampSince != 20*time.Second {
 			t.Errorf("cold %v: ramping %v since %v", cold, e.ramping, e.rampSince)
 		}
-		if s.Avoided() != 0 {
-			t.Errorf("cold %v: %d avoided", cold, s.Avoided())
+		if s.EndpointsInOutage() != 0 {
+			t.Errorf("cold %v: %d avoided", cold, s.EndpointsInOutage())
 		}
 		s.endpoints["e"].outage = true
-		if s.Avoided() != 1 {
+		if s.EndpointsInOutage() != 1 {
 			t.Errorf("cold %v: an endpoint in an outage is not counted as avoided", cold)
 		}
 	}
@@ -1237,7 +1237,7 @@
 	for _, peers := range []int{-1, 0, 1, 2, 350, 1024, 5000, math.MaxInt} {
 		for _, limit := range []float64{0.5, 20, 1e6} {
 			set := testSettings()
-			set.Peers, set.Weights = peers, Rough
+			set.Peers, set.Weights = peers, RoughWeights
 			e := ep("e", 1)
 			e.Weight = limit
 			s := newSender(t, set, e)
@@ -1249,14 +1249,14 @@
 				for _, a := range acts {
 					switch a := a.(type) {
 					case Send:
-						if sent++; a.TimeOut < 0 {
-							t.Fatalf("%d senders: a timeout of %v", peers, a.TimeOut)
+						if sent++; a.Timeout < 0 {
+							t.Fatalf("%d senders: a timeout of %v", peers, a.Timeout)
 						}
-						o := Outcome{ID: a.ID, Endpoint: a.Endpoint, Latency: 20 * ms, Status: Full, Wait: 50 * ms, Report: &Report{Left: 0.5, Limit: limit}}
+						o := Outcome{ID: a.ID, Endpoint: a.Endpoint, Latency: 20 * ms, Status: Refused, RetryAfter: 50 * ms, Report: &LimitReport{LeftShare: 0.5, Rate: limit}}
 						if n%5 == 0 {
-							o.Status, o.Wait = ConnectFailed, 0
+							o.Status, o.RetryAfter = ConnectFailed, 0
 						} else if n%5 < 4 {
-							o.Status, o.Wait, o.Settled = OK, 0, true
+							o.Status, o.RetryAfter, o.Closed = OK, 0, true
 						}
 						o.Attempt = s.messages[a.ID].attempts - 1
 						evs = append(evs, o)
@@ -1297,14 +1297,14 @@
 // slot, so a limit in calls lets that many more messages through. No message that fits is refused. A call's end counts once.
 func TestBundles(t *testing.T) {
 	set := testSettings()
-	set.Kinds = append(set.Kinds, Kind{Name: "bundled", OwnLimits: true, Bundle: 3})
+	set.Kinds = append(set.Kinds, Kind{Name: "bundled", OwnLimits: true, MaxBundle: 3})
 	set.Peers, set.MaxCalls = 1, 2
 	e := ep("e", 1)
 	e.Kind = "bundled"
 	s := newSender(t, set, e)
 	s.Step(0, []Event{req("first", "safe", 1)})
 	o := answer("first", 0, "e", OK)
-	o.Report = &Report{Left: 1, Limit: 1}
+	o.Report = &LimitReport{LeftShare: 1, Rate: 1}
 	s.Step(100*ms, []Event{o})
 	var evs []Event
 	for i := range 8 {
@@ -1317,7 +1317,9 @@
 	if left := s.endpoints["e"].limiter.available; left < 0 || left >= 1 {
 		t.Errorf("a call costs %v", 1-left)
 	}
-	refused := func(i int) Event { return Outcome{ID: fmt.Sprint("m", i), Endpoint: "e", Status: Full, Wait: 300 * ms} }
+	refused := func(i int) Event {
+		return Outcome{ID: fmt.Sprint("m", i), Endpoint: "e", Status: Refused, RetryAfter: 300 * ms}
+	}
 	s.Step(300*ms, []Event{refused(0), refused(1)})
 	if e := s.endpoints["e"]; e.refusals != 1 || s.callsOut != 1 || len(e.calls) != 1 {
 		t.Errorf("%d refusals by one call; %d calls out", e.refusals, s.callsOut)
--- a/internal/dispatch/shed_test.go
+++ b/internal/dispatch/shed_test.go
@@ -54,7 +54,7 @@
 			eps = append(eps, Endpoint{ID: fmt.Sprint("e", i), Kind: "partner", Destination: i % 3, State: Draining,
 				Weight: rapid.Float64Range(1, 50).Draw(t, "weight")})
 		}
-		s.Step(0, []Event{Members{Whole: true, Endpoints: eps}}) // no call may start: all messages are queued
+		s.Step(0, []Event{MembershipUpdate{Full: true, Endpoints: eps}}) // no call may start: all messages are queued
 		for i := range 60 {
 			class := rapid.SampledFrom([]string{"safe", "keyed", "unsafe"}).Draw(t, "class")
 			s.Step(time.Duration(i)*time.Millisecond, []Event{Request{ID: fmt.Sprint(i), Class: class,
@@ -64,7 +64,7 @@
 		most := rapid.IntRange(1, 80).Draw(t, "most")
 		want := pickOneByOne(s, len(s.messages)-int(shedThreshold*float64(most)))
 		var got []string
-		for _, a := range s.Step(70*time.Millisecond, []Event{HoldCap{Messages: most}}) {
+		for _, a := range s.Step(70*time.Millisecond, []Event{HoldCap{MaxMessages: most}}) {
 			if r, ok := a.(Refuse); ok {
 				got = append(got, r.ID)
 			}
@@ -84,7 +84,7 @@
 	var acts []Action
 	for i := range 20 {
 		acts = append(acts, s.Step(time.Duration(i)*ms, []Event{Request{ID: fmt.Sprint(i), Class: "safe", Destination: 1,
-			TimeLeft: 10 * time.Second, Size: 100 + 4000*(i%2)}})...)
+			TimeLeft: 10 * time.Second, SizeBytes: 100 + 4000*(i%2)}})...)
 	}
 	out := map[string]bool{}
 	for _, a := range acts {
@@ -95,7 +95,7 @@
 	if len(out) == 0 || len(ends(acts)) > 0 {
 		t.Fatalf("%d out, %d ended without a lower cap", len(out), len(ends(acts)))
 	}
-	refused := ends(s.Step(30*ms, []Event{HoldCap{Messages: 13, Heavy: 1}}))
+	refused := ends(s.Step(30*ms, []Event{HoldCap{MaxMessages: 13, SizeWeight: 1}}))
 	if got := len(s.messages); got != 11 { // shedThreshold of 13
 		t.Errorf("%d messages held under a cap of 13", got)
 	}
@@ -104,10 +104,10 @@
 			t.Errorf("%s refused: its attempt is out (%v), or it is small", id, out[id])
 		}
 	}
-	if rest := ends(s.Step(40*ms, []Event{HoldCap{Messages: 0}})); len(s.messages) != len(out) || len(rest) == 0 {
+	if rest := ends(s.Step(40*ms, []Event{HoldCap{MaxMessages: 0}})); len(s.messages) != len(out) || len(rest) == 0 {
 		t.Errorf("under the least cap %d messages are left, %d calls are out", len(s.messages), len(out))
 	}
-	s.Step(50*ms, []Event{HoldCap{Messages: 1000}})
+	s.Step(50*ms, []Event{HoldCap{MaxMessages: 1000}})
 	if s.holdCap != 40 {
 		t.Errorf("the cap is %d", s.holdCap)
 	}
--- a/internal/dispatch/types.go
+++ b/internal/dispatch/types.go
@@ -43,7 +43,7 @@
 	Name         string
 	Effect       Effect
 	ZoneScope    bool          // Keyed: only endpoints of one zone drop each other's repeats
-	Memory       time.Duration // Keyed: how long repeats are dropped, counted from the first sending
+	DedupTTL     time.Duration // Keyed: how long repeats are dropped, counted from the first sending
 	Aim          time.Duration // a message delivered within it earns its full worth
 	Deadline     time.Duration // time after which a message is given up
 	Worth        float64
@@ -55,7 +55,7 @@
 type Kind struct {
 	Name      string
 	OwnLimits bool // each endpoint is a separate route with its own limit, latency and outages
-	Bundle    int  // messages that one call may carry, all sent to an endpoint in one Step; 1 or less: one message a call
+	MaxBundle int  // messages that one call may carry, all sent to an endpoint in one Step; 1 or less: one message a call
 }
 
 // Zone is a location of endpoints.
@@ -76,20 +76,20 @@
 
 // The meanings of a weight.
 const (
-	NoWeights Weights = iota
-	Nominal           // calls a second accepted from all senders together
-	Rough             // the same, up to half too high or too low
+	NoWeights      Weights = iota
+	NominalWeights         // calls a second accepted from all senders together
+	RoughWeights           // the same, up to half too high or too low
 )
 
 // Safety holds the parameters of the rules that a sender must keep.
 type Safety struct {
-	StartCapacity float64       // least share of its capacity that a destination has at the end of an outage
-	Cold          time.Duration // time after an outage until the full capacity is back
-	FallMultiple  float64       // calls above this multiple of the present capacity ...
-	TipAfter      time.Duration // ... during this time push a cold destination into an outage again
-	OrderPause    time.Duration // pause of a key after an attempt that may still be running
-	DrainGrace    time.Duration // for this long after notice of its drain, an endpoint may still get new calls
-	AskEvery      time.Duration // OnRequest: a sender that has not asked for this long counts as notified
+	MinStartCapacityShare float64       // least share of its capacity that a destination has at the end of an outage
+	Ramp                  time.Duration // time after an outage until the full capacity is back
+	OverloadMultiple      float64       // calls above this multiple of the present capacity ...
+	OverloadFor           time.Duration // ... during this time push a cold destination into an outage again
+	OrderPause            time.Duration // pause of a key after an attempt that may still be running
+	DrainGrace            time.Duration // for this long after notice of its drain, an endpoint may still get new calls
+	NotifyInterval        time.Duration // OnRequest: a sender that has not asked for this long counts as notified
 }
 
 // Prices are the costs of one call that count in the choice between endpoints.
@@ -115,10 +115,10 @@
 	KeepAlive      time.Duration // idle time after which a connection closes
 	CallsPerConn   int           // concurrent calls on one connection
 	MaxRetryAfter  time.Duration // longest Refuse.RetryAfter that clients honour
-	RetryAfter     bool          // clients receive Refuse.RetryAfter
-	Probes         bool          // Probe is permitted
-	Cancel         bool          // Cancel is permitted
-	OnRequest      bool          // list changes come only after Watch
+	SendRetryAfter bool          // clients receive Refuse.RetryAfter
+	AllowProbe     bool          // Probe is permitted
+	CanCancel      bool          // Cancel is permitted
+	WatchRequired  bool          // list changes come only after Watch
 	Weights        Weights
 	LateByHalves   bool    // the worth halves with each further aim; otherwise it falls evenly to the deadline
 	OverShareWorth float64 // share of the worth that a message beyond its tenant's share keeps
@@ -143,12 +143,12 @@
 		return fmt.Errorf("dispatch: Resolution is %v, not positive", set.Resolution)
 	}
 	for _, c := range set.Classes {
-		if c.Aim <= 0 || c.Deadline <= 0 || c.Memory < 0 || c.Worth < 0 || math.IsNaN(c.Worth) {
+		if c.Aim <= 0 || c.Deadline <= 0 || c.DedupTTL < 0 || c.Worth < 0 || math.IsNaN(c.Worth) {
 			return fmt.Errorf("dispatch: Classes: class %q has an invalid time or worth", c.Name)
 		}
 	}
 	f := set.Safety
-	if f.Cold < 0 || f.TipAfter < 0 || f.OrderPause < 0 || !(f.StartCapacity >= 0) || !(f.FallMultiple >= 0) {
+	if f.Ramp < 0 || f.OverloadFor < 0 || f.OrderPause < 0 || !(f.MinStartCapacityShare >= 0) || !(f.OverloadMultiple >= 0) {
 		return fmt.Errorf("dispatch: Safety has a negative or invalid value")
 	}
 	if set.ConnectTimeout < 0 || set.KeepAlive < 0 || set.MaxRetryAfter < 0 {
@@ -164,27 +164,27 @@
 const (
 	OK            Status = iota
 	Errored              // answered with an error; it may have taken effect
-	Full                 // refused before processing; it never ran
+	Refused              // refused before processing; it never ran
 	TimedOut             // no answer in time; it may have run or may still run
 	ConnectFailed        // no connection; it never ran
 	Reset                // the connection broke; it may have run
 	Cancelled            // cancelled by the sender; it may have run
-	Moot                 // not sent at all; it never ran
+	NotSent              // not sent at all; it never ran
 )
 
-// Report is what a destination reports about its limit.
-type Report struct {
-	Left  float64 // share of the allowance that is left
-	Limit float64 // calls a second; 0 where there is no limit
+// LimitReport is what a destination reports about its limit.
+type LimitReport struct {
+	LeftShare float64 // share of the allowance that is left
+	Rate      float64 // calls a second; 0 where there is no limit
 }
 
-// State is the state of an endpoint in the discovery list. It says nothing about the endpoint's health.
-type State int
+// MembershipState is the state of an endpoint in the discovery list. It says nothing about the endpoint's health.
+type MembershipState int
 
 // The states of an endpoint.
 const (
-	Listed   State = iota
-	Draining       // send nothing new
+	Listed   MembershipState = iota
+	Draining                 // send nothing new
 	Gone
 )
 
@@ -194,31 +194,31 @@
 	Zone        string
 	Kind        string
 	Destination int
-	State       State
+	State       MembershipState
 	Weight      float64 // see Settings.Weights
-	Cold        bool    // listed again after maintenance by operators, so it was restarted
+	Restarted   bool    // listed again after maintenance by operators, so it was restarted
 }
 
 // Event is something that happened: [Members], [MembersLost], [Recalled], [Told], [Request], [Outcome], [Hangup], [HoldCap],
 // [Woken] or [ProbeResult].
 type Event interface{ event() }
 
-// Members brings list entries: all of them when Whole, otherwise the changed ones.
-type Members struct {
-	Whole     bool
+// MembershipUpdate brings list entries: all of them when Whole, otherwise the changed ones.
+type MembershipUpdate struct {
+	Full      bool
 	Endpoints []Endpoint
 }
 
-// Recalled restores what an earlier process of this sender learned about a destination's limit. It applies to a listed
+// RestoredLimit restores what an earlier process of this sender learned about a destination's limit. It applies to a listed
 // destination that has not reported yet.
-type Recalled struct {
+type RestoredLimit struct {
 	Destination int
 	Limit       float64
 }
 
-// Told is what other senders of the fleet found out, or the part of a limit that the fleet grants to this sender. It causes no
+// FleetReport is what other senders of the fleet found out, or the part of a limit that the fleet grants to this sender. It causes no
 // send by itself, and does not override what this sender has found out itself.
-type Told struct {
+type FleetReport struct {
 	Kind        FleetReportKind
 	Destination int           // ToldWait: all its endpoints, or only the named one
 	Endpoint    string        // ToldOut, ToldBack and ToldNothing: the endpoint that is out or back
@@ -232,15 +232,15 @@
 
 // The kinds of reports.
 const (
-	ToldWait    FleetReportKind = iota // the destination asked another sender to wait
-	ToldOut                            // enough others see an outage of the endpoint, or a trial call of another sender has just failed
-	ToldBack                           // a later call of another sender succeeded
-	ToldNothing                        // the earlier report has lapsed
-	ToldShare                          // a part of the destination's limit for this sender
+	ReportedWait     FleetReportKind = iota // the destination asked another sender to wait
+	ReportedOutage                          // enough others see an outage of the endpoint, or a trial call of another sender has just failed
+	ReportedRecovery                        // a later call of another sender succeeded
+	ReportLapsed                            // the earlier report has lapsed
+	GrantedShare                            // a part of the destination's limit for this sender
 )
 
-// MembersLost says that a Watch failed or that the subscription broke.
-type MembersLost struct{}
+// MembershipLost says that a Watch failed or that the subscription broke.
+type MembershipLost struct{}
 
 // Request submits a message. If another sender, or this one before a restart, has already tried it, the request carries what
 // is known of those attempts. Their number counts, and a repeat obeys the rules of the message's class.
@@ -252,7 +252,7 @@
 	Key         int64 // with HasKey: the subject of the message, in classes ordered by key
 	HasKey      bool
 	TimeLeft    time.Duration
-	Size        int           // bytes of memory to hold the message; HoldCap.Heavy gives them weight
+	SizeBytes   int           // bytes of memory to hold the message; HoldCap.Heavy gives them weight
 	Attempts    int           // earlier sends; the next attempt has this number
 	MayHaveRun  bool          // an earlier attempt may have taken effect
 	FirstSent   time.Duration // with MayHaveRun: when the first attempt that may have run was sent; may lie before the origin
@@ -260,48 +260,48 @@
 
 // Outcome is the end of one attempt.
 type Outcome struct {
-	ID       string
-	Attempt  int // number of the attempt, from 0 in the order of the sends
-	Endpoint string
-	Status   Status
-	Settled  bool          // the message is closed, by this outcome or earlier
-	Wait     time.Duration // with Full: the destination's retry-after time; 0 for none
-	NoSlot   bool          // with Moot: no slot was free
-	Latency  time.Duration // since the send
-	Report   *Report       // nil if there was none
+	ID         string
+	Attempt    int // number of the attempt, from 0 in the order of the sends
+	Endpoint   string
+	Status     Status
+	Closed     bool          // the message is closed, by this outcome or earlier
+	RetryAfter time.Duration // with Full: the destination's retry-after time; 0 for none
+	NoSlot     bool          // with Moot: no slot was free
+	Latency    time.Duration // since the send
+	Report     *LimitReport  // nil if there was none
 }
 
-// Hangup says that the client has withdrawn the message and expects no answer.
-type Hangup struct{ ID string }
+// Withdrawal says that the client has withdrawn the message and expects no answer.
+type Withdrawal struct{ ID string }
 
 // HoldCap sets how many messages may be held from now on, at most Settings.MaxOpen, when its caller is short of a resource.
 // Messages above the cap are refused in the order of shedding. With Heavy above 0, larger messages are refused sooner.
 type HoldCap struct {
-	Messages int
-	Heavy    float64
+	MaxMessages int
+	SizeWeight  float64
 }
 
-// Woken says that the time of a Wake has come.
-type Woken struct{}
+// WakeDue says that the time of a Wake has come.
+type WakeDue struct{}
 
 // ProbeResult is the end of a Probe.
 type ProbeResult struct {
 	Endpoint string
 	Status   Status
 	Latency  time.Duration
-	Report   *Report
+	Report   *LimitReport
 }
 
-func (Members) event()     {}
-func (MembersLost) event() {}
-func (Recalled) event()    {}
-func (Told) event()        {}
-func (Request) event()     {}
-func (Outcome) event()     {}
-func (Hangup) event()      {}
-func (HoldCap) event()     {}
-func (Woken) event()       {}
-func (ProbeResult) event() {}
+func (MembershipUpdate) event() {}
+func (MembershipLost) event()   {}
+func (RestoredLimit) event()    {}
+func (FleetReport) event()      {}
+func (Request) event()          {}
+func (Outcome) event()          {}
+func (Withdrawal) event()       {}
+func (HoldCap) event()          {}
+func (WakeDue) event()          {}
+func (ProbeResult) event()      {}
 
 // Action is something for the caller to do: [Send], [Cancel], [Refuse], [Fail], [Wake], [Probe], [Watch] or [Log].
 type Action interface{ action() }
@@ -310,7 +310,7 @@
 type Send struct {
 	ID       string
 	Endpoint string
-	TimeOut  time.Duration
+	Timeout  time.Duration
 }
 
 // Cancel ends an attempt. Its Outcome is Cancelled unless another outcome is already under way.
@@ -349,10 +349,10 @@
 func (Watch) action()  {}
 func (Log) action()    {}
 
-// Health calls report for each listed endpoint of a destination with the start of its outage. The start is negative for an
+// EachHealth calls report for each listed endpoint of a destination with the start of its outage. The start is negative for an
 // endpoint without an outage, and for an outage known only from other senders. Times are on the clock of Step. Health changes
 // no decision. Call it between steps, from the goroutine that calls Step.
-func (s *Sender) Health(destination int, report func(endpoint string, since time.Duration)) {
+func (s *Sender) EachHealth(destination int, report func(endpoint string, since time.Duration)) {
 	d := s.destinations[destination]
 	if d == nil {
 		return
@@ -367,9 +367,9 @@
 	}
 }
 
-// Avoided counts the listed endpoints that the sender holds to be in an outage, for display to operators. It changes no
+// EndpointsInOutage counts the listed endpoints that the sender holds to be in an outage, for display to operators. It changes no
 // decision. Call it between steps, from the goroutine that calls Step.
-func (s *Sender) Avoided() int {
+func (s *Sender) EndpointsInOutage() int {
 	n := 0
 	for _, e := range s.endpoints {
 		if e.state == Listed && e.outage {
--- a/internal/fleet/config.go
+++ b/internal/fleet/config.go
@@ -42,9 +42,9 @@
 // Relay receives the decisions that follow from what other members have announced. Its methods must not block.
 type Relay interface {
 	// Restrain receives holds, outages and their ends.
-	Restrain([]traffic.Restraint)
+	ApplyRestraints([]traffic.Restraint)
 	// Allow receives the rates that this relay may send at.
-	Allow([]traffic.Allowance)
+	SetAllowances([]traffic.Allowance)
 	// Bar receives the complete list of members that get no new calls.
-	Bar([]traffic.Bar)
+	SetExclusions([]traffic.Exclusion)
 }
--- a/internal/fleet/configfile/configfile_test.go
+++ b/internal/fleet/configfile/configfile_test.go
@@ -108,7 +108,7 @@
 	last := contents[len(contents)-1]
 	dir := t.TempDir()
 	proptest.Check(t, func(t *rapid.T) {
-		if err := os.WriteFile(filepath.Join(dir, fileName), proptest.Garbage(t, last), 0o600); err != nil {
+		if err := os.WriteFile(filepath.Join(dir, fileName), proptest.Malformed(t, last), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		got, err := Read(dir, testBound)
--- a/internal/fleet/configuration.go
+++ b/internal/fleet/configuration.go
@@ -60,7 +60,7 @@
 	saveError error
 
 	directives *directive.Set
-	outbox     []configsync.Send
+	outbox     []configsync.OutgoingMessage
 	replies    []configurationReply
 	stale      bool // what operators are shown is
 }
@@ -89,7 +89,7 @@
 	}
 	replication := c.config.Replication
 	replication.Self, replication.Seed = cfg.Self, cfg.Seed
-	replication.Size = wire.ConfigurationSize(cfg.Self)
+	replication.MessageBytes = wire.ConfigurationSize(cfg.Self)
 	c.store = configsync.NewStore(&c.keys, c.config.MaxEntries)
 	var err error
 	if c.replica, err = configsync.NewReplica(replication, 0, c.store); err != nil {
@@ -159,7 +159,7 @@
 			members = append(members, configsync.Member{Name: name, Region: at.region, Zone: at.zone})
 		}
 	}
-	c.replica.Members(now, members)
+	c.replica.SetMembers(now, members)
 	c.members = c.members[:0]
 	for _, member := range members {
 		c.members = append(c.members, member.Name)
@@ -202,7 +202,7 @@
 
 // follows reports why a change is not the next one of its source.
 func (c *configuration) follows(change *configsync.Change) error {
-	sequence, revision := c.store.Next(change.Source)
+	sequence, revision := c.store.NextNumbers(change.Source)
 	if change.Sequence != sequence {
 		return fmt.Errorf("%w: sequence %d of %q is not the next one, %d", ErrConfigurationConflict, change.Sequence, change.Source, sequence)
 	}
@@ -287,7 +287,7 @@
 }
 
 // addBars merges what the configuration restrains into the members that the fleet's word bars, in the order of their names.
-func (c *configuration) addBars(bars []traffic.Bar, pool map[string]traffic.Member) []traffic.Bar {
+func (c *configuration) addBars(bars []traffic.Exclusion, pool map[string]traffic.Member) []traffic.Exclusion {
 	if c == nil || c.directives.Empty() {
 		return bars
 	}
@@ -300,9 +300,9 @@
 			banned[name] = true
 		}
 	}
-	merged := make([]traffic.Bar, 0, len(banned))
+	merged := make([]traffic.Exclusion, 0, len(banned))
 	for _, name := range slices.Sorted(maps.Keys(banned)) {
-		merged = append(merged, traffic.Bar{Member: name, Banned: banned[name]})
+		merged = append(merged, traffic.Exclusion{Member: name, Banned: banned[name]})
 	}
 	return merged
 }
--- a/internal/fleet/configuration_driver.go
+++ b/internal/fleet/configuration_driver.go
@@ -76,7 +76,7 @@
 func (f *Fleet) sendConfiguration(now time.Duration) {
 	outbox := f.configuration.outbox
 	f.configuration.outbox = nil
-	var packets []spread.Send
+	var packets []spread.OutgoingPacket
 	for i := range outbox {
 		packets = append(packets, f.spread.SendConfiguration(now, outbox[i].To, &outbox[i].Message)...)
 	}
@@ -115,7 +115,7 @@
 	if f.configuration == nil {
 		return sweepInterval
 	}
-	return max(f.configuration.replica.Due()-f.now(), minConfigurationWait)
+	return max(f.configuration.replica.NextTick()-f.now(), minConfigurationWait)
 }
 
 // reloadTrustedKeys reads the keys of the control machines again. A file that makes no sense changes nothing.
--- a/internal/fleet/configuration_figures.go
+++ b/internal/fleet/configuration_figures.go
@@ -33,8 +33,8 @@
 		slog.Int64("sent_bytes", c.SentBytes), slog.Int64("pushes", c.Pushes), slog.Int64("retries", c.Retries),
 		slog.Int64("abandoned", c.Abandoned), slog.Int64("exchanges", c.Exchanges), slog.Int64("repaired", c.Repaired),
 		slog.Int64("applied", c.Applied), slog.Int64("duplicates", c.Duplicates), slog.Int64("untrusted", c.Untrusted),
-		slog.Int64("invalid", c.Invalid), slog.Int64("strangers", c.Strangers), slog.Int64("over_budget", c.OverBudget),
-		slog.Int64("diverged", c.Diverged), slog.Int64("full", c.Full))
+		slog.Int64("invalid", c.Invalid), slog.Int64("strangers", c.UnknownSenders), slog.Int64("over_budget", c.OverBudget),
+		slog.Int64("diverged", c.Diverged), slog.Int64("full", c.StoreFull))
 }
 
 // ConfigurationChange is a signed change in the form of JSON, as operators hand it in.
@@ -146,7 +146,7 @@
 	var list []ConfigurationSource
 	for _, name := range slices.Compact(names) {
 		source := ConfigurationSource{Name: name, Trusted: slices.Contains(trusted, name)}
-		source.NextSequence, source.NextRevision = c.store.Next(name)
+		source.NextSequence, source.NextRevision = c.store.NextNumbers(name)
 		list = append(list, source)
 	}
 	return list
--- a/internal/fleet/configuration_test.go
+++ b/internal/fleet/configuration_test.go
@@ -70,7 +70,7 @@
 			cfg.StateDir = dir
 		}
 		replication := configsync.Defaults()
-		replication.Exchange = 200 * time.Millisecond
+		replication.ExchangeInterval = 200 * time.Millisecond
 		cfg.Configuration = &ConfigurationConfig{TrustedKeyFile: writeTrusted(t, cfg.StateDir, controls...), Region: "caucasus", Zone: "z-" + cfg.Self,
 			MaxEntries: 100, Replication: replication}
 	}
@@ -127,7 +127,7 @@
 		return false
 	}
 	for i, bar := range p.bars {
-		if bar != (traffic.Bar{Member: names[i], Banned: true}) {
+		if bar != (traffic.Exclusion{Member: names[i], Banned: true}) {
 			return false
 		}
 	}
--- a/internal/fleet/events.go
+++ b/internal/fleet/events.go
@@ -50,18 +50,18 @@
 // Ended reports how a call of this relay ended.
 func (f *Fleet) Ended(flow traffic.Flow, end traffic.FlowEnd) {
 	ended := callEnded{verdicts.Observation{
-		Destination: flow.Group.Destination,
-		Member:      flow.Member,
-		Route:       flow.Group.Member != "",
-		Begun:       flow.Begun.Sub(f.origin),
+		Destination:   flow.Group.Destination,
+		Member:        flow.Member,
+		SeparateRoute: flow.Group.Member != "",
+		StartedAt:     flow.StartedAt.Sub(f.origin),
 	}}
 	switch end.Status {
 	case traffic.Delivered:
 		ended.Outcome = verdicts.Succeeded
-	case traffic.TurnedAway:
+	case traffic.FlowRefused:
 		ended.Outcome = verdicts.Refused
-		ended.Wait = end.Wait
-	case traffic.NotConnected, traffic.Broken, traffic.OutOfTime, traffic.Errored, traffic.CalledOff:
+		ended.RetryAfter = end.RetryAfter
+	case traffic.NotConnected, traffic.ConnectionBroken, traffic.TimedOut, traffic.Errored, traffic.Canceled:
 		ended.Outcome = verdicts.Failed
 	default:
 		return
@@ -186,7 +186,7 @@
 			f.announce(now, f.announcer.Drain(d.member.Destination, name, d.listVersion, d.over), r)
 		}
 	}
-	if now-f.bansRenewed < verdicts.Ban.Life()/banRenewals {
+	if now-f.bansRenewed < verdicts.Ban.MaxLifetime()/banRenewals {
 		return
 	}
 	f.bansRenewed = now
@@ -204,8 +204,8 @@
 // countOrigins counts the relays whose statement on a subject is in force.
 func (f *Fleet) countOrigins(now time.Duration, subject verdicts.Subject) int {
 	count := 0
-	for _, s := range f.store.About(now, subject) {
-		if !s.Over {
+	for _, s := range f.store.ForSubject(now, subject) {
+		if !s.Withdrawn {
 			count++
 		}
 	}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -58,7 +58,7 @@
 	pool        map[string]traffic.Member // members of the relay's own pool, by host name
 	drains      map[string]pendingAnnouncement
 	bans        map[string]bool
-	lastBars    []traffic.Bar // as last handed to the relay
+	lastBars    []traffic.Exclusion // as last handed to the relay
 	rng         *rand.Rand
 	bansRenewed time.Duration
 	lastSweep   time.Duration
@@ -137,12 +137,12 @@
 // spread is the configuration of this relay's announcements.
 func (c *Config) spread() spread.Config {
 	return spread.Config{
-		Self:     c.Self,
-		Exchange: c.ExchangeInterval,
-		Bytes:    c.BytesPerSecond,
-		Size:     wire.Size,
-		Packet:   packetPayload + wire.Sealing,
-		Seed:     c.Seed,
+		Self:             c.Self,
+		ExchangeInterval: c.ExchangeInterval,
+		BytesPerSecond:   c.BytesPerSecond,
+		PacketBytes:      wire.Size,
+		MaxPacketBytes:   packetPayload + wire.Sealing,
+		Seed:             c.Seed,
 	}
 }
 
