--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -26,11 +26,11 @@
 type heard struct {
 	mu   sync.Mutex
 	list []traffic.Restraint
-	bars []traffic.Bar
+	bars []traffic.Exclusion
 	may  map[int]traffic.Allowance
 }
 
-func (h *heard) Allow(list []traffic.Allowance) {
+func (h *heard) SetAllowances(list []traffic.Allowance) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, a := range list {
@@ -51,13 +51,13 @@
 	return 0
 }
 
-func (h *heard) Restrain(list []traffic.Restraint) {
+func (h *heard) ApplyRestraints(list []traffic.Restraint) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.list = append(h.list, list...)
 }
 
-func (h *heard) Bar(bars []traffic.Bar) {
+func (h *heard) SetExclusions(bars []traffic.Exclusion) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.bars = bars
@@ -143,7 +143,7 @@
 }
 
 func (p *part) told(wait time.Duration) {
-	p.Ended(traffic.Flow{Member: "m", Group: traffic.Group{Destination: 7}, Begun: time.Now()}, traffic.FlowEnd{Status: traffic.TurnedAway, Wait: wait})
+	p.Ended(traffic.Flow{Member: "m", Group: traffic.Group{Destination: 7}, StartedAt: time.Now()}, traffic.FlowEnd{Status: traffic.FlowRefused, RetryAfter: wait})
 }
 
 // Three relays find each other; a wait that one is told holds at the others, and what operators take down at two is barred
@@ -157,7 +157,7 @@
 	})
 	group := traffic.Group{Destination: 7}
 	a.told(900 * time.Millisecond)
-	until(t, "the wait holds at the others", func() bool { return b.has(traffic.Held) && c.has(traffic.Held) })
+	until(t, "the wait holds at the others", func() bool { return b.has(traffic.RestraintWait) && c.has(traffic.RestraintWait) })
 	if now := time.Now(); !b.Held(group, now) || b.Held(traffic.Group{Destination: 8}, now) {
 		t.Error("another group is held, or not this one")
 	}
@@ -172,7 +172,7 @@
 	until(t, "the ban holds at the third", func() bool {
 		c.heard.mu.Lock()
 		defer c.heard.mu.Unlock()
-		return len(c.bars) == 1 && c.bars[0] == traffic.Bar{Member: "m", Banned: true}
+		return len(c.bars) == 1 && c.bars[0] == traffic.Exclusion{Member: "m", Banned: true}
 	})
 	b.end()
 	until(t, "who left is no member", func() bool { return a.Figures().Members == 2 && c.Figures().Members == 2 })
@@ -181,7 +181,7 @@
 	if got := again.incarnation.Load(); got != 2 {
 		t.Errorf("incarnation %d at the second start", got)
 	}
-	again.Ended(traffic.Flow{Group: traffic.Group{Destination: 9}}, traffic.FlowEnd{Status: traffic.TurnedAway, Wait: 900 * time.Millisecond})
+	again.Ended(traffic.Flow{Group: traffic.Group{Destination: 9}}, traffic.FlowEnd{Status: traffic.FlowRefused, RetryAfter: 900 * time.Millisecond})
 	until(t, "it is heard", func() bool { return c.Held(traffic.Group{Destination: 9}, time.Now()) })
 }
 
@@ -261,8 +261,10 @@
 			if err := p.Reload(); err != nil {
 				t.Fatal(err)
 			}
-			asked := a.Figures().Spread.Answered + b.Figures().Spread.Answered
-			until(t, "they still understand each other", func() bool { return a.Figures().Spread.Answered+b.Figures().Spread.Answered > asked+3 })
+			asked := a.Figures().Spread.ExchangesAnswered + b.Figures().Spread.ExchangesAnswered
+			until(t, "they still understand each other", func() bool {
+				return a.Figures().Spread.ExchangesAnswered+b.Figures().Spread.ExchangesAnswered > asked+3
+			})
 		}
 	}
 	if n := a.Figures().Drops.Forged + b.Figures().Drops.Forged; n != 0 {
@@ -293,8 +295,8 @@
 		}
 	}
 	say := func(from string, count uint64) spread.Packet {
-		return spread.Packet{From: from, Incarnation: 1, Count: count, News: []verdicts.Statement{{Origin: from, Version: verdicts.Version{Incarnation: 1, Seq: 99},
-			Subject: verdicts.Subject{Kind: verdicts.Wait, Destination: 5}, Length: time.Second, Life: time.Second}}}
+		return spread.Packet{From: from, Incarnation: 1, Sequence: count, Statements: []verdicts.Statement{{Origin: from, Version: verdicts.Version{Incarnation: 1, Seq: 99},
+			Subject: verdicts.Subject{Kind: verdicts.Wait, Destination: 5}, Length: time.Second, Lifetime: time.Second}}}
 	}
 	write := func(b []byte) func() { return func() { enemy.Write(b) } }
 	for name, c := range map[string]struct {
@@ -320,7 +322,7 @@
 		"stranger": {inner(say("nobody", 1), wire.Version), func(d Drops) int64 { return d.Strangers }},
 		"replayed": {func() {
 			for range 2 {
-				inner(spread.Packet{From: "bb", Incarnation: 1, Count: 50_000}, wire.Version)()
+				inner(spread.Packet{From: "bb", Incarnation: 1, Sequence: 50_000}, wire.Version)()
 			}
 		}, func(d Drops) int64 { return d.Replayed }},
 	} {
@@ -328,7 +330,7 @@
 		c.do()
 		until(t, name+" is counted", func() bool { return c.count(a.Figures().Drops) > before })
 	}
-	if a.has(traffic.Held) {
+	if a.has(traffic.RestraintWait) {
 		t.Error("something of it was believed")
 	}
 	if a.Figures().Members != 2 {
@@ -396,13 +398,13 @@
 	a := join(t, "a", three)
 	b := join(t, "b", three, a)
 	c := join(t, "c", three, a)
-	ends := traffic.FlowEnd{Status: traffic.Delivered, Report: &traffic.Report{Left: 10, Limit: 300}}
+	ends := traffic.FlowEnd{Status: traffic.Delivered, Report: &traffic.Report{Remaining: 10, Limit: 300}}
 	for _, p := range []*part{a, b, c} {
-		p.Ended(traffic.Flow{Group: traffic.Group{Destination: 4}, Begun: time.Now()}, ends)
+		p.Ended(traffic.Flow{Group: traffic.Group{Destination: 4}, StartedAt: time.Now()}, ends)
 	}
 	load := func(p *part, waiting int) {
-		p.Demand([]traffic.Demand{{Destination: 4, Arrived: [traffic.Levels]int{waiting / 10}, Waiting: [traffic.Levels]int{waiting}}})
-		p.Ended(traffic.Flow{Group: traffic.Group{Destination: 4}, Begun: time.Now()}, ends)
+		p.Demand([]traffic.Demand{{Destination: 4, Arrived: [traffic.PriorityLevels]int{waiting / 10}, Waiting: [traffic.PriorityLevels]int{waiting}}})
+		p.Ended(traffic.Flow{Group: traffic.Group{Destination: 4}, StartedAt: time.Now()}, ends)
 	}
 	until(t, "the loaded one has most", func() bool {
 		load(b, 500)
--- a/internal/fleet/limits.go
+++ b/internal/fleet/limits.go
@@ -138,5 +138,5 @@
 			Until:       f.wallTime(now + a.Duration),
 		})
 	}
-	f.relay.Allow(allowances)
+	f.relay.SetAllowances(allowances)
 }
--- a/internal/fleet/packets.go
+++ b/internal/fleet/packets.go
@@ -32,7 +32,7 @@
 	before := f.spread.Counters()
 	news, own, replies := f.spread.Receive(now, packet)
 	after := f.spread.Counters()
-	if after.Strangers > before.Strangers || after.Differed > before.Differed {
+	if after.UnknownSenders > before.UnknownSenders || after.MembershipMismatches > before.MembershipMismatches {
 		f.reportUnknownMember()
 	}
 	for _, s := range own {
@@ -75,7 +75,7 @@
 
 // send encodes packets and hands them to memberlist. Before the relay listens, and to nodes that are gone, nothing is
 // sent.
-func (f *Fleet) send(packets []spread.Send) {
+func (f *Fleet) send(packets []spread.OutgoingPacket) {
 	list := f.memberList()
 	if list == nil {
 		return
--- a/internal/fleet/restraints.go
+++ b/internal/fleet/restraints.go
@@ -27,29 +27,29 @@
 	f.shared.Lock()
 	for _, r := range restraints {
 		translated := f.translate(r)
-		if translated.Kind == traffic.Held {
+		if translated.Kind == traffic.RestraintWait {
 			f.hold(translated.Group, translated.At)
 		}
 		list = append(list, translated)
 	}
 	f.dropExpiredHolds(time.Now())
 	f.shared.Unlock()
-	f.relay.Restrain(list)
+	f.relay.ApplyRestraints(list)
 }
 
 // translate converts a decision of the judge into the relay's form.
 func (f *Fleet) translate(r verdicts.Restraint) traffic.Restraint {
 	translated := traffic.Restraint{Member: r.Member, At: f.wallTime(r.At)}
 	switch r.Order {
-	case verdicts.Hold:
-		translated.Kind = traffic.Held
+	case verdicts.OrderWait:
+		translated.Kind = traffic.RestraintWait
 		translated.Group = traffic.Group{Destination: r.Destination, Member: r.Member}
-	case verdicts.Out:
-		translated.Kind = traffic.HeldOut
-	case verdicts.Back:
-		translated.Kind = traffic.HeldBack
-	case verdicts.Free:
-		translated.Kind = traffic.Freed
+	case verdicts.OrderOutage:
+		translated.Kind = traffic.RestraintOutage
+	case verdicts.OrderRecovery:
+		translated.Kind = traffic.RestraintRecovery
+	case verdicts.OrderRelease:
+		translated.Kind = traffic.RestraintRelease
 	}
 	return translated
 }
@@ -71,15 +71,15 @@
 
 // updateBars hands the relay the members that get no new calls, where the list has changed.
 func (f *Fleet) updateBars(now time.Duration) {
-	var bars []traffic.Bar
-	for _, name := range f.judge.Barred(now) {
+	var bars []traffic.Exclusion
+	for _, name := range f.judge.ExcludedMembers(now) {
 		ban := verdicts.Subject{Kind: verdicts.Ban, Destination: f.pool[name].Destination, Member: name}
-		bars = append(bars, traffic.Bar{Member: name, Banned: f.countOrigins(now, ban) > 0})
+		bars = append(bars, traffic.Exclusion{Member: name, Banned: f.countOrigins(now, ban) > 0})
 	}
 	bars = f.configuration.addBars(bars, f.pool)
 	if slices.Equal(bars, f.lastBars) {
 		return
 	}
 	f.lastBars = bars
-	f.relay.Bar(slices.Clone(bars))
+	f.relay.SetExclusions(slices.Clone(bars))
 }
--- a/internal/fleet/wire/configuration.go
+++ b/internal/fleet/wire/configuration.go
@@ -29,7 +29,7 @@
 			From:          sender,
 			Incarnation:   math.MaxUint32,
 			Uptime:        365 * 24 * time.Hour,
-			Count:         math.MaxUint32,
+			Sequence:      math.MaxUint32,
 			Configuration: message,
 		})
 	}
@@ -62,7 +62,7 @@
 
 func encodeExchange(exchange *configsync.Exchange) *fleetv1.ConfigurationExchange {
 	encoded := &fleetv1.ConfigurationExchange{
-		Reply:   exchange.Reply,
+		Reply:   exchange.WantsReply,
 		Version: EncodeVersions(exchange.Versions),
 		Digest:  exchange.Digest,
 		Ahead:   uint32(min(max(exchange.Ahead, 0), math.MaxInt32)),
@@ -154,7 +154,7 @@
 	if err != nil {
 		return nil, err
 	}
-	exchange := &configsync.Exchange{Reply: encoded.Reply, Versions: versions, Digest: encoded.Digest, Ahead: int(encoded.Ahead)}
+	exchange := &configsync.Exchange{WantsReply: encoded.Reply, Versions: versions, Digest: encoded.Digest, Ahead: int(encoded.Ahead)}
 	total := 0
 	for _, delta := range encoded.Delta {
 		if total += len(delta.Change); total > MaxConfigurationChanges {
--- a/internal/fleet/wire/configuration_test.go
+++ b/internal/fleet/wire/configuration_test.go
@@ -47,7 +47,7 @@
 	case 1:
 		return &configsync.Message{Ack: &configsync.Ack{Number: rapid.Uint64().Draw(t, "ack")}}
 	}
-	exchange := &configsync.Exchange{Reply: rapid.Bool().Draw(t, "reply"), Digest: rapid.Uint64().Draw(t, "digest"),
+	exchange := &configsync.Exchange{WantsReply: rapid.Bool().Draw(t, "reply"), Digest: rapid.Uint64().Draw(t, "digest"),
 		Ahead: rapid.IntRange(0, math.MaxInt32).Draw(t, "ahead"), Versions: configsync.VersionVector{}}
 	if rapid.Bool().Draw(t, "versions") {
 		exchange.Versions[source] = rapid.Uint64().Draw(t, "version") // 0 names a source of which nothing is known
@@ -83,7 +83,7 @@
 	proptest.Check(t, func(t *rapid.T) {
 		message := drawnConfiguration(t)
 		p := spread.Packet{From: "relay-7", Incarnation: rapid.Uint64Max(1<<20).Draw(t, "incarnation"), Uptime: 300 * 24 * time.Hour,
-			Count: rapid.Uint64Range(1, math.MaxUint32).Draw(t, "count"), Configuration: message}
+			Sequence: rapid.Uint64Range(1, math.MaxUint32).Draw(t, "count"), Configuration: message}
 		if told, is := ConfigurationSize("relay-7")(message), Size(&p); told < is || told > is+20 {
 			t.Errorf("%d bytes, told as %d", is, told)
 		}
@@ -96,7 +96,7 @@
 		p := drawn(t)
 		p.Configuration = drawnConfiguration(t)
 		b, _ := Append(nil, &p)
-		got, err := Decode(proptest.Garbage(t, b))
+		got, err := Decode(proptest.Malformed(t, b))
 		if err != nil || got.Configuration == nil {
 			return
 		}
@@ -126,7 +126,7 @@
 // A message that is cut anywhere is refused, or has no configuration: never one with a part missing.
 func TestConfigurationCut(t *testing.T) {
 	change := configsync.Change{Source: "control", Sequence: 3, Revision: 4, Key: "endpoint/x", Value: []byte("down"), Signature: make([]byte, 64)}
-	p := spread.Packet{From: "a", Incarnation: 1, Count: 1, Configuration: &configsync.Message{Push: &configsync.Push{Number: 1,
+	p := spread.Packet{From: "a", Incarnation: 1, Sequence: 1, Configuration: &configsync.Message{Push: &configsync.Push{Number: 1,
 		Changes: []configsync.Change{change}}}}
 	b, err := Append(nil, &p)
 	if err != nil {
@@ -231,21 +231,21 @@
 
 // A packet that has nothing but a configuration message is taken in and changes nothing that spread decides.
 func TestSpreadCarriesConfiguration(t *testing.T) {
-	s, err := spread.New(spread.Config{Self: "a", Exchange: time.Second, Bytes: 1e4, Size: Size, Packet: 1200 + Sealing}, 0, verdicts.NewStore(), 1)
+	s, err := spread.New(spread.Config{Self: "a", ExchangeInterval: time.Second, BytesPerSecond: 1e4, PacketBytes: Size, MaxPacketBytes: 1200 + Sealing}, 0, verdicts.NewStore(), 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	s.SetMembers([]string{"a", "b"})
 	message := &configsync.Message{Ack: &configsync.Ack{Number: 7}}
-	p := spread.Packet{From: "b", Incarnation: 1, Count: 1, Configuration: message}
+	p := spread.Packet{From: "b", Incarnation: 1, Sequence: 1, Configuration: message}
 	if news, own, out := s.Receive(time.Second, p); len(news)+len(own)+len(out) != 0 || s.Counters().Received != 1 {
 		t.Errorf("%v, %v, %v, %+v", news, own, out, s.Counters())
 	}
 	if s.Receive(time.Second, p); s.Counters().Replayed != 1 {
 		t.Error("a replayed packet was taken in")
 	}
-	p.From, p.Count = "stranger", 2
-	if s.Receive(time.Second, p); s.Counters().Strangers != 1 {
+	p.From, p.Sequence = "stranger", 2
+	if s.Receive(time.Second, p); s.Counters().UnknownSenders != 1 {
 		t.Error("a stranger's packet was taken in")
 	}
 	if out := s.SendConfiguration(time.Second, "b", message); len(out) != 1 || out[0].To != "b" || out[0].Packet.Configuration != message {
--- a/internal/fleet/wire/wire.go
+++ b/internal/fleet/wire/wire.go
@@ -61,22 +61,22 @@
 		From:        p.From,
 		Incarnation: p.Incarnation,
 		UptimeUs:    micros(p.Uptime),
-		Count:       p.Count,
+		Count:       p.Sequence,
 		Salt:        p.Salt,
 		Group:       uint32(p.Group),
 		Groups:      uint32(p.Groups),
 		Ask:         p.Ask,
 		Answer:      p.Answer,
-		Known:       p.Known,
-		Members:     p.Members,
+		Known:       p.KnownIncarnation,
+		Members:     p.MembersHash,
 		Claim:       claimMessage(p.Claim),
 		Grant:       grantMessage(p.Grant),
 	}
 	if (p.Ask || p.Answer) && p.Summary != (verdicts.Summary{}) {
 		m.Summary = p.Summary[:]
 	}
-	for i := range p.News {
-		m.News = append(m.News, statementMessage(&p.News[i]))
+	for i := range p.Statements {
+		m.News = append(m.News, statementMessage(&p.Statements[i]))
 	}
 	m.Configuration = configurationMessage(p.Configuration)
 	return m
@@ -90,11 +90,11 @@
 		Kind:        uint32(s.Kind),
 		Destination: int32(s.Destination),
 		Member:      s.Member,
-		Over:        s.Over,
+		Over:        s.Withdrawn,
 		LengthUs:    micros(s.Length),
-		List:        s.List,
+		List:        s.ListVersion,
 		AgeUs:       micros(s.Age),
-		LifeUs:      micros(s.Life),
+		LifeUs:      micros(s.Lifetime),
 	}
 }
 
@@ -105,7 +105,7 @@
 	m := &fleetv1.Claim{
 		Shard:  uint32(c.Shard),
 		Number: c.Sequence,
-		Echo:   c.LastGrant,
+		Echo:   c.LastGrantSequence,
 		LendUs: micros(c.LoanDuration),
 	}
 	for _, d := range c.Demands {
@@ -133,7 +133,7 @@
 		Shard:  uint32(g.Shard),
 		Ask:    g.ClaimRequested,
 		Number: g.Sequence,
-		Answer: g.LastClaim,
+		Answer: g.LastClaimSequence,
 		ForUs:  micros(g.LeaseDuration),
 	}
 	for _, s := range g.Shares {
@@ -171,23 +171,23 @@
 		return p, err
 	}
 	p = spread.Packet{
-		From:        m.From,
-		Incarnation: m.Incarnation,
-		Uptime:      time.Duration(m.UptimeUs) * time.Microsecond,
-		Count:       m.Count,
-		Salt:        m.Salt,
-		Group:       int(m.Group),
-		Groups:      int(m.Groups),
-		Ask:         m.Ask,
-		Answer:      m.Answer,
-		Known:       m.Known,
-		Members:     m.Members,
-		Claim:       claim(m.Claim),
-		Grant:       grant(m.Grant),
+		From:             m.From,
+		Incarnation:      m.Incarnation,
+		Uptime:           time.Duration(m.UptimeUs) * time.Microsecond,
+		Sequence:         m.Count,
+		Salt:             m.Salt,
+		Group:            int(m.Group),
+		Groups:           int(m.Groups),
+		Ask:              m.Ask,
+		Answer:           m.Answer,
+		KnownIncarnation: m.Known,
+		MembersHash:      m.Members,
+		Claim:            claim(m.Claim),
+		Grant:            grant(m.Grant),
 	}
 	copy(p.Summary[:], m.Summary)
 	for _, s := range m.News {
-		p.News = append(p.News, statement(s))
+		p.Statements = append(p.Statements, statement(s))
 	}
 	var err error
 	if p.Configuration, err = decodeConfiguration(m.Configuration); err != nil {
@@ -207,8 +207,8 @@
 		return fmt.Errorf("%w: group %d of %d", ErrForm, m.Group, m.Groups)
 	case len(m.News) > MaxNews:
 		return fmt.Errorf("%w: %d statements", ErrForm, len(m.News))
-	case m.Claim.GetShard() >= allowance.Shards || m.Grant.GetShard() >= allowance.Shards:
-		return fmt.Errorf("%w: a shard of %d", ErrForm, allowance.Shards)
+	case m.Claim.GetShard() >= allowance.ShardCount || m.Grant.GetShard() >= allowance.ShardCount:
+		return fmt.Errorf("%w: a shard of %d", ErrForm, allowance.ShardCount)
 	case len(m.Summary) != 0 && len(m.Summary) != len(verdicts.Summary{}):
 		return fmt.Errorf("%w: a summary of %d parts", ErrForm, len(m.Summary))
 	}
@@ -217,14 +217,14 @@
 
 func statement(m *fleetv1.Statement) verdicts.Statement {
 	return verdicts.Statement{
-		Origin:  m.Origin,
-		Version: verdicts.Version{Incarnation: m.Incarnation, Seq: m.Seq},
-		Subject: verdicts.Subject{Kind: kind(m.Kind), Destination: int(m.Destination), Member: m.Member},
-		Over:    m.Over,
-		Length:  duration(m.LengthUs),
-		List:    m.List,
-		Age:     duration(m.AgeUs),
-		Life:    duration(m.LifeUs),
+		Origin:      m.Origin,
+		Version:     verdicts.Version{Incarnation: m.Incarnation, Seq: m.Seq},
+		Subject:     verdicts.Subject{Kind: kind(m.Kind), Destination: int(m.Destination), Member: m.Member},
+		Withdrawn:   m.Over,
+		Length:      duration(m.LengthUs),
+		ListVersion: m.List,
+		Age:         duration(m.AgeUs),
+		Lifetime:    duration(m.LifeUs),
 	}
 }
 
@@ -233,10 +233,10 @@
 		return nil
 	}
 	c := &allowance.Claim{
-		Shard:        int(m.Shard),
-		Sequence:     m.Number,
-		LastGrant:    m.Echo,
-		LoanDuration: duration(m.LendUs),
+		Shard:             int(m.Shard),
+		Sequence:          m.Number,
+		LastGrantSequence: m.Echo,
+		LoanDuration:      duration(m.LendUs),
 	}
 	for _, w := range m.Want {
 		demand := allowance.Demand{Destination: int(w.Destination)}
@@ -262,11 +262,11 @@
 		return nil
 	}
 	g := &allowance.Grant{
-		Shard:          int(m.Shard),
-		ClaimRequested: m.Ask,
-		Sequence:       m.Number,
-		LastClaim:      m.Answer,
-		LeaseDuration:  duration(m.ForUs),
+		Shard:             int(m.Shard),
+		ClaimRequested:    m.Ask,
+		Sequence:          m.Number,
+		LastClaimSequence: m.Answer,
+		LeaseDuration:     duration(m.ForUs),
 	}
 	for _, s := range m.Share {
 		g.Shares = append(g.Shares, allowance.Share{
--- a/internal/flow/batch.go
+++ b/internal/flow/batch.go
@@ -34,8 +34,8 @@
 		[]http1.Field{{Name: "X-Time-Left-Ms", Value: strconv.FormatInt(timeLeftMillis, 10)}}, body)
 }
 
-var batchStatuses = map[string]traffic.FlowStatus{"delivered": traffic.Delivered, "failed": traffic.Errored, "refused": traffic.TurnedAway,
-	"over": traffic.Over, "spent": traffic.Spent}
+var batchStatuses = map[string]traffic.FlowStatus{"delivered": traffic.Delivered, "failed": traffic.Errored, "refused": traffic.FlowRefused,
+	"over": traffic.AlreadyEnded, "spent": traffic.AttemptsExhausted}
 
 // decodeBatchAnswer reads how each transaction ended. A transaction may have run, and is Broken, if its line has no known status or if two
 // lines differ about it. The caller treats a transaction without a line the same way, and ignores ids that were not in the call.
@@ -45,7 +45,7 @@
 		id, word, _ := bytes.Cut(bytes.TrimRight(line, "\r\n"), []byte(" "))
 		status, ok := batchStatuses[string(word)]
 		if earlier, repeated := statuses[string(id)]; !ok || repeated && earlier != status {
-			status = traffic.Broken
+			status = traffic.ConnectionBroken
 		}
 		statuses[string(id)] = status
 	}
@@ -55,7 +55,7 @@
 // allEnds returns the ends of all flows of the call. Those that say most about the pool member come first: refused flows, then failed
 // ones.
 func (r *activeFlow) allEnds(end traffic.FlowEnd, statuses map[string]traffic.FlowStatus) []traffic.FlowEnd {
-	if len(r.With) == 0 {
+	if len(r.Bundled) == 0 {
 		return []traffic.FlowEnd{end}
 	}
 	var list []traffic.FlowEnd
@@ -65,12 +65,12 @@
 		if statuses != nil {
 			status, known := statuses[x.ID]
 			if eachEnd.Status = status; !known {
-				eachEnd.Status = traffic.Broken
+				eachEnd.Status = traffic.ConnectionBroken
 			}
 		}
 		list = append(list, eachEnd)
 	}
-	rank := map[traffic.FlowStatus]int{traffic.TurnedAway: -2, traffic.Errored: -1}
+	rank := map[traffic.FlowStatus]int{traffic.FlowRefused: -2, traffic.Errored: -1}
 	slices.SortStableFunc(list, func(a, b traffic.FlowEnd) int { return rank[a.Status] - rank[b.Status] })
 	return list
 }
--- a/internal/flow/batch_test.go
+++ b/internal/flow/batch_test.go
@@ -55,8 +55,8 @@
 	head := func(body string, more string) string {
 		return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n%s\r\n%s", len(body), more, body)
 	}
-	const delivered, errored, turnedAway, over, spent, broken, unsent = traffic.Delivered, traffic.Errored, traffic.TurnedAway, traffic.Over,
-		traffic.Spent, traffic.Broken, traffic.Unsent
+	const delivered, errored, turnedAway, over, spent, broken, unsent = traffic.Delivered, traffic.Errored, traffic.FlowRefused, traffic.AlreadyEnded,
+		traffic.AttemptsExhausted, traffic.ConnectionBroken, traffic.Unsent
 	for what, c := range map[string]struct {
 		answer string
 		ends   [3]traffic.FlowStatus // ends of a, b and c
@@ -94,7 +94,7 @@
 				}
 			}
 			for i, id := range []string{"a", "b", "c"} {
-				if e := got[id]; e.Status != c.ends[i] || e.Attempt != map[string]int{"b": 2}[id] || e.Wait != c.wait {
+				if e := got[id]; e.Status != c.ends[i] || e.Attempt != map[string]int{"b": 2}[id] || e.RetryAfter != c.wait {
 					t.Errorf("%s ends as %v, want %v", id, e, c.ends[i])
 				}
 			}
@@ -128,7 +128,7 @@
 	r.expectEnd("e", traffic.NoSlot)
 	r.manager.Cancel("b", 2)
 	for range 3 {
-		if e := <-r.ends; e.Status != traffic.CalledOff || e.ID == "d" {
+		if e := <-r.ends; e.Status != traffic.Canceled || e.ID == "d" {
 			t.Errorf("%+v", e)
 		}
 	}
@@ -137,7 +137,7 @@
 // An arbitrary answer body must not deliver a transaction, unless a line of the body says that this transaction is delivered.
 func TestBatchGarbageDeliversNothing(t *testing.T) {
 	proptest.Check(t, func(t *rapid.T) {
-		text := proptest.Garbage(t, []byte("aa delivered\r\nbb refused\r\ncc failed\r\n"))
+		text := proptest.Malformed(t, []byte("aa delivered\r\nbb refused\r\ncc failed\r\n"))
 		for id, end := range decodeBatchAnswer(text) {
 			if end == traffic.Delivered && !strings.Contains("\n"+string(text)+"\n", "\n"+id+" delivered") {
 				t.Fatalf("id %q delivered by body %q", id, text)
--- a/internal/flow/bench_test.go
+++ b/internal/flow/bench_test.go
@@ -42,12 +42,12 @@
 		}
 	}()
 	ends := make(chan traffic.FlowEnd, 1)
-	g := mustNew(New(Config{ConnectWithin: time.Minute, MostFlows: 2, Conns: connsConfig(2)}, func(e traffic.FlowEnd) { ends <- e }))
-	g.Pool(traffic.PoolNews{Members: []traffic.Member{{Host: "m", Dial: ln.Addr().String()}}})
+	g := mustNew(New(Config{ConnectTimeout: time.Minute, MaxCalls: 2, Conns: connsConfig(2)}, func(e traffic.FlowEnd) { ends <- e }))
+	g.UpdatePool(traffic.PoolUpdate{Members: []traffic.Member{{Host: "m", Address: ln.Addr().String()}}})
 	body := make([]byte, 200)
 	b.ReportAllocs()
 	for n := 0; b.Loop(); n++ {
-		g.Start(traffic.Flow{ID: fmt.Sprint(n), Member: "m", Body: body, Begun: time.Now(), Deadline: time.Now().Add(time.Minute)})
+		g.Start(traffic.Flow{ID: fmt.Sprint(n), Member: "m", Body: body, StartedAt: time.Now(), Deadline: time.Now().Add(time.Minute)})
 		if e := <-ends; e.Status != traffic.Delivered {
 			b.Fatalf("%+v", e)
 		}
--- a/internal/flow/call.go
+++ b/internal/flow/call.go
@@ -61,7 +61,7 @@
 	seen := map[string]bool{}
 	for _, pair := range strings.Split(text, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(pair), "=")
-		field := map[string]*float64{"x0": &rep.Left, "x1": &rep.Limit}[name]
+		field := map[string]*float64{"x0": &rep.Remaining, "x1": &rep.Limit}[name]
 		if field == nil {
 			continue
 		}
@@ -84,18 +84,18 @@
 	case a.status == 200:
 		end.Status = traffic.Delivered
 		if a.batch {
-			end.Wait = a.retryAfter // this retry-after binds like any other
+			end.RetryAfter = a.retryAfter // this retry-after binds like any other
 		}
 	case a.status == 429:
-		end.Status, end.Wait = traffic.TurnedAway, a.retryAfter
+		end.Status, end.RetryAfter = traffic.FlowRefused, a.retryAfter
 	case a.status == 503 && a.noSlot:
 		end.Status = traffic.NoSlot
 	case a.status == 503:
-		end.Status, end.Wait = traffic.TurnedAway, a.retryAfter
+		end.Status, end.RetryAfter = traffic.FlowRefused, a.retryAfter
 	case a.status == 504:
-		end.Status = traffic.Spent
+		end.Status = traffic.AttemptsExhausted
 	case a.status == 410:
-		end.Status = traffic.Over
+		end.Status = traffic.AlreadyEnded
 	case a.batch && (a.status == 400 || a.status == 413):
 		end.Status = traffic.Unsent // no transaction of the batch has run
 	default:
--- a/internal/flow/conn.go
+++ b/internal/flow/conn.go
@@ -31,7 +31,7 @@
 	unusable    bool            // ended, or not to be used for another call
 	response    *http1.Response // of the current call; nil between calls
 	batch       bool            // the current call carries several transactions
-	callEnd     conns.End       // how the latest call ended
+	callEnd     conns.CallEnd   // how the latest call ended
 	received    bool            // bytes arrived for the current call
 	unsolicited bool            // bytes arrived while no call was waiting for them
 	stuck       bool            // the peer does not acknowledge written bytes
@@ -53,7 +53,7 @@
 	if c.unusable {
 		return false
 	}
-	c.response, c.answered, c.result, c.received, c.callEnd, c.batch, c.writtenAt = &http1.Response{}, make(chan struct{}), answer{}, false, conns.Dead, false, time.Time{}
+	c.response, c.answered, c.result, c.received, c.callEnd, c.batch, c.writtenAt = &http1.Response{}, make(chan struct{}), answer{}, false, conns.BrokenBeforeAnswer, false, time.Time{}
 	return true
 }
 
@@ -126,19 +126,19 @@
 }
 
 // endCall ends the current call and returns how it ended. notCanceled says that the flow did not abort the call.
-func (c *conn) endCall(notCanceled bool) conns.End {
+func (c *conn) endCall(notCanceled bool) conns.CallEnd {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.writtenAt, c.response = time.Time{}, nil
 	switch end := c.callEnd; {
 	case c.stuck:
-		return conns.Dead
+		return conns.BrokenBeforeAnswer
 	case !notCanceled:
-		return conns.Cut
+		return conns.Aborted
 	case end == conns.Answered && c.unsolicited:
-		return conns.Broken
+		return conns.BrokenDuringAnswer
 	case end == conns.Answered && c.unusable: // the peer closed the connection directly after the answer
-		return conns.Last
+		return conns.AnsweredLast
 	default:
 		return end
 	}
@@ -232,9 +232,9 @@
 		case c.response.Done() && !over && !c.unusable:
 			c.callEnd = conns.Answered
 		case c.response.Done() && !c.response.Reusable():
-			c.callEnd = conns.Last
+			c.callEnd = conns.AnsweredLast
 		case c.received:
-			c.callEnd = conns.Broken
+			c.callEnd = conns.BrokenDuringAnswer
 		}
 		c.result = decodeAnswer(c.response, c.batch)
 		c.response = nil
--- a/internal/flow/conn_test.go
+++ b/internal/flow/conn_test.go
@@ -102,9 +102,9 @@
 func TestTruncatedAnswer(t *testing.T) {
 	for text, whole := range map[string]traffic.FlowStatus{
 		"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok":                             traffic.Delivered,
-		"HTTP/1.1 429 Wait\r\nX-Retry-In-Ms: 250\r\nContent-Length: 0\r\n\r\n":       traffic.TurnedAway,
+		"HTTP/1.1 429 Wait\r\nX-Retry-In-Ms: 250\r\nContent-Length: 0\r\n\r\n":       traffic.FlowRefused,
 		"HTTP/1.1 503 Full\r\nX-No-Slot: 1\r\nContent-Length: 3\r\n\r\nall":          traffic.NoSlot,
-		"HTTP/1.1 410 Over\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\n\r\n": traffic.Over,
+		"HTTP/1.1 410 Over\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\n\r\n": traffic.AlreadyEnded,
 	} {
 		for cut := range len(text) + 1 {
 			r := newHarness(t)
@@ -113,7 +113,7 @@
 			r.readCall(nc)
 			_, _ = io.WriteString(nc, text[:cut])
 			nc.Close()
-			want := traffic.Broken
+			want := traffic.ConnectionBroken
 			if cut == len(text) || whole == traffic.Delivered && cut > strings.Index(text, "\n") {
 				want = whole
 			}
--- a/internal/flow/connections.go
+++ b/internal/flow/connections.go
@@ -52,10 +52,10 @@
 	wallNow, poolNow := time.Now(), g.now()
 	for id, c := range g.connsByID {
 		if !c.inUse && !g.mayReuse(c) {
-			if g.conns.Drop(poolNow, id, conns.Trust) {
-				g.closeEvicted([]conns.Give{{ID: id}})
+			if g.conns.EvictIdle(poolNow, id, conns.ReasonTrust) {
+				g.closeEvicted([]conns.Eviction{{ID: id}})
 			}
-		} else if c.inUse && g.cfg.StuckAfter > 0 && c.unansweredSince(wallNow.Add(-g.cfg.StuckAfter)) && c.checkStuck() {
+		} else if c.inUse && g.cfg.UnackedTimeout > 0 && c.unansweredSince(wallNow.Add(-g.cfg.UnackedTimeout)) && c.checkStuck() {
 			c.close()
 		}
 	}
@@ -78,7 +78,7 @@
 }
 
 // closeEvicted closes the connections that the pool evicts. The caller of this method and of those below, up to becameIdle, holds g.mu.
-func (g *Manager) closeEvicted(evicted []conns.Give) {
+func (g *Manager) closeEvicted(evicted []conns.Eviction) {
 	for _, eviction := range evicted {
 		if c := g.connsByID[eviction.ID]; c != nil {
 			delete(g.connsByID, eviction.ID)
@@ -88,7 +88,7 @@
 }
 
 // requestConn requests a connection through decide, which is conns.Pool.Call or Again.
-func (g *Manager) requestConn(host string, decide func(time.Duration, string) (conns.Verdict, conns.ID, []conns.Give)) lease {
+func (g *Manager) requestConn(host string, decide func(time.Duration, string) (conns.Verdict, conns.ID, []conns.Eviction)) lease {
 	for {
 		verdict, id, evicted := decide(g.now(), host)
 		g.closeEvicted(evicted)
@@ -103,10 +103,10 @@
 			c.inUse, c.reused = true, true
 			return lease{c: c}
 		}
-		g.conns.Unused(g.now(), id)
-		g.conns.Drop(g.now(), id, conns.Trust)
-		g.closeEvicted([]conns.Give{{ID: id}})
-		decide = g.conns.Again
+		g.conns.ReturnUnused(g.now(), id)
+		g.conns.EvictIdle(g.now(), id, conns.ReasonTrust)
+		g.closeEvicted([]conns.Eviction{{ID: id}})
+		decide = g.conns.RetryCall
 	}
 }
 
@@ -114,7 +114,7 @@
 func (g *Manager) serveWaiters() {
 	for host := range g.waiters {
 		for len(g.waiters[host]) > 0 {
-			l := g.requestConn(host, g.conns.Again)
+			l := g.requestConn(host, g.conns.RetryCall)
 			if l == (lease{}) {
 				break
 			}
@@ -155,8 +155,8 @@
 		return
 	}
 	if !g.mayReuse(c) {
-		g.conns.Drop(g.now(), c.id, conns.Trust)
-		g.closeEvicted([]conns.Give{{ID: c.id}})
+		g.conns.EvictIdle(g.now(), c.id, conns.ReasonTrust)
+		g.closeEvicted([]conns.Eviction{{ID: c.id}})
 		return
 	}
 	tlsWaiters := c.underTLS != nil && g.handshakes.hasWaiters(c.host)
@@ -172,7 +172,7 @@
 		return
 	}
 	c.inUse = false
-	g.conns.Unused(g.now(), c.id)
+	g.conns.ReturnUnused(g.now(), c.id)
 }
 
 // acquire returns a connection that is ready for the call of the flow. It takes g.mu itself, as the methods below do unless their comments
@@ -181,7 +181,7 @@
 	for {
 		switch {
 		case l.c != nil:
-			if (l.c.idleSince.IsZero() || l.c.waitSettled(l.c.idleSince.Add(g.cfg.Settle))) && l.c.beginCall() {
+			if (l.c.idleSince.IsZero() || l.c.waitSettled(l.c.idleSince.Add(g.cfg.SettleTime))) && l.c.beginCall() {
 				return l.c, nil
 			}
 			l = g.replaceConn(r, l.c)
@@ -201,9 +201,9 @@
 func (g *Manager) replaceConn(r *activeFlow, c *conn) lease {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.conns.Gone(g.now(), c.id)
-	g.closeEvicted([]conns.Give{{ID: c.id}})
-	return g.requestConn(r.Member, g.conns.Again)
+	g.conns.ClosedBeforeUse(g.now(), c.id)
+	g.closeEvicted([]conns.Eviction{{ID: c.id}})
+	return g.requestConn(r.Member, g.conns.RetryCall)
 }
 
 // awaitConn waits until a connection to the member of the flow becomes idle or may be opened.
@@ -214,7 +214,7 @@
 	g.waiters[r.Member] = append(g.waiters[r.Member], w)
 	g.mu.Unlock()
 	defer func() { r.localWait += time.Since(waitStart) }() // the member did not cause this delay
-	timer := time.NewTimer(g.cfg.HeldMost)
+	timer := time.NewTimer(g.cfg.MaxConnWait)
 	defer timer.Stop()
 	select {
 	case l := <-w.granted:
@@ -239,8 +239,8 @@
 	g.mu.Lock()
 	target := *r.target
 	g.mu.Unlock()
-	if g.cfg.Secure == nil || !g.cfg.Secure.Wants(&target.Member) {
-		nc, err := g.dialer.dial(ctx, target.Dial, r.Begun.Add(g.cfg.ConnectWithin))
+	if g.cfg.TLS == nil || !g.cfg.TLS.UsesTLS(&target.Member) {
+		nc, err := g.dialer.dial(ctx, target.Address, r.StartedAt.Add(g.cfg.ConnectTimeout))
 		if err != nil {
 			return nil, g.openingFailed(ctx, id, err)
 		}
@@ -251,7 +251,7 @@
 	r.localWait += time.Since(waitStart)
 	if granted.c != nil || !granted.admitted {
 		g.mu.Lock()
-		g.conns.Cancel(g.now(), id)
+		g.conns.OpeningCanceled(g.now(), id)
 		g.serveWaiters()
 		g.mu.Unlock()
 		if granted.c != nil {
@@ -266,15 +266,15 @@
 func (g *Manager) connectTLS(ctx context.Context, id conns.ID, target *member, forCall bool) (*conn, error) {
 	var took time.Duration
 	defer func() { g.handshakes.handshakeDone(target.Host, took) }()
-	deadline := time.Now().Add(g.cfg.ConnectWithin)
-	raw, err := g.dialer.dial(ctx, target.Dial, deadline)
+	deadline := time.Now().Add(g.cfg.ConnectTimeout)
+	raw, err := g.dialer.dial(ctx, target.Address, deadline)
 	if err != nil {
 		return nil, g.openingFailed(ctx, id, err)
 	}
 	handshakeCtx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
 	var nc net.Conn
-	if nc, took, err = g.cfg.Secure.Client(handshakeCtx, raw, &target.Member); err != nil {
+	if nc, took, err = g.cfg.TLS.Handshake(handshakeCtx, raw, &target.Member); err != nil {
 		return nil, g.openingFailed(ctx, id, err)
 	}
 	return g.addConn(id, target, nc, raw, forCall), nil
@@ -285,9 +285,9 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if ctx.Err() != nil {
-		g.conns.Cancel(g.now(), id)
+		g.conns.OpeningCanceled(g.now(), id)
 	} else {
-		g.conns.Failed(g.now(), id, errors.Is(err, syscall.ECONNREFUSED) || errors.Is(err, syscall.ECONNRESET))
+		g.conns.OpeningFailed(g.now(), id, errors.Is(err, syscall.ECONNREFUSED) || errors.Is(err, syscall.ECONNRESET))
 	}
 	g.serveWaiters()
 	return fmt.Errorf("open connection %d: %w", id, err)
@@ -318,11 +318,11 @@
 	host, _ := g.conns.EndpointOf(id)
 	m := g.members[host]
 	if m == nil {
-		g.conns.Cancel(g.now(), id)
+		g.conns.OpeningCanceled(g.now(), id)
 		return
 	}
 	target := *m
-	deadline := time.Now().Add(g.cfg.ConnectWithin)
+	deadline := time.Now().Add(g.cfg.ConnectTimeout)
 	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	g.preconnecting[id] = cancel
 	go func() {
@@ -332,8 +332,8 @@
 			delete(g.preconnecting, id)
 			g.mu.Unlock()
 		}()
-		if g.cfg.Secure == nil || !g.cfg.Secure.Wants(&target.Member) {
-			if nc, err := g.dialer.dial(ctx, target.Dial, deadline); err != nil {
+		if g.cfg.TLS == nil || !g.cfg.TLS.UsesTLS(&target.Member) {
+			if nc, err := g.dialer.dial(ctx, target.Address, deadline); err != nil {
 				_ = g.openingFailed(ctx, id, err) // the next call that opens a connection reports the failure
 			} else {
 				g.addConn(id, &target, nc, nil, false)
@@ -345,7 +345,7 @@
 			_, _ = g.connectTLS(ctx, id, &target, false)
 		default:
 			g.mu.Lock()
-			g.conns.Cancel(g.now(), id)
+			g.conns.OpeningCanceled(g.now(), id)
 			g.mu.Unlock()
 			if granted.c != nil { // no other flow waits for this connection
 				g.returnUnused(granted.c)
@@ -354,16 +354,16 @@
 	}()
 }
 
-func (g *Manager) mayReuse(c *conn) bool { return c.underTLS == nil || g.cfg.Secure.Fresh(c.nc) }
+func (g *Manager) mayReuse(c *conn) bool { return c.underTLS == nil || g.cfg.TLS.Reusable(c.nc) }
 
 // finishCall ends a call on a connection, which becomes idle or is closed.
-func (g *Manager) finishCall(c *conn, end conns.End, took time.Duration) {
+func (g *Manager) finishCall(c *conn, end conns.CallEnd, took time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if idle, reason := g.conns.Done(g.now(), c.id, end, took); idle {
+	if idle, reason := g.conns.CallEnded(g.now(), c.id, end, took); idle {
 		g.becameIdle(c, time.Now())
 	} else {
-		g.closeEvicted([]conns.Give{{ID: c.id, Why: reason}})
+		g.closeEvicted([]conns.Eviction{{ID: c.id, Reason: reason}})
 		g.serveWaiters()
 	}
 }
@@ -374,12 +374,12 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if !usable {
-		g.conns.Gone(g.now(), c.id)
-	} else if idle, _ := g.conns.Unused(g.now(), c.id); idle {
+		g.conns.ClosedBeforeUse(g.now(), c.id)
+	} else if idle, _ := g.conns.ReturnUnused(g.now(), c.id); idle {
 		g.becameIdle(c, c.idleSince)
 		return
 	}
-	g.closeEvicted([]conns.Give{{ID: c.id}})
+	g.closeEvicted([]conns.Eviction{{ID: c.id}})
 	g.serveWaiters()
 }
 
@@ -390,7 +390,7 @@
 	} else if l.id != 0 {
 		g.mu.Lock()
 		defer g.mu.Unlock()
-		g.conns.Cancel(g.now(), l.id)
+		g.conns.OpeningCanceled(g.now(), l.id)
 		g.serveWaiters()
 	}
 }
@@ -408,4 +408,4 @@
 }
 
 // Handshakes returns the counters of the handshake gate and the number of flows that wait for a handshake.
-func (g *Manager) Handshakes() (tlspolicy.GateCounters, int) { return g.handshakes.counters() }
+func (g *Manager) Handshakes() (tlspolicy.HandshakeCounters, int) { return g.handshakes.counters() }
--- a/internal/flow/connections_test.go
+++ b/internal/flow/connections_test.go
@@ -11,9 +11,9 @@
 	"slatemux/internal/traffic"
 )
 
-func (r *harness) memberState(t *testing.T) conns.State {
+func (r *harness) memberState(t *testing.T) conns.EndpointState {
 	t.Helper()
-	list := r.manager.Connections()
+	list := r.manager.EndpointStates()
 	if len(list) != 1 {
 		t.Fatalf("%+v", list)
 	}
@@ -43,8 +43,8 @@
 // that waits too long ends unsent, which does not count as a failure of the member.
 func TestWaitForConnection(t *testing.T) {
 	r := newHarness(t)
-	r.manager.Limit(10, 1)
-	r.manager.cfg.HeldMost = 20 * time.Second
+	r.manager.SetLimits(10, 1)
+	r.manager.cfg.MaxConnWait = 20 * time.Second
 	r.startFlow("a")
 	nc := <-r.conns
 	r.startFlow("low", func(f *traffic.Flow) { f.Worth = 1 })
@@ -60,7 +60,7 @@
 	if n := r.manager.Counters(); n.Opened != 1 || n.Waited != 2 {
 		t.Errorf("%+v", n)
 	}
-	r.manager.cfg.HeldMost = 30 * time.Millisecond
+	r.manager.cfg.MaxConnWait = 30 * time.Millisecond
 	r.startFlow("b")
 	r.readCall(nc)
 	r.startFlow("c")
@@ -70,7 +70,7 @@
 	if len(r.manager.waiters) != 0 {
 		t.Errorf("waiters left: %v", r.manager.waiters)
 	}
-	r.manager.Limit(10, 2) // another connection may be opened, so the next flow does not wait
+	r.manager.SetLimits(10, 2) // another connection may be opened, so the next flow does not wait
 	r.startFlow("e")
 	r.readCall(<-r.conns)
 }
@@ -79,8 +79,8 @@
 func newPreconnectHarness(t *testing.T) *harness {
 	r := newHarness(t)
 	cfg := connsConfig(10)
-	cfg.Ahead = true
-	r.manager = mustNew(New(Config{ConnectWithin: time.Minute, MostFlows: 10, Conns: cfg}, func(e traffic.FlowEnd) { r.ends <- e }))
+	cfg.Preconnect = true
+	r.manager = mustNew(New(Config{ConnectTimeout: time.Minute, MaxCalls: 10, Conns: cfg}, func(e traffic.FlowEnd) { r.ends <- e }))
 	r.setHealth(traffic.Active)
 	return r
 }
@@ -110,7 +110,7 @@
 			t.Errorf("%+v", end)
 		}
 	}
-	if n := r.manager.Counters(); n.Opened != 3 || n.Ahead != 3 || n.Reused != 3 {
+	if n := r.manager.Counters(); n.Opened != 3 || n.Preconnected != 3 || n.Reused != 3 {
 		t.Errorf("%+v", n)
 	}
 }
@@ -138,11 +138,11 @@
 	}
 	defer srv.Stop()
 	ends := make(chan traffic.FlowEnd, 1)
-	g := mustNew(New(Config{ConnectWithin: time.Minute, MostFlows: 10, Conns: connsConfig(10), StuckAfter: 30 * time.Millisecond},
+	g := mustNew(New(Config{ConnectTimeout: time.Minute, MaxCalls: 10, Conns: connsConfig(10), UnackedTimeout: 30 * time.Millisecond},
 		func(e traffic.FlowEnd) { ends <- e }))
-	g.Pool(traffic.PoolNews{Members: []traffic.Member{{Host: "m", Dial: srv.Addr()}}})
+	g.UpdatePool(traffic.PoolUpdate{Members: []traffic.Member{{Host: "m", Address: srv.Addr()}}})
 	start := func(id string) {
-		g.Start(traffic.Flow{ID: id, Member: "m", Body: make([]byte, 256<<10), Begun: time.Now(), Deadline: time.Now().Add(time.Minute)})
+		g.Start(traffic.Flow{ID: id, Member: "m", Body: make([]byte, 256<<10), StartedAt: time.Now(), Deadline: time.Now().Add(time.Minute)})
 	}
 	start("a")
 	if e := <-ends; e.Status != traffic.Delivered {
@@ -155,7 +155,7 @@
 		select {
 		case e = <-ends:
 			ended = true
-			if e.Status != traffic.Broken && e.Status != traffic.NotConnected || e.Took > 20*time.Second {
+			if e.Status != traffic.ConnectionBroken && e.Status != traffic.NotConnected || e.Latency > 20*time.Second {
 				t.Errorf("%+v", e)
 			}
 		case <-time.After(5 * time.Millisecond):
@@ -173,7 +173,7 @@
 // A slow server acknowledges the bytes that it received. Its connection must not be closed as stuck.
 func TestSlowIsNotStuck(t *testing.T) {
 	r := newHarness(t)
-	r.manager.cfg.StuckAfter = time.Nanosecond
+	r.manager.cfg.UnackedTimeout = time.Nanosecond
 	r.startFlow("a")
 	nc := <-r.conns
 	r.deliver("a", nc)
--- a/internal/flow/dial.go
+++ b/internal/flow/dial.go
@@ -95,7 +95,7 @@
 	results := make(chan result, len(addrs)) // room for all results, so that late attempts do not block
 	d.mu.Lock()
 	d.known.Forget(d.now(), unusedAddressTTL)
-	attempts := d.known.Race(d.now(), addrs)
+	attempts := d.known.StartAttempts(d.now(), addrs)
 	d.mu.Unlock()
 	var errs error
 	openAttempts := 0
@@ -133,7 +133,7 @@
 			openAttempts--
 			d.mu.Lock()
 			if outcome.err == nil {
-				attempts.Won(d.now(), outcome.addr)
+				attempts.Connected(d.now(), outcome.addr)
 			} else {
 				attempts.Failed(d.now(), outcome.addr)
 			}
--- a/internal/flow/flow.go
+++ b/internal/flow/flow.go
@@ -16,42 +16,42 @@
 
 // Config holds the limits of flows and connections, and the collaborators of a Manager.
 type Config struct {
-	ConnectWithin time.Duration // timeout for opening a connection
-	MostFlows     int           // maximum number of calls in flight
-	Settle        time.Duration // minimum time between an answer and the next call on the same connection
-	Conns         conns.Config  // how many connections are kept, and which are used
+	ConnectTimeout time.Duration // timeout for opening a connection
+	MaxCalls       int           // maximum number of calls in flight
+	SettleTime     time.Duration // minimum time between an answer and the next call on the same connection
+	Conns          conns.Config  // how many connections are kept, and which are used
 
 	// HeldMost bounds how long a flow waits for a connection while no new one may be opened; 0 means 250 ms. A flow that waits longer
 	// ends unsent, and the decision module may send the message to another member.
-	HeldMost time.Duration
+	MaxConnWait time.Duration
 	// StuckAfter is how long the peer of a reused connection may leave written bytes unacknowledged before the connection is closed;
 	// 0 disables the check.
-	StuckAfter time.Duration
+	UnackedTimeout time.Duration
 
 	// Names resolves the host names of members, whose addresses are then tried as conns.Race says. With nil, package net resolves
 	// names.
-	Names Resolver
+	Resolver Resolver
 
 	// Secure makes the TLS connections to members that require TLS; nil if no member does.
-	Secure Secure
+	TLS TLSConnector
 	// Gate configures the admission of TLS handshakes.
-	Gate tlspolicy.GateConfig
+	HandshakeGate tlspolicy.HandshakeConfig
 	// Busy returns the load of this program, 0 to 1. A high load slows down handshakes. Nil means that the load is unknown.
-	Busy func() float64
+	ProgramLoad func() float64
 
 	// OwnDelay returns how long received data currently waits until this program handles it; nil if that is unknown.
-	OwnDelay func() time.Duration
+	LocalDelay func() time.Duration
 	// Shared holds the retry-after waits of all processes of this relay. The waits of the other process of a handover bind this
 	// process too. Nil means that no waits are shared.
-	Shared Waits
+	SharedWaits RetryAfterWaits
 	// Fleet learns the end of each flow and is consulted before a call is written; nil for a relay without a fleet.
 	Fleet Fleet
 }
 
-// Waits holds the retry-after waits that the two processes of a handover share.
-type Waits interface {
+// RetryAfterWaits holds the retry-after waits that the two processes of a handover share.
+type RetryAfterWaits interface {
 	// Tell records that no call of the group may be written before until.
-	Tell(group traffic.Group, until time.Time)
+	Record(group traffic.Group, until time.Time)
 	// Until returns the end of the current wait of the group, or the zero time if the group has none.
 	Until(group traffic.Group, now time.Time) time.Time
 }
@@ -64,15 +64,15 @@
 	Held(group traffic.Group, now time.Time) bool
 }
 
-// Secure decides which members require TLS, and makes the TLS connections.
-type Secure interface {
+// TLSConnector decides which members require TLS, and makes the TLS connections.
+type TLSConnector interface {
 	// Wants reports whether connections to the member use TLS.
-	Wants(member *traffic.Member) bool
+	UsesTLS(member *traffic.Member) bool
 	// Client performs the TLS handshake on a new connection until ctx ends, and closes the connection if the handshake fails. It
 	// returns the processor time of the handshake, or 0 if that is unknown.
-	Client(ctx context.Context, nc net.Conn, member *traffic.Member) (net.Conn, time.Duration, error)
+	Handshake(ctx context.Context, nc net.Conn, member *traffic.Member) (net.Conn, time.Duration, error)
 	// Fresh reports whether an idle connection may carry another call.
-	Fresh(nc net.Conn) bool
+	Reusable(nc net.Conn) bool
 }
 
 const (
@@ -128,23 +128,23 @@
 
 // New returns a Manager that passes the end of each flow to reportEnd, which must not block.
 func New(cfg Config, reportEnd func(traffic.FlowEnd)) (*Manager, error) {
-	if cfg.HeldMost <= 0 {
-		cfg.HeldMost = defaultConnWait
+	if cfg.MaxConnWait <= 0 {
+		cfg.MaxConnWait = defaultConnWait
 	}
 	pool, err := conns.New(cfg.Conns)
 	if err != nil {
 		return nil, err
 	}
 	return &Manager{cfg: cfg, reportEnd: reportEnd, origin: time.Now(), members: map[string]*member{}, retryAfter: map[traffic.Group]time.Time{}, outstanding: map[traffic.Group]*outstanding{},
-		flows: map[flowID]*activeFlow{}, handshakes: newHandshakeQueue(cfg.Gate, cfg.Busy), dialer: newDialer(cfg.Names), conns: pool, connsByID: map[conns.ID]*conn{},
+		flows: map[flowID]*activeFlow{}, handshakes: newHandshakeQueue(cfg.HandshakeGate, cfg.ProgramLoad), dialer: newDialer(cfg.Resolver), conns: pool, connsByID: map[conns.ID]*conn{},
 		preconnecting: map[conns.ID]context.CancelFunc{}, waiters: map[string][]*waiter{}}, nil
 }
 
-// Pool applies an update of the pool. A flow to a leaving member ends unsent unless its first byte is already written.
-func (g *Manager) Pool(news traffic.PoolNews) {
+// UpdatePool applies an update of the pool. A flow to a leaving member ends unsent unless its first byte is already written.
+func (g *Manager) UpdatePool(news traffic.PoolUpdate) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if news.Whole {
+	if news.Full {
 		for _, m := range g.members {
 			m.available = false
 		}
@@ -158,7 +158,7 @@
 		m.Member, m.available = row, row.Health == traffic.Active
 	}
 	for host, m := range g.members {
-		g.closeEvicted(g.conns.Endpoint(host, m.Dial, m.Destination, m.available))
+		g.closeEvicted(g.conns.UpdateEndpoint(host, m.Address, m.Destination, m.available))
 		if !m.available {
 			delete(g.members, host) // active flows keep their own reference
 		}
@@ -172,7 +172,7 @@
 	r := &activeFlow{Flow: f, cancel: cancel}
 	g.mu.Lock()
 	r.target = g.members[f.Member]
-	full := g.callCount >= g.cfg.MostFlows
+	full := g.callCount >= g.cfg.MaxCalls
 	var l lease
 	if !full && r.target != nil {
 		g.callCount++
@@ -194,12 +194,12 @@
 	}
 }
 
-// Limit sets the maximum numbers of calls in flight and of connections. Existing calls and connections stay.
-func (g *Manager) Limit(maxFlows, maxConns int) {
+// SetLimits sets the maximum numbers of calls in flight and of connections. Existing calls and connections stay.
+func (g *Manager) SetLimits(maxFlows, maxConns int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.cfg.MostFlows = maxFlows
-	g.conns.Limit(maxConns)
+	g.cfg.MaxCalls = maxFlows
+	g.conns.SetMaxConns(maxConns)
 	g.serveWaiters()
 }
 
@@ -212,11 +212,11 @@
 	}
 }
 
-// FreeIdle closes all idle connections, and keeps no connection idle while on is true.
-func (g *Manager) FreeIdle(on bool) {
+// SetCloseIdle closes all idle connections, and keeps no connection idle while on is true.
+func (g *Manager) SetCloseIdle(on bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.closeEvicted(g.conns.Frugal(g.now(), on))
+	g.closeEvicted(g.conns.SetKeepNoIdle(g.now(), on))
 }
 
 // Expect announces how many calls to the members of a destination will follow soon.
@@ -241,33 +241,33 @@
 	return g.conns.Counters()
 }
 
-// Ends returns how long connections had been idle when they ended, by cause.
-func (g *Manager) Ends() conns.Ends {
+// IdleTimes returns how long connections had been idle when they ended, by cause.
+func (g *Manager) IdleTimes() conns.IdleTimes {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.conns.Ends()
+	return g.conns.IdleTimes()
 }
 
-// Connections returns the state of the connections to each member.
-func (g *Manager) Connections() []conns.State {
+// EndpointStates returns the state of the connections to each member.
+func (g *Manager) EndpointStates() []conns.EndpointState {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.conns.States()
+	return g.conns.EndpointStates()
 }
 
 // flowEnd returns the end of the flow. Took leaves out the time that the flow waited inside this program, because the pool member did
 // not cause it: a CPU-starved relay would otherwise consider its members slow, send them fewer calls and queue more messages.
 func (r *activeFlow) flowEnd(status traffic.FlowStatus) traffic.FlowEnd {
 	return traffic.FlowEnd{ID: r.ID, Attempt: r.Attempt, Member: r.Member, Status: status,
-		Took: max(time.Since(r.Begun)-r.localWait, 0)}
+		Latency: max(time.Since(r.StartedAt)-r.localWait, 0)}
 }
 
 // run executes one flow and reports its end.
 func (g *Manager) run(ctx context.Context, r *activeFlow, l lease) {
-	r.localWait = time.Since(r.Begun)
+	r.localWait = time.Since(r.StartedAt)
 	end, statuses := g.attempt(ctx, r, l)
-	if g.cfg.OwnDelay != nil {
-		end.Took = max(end.Took-g.cfg.OwnDelay(), 0)
+	if g.cfg.LocalDelay != nil {
+		end.Latency = max(end.Latency-g.cfg.LocalDelay(), 0)
 	}
 	r.cancel()
 	g.mu.Lock()
@@ -276,12 +276,12 @@
 	for _, x := range r.All() {
 		delete(g.flows, flowID{x.ID, x.Attempt})
 	}
-	if (end.Status == traffic.TurnedAway || statuses != nil) && end.Wait > 0 {
+	if (end.Status == traffic.FlowRefused || statuses != nil) && end.RetryAfter > 0 {
 		// The wait takes effect here, before the relay learns of it: a call that is still connecting must not be written during the wait.
-		if until := time.Now().Add(end.Wait); until.After(g.retryAfter[r.Group]) {
+		if until := time.Now().Add(end.RetryAfter); until.After(g.retryAfter[r.Group]) {
 			g.retryAfter[r.Group] = until
-			if g.cfg.Shared != nil {
-				g.cfg.Shared.Tell(r.Group, until)
+			if g.cfg.SharedWaits != nil {
+				g.cfg.SharedWaits.Record(r.Group, until)
 			}
 		}
 	}
@@ -341,7 +341,7 @@
 		}
 	}
 	var call []byte
-	if len(r.With) == 0 {
+	if len(r.Bundled) == 0 {
 		call = appendCall(nil, &r.Flow, writeStart)
 	} else {
 		call = appendBatch(nil, &r.Flow, writeStart)
@@ -363,13 +363,13 @@
 	<-c.answered       // always closed in the end: close ends the reader, which closes the channel
 	result := c.result // read before finishCall returns the connection, because its next call clears the result
 	g.finishCall(c, c.endCall(stop()), time.Since(writeStart))
-	end := r.flowEnd(traffic.Broken)
+	end := r.flowEnd(traffic.ConnectionBroken)
 	if result.status != 0 {
 		end = result.applyTo(end)
 	} else if ctx.Err() == context.DeadlineExceeded {
-		end.Status = traffic.OutOfTime
+		end.Status = traffic.TimedOut
 	} else if ctx.Err() != nil {
-		end.Status = traffic.CalledOff
+		end.Status = traffic.Canceled
 	}
 	return end, result.statuses
 }
@@ -386,19 +386,19 @@
 // sharedWait returns the end of a flow whose group must wait because of a retry-after that the other process of a handover received.
 // The flow ends as turned away with that wait, so that the decision module respects the wait as if this process had received it.
 func (g *Manager) sharedWait(r *activeFlow) (traffic.FlowEnd, bool) {
-	if g.cfg.Shared == nil {
+	if g.cfg.SharedWaits == nil {
 		return traffic.FlowEnd{}, false
 	}
 	now := time.Now()
-	until := g.cfg.Shared.Until(r.Group, now)
+	until := g.cfg.SharedWaits.Until(r.Group, now)
 	g.mu.Lock()
 	ownWait := !until.After(g.retryAfter[r.Group])
 	g.mu.Unlock()
 	if until.IsZero() || ownWait {
 		return traffic.FlowEnd{}, false // no wait, or a wait of this process, which the decision module knows already
 	}
-	end := r.flowEnd(traffic.TurnedAway)
-	end.Wait = until.Sub(now)
+	end := r.flowEnd(traffic.FlowRefused)
+	end.RetryAfter = until.Sub(now)
 	return end, true
 }
 
--- a/internal/flow/flow_test.go
+++ b/internal/flow/flow_test.go
@@ -30,7 +30,7 @@
 		t.Fatal(err)
 	}
 	r := &harness{t: t, listener: ln, conns: make(chan net.Conn, 10), ends: make(chan traffic.FlowEnd, 10)}
-	r.manager = mustNew(New(Config{ConnectWithin: time.Minute, MostFlows: 2, Conns: connsConfig(2)}, func(e traffic.FlowEnd) { r.ends <- e }))
+	r.manager = mustNew(New(Config{ConnectTimeout: time.Minute, MaxCalls: 2, Conns: connsConfig(2)}, func(e traffic.FlowEnd) { r.ends <- e }))
 	go func() {
 		for {
 			nc, err := ln.Accept()
@@ -49,7 +49,7 @@
 // connsConfig returns a configuration with at most this many connections.
 func connsConfig(maxConns int) conns.Config {
 	c := conns.Defaults()
-	c.Most, c.IdleMost = maxConns, time.Minute
+	c.MaxConns, c.MaxIdle = maxConns, time.Minute
 	return c
 }
 
@@ -61,11 +61,11 @@
 }
 
 func (r *harness) setHealth(health traffic.Health) {
-	r.manager.Pool(traffic.PoolNews{Members: []traffic.Member{{Host: "m", Dial: r.listener.Addr().String(), Health: health}}})
+	r.manager.UpdatePool(traffic.PoolUpdate{Members: []traffic.Member{{Host: "m", Address: r.listener.Addr().String(), Health: health}}})
 }
 
 func (r *harness) startFlow(id string, change ...func(*traffic.Flow)) {
-	f := traffic.Flow{ID: id, Member: "m", Key: "k", Body: []byte("body"), Begun: time.Now(),
+	f := traffic.Flow{ID: id, Member: "m", Key: "k", Body: []byte("body"), StartedAt: time.Now(),
 		Deadline: time.Now().Add(time.Minute)}
 	for _, c := range change {
 		c(&f)
@@ -106,17 +106,17 @@
 	}{
 		{okAnswer, traffic.Delivered, 0},
 		{"HTTP/1.1 200 OK\r\n", traffic.Delivered, 0}, // the status line suffices, whatever happens to the rest
-		{"HTTP/1.1 20", traffic.Broken, 0},
+		{"HTTP/1.1 20", traffic.ConnectionBroken, 0},
 		{"HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n", traffic.Errored, 0},
-		{"HTTP/1.1 429 Wait\r\nX-Retry-In-Ms: 250\r\nContent-Length: 0\r\n\r\n", traffic.TurnedAway, 250 * time.Millisecond},
-		{"HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n", traffic.TurnedAway, 0},
+		{"HTTP/1.1 429 Wait\r\nX-Retry-In-Ms: 250\r\nContent-Length: 0\r\n\r\n", traffic.FlowRefused, 250 * time.Millisecond},
+		{"HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n", traffic.FlowRefused, 0},
 		{"HTTP/1.1 503 Full\r\nX-No-Slot: 1\r\nContent-Length: 0\r\n\r\n", traffic.NoSlot, 0},
-		{"HTTP/1.1 504 Spent\r\nContent-Length: 0\r\n\r\n", traffic.Spent, 0},
-		{"HTTP/1.1 410 Over\r\nContent-Length: 0\r\n\r\n", traffic.Over, 0},
-		{"HTTP/1.1 503 Full\r\nContent-Length: 9\r\n\r\nshort", traffic.Broken, 0}, // truncated: the call may have run
-		{"HTTP/1.1 429 Wait\r\nX-Retry-In-Ms: 9\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", traffic.Broken, 0},
-		{"", traffic.Broken, 0},
-		{"what is this\r\n", traffic.Broken, 0},
+		{"HTTP/1.1 504 Spent\r\nContent-Length: 0\r\n\r\n", traffic.AttemptsExhausted, 0},
+		{"HTTP/1.1 410 Over\r\nContent-Length: 0\r\n\r\n", traffic.AlreadyEnded, 0},
+		{"HTTP/1.1 503 Full\r\nContent-Length: 9\r\n\r\nshort", traffic.ConnectionBroken, 0}, // truncated: the call may have run
+		{"HTTP/1.1 429 Wait\r\nX-Retry-In-Ms: 9\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", traffic.ConnectionBroken, 0},
+		{"", traffic.ConnectionBroken, 0},
+		{"what is this\r\n", traffic.ConnectionBroken, 0},
 	} {
 		r := newHarness(t)
 		r.startFlow("a")
@@ -126,8 +126,8 @@
 			t.Fatal(err)
 		}
 		nc.Close()
-		if end := r.expectEnd("a", c.status); end.Wait != c.wait {
-			t.Errorf("%q: wait %v", c.answer, end.Wait)
+		if end := r.expectEnd("a", c.status); end.RetryAfter != c.wait {
+			t.Errorf("%q: wait %v", c.answer, end.RetryAfter)
 		}
 	}
 }
@@ -137,8 +137,8 @@
 func TestEndlessAnswerTimesOut(t *testing.T) {
 	for text, status := range map[string]traffic.FlowStatus{
 		"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nx": traffic.Delivered,
-		"HTTP/1.1 500 Error\r\nX-Head: goes on":                  traffic.Broken,
-		"noise":                                                  traffic.Broken,
+		"HTTP/1.1 500 Error\r\nX-Head: goes on":                  traffic.ConnectionBroken,
+		"noise":                                                  traffic.ConnectionBroken,
 		"HTTP/1.1 100 Continue\r\n\r\n":                          traffic.Errored,
 	} {
 		r := newHarness(t)
@@ -152,8 +152,8 @@
 			time.Sleep(answerTimeout + answerTimeout/2)
 			_, _ = nc.Write([]byte("HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n"))
 		}
-		if end := r.expectEnd("a", status); end.Took > 30*time.Second {
-			t.Errorf("answer %q: flow took %v", text, end.Took)
+		if end := r.expectEnd("a", status); end.Latency > 30*time.Second {
+			t.Errorf("answer %q: flow took %v", text, end.Latency)
 		}
 		if status != traffic.Errored {
 			r.startFlow("b")
@@ -166,7 +166,7 @@
 // moment before its next call, and is closed if any bytes arrive.
 func TestUnsolicitedBytesAfterAnswer(t *testing.T) {
 	r := newHarness(t)
-	r.manager.cfg.Settle = time.Hour
+	r.manager.cfg.SettleTime = time.Hour
 	r.startFlow("a")
 	nc := <-r.conns
 	r.readCall(nc)
@@ -205,7 +205,7 @@
 	if _, err := io.WriteString(nc, okAnswer); err != nil {
 		t.Fatal(err)
 	}
-	if rep := r.expectEnd("a", traffic.Delivered).Report; rep == nil || *rep != (traffic.Report{Left: 0.4, Limit: 25}) {
+	if rep := r.expectEnd("a", traffic.Delivered).Report; rep == nil || *rep != (traffic.Report{Remaining: 0.4, Limit: 25}) {
 		t.Errorf("report %+v", rep)
 	}
 }
@@ -238,7 +238,7 @@
 }
 
 func (r *harness) idleConns() int {
-	for _, s := range r.manager.Connections() {
+	for _, s := range r.manager.EndpointStates() {
 		return s.Idle
 	}
 	return 0
@@ -251,12 +251,12 @@
 	nc := <-r.conns
 	r.readCall(nc)
 	r.manager.Cancel("a", 0)
-	r.expectEnd("a", traffic.CalledOff)
+	r.expectEnd("a", traffic.Canceled)
 	if _, err := nc.Read(make([]byte, 1)); err != io.EOF {
 		t.Errorf("the connection is still open: %v", err)
 	}
 	r.startFlow("b", func(f *traffic.Flow) { f.Deadline = time.Now().Add(time.Second) })
-	r.expectEnd("b", traffic.OutOfTime)
+	r.expectEnd("b", traffic.TimedOut)
 }
 
 // No call is written to a leaving member, during a retry-after wait, or so late that a duplicate would not be recognized. A flow that gets
@@ -287,7 +287,7 @@
 	ended []traffic.FlowStatus
 }
 
-func (e *holdElsewhere) Tell(traffic.Group, time.Time)            {}
+func (e *holdElsewhere) Record(traffic.Group, time.Time)          {}
 func (e *holdElsewhere) Until(traffic.Group, time.Time) time.Time { return e.until }
 func (e *holdElsewhere) Held(traffic.Group, time.Time) bool       { return e.held }
 func (e *holdElsewhere) Ended(_ traffic.Flow, end traffic.FlowEnd) {
@@ -299,7 +299,7 @@
 func TestHoldElsewhereKeepsConnections(t *testing.T) {
 	r := newHarness(t)
 	others := &holdElsewhere{held: true}
-	r.manager.cfg.Shared, r.manager.cfg.Fleet = others, others
+	r.manager.cfg.SharedWaits, r.manager.cfg.Fleet = others, others
 	for range 3 { // one more than the member may have connections
 		r.startFlow("held")
 		r.expectEnd("held", traffic.Unsent)
@@ -307,7 +307,7 @@
 	others.held, others.until = false, time.Now().Add(time.Minute)
 	for i := range 3 {
 		r.startFlow("told", func(f *traffic.Flow) { f.Group.Destination = 1 + i })
-		r.expectEnd("told", traffic.TurnedAway)
+		r.expectEnd("told", traffic.FlowRefused)
 	}
 	others.until = time.Time{}
 	r.startFlow("a")
@@ -331,7 +331,7 @@
 	r.startFlow("c")
 	r.expectEnd("c", traffic.NoSlot)
 	r.manager.Cancel("a", 0)
-	r.expectEnd("a", traffic.CalledOff)
+	r.expectEnd("a", traffic.Canceled)
 	r.listener.Close()
 	r.startFlow("d")
 	r.expectEnd("d", traffic.NotConnected)
@@ -340,9 +340,9 @@
 func TestDecodeAnswerGarbage(t *testing.T) {
 	proptest.Check(t, func(t *rapid.T) {
 		var resp http1.Response
-		_, _ = resp.Feed(proptest.Garbage(t, []byte(okAnswer)))
+		_, _ = resp.Feed(proptest.Malformed(t, []byte(okAnswer)))
 		a := decodeAnswer(&resp, false)
-		if rep := a.report; rep != nil && !(rep.Left >= 0 && rep.Limit >= 0) || a.retryAfter < 0 {
+		if rep := a.report; rep != nil && !(rep.Remaining >= 0 && rep.Limit >= 0) || a.retryAfter < 0 {
 			t.Fatalf("%+v", a)
 		}
 	})
@@ -368,26 +368,26 @@
 // Delay inside the relay, before the goroutine of a flow runs and before an answer is handled, does not count as time of the pool member.
 func TestOwnDelayNotCounted(t *testing.T) {
 	r := newHarness(t)
-	r.manager.cfg.OwnDelay = func() time.Duration { return 40 * time.Second }
-	r.startFlow("a", func(f *traffic.Flow) { f.Begun = time.Now().Add(-20 * time.Second) })
+	r.manager.cfg.LocalDelay = func() time.Duration { return 40 * time.Second }
+	r.startFlow("a", func(f *traffic.Flow) { f.StartedAt = time.Now().Add(-20 * time.Second) })
 	nc := <-r.conns
 	r.readCall(nc)
 	time.Sleep(10 * time.Millisecond)
 	if _, err := io.WriteString(nc, okAnswer); err != nil {
 		t.Fatal(err)
 	}
-	if end := r.expectEnd("a", traffic.Delivered); end.Took != 0 {
-		t.Errorf("took %v", end.Took)
+	if end := r.expectEnd("a", traffic.Delivered); end.Latency != 0 {
+		t.Errorf("took %v", end.Latency)
 	}
-	r.manager.cfg.OwnDelay = nil
-	r.startFlow("b", func(f *traffic.Flow) { f.Begun = time.Now().Add(-20 * time.Second) })
+	r.manager.cfg.LocalDelay = nil
+	r.startFlow("b", func(f *traffic.Flow) { f.StartedAt = time.Now().Add(-20 * time.Second) })
 	r.readCall(nc)
 	time.Sleep(10 * time.Millisecond)
 	if _, err := io.WriteString(nc, okAnswer); err != nil {
 		t.Fatal(err)
 	}
-	if end := r.expectEnd("b", traffic.Delivered); end.Took < 10*time.Millisecond || end.Took > 15*time.Second {
-		t.Errorf("took %v", end.Took)
+	if end := r.expectEnd("b", traffic.Delivered); end.Latency < 10*time.Millisecond || end.Latency > 15*time.Second {
+		t.Errorf("took %v", end.Latency)
 	}
 }
 
@@ -408,7 +408,7 @@
 	if idle() != 1 {
 		t.Fatalf("%d idle connections, want 1", idle())
 	}
-	r.manager.FreeIdle(true)
+	r.manager.SetCloseIdle(true)
 	if idle() != 0 {
 		t.Errorf("%d idle connections while memory is short", idle())
 	}
@@ -417,7 +417,7 @@
 	if idle() != 0 {
 		t.Errorf("%d connections kept idle while memory is short", idle())
 	}
-	r.manager.FreeIdle(false)
+	r.manager.SetCloseIdle(false)
 	r.startFlow("c")
 	deliver("c", <-r.conns)
 	if idle() != 1 {
--- a/internal/flow/handshake_queue.go
+++ b/internal/flow/handshake_queue.go
@@ -14,7 +14,7 @@
 	programLoad func() float64 // load of this program; nil if unknown
 
 	mu      sync.Mutex
-	gate    *tlspolicy.Gate
+	gate    *tlspolicy.HandshakeGate
 	origin  time.Time
 	lastID  uint64
 	waiters map[uint64]chan grant
@@ -27,8 +27,8 @@
 	c        *conn
 }
 
-func newHandshakeQueue(cfg tlspolicy.GateConfig, busy func() float64) *handshakeQueue {
-	return &handshakeQueue{programLoad: busy, gate: tlspolicy.NewGate(cfg), origin: time.Now(), waiters: map[uint64]chan grant{}}
+func newHandshakeQueue(cfg tlspolicy.HandshakeConfig, busy func() float64) *handshakeQueue {
+	return &handshakeQueue{programLoad: busy, gate: tlspolicy.NewHandshakeGate(cfg), origin: time.Now(), waiters: map[uint64]chan grant{}}
 }
 
 // wait waits for a grant until the deadline or the end of ctx. An admitted handshake must be ended with handshakeDone. A granted
@@ -39,7 +39,7 @@
 	o.lastID++
 	id := o.lastID
 	o.waiters[id] = granted
-	o.gate.Add(tlspolicy.Ask{ID: id, Endpoint: host, Worth: worth, Deadline: deadline.Sub(o.origin)})
+	o.gate.Add(tlspolicy.ConnectionRequest{ID: id, Endpoint: host, Worth: worth, Deadline: deadline.Sub(o.origin)})
 	o.dispatch()
 	o.mu.Unlock()
 	select {
@@ -53,7 +53,7 @@
 	case g := <-granted: // granted at the same moment
 		return g
 	default:
-		o.gate.Drop(id)
+		o.gate.Remove(id)
 		delete(o.waiters, id)
 		return grant{}
 	}
@@ -62,7 +62,7 @@
 // dispatch admits the handshakes that may start now and ends expired waits. The caller holds o.mu.
 func (o *handshakeQueue) dispatch() {
 	if o.programLoad != nil {
-		o.gate.Load(o.programLoad())
+		o.gate.SetLoad(o.programLoad())
 	}
 	admitted, expired, retryIn := o.gate.Next(time.Since(o.origin))
 	for _, id := range admitted {
@@ -101,7 +101,7 @@
 func (o *handshakeQueue) offerIdle(host string, c *conn) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	id, ok := o.gate.Freed(host)
+	id, ok := o.gate.AssignIdle(host)
 	if ok {
 		o.resolve(id, grant{c: c})
 	}
@@ -109,7 +109,7 @@
 }
 
 // counters returns the counters of the gate and the number of waiting flows.
-func (o *handshakeQueue) counters() (tlspolicy.GateCounters, int) {
+func (o *handshakeQueue) counters() (tlspolicy.HandshakeCounters, int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.gate.Counters(), o.gate.Waiting()
@@ -119,5 +119,5 @@
 func (o *handshakeQueue) hasWaiters(host string) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.gate.WaitingAt(host) > 0
+	return o.gate.WaitingFor(host) > 0
 }
--- a/internal/flow/http1/http1.go
+++ b/internal/flow/http1/http1.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	// MaxHead bounds the bytes of the status line and the headers of a response, including interim responses.
-	MaxHead = 16 << 10
+	// MaxHeadBytes bounds the bytes of the status line and the headers of a response, including interim responses.
+	MaxHeadBytes = 16 << 10
 	// MaxDiscardBytes bounds a body that is discarded. A longer body is an error, so the connection is not reused.
 	MaxDiscardBytes = 256 << 10
 )
@@ -100,7 +100,7 @@
 				part = part[:end+1]
 			}
 			n += len(part)
-			if r.headBytes += len(part); r.headBytes > MaxHead {
+			if r.headBytes += len(part); r.headBytes > MaxHeadBytes {
 				r.err = errors.New("http1: response head too long")
 				break
 			}
--- a/internal/flow/http1/http1_test.go
+++ b/internal/flow/http1/http1_test.go
@@ -29,7 +29,7 @@
 	proptest.Check(t, func(t *rapid.T) {
 		a := rapid.SampledFrom(responses).Draw(t, "answer")
 		r := Response{MaxBodyBytes: 100}
-		for _, piece := range proptest.Pieces(t, []byte(a.text)) {
+		for _, piece := range proptest.Split(t, []byte(a.text)) {
 			if n, err := r.Feed(piece); err != nil || n != len(piece) {
 				t.Fatalf("Feed(%q) = %d, %v", piece, n, err)
 			}
@@ -43,8 +43,8 @@
 func TestGarbageEndsInErrorOrResponse(t *testing.T) {
 	proptest.Check(t, func(t *rapid.T) {
 		r := Response{MaxBodyBytes: 100}
-		text := proptest.Garbage(t, []byte(rapid.SampledFrom(responses).Draw(t, "answer").text))
-		for _, piece := range proptest.Pieces(t, text) {
+		text := proptest.Malformed(t, []byte(rapid.SampledFrom(responses).Draw(t, "answer").text))
+		for _, piece := range proptest.Split(t, text) {
 			n, err := r.Feed(piece)
 			if n > len(piece) || err == nil && n < len(piece) && !r.Done() {
 				t.Fatalf("Feed took %d of %d, %v", n, len(piece), err)
@@ -60,7 +60,7 @@
 func TestHeadIsBounded(t *testing.T) {
 	var r Response
 	line := []byte("HTTP/1.1 200 OK\r\n")
-	for n := 0; n <= MaxHead; n += len(line) {
+	for n := 0; n <= MaxHeadBytes; n += len(line) {
 		if _, err := r.Feed(line); err != nil {
 			return
 		}
--- a/internal/flow/tls_test.go
+++ b/internal/flow/tls_test.go
@@ -86,14 +86,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	cfg.ConnectWithin, cfg.Secure = 30*time.Second, s.secure
+	cfg.ConnectTimeout, cfg.TLS = 30*time.Second, s.secure
 	s.manager = mustNew(New(cfg, func(e traffic.FlowEnd) { s.ends <- e }))
-	s.manager.Pool(traffic.PoolNews{Members: []traffic.Member{{Host: "m", Dial: s.listener.Addr().String(), Destination: 7}}})
+	s.manager.UpdatePool(traffic.PoolUpdate{Members: []traffic.Member{{Host: "m", Address: s.listener.Addr().String(), Destination: 7}}})
 	return s
 }
 
 func (s *tlsHarness) startFlow(id string, worth float64) {
-	s.manager.Start(traffic.Flow{ID: id, Member: "m", Worth: worth, Body: []byte("body"), Begun: time.Now(), Deadline: time.Now().Add(time.Minute)})
+	s.manager.Start(traffic.Flow{ID: id, Member: "m", Worth: worth, Body: []byte("body"), StartedAt: time.Now(), Deadline: time.Now().Add(time.Minute)})
 }
 
 func (s *tlsHarness) expectEnd(t *testing.T, status traffic.FlowStatus) traffic.FlowEnd {
@@ -105,12 +105,12 @@
 	return end
 }
 
-var gateConfig = tlspolicy.GateConfig{Share: 1, Least: 1000, PerEndpoint: 2, Cost: time.Millisecond, Burst: time.Second}
+var gateConfig = tlspolicy.HandshakeConfig{CoreShare: 1, MinPerSecond: 1000, MaxPerEndpoint: 2, InitialCost: time.Millisecond, Burst: time.Second}
 
 // Calls use TLS and reuse their connection. After a change of the trusted roots, an idle connection is closed and the next call opens a
 // new one.
 func TestCallsOverTLS(t *testing.T) {
-	s := newTLSHarness(t, Config{MostFlows: 10, Conns: connsConfig(10), Gate: gateConfig}, 0)
+	s := newTLSHarness(t, Config{MaxCalls: 10, Conns: connsConfig(10), HandshakeGate: gateConfig}, 0)
 	for i := range 3 {
 		s.startFlow(fmt.Sprint(i), 1)
 		s.expectEnd(t, traffic.Delivered)
@@ -144,7 +144,7 @@
 
 // Every call is delivered while the trusted roots change a thousand times under load.
 func TestCertificateChangesUnderLoad(t *testing.T) {
-	s := newTLSHarness(t, Config{MostFlows: 100, Conns: connsConfig(100), Gate: tlspolicy.GateConfig{Share: 1, Least: 1e5, PerEndpoint: 100, Cost: time.Millisecond,
+	s := newTLSHarness(t, Config{MaxCalls: 100, Conns: connsConfig(100), HandshakeGate: tlspolicy.HandshakeConfig{CoreShare: 1, MinPerSecond: 1e5, MaxPerEndpoint: 100, InitialCost: time.Millisecond,
 		Burst: time.Second}}, 0)
 	other, err := ca.Root("other", ca.P256)
 	if err != nil {
@@ -186,7 +186,7 @@
 // Many calls must be sent while there are no connections. A few handshakes suffice for the whole queue, and all calls are delivered, those
 // with the highest worth first.
 func TestHandshakeBurst(t *testing.T) {
-	s := newTLSHarness(t, Config{MostFlows: 600, Conns: connsConfig(600), Gate: gateConfig}, 0)
+	s := newTLSHarness(t, Config{MaxCalls: 600, Conns: connsConfig(600), HandshakeGate: gateConfig}, 0)
 	for i := range 500 {
 		s.startFlow(fmt.Sprint("low", i), 1)
 	}
@@ -205,7 +205,7 @@
 	if n := s.handshakes.Load(); n > 100 {
 		t.Errorf("%d handshakes for 520 calls", n)
 	}
-	if c, waiting := s.manager.Handshakes(); waiting != 0 || c.Carried == 0 || c.Begun != s.handshakes.Load() {
+	if c, waiting := s.manager.Handshakes(); waiting != 0 || c.Reused == 0 || c.Started != s.handshakes.Load() {
 		t.Errorf("%+v, %d flows wait", c, waiting)
 	}
 }
@@ -213,13 +213,13 @@
 // A flow whose handshake is not admitted in time ends unsent, which does not count as a failure of the member. A flow that is canceled
 // while it waits also ends unsent.
 func TestHandshakeNotAdmitted(t *testing.T) {
-	s := newTLSHarness(t, Config{MostFlows: 10, Conns: connsConfig(10), Gate: tlspolicy.GateConfig{Share: 1e-9, Least: 1e-9, PerEndpoint: 1, Cost: time.Second, Burst: time.Second}}, 0)
+	s := newTLSHarness(t, Config{MaxCalls: 10, Conns: connsConfig(10), HandshakeGate: tlspolicy.HandshakeConfig{CoreShare: 1e-9, MinPerSecond: 1e-9, MaxPerEndpoint: 1, InitialCost: time.Second, Burst: time.Second}}, 0)
 	s.startFlow("first", 1) // uses the initial handshake budget
 	s.expectEnd(t, traffic.Delivered)
 	(<-s.conns).Close()
-	s.manager.FreeIdle(true)
-	s.manager.FreeIdle(false)
-	s.manager.Start(traffic.Flow{ID: "held", Member: "m", Begun: time.Now(), Deadline: time.Now().Add(50 * time.Millisecond)})
+	s.manager.SetCloseIdle(true)
+	s.manager.SetCloseIdle(false)
+	s.manager.Start(traffic.Flow{ID: "held", Member: "m", StartedAt: time.Now(), Deadline: time.Now().Add(50 * time.Millisecond)})
 	s.expectEnd(t, traffic.Unsent)
 	s.startFlow("off", 1)
 	for _, n := s.manager.Handshakes(); n == 0; _, n = s.manager.Handshakes() {
@@ -235,9 +235,9 @@
 // failingSecure is a Secure whose handshakes fail.
 type failingSecure struct{}
 
-func (failingSecure) Wants(*traffic.Member) bool { return true }
-func (failingSecure) Fresh(net.Conn) bool        { return true }
-func (failingSecure) Client(_ context.Context, nc net.Conn, _ *traffic.Member) (net.Conn, time.Duration, error) {
+func (failingSecure) UsesTLS(*traffic.Member) bool { return true }
+func (failingSecure) Reusable(net.Conn) bool       { return true }
+func (failingSecure) Handshake(_ context.Context, nc net.Conn, _ *traffic.Member) (net.Conn, time.Duration, error) {
 	nc.Close()
 	return nil, 0, errors.New("no")
 }
@@ -245,7 +245,7 @@
 // A failed handshake ends the flow as not connected, and releases its connection and its flow entry.
 func TestFailedHandshake(t *testing.T) {
 	r := newHarness(t)
-	r.manager.cfg.Secure, r.manager.handshakes = failingSecure{}, newHandshakeQueue(gateConfig, nil)
+	r.manager.cfg.TLS, r.manager.handshakes = failingSecure{}, newHandshakeQueue(gateConfig, nil)
 	for i := range 5 {
 		r.startFlow(fmt.Sprint(i))
 		r.expectEnd(fmt.Sprint(i), traffic.NotConnected)
--- a/internal/flow/unread_answers_test.go
+++ b/internal/flow/unread_answers_test.go
@@ -56,7 +56,7 @@
 		end := <-r.ends
 		ends[end.ID] = end
 	}
-	if end := ends["a"]; end.Status != traffic.TurnedAway || end.Wait != 900*time.Millisecond {
+	if end := ends["a"]; end.Status != traffic.FlowRefused || end.RetryAfter != 900*time.Millisecond {
 		t.Errorf("%+v", end)
 	}
 	if end := ends["b"]; end.Status != traffic.Unsent {
--- a/internal/front/admission_test.go
+++ b/internal/front/admission_test.go
@@ -45,7 +45,7 @@
 			return bytes.Contains(fields, []byte("t=out"))
 		}
 		var passed []byte
-		for _, piece := range proptest.Pieces(t, text) {
+		for _, piece := range proptest.Split(t, text) {
 			count, err := g.Feed(piece)
 			if err != nil {
 				t.Fatal(err)
@@ -74,7 +74,7 @@
 func TestGuardSurvivesGarbageWhenRefusing(t *testing.T) {
 	proptest.Check(t, func(t *rapid.T) {
 		g := guard{decide: func([]byte, int) bool { return true }}
-		for _, piece := range proptest.Pieces(t, proptest.Garbage(t, bytes.Repeat(putCommand, 3))) {
+		for _, piece := range proptest.Split(t, proptest.Malformed(t, bytes.Repeat(putCommand, 3))) {
 			passed, err := g.Feed(piece)
 			if passed > len(piece) {
 				t.Fatalf("%d bytes of %d passed on", passed, len(piece))
@@ -112,16 +112,16 @@
 	readPause    time.Duration
 }
 
-func (g *sizeLimiter) Admit(h overload.HandIn) overload.Ruling {
+func (g *sizeLimiter) Admit(h overload.Submission) overload.Decision {
 	g.decisions.Add(1)
-	return overload.Ruling{Refused: h.Size > g.maxBodyBytes, RetryIn: 70 * time.Millisecond}
+	return overload.Decision{Refused: h.BodyBytes > g.maxBodyBytes, RetryIn: 70 * time.Millisecond}
 }
-func (g *sizeLimiter) Pace() time.Duration { return g.readPause }
+func (g *sizeLimiter) ReadPause() time.Duration { return g.readPause }
 
 // acceptingRelay accepts every submission and counts them.
 type acceptingRelay struct{ n atomic.Int64 }
 
-func (a *acceptingRelay) Put(traffic.Transaction, time.Time) <-chan traffic.Answer {
+func (a *acceptingRelay) Submit(traffic.Transaction, time.Time) <-chan traffic.Answer {
 	a.n.Add(1)
 	c := make(chan traffic.Answer, 1)
 	c <- traffic.Answer{Verdict: traffic.Accepted}
--- a/internal/front/client.go
+++ b/internal/front/client.go
@@ -227,7 +227,7 @@
 // commandDecision is the decision on a submission, with the number of its command on the connection.
 type commandDecision struct {
 	command int
-	overload.Ruling
+	overload.Decision
 }
 
 // decide asks admission about a submission of which everything but the body has arrived. If its fields cannot be read, the decision
@@ -243,14 +243,14 @@
 }
 
 // takeDecision returns the decision on the given command and removes it from the list, if there is one.
-func (c *client) takeDecision(command int) (overload.Ruling, bool) {
+func (c *client) takeDecision(command int) (overload.Decision, bool) {
 	for len(c.decisions) > 0 && c.decisions[0].command < command {
 		c.decisions = c.decisions[1:]
 	}
 	if len(c.decisions) == 0 || c.decisions[0].command != command {
-		return overload.Ruling{}, false
+		return overload.Decision{}, false
 	}
-	r := c.decisions[0].Ruling
+	r := c.decisions[0].Decision
 	if c.decisions = c.decisions[1:]; len(c.decisions) == 0 {
 		c.decisions = nil
 	}
@@ -330,7 +330,7 @@
 // no longer counts as one of the server's connections.
 func (c *client) linger(until time.Time) {
 	halfCloser, ok := c.Conn.(interface{ CloseWrite() error })
-	if n := c.server.lingering.Add(1); ok && (n <= int64(c.server.currentLimits().Clients/4) || c.server.draining.Load()) {
+	if n := c.server.lingering.Add(1); ok && (n <= int64(c.server.currentLimits().MaxConns/4) || c.server.draining.Load()) {
 		c.server.remove(c)
 		_ = halfCloser.CloseWrite()
 		_ = c.Conn.SetReadDeadline(until)
--- a/internal/front/command.go
+++ b/internal/front/command.go
@@ -62,7 +62,7 @@
 	}
 	t.ID, t.Body = string(args[2]), args[4]
 	if strings.Trim(string(args[1]), "0") != "" { // the key is all zeros in classes without ordering
-		t.Order = string(args[1])
+		t.OrderKey = string(args[1])
 	}
 	if !isPrintable(t.ID) {
 		return t, fmt.Errorf("not an id: %.40q", t.ID)
@@ -80,7 +80,7 @@
 		case "t":
 			t.Tenant = value
 		case "k":
-			if t.Key = value; !isPrintable(value) {
+			if t.IdempotencyKey = value; !isPrintable(value) {
 				err = fmt.Errorf("not a key: %.40q", value)
 			}
 		case "d":
@@ -101,9 +101,9 @@
 		return t, fmt.Errorf("unknown class %.40q", t.Class)
 	case leftMillis == 0 || dest < 0:
 		return t, errors.New("d or dest is missing")
-	case effect == dispatch.Keyed && t.Key == "":
+	case effect == dispatch.Keyed && t.IdempotencyKey == "":
 		return t, fmt.Errorf("class %q needs k", t.Class)
-	case len(t.Order) > 64:
+	case len(t.OrderKey) > 64:
 		return t, errors.New("key is too long")
 	case len(t.Tenant) > 64:
 		return t, errors.New("tenant is too long")
@@ -114,8 +114,8 @@
 
 // parseFields reads what admission needs from the fields of a submission. It returns false if the class is unknown or a value is
 // invalid: the complete command is then answered with an error.
-func (s *Server) parseFields(fields []byte, size int) (overload.HandIn, bool) {
-	submission := overload.HandIn{Size: size}
+func (s *Server) parseFields(fields []byte, size int) (overload.Submission, bool) {
+	submission := overload.Submission{BodyBytes: size}
 	for len(fields) > 0 {
 		pair := fields
 		if comma := bytes.IndexByte(fields, ','); comma >= 0 {
@@ -134,11 +134,11 @@
 			if err != nil || leftMillis <= 0 || leftMillis > maxTimeLeft.Milliseconds() {
 				return submission, false
 			}
-			submission.Left = time.Duration(leftMillis) * time.Millisecond
+			submission.TimeLeft = time.Duration(leftMillis) * time.Millisecond
 		}
 	}
 	_, known := s.classes[submission.Class]
-	return submission, known && submission.Left > 0 && size <= traffic.MaxBody
+	return submission, known && submission.TimeLeft > 0 && size <= traffic.MaxBody
 }
 
 // isPrintable reports whether s can be used in a header and a log line unchanged: 1 to 128 visible ASCII characters.
--- a/internal/front/connection_end_test.go
+++ b/internal/front/connection_end_test.go
@@ -57,7 +57,7 @@
 // countingRelay accepts every submission and counts them.
 type countingRelay struct{ n atomic.Int64 }
 
-func (r *countingRelay) Put(traffic.Transaction, time.Time) <-chan traffic.Answer {
+func (r *countingRelay) Submit(traffic.Transaction, time.Time) <-chan traffic.Answer {
 	r.n.Add(1)
 	c := make(chan traffic.Answer, 1)
 	c <- traffic.Answer{Verdict: traffic.Accepted}
@@ -75,14 +75,14 @@
 	}
 	listener := s.listener
 	go func() { _ = s.Serve() }()
-	t.Cleanup(func() { listener.Close(); s.End() })
+	t.Cleanup(func() { listener.Close(); s.Shutdown() })
 	return s, r
 }
 
 // endConnections holds the ways in which the server ends a connection.
 var endConnections = map[string]func(s *Server){
 	"drain": (*Server).Drain,
-	"end":   (*Server).End,
+	"end":   (*Server).Shutdown,
 	"sweep": func(s *Server) {
 		for _, c := range s.clients() {
 			c.sweep(time.Now().Add(time.Hour))
@@ -207,7 +207,7 @@
 					_, _ = nc.Write(putCommand[cut:])
 					want, submissions = "+OK", 1
 				} else {
-					s.End()
+					s.Shutdown()
 				}
 				if got, err := rd.ReadString('\n'); strings.TrimSpace(got) != want || r.n.Load() != submissions {
 					t.Errorf("cut at %d, complete %v: %q, %v; %d submissions", cut, complete, got, err, r.n.Load())
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -25,14 +25,14 @@
 
 // Relay takes the transactions that clients submit. Any protocol's server can use it.
 type Relay interface {
-	Put(t traffic.Transaction, received time.Time) <-chan traffic.Answer
+	Submit(t traffic.Transaction, received time.Time) <-chan traffic.Answer
 }
 
 // Admission decides on submissions before they reach the relay. Pace returns how long reading from a connection pauses after a
 // refusal.
 type Admission interface {
-	Admit(overload.HandIn) overload.Ruling
-	Pace() time.Duration
+	Admit(overload.Submission) overload.Decision
+	ReadPause() time.Duration
 }
 
 // Counters holds counts since the start.
@@ -71,9 +71,9 @@
 
 // Limits bounds what a server holds.
 type Limits struct {
-	Clients  int   // maximum number of connections
-	Used     int   // connections that have sent a command; above this number, idle ones are closed to make room for new ones
-	Buffered int64 // bytes of memory for commands over smallCommandBytes, over all connections
+	MaxConns         int   // maximum number of connections
+	MaxUsedConns     int   // connections that have sent a command; above this number, idle ones are closed to make room for new ones
+	MaxBufferedBytes int64 // bytes of memory for commands over smallCommandBytes, over all connections
 }
 
 // Listen opens a virtual server with the given limits. Admission may be nil.
@@ -92,8 +92,8 @@
 	return s, nil
 }
 
-// Limit changes the limits. Connections and memory already in use stay.
-func (s *Server) Limit(limits Limits) {
+// SetLimits changes the limits. Connections and memory already in use stay.
+func (s *Server) SetLimits(limits Limits) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.limits = limits
@@ -132,15 +132,15 @@
 	}
 }
 
-// End drains the server and also refuses unfinished commands instead of waiting for the rest of them.
-func (s *Server) End() {
+// Shutdown drains the server and also refuses unfinished commands instead of waiting for the rest of them.
+func (s *Server) Shutdown() {
 	s.refuseUnfinished.Store(true)
 	s.Drain()
 }
 
-// Drained waits until every client has its answer and no input is being discarded any more. It returns false if the deadline passes
+// WaitDrained waits until every client has its answer and no input is being discarded any more. It returns false if the deadline passes
 // first.
-func (s *Server) Drained(deadline time.Time) bool {
+func (s *Server) WaitDrained(deadline time.Time) bool {
 	for len(s.clients()) > 0 || s.lingering.Load() > 0 {
 		if time.Now().After(deadline) {
 			return false
@@ -162,22 +162,22 @@
 		s.badFrames.Load(), s.shed.Load(), s.shedUnread.Load(), s.pausedReads.Load()}
 }
 
-// FreeIdle sets whether connections are closed after the short idle time for low memory.
-func (s *Server) FreeIdle(on bool) { s.closeIdle.Store(on) }
+// SetCloseIdle sets whether connections are closed after the short idle time for low memory.
+func (s *Server) SetCloseIdle(on bool) { s.closeIdle.Store(on) }
 
-// Handing returns the number of open connections.
-func (s *Server) Handing() int {
+// ConnectionCount returns the number of open connections.
+func (s *Server) ConnectionCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns)
 }
 
 // refuse answers a submission that is not admitted. Reading from its connection then pauses if admission asks for that.
-func (s *Server) refuse(conn redcon.Conn, c *client, r overload.Ruling) {
+func (s *Server) refuse(conn redcon.Conn, c *client, r overload.Decision) {
 	s.shed.Add(1)
 	writeAnswer(conn, traffic.Answer{Verdict: traffic.Busy, RetryIn: r.RetryIn})
 	if c != nil {
-		if c.readPause = s.admission.Pace(); c.readPause > 0 {
+		if c.readPause = s.admission.ReadPause(); c.readPause > 0 {
 			s.pausedReads.Add(1)
 		}
 	}
@@ -190,7 +190,7 @@
 	if ok {
 		c.answered++ // here, in the reading goroutine, before the answer is written
 	}
-	decision, decided := overload.Ruling{}, false
+	decision, decided := overload.Decision{}, false
 	if ok && s.admission != nil {
 		if decision, decided = c.takeDecision(c.answered - 1); decision.Refused { // the guard removed its body
 			s.shedUnread.Add(1)
@@ -218,8 +218,8 @@
 			c.markSubmission()
 		}
 		if transaction := &cmd.Transaction; s.admission != nil && !decided {
-			if decision = s.admission.Admit(overload.HandIn{Class: transaction.Class, Tenant: transaction.Tenant, Size: len(transaction.Body),
-				Left: transaction.Deadline.Sub(received)}); decision.Refused {
+			if decision = s.admission.Admit(overload.Submission{Class: transaction.Class, Tenant: transaction.Tenant, BodyBytes: len(transaction.Body),
+				TimeLeft: transaction.Deadline.Sub(received)}); decision.Refused {
 				if n := s.shedBy[transaction.Class]; n != nil { // Parse accepts only the classes of the settings
 					n.Add(1)
 				}
@@ -227,7 +227,7 @@
 				return
 			}
 		}
-		writeAnswer(conn, <-s.relay.Put(cmd.Transaction, received))
+		writeAnswer(conn, <-s.relay.Submit(cmd.Transaction, received))
 	case Unknown:
 		s.badCommands.Add(1)
 		slog.Warn("bad command", "client", conn.RemoteAddr(), "err", "unknown command", "name", cmd.Name)
@@ -261,7 +261,7 @@
 		nc, err := l.Listener.Accept()
 		if err != nil {
 			if errors.Is(err, net.ErrClosed) {
-				l.server.Drained(time.Now().Add(time.Hour)) // redcon closes all connections once Accept fails
+				l.server.WaitDrained(time.Now().Add(time.Hour)) // redcon closes all connections once Accept fails
 			} else {
 				slog.Error("accept failed", "err", err) // e.g. no file descriptors left; redcon would retry in a busy loop
 				time.Sleep(10 * time.Millisecond)
@@ -294,13 +294,13 @@
 func (s *Server) add(c *client) bool {
 	for {
 		s.mu.Lock()
-		full := len(s.conns) >= s.limits.Clients
+		full := len(s.conns) >= s.limits.MaxConns
 		var victim *client
-		if full || len(s.conns) >= s.limits.Used {
+		if full || len(s.conns) >= s.limits.MaxUsedConns {
 			candidate, usedCandidate, usedCount := s.evictionCandidates()
 			if victim = usedCandidate; full {
 				victim = candidate
-			} else if usedCount < s.limits.Used {
+			} else if usedCount < s.limits.MaxUsedConns {
 				victim = nil
 			}
 		}
@@ -359,7 +359,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	extra := commandMemoryFactor*bytes - c.reservedBytes
-	if extra > 0 && s.reservedBytes+extra > s.limits.Buffered {
+	if extra > 0 && s.reservedBytes+extra > s.limits.MaxBufferedBytes {
 		return false
 	}
 	if extra > 0 && s.conns[c] {
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -32,7 +32,7 @@
 	text := bytes.Join([][]byte{putCommand, []byte("PING\r\n"), encodeCommand("PING", ""), putCommand}, nil)
 	proptest.Check(t, func(t *rapid.T) {
 		var g guard
-		for _, piece := range proptest.Pieces(t, text) {
+		for _, piece := range proptest.Split(t, text) {
 			if n, err := g.Feed(piece); err != nil || n != len(piece) {
 				t.Fatalf("Feed(%q) = %d, %v", piece, n, err)
 			}
@@ -51,7 +51,7 @@
 	classes := map[string]dispatch.Effect{"pay": dispatch.Keyed}
 	proptest.Check(t, func(t *rapid.T) {
 		var g guard
-		text := proptest.Garbage(t, putCommand)
+		text := proptest.Malformed(t, putCommand)
 		n, _ := g.Feed(text)
 		rd, handled := redcon.NewReader(bytes.NewReader(text[:n])), 0
 		for cmd, err := rd.ReadCommand(); err == nil; cmd, err = rd.ReadCommand() {
@@ -87,7 +87,7 @@
 		t.Fatal(err)
 	}
 	got := c.(Put).Transaction
-	if got.ID != "id1" || got.Class != "pay" || got.Tenant != "acme" || got.Key != "5c0f" || got.Destination != 7 ||
+	if got.ID != "id1" || got.Class != "pay" || got.Tenant != "acme" || got.IdempotencyKey != "5c0f" || got.Destination != 7 ||
 		!got.Deadline.Equal(at.Add(8*time.Second)) || string(got.Body) != "b" {
 		t.Errorf("%+v", got)
 	}
@@ -107,7 +107,7 @@
 // fixedRelay gives every submission the same answer.
 type fixedRelay traffic.Answer
 
-func (f fixedRelay) Put(traffic.Transaction, time.Time) <-chan traffic.Answer {
+func (f fixedRelay) Submit(traffic.Transaction, time.Time) <-chan traffic.Answer {
 	c := make(chan traffic.Answer, 1)
 	c <- traffic.Answer(f)
 	return c
@@ -164,7 +164,7 @@
 // controlledRelay answers when the test sends it an answer.
 type controlledRelay chan traffic.Answer
 
-func (s controlledRelay) Put(traffic.Transaction, time.Time) <-chan traffic.Answer { return s }
+func (s controlledRelay) Submit(traffic.Transaction, time.Time) <-chan traffic.Answer { return s }
 
 // At a planned restart, a command that was read must be answered before its connection is closed. Otherwise the message would count
 // as lost.
@@ -186,7 +186,7 @@
 	if got := <-answered; got[0] != "+OK" || len(got) > 1 && got[1] != "" && got[1] != "+PONG" {
 		t.Errorf("%q", got)
 	}
-	if !s.Drained(time.Now().Add(time.Minute)) {
+	if !s.WaitDrained(time.Now().Add(time.Minute)) {
 		t.Error("a connection is left open")
 	}
 }
@@ -298,7 +298,7 @@
 // connection that has only sent PING is evicted first, then the one that has been idle longest.
 func TestIdleClientsAreEvictedAboveUsedLimit(t *testing.T) {
 	s := startServer(t, 100, traffic.Answer{})
-	s.Limit(Limits{100, 4, 1 << 20})
+	s.SetLimits(Limits{100, 4, 1 << 20})
 	var kept []*bufio.Reader
 	for i, text := range []string{string(putCommand), string(putCommand), "PING\r\n", string(putCommand), string(putCommand), string(putCommand)} {
 		_, rd := dialAndSend(t, s, text)
--- a/internal/gateway/fleet_configuration.go
+++ b/internal/gateway/fleet_configuration.go
@@ -43,12 +43,12 @@
 	setFloat := func(to *float64) func(float64) { return func(x float64) { *to = x } }
 	setInt := func(to *int) func(float64) { return func(x float64) { *to = int(x) } }
 	errs := applyNumbers("fleet.configuration", []numberField{
-		{"exchange_ms", p.ExchangeMs, 100, 60_000, setMillis(&r.Exchange)},
+		{"exchange_ms", p.ExchangeMs, 100, 60_000, setMillis(&r.ExchangeInterval)},
 		{"bytes_per_s", p.BytesPerS, 2400, 1e9, setFloat(&r.BytesPerSecond)},
 		{"repair_bytes_per_s", p.RepairBytesPerS, 64, 1e9, setFloat(&r.RepairBytesPerSecond)},
 		{"fan_out", toFloat(p.FanOut), 2, 64, setInt(&r.FanOut)},
 		{"ack_timeout_ms", p.AckTimeoutMs, 10, 10_000, setMillis(&r.AckTimeout)},
-		{"attempts", toFloat(p.Attempts), 1, 16, setInt(&r.Attempts)},
+		{"attempts", toFloat(p.Attempts), 1, 16, setInt(&r.MaxAttempts)},
 		{"max_entries", toFloat(p.MaxEntries), 1, 100_000, setInt(&c.MaxEntries)},
 	})
 	if len(errs) == 0 && r.RepairBytesPerSecond > r.BytesPerSecond {
--- a/internal/gateway/fleet_configuration_test.go
+++ b/internal/gateway/fleet_configuration_test.go
@@ -25,8 +25,8 @@
 		t.Errorf("%+v", got)
 	}
 	r := got.Replication
-	if r.Exchange != 250*time.Millisecond || r.BytesPerSecond != 5000 || r.RepairBytesPerSecond != 600 || r.FanOut != 3 ||
-		r.AckTimeout != 70500*time.Microsecond || r.Attempts != 5 {
+	if r.ExchangeInterval != 250*time.Millisecond || r.BytesPerSecond != 5000 || r.RepairBytesPerSecond != 600 || r.FanOut != 3 ||
+		r.AckTimeout != 70500*time.Microsecond || r.MaxAttempts != 5 {
 		t.Errorf("%+v", r)
 	}
 }
@@ -39,9 +39,9 @@
 			t.Fatal(err)
 		}
 		got, want := c.Fleet.Configuration, configsync.Defaults()
-		if got.Enabled || got.MaxEntries != 4096 || got.Replication.Exchange != want.Exchange || got.Replication.BytesPerSecond != want.BytesPerSecond ||
+		if got.Enabled || got.MaxEntries != 4096 || got.Replication.ExchangeInterval != want.ExchangeInterval || got.Replication.BytesPerSecond != want.BytesPerSecond ||
 			got.Replication.RepairBytesPerSecond != want.RepairBytesPerSecond || got.Replication.FanOut != want.FanOut ||
-			got.Replication.AckTimeout != want.AckTimeout || got.Replication.Attempts != want.Attempts {
+			got.Replication.AckTimeout != want.AckTimeout || got.Replication.MaxAttempts != want.MaxAttempts {
 			t.Errorf("%s: %+v", name, got)
 		}
 	}
@@ -94,7 +94,7 @@
 		t.Fatal(err)
 	}
 	config := c.Fleet.Configuration.Replication
-	config.Self, config.Size = "a", func(*configsync.Message) int { return 100 }
+	config.Self, config.MessageBytes = "a", func(*configsync.Message) int { return 100 }
 	if _, err := configsync.NewReplica(config, 0, configsync.NewStore(configsync.NewKeyring(nil), 1)); err != nil {
 		t.Error(err)
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -59,7 +59,7 @@
 type TLS struct {
 	Policies   tlspolicy.Table
 	WatchFiles bool
-	Gate       tlspolicy.GateConfig
+	Gate       tlspolicy.HandshakeConfig
 }
 
 // Overload holds the settings of the relay's overload control.
@@ -90,7 +90,7 @@
 // Default returns the settings without a file.
 func Default() Config {
 	return Config{Overload: Overload{Brownout: true, Tick: 50 * time.Millisecond, Control: overload.Defaults()},
-		Log: Log{LinesPerSecond: 5}, TLS: TLS{WatchFiles: true, Gate: tlspolicy.GateDefaults()}, Conns: Conns{Keep: conns.Defaults(), HeldMost: 250 * time.Millisecond},
+		Log: Log{LinesPerSecond: 5}, TLS: TLS{WatchFiles: true, Gate: tlspolicy.DefaultHandshakeConfig()}, Conns: Conns{Keep: conns.Defaults(), HeldMost: 250 * time.Millisecond},
 		Fleet: Fleet{Quorum: 2, ExchangeInterval: time.Second, BytesPerSecond: 4096, DivideLimits: true, Configuration: defaultConfiguration()}}
 }
 
@@ -154,13 +154,13 @@
 		{"target_busy", p.TargetBusy, 0.1, 1, setFloat(&c.TargetBusy)},
 		{"target_delay_ms", p.TargetDelayMs, 1, 300, setMillis(&c.TargetDelay)},
 		{"tick_ms", p.TickMs, 20, 500, setMillis(&o.Tick)},
-		{"confirm_ticks", toFloat(p.ConfirmTicks), 1, 100, setInt(&c.Confirm)},
-		{"least_rate", p.LeastRate, 0, 1e6, setFloat(&c.LeastRate)},
-		{"class_floor", p.ClassFloor, 0, 0.2, setFloat(&c.Floor)},
-		{"body_work_bytes", toFloat(p.BodyWorkBytes), 64, 1e9, setInt(&c.BodyWork)},
+		{"confirm_ticks", toFloat(p.ConfirmTicks), 1, 100, setInt(&c.ConfirmTicks)},
+		{"least_rate", p.LeastRate, 0, 1e6, setFloat(&c.MinRate)},
+		{"class_floor", p.ClassFloor, 0, 0.2, setFloat(&c.ClassFloor)},
+		{"body_work_bytes", toFloat(p.BodyWorkBytes), 64, 1e9, setInt(&c.BodyWorkBytes)},
 		{"refusal_share", p.RefusalShare, 0.01, 0.9, setFloat(&c.RefusalShare)},
-		{"most_pace_ms", p.MostPaceMs, 0, 300, setMillis(&c.MostPace)},
-		{"retry_least_ms", p.RetryLeastMs, 1, 60_000, setMillis(&c.RetryLeast)},
+		{"most_pace_ms", p.MostPaceMs, 0, 300, setMillis(&c.MaxReadPause)},
+		{"retry_least_ms", p.RetryLeastMs, 1, 60_000, setMillis(&c.MinRetryIn)},
 		{"memory_high", p.MemoryHigh, 0.1, 1, setFloat(&c.MemoryHigh)},
 		{"memory_full", p.MemoryFull, 0.1, 1, setFloat(&c.MemoryFull)},
 	})
@@ -198,11 +198,11 @@
 	setDuration := func(to *time.Duration, unit time.Duration) func(float64) {
 		return func(x float64) { *to = time.Duration(x * float64(unit)) }
 	}
-	c.Keep.Ahead, c.LookUpNames = p.GetAhead(), p.GetLookUpNames()
+	c.Keep.Preconnect, c.LookUpNames = p.GetAhead(), p.GetLookUpNames()
 	list := []numberField{
 		{"max_age_s", p.MaxAgeS, 1, 1e6, setDuration(&c.Keep.MaxAge, time.Second)},
-		{"keep_s", p.KeepS, 0.1, 3600, setDuration(&c.Keep.Keep, time.Second)},
-		{"stale_share", p.StaleShare, 1e-5, 0.5, func(x float64) { c.Keep.StaleMost = x }},
+		{"keep_s", p.KeepS, 0.1, 3600, setDuration(&c.Keep.PeakHalfLife, time.Second)},
+		{"stale_share", p.StaleShare, 1e-5, 0.5, func(x float64) { c.Keep.MaxStaleShare = x }},
 		{"open_price", p.OpenPrice, 1e-4, 1, func(x float64) { c.Keep.OpenPrice = x * c.Keep.LossPrice }},
 		{"held_most_ms", p.HeldMostMs, 1, 10_000, setDuration(&c.HeldMost, time.Millisecond)},
 		{"stuck_after_ms", p.StuckAfterMs, 100, 60_000, setDuration(&c.StuckAfter, time.Millisecond)},
@@ -245,9 +245,9 @@
 		h = &gatewayv1.Handshakes{}
 	}
 	return errors.Join(append(errs, applyNumbers("tls.handshakes", []numberField{
-		{"core_share", h.CoreShare, 0.01, 1, func(x float64) { t.Gate.Share = x }},
-		{"least_per_second", h.LeastPerSecond, 0.1, 10_000, func(x float64) { t.Gate.Least = x }},
-		{"per_member", toFloat(h.PerMember), 1, 1000, func(x float64) { t.Gate.PerEndpoint = int(x) }},
+		{"core_share", h.CoreShare, 0.01, 1, func(x float64) { t.Gate.CoreShare = x }},
+		{"least_per_second", h.LeastPerSecond, 0.1, 10_000, func(x float64) { t.Gate.MinPerSecond = x }},
+		{"per_member", toFloat(h.PerMember), 1, 1000, func(x float64) { t.Gate.MaxPerEndpoint = int(x) }},
 	})...)...)
 }
 
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -43,8 +43,8 @@
 	}
 	o := c.Overload.Control
 	if !c.Overload.Enabled || c.Overload.Brownout || c.Overload.Tick != 20*time.Millisecond || o.TargetBusy != 0.8 ||
-		o.TargetDelay != 12500*time.Microsecond || o.Confirm != 2 || o.LeastRate != 10 || o.Floor != 0.05 || o.BodyWork != 4096 ||
-		o.RefusalShare != 0.3 || o.MostPace != 50*time.Millisecond || o.RetryLeast != 100*time.Millisecond || o.MemoryHigh != 0.7 ||
+		o.TargetDelay != 12500*time.Microsecond || o.ConfirmTicks != 2 || o.MinRate != 10 || o.ClassFloor != 0.05 || o.BodyWorkBytes != 4096 ||
+		o.RefusalShare != 0.3 || o.MaxReadPause != 50*time.Millisecond || o.MinRetryIn != 100*time.Millisecond || o.MemoryHigh != 0.7 ||
 		o.MemoryFull != 0.9 {
 		t.Errorf("%+v", c.Overload)
 	}
@@ -75,7 +75,7 @@
 	want := tlspolicy.Table{{Name: "in", Hosts: "10.*", Plain: true, MinVersion: tls.VersionTLS12, Sessions: 16}, {Name: "bank", Destinations: []int{7, 9},
 		Hosts: "*.bank.example.org", ServerName: "pay.bank.example.org", RootFiles: []string{"a.pem"}, RootDirs: []string{"roots"}, SystemRoots: true,
 		MinVersion: tls.VersionTLS13, Pins: []tlspolicy.Pin{{}, {1}}, Certificate: "c.pem", Key: "c.key", Sessions: 3}}
-	if !reflect.DeepEqual(c.TLS.Policies, want) || c.TLS.WatchFiles || c.TLS.Gate.Share != 0.5 || c.TLS.Gate.Least != 9 || c.TLS.Gate.PerEndpoint != 4 {
+	if !reflect.DeepEqual(c.TLS.Policies, want) || c.TLS.WatchFiles || c.TLS.Gate.CoreShare != 0.5 || c.TLS.Gate.MinPerSecond != 9 || c.TLS.Gate.MaxPerEndpoint != 4 {
 		t.Errorf("%+v", c.TLS)
 	}
 }
@@ -87,7 +87,7 @@
 		t.Fatal(err)
 	}
 	want := Default().Conns
-	want.Keep.MaxAge, want.Keep.Keep, want.Keep.Ahead, want.Keep.StaleMost, want.Keep.OpenPrice = 0, 2500*time.Millisecond, true, 0.01, 0.5
+	want.Keep.MaxAge, want.Keep.PeakHalfLife, want.Keep.Preconnect, want.Keep.MaxStaleShare, want.Keep.OpenPrice = 0, 2500*time.Millisecond, true, 0.01, 0.5
 	want.HeldMost, want.StuckAfter, want.LookUpNames = 7*time.Millisecond, 500*time.Millisecond, true
 	if c.Conns != want {
 		t.Errorf("%+v, want %+v", c.Conns, want)
@@ -187,7 +187,7 @@
 
 func TestParseSurvivesGarbage(t *testing.T) {
 	proptest.Check(t, func(t *rapid.T) {
-		text := proptest.Garbage(t, []byte(allFieldsText))
+		text := proptest.Malformed(t, []byte(allFieldsText))
 		if c, err := Parse("f", text); err == nil {
 			if err := c.Overload.Control.Check(); err != nil && !strings.Contains(err.Error(), "Classes") {
 				t.Fatalf("%q was accepted, but the overload settings are invalid: %v", text, err)
--- a/internal/governor/governor.go
+++ b/internal/governor/governor.go
@@ -21,39 +21,39 @@
 	// Read returns the measurements since the previous call.
 	Read(now time.Time) vitals.Reading
 	// Ping starts a probe that measures how long a reader waits for the processor. The next reading contains the result.
-	Ping()
+	SendProbe()
 }
 
 // Relay holds the open messages and processes them in steps.
 type Relay interface {
 	// Squeeze limits the number of open messages, and their bytes to the share openBytesScale of the usual limit. sizeWeight is
 	// the weight of a message's size in the choice of the messages to return.
-	Squeeze(messages int, sizeWeight, openBytesScale float64)
+	LimitOpen(messages int, sizeWeight, openBytesScale float64)
 	// Stretch sets the shortest time between two steps.
-	Stretch(minInterval time.Duration)
+	SetStepInterval(minInterval time.Duration)
 	// Load returns the current load of the relay.
 	Load() relay.Load
 }
 
 // Idler holds idle connections. While FreeIdle is on, it closes them.
-type Idler interface{ FreeIdle(on bool) }
+type Idler interface{ SetCloseIdle(on bool) }
 
 // Front serves the clients.
 type Front interface {
 	Idler
 	// Handing returns the number of client connections that currently carry submissions.
-	Handing() int
+	ConnectionCount() int
 }
 
 // Config configures a Governor.
 type Config struct {
-	Control  overload.Config
-	Tick     time.Duration
-	Brownout bool          // costly activities may be reduced
-	Step     time.Duration // usual shortest time between steps
-	Memory   int64         // bytes of memory that the process may use
-	Meters   Meters
-	Quiet    func(on bool) // suppresses log lines below warnings; may be nil
+	Control      overload.Config
+	Tick         time.Duration
+	Brownout     bool          // costly activities may be reduced
+	StepInterval time.Duration // usual shortest time between steps
+	MemoryLimit  int64         // bytes of memory that the process may use
+	Meters       Meters
+	SuppressLogs func(on bool) // suppresses log lines below warnings; may be nil
 }
 
 const (
@@ -114,16 +114,16 @@
 		return nil, err
 	}
 	g := &Governor{cfg: cfg, origin: time.Now(), controller: controller, gcPercent: defaultGCPercent, wake: make(chan struct{}, 1)}
-	g.memoryLimit.Store(cfg.Memory)
-	g.applied = applied{maxOpen: cfg.Control.OpenMost, openBytesScale: 1, stepInterval: cfg.Step}
+	g.memoryLimit.Store(cfg.MemoryLimit)
+	g.applied = applied{maxOpen: cfg.Control.MaxOpen, openBytesScale: 1, stepInterval: cfg.StepInterval}
 	return g, nil
 }
 
-// Limit changes the memory that the process may use, in bytes.
-func (g *Governor) Limit(memoryLimit int64) { g.memoryLimit.Store(memoryLimit) }
+// SetMemoryLimit changes the memory that the process may use, in bytes.
+func (g *Governor) SetMemoryLimit(memoryLimit int64) { g.memoryLimit.Store(memoryLimit) }
 
 // Admit decides on a submission. It is safe for concurrent use.
-func (g *Governor) Admit(h overload.HandIn) overload.Ruling {
+func (g *Governor) Admit(h overload.Submission) overload.Decision {
 	now := time.Since(g.origin)
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -137,8 +137,8 @@
 	return g.controller.Admit(now, h)
 }
 
-// Pace returns how long a connection is not read after a refusal.
-func (g *Governor) Pace() time.Duration { return time.Duration(g.readPause.Load()) }
+// ReadPause returns how long a connection is not read after a refusal.
+func (g *Governor) ReadPause() time.Duration { return time.Duration(g.readPause.Load()) }
 
 // Run ticks until ctx ends. It then restores the default garbage collection target and the log lines.
 func (g *Governor) Run(ctx context.Context, relay Relay, front Front, flows Idler) {
@@ -149,8 +149,8 @@
 		select {
 		case <-ctx.Done():
 			debug.SetGCPercent(defaultGCPercent)
-			if g.cfg.Quiet != nil {
-				g.cfg.Quiet(false)
+			if g.cfg.SuppressLogs != nil {
+				g.cfg.SuppressLogs(false)
 			}
 			return
 		case <-timer.C:
@@ -164,21 +164,21 @@
 // tick processes one tick. It returns the time until the next one.
 func (g *Governor) tick(now time.Time) time.Duration {
 	r := g.cfg.Meters.Read(now)
-	g.cfg.Meters.Ping()
+	g.cfg.Meters.SendProbe()
 	load := g.relay.Load()
-	s := overload.Sample{BusyShare: r.Busy, OpenBytesShare: load.Bytes, Open: load.Open, Waiting: load.Waiting, Clients: g.front.Handing(),
-		Ended: int(load.Ended - g.endedMessages), SchedulingShare: r.Section / r.Cores, Delay: max(r.Age-g.applied.stepInterval, 0)}
+	s := overload.Sample{BusyShare: r.BusyShare, OpenBytesShare: load.Bytes, Open: load.Open, Waiting: load.Waiting, Clients: g.front.ConnectionCount(),
+		Ended: int(load.Ended - g.endedMessages), SchedulingShare: r.SectionCores / r.Cores, Delay: max(r.SubmissionAge-g.applied.stepInterval, 0)}
 	g.endedMessages = load.Ended
 	// The step interval is subtracted from Age because a submission waits up to that long for its step without any queue. The
 	// probe waits only for the processor, so nothing is subtracted from it.
-	s.Delay = max(s.Delay, r.Probe)
+	s.Delay = max(s.Delay, r.ProbeWait)
 	if limit := g.memoryLimit.Load(); limit > 0 {
-		s.MemoryShare = float64(r.RSS) / float64(limit)
+		s.MemoryShare = float64(r.RSSBytes) / float64(limit)
 	}
 	g.mu.Lock()
 	actions := g.controller.Tick(now.Sub(g.origin), s)
 	g.actions, g.reading = actions, r
-	g.idle = g.submissions <= maxIdleSubmissions && r.Busy < maxIdleBusyShare && actions.Cause == overload.CauseNone && s.MemoryShare < g.cfg.Control.MemoryHigh
+	g.idle = g.submissions <= maxIdleSubmissions && r.BusyShare < maxIdleBusyShare && actions.Cause == overload.CauseNone && s.MemoryShare < g.cfg.Control.MemoryHigh
 	g.submissions = 0
 	next := g.cfg.Tick
 	if g.idle {
@@ -187,8 +187,8 @@
 	g.mu.Unlock()
 	if slog.Default().Enabled(context.Background(), slog.LevelDebug) {
 		slog.Debug("overload tick", "shedding", actions.Shedding, "limit", int(actions.WorkLimit), "cut", actions.CutLevel, "pace", actions.ReadPause,
-			"open_most", actions.MaxOpen, "busy", s.BusyShare, "cpu", r.CPU, "stretch", r.Stretch, "age", r.Age, "probe", r.Probe,
-			"loop", r.Loop, "open", s.Open, "waiting", s.Waiting, "ended", s.Ended, "holding", s.SchedulingShare, "hand_ins", r.HandIns)
+			"open_most", actions.MaxOpen, "busy", s.BusyShare, "cpu", r.UsedCores, "stretch", r.CPUWaitFactor, "age", r.SubmissionAge, "probe", r.ProbeWait,
+			"loop", r.StepDelay, "open", s.Open, "waiting", s.Waiting, "ended", s.Ended, "holding", s.SchedulingShare, "hand_ins", r.Submissions)
 	}
 	g.apply(actions, s, r)
 	return next
@@ -201,36 +201,36 @@
 		actions.Brownout = overload.BrownoutOff
 	}
 	next := applied{maxOpen: actions.MaxOpen, sizeWeight: actions.SizeWeight, openBytesScale: actions.OpenBytesScale, freeIdle: actions.FreeIdle,
-		stepInterval: g.cfg.Step << min(actions.Brownout, 2), shedding: actions.Shedding, brownout: actions.Brownout}
+		stepInterval: g.cfg.StepInterval << min(actions.Brownout, 2), shedding: actions.Shedding, brownout: actions.Brownout}
 	if next.maxOpen != g.applied.maxOpen || next.sizeWeight != g.applied.sizeWeight || next.openBytesScale != g.applied.openBytesScale {
-		g.relay.Squeeze(next.maxOpen, next.sizeWeight, next.openBytesScale)
+		g.relay.LimitOpen(next.maxOpen, next.sizeWeight, next.openBytesScale)
 	}
 	if next.stepInterval != g.applied.stepInterval {
-		g.relay.Stretch(next.stepInterval)
+		g.relay.SetStepInterval(next.stepInterval)
 	}
 	if next.freeIdle != g.applied.freeIdle {
 		slog.Warn("memory short: idle connections", "given_up", next.freeIdle, "memory", s.MemoryShare)
-		g.front.FreeIdle(next.freeIdle)
-		g.flows.FreeIdle(next.freeIdle)
+		g.front.SetCloseIdle(next.freeIdle)
+		g.flows.SetCloseIdle(next.freeIdle)
 	}
 	if next.shedding != g.applied.shedding {
 		if next.shedding {
 			slog.Warn("overload: shedding begins", "cause", actions.Cause.String(), "reading", actions.Reading, "limit", int(actions.WorkLimit),
-				"cut", actions.CutLevel, "busy", s.BusyShare, "stretch", r.Stretch, "delay", s.Delay, "loop", r.Loop, "held", s.Open)
+				"cut", actions.CutLevel, "busy", s.BusyShare, "stretch", r.CPUWaitFactor, "delay", s.Delay, "loop", r.StepDelay, "held", s.Open)
 		} else {
 			slog.Warn("overload: shedding ends", "busy", s.BusyShare, "delay", s.Delay, "held", s.Open)
 		}
 	}
-	if next.maxOpen < g.applied.maxOpen && g.applied.maxOpen == g.cfg.Control.OpenMost {
+	if next.maxOpen < g.applied.maxOpen && g.applied.maxOpen == g.cfg.Control.MaxOpen {
 		slog.Warn("overload: held work goes back", "messages", next.maxOpen, "held", s.Open, "delay", s.Delay, "memory", s.MemoryShare)
 	}
 	if next.brownout != g.applied.brownout {
-		if g.cfg.Quiet != nil && next.brownout == overload.BrownoutOff {
-			g.cfg.Quiet(false)
+		if g.cfg.SuppressLogs != nil && next.brownout == overload.BrownoutOff {
+			g.cfg.SuppressLogs(false)
 		}
 		slog.Info("overload: brownout", "level", int(next.brownout), "step", next.stepInterval)
-		if g.cfg.Quiet != nil && g.applied.brownout == overload.BrownoutOff {
-			g.cfg.Quiet(true)
+		if g.cfg.SuppressLogs != nil && g.applied.brownout == overload.BrownoutOff {
+			g.cfg.SuppressLogs(true)
 		}
 	}
 	gcPercent := defaultGCPercent
@@ -264,10 +264,10 @@
 	return slog.GroupValue(slog.Bool("shedding", s.Actions.Shedding), slog.String("cause", s.Actions.Cause.String()),
 		slog.Int("limit", int(s.Actions.WorkLimit)), slog.Int("cut", s.Actions.CutLevel), slog.Duration("pace", s.Actions.ReadPause),
 		slog.Int("brownout", int(s.Actions.Brownout)), slog.Int("open_most", s.Actions.MaxOpen),
-		slog.Int("largest", s.Actions.MaxBodyBytes), slog.Float64("busy", s.Reading.Busy),
-		slog.Float64("stretch", s.Reading.Stretch), slog.Duration("delay", max(s.Reading.Age, s.Reading.Probe)),
-		slog.Int64("rss", s.Reading.RSS), slog.Int64("heap", s.Reading.Heap), slog.Float64("gc_share", s.Reading.GCShare),
-		slog.Duration("sched_p99", s.Reading.Sched), slog.Int64("offered", c.Offered), slog.Int64("admitted", c.Admitted),
+		slog.Int("largest", s.Actions.MaxBodyBytes), slog.Float64("busy", s.Reading.BusyShare),
+		slog.Float64("stretch", s.Reading.CPUWaitFactor), slog.Duration("delay", max(s.Reading.SubmissionAge, s.Reading.ProbeWait)),
+		slog.Int64("rss", s.Reading.RSSBytes), slog.Int64("heap", s.Reading.HeapBytes), slog.Float64("gc_share", s.Reading.GCShare),
+		slog.Duration("sched_p99", s.Reading.SchedP99), slog.Int64("offered", c.Offered), slog.Int64("admitted", c.Admitted),
 		slog.Int64("refused_worth", c.RefusedByWorth), slog.Int64("refused_large", c.RefusedBySize),
 		slog.Int64("floor", c.FloorAdmitted), slog.Int64("over_share", c.OverTenantShare), slog.Int64("sheds", c.SheddingStarts),
 		slog.Int64("squeezes", c.OpenLimitCuts))
--- a/internal/governor/governor_test.go
+++ b/internal/governor/governor_test.go
@@ -24,14 +24,16 @@
 }
 
 func (parts *fakeParts) Read(time.Time) vitals.Reading { return parts.reading }
-func (parts *fakeParts) Ping()                         { parts.pings++ }
+func (parts *fakeParts) SendProbe()                    { parts.pings++ }
 func (parts *fakeParts) Load() relay.Load              { return parts.load }
-func (parts *fakeParts) Handing() int                  { return 3 }
-func (parts *fakeParts) Stretch(d time.Duration) {
+func (parts *fakeParts) ConnectionCount() int          { return 3 }
+func (parts *fakeParts) SetStepInterval(d time.Duration) {
 	parts.calls = append(parts.calls, fmt.Sprint("step ", d))
 }
-func (parts *fakeParts) FreeIdle(on bool) { parts.calls = append(parts.calls, fmt.Sprint("free ", on)) }
-func (parts *fakeParts) Squeeze(messages int, sizeWeight, scale float64) {
+func (parts *fakeParts) SetCloseIdle(on bool) {
+	parts.calls = append(parts.calls, fmt.Sprint("free ", on))
+}
+func (parts *fakeParts) LimitOpen(messages int, sizeWeight, scale float64) {
 	parts.calls = append(parts.calls, fmt.Sprintf("squeeze %d %v %.2f", messages, sizeWeight > 0, scale))
 }
 
@@ -46,10 +48,10 @@
 func newTestGovernor(t *testing.T) (*Governor, *fakeParts) {
 	control := overload.Defaults()
 	control.Classes = []overload.Class{{Name: "pay", Worth: 1, Aim: time.Second, Deadline: 4 * time.Second}}
-	control.OpenMost = 100
-	parts := &fakeParts{reading: vitals.Reading{Cores: 1, Stretch: 1, Window: 50 * ms}}
-	g, err := New(Config{Control: control, Tick: 50 * ms, Brownout: true, Step: 5 * ms, Memory: 1000, Meters: parts,
-		Quiet: func(on bool) { parts.quiet = on }})
+	control.MaxOpen = 100
+	parts := &fakeParts{reading: vitals.Reading{Cores: 1, CPUWaitFactor: 1, Window: 50 * ms}}
+	g, err := New(Config{Control: control, Tick: 50 * ms, Brownout: true, StepInterval: 5 * ms, MemoryLimit: 1000, Meters: parts,
+		SuppressLogs: func(on bool) { parts.quiet = on }})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -61,7 +63,7 @@
 func runTicks(g *Governor, parts *fakeParts, n, handIns int) (refused int) {
 	for range n {
 		for range handIns {
-			if g.Admit(overload.HandIn{Class: "pay", Left: 4 * time.Second, Size: 10}).Refused {
+			if g.Admit(overload.Submission{Class: "pay", TimeLeft: 4 * time.Second, BodyBytes: 10}).Refused {
 				refused++
 			}
 		}
@@ -75,8 +77,8 @@
 // At a normal load the governor must not change any setting of the parts.
 func TestNormalLoadChangesNothing(t *testing.T) {
 	g, parts := newTestGovernor(t)
-	parts.reading.Busy, parts.reading.Age, parts.reading.RSS = 0.5, 5*ms, 300
-	if n := runTicks(g, parts, 20, 50); n > 0 || parts.takeCalls() != "" || g.Pace() != 0 || parts.quiet {
+	parts.reading.BusyShare, parts.reading.SubmissionAge, parts.reading.RSSBytes = 0.5, 5*ms, 300
+	if n := runTicks(g, parts, 20, 50); n > 0 || parts.takeCalls() != "" || g.ReadPause() != 0 || parts.quiet {
 		t.Errorf("%d refused, calls %q", n, parts.takeCalls())
 	}
 }
@@ -85,7 +87,7 @@
 // would react to a queue that does not exist.
 func TestBusyRelaySheds(t *testing.T) {
 	g, parts := newTestGovernor(t)
-	parts.reading.Busy, parts.reading.Age = 1, 5*ms
+	parts.reading.BusyShare, parts.reading.SubmissionAge = 1, 5*ms
 	runTicks(g, parts, 5, 200)
 	if got := parts.takeCalls(); got != "step 10ms" || !parts.quiet || !g.State().Actions.Shedding {
 		t.Errorf("calls %q, actions %+v", got, g.State().Actions)
@@ -93,7 +95,7 @@
 	if refused := runTicks(g, parts, 1, 1000); refused == 0 {
 		t.Error("nothing is refused while shedding")
 	}
-	parts.reading.Age, parts.load.Open = 200*ms, 80
+	parts.reading.SubmissionAge, parts.load.Open = 200*ms, 80
 	runTicks(g, parts, 10, 200)
 	if !parts.quiet {
 		t.Error("log lines below warnings are not suppressed")
@@ -106,7 +108,7 @@
 // The start and the end of memory pressure are each passed on to the parts once.
 func TestMemoryPressureIsAppliedOnce(t *testing.T) {
 	g, parts := newTestGovernor(t)
-	parts.reading.RSS = 900
+	parts.reading.RSSBytes = 900
 	runTicks(g, parts, 1, 1)
 	if got := parts.takeCalls(); !strings.Contains(got, "squeeze 100 true 0.50, free true, free true") {
 		t.Errorf("calls %q", got)
@@ -115,7 +117,7 @@
 	if got := parts.takeCalls(); got != "" {
 		t.Errorf("repeated calls: %q", got)
 	}
-	g.Limit(10_000)
+	g.SetMemoryLimit(10_000)
 	runTicks(g, parts, 1, 1)
 	if got := parts.takeCalls(); !strings.Contains(got, "squeeze 100 false 1.00, free false, free false") {
 		t.Errorf("with more memory: calls %q", got)
@@ -126,7 +128,7 @@
 func TestBrownoutDisabled(t *testing.T) {
 	g, parts := newTestGovernor(t)
 	g.cfg.Brownout = false
-	parts.reading.Busy = 1
+	parts.reading.BusyShare = 1
 	runTicks(g, parts, 5, 200)
 	if got := parts.takeCalls(); got != "" || parts.quiet || !g.State().Actions.Shedding {
 		t.Errorf("calls %q", got)
@@ -136,12 +138,12 @@
 // An idle relay ticks less often. A burst of submissions must end this at once, or overload would go unnoticed for several ticks.
 func TestIdleRelayTicksLessOften(t *testing.T) {
 	g, parts := newTestGovernor(t)
-	parts.reading.Busy = 0.01
+	parts.reading.BusyShare = 0.01
 	if next := g.tick(g.origin.Add(50 * ms)); next != 250*ms || parts.pings != 1 {
 		t.Errorf("idle: next tick in %v, %d pings", next, parts.pings)
 	}
 	for range maxIdleSubmissions + 1 {
-		g.Admit(overload.HandIn{Class: "pay", Left: time.Second})
+		g.Admit(overload.Submission{Class: "pay", TimeLeft: time.Second})
 	}
 	select {
 	case <-g.wake:
@@ -151,7 +153,7 @@
 	if next := g.tick(g.origin.Add(100 * ms)); next != 50*ms {
 		t.Errorf("after a burst: next tick in %v", next)
 	}
-	if parts.reading.Busy = 0.5; g.tick(g.origin.Add(150*ms)) != 50*ms {
+	if parts.reading.BusyShare = 0.5; g.tick(g.origin.Add(150*ms)) != 50*ms {
 		t.Error("a busy relay ticks less often")
 	}
 }
--- a/internal/journal/handover_test.go
+++ b/internal/journal/handover_test.go
@@ -22,29 +22,29 @@
 func TestHandover(t *testing.T) {
 	dir := t.TempDir()
 	predecessor := mustOpenAs(t, dir, "1")
-	mustCommit(t, predecessor, traffic.Taken{Transaction: transaction("a", 3)}, traffic.FlowBegun{ID: "a", At: baseTime},
-		traffic.Taken{Transaction: transaction("b", 1)},
+	mustCommit(t, predecessor, traffic.TransactionAccepted{Transaction: transaction("a", 3)}, traffic.FlowStarted{ID: "a", At: baseTime},
+		traffic.TransactionAccepted{Transaction: transaction("b", 1)},
 		traffic.Ended{ID: "b", Notice: &traffic.Notice{ID: "b", Outcome: traffic.GivenUp}})
 
 	successor := mustOpenAs(t, dir, "2")
-	if open, notices := successor.Owed(); len(open)+len(notices) > 0 {
+	if open, notices := successor.Pending(); len(open)+len(notices) > 0 {
 		t.Fatalf("the successor has entries of a running process: %v %v", open, notices)
 	}
-	if open, notices, err := successor.Adopt(); err != nil || len(open)+len(notices) > 0 {
+	if open, notices, err := successor.Recover(); err != nil || len(open)+len(notices) > 0 {
 		t.Fatalf("recovered from a running process: %v %v %v", open, notices, err)
 	}
-	mustCommit(t, successor, traffic.Taken{Transaction: transaction("c", 1)})
+	mustCommit(t, successor, traffic.TransactionAccepted{Transaction: transaction("c", 1)})
 	mustCommit(t, predecessor, traffic.FlowEnded{ID: "a", Attempt: 0, MayHaveRun: true}) // the predecessor continues to write
 	predecessor.Close()
 
-	open, notices, err := successor.Adopt()
+	open, notices, err := successor.Recover()
 	if err != nil || len(open) != 1 || open[0].ID != "a" || open[0].FirstSent.IsZero() || len(notices) != 1 || notices[0].ID != "b" {
 		t.Fatalf("recovered %+v %+v %v", open, notices, err)
 	}
 	if _, err := os.Stat(filepath.Join(dir, "journal.1")); !os.IsNotExist(err) {
 		t.Fatalf("the file of the ended process still exists: %v", err)
 	}
-	if open, notices, _ := successor.Adopt(); len(open)+len(notices) > 0 {
+	if open, notices, _ := successor.Recover(); len(open)+len(notices) > 0 {
 		t.Fatalf("recovered twice: %v %v", open, notices)
 	}
 	successor.Close()
@@ -52,7 +52,7 @@
 	// The recovered entries are in the successor's own file.
 	last := mustOpenAs(t, dir, "3")
 	defer last.Close()
-	got, pendingNotices := last.Owed()
+	got, pendingNotices := last.Pending()
 	if len(got) != 2 || got[0].ID != "c" || got[1].ID != "a" || len(pendingNotices) != 1 { // in the successor's order
 		t.Fatalf("after the successor's end: %+v %+v", got, pendingNotices)
 	}
@@ -67,18 +67,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	mustCommit(t, predecessor, traffic.Taken{Transaction: transaction("a", 16*blockBytes)})
+	mustCommit(t, predecessor, traffic.TransactionAccepted{Transaction: transaction("a", 16*blockBytes)})
 	successor, err := openAs(dir, limit, "2")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer successor.Close()
 	alone := liveShare * limit
-	if successor.Room(int64(alone) - 4*blockBytes) {
+	if successor.HasRoom(int64(alone) - 4*blockBytes) {
 		t.Fatalf("Room ignores the %d bytes of a running process", successor.otherFilesBytes)
 	}
 	predecessor.Close()
-	if _, _, err := successor.Adopt(); err != nil {
+	if _, _, err := successor.Recover(); err != nil {
 		t.Fatal(err)
 	}
 	if successor.otherFilesBytes != 0 {
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -71,7 +71,7 @@
 // openAs is Open for a given process id. The ids of processes that run at the same time must differ.
 func openAs(dir string, limitBytes int64, id string) (*Journal, error) {
 	j := &Journal{dir: dir, name: filePrefix + "." + id, open: map[string]*entry{}, notices: map[string]*entry{}}
-	j.Limit(limitBytes)
+	j.SetLimit(limitBytes)
 	if j.limitBytes.Load() < 8*blockBytes {
 		return nil, fmt.Errorf("journal: a limit of %d bytes is too small", limitBytes)
 	}
@@ -86,9 +86,9 @@
 	return j, nil
 }
 
-// Adopt recovers the pending entries of processes that have ended since the folder was last read. It writes the entries to this
+// Recover recovers the pending entries of processes that have ended since the folder was last read. It writes the entries to this
 // process's file and returns them in the order in which they were recorded. Entries that this process already has are not returned.
-func (j *Journal) Adopt() ([]traffic.Open, []traffic.Notice, error) {
+func (j *Journal) Recover() ([]traffic.Open, []traffic.Notice, error) {
 	before := make(map[string]bool, len(j.open)+len(j.notices))
 	for id := range j.open {
 		before[id] = true
@@ -204,14 +204,14 @@
 // processes count against the same limit.
 func (j *Journal) ownLimitBytes() int64 { return j.limitBytes.Load() - j.otherFilesBytes }
 
-// Limit sets how many bytes the folder may hold. It is safe for concurrent use.
-func (j *Journal) Limit(bytes int64) { j.limitBytes.Store(bytes - bytes%blockBytes) }
+// SetLimit sets how many bytes the folder may hold. It is safe for concurrent use.
+func (j *Journal) SetLimit(bytes int64) { j.limitBytes.Store(bytes - bytes%blockBytes) }
 
 // path returns the path of a file in the journal's folder.
 func (j *Journal) path(name string) string { return filepath.Join(j.dir, name) }
 
-// Owed returns the open transactions and the unanswered notices, each in the order in which they were recorded.
-func (j *Journal) Owed() ([]traffic.Open, []traffic.Notice) {
+// Pending returns the open transactions and the unanswered notices, each in the order in which they were recorded.
+func (j *Journal) Pending() ([]traffic.Open, []traffic.Notice) {
 	var open []traffic.Open
 	var notices []traffic.Notice
 	for _, e := range sortedBySeq(j.open) {
@@ -233,8 +233,8 @@
 	return list
 }
 
-// Room reports whether the journal has space for new transactions of the given total size.
-func (j *Journal) Room(bytes int64) bool {
+// HasRoom reports whether the journal has space for new transactions of the given total size.
+func (j *Journal) HasRoom(bytes int64) bool {
 	return float64(j.liveBytes+bytes+blockBytes) <= liveShare*float64(j.ownLimitBytes())
 }
 
@@ -301,9 +301,9 @@
 // apply updates the pending entries by one change or summary.
 func (j *Journal) apply(ch any) {
 	switch ch := ch.(type) {
-	case traffic.Taken:
+	case traffic.TransactionAccepted:
 		j.add(j.open, ch.Transaction.ID, &entry{open: traffic.Open{Transaction: ch.Transaction}})
-	case traffic.FlowBegun:
+	case traffic.FlowStarted:
 		if e := j.open[ch.ID]; e != nil {
 			e.open.Attempts, e.inFlight, e.flowBegun = ch.Attempt+1, true, ch.At
 		}
@@ -319,7 +319,7 @@
 		if ch.Notice != nil {
 			j.add(j.notices, ch.ID, &entry{notice: *ch.Notice})
 		}
-	case traffic.Answered:
+	case traffic.NoticeAnswered:
 		j.remove(j.notices, ch.ID)
 	case summary:
 		if e := j.open[ch.id]; e != nil {
@@ -354,7 +354,7 @@
 		n := e.notice
 		return appendChange(b, traffic.Ended{ID: n.ID, Notice: &n})
 	}
-	b = appendChange(b, traffic.Taken{Transaction: e.open.Transaction})
+	b = appendChange(b, traffic.TransactionAccepted{Transaction: e.open.Transaction})
 	if e.open.Attempts > 0 {
 		b = appendChange(b, summary{e.open.ID, e.open.Attempts, e.open.FirstSent, e.inFlight, e.flowBegun})
 	}
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -21,7 +21,7 @@
 var baseTime = time.UnixMicro(1_790_000_000_000_000)
 
 func transaction(id string, body int) traffic.Transaction {
-	return traffic.Transaction{ID: id, Class: "pay", Tenant: "t", Order: "o" + id, Key: "k" + id, Destination: 7, Deadline: baseTime,
+	return traffic.Transaction{ID: id, Class: "pay", Tenant: "t", OrderKey: "o" + id, IdempotencyKey: "k" + id, Destination: 7, Deadline: baseTime,
 		Body: make([]byte, body)}
 }
 
@@ -41,22 +41,22 @@
 
 // processHistory holds changes that a process wrote before it ended. Flows of transactions a and b are still in progress.
 var processHistory = []traffic.Change{
-	traffic.Taken{Transaction: transaction("a", 10)},
-	traffic.FlowBegun{ID: "a", Attempt: 0, At: baseTime.Add(time.Second)},
+	traffic.TransactionAccepted{Transaction: transaction("a", 10)},
+	traffic.FlowStarted{ID: "a", Attempt: 0, At: baseTime.Add(time.Second)},
 	traffic.FlowEnded{ID: "a", Attempt: 0, MayHaveRun: true},
-	traffic.FlowBegun{ID: "a", Attempt: 1, At: baseTime.Add(2 * time.Second)},
-	traffic.Taken{Transaction: transaction("b", 0)},
-	traffic.FlowBegun{ID: "b", Attempt: 0, At: baseTime.Add(3 * time.Second)},
-	traffic.Taken{Transaction: transaction("c", 5)},
-	traffic.FlowBegun{ID: "c", Attempt: 0, At: baseTime.Add(4 * time.Second)},
+	traffic.FlowStarted{ID: "a", Attempt: 1, At: baseTime.Add(2 * time.Second)},
+	traffic.TransactionAccepted{Transaction: transaction("b", 0)},
+	traffic.FlowStarted{ID: "b", Attempt: 0, At: baseTime.Add(3 * time.Second)},
+	traffic.TransactionAccepted{Transaction: transaction("c", 5)},
+	traffic.FlowStarted{ID: "c", Attempt: 0, At: baseTime.Add(4 * time.Second)},
 	traffic.FlowEnded{ID: "c", Attempt: 0},
-	traffic.Taken{Transaction: transaction("d", 1)},
-	traffic.Ended{ID: "d", Notice: &traffic.Notice{Order: "key", ID: "d", Outcome: traffic.HandedBack, RetryIn: time.Second}},
-	traffic.Taken{Transaction: transaction("e", 1)},
+	traffic.TransactionAccepted{Transaction: transaction("d", 1)},
+	traffic.Ended{ID: "d", Notice: &traffic.Notice{OrderKey: "key", ID: "d", Outcome: traffic.Returned, RetryIn: time.Second}},
+	traffic.TransactionAccepted{Transaction: transaction("e", 1)},
 	traffic.Ended{ID: "e"},
-	traffic.Taken{Transaction: transaction("f", 1)},
+	traffic.TransactionAccepted{Transaction: transaction("f", 1)},
 	traffic.Ended{ID: "f", Notice: &traffic.Notice{ID: "f", Outcome: traffic.GivenUp}},
-	traffic.Answered{ID: "f"},
+	traffic.NoticeAnswered{ID: "f"},
 }
 
 // A flow that was in progress when the process ended may have run. FirstSent is the start of the earliest flow that may have run.
@@ -72,7 +72,7 @@
 	}
 	for _, state := range []string{"after the changes", "after a compaction"} {
 		j := mustOpen(t, dir, megabyte)
-		got, notices := j.Owed()
+		got, notices := j.Pending()
 		j.Close()
 		for i := range got {
 			got[i].Body = append([]byte{}, got[i].Body...)
@@ -95,16 +95,16 @@
 	}
 	dir := t.TempDir()
 	proptest.Check(t, func(t *rapid.T) {
-		tail := proptest.Garbage(t, appendChange(nil, processHistory[4])[:20])
+		tail := proptest.Malformed(t, appendChange(nil, processHistory[4])[:20])
 		if err := os.WriteFile(filepath.Join(dir, filePrefix), append(append([]byte{}, intact...), tail...), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		j := mustOpen(t, dir, megabyte)
-		mustCommit(t, j, traffic.Taken{Transaction: transaction("z", 3)})
+		mustCommit(t, j, traffic.TransactionAccepted{Transaction: transaction("z", 3)})
 		j.Close()
 		j = mustOpen(t, dir, megabyte)
 		defer j.Close()
-		got, _ := j.Owed()
+		got, _ := j.Pending()
 		if len(got) != 2 || got[0].ID != "a" || got[0].Attempts != 1 || got[1].ID != "z" {
 			t.Fatalf("%+v", got)
 		}
@@ -119,7 +119,7 @@
 		if _, n, err := decode(valid); err != nil || n != len(valid) {
 			t.Fatalf("%d of %d, %v", n, len(valid), err)
 		}
-		if got, n, err := decode(proptest.Garbage(t, valid)); err == nil && (n > len(valid) || got == nil) {
+		if got, n, err := decode(proptest.Malformed(t, valid)); err == nil && (n > len(valid) || got == nil) {
 			t.Fatalf("%d of %d, %v", n, len(valid), got)
 		}
 	})
@@ -135,8 +135,8 @@
 	var ids []string
 	for i := range 2000 {
 		tr := transaction(strconv.Itoa(i), rng.IntN(20_000))
-		if j.Room(int64(tr.Size())) {
-			mustCommit(t, j, traffic.Taken{Transaction: tr}, traffic.FlowBegun{ID: tr.ID, At: baseTime})
+		if j.HasRoom(int64(tr.Size())) {
+			mustCommit(t, j, traffic.TransactionAccepted{Transaction: tr}, traffic.FlowStarted{ID: tr.ID, At: baseTime})
 			ids = append(ids, tr.ID)
 		} else {
 			mustCommit(t, j, traffic.Ended{ID: ids[0]})
--- a/internal/journal/record.go
+++ b/internal/journal/record.go
@@ -79,15 +79,15 @@
 		}
 	}
 	switch ch := ch.(type) {
-	case traffic.Taken:
+	case traffic.TransactionAccepted:
 		t := &ch.Transaction
 		appendHead(kindTaken, t.ID, int64(t.Destination), unixMicro(t.Deadline))
-		b = appendText(appendText(appendText(b, t.Class), t.Tenant), t.Key)
+		b = appendText(appendText(appendText(b, t.Class), t.Tenant), t.IdempotencyKey)
 		b = appendText(b, t.Body)
-		if t.Order != "" { // without an order the record is the same as before the field existed
-			b = appendText(b, t.Order)
+		if t.OrderKey != "" { // without an order the record is the same as before the field existed
+			b = appendText(b, t.OrderKey)
 		}
-	case traffic.FlowBegun:
+	case traffic.FlowStarted:
 		appendHead(kindFlowBegun, ch.ID, int64(ch.Attempt), unixMicro(ch.At))
 	case traffic.FlowEnded:
 		appendHead(kindFlowEnded, ch.ID, int64(ch.Attempt), boolToInt(ch.MayHaveRun))
@@ -97,10 +97,10 @@
 			n = *ch.Notice
 		}
 		appendHead(kindEnded, ch.ID, int64(n.Outcome), n.RetryIn.Microseconds())
-		if n.Order != "" { // without an order the record is the same as before the field existed
-			b = appendText(b, n.Order)
+		if n.OrderKey != "" { // without an order the record is the same as before the field existed
+			b = appendText(b, n.OrderKey)
 		}
-	case traffic.Answered:
+	case traffic.NoticeAnswered:
 		appendHead(kindAnswered, ch.ID)
 	case summary:
 		appendHead(kindSummary, ch.id, int64(ch.attempts), unixMicro(ch.firstSent), boolToInt(ch.inFlight), unixMicro(ch.flowBegun))
@@ -169,21 +169,21 @@
 	switch payload[0] {
 	case kindTaken:
 		t := traffic.Transaction{ID: id, Destination: int(r.number()), Deadline: r.time()}
-		t.Class, t.Tenant, t.Key = string(r.bytes()), string(r.bytes()), string(r.bytes())
+		t.Class, t.Tenant, t.IdempotencyKey = string(r.bytes()), string(r.bytes()), string(r.bytes())
 		t.Body = append([]byte(nil), r.bytes()...)
 		if len(r.b) > 0 {
-			t.Order = string(r.bytes())
+			t.OrderKey = string(r.bytes())
 		}
-		ch = traffic.Taken{Transaction: t}
+		ch = traffic.TransactionAccepted{Transaction: t}
 	case kindFlowBegun:
-		ch = traffic.FlowBegun{ID: id, Attempt: int(r.number()), At: r.time()}
+		ch = traffic.FlowStarted{ID: id, Attempt: int(r.number()), At: r.time()}
 	case kindFlowEnded:
 		ch = traffic.FlowEnded{ID: id, Attempt: int(r.number()), MayHaveRun: r.number() == 1}
 	case kindEnded:
 		n := traffic.Notice{ID: id, Outcome: traffic.NoticeOutcome(r.number()),
 			RetryIn: time.Duration(r.number()) * time.Microsecond}
 		if len(r.b) > 0 {
-			n.Order = string(r.bytes())
+			n.OrderKey = string(r.bytes())
 		}
 		ended := traffic.Ended{ID: id}
 		if n.Outcome != 0 {
@@ -191,7 +191,7 @@
 		}
 		ch = ended
 	case kindAnswered:
-		ch = traffic.Answered{ID: id}
+		ch = traffic.NoticeAnswered{ID: id}
 	case kindSummary:
 		ch = summary{id: id, attempts: int(r.number()), firstSent: r.time(), inFlight: r.number() == 1, flowBegun: r.time()}
 	default:
--- a/internal/lab/capacity/capacity_test.go
+++ b/internal/lab/capacity/capacity_test.go
@@ -426,7 +426,7 @@
 	change := configsync.Change{Source: "control-0", Sequence: 1, Revision: 1, Key: "endpoint/s-5be2a07c", Value: make([]byte, defaultValueBytes),
 		Signature: make([]byte, signatureBytes)}
 	push := &configsync.Push{Number: 1, Changes: []configsync.Change{change}}
-	packet := &spread.Packet{From: relayName(1), Incarnation: 1, Uptime: time.Hour, Count: 1, Configuration: &configsync.Message{Push: push}}
+	packet := &spread.Packet{From: relayName(1), Incarnation: 1, Uptime: time.Hour, Sequence: 1, Configuration: &configsync.Message{Push: push}}
 	for b.Loop() {
 		raw, err := wire.Append(nil, packet)
 		if err != nil {
--- a/internal/lab/capacity/configsync.go
+++ b/internal/lab/capacity/configsync.go
@@ -34,7 +34,7 @@
 // Bound returns the bound that internal/configsync promises.
 func (c *configsyncCarrier) Bound() time.Duration {
 	t := c.environment.Scenario.Topology
-	return configsync.Defaults().Bound(c.environment.Relays, t.MaxDelay()+schedulingDelay, t.Loss)
+	return configsync.Defaults().PropagationBound(c.environment.Relays, t.MaxDelay()+schedulingDelay, t.Loss)
 }
 
 // Start creates a node. The node keeps the store of the previous process.
@@ -48,7 +48,7 @@
 	}
 	config := configsync.Defaults()
 	config.Self = relayName(relay)
-	config.Size = wire.ConfigurationSize(config.Self)
+	config.MessageBytes = wire.ConfigurationSize(config.Self)
 	config.Seed = c.environment.Seed ^ uint64(relay)<<20 ^ incarnation<<52
 	var err error
 	n.replica, err = configsync.NewReplica(config, 0, n.store)
@@ -68,11 +68,11 @@
 }
 
 // toMessages converts what the replica sends into messages of the size that the program's packets have.
-func (n *configsyncNode) toMessages(now time.Duration, sends []configsync.Send) (messages []Message) {
+func (n *configsyncNode) toMessages(now time.Duration, sends []configsync.OutgoingMessage) (messages []Message) {
 	for i := range sends {
 		n.packets++
 		m := &sends[i].Message
-		packet := &spread.Packet{From: relayName(n.relay), Incarnation: n.incarnation, Uptime: now, Count: n.packets, Configuration: m}
+		packet := &spread.Packet{From: relayName(n.relay), Incarnation: n.incarnation, Uptime: now, Sequence: n.packets, Configuration: m}
 		messages = append(messages, Message{To: n.carrier.environment.relayIndex(sends[i].To), Bytes: wire.Size(packet), Body: m})
 	}
 	return messages
@@ -80,14 +80,14 @@
 
 // SetMembers replaces the members of the replica.
 func (n *configsyncNode) SetMembers(now time.Duration, view *View) []Message {
-	n.replica.Members(now, view.Members)
+	n.replica.SetMembers(now, view.Members)
 	return nil
 }
 
 // newChange returns a change as the control machine at a relay would sign it.
 func (n *configsyncNode) newChange(change int) configsync.Change {
 	source := fmt.Sprintf("control-%02d", n.relay)
-	sequence, revision := n.store.Next(source)
+	sequence, revision := n.store.NextNumbers(source)
 	c := configsync.Change{Source: source, Sequence: sequence, Revision: revision, Key: "endpoint/" + changedEndpoint(change),
 		Value: make([]byte, n.carrier.environment.Scenario.Changes.ValueBytes), Signature: make([]byte, signatureBytes)}
 	n.carrier.changeByKey[c.Key] = change
@@ -133,7 +133,7 @@
 }
 
 // Due returns the time at which the replica next has work.
-func (n *configsyncNode) Due() time.Duration { return n.replica.Due() }
+func (n *configsyncNode) Due() time.Duration { return n.replica.NextTick() }
 
 // AddCounts adds the counters of all replicas that this relay has had.
 func (n *configsyncNode) AddCounts(to *Counts) {
@@ -143,5 +143,5 @@
 	to.Abandoned += n.earlierCounts.Abandoned + c.Abandoned
 	to.Repaired += n.earlierCounts.Repaired + c.Repaired
 	to.Duplicates += n.earlierCounts.Duplicates + c.Duplicates
-	to.Errors += n.earlierCounts.Errors + c.Untrusted + c.Invalid + c.Diverged + c.Full
+	to.Errors += n.earlierCounts.Errors + c.Untrusted + c.Invalid + c.Diverged + c.StoreFull
 }
--- a/internal/lab/capacity/limits.go
+++ b/internal/lab/capacity/limits.go
@@ -103,7 +103,7 @@
 func (n *limitsNode) takeMessages(now time.Duration) (messages []Message) {
 	for _, p := range n.allocator.TakeMessages() {
 		n.packets++
-		packet := &spread.Packet{From: relayName(n.relay), Incarnation: 1, Uptime: now, Count: n.packets, Claim: p.Claim, Grant: p.Grant}
+		packet := &spread.Packet{From: relayName(n.relay), Incarnation: 1, Uptime: now, Sequence: n.packets, Claim: p.Claim, Grant: p.Grant}
 		messages = append(messages, Message{To: n.carrier.environment.relayIndex(p.To), Bytes: wire.Size(packet), Body: p})
 	}
 	return messages
@@ -150,7 +150,7 @@
 			n.allocator.ObserveLimit(now, d, n.limit*(1+reportedLimitSpread*(2*n.rng.Float64()-1)))
 		}
 	}
-	var arrived, waiting [allowance.Levels]int
+	var arrived, waiting [allowance.PriorityLevels]int
 	arrived[demandLevel] = int(now.Seconds()*wanted) - int((now-elapsed).Seconds()*wanted)
 	waiting[demandLevel] = int(x.waiting)
 	n.allocator.ReportDemand(now, d, arrived, waiting)
@@ -162,6 +162,6 @@
 // AddCounts adds the counters of the allocator.
 func (n *limitsNode) AddCounts(to *Counts) {
 	c := n.allocator.Counters()
-	to.Errors += c.Strays + c.Foreign
-	to.Retries += c.Avoided
+	to.Errors += c.Rejected + c.ForeignDestinations
+	to.Retries += c.OwnersAvoided
 }
--- a/internal/lab/capacity/slopes/backlog.go
+++ b/internal/lab/capacity/slopes/backlog.go
@@ -46,7 +46,7 @@
 		}
 		var changes []traffic.Change
 		for number := first; number < min(first+journalBatchMessages, messages); number++ {
-			changes = append(changes, traffic.Taken{Transaction: newTransaction(number+1, number%down, deadline, body)})
+			changes = append(changes, traffic.TransactionAccepted{Transaction: newTransaction(number+1, number%down, deadline, body)})
 		}
 		writeTime += measureThreadCPU(func() { err = store.Commit(changes) })
 		if err != nil {
@@ -77,7 +77,7 @@
 		return err
 	}
 	defer store.Close()
-	openMessages, _ := store.Owed()
+	openMessages, _ := store.Pending()
 	run, err := startRelay(relayInputs{poolUpdate: poolUpdate, backlogMessages: messages, openMessages: openMessages, store: store,
 		answerDelay: answerDelay, seed: plan.Seed})
 	if err != nil {
--- a/internal/lab/capacity/slopes/destinations.go
+++ b/internal/lab/capacity/slopes/destinations.go
@@ -42,7 +42,7 @@
 
 // measureListHandling measures a relay that starts with a full list, receives the same list again and then a change of one member, and
 // delivers a message to each destination. otherHeap is the heap of the program's other copies of the list: the book and the flow manager.
-func measureListHandling(ctx context.Context, plan RelayPlan, poolUpdate traffic.PoolNews, otherHeap float64, record recordFunc) error {
+func measureListHandling(ctx context.Context, plan RelayPlan, poolUpdate traffic.PoolUpdate, otherHeap float64, record recordFunc) error {
 	store, err := openJournal(plan.Directory)
 	if err != nil {
 		return err
@@ -59,7 +59,7 @@
 	if err != nil {
 		return err
 	}
-	change := traffic.PoolNews{Seq: poolUpdate.Seq + 1, Members: poolUpdate.Members[len(poolUpdate.Members)-1:]}
+	change := traffic.PoolUpdate{Version: poolUpdate.Version + 1, Members: poolUpdate.Members[len(poolUpdate.Members)-1:]}
 	changeStepTime, err := run.measureStep(ctx, func() { run.relay.PoolChanged(change) })
 	if err != nil {
 		return err
@@ -106,7 +106,7 @@
 	body, now := make([]byte, bodyBytes), time.Now()
 	answers := make([]<-chan traffic.Answer, len(destinations))
 	for i, destination := range destinations {
-		answers[i] = run.relay.Put(newTransaction(int(run.lastMessage.Add(1)), destination, now.Add(messageDeadline), body), now)
+		answers[i] = run.relay.Submit(newTransaction(int(run.lastMessage.Add(1)), destination, now.Add(messageDeadline), body), now)
 	}
 	for i, answer := range answers {
 		if a := <-answer; a.Verdict != traffic.Accepted {
@@ -119,7 +119,7 @@
 // waitUntilNoneOpen waits until no submitted message is open.
 func (run *relayRun) waitUntilNoneOpen(ctx context.Context) error {
 	for {
-		if c := run.relay.Counters(); c.HandedIn == run.lastMessage.Load() && c.Open == 0 {
+		if c := run.relay.Counters(); c.Submitted == run.lastMessage.Load() && c.Open == 0 {
 			return nil
 		}
 		if err := sleep(ctx, time.Millisecond); err != nil {
@@ -130,7 +130,7 @@
 
 // measureLoadedRelay measures a relay in three states: with one queued message and no arrivals, at its share of the planned event rate, and
 // saturated.
-func measureLoadedRelay(ctx context.Context, plan RelayPlan, poolUpdate traffic.PoolNews, record recordFunc) error {
+func measureLoadedRelay(ctx context.Context, plan RelayPlan, poolUpdate traffic.PoolUpdate, record recordFunc) error {
 	store, err := openJournal(plan.Directory)
 	if err != nil {
 		return err
--- a/internal/lab/capacity/slopes/fleetnodes.go
+++ b/internal/lab/capacity/slopes/fleetnodes.go
@@ -37,14 +37,14 @@
 // noopRelay is a relay that ignores what its fleet node reports.
 type noopRelay struct{}
 
-// Restrain ignores restraints.
-func (noopRelay) Restrain([]traffic.Restraint) {}
+// ApplyRestraints ignores restraints.
+func (noopRelay) ApplyRestraints([]traffic.Restraint) {}
 
-// Allow ignores allowances.
-func (noopRelay) Allow([]traffic.Allowance) {}
+// SetAllowances ignores allowances.
+func (noopRelay) SetAllowances([]traffic.Allowance) {}
 
-// Bar ignores bars.
-func (noopRelay) Bar([]traffic.Bar) {}
+// SetExclusions ignores bars.
+func (noopRelay) SetExclusions([]traffic.Exclusion) {}
 
 // fleetRun holds the fleet nodes of one measurement. Each node is the complete internal/fleet of one relay, on a loopback socket.
 type fleetRun struct {
--- a/internal/lab/capacity/slopes/harness.go
+++ b/internal/lab/capacity/slopes/harness.go
@@ -27,8 +27,8 @@
 	moduleTime time.Duration // total of the module's steps
 }
 
-// Stepped ends the measurement of the previous step and begins that of the next one.
-func (m *stepMeter) Stepped(_, _ time.Time) {
+// RecordStep ends the measurement of the previous step and begins that of the next one.
+func (m *stepMeter) RecordStep(_, _ time.Time) {
 	now := threadCPUTime()
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -38,11 +38,11 @@
 	m.started, m.stepStart = true, now
 }
 
-// HandedIn ignores the age of a submission.
-func (m *stepMeter) HandedIn(time.Duration) {}
+// RecordSubmission ignores the age of a submission.
+func (m *stepMeter) RecordSubmission(time.Duration) {}
 
-// Section runs a step of the module and adds its processor time to moduleTime.
-func (m *stepMeter) Section(f func()) {
+// RunSection runs a step of the module and adds its processor time to moduleTime.
+func (m *stepMeter) RunSection(f func()) {
 	start := threadCPUTime()
 	f()
 	elapsed := threadCPUTime() - start
@@ -72,7 +72,7 @@
 func (f *fakeFlows) Start(started traffic.Flow) {
 	delay := time.Duration(f.delayNanos.Load())
 	for _, transaction := range started.All() {
-		end := traffic.FlowEnd{ID: transaction.ID, Attempt: transaction.Attempt, Member: started.Member, Status: traffic.Delivered, Took: delay}
+		end := traffic.FlowEnd{ID: transaction.ID, Attempt: transaction.Attempt, Member: started.Member, Status: traffic.Delivered, Latency: delay}
 		switch {
 		case f.downMembers[started.Member]:
 			end.Status = traffic.NotConnected
@@ -93,8 +93,8 @@
 // Cancel has no effect, because the answer is already scheduled.
 func (f *fakeFlows) Cancel(string, int) {}
 
-// Pool ignores the pool, because no connection is opened.
-func (f *fakeFlows) Pool(traffic.PoolNews) {}
+// UpdatePool ignores the pool, because no connection is opened.
+func (f *fakeFlows) UpdatePool(traffic.PoolUpdate) {}
 
 // Send discards a notice.
 func (f *fakeFlows) Send(traffic.Notice) {}
@@ -114,7 +114,7 @@
 
 // relayInputs is the state that a relay starts with, and how destinations answer.
 type relayInputs struct {
-	poolUpdate      traffic.PoolNews
+	poolUpdate      traffic.PoolUpdate
 	backlogMessages int
 	openMessages    []traffic.Open
 	store           relay.Store
@@ -135,7 +135,7 @@
 		run.flows.downMembers[memberName(i)] = true
 	}
 	measuredRelay, err := relay.New(relay.Config{Meters: run.meter, Settings: moduleSettings(run.destinations, in.backlogMessages),
-		Seed: in.seed, MostBytes: 1 << 40,
+		Seed: in.seed, MaxOpenBytes: 1 << 40,
 		Store: in.store, Flows: run.flows, Notices: run.flows})
 	if err != nil {
 		return nil, err
@@ -231,7 +231,7 @@
 		now := time.Now()
 		for due := int(rate * now.Sub(start).Seconds()); result.offered < due; result.offered++ {
 			destination := min(run.downCount+random.IntN(max(run.destinations-run.downCount, 1)), run.destinations-1)
-			answer := run.relay.Put(newTransaction(int(run.lastMessage.Add(1)), destination, now.Add(messageDeadline), body), now)
+			answer := run.relay.Submit(newTransaction(int(run.lastMessage.Add(1)), destination, now.Add(messageDeadline), body), now)
 			pendingAnswers.Go(func() {
 				select {
 				case a := <-answer:
@@ -272,7 +272,7 @@
 		now := time.Now()
 		for i := range batch {
 			number := int(run.lastMessage.Add(1))
-			batch[i] = run.relay.Put(newTransaction(number, run.downCount+number%max(run.destinations-run.downCount, 1),
+			batch[i] = run.relay.Submit(newTransaction(number, run.downCount+number%max(run.destinations-run.downCount, 1),
 				now.Add(messageDeadline), body), now)
 		}
 		for _, answer := range batch {
@@ -292,8 +292,8 @@
 func newFlowManager() (*flow.Manager, error) {
 	defaults := gateway.Default()
 	connSettings := defaults.Conns.Keep
-	connSettings.Most, connSettings.IdleMost, connSettings.Seed = 256, 5*time.Second, 1
-	return flow.New(flow.Config{Gate: defaults.TLS.Gate, ConnectWithin: time.Second, MostFlows: 256, Conns: connSettings,
-		HeldMost:   defaults.Conns.HeldMost,
-		StuckAfter: defaults.Conns.StuckAfter}, func(traffic.FlowEnd) {})
+	connSettings.MaxConns, connSettings.MaxIdle, connSettings.Seed = 256, 5*time.Second, 1
+	return flow.New(flow.Config{HandshakeGate: defaults.TLS.Gate, ConnectTimeout: time.Second, MaxCalls: 256, Conns: connSettings,
+		MaxConnWait:    defaults.Conns.HeldMost,
+		UnackedTimeout: defaults.Conns.StuckAfter}, func(traffic.FlowEnd) {})
 }
--- a/internal/lab/capacity/slopes/list.go
+++ b/internal/lab/capacity/slopes/list.go
@@ -33,7 +33,7 @@
 	if err != nil {
 		return list, 0, err
 	}
-	book := pool.NewBook(pool.List{})
+	book := pool.NewMemberList(pool.List{})
 	heapBefore := heapBytes()
 	parseTime := measureThreadCPU(func() { list, err = applyList(book, fullList) })
 	if err != nil {
@@ -51,12 +51,12 @@
 }
 
 // applyList parses the body of a discovery answer and applies it to the book, as the pool watcher does.
-func applyList(book *pool.Book, raw []byte) (pool.List, error) {
+func applyList(book *pool.MemberList, raw []byte) (pool.List, error) {
 	list, err := pool.Parse(raw)
 	if err != nil {
 		return list, err
 	}
-	_, err = book.Take(list, false)
+	_, err = book.Apply(list, false)
 	return list, err
 }
 
@@ -77,14 +77,14 @@
 }
 
 // measureFlows returns the heap bytes of a flow manager that knows the pool members but has no connections.
-func measureFlows(poolUpdate traffic.PoolNews, record recordFunc) (float64, error) {
+func measureFlows(poolUpdate traffic.PoolUpdate, record recordFunc) (float64, error) {
 	heapBefore := heapBytes()
 	flows, err := newFlowManager()
 	if err != nil {
 		return 0, err
 	}
 	defer flows.Close()
-	flows.Pool(poolUpdate)
+	flows.UpdatePool(poolUpdate)
 	heap := heapBytes() - heapBefore
 	runtime.KeepAlive(poolUpdate)
 	return heap, record(flowsHeap, heap)
--- a/internal/lab/capacity/slopes/module.go
+++ b/internal/lab/capacity/slopes/module.go
@@ -48,7 +48,7 @@
 		return nil, err
 	}
 	l := &moduleLoad{sender: sender, random: rand.New(rand.NewPCG(seed, 0)), destinations: destinations, downMembers: map[string]bool{}, attempts: map[string]int{}}
-	list := dispatch.Members{Whole: true}
+	list := dispatch.MembershipUpdate{Full: true}
 	for i := range destinations {
 		list.Endpoints = append(list.Endpoints, dispatch.Endpoint{ID: memberName(i), Zone: zoneName, Kind: kindName, Destination: i, Weight: 100})
 	}
@@ -69,7 +69,7 @@
 	l.lastMessage++
 	// Some deadlines of the backlog are earlier than that of a new message, and some are later.
 	timeLeft := messageDeadline - time.Duration(l.random.Int64N(int64(messageDeadline/2)))
-	return dispatch.Request{ID: messageID(l.lastMessage), Destination: destination, Class: className, TimeLeft: timeLeft, Size: bodyBytes}
+	return dispatch.Request{ID: messageID(l.lastMessage), Destination: destination, Class: className, TimeLeft: timeLeft, SizeBytes: bodyBytes}
 }
 
 // step runs one step, returns the processor time of the module, and prepares the answers to the calls that the module started.
@@ -98,7 +98,7 @@
 	if l.downMembers[send.Endpoint] {
 		outcome.Status = dispatch.ConnectFailed
 	} else {
-		outcome.Settled = true
+		outcome.Closed = true
 		delete(l.attempts, send.ID)
 	}
 	return outcome
--- a/internal/lab/capacity/slopes/settings.go
+++ b/internal/lab/capacity/slopes/settings.go
@@ -29,15 +29,15 @@
 // the planned one, and the limits on calls and open messages admit the backlog.
 func moduleSettings(destinations, backlog int) dispatch.Settings {
 	return dispatch.Settings{
-		Classes: []dispatch.Class{{Name: className, Effect: dispatch.Keyed, Memory: 15 * time.Second, Aim: messageDeadline / 2,
+		Classes: []dispatch.Class{{Name: className, Effect: dispatch.Keyed, DedupTTL: 15 * time.Second, Aim: messageDeadline / 2,
 			Deadline: messageDeadline, Worth: 1, LateWorth: 0.5}},
 		Kinds: []dispatch.Kind{{Name: kindName}}, Zones: []dispatch.Zone{{Name: zoneName}}, Zone: zoneName,
 		Peers: int(plannedSizes[Relays]), Resolution: 5 * time.Millisecond,
 		MaxCalls: 2*downDestinations(destinations) + extraCalls, MaxOpen: 2*backlog + extraOpenMessages, MaxAttempts: 8,
 		ConnectTimeout: time.Second, KeepAlive: 5 * time.Second, CallsPerConn: 1, MaxRetryAfter: 3 * time.Second,
-		RetryAfter: true, Cancel: true, Weights: dispatch.Rough, LateByHalves: true, OverShareWorth: 0.1,
-		Safety: dispatch.Safety{StartCapacity: 0.23, Cold: 13 * time.Second, FallMultiple: 1.5, TipAfter: 1500 * time.Millisecond,
-			DrainGrace: 2 * time.Second, AskEvery: 10 * time.Second},
+		SendRetryAfter: true, CanCancel: true, Weights: dispatch.RoughWeights, LateByHalves: true, OverShareWorth: 0.1,
+		Safety: dispatch.Safety{MinStartCapacityShare: 0.23, Ramp: 13 * time.Second, OverloadMultiple: 1.5, OverloadFor: 1500 * time.Millisecond,
+			DrainGrace: 2 * time.Second, NotifyInterval: 10 * time.Second},
 		Prices: dispatch.Prices{Handshake: 0.02}}
 }
 
@@ -57,5 +57,5 @@
 
 // newTransaction returns the message with a number for a destination.
 func newTransaction(number, destination int, deadline time.Time, body []byte) traffic.Transaction {
-	return traffic.Transaction{ID: messageID(number), Class: className, Key: messageID(number), Destination: destination, Deadline: deadline, Body: body}
+	return traffic.Transaction{ID: messageID(number), Class: className, IdempotencyKey: messageID(number), Destination: destination, Deadline: deadline, Body: body}
 }
--- a/internal/lab/capacity/spread.go
+++ b/internal/lab/capacity/spread.go
@@ -51,12 +51,12 @@
 	c.announcers[relay] = n.announcer
 	if previous, ok := predecessor.(*spreadNode); ok {
 		n.bans = previous.bans
-		n.renewedAt = -verdicts.Ban.Life() / 3 // the bans are announced again at once
+		n.renewedAt = -verdicts.Ban.MaxLifetime() / 3 // the bans are announced again at once
 		n.earlierCounts = previous.earlierCounts
-		n.earlierCounts.OverBudget += previous.spread.Counters().Short
+		n.earlierCounts.OverBudget += previous.spread.Counters().Unsent
 	}
-	config := spread.Config{Self: relayName(relay), Exchange: spreadExchangeInterval, Bytes: spreadBytesPerSecond, Size: n.packetSize,
-		Packet: spreadPacketBytes, Seed: c.environment.Seed ^ uint64(relay)<<20 ^ incarnation<<52}
+	config := spread.Config{Self: relayName(relay), ExchangeInterval: spreadExchangeInterval, BytesPerSecond: spreadBytesPerSecond, PacketBytes: n.packetSize,
+		MaxPacketBytes: spreadPacketBytes, Seed: c.environment.Seed ^ uint64(relay)<<20 ^ incarnation<<52}
 	var err error
 	n.spread, err = spread.New(config, 0, n.store, incarnation)
 	return n, err
@@ -91,14 +91,14 @@
 // packetSize returns the size of a packet and stores it, so that toMessages does not calculate it again.
 func (n *spreadNode) packetSize(p *spread.Packet) int {
 	bytes := wire.Size(p)
-	n.packetBytes[p.Count] = bytes
+	n.packetBytes[p.Sequence] = bytes
 	return bytes
 }
 
-func (n *spreadNode) toMessages(sends []spread.Send) (messages []Message) {
+func (n *spreadNode) toMessages(sends []spread.OutgoingPacket) (messages []Message) {
 	for i := range sends {
 		p := &sends[i].Packet
-		messages = append(messages, Message{To: n.environment.relayIndex(sends[i].To), Bytes: n.packetBytes[p.Count], Body: p})
+		messages = append(messages, Message{To: n.environment.relayIndex(sends[i].To), Bytes: n.packetBytes[p.Sequence], Body: p})
 	}
 	clear(n.packetBytes)
 	return messages
@@ -180,8 +180,8 @@
 }
 
 // renewBans announces all bans of this relay again each time a third of their lifetime has passed.
-func (n *spreadNode) renewBans(now time.Duration) []spread.Send {
-	if now-n.renewedAt < verdicts.Ban.Life()/3 {
+func (n *spreadNode) renewBans(now time.Duration) []spread.OutgoingPacket {
+	if now-n.renewedAt < verdicts.Ban.MaxLifetime()/3 {
 		return nil
 	}
 	n.renewedAt = now
@@ -200,6 +200,6 @@
 // AddCounts adds the counters of internal/spread.
 func (n *spreadNode) AddCounts(to *Counts) {
 	c := n.spread.Counters()
-	to.OverBudget += n.earlierCounts.OverBudget + c.Short
-	to.Errors += c.Strangers
+	to.OverBudget += n.earlierCounts.OverBudget + c.Unsent
+	to.Errors += c.UnknownSenders
 }
--- a/internal/lab/emulator/gossip/gossip.go
+++ b/internal/lab/emulator/gossip/gossip.go
@@ -91,7 +91,7 @@
 	d.Judge = verdicts.NewJudge(d.Name, n.cfg.Quorum, d.Store)
 	d.Announcer = verdicts.NewAnnouncer(d.Name, incarnation)
 	var err error
-	d.Spread, err = spread.New(spread.Config{Self: d.Name, Exchange: n.cfg.ExchangeInterval, Bytes: n.cfg.BytesPerSecond, Size: wire.Size, Packet: 1300,
+	d.Spread, err = spread.New(spread.Config{Self: d.Name, ExchangeInterval: n.cfg.ExchangeInterval, BytesPerSecond: n.cfg.BytesPerSecond, PacketBytes: wire.Size, MaxPacketBytes: 1300,
 		Seed: uint64(d.index) + uint64(d.generation)<<32}, 0, d.Store, incarnation)
 	if err != nil {
 		return fmt.Errorf("gossip: %w", err)
@@ -138,7 +138,7 @@
 }
 
 // send sends packets over the links.
-func (d *Node) send(sends []spread.Send) {
+func (d *Node) send(sends []spread.OutgoingPacket) {
 	n := d.network
 	for _, s := range sends {
 		d.SentBytes += int64(wire.Size(&s.Packet))
--- a/internal/lab/emulator/gossip/gossip_test.go
+++ b/internal/lab/emulator/gossip/gossip_test.go
@@ -91,7 +91,7 @@
 		n.Nodes[0].Announce(banStatement(n.Nodes[0], 1))
 		n.Nodes[9].Announce(banStatement(n.Nodes[9], 2))
 		n.run(3 * time.Second)
-		if b := n.Nodes[11].Store; len(b.From(n.Nodes[11].Now(), "relay-0")) != 0 {
+		if b := n.Nodes[11].Store; len(b.ForOrigin(n.Nodes[11].Now(), "relay-0")) != 0 {
 			t.Errorf("%s: a statement crossed the partition", name)
 		}
 		n.Partitioned = nil
@@ -126,7 +126,7 @@
 	announcedAt := n.Sim.Now()
 	for i, length := range []time.Duration{800 * ms, 900 * ms, 14 * time.Second, 15 * time.Second} {
 		o := n.Nodes[5+i]
-		s, _ := o.Announcer.Wait(o.Now(), o.Store, verdicts.Observation{Outcome: verdicts.Refused, Destination: i / 2, Wait: length})
+		s, _ := o.Announcer.Wait(o.Now(), o.Store, verdicts.Observation{Outcome: verdicts.Refused, Destination: i / 2, RetryAfter: length})
 		o.Announce(s)
 	}
 	n.run(10 * time.Second)
@@ -166,13 +166,13 @@
 		t.Fatal(err)
 	}
 	n.run(3 * time.Second)
-	delayedPacket.Count += 1000
-	delayedPacket.News[0].Seq += 1000
+	delayedPacket.Sequence += 1000
+	delayedPacket.Statements[0].Seq += 1000
 	if received, _, _ = b.Spread.Receive(b.Now(), delayedPacket); len(received) != 0 {
 		t.Error("a packet of an earlier incarnation was accepted")
 	}
 	delayedPacket.From = "nobody"
-	if received, _, _ = b.Spread.Receive(b.Now(), delayedPacket); len(received) != 0 || b.Spread.Counters().Strangers != 1 {
+	if received, _, _ = b.Spread.Receive(b.Now(), delayedPacket); len(received) != 0 || b.Spread.Counters().UnknownSenders != 1 {
 		t.Error("a packet from a sender that is not a member was accepted")
 	}
 }
@@ -194,7 +194,7 @@
 	a.Announce(a.Announcer.Ban(1, "m", false))
 	n.run(3 * time.Second)
 	for _, d := range n.Nodes[1:] {
-		if list := d.Store.From(d.Now(), a.Name); len(list) != 1 || !list[0].Over {
+		if list := d.Store.ForOrigin(d.Now(), a.Name); len(list) != 1 || !list[0].Withdrawn {
 			t.Errorf("%s still holds the statement of the previous process: %v", d.Name, list)
 		}
 	}
@@ -214,7 +214,7 @@
 			t.Errorf("%s sent %d bytes in %v", d.Name, d.SentBytes, d.Now())
 		}
 	}
-	if n.Nodes[0].Spread.Counters().Short == 0 {
+	if n.Nodes[0].Spread.Counters().Unsent == 0 {
 		t.Error("no packet was postponed: the test did not reach the limit on bytes")
 	}
 }
--- a/internal/lab/emulator/workload/fleet.go
+++ b/internal/lab/emulator/workload/fleet.go
@@ -72,18 +72,18 @@
 // applyRestraints passes the restraints that follow from other relays' statements to the decision module.
 func (p *fleetMember) applyRestraints(now time.Duration, restraints []verdicts.Restraint) {
 	for _, c := range restraints {
-		ev := dispatch.Told{Destination: c.Destination, Endpoint: c.Member, Age: max(now-c.At, 0)}
+		ev := dispatch.FleetReport{Destination: c.Destination, Endpoint: c.Member, Age: max(now-c.At, 0)}
 		switch c.Order {
-		case verdicts.Hold:
-			ev.Kind, ev.For = dispatch.ToldWait, max(c.At-now, 0)
-		case verdicts.Out:
-			ev.Kind = dispatch.ToldOut
+		case verdicts.OrderWait:
+			ev.Kind, ev.For = dispatch.ReportedWait, max(c.At-now, 0)
+		case verdicts.OrderOutage:
+			ev.Kind = dispatch.ReportedOutage
 			p.receivedOutages[c.Member] = true
-		case verdicts.Back:
-			ev.Kind = dispatch.ToldBack
+		case verdicts.OrderRecovery:
+			ev.Kind = dispatch.ReportedRecovery
 			delete(p.receivedOutages, c.Member)
-		case verdicts.Free:
-			ev.Kind = dispatch.ToldNothing
+		case verdicts.OrderRelease:
+			ev.Kind = dispatch.ReportLapsed
 			delete(p.receivedOutages, c.Member)
 		}
 		p.post(ev)
@@ -101,12 +101,12 @@
 	}
 	for _, o := range outcomes {
 		d := dest(o.ID)
-		observation := verdicts.Observation{Destination: d, Member: o.Endpoint, Begun: now - o.Latency}
+		observation := verdicts.Observation{Destination: d, Member: o.Endpoint, StartedAt: now - o.Latency}
 		switch o.Status {
 		case dispatch.OK:
 			observation.Outcome = verdicts.Succeeded
-		case dispatch.Full:
-			observation.Outcome, observation.Wait = verdicts.Refused, o.Wait
+		case dispatch.Refused:
+			observation.Outcome, observation.RetryAfter = verdicts.Refused, o.RetryAfter
 		default:
 			observation.Outcome = verdicts.Failed
 		}
@@ -114,7 +114,7 @@
 		if st, ok := p.node.Announcer.Wait(now, p.node.Store, observation); ok {
 			announce(st)
 		}
-		p.sender.Health(d, func(endpoint string, since time.Duration) {
+		p.sender.EachHealth(d, func(endpoint string, since time.Duration) {
 			wasOut, isOut := p.ownOutages[endpoint], since >= 0
 			switch {
 			case isOut && (!wasOut || o.Status != dispatch.OK):
--- a/internal/lab/emulator/workload/workload.go
+++ b/internal/lab/emulator/workload/workload.go
@@ -146,7 +146,7 @@
 			module = d.Mutate(s)
 		}
 		relays[i] = &relay{index: i, module: module, waitUntil: map[int]emulator.Time{}, nextStepAt: -1, lastStepAt: -emulator.Time(settings.Resolution)}
-		relays[i].pendingEvents = append(relays[i].pendingEvents, dispatch.Members{Whole: true, Endpoints: endpoints})
+		relays[i].pendingEvents = append(relays[i].pendingEvents, dispatch.MembershipUpdate{Full: true, Endpoints: endpoints})
 	}
 	servers := make([]*servermodel.FIFO, len(d.Destinations))
 	work := make([]interface{ ExpFloat64() float64 }, len(d.Destinations))
@@ -165,12 +165,12 @@
 			return result, fmt.Errorf("workload: %w", err)
 		}
 	}
-	report := func(dest int) *dispatch.Report {
+	report := func(dest int) *dispatch.LimitReport {
 		if !d.Reports {
 			return nil
 		}
 		bucket := &d.Destinations[dest].Limit
-		return &dispatch.Report{Left: bucket.Left(sim.Now()), Limit: bucket.Rate}
+		return &dispatch.LimitReport{LeftShare: bucket.Left(sim.Now()), Rate: bucket.Rate}
 	}
 	type call struct {
 		caller  *relay
@@ -228,9 +228,9 @@
 					answer(time.Millisecond, dispatch.Outcome{Status: dispatch.ConnectFailed})
 				case state == servermodel.Silent: // the call may have run: it reached a machine that does not answer
 					record.MayHaveRun = true
-					answer(max(a.TimeOut, time.Millisecond), dispatch.Outcome{Status: dispatch.TimedOut})
+					answer(max(a.Timeout, time.Millisecond), dispatch.Outcome{Status: dispatch.TimedOut})
 				case !ok:
-					answer(time.Millisecond, dispatch.Outcome{Status: dispatch.Full, Wait: wait, Report: report(dest)})
+					answer(time.Millisecond, dispatch.Outcome{Status: dispatch.Refused, RetryAfter: wait, Report: report(dest)})
 				default:
 					callID := nextCall
 					nextCall++
@@ -238,8 +238,8 @@
 					calls[callID] = call{r, a.ID, attempt, sim.Now(), ended}
 					// The relay waits until the per-call timeout or the message's deadline. The server may still run the call later.
 					timeoutAt := record.Due
-					if a.TimeOut > 0 {
-						timeoutAt = min(timeoutAt, sim.Now()+emulator.Time(a.TimeOut))
+					if a.Timeout > 0 {
+						timeoutAt = min(timeoutAt, sim.Now()+emulator.Time(a.Timeout))
 					}
 					sim.At(max(timeoutAt, sim.Now()), serverPriority, func() {
 						if _, running := calls[callID]; running && !*ended {
@@ -267,7 +267,7 @@
 				record.EndedAt = sim.Now()
 			case dispatch.Wake:
 				at := max(emulator.Time(a.At), sim.Now())
-				sim.At(at, stepPriority, func() { post(r, dispatch.Woken{}) })
+				sim.At(at, stepPriority, func() { post(r, dispatch.WakeDue{}) })
 			}
 		}
 		if members != nil {
@@ -281,9 +281,9 @@
 		}
 		// A wait begins after the step that receives it: the calls of that step are allowed.
 		for _, ev := range events {
-			if o, ok := ev.(dispatch.Outcome); ok && o.Status == dispatch.Full && o.Wait > 0 {
+			if o, ok := ev.(dispatch.Outcome); ok && o.Status == dispatch.Refused && o.RetryAfter > 0 {
 				dest := result.Messages[o.ID].Destination
-				r.waitUntil[dest] = max(r.waitUntil[dest], sim.Now()+emulator.Time(o.Wait))
+				r.waitUntil[dest] = max(r.waitUntil[dest], sim.Now()+emulator.Time(o.RetryAfter))
 			}
 		}
 	}
@@ -298,12 +298,12 @@
 			*finishedCall.ended = true
 			o := dispatch.Outcome{ID: finishedCall.id, Attempt: finishedCall.attempt, Endpoint: fmt.Sprint("e", i), Latency: (sim.Now() - finishedCall.sent).Duration()}
 			if served {
-				o.Status, o.Settled, o.Report = dispatch.OK, true, report(i)
+				o.Status, o.Closed, o.Report = dispatch.OK, true, report(i)
 				if record := result.Messages[finishedCall.id]; !record.Delivered && record.FinalAnswers == 0 {
 					record.Delivered, record.FinalAnswers, record.EndedAt = true, record.FinalAnswers+1, sim.Now()
 				}
 			} else {
-				o.Status = dispatch.Full
+				o.Status = dispatch.Refused
 			}
 			post(finishedCall.caller, o)
 		})
@@ -324,7 +324,7 @@
 			}
 			r := relays[index]
 			result.Messages[id] = &Record{Relay: r.index, Destination: i, Due: sim.Now() + emulator.Time(d.TimeLeft), Aim: sim.Now() + aim}
-			post(r, dispatch.Request{ID: id, Destination: i, Class: d.Class, TimeLeft: d.TimeLeft, Size: 100})
+			post(r, dispatch.Request{ID: id, Destination: i, Class: d.Class, TimeLeft: d.TimeLeft, SizeBytes: 100})
 			sim.After(time.Duration(arrivals.ExpFloat64()/dest.Rate*1e9), emulator.Any, next)
 		}
 		sim.At(0, emulator.Any, next)
@@ -337,12 +337,12 @@
 			endpoint := endpoints[drain.Destination]
 			endpoint.State = dispatch.Draining
 			for _, r := range relays {
-				post(r, dispatch.Members{Endpoints: []dispatch.Endpoint{endpoint}})
+				post(r, dispatch.MembershipUpdate{Endpoints: []dispatch.Endpoint{endpoint}})
 			}
 		})
 	}
 	for _, r := range relays {
-		post(r, dispatch.Woken{})
+		post(r, dispatch.WakeDue{})
 	}
 	sim.Run(emulator.Time(d.Length + 10*d.TimeLeft))
 	for _, p := range members {
--- a/internal/lab/emulator/workload/workload_test.go
+++ b/internal/lab/emulator/workload/workload_test.go
@@ -19,8 +19,8 @@
 		Classes:    []dispatch.Class{{Name: "slot", Aim: time.Second, Deadline: 5 * time.Second, Worth: 3}},
 		Kinds:      []dispatch.Kind{{Name: "partner"}},
 		Resolution: 5 * time.Millisecond, MaxCalls: 40, MaxOpen: 400, MaxAttempts: 8, ConnectTimeout: time.Second,
-		KeepAlive: 5 * time.Second, RetryAfter: true, MaxRetryAfter: 3 * time.Second,
-		Safety: dispatch.Safety{StartCapacity: 0.23, Cold: 13 * time.Second, FallMultiple: 1.5, TipAfter: 1500 * time.Millisecond},
+		KeepAlive: 5 * time.Second, SendRetryAfter: true, MaxRetryAfter: 3 * time.Second,
+		Safety: dispatch.Safety{MinStartCapacityShare: 0.23, Ramp: 13 * time.Second, OverloadMultiple: 1.5, OverloadFor: 1500 * time.Millisecond},
 	}
 	d := Day{Seed: seed, Relays: 3, Settings: set, Length: 30 * time.Second, Class: "slot", TimeLeft: 5 * time.Second}
 	for i := range 20 {
@@ -118,7 +118,7 @@
 func (d drainIgnoringModule) Step(now time.Duration, events []dispatch.Event) []dispatch.Action {
 	kept := events[:0:0]
 	for _, ev := range events {
-		if m, ok := ev.(dispatch.Members); !ok || m.Whole {
+		if m, ok := ev.(dispatch.MembershipUpdate); !ok || m.Full {
 			kept = append(kept, ev)
 		}
 	}
@@ -161,7 +161,7 @@
 // Guards against calls during a retry-after wait. The planted defect repeats a call in the wait that its refusal asked for.
 func TestRetryAfterWaitsAreKept(t *testing.T) {
 	checkDefectIsDetected(t, overloadedDay(3), func(m *Record) bool { return m.SentInWait },
-		withResends(func(o dispatch.Outcome) bool { return o.Status == dispatch.Full && o.Wait > 0 }))
+		withResends(func(o dispatch.Outcome) bool { return o.Status == dispatch.Refused && o.RetryAfter > 0 }))
 }
 
 // Guards against more calls for a message than MaxAttempts. The planted defect retries each failed call without end.
--- a/internal/lab/explore/explore.go
+++ b/internal/lab/explore/explore.go
@@ -243,7 +243,7 @@
 		if x.first == s.loadedRelay {
 			want = 2 * destinationLimit
 		}
-		demands := []allowance.Demand{{Destination: destination, Rates: [allowance.Levels]float64{want}}}
+		demands := []allowance.Demand{{Destination: destination, Rates: [allowance.PriorityLevels]float64{want}}}
 		readings := []allowance.Reading{{Destination: destination, Limit: destinationLimit}}
 		c := r.holder.Claim(s.now, 0, s.relays[x.second].name, r.claimSequence, demands, readings)
 		if x.first == x.second {
@@ -331,12 +331,12 @@
 			b = append(b, '>', byte(m.from), byte(m.to))
 			if c := m.claim; c != nil {
 				b = appendNumber(b, allowance.ClaimSequence, from, c.Sequence)
-				b = appendNumber(b, allowance.GrantSequence, to, c.LastGrant)
+				b = appendNumber(b, allowance.GrantSequence, to, c.LastGrantSequence)
 				b = fmt.Append(b, c.LoanDuration, c.Demands)
 				continue
 			}
 			b = appendNumber(b, allowance.GrantSequence, from, m.grant.Sequence)
-			b = appendNumber(b, allowance.ClaimSequence, to, m.grant.LastClaim)
+			b = appendNumber(b, allowance.ClaimSequence, to, m.grant.LastClaimSequence)
 			b = fmt.Append(b, m.grant.Shares)
 		}
 		return b
--- a/internal/lab/fleets/fleets_test.go
+++ b/internal/lab/fleets/fleets_test.go
@@ -280,7 +280,7 @@
 at { at_s: 0 links { from: "relays" to: "relays" loss: 0.3 duplicate: 0.05 reorder: 0.1 corrupt: 0.02 delay_ms: 5 jitter_ms: 10 } }`, checkRecovered(t))
 	newStatements := int64(0)
 	for _, g := range r.Metrics {
-		newStatements += g.Spread.News
+		newStatements += g.Spread.NewStatements
 	}
 	if newStatements == 0 || r.fleet.Links.Lost.Load() == 0 {
 		t.Errorf("%d new statements received, %d packets lost: the test caused no loss", newStatements, r.fleet.Links.Lost.Load())
--- a/internal/lab/fleets/lying_peer.go
+++ b/internal/lab/fleets/lying_peer.go
@@ -58,7 +58,7 @@
 			if on {
 				seq++
 				statements = append(statements, verdicts.Statement{Origin: "liar", Version: verdicts.Version{Incarnation: 1, Seq: seq}, Subject: s, Length: length,
-					List: 1 << 40, Life: 60 * time.Second})
+					ListVersion: 1 << 40, Lifetime: 60 * time.Second})
 			}
 		}
 		for _, p := range f.Scenario.Partner {
@@ -73,7 +73,7 @@
 		for _, m := range l.members.Members() {
 			for i := 0; i < len(statements) && m.Name != "liar"; i += 20 {
 				seq++
-				b, err := wire.Append(nil, &spread.Packet{From: "liar", Incarnation: 1, Uptime: time.Since(began), Count: seq, News: statements[i:min(i+20, len(statements))]})
+				b, err := wire.Append(nil, &spread.Packet{From: "liar", Incarnation: 1, Uptime: time.Since(began), Sequence: seq, Statements: statements[i:min(i+20, len(statements))]})
 				if err == nil {
 					_ = l.members.SendBestEffort(m, b)
 				}
--- a/internal/lab/limits/simulation.go
+++ b/internal/lab/limits/simulation.go
@@ -36,7 +36,7 @@
 )
 
 // LoadFunc returns the calls a second that arrive at a relay, by priority level.
-type LoadFunc func(relay int) [allowance.Levels]float64
+type LoadFunc func(relay int) [allowance.PriorityLevels]float64
 
 // Simulation is a fleet of allocators that divide one limit.
 type Simulation struct {
@@ -62,9 +62,9 @@
 	Stopped map[int]bool
 
 	rng               *rand.Rand
-	inFlight          map[time.Duration][]packet  // by arrival time
-	latestAllocations []allocation                // by relay
-	backlog           [][allowance.Levels]float64 // waiting calls, by relay
+	inFlight          map[time.Duration][]packet          // by arrival time
+	latestAllocations []allocation                        // by relay
+	backlog           [][allowance.PriorityLevels]float64 // waiting calls, by relay
 }
 
 // packet is a message in flight.
@@ -101,14 +101,14 @@
 	s := &Simulation{
 		Limit:             limit,
 		Partitioned:       func(int, int) bool { return false },
-		Load:              func(int) [allowance.Levels]float64 { return [allowance.Levels]float64{} },
+		Load:              func(int) [allowance.PriorityLevels]float64 { return [allowance.PriorityLevels]float64{} },
 		Used:              make([]float64, relays),
 		BytesSent:         make([]int, relays),
 		Stopped:           map[int]bool{},
 		rng:               rand.New(rand.NewPCG(seed, simulationStream)),
 		inFlight:          map[time.Duration][]packet{},
 		latestAllocations: make([]allocation, relays),
-		backlog:           make([][allowance.Levels]float64, relays),
+		backlog:           make([][allowance.PriorityLevels]float64, relays),
 	}
 	cfg := allowance.DefaultConfig(relays, quorum)
 	for i := range relays {
@@ -156,7 +156,7 @@
 		From:        RelayName(from),
 		Incarnation: 1,
 		Uptime:      s.Now,
-		Count:       typicalCount,
+		Sequence:    typicalCount,
 		Claim:       m.Claim,
 		Grant:       m.Grant,
 	})
@@ -200,7 +200,7 @@
 	a := s.Allocators[i]
 	load := s.Load(i)
 	allowed := s.latestAllocations[i].rate(s.Now) * tick.Seconds()
-	var waiting, arrived [allowance.Levels]int
+	var waiting, arrived [allowance.PriorityLevels]int
 	for level, rate := range load {
 		maxWaiting := rate // a second of arrivals
 		s.backlog[i][level] = min(s.backlog[i][level]+rate*tick.Seconds(), maxWaiting)
@@ -245,7 +245,7 @@
 
 // ConstantLoad returns a load at one priority level, with one rate for each relay. The last rate also applies to all further relays.
 func ConstantLoad(level int, rates ...float64) LoadFunc {
-	return func(relay int) (load [allowance.Levels]float64) {
+	return func(relay int) (load [allowance.PriorityLevels]float64) {
 		load[level] = rates[min(relay, len(rates)-1)]
 		return load
 	}
--- a/internal/lab/partner/partner_test.go
+++ b/internal/lab/partner/partner_test.go
@@ -191,14 +191,14 @@
 	good := []byte(text("9b1f03aa5c7e2d41", "body"))
 	proptest.Check(t, func(t *rapid.T) {
 		var readers []byteReader
-		for _, p := range proptest.Pieces(t, good) {
+		for _, p := range proptest.Split(t, good) {
 			readers = append(readers, byteReader(p))
 		}
 		req, _, err := readHead(bufio.NewReaderSize(&pieces{readers}, 256))
 		if err != nil || req.id != 0x9b1f03aa5c7e2d41 || req.body != 4 {
 			t.Fatalf("%+v %v", req, err)
 		}
-		if req, _, err := readHead(bufio.NewReaderSize(bytes.NewReader(proptest.Garbage(t, good)), 256)); err == nil && (req.body < 0 || req.body > 1<<20) {
+		if req, _, err := readHead(bufio.NewReaderSize(bytes.NewReader(proptest.Malformed(t, good)), 256)); err == nil && (req.body < 0 || req.body > 1<<20) {
 			t.Fatalf("%+v", req)
 		}
 	})
--- a/internal/limitstore/limitstore.go
+++ b/internal/limitstore/limitstore.go
@@ -161,8 +161,8 @@
 	return list
 }
 
-// Learn records the limit, in calls a second, that a destination reported at the given time. It does not block.
-func (s *Store) Learn(destination int, rate float64, at time.Time) {
+// Record records the limit, in calls a second, that a destination reported at the given time. It does not block.
+func (s *Store) Record(destination int, rate float64, at time.Time) {
 	l := Limit{destination, rate, at}
 	if !l.valid(l.At) {
 		return
--- a/internal/limitstore/limitstore_test.go
+++ b/internal/limitstore/limitstore_test.go
@@ -25,11 +25,11 @@
 	if len(store.Limits()) > 0 {
 		t.Fatal("an empty folder contains limits")
 	}
-	store.Learn(3, 25, testTime)
-	store.Learn(1, 250, testTime)
-	store.Learn(3, 25.5, testTime) // a change too small to request a write
+	store.Record(3, 25, testTime)
+	store.Record(1, 250, testTime)
+	store.Record(3, 25.5, testTime) // a change too small to request a write
 	for _, invalid := range []float64{0, -1, math.NaN(), math.Inf(1)} {
-		store.Learn(2, invalid, testTime)
+		store.Record(2, invalid, testTime)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
@@ -67,13 +67,13 @@
 		if len(store.Limits()) > 0 {
 			t.Errorf("%s: limits %v", kind, store.Limits())
 		}
-		store.Learn(7, 9, testTime)
+		store.Record(7, 9, testTime)
 		if err := store.write(); err != nil || len(Open(dir, 20_000, testTime).Limits()) != 1 {
 			t.Errorf("%s: not replaced: %v", kind, err)
 		}
 	}
 	proptest.Check(t, func(t *rapid.T) {
-		limits, err := Decode(proptest.Garbage(t, good), testTime)
+		limits, err := Decode(proptest.Malformed(t, good), testTime)
 		for _, l := range limits {
 			if !l.valid(testTime) {
 				t.Fatalf("invalid limit in %v, error %v", limits, err)
@@ -86,7 +86,7 @@
 func TestFileStaysWithinItsBound(t *testing.T) {
 	store := Open(t.TempDir(), 20_000, testTime)
 	for d := range 300 {
-		store.Learn(1e9+d, 1e6-math.Pi*float64(d), testTime.Add(123456789))
+		store.Record(1e9+d, 1e6-math.Pi*float64(d), testTime.Add(123456789))
 	}
 	raw, err := Encode(store.sortedLimits())
 	if err != nil || len(store.Limits()) != 194 || len(raw) > 19*blockBytes {
@@ -98,7 +98,7 @@
 func TestNoFileWithoutRoom(t *testing.T) {
 	dir := t.TempDir()
 	store := Open(dir, 2*blockBytes-1, testTime)
-	store.Learn(7, 25, testTime)
+	store.Record(7, 25, testTime)
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	store.Run(ctx)
@@ -113,7 +113,7 @@
 	dir, now := t.TempDir(), time.Now()
 	store := Open(dir, 3_000_000/16, now)
 	for d := range 1500 {
-		store.Learn(d, 1e6/float64(d+3), now)
+		store.Record(d, 1e6/float64(d+3), now)
 	}
 	if err := store.write(); err != nil {
 		t.Fatal(err)
--- a/internal/notice/notice.go
+++ b/internal/notice/notice.go
@@ -27,7 +27,7 @@
 
 // Sender delivers notices in order.
 type Sender struct {
-	place    *discoveryaddr.Place
+	place    *discoveryaddr.Address
 	answered func(ids []string)
 
 	mu       sync.Mutex
@@ -60,7 +60,7 @@
 }
 
 // New returns a Sender to the platform, whose address may change. answered is called with the ids of notices that need no retry.
-func New(at *discoveryaddr.Place, answered func(ids []string)) *Sender {
+func New(at *discoveryaddr.Address, answered func(ids []string)) *Sender {
 	return &Sender{place: at, answered: answered, wake: make(chan struct{}, 1)}
 }
 
@@ -149,7 +149,7 @@
 		s.closeConn()
 	}
 	if s.conn == nil {
-		s.addr, s.placeCtx = s.place.Now()
+		s.addr, s.placeCtx = s.place.Current()
 		ctx, cancel := context.WithCancel(ctx)
 		defer cancel()
 		defer context.AfterFunc(s.placeCtx, cancel)()
@@ -161,7 +161,7 @@
 		s.conn, s.stopClose = nc, context.AfterFunc(s.placeCtx, func() { nc.Close() })
 	}
 	resp, err := http1.Exchange(s.conn, http1.AppendRequest(nil, "POST", "/v1/notices", s.addr, nil, encode(batch)),
-		http1.MaxHead, deadline, deadline)
+		http1.MaxHeadBytes, deadline, deadline)
 	if err != nil {
 		return 0, err
 	}
@@ -177,7 +177,7 @@
 	RetryIn int64  `json:"retry_in_ms,omitempty"`
 }
 
-var outcomeNames = map[traffic.NoticeOutcome]string{traffic.GivenUp: "given_up", traffic.HandedBack: "handed_back"}
+var outcomeNames = map[traffic.NoticeOutcome]string{traffic.GivenUp: "given_up", traffic.Returned: "handed_back"}
 
 // encode writes one JSON object per line.
 func encode(batch []traffic.Notice) []byte {
--- a/internal/ops/ops.go
+++ b/internal/ops/ops.go
@@ -33,8 +33,8 @@
 	Fleet           any              `json:"fleet,omitempty"` // nil if the relay takes part in no fleet
 }
 
-// ErrUnknown is the error that Relay.Maintain returns for an endpoint that is not in the pool.
-var ErrUnknown = errors.New("no such endpoint")
+// ErrUnknownEndpoint is the error that Relay.Maintain returns for an endpoint that is not in the pool.
+var ErrUnknownEndpoint = errors.New("no such endpoint")
 
 // Relay is the part of the relay that the admin endpoint uses. Configure and Maintain may block until ctx ends; the other methods
 // do not block.
@@ -45,7 +45,7 @@
 	Stats() Stats
 	// Fleet returns a part of the fleet's state by name: members or verdicts. It returns nil if the relay takes part in no fleet
 	// or the name is unknown.
-	Fleet(what string) any
+	FleetState(what string) any
 	// Configure submits a signed change of the fleet's configuration as JSON. It returns once this relay has stored and applied
 	// the change. An error of type *Refusal holds the reason and the HTTP status of a refused change.
 	Configure(ctx context.Context, change []byte) error
@@ -75,7 +75,7 @@
 	})
 	mux.HandleFunc("GET /ops/stats", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, relay.Stats()) })
 	mux.HandleFunc("GET /ops/fleet/{what}", func(w http.ResponseWriter, r *http.Request) {
-		if value := relay.Fleet(r.PathValue("what")); value != nil {
+		if value := relay.FleetState(r.PathValue("what")); value != nil {
 			writeJSON(w, value)
 		} else {
 			writeText(w, http.StatusNotFound, "this relay takes no part in a fleet, or there is nothing of that name\n")
@@ -91,7 +91,7 @@
 			ctx, cancel := context.WithDeadline(r.Context(), time.Now().Add(answerTimeout))
 			defer cancel()
 			switch err := relay.Maintain(ctx, id, down); {
-			case errors.Is(err, ErrUnknown):
+			case errors.Is(err, ErrUnknownEndpoint):
 				writeText(w, http.StatusNotFound, "no such endpoint: "+id+"\n")
 			case err != nil:
 				slog.Warn("maintenance not done", "endpoint", id, "down", down, "err", err)
--- a/internal/ops/ops_test.go
+++ b/internal/ops/ops_test.go
@@ -25,7 +25,7 @@
 }
 
 func (f *fakeRelay) Ready() bool { f.mu.Lock(); defer f.mu.Unlock(); return f.ready }
-func (f *fakeRelay) Fleet(what string) any {
+func (f *fakeRelay) FleetState(what string) any {
 	if what != "members" {
 		return nil
 	}
@@ -48,7 +48,7 @@
 	block, known := f.block, f.known[id]
 	f.mu.Unlock()
 	if !known {
-		return ErrUnknown
+		return ErrUnknownEndpoint
 	}
 	if block {
 		<-ctx.Done()
--- a/internal/overload/overload.go
+++ b/internal/overload/overload.go
@@ -34,25 +34,25 @@
 
 // Config configures a Controller. Times are positive; shares lie in 0..1.
 type Config struct {
-	Classes      []Class
-	Tenants      []Tenant
-	OverShare    float64 // factor on the worth of a submission beyond its tenant's share
-	LateByHalves bool    // worth halves with each further aim past the aim; otherwise it falls linearly to the deadline
-
-	TargetBusy  float64       // share of the available processor that may be used or waited for
-	TargetDelay time.Duration // queueing delay that a submission may have
-	Confirm     int           // consecutive ticks over a target before shedding begins
-	LeastRate   float64       // submissions a second below which shedding does not begin; also the lowest limit
-	Floor       float64       // share of the capacity that each class keeps, however low its worth
-	BodyWork    int           // bytes of a body that cost as much work as a submission without a body
+	Classes         []Class
+	Tenants         []Tenant
+	OverShareFactor float64 // factor on the worth of a submission beyond its tenant's share
+	LateByHalves    bool    // worth halves with each further aim past the aim; otherwise it falls linearly to the deadline
+
+	TargetBusy    float64       // share of the available processor that may be used or waited for
+	TargetDelay   time.Duration // queueing delay that a submission may have
+	ConfirmTicks  int           // consecutive ticks over a target before shedding begins
+	MinRate       float64       // submissions a second below which shedding does not begin; also the lowest limit
+	ClassFloor    float64       // share of the capacity that each class keeps, however low its worth
+	BodyWorkBytes int           // bytes of a body that cost as much work as a submission without a body
 
 	RefusalShare       float64       // share of all work that refusals may take; above it, reading is paused
-	MostPace           time.Duration // longest pause in reading from a connection after a refusal
-	RetryLeast         time.Duration // wait named to a refused client under the least pressure
-	RetryMost          time.Duration // longest wait named to a refused client
+	MaxReadPause       time.Duration // longest pause in reading from a connection after a refusal
+	MinRetryIn         time.Duration // wait named to a refused client under the least pressure
+	MaxRetryIn         time.Duration // longest wait named to a refused client
 	MemoryHigh         float64       // share of the memory limit at which limits begin to shrink
 	MemoryFull         float64       // share of the memory limit at which limits reach their minimum
-	OpenMost           int           // messages that may be open without pressure
+	MaxOpen            int           // messages that may be open without pressure
 	MaxBodyBytes       int           // largest body admitted up to MemoryHigh
 	MaxBodyBytesAtFull int           // largest body admitted from MemoryFull
 	Seed               uint64
@@ -61,9 +61,9 @@
 // Defaults returns the values that a relay uses where its configuration file sets none. The caller adds Classes, Tenants
 // and OpenMost.
 func Defaults() Config {
-	return Config{TargetBusy: 0.92, TargetDelay: 25 * time.Millisecond, Confirm: 3, LeastRate: 50, Floor: 0.02,
-		BodyWork: 16 << 10, RefusalShare: 0.25, MostPace: 100 * time.Millisecond,
-		RetryLeast: 250 * time.Millisecond, RetryMost: 3 * time.Second, MemoryHigh: 0.80, MemoryFull: 0.95,
+	return Config{TargetBusy: 0.92, TargetDelay: 25 * time.Millisecond, ConfirmTicks: 3, MinRate: 50, ClassFloor: 0.02,
+		BodyWorkBytes: 16 << 10, RefusalShare: 0.25, MaxReadPause: 100 * time.Millisecond,
+		MinRetryIn: 250 * time.Millisecond, MaxRetryIn: 3 * time.Second, MemoryHigh: 0.80, MemoryFull: 0.95,
 		MaxBodyBytes: 64 << 10, MaxBodyBytesAtFull: 1 << 10}
 }
 
@@ -77,16 +77,16 @@
 		return fmt.Errorf("overload: TargetBusy is %v, not within 0.1..1", c.TargetBusy)
 	case c.TargetDelay <= 0:
 		return fmt.Errorf("overload: TargetDelay is %v, not positive", c.TargetDelay)
-	case c.Confirm < 1:
-		return fmt.Errorf("overload: Confirm is %d, less than 1", c.Confirm)
-	case !within(c.Floor*float64(len(c.Classes)), 0, 0.5):
-		return fmt.Errorf("overload: Floor of %v for each of %d classes is not within 0 to half of the capacity", c.Floor, len(c.Classes))
-	case c.BodyWork < 1:
-		return fmt.Errorf("overload: BodyWork is %d, less than 1", c.BodyWork)
+	case c.ConfirmTicks < 1:
+		return fmt.Errorf("overload: Confirm is %d, less than 1", c.ConfirmTicks)
+	case !within(c.ClassFloor*float64(len(c.Classes)), 0, 0.5):
+		return fmt.Errorf("overload: Floor of %v for each of %d classes is not within 0 to half of the capacity", c.ClassFloor, len(c.Classes))
+	case c.BodyWorkBytes < 1:
+		return fmt.Errorf("overload: BodyWork is %d, less than 1", c.BodyWorkBytes)
 	case !within(c.RefusalShare, 0.01, 0.9):
 		return fmt.Errorf("overload: RefusalShare is %v, not within 0.01..0.9", c.RefusalShare)
-	case c.RetryLeast <= 0 || c.RetryMost < c.RetryLeast:
-		return fmt.Errorf("overload: RetryLeast %v is not positive or exceeds RetryMost %v", c.RetryLeast, c.RetryMost)
+	case c.MinRetryIn <= 0 || c.MaxRetryIn < c.MinRetryIn:
+		return fmt.Errorf("overload: RetryLeast %v is not positive or exceeds RetryMost %v", c.MinRetryIn, c.MaxRetryIn)
 	case !(c.MemoryHigh > 0 && c.MemoryHigh < c.MemoryFull && c.MemoryFull <= 1):
 		return fmt.Errorf("overload: MemoryHigh %v and MemoryFull %v are not in order within 0..1", c.MemoryHigh, c.MemoryFull)
 	case c.MaxBodyBytesAtFull < 1 || c.MaxBodyBytes < c.MaxBodyBytesAtFull:
@@ -274,36 +274,36 @@
 
 // normalActions returns the actions of a relay without pressure.
 func (c *Controller) normalActions() Actions {
-	return Actions{MaxOpen: c.cfg.OpenMost, MaxBodyBytes: c.cfg.MaxBodyBytes, OpenBytesScale: 1, AmpleMemory: true}
+	return Actions{MaxOpen: c.cfg.MaxOpen, MaxBodyBytes: c.cfg.MaxBodyBytes, OpenBytesScale: 1, AmpleMemory: true}
 }
 
 // Counters returns the totals since the start.
 func (c *Controller) Counters() Counters { return c.counters }
 
-// HandIn describes a submission before its body is read.
-type HandIn struct {
+// Submission describes a submission before its body is read.
+type Submission struct {
 	Class, Tenant string
-	Size          int           // of the body, bytes
-	Left          time.Duration // until the deadline
+	BodyBytes     int           // of the body, bytes
+	TimeLeft      time.Duration // until the deadline
 }
 
-// Ruling is the decision on a submission.
-type Ruling struct {
+// Decision is the decision on a submission.
+type Decision struct {
 	Refused bool
 	Cause   Cause
 	RetryIn time.Duration // with Refused: wait before the client retries
 }
 
 // Admit decides on a submission.
-func (c *Controller) Admit(now time.Duration, h HandIn) Ruling {
+func (c *Controller) Admit(now time.Duration, h Submission) Decision {
 	c.counters.Offered++
 	class, tenant := c.classes[h.Class], c.tenantState(h.Tenant)
-	work := c.work(h.Size)
+	work := c.work(h.BodyBytes)
 	level := c.level(class, tenant, h, work)
 	c.offeredByLevel[level] += work
 	tenant.offeredWork += work
 	c.totalOfferedWork += work
-	if h.Size > c.actions.MaxBodyBytes {
+	if h.BodyBytes > c.actions.MaxBodyBytes {
 		c.counters.RefusedBySize++
 		c.window.refusedWork += work
 		c.window.refusedCount++
@@ -319,23 +319,23 @@
 	c.window.admittedWork += work
 	c.window.admittedCount++
 	tenant.admittedWork += work
-	return Ruling{}
+	return Decision{}
 }
 
 // refusal returns the decision that refuses a submission for the given cause.
-func (c *Controller) refusal(cause Cause) Ruling {
-	return Ruling{Refused: true, Cause: cause, RetryIn: c.retryIn()}
+func (c *Controller) refusal(cause Cause) Decision {
+	return Decision{Refused: true, Cause: cause, RetryIn: c.retryIn()}
 }
 
 // retryIn returns the wait for a refused client. The wait grows with the pressure. A random factor of 0.5 to 1.5
 // keeps clients that are refused together from retrying together.
 func (c *Controller) retryIn() time.Duration {
-	wait := float64(c.cfg.RetryLeast) * (1 + max(c.excess, 0))
-	if c.cfg.MostPace > 0 { // paused connections hide a part of the demand
-		wait *= 1 + pauseRetryFactor*float64(c.actions.ReadPause)/float64(c.cfg.MostPace)
+	wait := float64(c.cfg.MinRetryIn) * (1 + max(c.excess, 0))
+	if c.cfg.MaxReadPause > 0 { // paused connections hide a part of the demand
+		wait *= 1 + pauseRetryFactor*float64(c.actions.ReadPause)/float64(c.cfg.MaxReadPause)
 	}
-	wait = min(wait, float64(c.cfg.RetryMost)/1.5)
-	return max(time.Duration(wait*(0.5+c.rng.Float64())), c.cfg.RetryLeast/2)
+	wait = min(wait, float64(c.cfg.MaxRetryIn)/1.5)
+	return max(time.Duration(wait*(0.5+c.rng.Float64())), c.cfg.MinRetryIn/2)
 }
 
 // tenantState returns the state of the named tenant, or the common state of all tenants that the settings do not name.
@@ -347,17 +347,17 @@
 }
 
 // work returns the work of a submission with a body of size bytes. The unit is the work of a submission without a body.
-func (c *Controller) work(size int) float64 { return 1 + float64(size)/float64(c.cfg.BodyWork) }
+func (c *Controller) work(size int) float64 { return 1 + float64(size)/float64(c.cfg.BodyWorkBytes) }
 
 // level ranks a submission by worth per unit of work on a logarithmic scale. A submission beyond its tenant's share
 // ranks lower by the factor OverShare, and can still use capacity that other tenants leave free.
-func (c *Controller) level(class *classState, tenant *tenantState, h HandIn, work float64) int {
+func (c *Controller) level(class *classState, tenant *tenantState, h Submission, work float64) int {
 	worth := 1.0
 	if class != nil {
-		worth = c.worth(class, h.Left)
+		worth = c.worth(class, h.TimeLeft)
 	}
 	if c.actions.Shedding && c.exceedsTenantShare(tenant) {
-		worth *= c.cfg.OverShare
+		worth *= c.cfg.OverShareFactor
 		c.counters.OverTenantShare++
 	}
 	if !(worth > 0) {
@@ -422,7 +422,7 @@
 	c.tokensAt = max(now, c.tokensAt)
 	c.tokens = min(c.tokens+c.actions.WorkLimit*dt, c.burstTokens())
 	for _, class := range c.classes {
-		class.floorTokens = min(class.floorTokens+c.actions.WorkLimit*c.cfg.Floor*dt, max(c.burstTokens()*c.cfg.Floor, 2))
+		class.floorTokens = min(class.floorTokens+c.actions.WorkLimit*c.cfg.ClassFloor*dt, max(c.burstTokens()*c.cfg.ClassFloor, 2))
 	}
 }
 
@@ -497,7 +497,7 @@
 	if c.overTicks++; waiting > allowed && load > 1.05 {
 		c.overTicks++ // sudden overload: each tick admits more than the relay can complete, so it is confirmed faster
 	}
-	if load <= 1 || shrinking || offeredRate < c.cfg.LeastRate {
+	if load <= 1 || shrinking || offeredRate < c.cfg.MinRate {
 		c.overTicks = 0
 	}
 	scale := 1 - max(min(limitDecrease*(load-1), maxLimitDecrease), 0)
@@ -506,17 +506,17 @@
 	}
 	switch {
 	case !c.actions.Shedding:
-		if c.overTicks < c.cfg.Confirm {
+		if c.overTicks < c.cfg.ConfirmTicks {
 			return
 		}
 		c.actions.Shedding, c.actions.Cause, c.actions.Reading, c.calmTicks = true, cause, reading, 0
-		c.actions.WorkLimit = max(rate*scale, c.cfg.LeastRate)
+		c.actions.WorkLimit = max(rate*scale, c.cfg.MinRate)
 		c.tokens, c.tokensAt, c.roundingError = c.burstTokens(), now, 0
 		c.counters.SheddingStarts++
 		return
 	case load > 1:
 		c.actions.Cause, c.actions.Reading = cause, reading
-		c.actions.WorkLimit = max(min(c.actions.WorkLimit, 1.1*rate)*scale, minLimitShare*c.endedRate, c.cfg.LeastRate)
+		c.actions.WorkLimit = max(min(c.actions.WorkLimit, 1.1*rate)*scale, minLimitShare*c.endedRate, c.cfg.MinRate)
 	default:
 		c.actions.WorkLimit = min(c.actions.WorkLimit*(1+minLimitIncrease+growth*max(1-max(load, c.load), 0)), max(c.actions.WorkLimit, 1.5*c.admittedRate))
 	}
@@ -554,13 +554,13 @@
 // the difference between this interval and the interval at the highest permitted rate of refusals.
 func (c *Controller) updateReadPause(s Sample, dt float64) {
 	c.refusalRate += 0.4 * (float64(c.window.refusedCount)/dt - c.refusalRate)
-	maxRate := c.cfg.RefusalShare / (1 - c.cfg.RefusalShare) * max(c.admittedRate, c.cfg.LeastRate, 1) / workPerRefusal
+	maxRate := c.cfg.RefusalShare / (1 - c.cfg.RefusalShare) * max(c.admittedRate, c.cfg.MinRate, 1) / workPerRefusal
 	switch {
 	case !c.actions.Shedding:
 		c.actions.ReadPause = 0
 	case c.refusalRate > 0:
 		missingSeconds := float64(s.Clients) * (1/maxRate - 1/c.refusalRate) / 2
-		c.actions.ReadPause = min(max(c.actions.ReadPause+time.Duration(missingSeconds*float64(time.Second)), c.actions.ReadPause*8/10), c.cfg.MostPace)
+		c.actions.ReadPause = min(max(c.actions.ReadPause+time.Duration(missingSeconds*float64(time.Second)), c.actions.ReadPause*8/10), c.cfg.MaxReadPause)
 	default:
 		c.actions.ReadPause = c.actions.ReadPause * 8 / 10
 	}
@@ -595,12 +595,12 @@
 	}
 	switch {
 	case c.pressureTicks >= minPressureTicks && s.Open > 0:
-		if c.actions.MaxOpen == c.cfg.OpenMost {
+		if c.actions.MaxOpen == c.cfg.MaxOpen {
 			c.counters.OpenLimitCuts++
 		}
 		c.actions.MaxOpen = max(int(float64(min(s.Open, c.actions.MaxOpen))*openShrinkFactor), 1)
-	case c.pressureTicks == 0 && c.actions.MaxOpen < c.cfg.OpenMost && s.SchedulingShare < maxSchedulingShare/2:
-		c.actions.MaxOpen = min(int(float64(c.actions.MaxOpen)*openGrowFactor)+1, c.cfg.OpenMost)
+	case c.pressureTicks == 0 && c.actions.MaxOpen < c.cfg.MaxOpen && s.SchedulingShare < maxSchedulingShare/2:
+		c.actions.MaxOpen = min(int(float64(c.actions.MaxOpen)*openGrowFactor)+1, c.cfg.MaxOpen)
 	}
 }
 
