--- a/internal/overload/overload_test.go
+++ b/internal/overload/overload_test.go
@@ -20,13 +20,13 @@
 		{Name: "slot", Worth: 3, LateWorth: 0.1, Aim: time.Second, Deadline: 5 * time.Second},
 	}
 	c.Tenants = []Tenant{{"a", 0.5}, {"b", 0.5}}
-	c.OverShare, c.LateByHalves, c.OpenMost, c.Seed = 0.1, true, 1000, 1
+	c.OverShareFactor, c.LateByHalves, c.MaxOpen, c.Seed = 0.1, true, 1000, 1
 	return c
 }
 
 // clientStream is a stream of submissions to the model.
 type clientStream struct {
-	HandIn
+	Submission
 	perSecond float64
 
 	dueCount                   float64 // submissions due, with their fraction
@@ -73,7 +73,7 @@
 					continue
 				}
 				f.read++
-				h := f.HandIn
+				h := f.Submission
 				if f.turns++; h.Tenant == "" { // the tenants take turns
 					h.Tenant = []string{"a", "b"}[f.turns%2]
 				}
@@ -83,7 +83,7 @@
 					f.paused = append(f.paused, m.now+m.actions.ReadPause)
 				} else {
 					f.admitted++
-					m.queuedWork += m.controller.work(f.Size)
+					m.queuedWork += m.controller.work(f.BodyBytes)
 					f.queuedCount++
 				}
 			}
@@ -114,11 +114,11 @@
 func (f *clientStream) admittedShare() float64 { return float64(f.admitted) / float64(max(f.read, 1)) }
 
 func payStream(perSecond float64) *clientStream {
-	return &clientStream{HandIn: HandIn{Class: "pay", Size: 200, Left: 28 * time.Second}, perSecond: perSecond}
+	return &clientStream{Submission: Submission{Class: "pay", BodyBytes: 200, TimeLeft: 28 * time.Second}, perSecond: perSecond}
 }
 
 func slotStream(perSecond float64) *clientStream {
-	return &clientStream{HandIn: HandIn{Class: "slot", Size: 200, Left: 5 * time.Second}, perSecond: perSecond}
+	return &clientStream{Submission: Submission{Class: "slot", BodyBytes: 200, TimeLeft: 5 * time.Second}, perSecond: perSecond}
 }
 
 // At a load below the capacity, with a stall now and then, nothing is refused and no action is taken. The test guards against
@@ -247,17 +247,19 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	level := func(h HandIn) int { return c.level(c.classes[h.Class], c.tenantState(h.Tenant), h, c.work(h.Size)) }
-	fresh := HandIn{Class: "slot", Tenant: "a", Left: 5 * time.Second}
-	late, large, pay := fresh, fresh, HandIn{Class: "pay", Tenant: "a", Left: 28 * time.Second}
-	late.Left, large.Size = 2*time.Second, 60_000
+	level := func(h Submission) int {
+		return c.level(c.classes[h.Class], c.tenantState(h.Tenant), h, c.work(h.BodyBytes))
+	}
+	fresh := Submission{Class: "slot", Tenant: "a", TimeLeft: 5 * time.Second}
+	late, large, pay := fresh, fresh, Submission{Class: "pay", Tenant: "a", TimeLeft: 28 * time.Second}
+	late.TimeLeft, large.BodyBytes = 2*time.Second, 60_000
 	if !(level(fresh) > level(pay) && level(late) < level(fresh) && level(large) < level(pay)) {
 		t.Errorf("levels: fresh %d, late %d, large %d, pay %d", level(fresh), level(late), level(large), level(pay))
 	}
 	if got := c.worth(c.classes["slot"], 0); math.Abs(got-0.3) > 1e-9 {
 		t.Errorf("worth of a slot message at its deadline: %v, want 0.3, the product of Worth and LateWorth", got)
 	}
-	if level(HandIn{Class: "unknown"}) != unitLevel {
+	if level(Submission{Class: "unknown"}) != unitLevel {
 		t.Error("an unknown class is not ranked with worth 1")
 	}
 }
@@ -279,7 +281,7 @@
 	if heavyLoad < 2*lightLoad {
 		t.Errorf("mean wait %v at 1.5 times the capacity and %v at ten times", lightLoad, heavyLoad)
 	}
-	if longest < 2*shortest || longest > m.controller.cfg.RetryMost || shortest < m.controller.cfg.RetryLeast/2 {
+	if longest < 2*shortest || longest > m.controller.cfg.MaxRetryIn || shortest < m.controller.cfg.MinRetryIn/2 {
 		t.Errorf("waits between %v and %v", shortest, longest)
 	}
 }
@@ -291,7 +293,7 @@
 	memory := 0.85
 	m.adjustSample = func(s *Sample) { s.MemoryShare, s.Open = memory, 600 }
 	small, large := slotStream(100), slotStream(100)
-	small.Size, large.Size = 500, 60_000
+	small.BodyBytes, large.BodyBytes = 500, 60_000
 	m.run(time.Second, small, large)
 	large.read, large.admitted = 0, 0
 	m.run(time.Second, small, large)
@@ -318,7 +320,7 @@
 	m := newModel(t, testConfig(), 10_000)
 	m.adjustSample = func(s *Sample) { s.OpenBytesShare = 0.93 }
 	small, large := slotStream(100), slotStream(100)
-	small.Size, large.Size = 500, 60_000
+	small.BodyBytes, large.BodyBytes = 500, 60_000
 	m.run(time.Second, small, large)
 	if small.refused > 0 || large.refused == 0 || m.actions.FreeIdle || m.actions.OpenBytesScale < 1 || m.actions.MaxOpen != 1000 {
 		t.Errorf("%d small and %d large bodies refused, %+v", small.refused, large.refused, m.actions)
@@ -377,10 +379,10 @@
 		for range rapid.IntRange(1, 60).Draw(t, "ticks") {
 			for range rapid.IntRange(0, 200).Draw(t, "hand-ins") {
 				now += time.Duration(rapid.IntRange(0, 1000).Draw(t, "gap")) * time.Microsecond
-				r := c.Admit(now, HandIn{Class: rapid.SampledFrom([]string{"pay", "slot", "?"}).Draw(t, "class"),
-					Tenant: rapid.SampledFrom([]string{"a", "b", ""}).Draw(t, "tenant"), Size: rapid.IntRange(0, 1<<20).Draw(t, "size"),
-					Left: time.Duration(rapid.Int64Range(-1e12, 1e12).Draw(t, "left"))})
-				if r.Refused && (r.RetryIn < cfg.RetryLeast/2 || r.RetryIn > cfg.RetryMost) {
+				r := c.Admit(now, Submission{Class: rapid.SampledFrom([]string{"pay", "slot", "?"}).Draw(t, "class"),
+					Tenant: rapid.SampledFrom([]string{"a", "b", ""}).Draw(t, "tenant"), BodyBytes: rapid.IntRange(0, 1<<20).Draw(t, "size"),
+					TimeLeft: time.Duration(rapid.Int64Range(-1e12, 1e12).Draw(t, "left"))})
+				if r.Refused && (r.RetryIn < cfg.MinRetryIn/2 || r.RetryIn > cfg.MaxRetryIn) {
 					t.Fatalf("RetryIn is %v", r.RetryIn)
 				}
 			}
@@ -389,9 +391,9 @@
 			a := c.Tick(now, Sample{BusyShare: any("busy"), Delay: time.Duration(any("delay") * 1e9), MemoryShare: any("memory"), OpenBytesShare: any("bytes"),
 				Open: rapid.IntRange(0, 1e6).Draw(t, "held"), Waiting: rapid.IntRange(0, 1e6).Draw(t, "waiting"),
 				Ended: rapid.IntRange(0, 1e6).Draw(t, "ended"), SchedulingShare: any("holding")})
-			if a.ReadPause < 0 || a.ReadPause > cfg.MostPace || a.MaxOpen < 1 || a.MaxOpen > cfg.OpenMost || a.MaxBodyBytes < cfg.MaxBodyBytesAtFull ||
+			if a.ReadPause < 0 || a.ReadPause > cfg.MaxReadPause || a.MaxOpen < 1 || a.MaxOpen > cfg.MaxOpen || a.MaxBodyBytes < cfg.MaxBodyBytesAtFull ||
 				a.MaxBodyBytes > cfg.MaxBodyBytes || !(a.OpenBytesScale >= 0.25 && a.OpenBytesScale <= 1) || math.IsNaN(a.WorkLimit) || math.IsInf(a.WorkLimit, 0) ||
-				a.Shedding && a.WorkLimit < cfg.LeastRate || a.CutLevel < 0 || a.CutLevel >= levelCount {
+				a.Shedding && a.WorkLimit < cfg.MinRate || a.CutLevel < 0 || a.CutLevel >= levelCount {
 				t.Fatalf("out of bounds: %+v", a)
 			}
 		}
@@ -404,11 +406,11 @@
 		"Classes":            func(c *Config) { c.Classes = nil },
 		"TargetBusy":         func(c *Config) { c.TargetBusy = math.NaN() },
 		"TargetDelay":        func(c *Config) { c.TargetDelay = 0 },
-		"Confirm":            func(c *Config) { c.Confirm = 0 },
-		"Floor":              func(c *Config) { c.Floor = 0.4 },
-		"BodyWork":           func(c *Config) { c.BodyWork = 0 },
+		"Confirm":            func(c *Config) { c.ConfirmTicks = 0 },
+		"Floor":              func(c *Config) { c.ClassFloor = 0.4 },
+		"BodyWork":           func(c *Config) { c.BodyWorkBytes = 0 },
 		"RefusalShare":       func(c *Config) { c.RefusalShare = 0 },
-		"RetryMost":          func(c *Config) { c.RetryMost = ms },
+		"RetryMost":          func(c *Config) { c.MaxRetryIn = ms },
 		"MemoryHigh":         func(c *Config) { c.MemoryHigh = 0.99 },
 		"MaxBodyBytesAtFull": func(c *Config) { c.MaxBodyBytesAtFull = 1 << 30 },
 	} {
@@ -428,7 +430,7 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			h := HandIn{Class: "pay", Tenant: "a", Size: 200, Left: 20 * time.Second}
+			h := Submission{Class: "pay", Tenant: "a", BodyBytes: 200, TimeLeft: 20 * time.Second}
 			if shedding {
 				for i := 1; i < 10; i++ {
 					for range 5000 {
--- a/internal/pool/book.go
+++ b/internal/pool/book.go
@@ -6,10 +6,10 @@
 	"slatemux/internal/traffic"
 )
 
-// Book holds the known members and decides what of an answer from discovery applies. A drain stays until discovery withdraws it: by
+// MemberList holds the known members and decides what of an answer from discovery applies. A drain stays until discovery withdraws it: by
 // a newer version than the one that announced it, or for a member that has started since. An answer that is older than the known
 // list, or of another kind than requested, changes nothing. Book uses no socket and no clock.
-type Book struct {
+type MemberList struct {
 	seq          int64
 	wantFull     bool // the next call asks for the full list
 	lastWasOlder bool // the previous answer was older than the known list
@@ -30,9 +30,9 @@
 // maxGone bounds the remembered members that have left. A late list may still name those of some releases.
 const maxGone = 2048
 
-// NewBook returns a Book that starts from a known list.
-func NewBook(known List) *Book {
-	b := &Book{seq: known.Seq, invalidSeq: -1, hosts: make(map[string]entry, len(known.Hosts)), departed: map[string]entry{}}
+// NewMemberList returns a Book that starts from a known list.
+func NewMemberList(known List) *MemberList {
+	b := &MemberList{seq: known.Seq, invalidSeq: -1, hosts: make(map[string]entry, len(known.Hosts)), departed: map[string]entry{}}
 	for _, h := range known.Hosts {
 		b.hosts[h.Host] = entry{h, known.Seq}
 	}
@@ -40,25 +40,25 @@
 }
 
 // Seq returns the version of the known list.
-func (b *Book) Seq() int64 { return b.seq }
+func (b *MemberList) Seq() int64 { return b.seq }
 
 // WantFull reports whether the next call must ask for the full list.
-func (b *Book) WantFull() bool { return b.wantFull }
+func (b *MemberList) WantFull() bool { return b.wantFull }
 
 // SourceChanged records that discovery has moved. The versions of the new address need not continue the old ones, so the full list
 // is needed.
-func (b *Book) SourceChanged() { b.wantFull, b.moved, b.lastWasOlder = true, true, false }
+func (b *MemberList) SourceChanged() { b.wantFull, b.moved, b.lastWasOlder = true, true, false }
 
-// Take applies an answer and returns what changes. askedFull says that the full list was requested.
-func (b *Book) Take(l List, askedFull bool) (traffic.PoolNews, error) {
+// Apply applies an answer and returns what changes. askedFull says that the full list was requested.
+func (b *MemberList) Apply(l List, askedFull bool) (traffic.PoolUpdate, error) {
 	restarted := b.moved || l.Seq < b.seq
 	switch {
-	case askedFull && !l.Whole:
-		return traffic.PoolNews{}, fmt.Errorf("pool: list: changes received, but the full list was requested")
-	case restarted && !b.moved && !(b.lastWasOlder && l.Whole):
+	case askedFull && !l.Full:
+		return traffic.PoolUpdate{}, fmt.Errorf("pool: list: changes received, but the full list was requested")
+	case restarted && !b.moved && !(b.lastWasOlder && l.Full):
 		// One older answer is late. A second one in a row with a full list means that the versions of discovery have restarted.
 		b.wantFull, b.lastWasOlder = true, true
-		return traffic.PoolNews{}, fmt.Errorf("pool: list: version %d is older than %d", l.Seq, b.seq)
+		return traffic.PoolUpdate{}, fmt.Errorf("pool: list: version %d is older than %d", l.Seq, b.seq)
 	}
 	b.wantFull, b.moved, b.lastWasOlder, b.seq = l.Invalid.Count > 0 && b.invalidSeq != l.Seq, false, false, l.Seq
 	if b.wantFull {
@@ -68,7 +68,7 @@
 		b.forgetVersions()
 	}
 	before := b.hosts
-	if l.Whole {
+	if l.Full {
 		b.hosts = make(map[string]entry, len(l.Hosts))
 	}
 	for i := range l.Hosts {
@@ -86,7 +86,7 @@
 			b.hosts[h.Host] = entry{*h, l.Seq}
 		}
 	}
-	if l.Whole {
+	if l.Full {
 		b.departMissing(&l, before)
 	}
 	return l.News(), nil
@@ -94,7 +94,7 @@
 
 // departMissing handles the members that a full list does not name. They have left. If the list has an invalid entry for a member,
 // its new state is unknown, and the known state is kept.
-func (b *Book) departMissing(l *List, before map[string]entry) {
+func (b *MemberList) departMissing(l *List, before map[string]entry) {
 	for name, previous := range before {
 		if _, listed := b.hosts[name]; listed {
 			continue
@@ -121,7 +121,7 @@
 }
 
 // forgetVersions marks everything known as announced by another discovery address.
-func (b *Book) forgetVersions() {
+func (b *MemberList) forgetVersions() {
 	for _, list := range []map[string]entry{b.hosts, b.departed} {
 		for name, e := range list {
 			e.seq = 0
@@ -131,7 +131,7 @@
 }
 
 // depart remembers a member that has left, in place of the oldest one if there are too many.
-func (b *Book) depart(h *Host, seq int64) {
+func (b *MemberList) depart(h *Host, seq int64) {
 	if len(b.departed) >= maxGone {
 		oldest := ""
 		for name, e := range b.departed {
--- a/internal/pool/book_test.go
+++ b/internal/pool/book_test.go
@@ -21,8 +21,8 @@
 // memberHealth is the list of members as a receiver of the book's news keeps it.
 type memberHealth map[string]traffic.Health
 
-func (s memberHealth) apply(news traffic.PoolNews) {
-	if news.Whole {
+func (s memberHealth) apply(news traffic.PoolUpdate) {
+	if news.Full {
 		clear(s)
 	}
 	for _, m := range news.Members {
@@ -62,12 +62,12 @@
 		"an empty list":                          {{listJSON(12, true), false, false, traffic.Left, false, 0}},
 	} {
 		known := parse(t, listJSON(10, true, entryJSON("a", "active"), entryJSON("b", "leaving")))
-		b, s := NewBook(known), memberHealth{}
+		b, s := NewMemberList(known), memberHealth{}
 		s.apply(known.News())
 		for i, step := range steps {
 			if step.answer == moves {
 				b.SourceChanged()
-			} else if news, err := b.Take(parse(t, step.answer), step.askedFull); (err != nil) != step.wantErr {
+			} else if news, err := b.Apply(parse(t, step.answer), step.askedFull); (err != nil) != step.wantErr {
 				t.Errorf("%s, step %d: %v", what, i, err)
 			} else if err == nil {
 				s.apply(news)
@@ -90,7 +90,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		b, s := NewBook(known), memberHealth{}
+		b, s := NewMemberList(known), memberHealth{}
 		s.apply(known.News())
 		for range rapid.IntRange(1, 6).Draw(t, "answers") {
 			if rapid.IntRange(0, 5).Draw(t, "moves") == 0 {
@@ -102,14 +102,14 @@
 			}), 0, 4).Draw(t, "lines")
 			text := []byte(listJSON(rapid.IntRange(0, 10).Draw(t, "seq"), rapid.Bool().Draw(t, "whole"), lines...))
 			if rapid.IntRange(0, 3).Draw(t, "spoilt") == 0 {
-				text = proptest.Garbage(t, text)
+				text = proptest.Malformed(t, text)
 			}
 			l, err := Parse(text)
 			if err != nil || l.Seq > 10 { // corrupted, it may have become a newer version
 				continue
 			}
 			from := b.Seq()
-			news, err := b.Take(l, b.WantFull())
+			news, err := b.Apply(l, b.WantFull())
 			if err != nil {
 				continue
 			}
--- a/internal/pool/pace.go
+++ b/internal/pool/pace.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// Terms holds the settings of discovery.
-type Terms struct {
+// DiscoveryConfig holds the settings of discovery.
+type DiscoveryConfig struct {
 	// Pushed means that lists are pushed to an agent on this machine, which answers at once, at no cost, with what it has. The relay
 	// counts as notified of everything that the agent has, whether it asked or not. Otherwise all relays poll one central service,
 	// which processes their calls in turn.
-	Pushed bool
-	Peers  int           // number of relays, this one included
-	Grace  time.Duration // grace period: how long after notification of a drain new calls to the member are still allowed
-	Asked  time.Duration // polling: time without a call after which the relay counts as notified of what was listed; 0 if not set
+	Pushed        bool
+	Peers         int           // number of relays, this one included
+	DrainGrace    time.Duration // grace period: how long after notification of a drain new calls to the member are still allowed
+	NotifiedAfter time.Duration // polling: time without a call after which the relay counts as notified of what was listed; 0 if not set
 }
 
-// Pace decides when a relay calls discovery for the list. It reads no clock.
+// CallSchedule decides when a relay calls discovery for the list. It reads no clock.
 //
 // With polling, all relays of a fleet see the same events, and discovery is sized for the calls of a few. A release, a mass restart
 // or an overload of discovery makes all relays call at the same moment, and calls that discovery cannot answer in time cost it as
@@ -30,8 +30,8 @@
 // In both modes, a relay counts as notified of a change maxNotifyDelay after discovery had it and was reachable, whatever happened
 // to earlier calls. The constants below are chosen so that on each path the sum of three times stays below that: the rest of a call
 // that brings nothing, the pause after it, and the call that brings the change.
-type Pace struct {
-	terms       Terms
+type CallSchedule struct {
+	terms       DiscoveryConfig
 	startSpread time.Duration // first calls of the fleet are spread over this time
 	failures    int           // number in a row
 	rng         *rand.Rand
@@ -85,17 +85,17 @@
 	_ = uint64(maxNotifyDelay - (watchHold + maxAgentWait + transferTimeout + maxAgentWait + maxAgentWait + transferTimeout))
 )
 
-// NewPace returns the pace of one relay. Each relay needs its own seed.
-func NewPace(terms Terms, seed int64) *Pace {
+// NewCallSchedule returns the pace of one relay. Each relay needs its own seed.
+func NewCallSchedule(terms DiscoveryConfig, seed int64) *CallSchedule {
 	startSpread := min(time.Duration(min(max(terms.Peers, 1), 1000)-1)*callInterval, maxStartSpread)
-	if terms.Asked > 0 { // otherwise the relay counts as notified of everything listed at its start before it has called
-		startSpread = min(startSpread, terms.Asked/2)
+	if terms.NotifiedAfter > 0 { // otherwise the relay counts as notified of everything listed at its start before it has called
+		startSpread = min(startSpread, terms.NotifiedAfter/2)
 	}
-	return &Pace{terms: terms, startSpread: startSpread, rng: rand.New(rand.NewPCG(uint64(seed), 5))}
+	return &CallSchedule{terms: terms, startSpread: startSpread, rng: rand.New(rand.NewPCG(uint64(seed), 5))}
 }
 
 // StartDelay returns the delay before the first call.
-func (p *Pace) StartDelay() time.Duration {
+func (p *CallSchedule) StartDelay() time.Duration {
 	if p.terms.Pushed {
 		return 0
 	}
@@ -103,7 +103,7 @@
 }
 
 // MoveDelay returns the delay before the first call after discovery has moved to another address.
-func (p *Pace) MoveDelay() time.Duration {
+func (p *CallSchedule) MoveDelay() time.Duration {
 	p.failures = 0
 	if p.terms.Pushed {
 		return 0
@@ -112,15 +112,15 @@
 }
 
 // Answered records that a call was answered.
-func (p *Pace) Answered() { p.failures = 0 }
+func (p *CallSchedule) Answered() { p.failures = 0 }
 
 // RetryDelay records that a call failed and returns the delay before the next call. It is a random value in the upper half of the
 // span, so that calls never follow each other at once. After a watch, most of the time for a retry is already used, so its first
 // span is shorter.
-func (p *Pace) RetryDelay(watch bool) time.Duration {
+func (p *CallSchedule) RetryDelay(watch bool) time.Duration {
 	firstSpan, maxSpan := min(max(p.startSpread, minRetrySpan), maxFirstRetrySpan), maxRetrySpan
 	if p.terms.Pushed {
-		firstSpan, maxSpan = minAgentWait, max(min(p.terms.Grace/agentRetryDivisor, maxAgentWait), minAgentWait)
+		firstSpan, maxSpan = minAgentWait, max(min(p.terms.DrainGrace/agentRetryDivisor, maxAgentWait), minAgentWait)
 	} else if watch && p.failures == 0 {
 		firstSpan = min(firstSpan, maxSilentRetrySpan)
 	}
@@ -131,7 +131,7 @@
 
 // WatchTimeouts returns how long a watch may wait for changes, and how long after that its answer times out. The first watch of a
 // start, which has no check before it, ends before the known list expires.
-func (p *Pace) WatchTimeouts(first bool) (hold, timeout time.Duration) {
+func (p *CallSchedule) WatchTimeouts(first bool) (hold, timeout time.Duration) {
 	switch {
 	case p.terms.Pushed:
 		return watchHold, p.agentTimeout()
@@ -143,11 +143,11 @@
 
 // NeedsCheck reports whether a relay makes a check before it begins a watch. Without a check, nobody knows whether the list is fresh
 // or discovery is reachable. At a start with polling there is none, since discovery has to answer the whole fleet.
-func (p *Pace) NeedsCheck() bool { return p.terms.Pushed || p.failures > 0 }
+func (p *CallSchedule) NeedsCheck() bool { return p.terms.Pushed || p.failures > 0 }
 
 // CheckTimeout returns the timeout of a call that asks for an answer at once. It doubles after failures, since discovery may be slow
 // and not down.
-func (p *Pace) CheckTimeout() (timeout time.Duration) {
+func (p *CallSchedule) CheckTimeout() (timeout time.Duration) {
 	if p.terms.Pushed {
 		return p.agentTimeout()
 	}
@@ -155,24 +155,24 @@
 }
 
 // agentTimeout grows with failures, since an agent may be slow and not down, up to a bound within the grace period.
-func (p *Pace) agentTimeout() time.Duration {
-	timeout := min(p.terms.Grace/agentTimeoutDivisor, maxAgentWait)
+func (p *CallSchedule) agentTimeout() time.Duration {
+	timeout := min(p.terms.DrainGrace/agentTimeoutDivisor, maxAgentWait)
 	return max(min(timeout<<min(p.failures/2, 1), 2*maxAgentWait), minAgentWait)
 }
 
 // MaxUnconfirmed returns how long a list may be used that is not known to be fresh: since the start of the process, and since it was
 // last known to be fresh. The relay counts as notified of what an agent has from the first moment on. The rest of the grace period
 // is for flows in progress.
-func (p *Pace) MaxUnconfirmed() (start, later time.Duration) {
-	later = maxNotifyDelay + p.terms.Grace*3/4
+func (p *CallSchedule) MaxUnconfirmed() (start, later time.Duration) {
+	later = maxNotifyDelay + p.terms.DrainGrace*3/4
 	if p.terms.Pushed {
-		return p.terms.Grace * 3 / 4, later
+		return p.terms.DrainGrace * 3 / 4, later
 	}
 	return later, later
 }
 
 // randomUpTo returns a random duration from 0 up to span.
-func (p *Pace) randomUpTo(span time.Duration) time.Duration {
+func (p *CallSchedule) randomUpTo(span time.Duration) time.Duration {
 	if span <= 0 {
 		return 0
 	}
--- a/internal/pool/pace_test.go
+++ b/internal/pool/pace_test.go
@@ -7,12 +7,12 @@
 )
 
 // askedTerms returns settings for polling, pushedTerms for an agent.
-func askedTerms(peers int) Terms {
-	return Terms{Peers: peers, Grace: 500 * time.Millisecond, Asked: 10 * time.Second}
+func askedTerms(peers int) DiscoveryConfig {
+	return DiscoveryConfig{Peers: peers, DrainGrace: 500 * time.Millisecond, NotifiedAfter: 10 * time.Second}
 }
 
-func pushedTerms(peers int, grace time.Duration) Terms {
-	return Terms{Pushed: true, Peers: peers, Grace: grace}
+func pushedTerms(peers int, grace time.Duration) DiscoveryConfig {
+	return DiscoveryConfig{Pushed: true, Peers: peers, DrainGrace: grace}
 }
 
 // slowDiscovery answers one call after another, each in the same time, and drops a call that has waited for its timeout. A dropped
@@ -95,7 +95,7 @@
 	for seed := range int64(20) {
 		var fleet []caller
 		for i := range int64(80) {
-			fleet = append(fleet, NewPace(askedTerms(80), seed*100+i))
+			fleet = append(fleet, NewCallSchedule(askedTerms(80), seed*100+i))
 		}
 		last, calls, peak := simulateCalls(d, fleet)
 		if last > 20*time.Second || calls > 160 || peak > 12 {
@@ -106,11 +106,11 @@
 
 // A single relay, or one of three, calls at once or after a short delay.
 func TestSmallFleetCallsSoon(t *testing.T) {
-	if p := NewPace(askedTerms(1), 1); p.StartDelay() != 0 || p.MoveDelay() != 0 {
+	if p := NewCallSchedule(askedTerms(1), 1); p.StartDelay() != 0 || p.MoveDelay() != 0 {
 		t.Error("a single relay waits for others")
 	}
 	for seed := range int64(100) {
-		p := NewPace(askedTerms(3), seed)
+		p := NewCallSchedule(askedTerms(3), seed)
 		if s, f := p.StartDelay(), p.RetryDelay(false); s > 100*time.Millisecond || f > 100*time.Millisecond {
 			t.Fatalf("one of three pauses for %v and %v", s, f)
 		}
@@ -119,7 +119,7 @@
 
 // Retry delays grow with each failure in a row up to a bound, differ between relays, and start over after an answer.
 func TestRetryDelaysGrow(t *testing.T) {
-	a, b := NewPace(askedTerms(80), 1), NewPace(askedTerms(80), 2)
+	a, b := NewCallSchedule(askedTerms(80), 1), NewCallSchedule(askedTerms(80), 2)
 	same, most := 0, time.Duration(0)
 	for range 30 {
 		x, y := a.RetryDelay(false), b.RetryDelay(false)
@@ -137,7 +137,7 @@
 	if p := a.RetryDelay(false); p > maxStartSpread {
 		t.Errorf("after an answer, the first pause is %v", p)
 	}
-	if NewPace(askedTerms(-3), 1).StartDelay() != 0 || NewPace(askedTerms(1<<40), 1).StartDelay() > maxStartSpread {
+	if NewCallSchedule(askedTerms(-3), 1).StartDelay() != 0 || NewCallSchedule(askedTerms(1<<40), 1).StartDelay() > maxStartSpread {
 		t.Error("wrong delay for a fleet of an absurd size")
 	}
 }
@@ -148,7 +148,7 @@
 func TestPacePushed(t *testing.T) {
 	for _, grace := range []time.Duration{500 * time.Millisecond, time.Second, 2 * time.Second, 5 * time.Second} {
 		for _, peers := range []int{1, 3, 350, 1024, 5000} {
-			p := NewPace(pushedTerms(peers, grace), int64(peers))
+			p := NewCallSchedule(pushedTerms(peers, grace), int64(peers))
 			if p.StartDelay() != 0 || p.MoveDelay() != 0 {
 				t.Errorf("of %d, grace %v: pauses before the first call", peers, grace)
 			}
@@ -177,16 +177,16 @@
 // the settings count it as notified.
 func TestPaceAsked(t *testing.T) {
 	for seed := range int64(50) {
-		p := NewPace(askedTerms(1024), seed)
+		p := NewCallSchedule(askedTerms(1024), seed)
 		hold, timeout := p.WatchTimeouts(false)
 		if at := hold + timeout + p.RetryDelay(true); at > hold+2*time.Second-timeout/2 {
 			t.Fatalf("a silent watch is replaced %v after its start", at)
 		}
 		terms := askedTerms(1024)
-		if terms.Asked = time.Second; NewPace(terms, seed).StartDelay() > time.Second/2 {
+		if terms.NotifiedAfter = time.Second; NewCallSchedule(terms, seed).StartDelay() > time.Second/2 {
 			t.Fatal("the first call comes too late")
 		}
-		if start, later := p.MaxUnconfirmed(); start != later || start <= maxNotifyDelay || start >= maxNotifyDelay+terms.Grace {
+		if start, later := p.MaxUnconfirmed(); start != later || start <= maxNotifyDelay || start >= maxNotifyDelay+terms.DrainGrace {
 			t.Fatalf("a list that is not known to be fresh is used for %v after the start and %v later", start, later)
 		}
 	}
@@ -198,19 +198,19 @@
 // TestRefusedListExpires).
 func TestWorstDelayOfEachPath(t *testing.T) {
 	for _, peers := range []int{1, 3, 80, 350, 1024} {
-		for _, terms := range []Terms{askedTerms(peers), pushedTerms(peers, 500*time.Millisecond), pushedTerms(peers, 5*time.Second)} {
+		for _, terms := range []DiscoveryConfig{askedTerms(peers), pushedTerms(peers, 500*time.Millisecond), pushedTerms(peers, 5*time.Second)} {
 			longest := map[string]time.Duration{}
 			for seed := range int64(300) {
 				record := func(path string, d time.Duration) { longest[path] = max(longest[path], d) }
-				call := func(p *Pace) time.Duration { return p.CheckTimeout() + transferTimeout }
-				p := NewPace(terms, seed)
+				call := func(p *CallSchedule) time.Duration { return p.CheckTimeout() + transferTimeout }
+				p := NewCallSchedule(terms, seed)
 				firstHold, _ := p.WatchTimeouts(true)
 				record("start", p.StartDelay()+call(p))
 				record("start without news", p.StartDelay()+firstHold)
-				p = NewPace(terms, seed)
+				p = NewCallSchedule(terms, seed)
 				p.RetryDelay(false)
 				record("move", p.MoveDelay()+call(p)+p.RetryDelay(false)+call(p))
-				p = NewPace(terms, seed)
+				p = NewCallSchedule(terms, seed)
 				hold, timeout := p.WatchTimeouts(false)
 				record("watch", hold+timeout+transferTimeout+p.RetryDelay(true)+call(p))
 				for range 40 {
@@ -228,13 +228,13 @@
 
 // When discovery is back, the relays of a large fleet must not all call at the same moment.
 func TestLargeFleetCallsAreSpread(t *testing.T) {
-	for what, pause := range map[string]func(p *Pace) time.Duration{"start": (*Pace).StartDelay, "a second failure": func(p *Pace) time.Duration {
+	for what, pause := range map[string]func(p *CallSchedule) time.Duration{"start": (*CallSchedule).StartDelay, "a second failure": func(p *CallSchedule) time.Duration {
 		p.RetryDelay(false)
 		return p.RetryDelay(false)
 	}} {
 		in := map[int]int{}
 		for i := range int64(350) {
-			in[int(pause(NewPace(askedTerms(350), i))/(100*time.Millisecond))]++
+			in[int(pause(NewCallSchedule(askedTerms(350), i))/(100*time.Millisecond))]++
 		}
 		for at, n := range in {
 			if n > 60 {
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -17,7 +17,7 @@
 // List is a list of members as discovery sends it: the full list, or changes.
 type List struct {
 	Seq     int64
-	Whole   bool
+	Full    bool
 	Hosts   []Host // valid entries, one for each host
 	Invalid InvalidEntries
 }
@@ -59,7 +59,7 @@
 	if text.Seq == nil || text.Hosts == nil {
 		return List{}, errors.New("pool: list: seq or hosts is missing")
 	}
-	l := List{Seq: *text.Seq, Whole: text.Whole, Hosts: make([]Host, 0, len(text.Hosts))}
+	l := List{Seq: *text.Seq, Full: text.Whole, Hosts: make([]Host, 0, len(text.Hosts))}
 	indexes := make(map[string]int, len(text.Hosts))
 	for _, line := range text.Hosts {
 		var h Host
@@ -91,8 +91,8 @@
 	s.Hosts[host] = true
 }
 
-// Log logs the invalid entries in one line.
-func (l *List) Log() {
+// LogInvalid logs the invalid entries in one line.
+func (l *List) LogInvalid() {
 	if l.Invalid.Count > 0 {
 		slog.Warn("pool entries passed over", "seq", l.Seq, "count", l.Invalid.Count, "first", l.Invalid.First)
 	}
@@ -120,8 +120,8 @@
 }
 
 // News converts a list to the form that the relay and the flows use.
-func (l *List) News() traffic.PoolNews {
-	news := traffic.PoolNews{Seq: l.Seq, Whole: l.Whole, Members: make([]traffic.Member, 0, len(l.Hosts))}
+func (l *List) News() traffic.PoolUpdate {
+	news := traffic.PoolUpdate{Version: l.Seq, Full: l.Full, Members: make([]traffic.Member, 0, len(l.Hosts))}
 	for i := range l.Hosts {
 		news.Members = append(news.Members, l.Hosts[i].member())
 	}
@@ -129,7 +129,7 @@
 }
 
 func (h *Host) member() traffic.Member {
-	m := traffic.Member{Host: h.Host, Dial: h.Dial, Site: h.Site, Class: h.Class, Health: healthByName[h.Health], Share: h.Share}
+	m := traffic.Member{Host: h.Host, Address: h.Dial, Zone: h.Site, Kind: h.Class, Health: healthByName[h.Health], Weight: h.Share}
 	if h.Block != nil {
 		m.Destination = *h.Block
 	}
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -29,9 +29,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := traffic.Member{Host: "s-5b", Dial: "127.0.0.1:1", Site: "a", Class: "m2", Destination: 3,
-		Health: traffic.Leaving, Share: 1.5}
-	if news := l.News(); l.Seq != 41 || !news.Whole || len(news.Members) != 1 || news.Members[0] != want {
+	want := traffic.Member{Host: "s-5b", Address: "127.0.0.1:1", Zone: "a", Kind: "m2", Destination: 3,
+		Health: traffic.Leaving, Weight: 1.5}
+	if news := l.News(); l.Seq != 41 || !news.Full || len(news.Members) != 1 || news.Members[0] != want {
 		t.Errorf("%+v", news)
 	}
 	for _, invalid := range []string{entryJSON("a", "odd"), entryJSON("", "active"), `{"host":"a","health":"active","dial":"127.0.0.1:1"}`,
@@ -48,7 +48,7 @@
 		}
 	}
 	proptest.Check(t, func(t *rapid.T) {
-		if l, err := Parse(proptest.Garbage(t, []byte(exampleList))); err == nil {
+		if l, err := Parse(proptest.Malformed(t, []byte(exampleList))); err == nil {
 			for _, m := range l.News().Members {
 				if m.Host == "" {
 					t.Fatalf("%+v", l)
--- a/internal/pool/watch.go
+++ b/internal/pool/watch.go
@@ -45,9 +45,9 @@
 
 // Watcher follows the list. Its connection stays open between calls as long as discovery allows it.
 type Watcher struct {
-	place        *discoveryaddr.Place
-	pace         *Pace
-	book         *Book
+	place        *discoveryaddr.Address
+	pace         *CallSchedule
+	book         *MemberList
 	listener     Listener
 	processStart time.Time
 	conn         net.Conn
@@ -66,16 +66,16 @@
 
 // Listener receives the changes of the pool. Its methods must not block.
 type Listener interface {
-	PoolChanged(traffic.PoolNews)
+	PoolChanged(traffic.PoolUpdate)
 	// PoolDoubted says that the known list has expired: discovery has not confirmed it, and the relay already counts as notified of
 	// later changes. The next PoolChanged ends this state.
-	PoolDoubted()
+	PoolUnconfirmed()
 }
 
 // NewWatcher returns a Watcher that continues from the known list and passes each change to the listener. The process started at
 // since.
-func NewWatcher(at *discoveryaddr.Place, pace *Pace, known List, since time.Time, to Listener) *Watcher {
-	return &Watcher{place: at, pace: pace, book: NewBook(known), processStart: since, listener: to}
+func NewWatcher(at *discoveryaddr.Address, pace *CallSchedule, known List, since time.Time, to Listener) *Watcher {
+	return &Watcher{place: at, pace: pace, book: NewMemberList(known), processStart: since, listener: to}
 }
 
 // Counters returns the counters.
@@ -102,7 +102,7 @@
 	pause := w.pace.StartDelay()
 	w.lastAnswer = time.Now()
 	for failures := 0; ctx.Err() == nil; {
-		addr, placeCtx := w.place.Now()
+		addr, placeCtx := w.place.Current()
 		followCtx, cancel := context.WithCancel(ctx)
 		stopCancel := context.AfterFunc(placeCtx, cancel)
 		lastAnswer := w.lastAnswer
@@ -141,7 +141,7 @@
 	}
 	slog.Warn("the known list is not confirmed: nothing is sent until discovery answers", "after", time.Since(w.freshAt))
 	w.confirmed = false
-	w.listener.PoolDoubted()
+	w.listener.PoolUnconfirmed()
 }
 
 // setFresh records that the list was fresh at a time, or that discovery was unreachable: the relay counts as notified of later
@@ -243,20 +243,20 @@
 	if ctx.Err() != nil { // discovery has moved, so the old address no longer counts
 		return ctx.Err()
 	}
-	var news traffic.PoolNews
+	var news traffic.PoolUpdate
 	if err == nil {
-		news, err = w.book.Take(list, full)
+		news, err = w.book.Apply(list, full)
 	}
 	if err != nil {
 		w.closeConn() // later answers on this connection are unreliable as well
 		w.updateCounters(func(c *Counters) { c.Failed++ })
 		return err
 	}
-	list.Log()
+	list.LogInvalid()
 	w.pace.Answered()
 	at := time.Now()
 	w.updateCounters(func(c *Counters) {
-		if news.Whole {
+		if news.Full {
 			c.FullLists++
 		} else if len(news.Members) > 0 {
 			c.Changes++
@@ -272,7 +272,7 @@
 	w.everAnswered = true
 	_, later := w.pace.MaxUnconfirmed()
 	w.expiryTimer.Reset(time.Until(w.freshAt.Add(later)))
-	if w.confirmed = true; first || news.Whole || len(news.Members) > 0 { // an empty change confirms the known list
+	if w.confirmed = true; first || news.Full || len(news.Members) > 0 { // an empty change confirms the known list
 		w.listener.PoolChanged(news)
 	}
 	return nil
--- a/internal/pool/watch_test.go
+++ b/internal/pool/watch_test.go
@@ -48,27 +48,27 @@
 
 // recorder is a Listener that records its calls.
 type recorder struct {
-	news    chan traffic.PoolNews
+	news    chan traffic.PoolUpdate
 	expired chan time.Time
 }
 
-func (h recorder) PoolChanged(n traffic.PoolNews) {
+func (h recorder) PoolChanged(n traffic.PoolUpdate) {
 	select {
 	case h.news <- n:
 	default:
 	}
 }
 
-func (h recorder) PoolDoubted() { h.expired <- time.Now() }
+func (h recorder) PoolUnconfirmed() { h.expired <- time.Now() }
 
 // startWatcher follows the list at a place until the test ends, from a known list at version 41 in which b is active.
-func startWatcher(t *testing.T, at *discoveryaddr.Place, terms Terms) (*Watcher, recorder) {
+func startWatcher(t *testing.T, at *discoveryaddr.Address, terms DiscoveryConfig) (*Watcher, recorder) {
 	known, err := Parse([]byte(listJSON(41, true, entryJSON("a", "active"), entryJSON("b", "active"))))
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := recorder{make(chan traffic.PoolNews, 100), make(chan time.Time, 1)}
-	w := NewWatcher(at, NewPace(terms, 1), known, time.Now(), h)
+	h := recorder{make(chan traffic.PoolUpdate, 100), make(chan time.Time, 1)}
+	w := NewWatcher(at, NewCallSchedule(terms, 1), known, time.Now(), h)
 	ctx, cancel := context.WithCancel(context.Background())
 	over := make(chan struct{})
 	go func() {
@@ -147,7 +147,7 @@
 	at := discoveryaddr.New(from)
 	_, h := startWatcher(t, at, pushedTerms(350, 500*time.Millisecond))
 	<-h.news // the first answer
-	at.Move(to)
+	at.Set(to)
 	if took := h.waitForDrain(t); took > 300*time.Millisecond {
 		t.Errorf("the drain is received after %v", took)
 	}
@@ -156,7 +156,7 @@
 // A silent watch: the relay counts as notified of what it misses 2 s after its hold, and must receive it before that.
 func TestSilentWatchIsReplaced(t *testing.T) {
 	t.Parallel()
-	for what, terms := range map[string]Terms{"pushed": pushedTerms(350, 500*time.Millisecond), "asked": askedTerms(350)} {
+	for what, terms := range map[string]DiscoveryConfig{"pushed": pushedTerms(350, 500*time.Millisecond), "asked": askedTerms(350)} {
 		t.Run(what, func(t *testing.T) {
 			t.Parallel()
 			var hold time.Duration
@@ -210,7 +210,7 @@
 	// An answer confirms the list, also if it has no changes.
 	at = startScripted(t, func(_ int, req *http.Request) string { return holdWatch(req, listJSON(41, false)) })
 	_, h = startWatcher(t, discoveryaddr.New(at), pushedTerms(350, 100*time.Millisecond))
-	if n := <-h.news; n.Whole || len(n.Members) != 0 {
+	if n := <-h.news; n.Full || len(n.Members) != 0 {
 		t.Errorf("%+v", n)
 	}
 	select {
@@ -236,7 +236,7 @@
 			t.Errorf("asked from %s, want %s", got, seq)
 		}
 	}
-	if n := <-h.news; n.Whole || len(n.Members) != 1 || n.Members[0].Host != "h42" {
+	if n := <-h.news; n.Full || len(n.Members) != 1 || n.Members[0].Host != "h42" {
 		t.Errorf("%+v", n)
 	}
 }
--- a/internal/proptest/proptest.go
+++ b/internal/proptest/proptest.go
@@ -21,8 +21,8 @@
 	rapid.Check(t, prop)
 }
 
-// Pieces splits text at random places into non-empty pieces.
-func Pieces(t *rapid.T, text []byte) [][]byte {
+// Split splits text at random places into non-empty pieces.
+func Split(t *rapid.T, text []byte) [][]byte {
 	var pieces [][]byte
 	for len(text) > 0 {
 		n := rapid.IntRange(1, len(text)).Draw(t, "cut")
@@ -31,8 +31,8 @@
 	return pieces
 }
 
-// Garbage returns either random bytes, or the valid input with a few bytes changed and possibly truncated.
-func Garbage(t *rapid.T, valid []byte) []byte {
+// Malformed returns either random bytes, or the valid input with a few bytes changed and possibly truncated.
+func Malformed(t *rapid.T, valid []byte) []byte {
 	if rapid.Bool().Draw(t, "random") {
 		return rapid.SliceOfN(rapid.Byte(), 0, 300).Draw(t, "bytes")
 	}
--- a/internal/relay/ban_test.go
+++ b/internal/relay/ban_test.go
@@ -32,11 +32,11 @@
 	r.step(now, []any{traffic.FlowEnd{ID: "e", Member: "m2", Status: traffic.Delivered}})
 	r.statsCopiedAt = time.Time{}
 	r.step(now, nil)
-	f := r.Figures()
+	f := r.Stats()
 	if f.Success["slot"] != 5 || f.Dispatches != 5 || f.Members != 2 || f.Banned != 1 || f.Concurrent != 0 {
 		t.Fatalf("figures %+v", f)
 	}
-	if r.Known("m1") != true || r.Known("nobody") {
+	if r.HasMember("m1") != true || r.HasMember("nobody") {
 		t.Fatal("Known: want m1 only")
 	}
 
@@ -66,7 +66,7 @@
 // A ban read from the state folder at the start applies from the first step on, before any change of the pool.
 func TestBanAtStart(t *testing.T) {
 	w := &fakeIO{}
-	r, err := New(Config{Settings: testSettings(), MostBytes: 1 << 20, Store: w, Flows: w, Notices: w,
+	r, err := New(Config{Settings: testSettings(), MaxOpenBytes: 1 << 20, Store: w, Flows: w, Notices: w,
 		Banned: map[string]bool{"m1": true}})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/relay/bench_test.go
+++ b/internal/relay/bench_test.go
@@ -15,10 +15,10 @@
 // discard collects flows and ignores all other calls.
 type discard struct{ flows []traffic.Flow }
 
-func (s *discard) Start(f traffic.Flow)  { s.flows = append(s.flows, f) }
-func (s *discard) Cancel(string, int)    {}
-func (s *discard) Pool(traffic.PoolNews) {}
-func (s *discard) Send(traffic.Notice)   {}
+func (s *discard) Start(f traffic.Flow)          { s.flows = append(s.flows, f) }
+func (s *discard) Cancel(string, int)            {}
+func (s *discard) UpdatePool(traffic.PoolUpdate) {}
+func (s *discard) Send(traffic.Notice)           {}
 
 // BenchmarkTransaction measures the relay's own work for a transaction, from the submission to the end of its flow: module, journal
 // and answers, in steps of a batch. The network on both sides is not included.
@@ -36,16 +36,16 @@
 				Classes: []dispatch.Class{{Name: "slot", Aim: time.Second, Deadline: 5 * time.Second, Worth: 3}},
 				Kinds:   []dispatch.Kind{{Name: "partner"}}, Peers: 1, Resolution: 5 * time.Millisecond, MaxCalls: 1000, MaxOpen: 1000,
 				MaxAttempts: 3, ConnectTimeout: time.Second, KeepAlive: 5 * time.Second,
-				Safety: dispatch.Safety{StartCapacity: 0.2, Cold: 10 * time.Second, FallMultiple: 2, TipAfter: 2 * time.Second}},
-				MostBytes: 1 << 30, Store: store, Flows: w, Notices: w})
+				Safety: dispatch.Safety{MinStartCapacityShare: 0.2, Ramp: 10 * time.Second, OverloadMultiple: 2, OverloadFor: 2 * time.Second}},
+				MaxOpenBytes: 1 << 30, Store: store, Flows: w, Notices: w})
 			if err != nil {
 				b.Fatal(err)
 			}
 			var members []traffic.Member
 			for i := range 60 {
-				members = append(members, traffic.Member{Host: fmt.Sprint("m", i), Class: "partner", Destination: i})
+				members = append(members, traffic.Member{Host: fmt.Sprint("m", i), Kind: "partner", Destination: i})
 			}
-			r.Start(traffic.PoolNews{Whole: true, Members: members}, nil, nil, nil)
+			r.Start(traffic.PoolUpdate{Full: true, Members: members}, nil, nil, nil)
 			now, n := r.epoch, 0
 			body := make([]byte, 200)
 			b.ReportAllocs()
@@ -53,13 +53,13 @@
 				now = now.Add(5 * time.Millisecond)
 				for range batch {
 					n++
-					r.Put(traffic.Transaction{ID: fmt.Sprintf("%016x", n), Class: "slot", Destination: n % 60, Deadline: now.Add(5 * time.Second),
+					r.Submit(traffic.Transaction{ID: fmt.Sprintf("%016x", n), Class: "slot", Destination: n % 60, Deadline: now.Add(5 * time.Second),
 						Body: body}, now)
 				}
 				r.step(now, takeBatch(r))
 				now = now.Add(5 * time.Millisecond)
 				for _, f := range w.flows {
-					r.FlowEnded(traffic.FlowEnd{ID: f.ID, Attempt: f.Attempt, Member: f.Member, Status: traffic.Delivered, Took: 5 * time.Millisecond})
+					r.FlowEnded(traffic.FlowEnd{ID: f.ID, Attempt: f.Attempt, Member: f.Member, Status: traffic.Delivered, Latency: 5 * time.Millisecond})
 				}
 				w.flows = w.flows[:0]
 				r.step(now, takeBatch(r))
--- a/internal/relay/fleet.go
+++ b/internal/relay/fleet.go
@@ -22,14 +22,14 @@
 	Bans(set map[string]bool)
 }
 
-// Restrain applies restraints that result from reports of other relays, from the next step on.
-func (r *Relay) Restrain(list []traffic.Restraint) { r.post(list) }
+// ApplyRestraints applies restraints that result from reports of other relays, from the next step on.
+func (r *Relay) ApplyRestraints(list []traffic.Restraint) { r.post(list) }
 
-// Bar sets the members that get no new transactions because of reports of other relays, from the next step on.
-func (r *Relay) Bar(bars []traffic.Bar) { r.post(bars) }
+// SetExclusions sets the members that get no new transactions because of reports of other relays, from the next step on.
+func (r *Relay) SetExclusions(bars []traffic.Exclusion) { r.post(bars) }
 
-// Allow sets this relay's shares of destination limits, from the next step on.
-func (r *Relay) Allow(list []traffic.Allowance) { r.post(list) }
+// SetAllowances sets this relay's shares of destination limits, from the next step on.
+func (r *Relay) SetAllowances(list []traffic.Allowance) { r.post(list) }
 
 // expiryPause is how long nothing is sent to a destination whose allowance has expired without a new one. After that the module
 // decides alone. The process may have been stopped in the meantime, and another relay may have its share.
@@ -56,7 +56,7 @@
 		default:
 			p = allowance{now.Add(expiryPause), true}
 			r.allowances[n] = p
-			events = append(events, dispatch.Told{Kind: dispatch.ToldShare, Destination: n, For: expiryPause})
+			events = append(events, dispatch.FleetReport{Kind: dispatch.GrantedShare, Destination: n, For: expiryPause})
 		}
 		if p.until.Before(r.nextExpiry) {
 			r.nextExpiry = p.until
@@ -88,7 +88,7 @@
 	worths = slices.Compact(worths)
 	for _, c := range classes {
 		rank, _ := slices.BinarySearch(worths, c.Worth)
-		d.priorities[c.Name] = min(len(worths)-1-rank, traffic.Levels-1)
+		d.priorities[c.Name] = min(len(worths)-1-rank, traffic.PriorityLevels-1)
 	}
 	return d
 }
@@ -119,7 +119,7 @@
 
 // reportDemand sends the changed demand to the fleet when a report is due, or at once if a destination newly has waiting transactions.
 func (r *Relay) reportDemand(now time.Time) {
-	d, none := r.demands, [traffic.Levels]int{}
+	d, none := r.demands, [traffic.PriorityLevels]int{}
 	dueAt, ok := d.due()
 	if !ok {
 		return
@@ -149,7 +149,7 @@
 }
 
 // applyExclusions replaces the set of members that other relays exclude.
-func (r *Relay) applyExclusions(list []traffic.Bar) dispatch.Members {
+func (r *Relay) applyExclusions(list []traffic.Exclusion) dispatch.MembershipUpdate {
 	before := r.excluded
 	r.excluded = map[string]bool{}
 	for _, b := range list {
@@ -164,9 +164,9 @@
 	for _, restraint := range list {
 		events = append(events, r.restraintEvent(restraint, now))
 		switch restraint.Kind {
-		case traffic.HeldOut:
+		case traffic.RestraintOutage:
 			r.fleetOutages[restraint.Member] = true
-		case traffic.HeldBack, traffic.Freed:
+		case traffic.RestraintRecovery, traffic.RestraintRelease:
 			delete(r.fleetOutages, restraint.Member)
 		}
 	}
@@ -200,7 +200,7 @@
 		}
 	}
 	for destination := range seen {
-		r.sender.Health(destination, func(id string, since time.Duration) {
+		r.sender.EachHealth(destination, func(id string, since time.Duration) {
 			reported, out := r.reportedOutages[id], since >= 0
 			if out && (!reported || failed[id]) {
 				r.cfg.Fleet.Health(id, destination, true, reported || r.fleetOutages[id], r.epoch.Add(since))
--- a/internal/relay/fleet_test.go
+++ b/internal/relay/fleet_test.go
@@ -37,21 +37,21 @@
 		submit(t, r, now, transaction(string(rune('a'+n)), "slot", now.Add(5*time.Second)))
 		for ; ended < len(w.flows); ended++ { // including flows that start when another ends
 			f := w.flows[ended]
-			r.step(now, []any{traffic.FlowEnd{ID: f.ID, Attempt: f.Attempt, Member: f.Member, Status: status, Took: time.Second}})
+			r.step(now, []any{traffic.FlowEnd{ID: f.ID, Attempt: f.Attempt, Member: f.Member, Status: status, Latency: time.Second}})
 			member = f.Member
 		}
 		now = now.Add(50 * time.Millisecond)
 		return member
 	}
 	for range 6 {
-		send(traffic.OutOfTime)
+		send(traffic.TimedOut)
 	}
 	if len(fleet.health) == 0 || fleet.health[0] != "out m1" && fleet.health[0] != "out m2" {
 		t.Fatalf("health reports %v, want an outage first", fleet.health)
 	}
 	for end := now.Add(20 * time.Second); now.Before(end) && !slices.ContainsFunc(fleet.health, func(s string) bool { return s[:4] == "trie" }); {
 		now = now.Add(100 * time.Millisecond)
-		send(traffic.OutOfTime)
+		send(traffic.TimedOut)
 	}
 	if !slices.ContainsFunc(fleet.health, func(s string) bool { return s[:4] == "trie" }) {
 		t.Errorf("no failed trial call was reported: %v", fleet.health)
@@ -68,18 +68,18 @@
 	fleet, ended = &fakeFleet{}, 0
 	r.cfg.Fleet = fleet
 	dest := r.pool.members["m1"].Destination
-	r.step(now, []any{[]traffic.Restraint{{Kind: traffic.Held, Group: traffic.Group{Destination: dest}, At: now.Add(time.Second)}}})
+	r.step(now, []any{[]traffic.Restraint{{Kind: traffic.RestraintWait, Group: traffic.Group{Destination: dest}, At: now.Add(time.Second)}}})
 	if m := send(traffic.Delivered); m != "" {
 		t.Errorf("sent to %s during a retry-after that other relays got", m)
 	}
 	now = now.Add(1100 * time.Millisecond)
-	r.step(now, []any{[]traffic.Bar{{Member: "m1"}}})
+	r.step(now, []any{[]traffic.Exclusion{{Member: "m1"}}})
 	for range 5 {
 		if m := send(traffic.Delivered); m == "m1" {
 			t.Error("sent to a member that other relays exclude")
 		}
 	}
-	r.step(now, []any{[]traffic.Restraint{{Kind: traffic.HeldOut, Member: "m2", At: now}}})
+	r.step(now, []any{[]traffic.Restraint{{Kind: traffic.RestraintOutage, Member: "m2", At: now}}})
 	if len(fleet.health) != 0 {
 		t.Errorf("reports of other relays were repeated: %v", fleet.health)
 	}
@@ -94,7 +94,7 @@
 	if !fleet.bans["m2"] || fleet.pools == 0 {
 		t.Errorf("bans %v, %d lists reported", fleet.bans, fleet.pools)
 	}
-	r.step(now, []any{[]traffic.Bar{}}) // both were blocked; the member that is no longer excluded is listed again
+	r.step(now, []any{[]traffic.Exclusion{}}) // both were blocked; the member that is no longer excluded is listed again
 	if r.blocked["m1"] || !r.blocked["m2"] {
 		t.Errorf("blocked members: %v", r.blocked)
 	}
@@ -114,7 +114,7 @@
 		now = now.Add(10 * time.Millisecond)
 	}
 	for _, f := range w.flows {
-		r.step(now, []any{traffic.FlowEnd{ID: f.ID, Attempt: f.Attempt, Member: f.Member, Status: traffic.Delivered, Took: time.Millisecond}})
+		r.step(now, []any{traffic.FlowEnd{ID: f.ID, Attempt: f.Attempt, Member: f.Member, Status: traffic.Delivered, Latency: time.Millisecond}})
 	}
 	if at, ok := r.demands.due(); !ok || at.Before(now.Add(-time.Second)) {
 		t.Errorf("no report is due: %v %v", at, ok)
@@ -162,7 +162,7 @@
 		t.Errorf("the next wake-up is after %v, or the allowance expired early", r.nextWake(now).Sub(now))
 	}
 	events := r.expireAllowances(now.Add(1100 * time.Millisecond))
-	if len(events) != 1 || events[0] != (dispatch.Told{Kind: dispatch.ToldShare, Destination: dest, For: expiryPause}) {
+	if len(events) != 1 || events[0] != (dispatch.FleetReport{Kind: dispatch.GrantedShare, Destination: dest, For: expiryPause}) {
 		t.Errorf("events after the expiry: %v", events)
 	}
 	if events := r.expireAllowances(now.Add(1200 * time.Millisecond)); len(events) > 0 {
--- a/internal/relay/open_limits_test.go
+++ b/internal/relay/open_limits_test.go
@@ -24,7 +24,7 @@
 	}
 	w.takeCalls()
 	now = now.Add(10 * time.Millisecond)
-	r.Squeeze(1, 0, 1)
+	r.LimitOpen(1, 0, 1)
 	r.step(now, takeBatch(r))
 	if got := strings.Count(w.takeCalls(), "notice 2"); got != 5-activeFlows {
 		t.Errorf("%d returned, want %d", got, 5-activeFlows)
@@ -42,7 +42,7 @@
 	if got := w.takeCalls(); strings.Contains(got, "notice") || len(r.open) != 0 || r.activeFlows != 0 {
 		t.Errorf("after the ends of the flows: calls %s, %d open, %d active flows", got, len(r.open), r.activeFlows)
 	}
-	r.Squeeze(1000, 0, 1)
+	r.LimitOpen(1000, 0, 1)
 	r.step(now.Add(2*time.Millisecond), takeBatch(r))
 	if a := submit(t, r, now.Add(3*time.Millisecond), transaction("g", "slot", now.Add(5*time.Second))); a.Verdict != traffic.Accepted {
 		t.Errorf("after lifting the limit: answer %+v", a)
@@ -54,12 +54,12 @@
 	r, _, now := startRelay(t)
 	big := transaction("a", "slot", now.Add(5*time.Second))
 	big.Body = make([]byte, 300<<10) // of the 1 MB limit
-	r.Squeeze(6, 1, 0.25)
+	r.LimitOpen(6, 1, 0.25)
 	r.step(now, takeBatch(r))
 	if a := submit(t, r, now, big); a.Verdict != traffic.Busy {
 		t.Errorf("with a lower byte limit: answer %+v", a)
 	}
-	r.Squeeze(6, 0, 1)
+	r.LimitOpen(6, 0, 1)
 	r.step(now, takeBatch(r))
 	if a := submit(t, r, now, big); a.Verdict != traffic.Accepted || r.Load().Bytes < 0.25 {
 		t.Errorf("with the full byte limit: answer %+v, load %+v", a, r.Load())
@@ -86,16 +86,16 @@
 	sections int
 }
 
-func (m *fakeMeters) Stepped(_, _ time.Time)     {}
-func (m *fakeMeters) HandedIn(age time.Duration) { m.ages = append(m.ages, age) }
-func (m *fakeMeters) Section(f func())           { m.sections++; f() }
+func (m *fakeMeters) RecordStep(_, _ time.Time)          {}
+func (m *fakeMeters) RecordSubmission(age time.Duration) { m.ages = append(m.ages, age) }
+func (m *fakeMeters) RunSection(f func())                { m.sections++; f() }
 
 // The module runs inside Meters.Section once a step, and the age of each submission is recorded.
 func TestMetersRecordSteps(t *testing.T) {
 	r, _, now := startRelay(t)
 	m := &fakeMeters{}
 	r.cfg.Meters = m
-	r.Put(transaction("a", "slot", now.Add(5*time.Second)), now.Add(-7*time.Millisecond))
+	r.Submit(transaction("a", "slot", now.Add(5*time.Second)), now.Add(-7*time.Millisecond))
 	r.step(now, takeBatch(r))
 	if m.sections != 1 || len(m.ages) != 1 || m.ages[0] != 7*time.Millisecond {
 		t.Errorf("recorded %+v", m)
@@ -106,24 +106,24 @@
 func TestStepDueTime(t *testing.T) {
 	r, _, _ := startRelay(t)
 	r.earliestStep = time.Now().Add(time.Hour)
-	r.Limit(1 << 20)
+	r.SetMemoryLimit(1 << 20)
 	if _, due := r.takeInbox(); !due.Equal(r.earliestStep) {
 		t.Errorf("due at %v, before the module may step", due)
 	}
 	r.earliestStep = time.Time{}
 	before := time.Now()
-	r.Limit(1 << 20)
-	r.Limit(1 << 20)
+	r.SetMemoryLimit(1 << 20)
+	r.SetMemoryLimit(1 << 20)
 	if _, due := r.takeInbox(); due.Before(before) || due.After(time.Now()) {
 		t.Errorf("with input: due at %v", due)
 	}
 	if _, due := r.takeInbox(); !due.IsZero() {
 		t.Error("a step is due with an empty inbox")
 	}
-	if r.Stretch(20 * time.Millisecond); r.stepInterval() != 20*time.Millisecond {
+	if r.SetStepInterval(20 * time.Millisecond); r.stepInterval() != 20*time.Millisecond {
 		t.Errorf("steps %v apart", r.stepInterval())
 	}
-	if r.Stretch(0); r.stepInterval() != r.cfg.Settings.Resolution {
+	if r.SetStepInterval(0); r.stepInterval() != r.cfg.Settings.Resolution {
 		t.Errorf("steps %v apart", r.stepInterval())
 	}
 }
--- a/internal/relay/order.go
+++ b/internal/relay/order.go
@@ -9,8 +9,8 @@
 	"slatemux/internal/traffic"
 )
 
-// Turns keeps the order of keys between the processes of one relay during a handover. No method blocks.
-type Turns interface {
+// KeyOrder keeps the order of keys between the processes of one relay during a handover. No method blocks.
+type KeyOrder interface {
 	// TakeTicket gives an open transaction of a key its ticket. A transaction recovered from another process keeps its ticket. The
 	// result 0 means that there is no free ticket.
 	TakeTicket(key, id string, now, until time.Time) uint64
@@ -34,16 +34,16 @@
 // keepsOrder reports whether a transaction must stay in order among those of its key.
 func (r *Relay) keepsOrder(t *traffic.Transaction) bool {
 	c := r.classes[t.Class]
-	return c != nil && c.OrderedByKey && t.Order != ""
+	return c != nil && c.OrderedByKey && t.OrderKey != ""
 }
 
 // offer passes an accepted transaction to the module, at once or when no earlier one of its key is left elsewhere.
 func (r *Relay) offer(h *openTransaction, now time.Time, events []dispatch.Event) []dispatch.Event {
-	if r.cfg.Turns != nil && r.keepsOrder(&h.Transaction) {
+	if r.cfg.KeyOrder != nil && r.keepsOrder(&h.Transaction) {
 		// Without a ticket (0) the subtraction wraps around, and the transaction comes last.
-		h.ticket = r.cfg.Turns.TakeTicket(h.Order, h.ID, now, h.Deadline) - 1
-		before := slices.ContainsFunc(r.awaitingTurn, func(o *openTransaction) bool { return o.Order == h.Order && o.ticket < h.ticket })
-		if before || r.cfg.Turns.MustWait(h.Order, h.ID, now) {
+		h.ticket = r.cfg.KeyOrder.TakeTicket(h.OrderKey, h.ID, now, h.Deadline) - 1
+		before := slices.ContainsFunc(r.awaitingTurn, func(o *openTransaction) bool { return o.OrderKey == h.OrderKey && o.ticket < h.ticket })
+		if before || r.cfg.KeyOrder.MustWait(h.OrderKey, h.ID, now) {
 			index, _ := slices.BinarySearchFunc(r.awaitingTurn, h.ticket, func(o *openTransaction, ticket uint64) int { return cmp.Compare(o.ticket, ticket) })
 			r.awaitingTurn = slices.Insert(r.awaitingTurn, index, h) // a recovered transaction may come before newer ones of this process
 			return events
@@ -56,8 +56,8 @@
 func (r *Relay) offerWaiting(now time.Time, events []dispatch.Event) []dispatch.Event {
 	waitingKeys := map[string]bool{}
 	r.awaitingTurn = slices.DeleteFunc(r.awaitingTurn, func(h *openTransaction) bool {
-		if h.Deadline.Sub(now) > lastOfferSteps*r.cfg.Settings.Resolution && (waitingKeys[h.Order] || r.cfg.Turns.MustWait(h.Order, h.ID, now)) {
-			waitingKeys[h.Order] = true
+		if h.Deadline.Sub(now) > lastOfferSteps*r.cfg.Settings.Resolution && (waitingKeys[h.OrderKey] || r.cfg.KeyOrder.MustWait(h.OrderKey, h.ID, now)) {
+			waitingKeys[h.OrderKey] = true
 			return false
 		}
 		events = append(events, r.request(&h.Open, now))
@@ -78,9 +78,9 @@
 	}
 	var free []traffic.Flow
 	for _, flow := range f.All() {
-		flow.With = nil
-		if h := r.open[flow.ID]; h != nil && h.Order != "" && r.hasPendingNotice(h.Order) {
-			r.blockedFlows[h.Order] = append(r.blockedFlows[h.Order], flow)
+		flow.Bundled = nil
+		if h := r.open[flow.ID]; h != nil && h.OrderKey != "" && r.hasPendingNotice(h.OrderKey) {
+			r.blockedFlows[h.OrderKey] = append(r.blockedFlows[h.OrderKey], flow)
 		} else {
 			free = append(free, flow)
 		}
@@ -112,8 +112,8 @@
 			continue
 		}
 		delete(r.noticePending, id)
-		if r.cfg.Turns != nil {
-			r.cfg.Turns.Release(key, id)
+		if r.cfg.KeyOrder != nil {
+			r.cfg.KeyOrder.Release(key, id)
 		}
 		if r.hasPendingNotice(key) {
 			continue
--- a/internal/relay/order_test.go
+++ b/internal/relay/order_test.go
@@ -16,7 +16,7 @@
 	set := testSettings()
 	set.Classes[0].OrderedByKey, set.Classes[0].Effect = true, dispatch.Unsafe
 	class := set.Classes[0].Name
-	r, err := New(Config{Settings: set, MostBytes: 1 << 20, Store: w, Flows: w, Notices: w})
+	r, err := New(Config{Settings: set, MaxOpenBytes: 1 << 20, Store: w, Flows: w, Notices: w})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -24,7 +24,7 @@
 	now := r.epoch.Add(10 * time.Millisecond)
 	put := func(id, key string, lasts time.Duration) {
 		tr := transaction(id, class, now.Add(lasts))
-		tr.Order = key
+		tr.OrderKey = key
 		if a := submit(t, r, now, tr); a.Verdict != traffic.Accepted {
 			t.Fatalf("submission %s: answer %+v", id, a)
 		}
@@ -39,7 +39,7 @@
 		now = now.Add(after)
 		r.step(now, takeBatch(r))
 	}
-	r.FlowEnded(traffic.FlowEnd{ID: "a", Member: w.flows[0].Member, Status: traffic.Broken}) // given up; the next transaction of the key may start
+	r.FlowEnded(traffic.FlowEnd{ID: "a", Member: w.flows[0].Member, Status: traffic.ConnectionBroken}) // given up; the next transaction of the key may start
 	for range 3 {
 		step(10 * time.Millisecond)
 	}
@@ -52,7 +52,7 @@
 		t.Errorf("after the answer: started flows %+v, pending notices %v, blocked flows %v", w.flows[2:], r.noticePending, r.blockedFlows)
 	}
 	for _, f := range w.flows[1:] {
-		r.FlowEnded(traffic.FlowEnd{ID: f.ID, Member: f.Member, Status: traffic.Delivered, Took: time.Millisecond})
+		r.FlowEnded(traffic.FlowEnd{ID: f.ID, Member: f.Member, Status: traffic.Delivered, Latency: time.Millisecond})
 	}
 	step(10 * time.Millisecond)
 	// The platform does not answer: the waiting flow ends unsent at its deadline.
@@ -92,7 +92,7 @@
 	w, turns := &fakeIO{}, &fakeTurns{waits: map[string]bool{"a": true, "d": true}}
 	set := testSettings()
 	set.Classes[0].OrderedByKey = true
-	r, err := New(Config{Settings: set, MostBytes: 1 << 20, Store: w, Flows: w, Notices: w, Turns: turns})
+	r, err := New(Config{Settings: set, MaxOpenBytes: 1 << 20, Store: w, Flows: w, Notices: w, KeyOrder: turns})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -100,7 +100,7 @@
 	now := r.epoch.Add(10 * time.Millisecond)
 	put := func(id, key string, lasts time.Duration) {
 		tr := transaction(id, set.Classes[0].Name, now.Add(lasts))
-		tr.Order = key
+		tr.OrderKey = key
 		if a := submit(t, r, now, tr); a.Verdict != traffic.Accepted {
 			t.Fatalf("submission %s: answer %+v", id, a)
 		}
@@ -124,14 +124,14 @@
 	if len(w.flows) != 2 || w.lastFlow().ID != "a" || len(r.awaitingTurn) != 0 {
 		t.Fatalf("after the earlier transaction ended: started flows %+v, %d transactions wait", w.flows, len(r.awaitingTurn))
 	}
-	r.FlowEnded(traffic.FlowEnd{ID: "a", Member: w.lastFlow().Member, Status: traffic.Delivered, Took: time.Millisecond})
+	r.FlowEnded(traffic.FlowEnd{ID: "a", Member: w.lastFlow().Member, Status: traffic.Delivered, Latency: time.Millisecond})
 	step()
 	if w.lastFlow().ID != "b" || len(turns.done) != 1 || turns.done[0] != "k1 a" {
 		t.Errorf("after the end of a: started flow %+v, released %v", w.lastFlow(), turns.done)
 	}
 	for _, f := range w.flows {
 		if f.ID != "a" {
-			r.FlowEnded(traffic.FlowEnd{ID: f.ID, Member: f.Member, Status: traffic.Delivered, Took: time.Millisecond})
+			r.FlowEnded(traffic.FlowEnd{ID: f.ID, Member: f.Member, Status: traffic.Delivered, Latency: time.Millisecond})
 		}
 	}
 	step()
@@ -141,7 +141,7 @@
 	before := len(w.flows)
 	turns.waits["e"] = false
 	left := transaction("left", set.Classes[0].Name, now.Add(20*time.Second))
-	left.Order = "k4"
+	left.OrderKey = "k4"
 	r.decide(now, r.offerWaiting(now, r.recoverState([]traffic.Open{{Transaction: left}}, nil, now, nil)), nil)
 	if len(w.flows) != before+1 || w.lastFlow().ID != "left" {
 		t.Errorf("after the recovery: started flows %+v", w.flows[before:])
@@ -169,13 +169,13 @@
 		w, turns := &fakeIO{}, &fakeTurns{}
 		set := testSettings()
 		set.Classes[0].OrderedByKey = true
-		r, err := New(Config{Settings: set, MostBytes: 1 << 20, Store: w, Flows: w, Notices: w, Turns: turns})
+		r, err := New(Config{Settings: set, MaxOpenBytes: 1 << 20, Store: w, Flows: w, Notices: w, KeyOrder: turns})
 		if err != nil {
 			t.Fatal(err)
 		}
 		next := transaction("b", set.Classes[0].Name, r.epoch.Add(20*time.Second))
-		next.Order = "k1"
-		open, owed := []traffic.Open{{Transaction: next}}, []traffic.Notice{{ID: "a", Outcome: traffic.GivenUp, Order: "k1"}}
+		next.OrderKey = "k1"
+		open, owed := []traffic.Open{{Transaction: next}}, []traffic.Notice{{ID: "a", Outcome: traffic.GivenUp, OrderKey: "k1"}}
 		now := r.epoch.Add(10 * time.Millisecond)
 		if atStart {
 			r.Start(initialPool, nil, open, owed)
--- a/internal/relay/pool_view.go
+++ b/internal/relay/pool_view.go
@@ -22,8 +22,8 @@
 	return poolView{members: map[string]traffic.Member{}, goneSince: map[int]time.Time{}}
 }
 
-func (r *poolView) update(news traffic.PoolNews, now time.Time) {
-	if news.Whole {
+func (r *poolView) update(news traffic.PoolUpdate, now time.Time) {
+	if news.Full {
 		clear(r.members)
 	}
 	for _, m := range news.Members {
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -31,34 +31,34 @@
 	// Commit writes the changes of one step. After an error, none of them counts as written.
 	Commit([]traffic.Change) error
 	// Room reports whether the store has room for a transaction of that many bytes.
-	Room(bytes int64) bool
+	HasRoom(bytes int64) bool
 }
 
 // Flows carries out delivery attempts. Each Start leads to one FlowEnd passed to Relay.FlowEnded. No method blocks.
 type Flows interface {
 	Start(traffic.Flow)
 	Cancel(id string, attempt int)
-	Pool(traffic.PoolNews)
+	UpdatePool(traffic.PoolUpdate)
 }
 
-// Ahead is notified of the number of transactions that wait for a destination, so that connections are open when they are sent.
+// Preconnector is notified of the number of transactions that wait for a destination, so that connections are open when they are sent.
 // Expect does not block.
-type Ahead interface {
+type Preconnector interface {
 	Expect(destination, transactions int)
 }
 
 // expectInterval is the time between two notifications of Ahead.
 const expectInterval = 250 * time.Millisecond
 
-// Lessons records learned limits of destinations for the next process. Learn does not block.
-type Lessons interface {
-	Learn(destination int, limit float64, at time.Time)
+// LimitRecorder records learned limits of destinations for the next process. Learn does not block.
+type LimitRecorder interface {
+	Record(destination int, limit float64, at time.Time)
 }
 
-// Heir recovers the open transactions and unanswered notices of processes that shared the state folder and have ended, such as a
+// Recoverer recovers the open transactions and unanswered notices of processes that shared the state folder and have ended, such as a
 // predecessor after a handover. Adopt may block briefly: it reads a small folder.
-type Heir interface {
-	Adopt() ([]traffic.Open, []traffic.Notice, error)
+type Recoverer interface {
+	Recover() ([]traffic.Open, []traffic.Notice, error)
 }
 
 // recoveryInterval is the time between two looks for the state of an ended predecessor. That state is recovered within 200 ms of the
@@ -70,58 +70,58 @@
 
 // Meters measures the steps. Section runs f and records the time that f took.
 type Meters interface {
-	Stepped(due, began time.Time)
-	HandedIn(age time.Duration)
-	Section(f func())
+	RecordStep(due, began time.Time)
+	RecordSubmission(age time.Duration)
+	RunSection(f func())
 }
 
 type noMeters struct{}
 
-func (noMeters) Stepped(_, _ time.Time) {}
-func (noMeters) HandedIn(time.Duration) {}
-func (noMeters) Section(f func())       { f() }
+func (noMeters) RecordStep(_, _ time.Time)      {}
+func (noMeters) RecordSubmission(time.Duration) {}
+func (noMeters) RunSection(f func())            { f() }
 
 // Config configures a Relay.
 type Config struct {
-	Meters    Meters // nil: no measurement
-	Settings  dispatch.Settings
-	Seed      int64
-	MostBytes int64 // upper limit for open transactions in memory
-	Store     Store
-	Flows     Flows
-	Notices   Notices
-	Ahead     Ahead           // nil: no notifications
-	Lessons   Lessons         // nil: limits are not recorded
-	Heir      Heir            // nil: no recovery from predecessors
-	Fleet     Fleet           // nil for a relay without a fleet
-	Turns     Turns           // nil if no other process shares the order of keys
-	Banned    map[string]bool // members that operators had banned at the start
+	Meters        Meters // nil: no measurement
+	Settings      dispatch.Settings
+	Seed          int64
+	MaxOpenBytes  int64 // upper limit for open transactions in memory
+	Store         Store
+	Flows         Flows
+	Notices       Notices
+	Preconnector  Preconnector    // nil: no notifications
+	LimitRecorder LimitRecorder   // nil: limits are not recorded
+	Recoverer     Recoverer       // nil: no recovery from predecessors
+	Fleet         Fleet           // nil for a relay without a fleet
+	KeyOrder      KeyOrder        // nil if no other process shares the order of keys
+	Banned        map[string]bool // members that operators had banned at the start
 }
 
 // Counters are totals since the start of the process, except Open and Bytes, which are current values.
 type Counters struct {
-	HandedIn, TakenOn, Refused, Failed, Full, Late int64 // submissions
-	Unlisted, Borrowed                             int64 // refused submissions: unknown destination; id of another open message
-	Recovered                                      int64
-	Flows                                          int64
-	HandedBack, GivenUp, NoticesAnswered           int64
-	Steps, CommitErrors                            int64
-	Open                                           int
-	Bytes                                          int64
-	Ends                                           [traffic.FlowStatusCount]int64
+	Submitted, Accepted, Refused, Failed, Full, TooOld int64 // submissions
+	UnknownDestination, ReusedID                       int64 // refused submissions: unknown destination; id of another open message
+	Recovered                                          int64
+	Flows                                              int64
+	Returned, GivenUp, NoticesAnswered                 int64
+	Steps, CommitErrors                                int64
+	Open                                               int
+	Bytes                                              int64
+	Ends                                               [traffic.FlowStatusCount]int64
 }
 
 // LogValue returns the counters as log attributes. Flow statuses that did not occur are omitted.
 func (c Counters) LogValue() slog.Value {
-	attrs := []slog.Attr{slog.Int64("handed_in", c.HandedIn), slog.Int64("taken_on", c.TakenOn),
+	attrs := []slog.Attr{slog.Int64("handed_in", c.Submitted), slog.Int64("taken_on", c.Accepted),
 		slog.Int64("refused", c.Refused), slog.Int64("failed", c.Failed), slog.Int64("full", c.Full),
-		slog.Int64("late", c.Late), slog.Int64("unlisted", c.Unlisted), slog.Int64("borrowed", c.Borrowed), slog.Int64("recovered", c.Recovered), slog.Int64("flows", c.Flows)}
+		slog.Int64("late", c.TooOld), slog.Int64("unlisted", c.UnknownDestination), slog.Int64("borrowed", c.ReusedID), slog.Int64("recovered", c.Recovered), slog.Int64("flows", c.Flows)}
 	for status, n := range c.Ends {
 		if n > 0 {
 			attrs = append(attrs, slog.Int64(traffic.FlowStatus(status).String(), n))
 		}
 	}
-	return slog.GroupValue(append(attrs, slog.Int64("handed_back", c.HandedBack), slog.Int64("given_up", c.GivenUp),
+	return slog.GroupValue(append(attrs, slog.Int64("handed_back", c.Returned), slog.Int64("given_up", c.GivenUp),
 		slog.Int64("notices_answered", c.NoticesAnswered), slog.Int64("steps", c.Steps),
 		slog.Int64("commit_errors", c.CommitErrors), slog.Int("open", c.Open), slog.Int64("bytes", c.Bytes))...)
 }
@@ -171,7 +171,7 @@
 	inbox        []any
 	stopped      bool
 	published    Counters
-	stats        Figures
+	stats        Stats
 	knownMembers map[string]bool // the pool's members, for the admin endpoint
 	load         Load
 	stepDueAt    time.Time // when the next step could run; zero while nothing asks for one
@@ -225,19 +225,19 @@
 	}
 	for _, k := range cfg.Settings.Kinds {
 		r.separateLimits[k.Name] = k.OwnLimits
-		r.maxBundle[k.Name] = k.Bundle
+		r.maxBundle[k.Name] = k.MaxBundle
 	}
 	return r, nil
 }
 
 // Start takes the first step. Its input is the last known pool, the limits that an earlier process learned, and the transactions and
 // unanswered notices which that process left open. The notices are sent again.
-func (r *Relay) Start(known traffic.PoolNews, limits map[int]float64, open []traffic.Open, notices []traffic.Notice) {
+func (r *Relay) Start(known traffic.PoolUpdate, limits map[int]float64, open []traffic.Open, notices []traffic.Notice) {
 	now := time.Now()
 	r.pool.update(known, now)
 	r.publishKnownMembers()
 	r.learnedLimits = maps.Clone(limits)
-	r.reportPool(known.Seq)
+	r.reportPool(known.Version)
 	events := append([]dispatch.Event{r.members(known)}, r.recalledLimits(known)...)
 	r.decide(now, r.recoverState(open, notices, now, events), nil)
 }
@@ -257,10 +257,10 @@
 		events = r.offer(h, now, events)
 	}
 	for _, n := range notices {
-		if n.Order != "" { // later transactions of the key wait for the answer in this process, too
-			r.noticePending[n.ID] = n.Order
-			if r.cfg.Turns != nil {
-				r.cfg.Turns.TakeTicket(n.Order, n.ID, now, now.Add(noticeTimeout))
+		if n.OrderKey != "" { // later transactions of the key wait for the answer in this process, too
+			r.noticePending[n.ID] = n.OrderKey
+			if r.cfg.KeyOrder != nil {
+				r.cfg.KeyOrder.TakeTicket(n.OrderKey, n.ID, now, now.Add(noticeTimeout))
 			}
 		}
 		r.cfg.Notices.Send(n)
@@ -277,7 +277,7 @@
 		return o
 	}
 	if o.FirstSent.After(now) {
-		o.FirstSent = now.Add(-c.Memory)
+		o.FirstSent = now.Add(-c.DedupTTL)
 	}
 	if latest := now.Add(c.Deadline); o.Deadline.After(latest) {
 		o.Deadline = latest
@@ -287,11 +287,11 @@
 
 // recoverPredecessor calls Heir.Adopt every recoveryInterval.
 func (r *Relay) recoverPredecessor(now time.Time, events []dispatch.Event) []dispatch.Event {
-	if r.cfg.Heir == nil || now.Sub(r.lastRecovery) < recoveryInterval {
+	if r.cfg.Recoverer == nil || now.Sub(r.lastRecovery) < recoveryInterval {
 		return events
 	}
 	r.lastRecovery = now
-	open, notices, err := r.cfg.Heir.Adopt()
+	open, notices, err := r.cfg.Recoverer.Recover()
 	if err != nil {
 		slog.Error("journal of an ended process not taken over", "err", err)
 	}
@@ -301,8 +301,8 @@
 	return r.recoverState(open, notices, now, events)
 }
 
-// Put submits a transaction. The channel delivers the answer exactly once.
-func (r *Relay) Put(t traffic.Transaction, received time.Time) <-chan traffic.Answer {
+// Submit submits a transaction. The channel delivers the answer exactly once.
+func (r *Relay) Submit(t traffic.Transaction, received time.Time) <-chan traffic.Answer {
 	answer := make(chan traffic.Answer, 1)
 	if !r.post(submission{t, received, answer}) {
 		answer <- traffic.Answer{Verdict: traffic.Busy, RetryIn: fullRetryIn}
@@ -310,17 +310,17 @@
 	return answer
 }
 
-// Limit sets how many bytes of open transactions the relay may hold. The new limit applies from the next step on.
-func (r *Relay) Limit(maxBytes int64) { r.post(memoryLimit(maxBytes)) }
+// SetMemoryLimit sets how many bytes of open transactions the relay may hold. The new limit applies from the next step on.
+func (r *Relay) SetMemoryLimit(maxBytes int64) { r.post(memoryLimit(maxBytes)) }
 
-// Squeeze limits the number of open transactions, and scales the byte limit by byteScale, from the next step on. The module returns
+// LimitOpen limits the number of open transactions, and scales the byte limit by byteScale, from the next step on. The module returns
 // transactions above the first limit by its own rule; with heavy above 0 it returns large ones sooner.
-func (r *Relay) Squeeze(messages int, heavy, byteScale float64) {
+func (r *Relay) LimitOpen(messages int, heavy, byteScale float64) {
 	r.post(openLimits{messages, heavy, byteScale})
 }
 
-// Stretch sets the minimum time between two steps. A value below the module's resolution has no effect.
-func (r *Relay) Stretch(interval time.Duration) { r.minStepInterval.Store(int64(interval)) }
+// SetStepInterval sets the minimum time between two steps. A value below the module's resolution has no effect.
+func (r *Relay) SetStepInterval(interval time.Duration) { r.minStepInterval.Store(int64(interval)) }
 
 // Load describes the open transactions.
 type Load struct {
@@ -341,10 +341,10 @@
 func (r *Relay) FlowEnded(f traffic.FlowEnd) { r.post(f) }
 
 // PoolChanged passes a change of the pool to the next step.
-func (r *Relay) PoolChanged(news traffic.PoolNews) { r.post(news) }
+func (r *Relay) PoolChanged(news traffic.PoolUpdate) { r.post(news) }
 
-// PoolDoubted marks the known list as no longer valid: nothing is sent to its members until the pool changes.
-func (r *Relay) PoolDoubted() { r.post(poolUnconfirmed{}) }
+// PoolUnconfirmed marks the known list as no longer valid: nothing is sent to its members until the pool changes.
+func (r *Relay) PoolUnconfirmed() { r.post(poolUnconfirmed{}) }
 
 // NoticesAnswered reports that the platform has received these notices.
 func (r *Relay) NoticesAnswered(ids []string) { r.post(answeredNotices(ids)) }
@@ -397,7 +397,7 @@
 			due = wake
 		}
 		if due.Before(last) {
-			r.cfg.Meters.Stepped(due, last)
+			r.cfg.Meters.RecordStep(due, last)
 		}
 		if at, ok := r.demands.due(); ok && len(batch) == 0 && !at.After(last) && r.nextWake(last).After(last) {
 			r.reportDemand(last) // only the demand report is due; the module has nothing to decide
@@ -408,7 +408,7 @@
 		r.earliestStep = last.Add(r.stepInterval())
 		r.mu.Unlock()
 		next := r.nextWake(last)
-		if r.cfg.Heir != nil && next.After(last.Add(recoveryInterval)) {
+		if r.cfg.Recoverer != nil && next.After(last.Add(recoveryInterval)) {
 			next = last.Add(recoveryInterval) // a predecessor ends without notification
 		}
 		if at, ok := r.demands.due(); ok && at.Before(next) {
@@ -462,7 +462,7 @@
 func answeredChanges(ids answeredNotices) []traffic.Change {
 	changes := make([]traffic.Change, len(ids))
 	for i, id := range ids {
-		changes[i] = traffic.Answered{ID: id}
+		changes[i] = traffic.NoticeAnswered{ID: id}
 	}
 	return changes
 }
@@ -490,7 +490,7 @@
 		if at.After(now) {
 			due = append(due, at)
 		} else {
-			events = append(events, dispatch.Woken{})
+			events = append(events, dispatch.WakeDue{})
 		}
 	}
 	r.wakes = due
@@ -503,15 +503,15 @@
 			}
 		case traffic.FlowEnd:
 			events, changes = r.handleFlowEnd(in, events, changes)
-		case traffic.PoolNews:
+		case traffic.PoolUpdate:
 			r.pool.update(in, now)
 			r.pool.fromDiscovery = true
 			if r.unconfirmed != nil {
 				r.unconfirmed = nil
 				events = append(events, r.updateBlocked(noMember))
 			}
-			r.cfg.Flows.Pool(r.overlay(in, r.blocked))
-			r.reportPool(in.Seq)
+			r.cfg.Flows.UpdatePool(r.overlay(in, r.blocked))
+			r.reportPool(in.Version)
 			events = append(append(events, r.members(in)), r.recalledLimits(in)...)
 			r.publishKnownMembers()
 		case poolUnconfirmed:
@@ -527,13 +527,13 @@
 			events = append(events, r.applyRestraints(in, now)...)
 		case []traffic.Allowance:
 			events = append(events, r.allowanceEvents(in, now)...)
-		case []traffic.Bar:
+		case []traffic.Exclusion:
 			events = append(events, r.applyExclusions(in))
 		case memoryLimit:
-			r.cfg.MostBytes = int64(in)
+			r.cfg.MaxOpenBytes = int64(in)
 		case openLimits:
 			r.openLimits = in
-			events = append(events, dispatch.HoldCap{Messages: in.messages, Heavy: in.heavy})
+			events = append(events, dispatch.HoldCap{MaxMessages: in.messages, SizeWeight: in.heavy})
 		case []dispatch.Event: // events that follow a failed commit
 			events = append(events, in...)
 		case answeredNotices:
@@ -551,12 +551,12 @@
 
 // admit opens a transaction for a submission that the relay has room for. It answers other submissions at once.
 func (r *Relay) admit(in submission, now time.Time) *openTransaction {
-	r.counters.HandedIn++
-	r.cfg.Meters.HandedIn(now.Sub(in.received))
+	r.counters.Submitted++
+	r.cfg.Meters.RecordSubmission(now.Sub(in.received))
 	size := int64(in.transaction.Size())
 	switch h := r.open[in.transaction.ID]; {
 	case h != nil && !sameMessage(&h.Transaction, &in.transaction): // the id belongs to another client's message, which stays unchanged
-		r.counters.Borrowed++
+		r.counters.ReusedID++
 		r.countAnswer(in.transaction.Class, traffic.Answer{Verdict: traffic.Failed})
 		in.answer <- traffic.Answer{Verdict: traffic.Failed}
 		return nil
@@ -567,14 +567,14 @@
 		in.answer <- traffic.Answer{Verdict: traffic.Accepted}
 		return nil
 	case !r.pool.hasDestination(in.transaction.Destination, now):
-		if r.counters.Unlisted++; r.pool.fromDiscovery {
+		if r.counters.UnknownDestination++; r.pool.fromDiscovery {
 			r.countAnswer(in.transaction.Class, traffic.Answer{Verdict: traffic.Failed})
 			in.answer <- traffic.Answer{Verdict: traffic.Failed}
 			return nil
 		}
 	case now.Sub(in.received) > maxSubmissionAge:
-		r.counters.Late++
-	case len(r.open) >= r.openLimits.messages, r.bytes+size > r.maxBytes(), !r.cfg.Store.Room(r.uncommittedBytes + size):
+		r.counters.TooOld++
+	case len(r.open) >= r.openLimits.messages, r.bytes+size > r.maxBytes(), !r.cfg.Store.HasRoom(r.uncommittedBytes + size):
 		r.counters.Full++
 	default:
 		r.demands.record(&in.transaction, 1, 0)
@@ -591,12 +591,12 @@
 }
 
 // maxBytes returns the current limit for the bytes of open transactions.
-func (r *Relay) maxBytes() int64 { return int64(float64(r.cfg.MostBytes) * r.openLimits.byteScale) }
+func (r *Relay) maxBytes() int64 { return int64(float64(r.cfg.MaxOpenBytes) * r.openLimits.byteScale) }
 
 // sameMessage reports whether two submissions with the same id are the same message sent again. Otherwise the second one reuses the
 // id of another message. The remaining time may differ.
 func sameMessage(a, b *traffic.Transaction) bool {
-	return a.Class == b.Class && a.Tenant == b.Tenant && a.Key == b.Key && a.Destination == b.Destination &&
+	return a.Class == b.Class && a.Tenant == b.Tenant && a.IdempotencyKey == b.IdempotencyKey && a.Destination == b.Destination &&
 		bytes.Equal(a.Body, b.Body)
 }
 
@@ -615,8 +615,8 @@
 	if f.Status == traffic.Delivered {
 		r.countClass(h.Class, r.classCounts.success)
 	}
-	if f.Report != nil && r.cfg.Lessons != nil && !r.separateLimits[r.pool.members[f.Member].Class] {
-		r.cfg.Lessons.Learn(h.Destination, f.Report.Limit, time.Now())
+	if f.Report != nil && r.cfg.LimitRecorder != nil && !r.separateLimits[r.pool.members[f.Member].Kind] {
+		r.cfg.LimitRecorder.Record(h.Destination, f.Report.Limit, time.Now())
 	}
 	e := flowEndings[f.Status]
 	if e.mayHaveRun && h.FirstSent.IsZero() {
@@ -646,8 +646,8 @@
 	if h.submitters == nil {
 		r.ended++
 	}
-	if r.cfg.Turns != nil && !h.noticePending && r.keepsOrder(&h.Transaction) {
-		r.cfg.Turns.Release(h.Order, h.ID)
+	if r.cfg.KeyOrder != nil && !h.noticePending && r.keepsOrder(&h.Transaction) {
+		r.cfg.KeyOrder.Release(h.OrderKey, h.ID)
 	}
 }
 
@@ -661,14 +661,14 @@
 func (r *Relay) decide(now time.Time, events []dispatch.Event, changes []traffic.Change) {
 	r.counters.Steps++
 	var actions []dispatch.Action
-	r.cfg.Meters.Section(func() { actions = r.sender.Step(now.Sub(r.epoch), events) })
+	r.cfg.Meters.RunSection(func() { actions = r.sender.Step(now.Sub(r.epoch), events) })
 	var deferred []deferredAction // in the module's order
 	var accepted []*openTransaction
 	ended := map[string]bool{}
 	for _, h := range r.awaitingTurn { // accepted, although the module does not know them yet
 		if h.submitters != nil {
 			accepted = append(accepted, h)
-			changes = append(changes, traffic.Taken{Transaction: h.Transaction})
+			changes = append(changes, traffic.TransactionAccepted{Transaction: h.Transaction})
 		}
 	}
 	for _, a := range actions {
@@ -683,7 +683,7 @@
 		if req, ok := ev.(dispatch.Request); ok && !ended[req.ID] {
 			if h := r.open[req.ID]; h.submitters != nil {
 				accepted = append(accepted, h)
-				changes = append(changes, traffic.Taken{Transaction: h.Transaction})
+				changes = append(changes, traffic.TransactionAccepted{Transaction: h.Transaction})
 			}
 		}
 	}
@@ -698,8 +698,8 @@
 			r.waiting[h.Destination]--
 			r.demands.record(&h.Transaction, 0, -1)
 			r.activeFlows++
-			changes = append(changes, traffic.FlowBegun{ID: f.ID, Attempt: f.Attempt, At: now})
-			if call := newestCall[f.Member]; call != nil && len(call.With)+1 < r.maxBundle[r.pool.members[f.Member].Class] &&
+			changes = append(changes, traffic.FlowStarted{ID: f.ID, Attempt: f.Attempt, At: now})
+			if call := newestCall[f.Member]; call != nil && len(call.Bundled)+1 < r.maxBundle[r.pool.members[f.Member].Kind] &&
 				call.CallBytes()+f.CallBytes() <= traffic.MaxCallBytes {
 				call.Join(f) // the module counts everything sent to a member in one step as one call
 			} else {
@@ -709,7 +709,7 @@
 		case dispatch.Cancel:
 			deferred = append(deferred, deferredAction{run: func() { r.cancelFlow(a.ID, a.Attempt) }})
 		case dispatch.Refuse:
-			changes = r.end(traffic.Notice{ID: a.ID, Outcome: traffic.HandedBack, RetryIn: a.RetryAfter}, changes, &deferred)
+			changes = r.end(traffic.Notice{ID: a.ID, Outcome: traffic.Returned, RetryIn: a.RetryAfter}, changes, &deferred)
 		case dispatch.Fail:
 			changes = r.end(traffic.Notice{ID: a.ID, Outcome: traffic.GivenUp}, changes, &deferred)
 		case dispatch.Wake:
@@ -724,14 +724,14 @@
 		if d.run != nil {
 			d.run()
 		} else if saved {
-			r.counters.Flows += int64(1 + len(d.flow.With))
+			r.counters.Flows += int64(1 + len(d.flow.Bundled))
 			r.startFlow(*d.flow)
 		}
 	}
 	r.announceWaiting(now)
 	r.uncommittedBytes = 0
 	r.counters.Open, r.counters.Bytes = len(r.open), r.bytes
-	var stats *Figures
+	var stats *Stats
 	if now.Sub(r.statsCopiedAt) >= statsInterval {
 		r.statsCopiedAt = now
 		f := r.collectStats()
@@ -742,7 +742,7 @@
 		r.stats = *stats
 	}
 	r.published = r.counters
-	r.load = Load{Open: len(r.open), Waiting: len(r.open) - r.activeFlows, Bytes: float64(r.bytes) / float64(max(r.cfg.MostBytes, 1)),
+	r.load = Load{Open: len(r.open), Waiting: len(r.open) - r.activeFlows, Bytes: float64(r.bytes) / float64(max(r.cfg.MaxOpenBytes, 1)),
 		Ended: r.ended}
 	r.mu.Unlock()
 }
@@ -754,8 +754,8 @@
 	}
 	r.lastExpect = now
 	for dest, n := range r.waiting {
-		if r.cfg.Ahead != nil {
-			r.cfg.Ahead.Expect(dest, n)
+		if r.cfg.Preconnector != nil {
+			r.cfg.Preconnector.Expect(dest, n)
 		}
 		if n == 0 {
 			delete(r.waiting, dest)
@@ -784,12 +784,12 @@
 		r.counters.GivenUp++
 		r.countClass(h.Class, r.classCounts.errors)
 	} else {
-		r.counters.HandedBack++
+		r.counters.Returned++
 		r.countClass(h.Class, r.classCounts.overload)
 	}
 	if r.keepsOrder(&h.Transaction) {
-		n.Order = h.Order
-		r.noticePending[n.ID] = h.Order
+		n.OrderKey = h.OrderKey
+		r.noticePending[n.ID] = h.OrderKey
 	}
 	*deferred = append(*deferred, deferredAction{run: func() { r.cfg.Notices.Send(n) }})
 	return append(changes, traffic.Ended{ID: n.ID, Notice: &n})
@@ -809,7 +809,7 @@
 	err := r.cfg.Store.Commit(append(r.unsavedChanges, changes...))
 	if err == nil {
 		r.unsavedChanges = nil
-		r.counters.TakenOn += int64(len(accepted))
+		r.counters.Accepted += int64(len(accepted))
 		for _, h := range accepted {
 			h.reply(traffic.Answer{Verdict: traffic.Accepted})
 		}
@@ -819,7 +819,7 @@
 	slog.Error("journal write failed", "err", err)
 	for _, ch := range changes {
 		switch ch.(type) {
-		case traffic.Taken, traffic.FlowBegun:
+		case traffic.TransactionAccepted, traffic.FlowStarted:
 		default:
 			r.unsavedChanges = append(r.unsavedChanges, ch)
 		}
@@ -833,7 +833,7 @@
 		r.counters.Full++
 		r.countAnswer(h.Class, traffic.Answer{Verdict: traffic.Busy})
 		h.reply(traffic.Answer{Verdict: traffic.Busy, RetryIn: fullRetryIn})
-		followUp = append(followUp, dispatch.Hangup{ID: h.ID})
+		followUp = append(followUp, dispatch.Withdrawal{ID: h.ID})
 	}
 	for _, d := range deferred {
 		if d.flow == nil {
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -29,24 +29,24 @@
 	}
 	return w.commitErr
 }
-func (w *fakeIO) Room(int64) bool { return !w.storeFull }
+func (w *fakeIO) HasRoom(int64) bool { return !w.storeFull }
 func (w *fakeIO) Start(f traffic.Flow) {
 	w.calls, w.flows = append(w.calls, "start"), append(w.flows, f)
 }
-func (w *fakeIO) Cancel(id string, a int)  { w.calls = append(w.calls, "cancel") }
-func (w *fakeIO) Pool(traffic.PoolNews)    { w.calls = append(w.calls, "pool") }
-func (w *fakeIO) Send(n traffic.Notice)    { w.calls = append(w.calls, fmt.Sprint("notice ", n.Outcome)) }
-func (w *fakeIO) takeCalls() (done string) { done, w.calls = strings.Join(w.calls, ", "), nil; return }
-func (w *fakeIO) lastFlow() traffic.Flow   { return w.flows[len(w.flows)-1] }
-func (w *fakeIO) String() string           { return w.takeCalls() }
+func (w *fakeIO) Cancel(id string, a int)       { w.calls = append(w.calls, "cancel") }
+func (w *fakeIO) UpdatePool(traffic.PoolUpdate) { w.calls = append(w.calls, "pool") }
+func (w *fakeIO) Send(n traffic.Notice)         { w.calls = append(w.calls, fmt.Sprint("notice ", n.Outcome)) }
+func (w *fakeIO) takeCalls() (done string)      { done, w.calls = strings.Join(w.calls, ", "), nil; return }
+func (w *fakeIO) lastFlow() traffic.Flow        { return w.flows[len(w.flows)-1] }
+func (w *fakeIO) String() string                { return w.takeCalls() }
 
-var initialPool = traffic.PoolNews{Whole: true, Members: []traffic.Member{{Host: "m1", Class: "partner", Destination: 7},
-	{Host: "m2", Class: "partner", Destination: 7}}}
+var initialPool = traffic.PoolUpdate{Full: true, Members: []traffic.Member{{Host: "m1", Kind: "partner", Destination: 7},
+	{Host: "m2", Kind: "partner", Destination: 7}}}
 
 func startRelay(t *testing.T, open ...traffic.Open) (*Relay, *fakeIO, time.Time) {
 	t.Helper()
 	w := &fakeIO{}
-	r, err := New(Config{Settings: testSettings(), MostBytes: 1 << 20, Store: w, Flows: w, Notices: w})
+	r, err := New(Config{Settings: testSettings(), MaxOpenBytes: 1 << 20, Store: w, Flows: w, Notices: w})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -55,13 +55,13 @@
 }
 
 func transaction(id, class string, deadline time.Time) traffic.Transaction {
-	return traffic.Transaction{ID: id, Class: class, Key: "k", Destination: 7, Deadline: deadline, Body: []byte("b")}
+	return traffic.Transaction{ID: id, Class: class, IdempotencyKey: "k", Destination: 7, Deadline: deadline, Body: []byte("b")}
 }
 
 // submit submits a transaction in a step of its own and returns the answer.
 func submit(t *testing.T, r *Relay, now time.Time, tr traffic.Transaction) traffic.Answer {
 	t.Helper()
-	answer := r.Put(tr, now)
+	answer := r.Submit(tr, now)
 	r.step(now, takeBatch(r))
 	select {
 	case a := <-answer:
@@ -99,9 +99,9 @@
 // Every flow status leads to the journal record that the protocol requires.
 func TestFlowEndings(t *testing.T) {
 	for status, want := range map[traffic.FlowStatus]string{
-		traffic.Delivered: "Ended", traffic.Over: "Ended", traffic.Errored: "ran", traffic.Broken: "ran",
-		traffic.OutOfTime: "ran", traffic.CalledOff: "ran", traffic.TurnedAway: "never", traffic.NoSlot: "never",
-		traffic.Spent: "never", traffic.Unsent: "never", traffic.NotConnected: "never"} {
+		traffic.Delivered: "Ended", traffic.AlreadyEnded: "Ended", traffic.Errored: "ran", traffic.ConnectionBroken: "ran",
+		traffic.TimedOut: "ran", traffic.Canceled: "ran", traffic.FlowRefused: "never", traffic.NoSlot: "never",
+		traffic.AttemptsExhausted: "never", traffic.Unsent: "never", traffic.NotConnected: "never"} {
 		r, w, now := startRelay(t)
 		submit(t, r, now, transaction("a", "pay", now.Add(28*time.Second)))
 		w.takeCalls()
@@ -145,18 +145,18 @@
 	if a := submit(t, r, now, transaction("a", "slot", now.Add(5*time.Second))); a.Verdict != traffic.Busy || a.RetryIn == 0 {
 		t.Errorf("journal full: answer %+v", a)
 	}
-	w.storeFull, r.cfg.MostBytes = false, 10
+	w.storeFull, r.cfg.MaxOpenBytes = false, 10
 	if a := submit(t, r, now, transaction("b", "slot", now.Add(5*time.Second))); a.Verdict != traffic.Busy {
 		t.Errorf("memory full: answer %+v", a)
 	}
-	r.cfg.MostBytes = 1 << 20
-	late := r.Put(transaction("c", "slot", now.Add(5*time.Second)), now.Add(-time.Second))
+	r.cfg.MaxOpenBytes = 1 << 20
+	late := r.Submit(transaction("c", "slot", now.Add(5*time.Second)), now.Add(-time.Second))
 	r.step(now, takeBatch(r))
 	if a := <-late; a.Verdict != traffic.Busy { // its client may have gone
 		t.Errorf("a submission that waited for a second: answer %+v", a)
 	}
 	r.stop()
-	if a := <-r.Put(transaction("d", "slot", now.Add(5*time.Second)), now); a.Verdict != traffic.Busy {
+	if a := <-r.Submit(transaction("d", "slot", now.Add(5*time.Second)), now); a.Verdict != traffic.Busy {
 		t.Errorf("after stop: answer %+v", a)
 	}
 }
@@ -171,8 +171,8 @@
 		t.Errorf("before the first update from discovery: answer %+v", a)
 	}
 	news := func(after time.Duration, health traffic.Health) {
-		r.PoolChanged(traffic.PoolNews{Members: []traffic.Member{{Host: "m1", Class: "partner", Destination: 7,
-			Health: health}, {Host: "m2", Class: "partner", Destination: 7, Health: health}}})
+		r.PoolChanged(traffic.PoolUpdate{Members: []traffic.Member{{Host: "m1", Kind: "partner", Destination: 7,
+			Health: health}, {Host: "m2", Kind: "partner", Destination: 7, Health: health}}})
 		r.step(now.Add(after), takeBatch(r))
 	}
 	news(0, traffic.Left)
@@ -186,8 +186,8 @@
 		t.Errorf("last member left long ago: answer %+v", a)
 	}
 	news(2*goneRetention, traffic.Left)
-	if len(r.pool.goneSince) > 0 || r.counters.Unlisted != 3 {
-		t.Errorf("destinations kept %v, unlisted submissions counted %d", r.pool.goneSince, r.counters.Unlisted)
+	if len(r.pool.goneSince) > 0 || r.counters.UnknownDestination != 3 {
+		t.Errorf("destinations kept %v, unlisted submissions counted %d", r.pool.goneSince, r.counters.UnknownDestination)
 	}
 }
 
@@ -208,8 +208,8 @@
 	if a := submit(t, r, now, tr); a.Verdict != traffic.Accepted {
 		t.Errorf("the same message again: answer %+v", a)
 	}
-	if got := w.takeCalls(); strings.Contains(got, "Taken") || strings.Contains(got, "start") || r.counters.Borrowed != 1 {
-		t.Errorf("calls %s, reused ids counted %d", got, r.counters.Borrowed)
+	if got := w.takeCalls(); strings.Contains(got, "Taken") || strings.Contains(got, "start") || r.counters.ReusedID != 1 {
+		t.Errorf("calls %s, reused ids counted %d", got, r.counters.ReusedID)
 	}
 }
 
@@ -234,7 +234,7 @@
 	}
 	got := w.takeCalls()
 	if strings.Count(got, fmt.Sprint("notice ", traffic.GivenUp)) != 1 ||
-		strings.Count(got, fmt.Sprint("notice ", traffic.HandedBack)) != 2 || strings.Contains(got, "Taken") {
+		strings.Count(got, fmt.Sprint("notice ", traffic.Returned)) != 2 || strings.Contains(got, "Taken") {
 		t.Error(got)
 	}
 	if c := r.Counters(); c.Recovered != 4 || c.Open != 1 {
@@ -252,7 +252,7 @@
 	set := testSettings()
 	set.MaxOpen = 40
 	for i := range set.Classes {
-		set.Classes[i].Memory = time.Second
+		set.Classes[i].DedupTTL = time.Second
 	}
 	set.Classes = append(set.Classes, dispatch.Class{Name: "once", Effect: dispatch.Unsafe, Aim: time.Second, Deadline: 20 * time.Second, Worth: 1})
 	far := now.Add(15 * time.Second)
@@ -267,7 +267,7 @@
 	open[4].Deadline = now.Add(time.Hour) // by the clock before it was set back
 	for range 2 {                         // the second start recovers the same state
 		w := &fakeIO{}
-		r, err := New(Config{Settings: set, MostBytes: 1 << 20, Store: w, Flows: w, Notices: w})
+		r, err := New(Config{Settings: set, MaxOpenBytes: 1 << 20, Store: w, Flows: w, Notices: w})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -308,7 +308,7 @@
 	if !w.lastFlow().WriteBy.IsZero() {
 		t.Errorf("a first call has WriteBy %v", w.lastFlow().WriteBy)
 	}
-	r.step(now.Add(time.Second), []any{traffic.FlowEnd{ID: "a", Member: w.lastFlow().Member, Status: traffic.Broken}})
+	r.step(now.Add(time.Second), []any{traffic.FlowEnd{ID: "a", Member: w.lastFlow().Member, Status: traffic.ConnectionBroken}})
 	r.step(now.Add(2*time.Second), nil)
 	if len(w.flows) != 2 || !w.lastFlow().WriteBy.Equal(now.Add(15*time.Second)) {
 		t.Errorf("retry: flows %+v", w.flows)
@@ -322,7 +322,7 @@
 	w.takeCalls()
 	r.FlowEnded(traffic.FlowEnd{ID: "a", Member: w.lastFlow().Member, Status: traffic.Delivered})
 	r.NoticesAnswered([]string{"z"})
-	answer := r.Put(transaction("b", "slot", now.Add(5*time.Second)), now)
+	answer := r.Submit(transaction("b", "slot", now.Add(5*time.Second)), now)
 	r.stop()
 	if got := w.takeCalls(); got != "Ended, Answered" {
 		t.Error(got)
@@ -343,8 +343,8 @@
 	r, _, _ := startRelay(t)
 	limits := map[int]float64{3: 25, 7: 50}
 	r.Start(initialPool, limits, nil, nil)
-	news := traffic.PoolNews{Members: []traffic.Member{{Host: "b", Destination: 3}, {Host: "c", Destination: 3}, {Host: "m1", Destination: 7}}}
-	if got := r.recalledLimits(news); len(got) != 1 || got[0] != (dispatch.Recalled{Destination: 3, Limit: 25}) {
+	news := traffic.PoolUpdate{Members: []traffic.Member{{Host: "b", Destination: 3}, {Host: "c", Destination: 3}, {Host: "m1", Destination: 7}}}
+	if got := r.recalledLimits(news); len(got) != 1 || got[0] != (dispatch.RestoredLimit{Destination: 3, Limit: 25}) {
 		t.Errorf("first list: events %v", got)
 	}
 	if got := r.recalledLimits(news); len(got) != 0 || len(limits) != 2 {
@@ -355,10 +355,10 @@
 func testSettings() dispatch.Settings {
 	return dispatch.Settings{
 		Classes: []dispatch.Class{
-			{Name: "pay", Effect: dispatch.Keyed, Memory: 15 * time.Second, Aim: 4 * time.Second, Deadline: 28 * time.Second, Worth: 1},
+			{Name: "pay", Effect: dispatch.Keyed, DedupTTL: 15 * time.Second, Aim: 4 * time.Second, Deadline: 28 * time.Second, Worth: 1},
 			{Name: "slot", Aim: time.Second, Deadline: 5 * time.Second, Worth: 3}},
 		Kinds: []dispatch.Kind{{Name: "partner"}}, Peers: 1, Resolution: 5 * time.Millisecond, MaxCalls: 4, MaxOpen: 6,
-		MaxAttempts: 3, ConnectTimeout: time.Second, KeepAlive: 5 * time.Second, RetryAfter: true,
-		MaxRetryAfter: 3 * time.Second, Safety: dispatch.Safety{StartCapacity: 0.2, Cold: 10 * time.Second,
-			FallMultiple: 2, TipAfter: 2 * time.Second}}
+		MaxAttempts: 3, ConnectTimeout: time.Second, KeepAlive: 5 * time.Second, SendRetryAfter: true,
+		MaxRetryAfter: 3 * time.Second, Safety: dispatch.Safety{MinStartCapacityShare: 0.2, Ramp: 10 * time.Second,
+			OverloadMultiple: 2, OverloadFor: 2 * time.Second}}
 }
--- a/internal/relay/stats.go
+++ b/internal/relay/stats.go
@@ -9,9 +9,9 @@
 	"slatemux/internal/traffic"
 )
 
-// Figures are the statistics for the admin endpoint, counted since the start of the process. Messages are counted by class. Only
+// Stats are the statistics for the admin endpoint, counted since the start of the process. Messages are counted by class. Only
 // classes of the settings are counted, so that invented class names of clients take no memory.
-type Figures struct {
+type Stats struct {
 	Success, Overload, Error map[string]int64
 	Dispatches               int64 // transactions written whole to pool members
 	Concurrent               int   // accepted transactions that have not ended
@@ -44,38 +44,38 @@
 // writtenWhole reports whether a flow with this status wrote its whole transaction.
 func writtenWhole(s traffic.FlowStatus) bool { return s != traffic.NotConnected && s != traffic.Unsent }
 
-// Figures returns the statistics after the latest step.
-func (r *Relay) Figures() Figures {
+// Stats returns the statistics after the latest step.
+func (r *Relay) Stats() Stats {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.stats
 }
 
-func (r *Relay) collectStats() Figures {
+func (r *Relay) collectStats() Stats {
 	banned := 0
 	for id := range r.blocked {
 		if _, ok := r.pool.members[id]; ok {
 			banned++
 		}
 	}
-	return Figures{Success: maps.Clone(r.classCounts.success), Overload: maps.Clone(r.classCounts.overload),
+	return Stats{Success: maps.Clone(r.classCounts.success), Overload: maps.Clone(r.classCounts.overload),
 		Error: maps.Clone(r.classCounts.errors), Dispatches: r.dispatches, Concurrent: len(r.open),
-		Members: len(r.pool.members), Banned: banned, Avoided: r.sender.Avoided()}
+		Members: len(r.pool.members), Banned: banned, Avoided: r.sender.EndpointsInOutage()}
 }
 
 // statsInterval is the time between two copies for the admin endpoint, whose figures may be half a second old.
 const statsInterval = 100 * time.Millisecond
 
-// Known reports whether the pool has the member, after the latest step.
-func (r *Relay) Known(id string) bool {
+// HasMember reports whether the pool has the member, after the latest step.
+func (r *Relay) HasMember(id string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.knownMembers[id]
 }
 
-// Ban replaces the set of members that operators have banned. The channel closes after the step in which the module has processed
+// SetBans replaces the set of members that operators have banned. The channel closes after the step in which the module has processed
 // the new set.
-func (r *Relay) Ban(set map[string]bool) <-chan struct{} {
+func (r *Relay) SetBans(set map[string]bool) <-chan struct{} {
 	done := make(chan struct{})
 	if !r.post(bans{set, done}) {
 		close(done)
@@ -90,7 +90,7 @@
 
 // applyBans applies a new set of bans. Members whose ban was lifted are reported to the module as cold, because they were restarted
 // during the ban.
-func (r *Relay) applyBans(b bans) dispatch.Members {
+func (r *Relay) applyBans(b bans) dispatch.MembershipUpdate {
 	before := r.bans
 	r.bans = b.set
 	if r.cfg.Fleet != nil {
@@ -105,7 +105,7 @@
 // updateBlocked tells the module which members have been blocked or unblocked since the last call. A member is blocked by operators
 // of this relay, by other relays, or because the whole list is unconfirmed. For an unblocked member, cold reports whether the member
 // was restarted.
-func (r *Relay) updateBlocked(cold func(id string) bool) dispatch.Members {
+func (r *Relay) updateBlocked(cold func(id string) bool) dispatch.MembershipUpdate {
 	blocked := maps.Clone(r.bans)
 	if blocked == nil {
 		blocked = map[string]bool{}
@@ -116,23 +116,23 @@
 	for id := range r.unconfirmed {
 		blocked[id] = true
 	}
-	ev, news := dispatch.Members{}, traffic.PoolNews{}
+	ev, news := dispatch.MembershipUpdate{}, traffic.PoolUpdate{}
 	for _, id := range slices.Sorted(maps.Keys(r.pool.members)) {
 		if m := r.pool.members[id]; blocked[id] != r.blocked[id] {
 			changed := r.endpoint(m, blocked)
-			changed.Cold = !blocked[id] && cold(id)
+			changed.Restarted = !blocked[id] && cold(id)
 			ev.Endpoints = append(ev.Endpoints, changed)
 			news.Members = append(news.Members, m)
 		}
 	}
 	r.blocked = blocked
-	r.statsCopiedAt = time.Time{}              // operators see the effect of their call in the figures at once
-	r.cfg.Flows.Pool(r.overlay(news, blocked)) // flows that wait for a connection to a blocked member are not written either
+	r.statsCopiedAt = time.Time{}                    // operators see the effect of their call in the figures at once
+	r.cfg.Flows.UpdatePool(r.overlay(news, blocked)) // flows that wait for a connection to a blocked member are not written either
 	return ev
 }
 
 // overlay returns the change of the pool as the flows must see it: blocked members are leaving.
-func (r *Relay) overlay(news traffic.PoolNews, blocked map[string]bool) traffic.PoolNews {
+func (r *Relay) overlay(news traffic.PoolUpdate, blocked map[string]bool) traffic.PoolUpdate {
 	if len(blocked) == 0 {
 		return news
 	}
--- a/internal/relay/translate.go
+++ b/internal/relay/translate.go
@@ -11,13 +11,13 @@
 // This file is the only one that uses both vocabularies: that of the network (pool member, transaction, flow) and that of the
 // decision module (endpoint, message, attempt).
 
-var memberStates = map[traffic.Health]dispatch.State{traffic.Active: dispatch.Listed,
+var memberStates = map[traffic.Health]dispatch.MembershipState{traffic.Active: dispatch.Listed,
 	traffic.Leaving: dispatch.Draining, traffic.Left: dispatch.Gone}
 
 // members reports a change of the pool to the module. A member that is banned by operators or excluded by other relays is draining,
 // whatever discovery says.
-func (r *Relay) members(news traffic.PoolNews) dispatch.Members {
-	ev := dispatch.Members{Whole: news.Whole}
+func (r *Relay) members(news traffic.PoolUpdate) dispatch.MembershipUpdate {
+	ev := dispatch.MembershipUpdate{Full: news.Full}
 	for _, m := range news.Members {
 		ev.Endpoints = append(ev.Endpoints, r.endpoint(m, r.blocked))
 	}
@@ -25,7 +25,7 @@
 }
 
 func (r *Relay) endpoint(m traffic.Member, blocked map[string]bool) dispatch.Endpoint {
-	e := dispatch.Endpoint{ID: m.Host, Zone: m.Site, Kind: m.Class, Destination: m.Destination, State: memberStates[m.Health], Weight: m.Share}
+	e := dispatch.Endpoint{ID: m.Host, Zone: m.Zone, Kind: m.Kind, Destination: m.Destination, State: memberStates[m.Health], Weight: m.Weight}
 	if blocked[m.Host] && e.State == dispatch.Listed {
 		e.State = dispatch.Draining
 	}
@@ -34,13 +34,13 @@
 
 // recalledLimits returns the limits that an earlier process learned for the destinations of a list, in the list's order. Each limit
 // is returned once.
-func (r *Relay) recalledLimits(news traffic.PoolNews) (events []dispatch.Event) {
+func (r *Relay) recalledLimits(news traffic.PoolUpdate) (events []dispatch.Event) {
 	if len(r.learnedLimits) == 0 { // the usual case; a list may be long
 		return nil
 	}
 	for _, m := range news.Members {
 		if limit, ok := r.learnedLimits[m.Destination]; ok {
-			events = append(events, dispatch.Recalled{Destination: m.Destination, Limit: limit})
+			events = append(events, dispatch.RestoredLimit{Destination: m.Destination, Limit: limit})
 			delete(r.learnedLimits, m.Destination)
 		}
 	}
@@ -49,9 +49,9 @@
 
 func (r *Relay) request(o *traffic.Open, now time.Time) dispatch.Request {
 	ev := dispatch.Request{ID: o.ID, Destination: o.Destination, Class: o.Class, Tenant: o.Tenant,
-		TimeLeft: o.Deadline.Sub(now), Attempts: o.Attempts, Size: o.Size()}
-	if c := r.classes[o.Class]; c != nil && c.OrderedByKey && o.Order != "" {
-		ev.Key, ev.HasKey = keyNumber(o.Order), true
+		TimeLeft: o.Deadline.Sub(now), Attempts: o.Attempts, SizeBytes: o.Size()}
+	if c := r.classes[o.Class]; c != nil && c.OrderedByKey && o.OrderKey != "" {
+		ev.Key, ev.HasKey = keyNumber(o.OrderKey), true
 	}
 	if !o.FirstSent.IsZero() {
 		ev.MayHaveRun, ev.FirstSent = true, o.FirstSent.Sub(r.epoch)
@@ -73,41 +73,41 @@
 }
 
 var flowEndings = [traffic.FlowStatusCount]flowEnding{
-	traffic.Delivered:    {status: dispatch.OK, settled: true, mayHaveRun: true},
-	traffic.Errored:      {status: dispatch.Errored, mayHaveRun: true},
-	traffic.TurnedAway:   {status: dispatch.Full},
-	traffic.NoSlot:       {status: dispatch.Moot},
-	traffic.Spent:        {status: dispatch.Moot},
-	traffic.Over:         {status: dispatch.Moot, settled: true},
-	traffic.Unsent:       {status: dispatch.Moot},
-	traffic.NotConnected: {status: dispatch.ConnectFailed},
-	traffic.Broken:       {status: dispatch.Reset, mayHaveRun: true},
-	traffic.OutOfTime:    {status: dispatch.TimedOut, mayHaveRun: true},
-	traffic.CalledOff:    {status: dispatch.Cancelled, mayHaveRun: true},
+	traffic.Delivered:         {status: dispatch.OK, settled: true, mayHaveRun: true},
+	traffic.Errored:           {status: dispatch.Errored, mayHaveRun: true},
+	traffic.FlowRefused:       {status: dispatch.Refused},
+	traffic.NoSlot:            {status: dispatch.NotSent},
+	traffic.AttemptsExhausted: {status: dispatch.NotSent},
+	traffic.AlreadyEnded:      {status: dispatch.NotSent, settled: true},
+	traffic.Unsent:            {status: dispatch.NotSent},
+	traffic.NotConnected:      {status: dispatch.ConnectFailed},
+	traffic.ConnectionBroken:  {status: dispatch.Reset, mayHaveRun: true},
+	traffic.TimedOut:          {status: dispatch.TimedOut, mayHaveRun: true},
+	traffic.Canceled:          {status: dispatch.Cancelled, mayHaveRun: true},
 }
 
 func outcome(f traffic.FlowEnd) dispatch.Outcome {
 	e := flowEndings[f.Status]
-	ev := dispatch.Outcome{ID: f.ID, Attempt: f.Attempt, Endpoint: f.Member, Status: e.status, Settled: e.settled,
-		Wait: f.Wait, NoSlot: f.Status == traffic.NoSlot, Latency: f.Took}
+	ev := dispatch.Outcome{ID: f.ID, Attempt: f.Attempt, Endpoint: f.Member, Status: e.status, Closed: e.settled,
+		RetryAfter: f.RetryAfter, NoSlot: f.Status == traffic.NoSlot, Latency: f.Latency}
 	if f.Report != nil {
-		ev.Report = &dispatch.Report{Left: f.Report.Left, Limit: f.Report.Limit}
+		ev.Report = &dispatch.LimitReport{LeftShare: f.Report.Remaining, Rate: f.Report.Limit}
 	}
 	return ev
 }
 
 // flow turns a Send action into a flow with absolute times.
 func (r *Relay) flow(o *traffic.Open, a dispatch.Send, now time.Time) traffic.Flow {
-	f := traffic.Flow{ID: o.ID, Attempt: o.Attempts, Member: a.Endpoint, Group: r.group(r.pool.members[a.Endpoint]), Key: o.Key,
-		Body: o.Body, Begun: now, Deadline: o.Deadline}
-	if a.TimeOut != 0 && now.Add(a.TimeOut).Before(f.Deadline) {
-		f.Deadline = now.Add(a.TimeOut)
+	f := traffic.Flow{ID: o.ID, Attempt: o.Attempts, Member: a.Endpoint, Group: r.group(r.pool.members[a.Endpoint]), Key: o.IdempotencyKey,
+		Body: o.Body, StartedAt: now, Deadline: o.Deadline}
+	if a.Timeout != 0 && now.Add(a.Timeout).Before(f.Deadline) {
+		f.Deadline = now.Add(a.Timeout)
 	}
 	if c := r.classes[o.Class]; c != nil {
 		f.Worth = c.Worth
 	}
 	if c := r.classes[o.Class]; c != nil && c.Effect == dispatch.Keyed && !o.FirstSent.IsZero() {
-		f.WriteBy = o.FirstSent.Add(c.Memory)
+		f.WriteBy = o.FirstSent.Add(c.DedupTTL)
 	}
 	return f
 }
@@ -115,7 +115,7 @@
 // group returns the group to which a retry-after applies: the destination, or the member alone if its kind has separate limits.
 func (r *Relay) group(m traffic.Member) traffic.Group {
 	g := traffic.Group{Destination: m.Destination}
-	if r.separateLimits[m.Class] {
+	if r.separateLimits[m.Kind] {
 		g.Member = m.Host
 	}
 	return g
@@ -125,7 +125,7 @@
 func (r *Relay) allowanceEvents(list []traffic.Allowance, now time.Time) (events []dispatch.Event) {
 	for _, a := range list {
 		if left := a.Until.Sub(now); left > 0 {
-			events = append(events, dispatch.Told{Kind: dispatch.ToldShare, Destination: a.Destination, Rate: a.Rate, For: left})
+			events = append(events, dispatch.FleetReport{Kind: dispatch.GrantedShare, Destination: a.Destination, Rate: a.Rate, For: left})
 			if r.allowances[a.Destination] = (allowance{until: a.Until}); a.Until.Before(r.nextExpiry) || len(r.allowances) == 1 {
 				r.nextExpiry = a.Until
 			}
@@ -135,17 +135,17 @@
 }
 
 // restraintEvent turns a restraint from the fleet into an event of the module.
-func (r *Relay) restraintEvent(restraint traffic.Restraint, now time.Time) dispatch.Told {
-	ev := dispatch.Told{Endpoint: restraint.Member, Age: max(now.Sub(restraint.At), 0)}
+func (r *Relay) restraintEvent(restraint traffic.Restraint, now time.Time) dispatch.FleetReport {
+	ev := dispatch.FleetReport{Endpoint: restraint.Member, Age: max(now.Sub(restraint.At), 0)}
 	switch restraint.Kind {
-	case traffic.Held:
-		ev.Kind, ev.Destination, ev.Endpoint, ev.For = dispatch.ToldWait, restraint.Group.Destination, restraint.Group.Member, max(restraint.At.Sub(now), 0)
-	case traffic.HeldOut:
-		ev.Kind = dispatch.ToldOut
-	case traffic.HeldBack:
-		ev.Kind = dispatch.ToldBack
+	case traffic.RestraintWait:
+		ev.Kind, ev.Destination, ev.Endpoint, ev.For = dispatch.ReportedWait, restraint.Group.Destination, restraint.Group.Member, max(restraint.At.Sub(now), 0)
+	case traffic.RestraintOutage:
+		ev.Kind = dispatch.ReportedOutage
+	case traffic.RestraintRecovery:
+		ev.Kind = dispatch.ReportedRecovery
 	default:
-		ev.Kind = dispatch.ToldNothing
+		ev.Kind = dispatch.ReportLapsed
 	}
 	return ev
 }
--- a/internal/retryafter/retryafter.go
+++ b/internal/retryafter/retryafter.go
@@ -60,8 +60,8 @@
 // probeIndex returns the index of the n-th slot that a group with this hash may use.
 func probeIndex(key uint64, n int) int { return int((key + uint64(n)) % slotCount) }
 
-// Tell records that nothing may be sent to the group before until.
-func (t *Table) Tell(group traffic.Group, until time.Time) {
+// Record records that nothing may be sent to the group before until.
+func (t *Table) Record(group traffic.Group, until time.Time) {
 	if t == nil {
 		return
 	}
--- a/internal/retryafter/retryafter_test.go
+++ b/internal/retryafter/retryafter_test.go
@@ -22,14 +22,14 @@
 	}
 	defer b.Close()
 	now := time.Unix(1_790_000_000, 0)
-	a.Tell(traffic.Group{Destination: 3}, now.Add(16*time.Second))
+	a.Record(traffic.Group{Destination: 3}, now.Add(16*time.Second))
 	if got := b.Until(traffic.Group{Destination: 3}, now); !got.Equal(now.Add(16 * time.Second)) {
 		t.Fatalf("the other process sees %v", got)
 	}
 	if got := b.Until(traffic.Group{Destination: 4}, now); !got.IsZero() {
 		t.Fatalf("a destination without a retry-after waits until %v", got)
 	}
-	b.Tell(traffic.Group{Destination: 3}, now.Add(time.Second)) // a shorter wait does not end a longer one
+	b.Record(traffic.Group{Destination: 3}, now.Add(time.Second)) // a shorter wait does not end a longer one
 	if got := a.Until(traffic.Group{Destination: 3}, now); !got.Equal(now.Add(16 * time.Second)) {
 		t.Fatalf("a shorter retry-after changed the end to %v", got)
 	}
@@ -38,7 +38,7 @@
 	}
 	// Two thousand members with separate limits wait at the same time, and every wait is kept.
 	for i := range 2000 {
-		a.Tell(traffic.Group{Destination: i / 4, Member: fmt.Sprint("s-", i)}, now.Add(time.Minute))
+		a.Record(traffic.Group{Destination: i / 4, Member: fmt.Sprint("s-", i)}, now.Add(time.Minute))
 	}
 	for i := range 2000 {
 		if b.Until(traffic.Group{Destination: i / 4, Member: fmt.Sprint("s-", i)}, now).IsZero() {
@@ -47,13 +47,13 @@
 	}
 	// With more waits than slots, the wait that ends first is replaced, and the longest ones stay.
 	for i := range 2 * slotCount {
-		a.Tell(traffic.Group{Member: fmt.Sprint(i)}, now.Add(time.Duration(i)*time.Millisecond))
+		a.Record(traffic.Group{Member: fmt.Sprint(i)}, now.Add(time.Duration(i)*time.Millisecond))
 	}
 	if got := b.Until(traffic.Group{Member: fmt.Sprint(2*slotCount - 1)}, now); got.IsZero() {
 		t.Fatal("the newest and longest wait was replaced")
 	}
 	var nilTable *Table
-	nilTable.Tell(traffic.Group{}, now)
+	nilTable.Record(traffic.Group{}, now)
 	if !nilTable.Until(traffic.Group{}, now).IsZero() {
 		t.Fatal("a nil table holds waits")
 	}
@@ -66,11 +66,11 @@
 		t.Fatal(err)
 	}
 	group, now := traffic.Group{Destination: 3}, time.Now()
-	a.Tell(group, now.Add(time.Minute))
+	a.Record(group, now.Add(time.Minute))
 	if err := errors.Join(a.Close(), a.Close()); err != nil {
 		t.Fatal(err)
 	}
-	a.Tell(group, now.Add(time.Hour))
+	a.Record(group, now.Add(time.Hour))
 	if got := a.Until(group, now); !got.IsZero() {
 		t.Errorf("a closed table returns %v", got)
 	}
--- a/internal/secure/secure.go
+++ b/internal/secure/secure.go
@@ -41,8 +41,8 @@
 	policyState map[string]*policyState // by policy name
 	epoch       int64                   // number of changes of credentials, over all policies
 
-	lastLoggedNanos [tlspolicy.Causes]atomic.Int64 // Unix time of the last log line about each cause
-	failures        [tlspolicy.Causes]atomic.Int64
+	lastLoggedNanos [tlspolicy.CauseCount]atomic.Int64 // Unix time of the last log line about each cause
+	failures        [tlspolicy.CauseCount]atomic.Int64
 
 	handshakes, resumed, reloads, badReloads atomic.Int64
 }
@@ -75,9 +75,9 @@
 	return m, nil
 }
 
-// Wants reports whether connections to a pool member use TLS.
-func (m *Manager) Wants(member *traffic.Member) bool {
-	return m.table.For(member.Destination, member.Host, member.Dial) != nil
+// UsesTLS reports whether connections to a pool member use TLS.
+func (m *Manager) UsesTLS(member *traffic.Member) bool {
+	return m.table.Match(member.Destination, member.Host, member.Address) != nil
 }
 
 // Reload reads all files again. If a file of a policy is invalid, the policy keeps its current credentials. Changed credentials
@@ -166,11 +166,11 @@
 	notAfter time.Time // end of validity of the server's certificate
 }
 
-// Client performs the TLS handshake on a connection to a member. If the handshake fails or ctx ends first, Client closes the
+// Handshake performs the TLS handshake on a connection to a member. If the handshake fails or ctx ends first, Client closes the
 // connection. If the member's policy is plain TCP, Client returns nc itself. The returned duration is the CPU time of the
 // handshake; it is 0 for handshakes that are not sampled.
-func (m *Manager) Client(ctx context.Context, nc net.Conn, member *traffic.Member) (net.Conn, time.Duration, error) {
-	p := m.table.For(member.Destination, member.Host, member.Dial)
+func (m *Manager) Handshake(ctx context.Context, nc net.Conn, member *traffic.Member) (net.Conn, time.Duration, error) {
+	p := m.table.Match(member.Destination, member.Host, member.Address)
 	if p == nil {
 		return nc, 0, nil
 	}
@@ -185,7 +185,7 @@
 	if cache != nil {
 		cache = memberSessionCache{cache, member.Host}
 	}
-	name := p.ServerNameOf(member.Dial)
+	name := p.ServerNameOf(member.Address)
 	cfg := &tls.Config{ServerName: name, RootCAs: k.roots, MinVersion: p.MinVersion, ClientSessionCache: cache, Time: m.now,
 		VerifyConnection: func(cs tls.ConnectionState) error { return p.Accept(&cs, name, k.roots, m.now()) }}
 	if k.pair != nil {
@@ -234,9 +234,9 @@
 	return time.Duration(ts.Nano())
 }
 
-// Fresh reports whether an idle connection may be used for another call: the policy's credentials have not changed since the
+// Reusable reports whether an idle connection may be used for another call: the policy's credentials have not changed since the
 // handshake, and the server's certificate has not expired. A connection without TLS is always fresh.
-func (m *Manager) Fresh(nc net.Conn) bool {
+func (m *Manager) Reusable(nc net.Conn) bool {
 	c, ok := nc.(*Conn)
 	if !ok {
 		return true
@@ -253,14 +253,14 @@
 	if last != 0 && now-last < int64(failureLogInterval) || !m.lastLoggedNanos[f.Cause].CompareAndSwap(last, now) {
 		return
 	}
-	slog.Error("tls handshake failed", "member", member.Host, "destination", member.Destination, "addr", member.Dial, "policy", p.Name,
+	slog.Error("tls handshake failed", "member", member.Host, "destination", member.Destination, "addr", member.Address, "policy", p.Name,
 		"cause", f.Cause.String(), "err", f)
 }
 
 // Counters holds the counts of handshakes and reloads since the start of the process. Failed is indexed by cause.
 type Counters struct {
 	Handshakes, Resumed, Reloads, BadReloads int64
-	Failed                                   [tlspolicy.Causes]int64
+	Failed                                   [tlspolicy.CauseCount]int64
 }
 
 // Counters returns the current counts.
@@ -307,16 +307,16 @@
 // Check connects to a member twice and returns the TLS state and the duration of both connections. The second state shows whether
 // the session was resumed.
 func (m *Manager) Check(ctx context.Context, member *traffic.Member) (first, second tls.ConnectionState, took [2]time.Duration, err error) {
-	if !m.Wants(member) {
+	if !m.UsesTLS(member) {
 		return first, second, took, errNoTLS
 	}
 	for i, state := range []*tls.ConnectionState{&first, &second} {
 		from := time.Now()
-		nc, err := (&net.Dialer{}).DialContext(ctx, "tcp", member.Dial)
+		nc, err := (&net.Dialer{}).DialContext(ctx, "tcp", member.Address)
 		if err != nil {
 			return first, second, took, err
 		}
-		c, _, err := m.Client(ctx, nc, member)
+		c, _, err := m.Handshake(ctx, nc, member)
 		if err != nil {
 			return first, second, took, err
 		}
--- a/internal/secure/secure_test.go
+++ b/internal/secure/secure_test.go
@@ -70,7 +70,7 @@
 	manager, err := New(tlspolicy.Table{p})
 	noError(t, err)
 	r.manager = manager
-	r.member = traffic.Member{Host: "m", Dial: r.ln.Addr().String(), Destination: 7}
+	r.member = traffic.Member{Host: "m", Address: r.ln.Addr().String(), Destination: 7}
 	return r
 }
 
@@ -116,11 +116,11 @@
 // connect makes one connection and reads the server's first byte.
 func (r *harness) connect() (*Conn, error) {
 	r.t.Helper()
-	nc, err := net.Dial("tcp", r.member.Dial)
+	nc, err := net.Dial("tcp", r.member.Address)
 	noError(r.t, err)
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
-	c, _, err := r.manager.Client(ctx, nc, &r.member)
+	c, _, err := r.manager.Handshake(ctx, nc, &r.member)
 	if err != nil {
 		return nil, err
 	}
@@ -168,7 +168,7 @@
 		r.serve(leaf, func(c *tls.Config) { c.MaxVersion, c.SessionTicketsDisabled = version, true })
 		r.expectResumption(false)
 		r.expectResumption(false)
-		if c := r.manager.Counters(); c.Handshakes != 7 || c.Resumed != 3 || c.Failed != [tlspolicy.Causes]int64{} {
+		if c := r.manager.Counters(); c.Handshakes != 7 || c.Resumed != 3 || c.Failed != [tlspolicy.CauseCount]int64{} {
 			t.Errorf("%+v", c)
 		}
 	}
@@ -198,11 +198,11 @@
 	r.serve(must(r.root.Issue(ca.Leaf{Names: []string{"pay.example.org"}, NotAfter: soon})), nil)
 	c, err := r.connect()
 	noError(t, err)
-	if !r.manager.Fresh(c) {
+	if !r.manager.Reusable(c) {
 		t.Error("a connection with a valid certificate is not fresh")
 	}
 	r.manager.now = func() time.Time { return soon.Add(time.Second) }
-	if r.manager.Fresh(c) {
+	if r.manager.Reusable(c) {
 		t.Error("a connection whose certificate has expired is fresh")
 	}
 	r.expectFailure(tlspolicy.Expired)
@@ -224,9 +224,9 @@
 	r.serve(must((&ca.Pair{Cert: sameKey.Cert, Key: sameKey.Key}).Issue(ca.Leaf{Names: []string{"pay.example.org"}, Key: sameKey.Key})), nil) // signed with its own key
 	r.expectFailure(tlspolicy.UnknownRoot)
 	r.serve(must(r.root.Issue(ca.Leaf{Names: []string{"pay.example.org"}, Client: true})), nil)
-	r.expectFailure(tlspolicy.Unsuitable)
+	r.expectFailure(tlspolicy.UnsuitableCertificate)
 	r.serve(must(r.root.Issue(ca.Leaf{Names: []string{"pay.example.org"}})), func(c *tls.Config) { c.MaxVersion = tls.VersionTLS11; c.MinVersion = tls.VersionTLS10 })
-	r.expectFailure(tlspolicy.Versions)
+	r.expectFailure(tlspolicy.NoCommonVersion)
 }
 
 // A server key that is not pinned must be refused although its chain is valid, also if a session could be resumed.
@@ -259,7 +259,7 @@
 	for _, version := range []uint16{tls.VersionTLS12, tls.VersionTLS13} {
 		withoutCert.serve(leaf(withoutCert), func(c *tls.Config) { requireClientCert(c); c.MaxVersion = version })
 		// With TLS 1.3 the refusal arrives after the handshake. With TLS 1.2 the server sends an alert that has several meanings.
-		want := map[uint16]tlspolicy.Cause{tls.VersionTLS12: tlspolicy.Versions, tls.VersionTLS13: tlspolicy.ClientRefused}[version]
+		want := map[uint16]tlspolicy.Cause{tls.VersionTLS12: tlspolicy.NoCommonVersion, tls.VersionTLS13: tlspolicy.ClientRefused}[version]
 		if _, err := withoutCert.connect(); err == nil || tlspolicy.Classify(err, time.Now()).Cause != want {
 			t.Errorf("without a client certificate: %v", err)
 		}
@@ -280,8 +280,8 @@
 	r.manager.Reload()
 	noError(t, os.WriteFile(cert, second.PEM()[:100], 0o600))
 	r.manager.Reload()
-	if c := r.manager.Counters(); c.Reloads != 0 || c.BadReloads != 2 || !r.manager.Fresh(old) {
-		t.Errorf("%+v, fresh %v", c, r.manager.Fresh(old))
+	if c := r.manager.Counters(); c.Reloads != 0 || c.BadReloads != 2 || !r.manager.Reusable(old) {
+		t.Errorf("%+v, fresh %v", c, r.manager.Reusable(old))
 	}
 	if _, err := r.connect(); err != nil {
 		t.Errorf("between the writes of the two files: %v", err)
@@ -289,10 +289,10 @@
 	noError(t, ca.Write(cert, second.PEM(), 0o644))
 	r.manager.Reload()
 	r.manager.Reload()
-	if c := r.manager.Counters(); c.Reloads != 1 || r.manager.Fresh(old) {
-		t.Errorf("%+v, fresh %v", c, r.manager.Fresh(old))
+	if c := r.manager.Counters(); c.Reloads != 1 || r.manager.Reusable(old) {
+		t.Errorf("%+v, fresh %v", c, r.manager.Reusable(old))
 	}
-	if c, err := r.connect(); err != nil || c.ConnectionState().DidResume || !r.manager.Fresh(c) {
+	if c, err := r.connect(); err != nil || c.ConnectionState().DidResume || !r.manager.Reusable(c) {
 		t.Errorf("with the new pair: %v", err)
 	}
 	noError(t, os.Chmod(key, 0o640))
@@ -346,15 +346,15 @@
 	})
 	r.expectFailure(tlspolicy.NotTLS)
 	setRawHandler(func(nc net.Conn) { _, _ = io.ReadFull(nc, make([]byte, 5)) })
-	r.expectFailure(tlspolicy.Broken)
+	r.expectFailure(tlspolicy.ConnectionBroken)
 	stalled := make(chan struct{})
 	setRawHandler(func(nc net.Conn) { <-stalled })
 	defer close(stalled)
-	nc, err := net.Dial("tcp", r.member.Dial)
+	nc, err := net.Dial("tcp", r.member.Address)
 	noError(t, err)
 	ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 	defer cancel()
-	if _, _, err := r.manager.Client(ctx, nc, &r.member); tlspolicy.Classify(err, time.Now()).Cause != tlspolicy.Stalled {
+	if _, _, err := r.manager.Handshake(ctx, nc, &r.member); tlspolicy.Classify(err, time.Now()).Cause != tlspolicy.Stalled {
 		t.Errorf("a server that does not answer the client hello: %v", err)
 	}
 	rng := rand.New(rand.NewPCG(1, 1))
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -76,7 +76,7 @@
 	"unsafe": dispatch.Unsafe}
 
 var weights = map[string]dispatch.Weights{"": dispatch.NoWeights, "none": dispatch.NoWeights,
-	"nominal": dispatch.Nominal, "rough": dispatch.Rough}
+	"nominal": dispatch.NominalWeights, "rough": dispatch.RoughWeights}
 
 // defaultDrainGrace is the drain window if the settings name none. Every deployment so far has named a longer one.
 const defaultDrainGrace = 500 * time.Millisecond
@@ -105,11 +105,11 @@
 		MaxCalls: c.Family.MaxCalls, MaxOpen: c.Limits.MaxOpen, MaxAttempts: c.Limits.MaxAttempts,
 		ConnectTimeout: Millis(c.Limits.ConnectTimeout), KeepAlive: Millis(c.Limits.KeepAlive),
 		CallsPerConn: c.Limits.Streams, MaxRetryAfter: Millis(c.Limits.MaxRetryAfter),
-		RetryAfter: c.Limits.RetryAfter, Probes: c.Limits.Probes, Cancel: c.Limits.Cancel, OnRequest: c.Membership == "on_request",
+		SendRetryAfter: c.Limits.RetryAfter, AllowProbe: c.Limits.Probes, CanCancel: c.Limits.Cancel, WatchRequired: c.Membership == "on_request",
 		Weights: w, LateByHalves: c.Family.Late == "halves", OverShareWorth: c.OverShare,
-		Safety: dispatch.Safety{StartCapacity: c.Safety.Start, Cold: Millis(c.Safety.Cold),
-			FallMultiple: c.Safety.Multiple, TipAfter: Millis(c.Safety.Tip),
-			OrderPause: Millis(c.Safety.OrderPause), DrainGrace: defaultDrainGrace, AskEvery: Millis(c.Safety.AskEvery)},
+		Safety: dispatch.Safety{MinStartCapacityShare: c.Safety.Start, Ramp: Millis(c.Safety.Cold),
+			OverloadMultiple: c.Safety.Multiple, OverloadFor: Millis(c.Safety.Tip),
+			OrderPause: Millis(c.Safety.OrderPause), DrainGrace: defaultDrainGrace, NotifyInterval: Millis(c.Safety.AskEvery)},
 		Prices: dispatch.Prices{CrossZone: c.Tariffs.CrossZone, Handshake: c.Tariffs.Handshake}}
 	if c.Safety.DrainGrace > 0 {
 		s.Safety.DrainGrace = Millis(c.Safety.DrainGrace)
@@ -122,11 +122,11 @@
 			return s, fmt.Errorf("settings: class %q: unknown repeat %q", k.Name, k.Repeat)
 		}
 		s.Classes = append(s.Classes, dispatch.Class{Name: k.Name, Effect: effect, ZoneScope: k.Scope != "all",
-			Memory: Millis(k.Memory), Aim: Millis(k.Aim), Deadline: Millis(k.Deadline), Worth: k.Value,
+			DedupTTL: Millis(k.Memory), Aim: Millis(k.Aim), Deadline: Millis(k.Deadline), Worth: k.Value,
 			LateWorth: k.LateWorth, OrderedByKey: k.Fifo})
 	}
 	for i, k := range c.Kinds {
-		s.Kinds = append(s.Kinds, dispatch.Kind{Name: k, OwnLimits: elementOrZero(c.Family.OwnLimits, i), Bundle: elementOrZero(c.Family.Bundle, i)})
+		s.Kinds = append(s.Kinds, dispatch.Kind{Name: k, OwnLimits: elementOrZero(c.Family.OwnLimits, i), MaxBundle: elementOrZero(c.Family.Bundle, i)})
 	}
 	for i, z := range c.Localities {
 		s.Zones = append(s.Zones, dispatch.Zone{Name: z, Fee: elementOrZero(c.Family.Carriage, i)})
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -30,11 +30,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(set.Classes) != 2 || set.MaxCalls != 16 || set.MaxOpen != 200 || set.Weights != dispatch.Rough ||
-		set.Resolution != 5*time.Millisecond || !set.LateByHalves || set.Safety.Cold != 13*time.Second {
+	if len(set.Classes) != 2 || set.MaxCalls != 16 || set.MaxOpen != 200 || set.Weights != dispatch.RoughWeights ||
+		set.Resolution != 5*time.Millisecond || !set.LateByHalves || set.Safety.Ramp != 13*time.Second {
 		t.Errorf("settings %+v", set)
 	}
-	want := dispatch.Class{Name: "order-payment", Effect: dispatch.Keyed, Memory: 15 * time.Second, Aim: 4 * time.Second,
+	want := dispatch.Class{Name: "order-payment", Effect: dispatch.Keyed, DedupTTL: 15 * time.Second, Aim: 4 * time.Second,
 		Deadline: 28 * time.Second, Worth: 1, LateWorth: 0.5}
 	if set.Classes[0] != want {
 		t.Errorf("class %+v, want %+v", set.Classes[0], want)
@@ -51,7 +51,7 @@
 		}
 	}
 	proptest.Check(t, func(t *rapid.T) { // the module accepts or refuses whatever Parse accepts, without a panic
-		if set, err := Parse(proptest.Garbage(t, []byte(text))); err == nil {
+		if set, err := Parse(proptest.Malformed(t, []byte(text))); err == nil {
 			_, _ = dispatch.New(set, 1)
 		}
 	})
--- a/internal/spread/announce.go
+++ b/internal/spread/announce.go
@@ -10,7 +10,7 @@
 
 // Announce sends this relay's own statements, which are already in the store, to all members: directly in a small fleet, in two
 // hops in a larger one.
-func (s *Spread) Announce(now time.Duration, statements []verdicts.Statement) []Send {
+func (s *Spread) Announce(now time.Duration, statements []verdicts.Statement) []OutgoingPacket {
 	s.outgoing = nil
 	if len(statements) == 0 {
 		return nil
@@ -18,7 +18,7 @@
 	slices.SortStableFunc(statements, func(a, b verdicts.Statement) int { return int(a.Kind) - int(b.Kind) })
 	if len(s.otherMembers) <= maxDirectMembers {
 		for _, m := range s.otherMembers {
-			s.send(now, m, Packet{News: statements})
+			s.send(now, m, Packet{Statements: statements})
 		}
 		return s.outgoing
 	}
@@ -35,7 +35,7 @@
 			continue
 		}
 		forwarder := members[s.rng.IntN(len(members))]
-		s.send(now, forwarder, Packet{News: statements, Salt: salt, Group: g, Groups: groups})
+		s.send(now, forwarder, Packet{Statements: statements, Salt: salt, Group: g, Groups: groups})
 	}
 }
 
--- a/internal/spread/exchange.go
+++ b/internal/spread/exchange.go
@@ -5,7 +5,7 @@
 )
 
 // Tick starts an anti-entropy exchange with a random member if one is due.
-func (s *Spread) Tick(now time.Duration) []Send {
+func (s *Spread) Tick(now time.Duration) []OutgoingPacket {
 	s.outgoing = nil
 	s.recordCall(now)
 	if now < s.nextExchange {
@@ -19,7 +19,7 @@
 	partner := s.otherMembers[s.rng.IntN(len(s.otherMembers))]
 	s.askTimes[partner] = now
 	s.counters.ExchangesStarted++
-	s.send(now, partner, Packet{Ask: true, Summary: s.store.Summary(now), Members: s.membersHash})
+	s.send(now, partner, Packet{Ask: true, Summary: s.store.Summary(now), MembersHash: s.membersHash})
 	return s.outgoing
 }
 
@@ -31,22 +31,22 @@
 	}
 	delete(s.askTimes, from)
 	s.lastAnsweredAsk = max(s.lastAnsweredAsk, askedAt)
-	s.counters.Answered++
+	s.counters.ExchangesAnswered++
 }
 
 // answerSummary sends the statements that the sender of a summary may lack. The answer to an Ask also carries this relay's summary,
 // so that both stores end with the union of the statements.
 func (s *Spread) answerSummary(now time.Duration, p *Packet) {
-	if p.Members != 0 && p.Members != s.membersHash {
-		s.counters.Differed++
+	if p.MembersHash != 0 && p.MembersHash != s.membersHash {
+		s.counters.MembershipMismatches++
 	}
 	reply := Packet{Answer: p.Ask}
 	if p.Ask {
-		reply.Members = s.membersHash
+		reply.MembersHash = s.membersHash
 		reply.Summary = s.store.Summary(now)
 	}
-	reply.News = s.store.Missing(now, p.Summary)
-	if p.Ask || len(reply.News) > 0 {
+	reply.Statements = s.store.Missing(now, p.Summary)
+	if p.Ask || len(reply.Statements) > 0 {
 		s.send(now, p.From, reply)
 	}
 }
--- a/internal/spread/packet.go
+++ b/internal/spread/packet.go
@@ -13,20 +13,20 @@
 	From        string
 	Incarnation uint64        // incarnation of the sender
 	Uptime      time.Duration // uptime of the sender's process when the packet was sent
-	Count       uint64        // number of the packet among those of the sender's process, from 1
+	Sequence    uint64        // number of the packet among those of the sender's process, from 1
 	// Salt, Group and Groups select the members that the receiver forwards News to: those whose names, hashed with Salt, fall
 	// into Group.
 	Salt          uint64
 	Group, Groups int
-	News          []verdicts.Statement
+	Statements    []verdicts.Statement
 	// Ask and Answer mark the packets of an anti-entropy exchange, in which two relays compare the summaries of their stores. The
 	// receiver of an Ask replies with an Answer. An Answer requires no reply.
 	Ask, Answer bool
 	Summary     verdicts.Summary
 	// Members is a hash of the members that the sender counts as live, in Ask and Answer packets; 0 in others.
-	Members uint64
+	MembersHash uint64
 	// Known answers a packet of an old incarnation. It is the newest incarnation of the receiver that the sender knows; 0 for none.
-	Known uint64
+	KnownIncarnation uint64
 	// Claim and Grant belong to the division of limits. Spread only transports them.
 	Claim *allowance.Claim
 	Grant *allowance.Grant
@@ -34,8 +34,8 @@
 	Configuration *configsync.Message
 }
 
-// Send is a packet to send, with its receiver.
-type Send struct {
+// OutgoingPacket is a packet to send, with its receiver.
+type OutgoingPacket struct {
 	To     string
 	Packet Packet
 }
--- a/internal/spread/peer.go
+++ b/internal/spread/peer.go
@@ -25,7 +25,7 @@
 	} else if p.Incarnation < q.incarnation {
 		return 0, false
 	}
-	if !q.markReceived(p.Count) {
+	if !q.markReceived(p.Sequence) {
 		return 0, false
 	}
 	lateness = q.recordClock(now, p.Uptime)
--- a/internal/spread/receive.go
+++ b/internal/spread/receive.go
@@ -8,11 +8,11 @@
 
 // Receive processes a packet. It merges the statements into the store, and returns the new ones and the packets to send. The
 // result ownStatements holds statements under this relay's own name: another process used the name, or this relay lost its state.
-func (s *Spread) Receive(now time.Duration, p Packet) (newStatements, ownStatements []verdicts.Statement, outgoing []Send) {
+func (s *Spread) Receive(now time.Duration, p Packet) (newStatements, ownStatements []verdicts.Statement, outgoing []OutgoingPacket) {
 	s.outgoing = nil
 	s.recordCall(now)
 	if p.From == s.cfg.Self || !s.IsMember(p.From) {
-		s.counters.Strangers++
+		s.counters.UnknownSenders++
 		return nil, nil, nil
 	}
 	lateness, fresh := s.accept(now, &p)
@@ -25,8 +25,8 @@
 	if lateness > lateThreshold {
 		s.counters.Late++
 	}
-	if p.Known > s.incarnation {
-		ownStatements = append(ownStatements, verdicts.Statement{Origin: s.cfg.Self, Version: verdicts.Version{Incarnation: p.Known}})
+	if p.KnownIncarnation > s.incarnation {
+		ownStatements = append(ownStatements, verdicts.Statement{Origin: s.cfg.Self, Version: verdicts.Version{Incarnation: p.KnownIncarnation}})
 	}
 	newStatements, ownStatements = s.merge(now, &p, lateness, ownStatements)
 	s.forward(now, &p, newStatements)
@@ -43,14 +43,14 @@
 // its count of starts was lost.
 func (s *Spread) answerOldIncarnation(now time.Duration, p *Packet) {
 	if known := s.peers[p.From].incarnation; p.Incarnation < known {
-		s.send(now, p.From, Packet{Known: known})
+		s.send(now, p.From, Packet{KnownIncarnation: known})
 	}
 }
 
 // merge merges the statements of a packet into the store, and adds the lateness of the packet to their ages. It returns the new
 // statements, and ownStatements with the packet's statements under this relay's own name appended.
 func (s *Spread) merge(now time.Duration, p *Packet, lateness time.Duration, ownStatements []verdicts.Statement) (newStatements, allOwnStatements []verdicts.Statement) {
-	for _, statement := range p.News {
+	for _, statement := range p.Statements {
 		statement.Age += lateness
 		switch {
 		case statement.Origin == s.cfg.Self:
@@ -61,7 +61,7 @@
 			newStatements = append(newStatements, statement)
 		}
 	}
-	s.counters.News += int64(len(newStatements))
+	s.counters.NewStatements += int64(len(newStatements))
 	return newStatements, ownStatements
 }
 
@@ -72,7 +72,7 @@
 	}
 	for _, m := range s.otherMembers {
 		if m != p.From && groupOf(p.Salt, m, p.Groups) == p.Group {
-			s.send(now, m, Packet{News: statements})
+			s.send(now, m, Packet{Statements: statements})
 		}
 	}
 }
--- a/internal/spread/spread.go
+++ b/internal/spread/spread.go
@@ -17,12 +17,12 @@
 
 // Config configures the dissemination at one relay.
 type Config struct {
-	Self     string            // name of this relay
-	Exchange time.Duration     // mean time between two anti-entropy exchanges with a random member
-	Bytes    float64           // bandwidth in bytes a second, as counted by Size
-	Size     func(*Packet) int // encoded size of a packet in bytes
-	Packet   int               // maximum size of a packet in bytes
-	Seed     uint64
+	Self             string            // name of this relay
+	ExchangeInterval time.Duration     // mean time between two anti-entropy exchanges with a random member
+	BytesPerSecond   float64           // bandwidth in bytes a second, as counted by Size
+	PacketBytes      func(*Packet) int // encoded size of a packet in bytes
+	MaxPacketBytes   int               // maximum size of a packet in bytes
+	Seed             uint64
 }
 
 // check returns an error for an unusable configuration.
@@ -30,9 +30,9 @@
 	switch {
 	case c.Self == "":
 		return errors.New("spread: configuration has no name for this relay (Self)")
-	case c.Exchange < time.Millisecond:
+	case c.ExchangeInterval < time.Millisecond:
 		return errors.New("spread: exchange interval (Exchange) is below 1 ms")
-	case !(c.Bytes > 0) || c.Size == nil || c.Packet < 256:
+	case !(c.BytesPerSecond > 0) || c.PacketBytes == nil || c.MaxPacketBytes < 256:
 		return errors.New("spread: Bytes is not positive, Size is missing or Packet is below 256 bytes")
 	}
 	return nil
@@ -63,19 +63,19 @@
 
 // Counters count packets and statements since the start of the process.
 type Counters struct {
-	Sent             int64 `json:"sent"` // packets sent
-	SentBytes        int64 `json:"sent_bytes"`
-	Received         int64 `json:"received"`  // packets accepted
-	News             int64 `json:"news"`      // statements received that were new
-	Strangers        int64 `json:"strangers"` // packets dropped: sender is not a member
-	Replayed         int64 `json:"replayed"`  // packets dropped: received before, or from an earlier incarnation
-	UnknownOrigins   int64 `json:"gone"`      // statements dropped: origin is not a member
-	Short            int64 `json:"short"`     // packets not sent: too large, or bandwidth exhausted
-	ExchangesStarted int64 `json:"asked"`     // exchanges started
-	Answered         int64 `json:"answered"`  // exchanges started that were answered
-	Late             int64 `json:"late"`      // packets more than a second late
-	SentUnbudgeted   int64 `json:"posted"`    // packets sent with a claim, a grant or configuration, exempt from the bandwidth limit
-	Differed         int64 `json:"differed"`  // exchanges with a relay that has a different list of live members
+	Sent                 int64 `json:"sent"` // packets sent
+	SentBytes            int64 `json:"sent_bytes"`
+	Received             int64 `json:"received"`  // packets accepted
+	NewStatements        int64 `json:"news"`      // statements received that were new
+	UnknownSenders       int64 `json:"strangers"` // packets dropped: sender is not a member
+	Replayed             int64 `json:"replayed"`  // packets dropped: received before, or from an earlier incarnation
+	UnknownOrigins       int64 `json:"gone"`      // statements dropped: origin is not a member
+	Unsent               int64 `json:"short"`     // packets not sent: too large, or bandwidth exhausted
+	ExchangesStarted     int64 `json:"asked"`     // exchanges started
+	ExchangesAnswered    int64 `json:"answered"`  // exchanges started that were answered
+	Late                 int64 `json:"late"`      // packets more than a second late
+	SentUnbudgeted       int64 `json:"posted"`    // packets sent with a claim, a grant or configuration, exempt from the bandwidth limit
+	MembershipMismatches int64 `json:"differed"`  // exchanges with a relay that has a different list of live members
 }
 
 // Spread disseminates statements for one relay. It is not safe for concurrent use.
@@ -97,7 +97,7 @@
 	resumedAt       time.Duration            // when the last suspension ended
 	tokenBytes      float64                  // bytes that may be sent now
 	refilledAt      time.Duration            // when tokenBytes was last increased
-	outgoing        []Send
+	outgoing        []OutgoingPacket
 }
 
 // New returns a Spread over a store that the caller owns.
@@ -113,7 +113,7 @@
 		incarnation:     incarnation,
 		askTimes:        map[string]time.Duration{},
 		lastAnsweredAsk: now,
-		tokenBytes:      burstSeconds * cfg.Bytes,
+		tokenBytes:      burstSeconds * cfg.BytesPerSecond,
 		refilledAt:      now,
 		lastCall:        now,
 		resumedAt:       now - resumePeriod,
@@ -131,7 +131,7 @@
 
 // drawExchangeDelay draws the random time to the next exchange.
 func (s *Spread) drawExchangeDelay() time.Duration {
-	return time.Duration(float64(s.cfg.Exchange) * (1 + exchangeJitterRatio*(2*s.rng.Float64()-1)))
+	return time.Duration(float64(s.cfg.ExchangeInterval) * (1 + exchangeJitterRatio*(2*s.rng.Float64()-1)))
 }
 
 // Counters returns the counters of the relay.
@@ -186,7 +186,7 @@
 // ExchangeSoon moves the next exchange forward. Call it when members have joined, as they may know statements that this relay
 // lacks. The time is random: when all relays start at the same moment, each of them sees all others join.
 func (s *Spread) ExchangeSoon(now time.Duration) {
-	delay := time.Duration(s.rng.Float64() * exchangeJitterRatio * float64(s.cfg.Exchange))
+	delay := time.Duration(s.rng.Float64() * exchangeJitterRatio * float64(s.cfg.ExchangeInterval))
 	s.nextExchange = min(s.nextExchange, now+delay)
 }
 
--- a/internal/spread/spread_test.go
+++ b/internal/spread/spread_test.go
@@ -16,7 +16,7 @@
 	}{"same members": {[]string{"a", "b", "c"}, []string{"c", "b", "a"}, false}, "one member missing": {[]string{"a", "b", "c"}, []string{"a", "b"}, true}} {
 		t.Run(name, func(t *testing.T) {
 			newSpread := func(self string, members []string) *Spread {
-				s, err := New(Config{Self: self, Exchange: time.Second, Bytes: 1e6, Size: func(*Packet) int { return 100 }, Packet: 1000}, 0, verdicts.NewStore(), 1)
+				s, err := New(Config{Self: self, ExchangeInterval: time.Second, BytesPerSecond: 1e6, PacketBytes: func(*Packet) int { return 100 }, MaxPacketBytes: 1000}, 0, verdicts.NewStore(), 1)
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -24,7 +24,7 @@
 				return s
 			}
 			a, b := newSpread("a", c.a), newSpread("b", c.b)
-			var ask []Send
+			var ask []OutgoingPacket
 			for now := 2 * time.Second; len(ask) == 0 || ask[0].To != "b"; now += 2 * time.Second {
 				ask = a.Tick(now)
 			}
@@ -33,8 +33,8 @@
 				t.Fatalf("answer to the exchange: %v", answer)
 			}
 			a.Receive(time.Hour, answer[0].Packet)
-			if (a.Counters().Differed > 0) != c.differ || (b.Counters().Differed > 0) != c.differ {
-				t.Errorf("membership mismatches counted: %d by a, %d by b", a.Counters().Differed, b.Counters().Differed)
+			if (a.Counters().MembershipMismatches > 0) != c.differ || (b.Counters().MembershipMismatches > 0) != c.differ {
+				t.Errorf("membership mismatches counted: %d by a, %d by b", a.Counters().MembershipMismatches, b.Counters().MembershipMismatches)
 			}
 		})
 	}
--- a/internal/tlspolicy/policy.go
+++ b/internal/tlspolicy/policy.go
@@ -112,8 +112,8 @@
 	return nil
 }
 
-// For returns the policy of a pool member with the given destination, name and address; nil for a connection without TLS.
-func (t Table) For(destination int, host, dial string) *Policy {
+// Match returns the policy of a pool member with the given destination, name and address; nil for a connection without TLS.
+func (t Table) Match(destination int, host, dial string) *Policy {
 	for i := range t {
 		if p := &t[i]; p.matches(destination, host, dial) {
 			if p.Plain {
@@ -204,12 +204,12 @@
 	WrongName
 	PinMissing
 	NoCertificate
-	Unsuitable    // the certificate is not for servers, or its chain violates a constraint
-	ClientRefused // the server requires a client certificate, or another one
-	Versions      // no version or cipher suite in common
-	NotTLS        // the server does not speak TLS
-	Stalled       // no response in time
-	Broken        // the connection was closed or reset
+	UnsuitableCertificate // the certificate is not for servers, or its chain violates a constraint
+	ClientRefused         // the server requires a client certificate, or another one
+	NoCommonVersion       // no version or cipher suite in common
+	NotTLS                // the server does not speak TLS
+	Stalled               // no response in time
+	ConnectionBroken      // the connection was closed or reset
 	causeCount
 )
 
@@ -219,8 +219,8 @@
 // String returns the name of the cause for logs and counters.
 func (c Cause) String() string { return causeNames[c] }
 
-// Causes is the number of causes.
-const Causes = int(causeCount)
+// CauseCount is the number of causes.
+const CauseCount = int(causeCount)
 
 // Failure is the error of a failed handshake, with details of the certificate that the server presented.
 type Failure struct {
@@ -296,13 +296,13 @@
 		}
 	case strings.Contains(text, "unsupported version"), strings.Contains(text, "unsupported protocol version"),
 		strings.Contains(text, "no cipher suite"):
-		return newFailure(Versions, nil, err)
+		return newFailure(NoCommonVersion, nil, err)
 	}
 	if errors.As(err, &timeout) && timeout.Timeout() {
 		return newFailure(Stalled, nil, err)
 	}
 	if strings.Contains(text, "EOF") || strings.Contains(text, "reset") || strings.Contains(text, "broken pipe") || strings.Contains(text, "closed") {
-		return newFailure(Broken, nil, err)
+		return newFailure(ConnectionBroken, nil, err)
 	}
 	return newFailure(Other, nil, err)
 }
@@ -310,18 +310,18 @@
 // alertCauses maps the alerts with which servers end a handshake (RFC 8446, section 6.2). Servers send handshake_failure if no
 // version or cipher suite is in common. Some also send it if the client certificate is missing.
 var alertCauses = map[uint8]Cause{
-	40:  Versions,      // handshake_failure
-	70:  Versions,      // protocol_version
-	71:  Versions,      // insufficient_security
-	42:  ClientRefused, // bad_certificate
-	43:  ClientRefused, // unsupported_certificate
-	44:  ClientRefused, // certificate_revoked
-	45:  ClientRefused, // certificate_expired
-	46:  ClientRefused, // certificate_unknown
-	48:  ClientRefused, // unknown_ca
-	49:  ClientRefused, // access_denied
-	116: ClientRefused, // certificate_required
-	112: WrongName,     // unrecognized_name
+	40:  NoCommonVersion, // handshake_failure
+	70:  NoCommonVersion, // protocol_version
+	71:  NoCommonVersion, // insufficient_security
+	42:  ClientRefused,   // bad_certificate
+	43:  ClientRefused,   // unsupported_certificate
+	44:  ClientRefused,   // certificate_revoked
+	45:  ClientRefused,   // certificate_expired
+	46:  ClientRefused,   // certificate_unknown
+	48:  ClientRefused,   // unknown_ca
+	49:  ClientRefused,   // access_denied
+	116: ClientRefused,   // certificate_required
+	112: WrongName,       // unrecognized_name
 }
 
 // classifyX509 determines the cause of an error of package x509.
@@ -329,7 +329,7 @@
 	var invalid x509.CertificateInvalidError
 	var unknown x509.UnknownAuthorityError
 	var name x509.HostnameError
-	cause := Unsuitable
+	cause := UnsuitableCertificate
 	switch {
 	case errors.As(err, &invalid) && invalid.Reason == x509.Expired:
 		cause = Expired
--- a/internal/tlspolicy/tlspolicy_test.go
+++ b/internal/tlspolicy/tlspolicy_test.go
@@ -77,7 +77,7 @@
 		{8, "x", "bank.example.org:443", ""},
 	} {
 		name := ""
-		if p := table.For(c.dest, c.host, c.dial); p != nil {
+		if p := table.Match(c.dest, c.host, c.dial); p != nil {
 			name = p.Name
 		}
 		if name != c.want {
@@ -170,16 +170,16 @@
 		{&tls.CertificateVerificationError{UnverifiedCertificates: []*x509.Certificate{leaf}, Err: x509.UnknownAuthorityError{Cert: leaf}}, UnknownRoot},
 		{&tls.CertificateVerificationError{UnverifiedCertificates: []*x509.Certificate{leaf},
 			Err: x509.CertificateInvalidError{Cert: leaf, Reason: x509.Expired}}, NotYetValid},
-		{&tls.CertificateVerificationError{Err: x509.CertificateInvalidError{Reason: x509.TooManyIntermediates}}, Unsuitable},
+		{&tls.CertificateVerificationError{Err: x509.CertificateInvalidError{Reason: x509.TooManyIntermediates}}, UnsuitableCertificate},
 		{fmt.Errorf("x: %w", &Failure{Cause: PinMissing}), PinMissing},
 		{tls.RecordHeaderError{Msg: "x"}, NotTLS},
 		{tls.AlertError(116), ClientRefused},
 		{tls.AlertError(48), ClientRefused},
-		{tls.AlertError(70), Versions},
+		{tls.AlertError(70), NoCommonVersion},
 		{tls.AlertError(80), Other},
 		{timeoutError{}, Stalled},
-		{&net.OpError{Op: "read", Err: syscall.ECONNRESET}, Broken},
-		{io.EOF, Broken},
+		{&net.OpError{Op: "read", Err: syscall.ECONNRESET}, ConnectionBroken},
+		{io.EOF, ConnectionBroken},
 		{errors.New("what"), Other},
 	} {
 		if got := Classify(c.err, beforeValid); got.Cause != c.want || got.Error() == "" {
@@ -192,9 +192,9 @@
 
 // Handshakes start in the order of worth, at the rate that their cost permits. No request may wait forever.
 func TestGateStartsMostWorthAtTheRate(t *testing.T) {
-	g := NewGate(GateConfig{Share: 0.2, Least: 1, PerEndpoint: 100, Cost: 10 * ms, Burst: 20 * ms})
+	g := NewHandshakeGate(HandshakeConfig{CoreShare: 0.2, MinPerSecond: 1, MaxPerEndpoint: 100, InitialCost: 10 * ms, Burst: 20 * ms})
 	for i := range 20 {
-		g.Add(Ask{ID: uint64(i), Endpoint: fmt.Sprint(i), Worth: float64(i % 2), Deadline: time.Hour})
+		g.Add(ConnectionRequest{ID: uint64(i), Endpoint: fmt.Sprint(i), Worth: float64(i % 2), Deadline: time.Hour})
 	}
 	started, expired, nextIn := g.Next(0)
 	if fmt.Sprint(started, expired) != "[1 3] []" || nextIn < 49*ms || nextIn > 52*ms {
@@ -216,10 +216,10 @@
 // A higher load lowers the rate of handshakes, but never below the minimum. The cost of a handshake follows the measurements.
 func TestGateRateFollowsLoadAndCost(t *testing.T) {
 	count := func(busy float64) (n int) {
-		g := NewGate(GateConfig{Share: 0.2, Least: 2, PerEndpoint: 1000, Cost: 2 * ms, Burst: 2 * ms})
-		g.Load(busy)
+		g := NewHandshakeGate(HandshakeConfig{CoreShare: 0.2, MinPerSecond: 2, MaxPerEndpoint: 1000, InitialCost: 2 * ms, Burst: 2 * ms})
+		g.SetLoad(busy)
 		for i := range 1000 {
-			g.Add(Ask{ID: uint64(i), Endpoint: "e", Deadline: time.Hour})
+			g.Add(ConnectionRequest{ID: uint64(i), Endpoint: "e", Deadline: time.Hour})
 		}
 		for now := time.Duration(0); now <= time.Second; now += ms {
 			started, _, _ := g.Next(now)
@@ -230,7 +230,7 @@
 	if idle, half, full := count(0), count(0.75), count(1); idle < 95 || half < 45 || half > 55 || full < 9 || full > 13 {
 		t.Errorf("handshakes in a second: %d at no load, %d at three quarters, %d at full load", idle, half, full)
 	}
-	g := NewGate(GateConfig{Share: 0.2, PerEndpoint: 1, Cost: 2 * ms, Burst: ms})
+	g := NewHandshakeGate(HandshakeConfig{CoreShare: 0.2, MaxPerEndpoint: 1, InitialCost: 2 * ms, Burst: ms})
 	for range 100 {
 		g.Done("e", 8*ms)
 	}
@@ -242,31 +242,31 @@
 // The number of concurrent handshakes with one endpoint is limited. The waiting request of the highest worth gets a connection to
 // the endpoint that becomes idle.
 func TestGateAssignsIdleConnections(t *testing.T) {
-	g := NewGate(GateConfig{Share: 1, PerEndpoint: 1, Cost: ms, Burst: time.Second})
-	g.Add(Ask{ID: 1, Endpoint: "a", Deadline: time.Hour})
-	g.Add(Ask{ID: 2, Endpoint: "a", Deadline: time.Hour})
-	g.Add(Ask{ID: 3, Endpoint: "a", Worth: 5, Deadline: 10 * ms})
-	g.Add(Ask{ID: 4, Endpoint: "b", Deadline: time.Hour})
+	g := NewHandshakeGate(HandshakeConfig{CoreShare: 1, MaxPerEndpoint: 1, InitialCost: ms, Burst: time.Second})
+	g.Add(ConnectionRequest{ID: 1, Endpoint: "a", Deadline: time.Hour})
+	g.Add(ConnectionRequest{ID: 2, Endpoint: "a", Deadline: time.Hour})
+	g.Add(ConnectionRequest{ID: 3, Endpoint: "a", Worth: 5, Deadline: 10 * ms})
+	g.Add(ConnectionRequest{ID: 4, Endpoint: "b", Deadline: time.Hour})
 	if started, _, nextIn := g.Next(0); fmt.Sprint(started) != "[3 4]" || nextIn != time.Hour {
 		t.Errorf("started %v, next call in %v", started, nextIn)
 	}
-	g.Add(Ask{ID: 5, Endpoint: "a", Worth: 2, Deadline: 20 * ms})
-	if id, ok := g.Freed("a"); !ok || id != 5 {
+	g.Add(ConnectionRequest{ID: 5, Endpoint: "a", Worth: 2, Deadline: 20 * ms})
+	if id, ok := g.AssignIdle("a"); !ok || id != 5 {
 		t.Errorf("idle connection assigned to %d (%v), want 5", id, ok)
 	}
-	if _, ok := g.Freed("b"); ok {
+	if _, ok := g.AssignIdle("b"); ok {
 		t.Error("an idle connection was assigned without a waiting request")
 	}
-	g.Add(Ask{ID: 6, Endpoint: "a", Deadline: 30 * ms})
+	g.Add(ConnectionRequest{ID: 6, Endpoint: "a", Deadline: 30 * ms})
 	if _, expired, _ := g.Next(31 * ms); fmt.Sprint(expired) != "[6]" {
 		t.Errorf("expired %v, want [6]", expired)
 	}
-	g.Drop(2)
+	g.Remove(2)
 	g.Done("a", 0)
 	if started, _, _ := g.Next(32 * ms); fmt.Sprint(started) != "[1]" {
 		t.Errorf("started %v, want [1]", started)
 	}
-	if c := g.Counters(); c != (GateCounters{Asked: 6, Begun: 3, Carried: 1, Expired: 1}) {
+	if c := g.Counters(); c != (HandshakeCounters{Requested: 6, Started: 3, Reused: 1, Expired: 1}) {
 		t.Errorf("counters %+v", c)
 	}
 }
@@ -275,8 +275,8 @@
 // than permitted, and Next always names the time of the next call while requests wait.
 func TestGateEndsEachRequestOnce(t *testing.T) {
 	proptest.Check(t, func(t *rapid.T) {
-		cfg := GateConfig{Share: 0.3, Least: 1, PerEndpoint: rapid.IntRange(1, 3).Draw(t, "per"), Cost: ms, Burst: 5 * ms}
-		g := NewGate(cfg)
+		cfg := HandshakeConfig{CoreShare: 0.3, MinPerSecond: 1, MaxPerEndpoint: rapid.IntRange(1, 3).Draw(t, "per"), InitialCost: ms, Burst: 5 * ms}
+		g := NewHandshakeGate(cfg)
 		now, lastID := time.Duration(0), uint64(0)
 		ended, endpoints, active := map[uint64]bool{}, map[uint64]string{}, map[string]int{}
 		markEnded := func(id uint64) {
@@ -292,7 +292,7 @@
 			case 0, 1:
 				lastID++
 				endpoints[lastID] = endpoint
-				g.Add(Ask{ID: lastID, Endpoint: endpoint, Worth: float64(rapid.IntRange(0, 3).Draw(t, "worth")),
+				g.Add(ConnectionRequest{ID: lastID, Endpoint: endpoint, Worth: float64(rapid.IntRange(0, 3).Draw(t, "worth")),
 					Deadline: now + time.Duration(rapid.IntRange(0, 100).Draw(t, "time"))*ms})
 			case 2:
 				if active[endpoint] > 0 {
@@ -300,16 +300,16 @@
 					g.Done(endpoint, time.Duration(rapid.IntRange(0, 5).Draw(t, "took"))*ms)
 				}
 			case 3:
-				if id, ok := g.Freed(endpoint); ok {
+				if id, ok := g.AssignIdle(endpoint); ok {
 					markEnded(id)
 				}
 			case 4:
-				g.Load(rapid.Float64Range(-1, 2).Draw(t, "busy"))
+				g.SetLoad(rapid.Float64Range(-1, 2).Draw(t, "busy"))
 			}
 			started, expired, nextIn := g.Next(now)
 			for _, id := range started {
 				markEnded(id)
-				if active[endpoints[id]]++; active[endpoints[id]] > cfg.PerEndpoint {
+				if active[endpoints[id]]++; active[endpoints[id]] > cfg.MaxPerEndpoint {
 					t.Fatalf("%d concurrent handshakes at %s", active[endpoints[id]], endpoints[id])
 				}
 			}
--- a/internal/traffic/traffic.go
+++ b/internal/traffic/traffic.go
@@ -12,19 +12,19 @@
 
 // Transaction is one message submitted through a virtual server.
 type Transaction struct {
-	ID          string
-	Class       string
-	Tenant      string
-	Key         string // idempotency key; empty if the class has none
-	Order       string // ordering key, in a class whose transactions of one key run one after the other
-	Destination int
-	Deadline    time.Time // no delivery after this time
-	Body        []byte
+	ID             string
+	Class          string
+	Tenant         string
+	IdempotencyKey string // idempotency key; empty if the class has none
+	OrderKey       string // ordering key, in a class whose transactions of one key run one after the other
+	Destination    int
+	Deadline       time.Time // no delivery after this time
+	Body           []byte
 }
 
 // Size returns the approximate number of bytes that the transaction takes in memory and in the journal.
 func (t *Transaction) Size() int {
-	return len(t.ID) + len(t.Class) + len(t.Tenant) + len(t.Key) + len(t.Order) + len(t.Body) + 64
+	return len(t.ID) + len(t.Class) + len(t.Tenant) + len(t.IdempotencyKey) + len(t.OrderKey) + len(t.Body) + 64
 }
 
 // Open is an accepted transaction that has not ended, with the attempts so far.
@@ -40,25 +40,25 @@
 // The outcomes of a Notice.
 const (
 	GivenUp NoticeOutcome = iota + 1
-	HandedBack
+	Returned
 )
 
 // Notice tells the platform that a transaction ended undelivered.
 type Notice struct {
-	ID      string
-	Outcome NoticeOutcome
-	RetryIn time.Duration // with HandedBack; 0 means no retry time
-	Order   string        // the transaction's ordering key, which is free once the platform has answered; empty if the class keeps no order
+	ID       string
+	Outcome  NoticeOutcome
+	RetryIn  time.Duration // with HandedBack; 0 means no retry time
+	OrderKey string        // the transaction's ordering key, which is free once the platform has answered; empty if the class keeps no order
 }
 
 // Change is a journal record: Taken, FlowBegun, FlowEnded, Ended or Answered.
 type Change interface{ change() }
 
-// Taken records that a transaction was accepted.
-type Taken struct{ Transaction Transaction }
+// TransactionAccepted records that a transaction was accepted.
+type TransactionAccepted struct{ Transaction Transaction }
 
-// FlowBegun records that a flow is about to write its first byte.
-type FlowBegun struct {
+// FlowStarted records that a flow is about to write its first byte.
+type FlowStarted struct {
 	ID      string
 	Attempt int
 	At      time.Time
@@ -77,14 +77,14 @@
 	Notice *Notice
 }
 
-// Answered records that the platform has received the notice.
-type Answered struct{ ID string }
+// NoticeAnswered records that the platform has received the notice.
+type NoticeAnswered struct{ ID string }
 
-func (Taken) change()     {}
-func (FlowBegun) change() {}
-func (FlowEnded) change() {}
-func (Ended) change()     {}
-func (Answered) change()  {}
+func (TransactionAccepted) change() {}
+func (FlowStarted) change()         {}
+func (FlowEnded) change()           {}
+func (Ended) change()               {}
+func (NoticeAnswered) change()      {}
 
 // Health is the state of a pool member according to discovery.
 type Health int
@@ -98,16 +98,16 @@
 
 // Member is one entry of the pool.
 type Member struct {
-	Host, Dial, Site, Class string
-	Destination             int
-	Health                  Health
-	Share                   float64
+	Host, Address, Zone, Kind string
+	Destination               int
+	Health                    Health
+	Weight                    float64
 }
 
-// PoolNews is a change of the pool, or with Whole the full list.
-type PoolNews struct {
-	Seq     int64 // version of discovery's list
-	Whole   bool
+// PoolUpdate is a change of the pool, or with Whole the full list.
+type PoolUpdate struct {
+	Version int64 // version of discovery's list
+	Full    bool
 	Members []Member
 }
 
@@ -127,21 +127,21 @@
 
 // Flow is one attempt to deliver a transaction to a pool member.
 type Flow struct {
-	ID       string
-	Attempt  int
-	Member   string
-	Group    Group // what a retry-after of the member applies to
-	Key      string
-	Worth    float64 // worth of the transaction's class; a higher worth gets a new connection first
-	Body     []byte
-	Begun    time.Time
-	Deadline time.Time // per-call timeout: the flow waits for the answer until then
-	WriteBy  time.Time // the last byte must be written before; zero means no such limit
-	With     []Flow    // other flows in the same call; this flow's times cover theirs
+	ID        string
+	Attempt   int
+	Member    string
+	Group     Group // what a retry-after of the member applies to
+	Key       string
+	Worth     float64 // worth of the transaction's class; a higher worth gets a new connection first
+	Body      []byte
+	StartedAt time.Time
+	Deadline  time.Time // per-call timeout: the flow waits for the answer until then
+	WriteBy   time.Time // the last byte must be written before; zero means no such limit
+	Bundled   []Flow    // other flows in the same call; this flow's times cover theirs
 }
 
 // All returns the flow and the other flows in the same call.
-func (f *Flow) All() []Flow { return append([]Flow{*f}, f.With...) }
+func (f *Flow) All() []Flow { return append([]Flow{*f}, f.Bundled...) }
 
 // MaxCallBytes is the maximum size of the body of a call that carries several transactions.
 const MaxCallBytes = 64 << 10
@@ -156,7 +156,7 @@
 
 // Join adds another flow to the same member to this flow's call.
 func (f *Flow) Join(o Flow) {
-	f.With = append(f.With, o)
+	f.Bundled = append(f.Bundled, o)
 	f.Worth = max(f.Worth, o.Worth)
 	if o.Deadline.Before(f.Deadline) {
 		f.Deadline = o.Deadline
@@ -171,18 +171,18 @@
 
 // The statuses of a flow that has ended.
 const (
-	Delivered       FlowStatus = iota // 200
-	Errored                           // 500, and every status that the protocol does not name
-	TurnedAway                        // 429 and 503
-	NoSlot                            // 503 with X-No-Slot
-	Spent                             // 504: all attempts used
-	Over                              // 410: the transaction is already over
-	Unsent                            // dropped by the relay before the first byte
-	NotConnected                      // no connection, or broken before the last byte was written
-	Broken                            // broken after the last byte was written
-	OutOfTime                         // no answer by the deadline
-	CalledOff                         // cancelled after the last byte was written
-	FlowStatusCount                   // number of statuses
+	Delivered         FlowStatus = iota // 200
+	Errored                             // 500, and every status that the protocol does not name
+	FlowRefused                         // 429 and 503
+	NoSlot                              // 503 with X-No-Slot
+	AttemptsExhausted                   // 504: all attempts used
+	AlreadyEnded                        // 410: the transaction is already over
+	Unsent                              // dropped by the relay before the first byte
+	NotConnected                        // no connection, or broken before the last byte was written
+	ConnectionBroken                    // broken after the last byte was written
+	TimedOut                            // no answer by the deadline
+	Canceled                            // cancelled after the last byte was written
+	FlowStatusCount                     // number of statuses
 )
 
 var flowStatuses = [FlowStatusCount]string{"delivered", "errored", "turned_away", "no_slot", "spent", "over", "unsent",
@@ -191,17 +191,17 @@
 func (s FlowStatus) String() string { return flowStatuses[s] }
 
 // Report is a pool member's statement about its limit.
-type Report struct{ Left, Limit float64 }
+type Report struct{ Remaining, Limit float64 }
 
 // FlowEnd is the end of a flow.
 type FlowEnd struct {
-	ID      string
-	Attempt int
-	Member  string
-	Status  FlowStatus
-	Wait    time.Duration // with TurnedAway: the retry-after; 0 if the member gave none
-	Report  *Report
-	Took    time.Duration
+	ID         string
+	Attempt    int
+	Member     string
+	Status     FlowStatus
+	RetryAfter time.Duration // with TurnedAway: the retry-after; 0 if the member gave none
+	Report     *Report
+	Latency    time.Duration
 }
 
 // Verdict is the result of a submission.
@@ -234,26 +234,26 @@
 
 // The kinds of Restraint.
 const (
-	Held     RestraintKind = iota // nothing is sent to the group before At; an At in the past ends the wait
-	HeldOut                       // the member is down, as reported by enough relays or after another relay's failed trial call
-	HeldBack                      // the member has answered another relay and recovers, cold
-	Freed                         // earlier reports about the member have expired
+	RestraintWait     RestraintKind = iota // nothing is sent to the group before At; an At in the past ends the wait
+	RestraintOutage                        // the member is down, as reported by enough relays or after another relay's failed trial call
+	RestraintRecovery                      // the member has answered another relay and recovers, cold
+	RestraintRelease                       // earlier reports about the member have expired
 )
 
-// Bar excludes a member from new transactions because of reports of other relays.
-type Bar struct {
+// Exclusion excludes a member from new transactions because of reports of other relays.
+type Exclusion struct {
 	Member string
 	Banned bool // banned by operators of some relay: the member comes back cold
 }
 
-// Levels is the number of worths that a Demand distinguishes. Index 0 is the highest worth.
-const Levels = 4
+// PriorityLevels is the number of worths that a Demand distinguishes. Index 0 is the highest worth.
+const PriorityLevels = 4
 
 // Demand is what a relay has to send to a destination.
 type Demand struct {
 	Destination int
-	Arrived     [Levels]int // submitted since the last report, including refused ones
-	Waiting     [Levels]int // waiting without a flow
+	Arrived     [PriorityLevels]int // submitted since the last report, including refused ones
+	Waiting     [PriorityLevels]int // waiting without a flow
 }
 
 // Allowance is this relay's share of a destination's limit, as assigned by the fleet.
--- a/internal/verdicts/announcer.go
+++ b/internal/verdicts/announcer.go
@@ -47,24 +47,24 @@
 	a.version.Seq++
 	s.Origin = a.origin
 	s.Version = a.version
-	if s.Life == 0 {
-		s.Life = s.Kind.Life()
+	if s.Lifetime == 0 {
+		s.Lifetime = s.Kind.MaxLifetime()
 	}
 	return s
 }
 
 // Wait announces a retry-after wait of a destination, unless a known wait lasts about as long.
 func (a *Announcer) Wait(now time.Duration, store *Store, o Observation) (Statement, bool) {
-	if o.Outcome != Refused || o.Wait < minWaitExtension {
+	if o.Outcome != Refused || o.RetryAfter < minWaitExtension {
 		return Statement{}, false
 	}
 	waitSubject := o.waitSubject()
-	for _, known := range store.About(now, waitSubject) {
-		if !known.Over && known.Length-known.Age+minWaitExtension > o.Wait {
+	for _, known := range store.ForSubject(now, waitSubject) {
+		if !known.Withdrawn && known.Length-known.Age+minWaitExtension > o.RetryAfter {
 			return Statement{}, false
 		}
 	}
-	return a.stamp(Statement{Subject: waitSubject, Length: o.Wait, Life: min(o.Wait, Wait.Life())}), true
+	return a.stamp(Statement{Subject: waitSubject, Length: o.RetryAfter, Lifetime: min(o.RetryAfter, Wait.MaxLifetime())}), true
 }
 
 // Outage announces an outage that has lasted for a duration, or another failed trial call during the outage.
@@ -77,19 +77,19 @@
 // Recovery announces that a member answered after an outage. If nobody has announced the outage, no statement is needed.
 func (a *Announcer) Recovery(now time.Duration, store *Store, destination int, member string) (Statement, bool) {
 	s := Subject{Kind: Health, Destination: destination, Member: member}
-	isOutage := func(known Statement) bool { return !known.Over }
-	if !a.announcedOutages[s] && !slices.ContainsFunc(store.About(now, s), isOutage) {
+	isOutage := func(known Statement) bool { return !known.Withdrawn }
+	if !a.announcedOutages[s] && !slices.ContainsFunc(store.ForSubject(now, s), isOutage) {
 		return Statement{}, false
 	}
 	delete(a.announcedOutages, s)
-	return a.stamp(Statement{Subject: s, Over: true}), true
+	return a.stamp(Statement{Subject: s, Withdrawn: true}), true
 }
 
 // Drain announces that discovery drains a member as of a version of its list. With over, it announces that discovery lists the
 // member again.
 func (a *Announcer) Drain(destination int, member string, list int64, over bool) Statement {
 	s := Subject{Kind: Drain, Destination: destination, Member: member}
-	return a.stamp(Statement{Subject: s, List: list, Over: over})
+	return a.stamp(Statement{Subject: s, ListVersion: list, Withdrawn: over})
 }
 
 // Ban announces that operators took a member down or brought it up. RenewBans repeats the active bans.
@@ -100,7 +100,7 @@
 	} else {
 		delete(a.activeBans, s)
 	}
-	return a.stamp(Statement{Subject: s, Over: !down})
+	return a.stamp(Statement{Subject: s, Withdrawn: !down})
 }
 
 // RenewBans announces all active bans again, and forgets members that are no longer listed. Call it a few times within the
--- a/internal/verdicts/exclusion.go
+++ b/internal/verdicts/exclusion.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// Barred returns the sorted names of the members that get no new calls because of the fleet's drains and bans. Statements of a
+// ExcludedMembers returns the sorted names of the members that get no new calls because of the fleet's drains and bans. Statements of a
 // quorum, or of this relay itself, exclude a member unconditionally. Statements of fewer origins exclude a member only while
 // another usable member of the destination remains, so a single origin cannot make a destination unreachable.
-func (j *Judge) Barred(now time.Duration) []string {
+func (j *Judge) ExcludedMembers(now time.Duration) []string {
 	origins := j.excludingOrigins(now)
 	if len(origins) == 0 {
 		return nil
@@ -42,8 +42,8 @@
 func (j *Judge) excludingOrigins(now time.Duration) map[string]map[string]bool {
 	origins := map[string]map[string]bool{}
 	for _, s := range j.store.All(now) {
-		isDrain := s.Kind == Drain && s.List > j.poolVersion
-		if s.Over || s.Kind != Ban && !isDrain {
+		isDrain := s.Kind == Drain && s.ListVersion > j.poolVersion
+		if s.Withdrawn || s.Kind != Ban && !isDrain {
 			continue
 		}
 		if origins[s.Member] == nil {
--- a/internal/verdicts/health.go
+++ b/internal/verdicts/health.go
@@ -34,7 +34,7 @@
 // relay's next trial call.
 func (j *Judge) judgeHealth(now time.Duration, destination int, name string, received *Statement) []Restraint {
 	m := j.member(now, destination, name)
-	list := j.store.About(now, Subject{Kind: Health, Destination: destination, Member: name})
+	list := j.store.ForSubject(now, Subject{Kind: Health, Destination: destination, Member: name})
 	recovered := j.latestRecovery(now, list)
 	starts := j.outageStarts(now, list, recovered)
 	otherOrigins := len(starts)
@@ -47,13 +47,13 @@
 		out = false
 		j.counters.Overruled++
 	} else if otherOrigins > 0 && !out {
-		j.counters.Unagreed++
+		j.counters.BelowQuorum++
 	}
 	r := Restraint{Destination: destination, Member: name}
 	switch {
 	case out && (!m.out || delaysTrial(received, m)):
 		m.out = true
-		r.Order = Out
+		r.Order = OrderOutage
 		r.At = starts[j.quorum-1]
 		if received != nil {
 			m.lastDelayOrigin = received.Origin
@@ -61,28 +61,28 @@
 	case !out && m.out:
 		m.out = false
 		m.lastDelayOrigin = ""
-		r.Order, r.At = Free, now
+		r.Order, r.At = OrderRelease, now
 		if recovered > never {
-			r.Order, r.At = Back, recovered
+			r.Order, r.At = OrderRecovery, recovered
 		}
 	default:
 		return nil
 	}
-	j.counters.Heeded++
+	j.counters.Restraints++
 	return []Restraint{r}
 }
 
 // delaysTrial reports whether a received statement delays this relay's next trial call. The statement has to report a recent failure.
 // Its origin has to differ from the origin that caused the last delay. Otherwise a single origin could delay the trial call forever.
 func delaysTrial(received *Statement, m *memberState) bool {
-	return received != nil && !received.Over && received.Age < maxTrialAge && received.Origin != m.lastDelayOrigin
+	return received != nil && !received.Withdrawn && received.Age < maxTrialAge && received.Origin != m.lastDelayOrigin
 }
 
 // latestRecovery returns when another relay last announced the member's recovery, or never.
 func (j *Judge) latestRecovery(now time.Duration, list []Statement) time.Duration {
 	newest := never
 	for _, s := range list {
-		if s.Over && s.Origin != j.self {
+		if s.Withdrawn && s.Origin != j.self {
 			newest = max(newest, now-s.Age)
 		}
 	}
@@ -93,7 +93,7 @@
 func (j *Judge) outageStarts(now time.Duration, list []Statement, recovered time.Duration) (starts []time.Duration) {
 	for _, s := range list {
 		madeAt := now - s.Age
-		if !s.Over && s.Origin != j.self && madeAt > recovered {
+		if !s.Withdrawn && s.Origin != j.self && madeAt > recovered {
 			starts = append(starts, madeAt-s.Length)
 		}
 	}
--- a/internal/verdicts/judge.go
+++ b/internal/verdicts/judge.go
@@ -24,13 +24,13 @@
 
 // The orders.
 const (
-	Hold Order = iota // send nothing to the destination, or to the separate route, before At; an At in the past ends the hold
-	Out               // the member has been out since At; the next trial call is delayed
-	Back              // the outage that the fleet announced is over; the member's slow start began at At
-	Free              // the fleet's statements no longer restrain the member; the relay decides on its own again
+	OrderWait     Order = iota // send nothing to the destination, or to the separate route, before At; an At in the past ends the hold
+	OrderOutage                // the member has been out since At; the next trial call is delayed
+	OrderRecovery              // the outage that the fleet announced is over; the member's slow start began at At
+	OrderRelease               // the fleet's statements no longer restrain the member; the relay decides on its own again
 )
 
-var orderNames = [...]string{Hold: "hold", Out: "out", Back: "back", Free: "free"}
+var orderNames = [...]string{OrderWait: "hold", OrderOutage: "out", OrderRecovery: "back", OrderRelease: "free"}
 
 // String returns the name of the order.
 func (o Order) String() string { return orderNames[o] }
@@ -45,10 +45,10 @@
 
 // Counters count the decisions of a judge since its creation.
 type Counters struct {
-	Heeded    int64 `json:"heeded"`    // restraints returned
-	Overruled int64 `json:"overruled"` // statements that this relay's own calls contradicted
-	Overdrawn int64 `json:"overdrawn"` // waits of a single origin that exceeded its budget
-	Unagreed  int64 `json:"unagreed"`  // outages announced by fewer origins than the quorum
+	Restraints  int64 `json:"heeded"`    // restraints returned
+	Overruled   int64 `json:"overruled"` // statements that this relay's own calls contradicted
+	OverBudget  int64 `json:"overdrawn"` // waits of a single origin that exceeded its budget
+	BelowQuorum int64 `json:"unagreed"`  // outages announced by fewer origins than the quorum
 }
 
 // Judge decides what the statements in a store mean for one relay. The relay's own observations overrule the statements.
@@ -89,15 +89,15 @@
 	m := j.member(now, o.Destination, o.Member)
 	switch o.Outcome {
 	case Succeeded:
-		m.lastSuccessStart = max(m.lastSuccessStart, o.Begun)
+		m.lastSuccessStart = max(m.lastSuccessStart, o.StartedAt)
 		restraints := j.judgeHealth(now, o.Destination, o.Member, nil)
 		return append(restraints, j.endContradictedHold(now, o)...)
 	case Failed:
-		m.lastFailureStart = max(m.lastFailureStart, o.Begun)
+		m.lastFailureStart = max(m.lastFailureStart, o.StartedAt)
 	case Refused:
 		h := j.hold(now, o.waitSubject())
 		h.lastRefusals[j.self] = now
-		h.ownWaitEnd = max(h.ownWaitEnd, now+o.Wait)
+		h.ownWaitEnd = max(h.ownWaitEnd, now+o.RetryAfter)
 		return j.judgeWait(now, o.waitSubject(), nil)
 	}
 	return nil
--- a/internal/verdicts/observation.go
+++ b/internal/verdicts/observation.go
@@ -14,17 +14,17 @@
 
 // Observation describes one of this relay's own calls that has ended.
 type Observation struct {
-	Outcome     Outcome
-	Destination int
-	Member      string
-	Route       bool          // the member is a separate route: waits apply to it alone
-	Begun       time.Duration // start of the call
-	Wait        time.Duration // retry-after wait that the member asked for; only with Refused
+	Outcome       Outcome
+	Destination   int
+	Member        string
+	SeparateRoute bool          // the member is a separate route: waits apply to it alone
+	StartedAt     time.Duration // start of the call
+	RetryAfter    time.Duration // retry-after wait that the member asked for; only with Refused
 }
 
 // waitSubject returns the subject that a wait applies to.
 func (o Observation) waitSubject() Subject {
-	if o.Route {
+	if o.SeparateRoute {
 		return Subject{Kind: Wait, Destination: o.Destination, Member: o.Member}
 	}
 	return Subject{Kind: Wait, Destination: o.Destination}
--- a/internal/verdicts/statement.go
+++ b/internal/verdicts/statement.go
@@ -48,8 +48,8 @@
 	Ban:    30 * time.Second,
 }
 
-// Life returns the maximum lifetime of a statement of the kind. A Wait statement lives for the length of the wait.
-func (k Kind) Life() time.Duration {
+// MaxLifetime returns the maximum lifetime of a statement of the kind. A Wait statement lives for the length of the wait.
+func (k Kind) MaxLifetime() time.Duration {
 	if !k.IsKnown() {
 		return 0
 	}
@@ -82,15 +82,17 @@
 	Origin string
 	Version
 	Subject
-	Over   bool          // the origin withdraws the statement
-	Length time.Duration // Wait: length of the wait, from when the statement was made; Health: length of the outage up to then
-	List   int64         // Drain: version of discovery's list
-	Age    time.Duration // time since the statement was made; each hop adds the time that it kept the statement
-	Life   time.Duration // age at which the statement expires; at most Kind.Life
+	Withdrawn   bool          // the origin withdraws the statement
+	Length      time.Duration // Wait: length of the wait, from when the statement was made; Health: length of the outage up to then
+	ListVersion int64         // Drain: version of discovery's list
+	Age         time.Duration // time since the statement was made; each hop adds the time that it kept the statement
+	Lifetime    time.Duration // age at which the statement expires; at most Kind.Life
 }
 
 // expiredAt reports whether the statement is expired at an age.
-func (s *Statement) expiredAt(age time.Duration) bool { return age >= min(s.Life, s.Kind.Life()) }
+func (s *Statement) expiredAt(age time.Duration) bool {
+	return age >= min(s.Lifetime, s.Kind.MaxLifetime())
+}
 
 // compareContents orders two statements of the same version with different contents. Only a faulty or malicious origin makes such
 // statements. The one that restrains less wins, so all relays choose the same one.
@@ -103,17 +105,17 @@
 		}
 		return -1
 	}
-	return cmp.Or(falseFirst(s.Over, o.Over), cmp.Compare(o.Length, s.Length), cmp.Compare(o.Life, s.Life), cmp.Compare(s.List, o.List))
+	return cmp.Or(falseFirst(s.Withdrawn, o.Withdrawn), cmp.Compare(o.Length, s.Length), cmp.Compare(o.Lifetime, s.Lifetime), cmp.Compare(s.ListVersion, o.ListVersion))
 }
 
 // hash identifies the statement without its age. The hash is the same at every relay.
 func (s *Statement) hash() uint64 {
 	h := fnv.New64a()
 	b := make([]byte, 0, 64)
-	for _, x := range [...]uint64{uint64(s.Kind), uint64(s.Destination), s.Incarnation, s.Seq, uint64(s.Length), uint64(s.Life), uint64(s.List)} {
+	for _, x := range [...]uint64{uint64(s.Kind), uint64(s.Destination), s.Incarnation, s.Seq, uint64(s.Length), uint64(s.Lifetime), uint64(s.ListVersion)} {
 		b = binary.LittleEndian.AppendUint64(b, x)
 	}
-	if s.Over {
+	if s.Withdrawn {
 		b = append(b, 1)
 	}
 	_, _ = h.Write(b)
--- a/internal/verdicts/store.go
+++ b/internal/verdicts/store.go
@@ -41,7 +41,7 @@
 
 // remaining returns how long the statement stays in force.
 func (e *entry) remaining(now time.Duration) time.Duration {
-	return min(e.Life, e.Kind.Life()) - (now - e.madeAt)
+	return min(e.Lifetime, e.Kind.MaxLifetime()) - (now - e.madeAt)
 }
 
 // NewStore returns an empty store.
@@ -52,7 +52,7 @@
 func (s *Statement) isValid() bool {
 	knownKind := s.Kind.IsKnown()
 	namesFit := s.Origin != "" && len(s.Origin) <= MaxNameLength && len(s.Member) <= MaxNameLength
-	timesFit := s.Age >= 0 && s.Length >= 0 && s.Life > 0
+	timesFit := s.Age >= 0 && s.Length >= 0 && s.Lifetime > 0
 	hasMember := s.Kind == Wait || s.Member != ""
 	return knownKind && namesFit && timesFit && hasMember && s.Destination >= 0
 }
@@ -139,8 +139,8 @@
 	return n
 }
 
-// About returns the live statements about a subject with their current ages, sorted by origin.
-func (st *Store) About(now time.Duration, subject Subject) (list []Statement) {
+// ForSubject returns the live statements about a subject with their current ages, sorted by origin.
+func (st *Store) ForSubject(now time.Duration, subject Subject) (list []Statement) {
 	for _, ofOrigin := range st.origins {
 		if e := ofOrigin[subject]; e != nil && !e.isExpired(now) {
 			list = append(list, e.at(now))
@@ -150,8 +150,8 @@
 	return list
 }
 
-// From returns the live statements of an origin, sorted by subject.
-func (st *Store) From(now time.Duration, origin string) (list []Statement) {
+// ForOrigin returns the live statements of an origin, sorted by subject.
+func (st *Store) ForOrigin(now time.Duration, origin string) (list []Statement) {
 	for _, e := range st.origins[origin] {
 		if !e.isExpired(now) {
 			list = append(list, e.at(now))
@@ -164,7 +164,7 @@
 // All returns all live statements, sorted by origin and subject.
 func (st *Store) All(now time.Duration) (list []Statement) {
 	for _, origin := range slices.Sorted(maps.Keys(st.origins)) {
-		list = append(list, st.From(now, origin)...)
+		list = append(list, st.ForOrigin(now, origin)...)
 	}
 	return list
 }
--- a/internal/verdicts/summary.go
+++ b/internal/verdicts/summary.go
@@ -40,7 +40,7 @@
 	ours := st.Summary(now)
 	for _, origin := range slices.Sorted(maps.Keys(st.origins)) {
 		if i := bucketOf(origin); ours[i] != theirs[i] {
-			list = append(list, st.From(now, origin)...)
+			list = append(list, st.ForOrigin(now, origin)...)
 		}
 	}
 	slices.SortStableFunc(list, func(a, b Statement) int { return cmp.Compare(a.Kind, b.Kind) })
--- a/internal/verdicts/verdicts_test.go
+++ b/internal/verdicts/verdicts_test.go
@@ -21,8 +21,8 @@
 		kind := Kind(rapid.IntRange(1, int(kinds)-1).Draw(t, "kind"))
 		return Statement{Origin: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "origin"),
 			Version: Version{rapid.Uint64Range(1, 2).Draw(t, "incarnation"), rapid.Uint64Range(1, 3).Draw(t, "seq")},
-			Subject: Subject{kind, rapid.IntRange(0, 1).Draw(t, "destination"), "m"}, Over: rapid.Bool().Draw(t, "over"),
-			Length: time.Duration(rapid.IntRange(0, 2).Draw(t, "length")) * time.Second, Life: 5 * time.Second,
+			Subject: Subject{kind, rapid.IntRange(0, 1).Draw(t, "destination"), "m"}, Withdrawn: rapid.Bool().Draw(t, "over"),
+			Length: time.Duration(rapid.IntRange(0, 2).Draw(t, "length")) * time.Second, Lifetime: 5 * time.Second,
 			Age: time.Duration(rapid.IntRange(0, 5).Draw(t, "age")) * time.Second}
 	}), 0, 12).Draw(t, "statements")
 }
@@ -56,14 +56,14 @@
 // could circulate forever. Malformed statements are rejected, and the number of statements per origin is bounded.
 func TestExpiry(t *testing.T) {
 	store := NewStore()
-	s := Statement{Origin: "a", Version: Version{1, 1}, Subject: Subject{Health, 1, "m"}, Life: time.Hour}
+	s := Statement{Origin: "a", Version: Version{1, 1}, Subject: Subject{Health, 1, "m"}, Lifetime: time.Hour}
 	if !store.Merge(0, s) {
 		t.Fatal("new statement not merged")
 	}
 	if s.Age = 14 * time.Second; store.Merge(14*time.Second, s) {
 		t.Error("repeated statement reported as new")
 	}
-	if store.Sweep(14*time.Second) != nil || len(store.About(14*time.Second, s.Subject)) != 1 {
+	if store.Sweep(14*time.Second) != nil || len(store.ForSubject(14*time.Second, s.Subject)) != 1 {
 		t.Error("expired early")
 	}
 	if lost := store.Sweep(15 * time.Second); len(lost) != 1 || store.Len() != 0 {
@@ -72,14 +72,14 @@
 	if s.Age = 15 * time.Second; store.Merge(16*time.Second, s) {
 		t.Error("expired statement merged again")
 	}
-	for _, invalid := range []Statement{{}, {Origin: "a", Subject: Subject{Kind: 9}, Life: 1}, {Origin: "a", Subject: Subject{Kind: Ban}, Life: 1},
-		{Origin: "a", Subject: Subject{Wait, -1, ""}, Life: 1}, {Origin: "a", Subject: Subject{Kind: Wait}, Life: 1, Age: -1}} {
+	for _, invalid := range []Statement{{}, {Origin: "a", Subject: Subject{Kind: 9}, Lifetime: 1}, {Origin: "a", Subject: Subject{Kind: Ban}, Lifetime: 1},
+		{Origin: "a", Subject: Subject{Wait, -1, ""}, Lifetime: 1}, {Origin: "a", Subject: Subject{Kind: Wait}, Lifetime: 1, Age: -1}} {
 		if store.Merge(0, invalid) {
 			t.Errorf("malformed statement merged: %v", invalid)
 		}
 	}
 	for i := range 2 * MaxPerOrigin {
-		store.Merge(0, Statement{Origin: "a", Version: Version{1, uint64(i + 1)}, Subject: Subject{Kind: Wait, Destination: i}, Life: time.Duration(i+1) * ms})
+		store.Merge(0, Statement{Origin: "a", Version: Version{1, uint64(i + 1)}, Subject: Subject{Kind: Wait, Destination: i}, Lifetime: time.Duration(i+1) * ms})
 	}
 	if store.Len() != MaxPerOrigin {
 		t.Errorf("%d statements kept of one origin", store.Len())
@@ -102,8 +102,8 @@
 func (f *judgeFixture) receive(s Statement) []Restraint {
 	f.seq++
 	s.Version = Version{1, f.seq}
-	if s.Life == 0 {
-		s.Life = s.Kind.Life()
+	if s.Lifetime == 0 {
+		s.Lifetime = s.Kind.MaxLifetime()
 	}
 	if !f.store.Merge(f.now, s) {
 		return nil
@@ -118,7 +118,7 @@
 
 // announceRecovery receives a statement that the member answers again.
 func (f *judgeFixture) announceRecovery(origin string) []Restraint {
-	return f.receive(Statement{Origin: origin, Subject: Subject{Health, 1, "m"}, Over: true})
+	return f.receive(Statement{Origin: origin, Subject: Subject{Health, 1, "m"}, Withdrawn: true})
 }
 
 // announceWait receives a wait for the whole destination.
@@ -164,7 +164,7 @@
 	f = newJudgeFixture(2)
 	f.announceOutage("a", time.Second, 0)
 	f.announceOutage("b", time.Second, 0)
-	f.now += Health.Life()
+	f.now += Health.MaxLifetime()
 	expectOrders(t, "both statements expired", f.Expired(f.now, f.store.Sweep(f.now)), "free")
 }
 
@@ -177,7 +177,7 @@
 		start := f.now
 		recordHolds := func(list []Restraint) {
 			for _, r := range list {
-				if r.Order != Hold {
+				if r.Order != OrderWait {
 					t.Fatalf("restraint by a single origin: %v", r)
 				}
 				held += max(r.At-max(until, f.now), 0)
@@ -219,7 +219,7 @@
 	}
 	f.now += 10 * ms
 	got = f.Observe(f.now, Observation{Succeeded, 1, "m", false, f.now - ms, 0})
-	if len(got) != 1 || got[0].Order != Hold || got[0].At != f.now {
+	if len(got) != 1 || got[0].Order != OrderWait || got[0].At != f.now {
 		t.Errorf("successful own call during the hold: %v", got)
 	}
 	expectOrders(t, "budget is empty after a contradiction", f.announceWait("a", 800*ms))
@@ -258,13 +258,13 @@
 		}, nil},
 		{"ban", func(f *judgeFixture) { f.announceBan("a", "x", false) }, []string{"x"}},
 		{"lifted ban", func(f *judgeFixture) { f.announceBan("a", "x", false); f.announceBan("a", "x", true) }, nil},
-		{"ban not renewed", func(f *judgeFixture) { f.announceBan("a", "x", false); f.now += Ban.Life() }, nil},
+		{"ban not renewed", func(f *judgeFixture) { f.announceBan("a", "x", false); f.now += Ban.MaxLifetime() }, nil},
 		{"member that is not in the own list", func(f *judgeFixture) { f.announceDrain("a", "w", 9); f.announceDrain("b", "w", 9) }, nil},
 	} {
 		f := newJudgeFixture(2)
 		f.SetPool(5, []Member{{"x", 1}, {"y", 1}, {"z", 2}})
 		tt.announce(f)
-		if got := f.Barred(f.now); !slices.Equal(got, tt.want) {
+		if got := f.ExcludedMembers(f.now); !slices.Equal(got, tt.want) {
 			t.Errorf("%s: got %v excluded, want %v", tt.name, got, tt.want)
 		}
 	}
@@ -272,12 +272,12 @@
 
 // announceDrain receives a drain of a member as of a list version.
 func (f *judgeFixture) announceDrain(origin, member string, list int64) {
-	f.receive(Statement{Origin: origin, Subject: Subject{Drain, 1, member}, List: list})
+	f.receive(Statement{Origin: origin, Subject: Subject{Drain, 1, member}, ListVersion: list})
 }
 
 // announceBan receives a ban of a member, or the end of one.
 func (f *judgeFixture) announceBan(origin, member string, over bool) {
-	f.receive(Statement{Origin: origin, Subject: Subject{Ban, 1, member}, Over: over})
+	f.receive(Statement{Origin: origin, Subject: Subject{Ban, 1, member}, Withdrawn: over})
 }
 
 // An announcer does not repeat what the fleet already knows, and supersedes versions that another process of the relay has issued.
--- a/internal/verdicts/waits.go
+++ b/internal/verdicts/waits.go
@@ -57,11 +57,11 @@
 	if h == nil {
 		return nil
 	}
-	h.lastSuccessStart = max(h.lastSuccessStart, o.Begun)
+	h.lastSuccessStart = max(h.lastSuccessStart, o.StartedAt)
 	if h.until <= now {
 		return nil
 	}
-	for _, s := range j.store.About(now, waitSubject) {
+	for _, s := range j.store.ForSubject(now, waitSubject) {
 		if s.Origin != j.self && now-s.Age >= h.lastSuccessStart {
 			return nil // this wait was announced after the start of the call
 		}
@@ -77,21 +77,21 @@
 
 // holdUntil returns the restraint that holds a subject until a time.
 func holdUntil(subject Subject, until time.Duration) Restraint {
-	return Restraint{Order: Hold, Destination: subject.Destination, Member: subject.Member, At: until}
+	return Restraint{Order: OrderWait, Destination: subject.Destination, Member: subject.Member, At: until}
 }
 
 // judgeWait decides how long to hold a subject. A newly received statement may draw on the budget of its origin.
 func (j *Judge) judgeWait(now time.Duration, subject Subject, received *Statement) []Restraint {
 	h := j.hold(now, subject)
 	until := max(h.until, j.quorumWaitEnd(now, subject, h))
-	if received != nil && !received.Over && now-received.Age >= h.lastSuccessStart {
+	if received != nil && !received.Withdrawn && now-received.Age >= h.lastSuccessStart {
 		until = j.extendByBudget(now, h, received, until)
 	}
 	if until <= max(h.until, now) || until <= h.ownWaitEnd {
 		return nil // the hold does not become longer, or this relay's own wait lasts as long
 	}
 	h.until = until
-	j.counters.Heeded++
+	j.counters.Restraints++
 	return []Restraint{holdUntil(subject, until)}
 }
 
@@ -99,13 +99,13 @@
 // origins than the quorum announce one.
 func (j *Judge) quorumWaitEnd(now time.Duration, subject Subject, h *holdState) time.Duration {
 	ends := []time.Duration{h.ownWaitEnd}
-	for _, s := range j.store.About(now, subject) {
+	for _, s := range j.store.ForSubject(now, subject) {
 		madeAt := now - s.Age
 		if s.Origin == j.self || madeAt < h.lastSuccessStart {
 			continue // this relay's own statement, or contradicted by a call of this relay
 		}
 		h.lastRefusals[s.Origin] = max(h.lastRefusals[s.Origin], madeAt)
-		if !s.Over {
+		if !s.Withdrawn {
 			ends = append(ends, madeAt+s.Length)
 		}
 	}
@@ -126,7 +126,7 @@
 	}
 	until = from + h.draw(now, received.Origin, end-from)
 	if until < end {
-		j.counters.Overdrawn++
+		j.counters.OverBudget++
 	}
 	return until
 }
--- a/internal/vitals/vitals.go
+++ b/internal/vitals/vitals.go
@@ -75,8 +75,8 @@
 	_ = h.RecordValue(min(max(d, time.Microsecond), maxRecorded).Microseconds()) // cannot fail: the value is in range
 }
 
-// Stepped records when a step was due and when it began.
-func (m *Meters) Stepped(due, began time.Time) {
+// RecordStep records when a step was due and when it began.
+func (m *Meters) RecordStep(due, began time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	late := began.Sub(due)
@@ -84,8 +84,8 @@
 	m.maxStepDelay = max(m.maxStepDelay, late)
 }
 
-// HandedIn records how long a submission has waited for its step.
-func (m *Meters) HandedIn(submissionAge time.Duration) {
+// RecordSubmission records how long a submission has waited for its step.
+func (m *Meters) RecordSubmission(submissionAge time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	record(m.submissionAge, submissionAge)
@@ -94,9 +94,9 @@
 	}
 }
 
-// Section runs f and records its wall-clock time and its CPU time. f must compute without waiting. If other processes compete
+// RunSection runs f and records its wall-clock time and its CPU time. f must compute without waiting. If other processes compete
 // for the CPU, the wall-clock time exceeds the CPU time; Reading.Stretch is the ratio of the two.
-func (m *Meters) Section(f func()) {
+func (m *Meters) RunSection(f func()) {
 	wall, cpu := time.Now(), cpuTime()
 	f()
 	cpu = cpuTime() - cpu
@@ -108,20 +108,20 @@
 
 // Reading holds the measurements since the previous reading, unless a field says otherwise.
 type Reading struct {
-	Window  time.Duration // time since the previous reading
-	Loop    time.Duration // longest delay between the due time and the start of a step
-	Age     time.Duration // median wait of a submission for its step
-	HandIns int           // number of submissions
-	Probe   time.Duration // longest wait of a reader for bytes that had already arrived
-	CPU     float64       // cores used by the whole process
-	Cores   float64       // cores that the process may use
-	Stretch float64       // wall-clock time per CPU time in the sections of about ten readings; 1 if nothing else competes for the CPU
-	Section float64       // cores used by sections
-	Busy    float64       // share of Cores that the process used or, estimated by Stretch, waited for
-	RSS     int64         // resident memory in bytes; 0 if it cannot be read
-	Heap    int64         // bytes of the heap: live objects, dead objects and unused space
-	GCShare float64       // the garbage collector's share of the CPU time used since the start of the process
-	Sched   time.Duration // 99th percentile of the time that goroutines wait to run, since the start of the process
+	Window        time.Duration // time since the previous reading
+	StepDelay     time.Duration // longest delay between the due time and the start of a step
+	SubmissionAge time.Duration // median wait of a submission for its step
+	Submissions   int           // number of submissions
+	ProbeWait     time.Duration // longest wait of a reader for bytes that had already arrived
+	UsedCores     float64       // cores used by the whole process
+	Cores         float64       // cores that the process may use
+	CPUWaitFactor float64       // wall-clock time per CPU time in the sections of about ten readings; 1 if nothing else competes for the CPU
+	SectionCores  float64       // cores used by sections
+	BusyShare     float64       // share of Cores that the process used or, estimated by Stretch, waited for
+	RSSBytes      int64         // resident memory in bytes; 0 if it cannot be read
+	HeapBytes     int64         // bytes of the heap: live objects, dead objects and unused space
+	GCShare       float64       // the garbage collector's share of the CPU time used since the start of the process
+	SchedP99      time.Duration // 99th percentile of the time that goroutines wait to run, since the start of the process
 }
 
 // Read returns a reading and begins the next window. Memory use, garbage collector share and scheduling latency are at most
@@ -135,34 +135,34 @@
 	if m.probeInFlight.Load() { // count the wait so far of a probe that is still in flight
 		maxProbeWait = max(maxProbeWait, time.Since(m.origin)-time.Duration(m.probeSentNanos.Load()))
 	}
-	r := Reading{Window: now.Sub(m.lastRead), Loop: m.maxStepDelay, HandIns: m.windowSubmissions, Cores: m.cores,
-		Probe: maxProbeWait, RSS: sampled.rssBytes, Heap: sampled.heapBytes, GCShare: sampled.gcShare, Sched: sampled.schedP99}
+	r := Reading{Window: now.Sub(m.lastRead), StepDelay: m.maxStepDelay, Submissions: m.windowSubmissions, Cores: m.cores,
+		ProbeWait: maxProbeWait, RSSBytes: sampled.rssBytes, HeapBytes: sampled.heapBytes, GCShare: sampled.gcShare, SchedP99: sampled.schedP99}
 	if q := m.cgroupCores(); q > 0 {
 		r.Cores = min(r.Cores, q)
 	}
 	if len(m.windowAges) > 0 {
 		slices.Sort(m.windowAges)
-		r.Age = m.windowAges[len(m.windowAges)/2]
+		r.SubmissionAge = m.windowAges[len(m.windowAges)/2]
 	}
 	m.decayedWall = m.decayedWall*stretchDecay + float64(m.wall)
 	m.decayedCPU = m.decayedCPU*stretchDecay + float64(m.cpu)
-	r.Stretch = 1
+	r.CPUWaitFactor = 1
 	if m.decayedCPU > float64(minSectionCPU) {
-		r.Stretch = max(m.decayedWall/m.decayedCPU, 1)
+		r.CPUWaitFactor = max(m.decayedWall/m.decayedCPU, 1)
 	}
 	if r.Window > 0 {
-		r.CPU = float64(cpu-m.lastCPU) / float64(r.Window)
-		r.Section = float64(m.cpu) / float64(r.Window)
-		r.Busy = min(r.CPU*r.Stretch/r.Cores, 1)
+		r.UsedCores = float64(cpu-m.lastCPU) / float64(r.Window)
+		r.SectionCores = float64(m.cpu) / float64(r.Window)
+		r.BusyShare = min(r.UsedCores*r.CPUWaitFactor/r.Cores, 1)
 	}
 	m.lastRead, m.lastCPU = now, cpu
 	m.windowAges, m.windowSubmissions, m.maxStepDelay, m.wall, m.cpu = m.windowAges[:0], 0, 0, 0, 0
 	return r
 }
 
-// Probe opens the pipe that Ping uses and closes it when ctx ends. The runtime wakes the pipe's reader in the same way as the
+// StartProbes opens the pipe that Ping uses and closes it when ctx ends. The runtime wakes the pipe's reader in the same way as the
 // reader of a client connection. The wait of a probe is therefore the wait of a client's bytes before the relay reads them.
-func (m *Meters) Probe(ctx context.Context) {
+func (m *Meters) StartProbes(ctx context.Context) {
 	r, w, err := os.Pipe()
 	if err != nil { // for example no free file descriptor; the other measurements continue
 		slog.Warn("no probe", "err", err)
@@ -185,8 +185,8 @@
 	}()
 }
 
-// Ping sends one byte through the pipe, unless the previous byte is still in flight.
-func (m *Meters) Ping() {
+// SendProbe sends one byte through the pipe, unless the previous byte is still in flight.
+func (m *Meters) SendProbe() {
 	if w := m.probePipe.Load(); w != nil && m.probeInFlight.CompareAndSwap(false, true) {
 		m.probeSentNanos.Store(int64(time.Since(m.origin)))
 		_, _ = w.Write([]byte{0}) // a write to a closed pipe fails, which is harmless
@@ -208,8 +208,8 @@
 	m.mu.Unlock()
 }
 
-// Wait returns how long received bytes wait until the relay reads them: the moving average of the newest probes.
-func (m *Meters) Wait() time.Duration { return time.Duration(m.smoothedProbeWait.Load()) }
+// ProbeWait returns how long received bytes wait until the relay reads them: the moving average of the newest probes.
+func (m *Meters) ProbeWait() time.Duration { return time.Duration(m.smoothedProbeWait.Load()) }
 
 // Quantiles holds the quantiles and the maximum of one distribution since the start of the process.
 type Quantiles struct{ P50, P99, P999, Max time.Duration }
@@ -227,11 +227,11 @@
 }
 
 // Totals holds the distributions of step delay (Loop), submission age (Age) and probe wait (Probe) since the start of the process.
-type Totals struct{ Loop, Age, Probe Quantiles }
+type Totals struct{ StepDelay, SubmissionAge, ProbeWait Quantiles }
 
 // LogValue implements slog.LogValuer for the totals.
 func (t Totals) LogValue() slog.Value {
-	return slog.GroupValue(slog.Any("loop_delay", t.Loop), slog.Any("hand_in_age", t.Age), slog.Any("probe", t.Probe))
+	return slog.GroupValue(slog.Any("loop_delay", t.StepDelay), slog.Any("hand_in_age", t.SubmissionAge), slog.Any("probe", t.ProbeWait))
 }
 
 // Totals returns the distributions since the start of the process.
