--- a/internal/vitals/vitals_test.go
+++ b/internal/vitals/vitals_test.go
@@ -19,22 +19,22 @@
 	m.sampler = &processSampler{readAt: time.Now().Add(time.Hour), last: processReading{rssBytes: 5, heapBytes: 3}}
 	now := m.lastRead
 	for i := range 5 {
-		m.HandedIn(time.Duration(i) * 10 * ms)
+		m.RecordSubmission(time.Duration(i) * 10 * ms)
 	}
-	m.Stepped(now, now.Add(7*ms))
-	m.Stepped(now, now.Add(3*ms))
+	m.RecordStep(now, now.Add(7*ms))
+	m.RecordStep(now, now.Add(3*ms))
 	m.recordProbeWait(4 * ms)
 	m.recordProbeWait(2 * ms)
 	r := m.Read(now.Add(50 * ms))
-	if r.Age != 20*ms || r.HandIns != 5 || r.Loop != 7*ms || r.Probe != 4*ms || r.Window != 50*ms || r.RSS != 5 || r.Heap != 3 {
+	if r.SubmissionAge != 20*ms || r.Submissions != 5 || r.StepDelay != 7*ms || r.ProbeWait != 4*ms || r.Window != 50*ms || r.RSSBytes != 5 || r.HeapBytes != 3 {
 		t.Errorf("%+v", r)
 	}
-	if r = m.Read(now.Add(100 * ms)); r.Age != 0 || r.HandIns != 0 || r.Loop != 0 || r.Probe != 0 {
+	if r = m.Read(now.Add(100 * ms)); r.SubmissionAge != 0 || r.Submissions != 0 || r.StepDelay != 0 || r.ProbeWait != 0 {
 		t.Errorf("the next window still holds values of the last one: %+v", r)
 	}
 	total := m.Totals()
 	near := func(got, want time.Duration) bool { return math.Abs(float64(got-want)) <= 0.02*float64(want) }
-	if !near(total.Loop.P50, 3*ms) || !near(total.Loop.Max, 7*ms) || !near(total.Age.P99, 40*ms) || !near(total.Probe.P50, 2*ms) {
+	if !near(total.StepDelay.P50, 3*ms) || !near(total.StepDelay.Max, 7*ms) || !near(total.SubmissionAge.P99, 40*ms) || !near(total.ProbeWait.P50, 2*ms) {
 		t.Errorf("%+v", total)
 	}
 }
@@ -44,10 +44,10 @@
 func TestWindowAgesAreBounded(t *testing.T) {
 	m := New(1)
 	for range 3 * maxWindowAges {
-		m.HandedIn(ms)
+		m.RecordSubmission(ms)
 	}
-	if r := m.Read(time.Now()); r.HandIns != 3*maxWindowAges || cap(m.windowAges) > 2*maxWindowAges {
-		t.Errorf("%d submissions counted, capacity for %d ages", r.HandIns, cap(m.windowAges))
+	if r := m.Read(time.Now()); r.Submissions != 3*maxWindowAges || cap(m.windowAges) > 2*maxWindowAges {
+		t.Errorf("%d submissions counted, capacity for %d ages", r.Submissions, cap(m.windowAges))
 	}
 }
 
@@ -58,20 +58,20 @@
 	m.wall, m.cpu = 40*ms, 10*ms
 	now := m.lastRead
 	r := m.Read(now.Add(50 * ms))
-	if r.Stretch != 4 {
-		t.Errorf("stretch %v", r.Stretch)
+	if r.CPUWaitFactor != 4 {
+		t.Errorf("stretch %v", r.CPUWaitFactor)
 	}
-	if want := min(r.CPU*4/r.Cores, 1); r.Busy != want {
-		t.Errorf("busy %v, want %v", r.Busy, want)
+	if want := min(r.UsedCores*4/r.Cores, 1); r.BusyShare != want {
+		t.Errorf("busy %v, want %v", r.BusyShare, want)
 	}
 	for i := range 60 {
 		m.wall, m.cpu = 5*ms, 5*ms
 		r = m.Read(now.Add(time.Duration(i+2) * 50 * ms))
 	}
-	if r.Stretch > 1.05 {
-		t.Errorf("stretch %v long after the competition for the CPU ended", r.Stretch)
+	if r.CPUWaitFactor > 1.05 {
+		t.Errorf("stretch %v long after the competition for the CPU ended", r.CPUWaitFactor)
 	}
-	if m = New(1); m.Read(time.Now()).Stretch != 1 {
+	if m = New(1); m.Read(time.Now()).CPUWaitFactor != 1 {
 		t.Error("stretch is not 1 although no section has run")
 	}
 }
@@ -80,7 +80,7 @@
 func TestSectionMeasuresWallAndCPU(t *testing.T) {
 	m := New(1)
 	ran := false
-	m.Section(func() {
+	m.RunSection(func() {
 		ran = true
 		for from := cpuTime(); cpuTime()-from < 3*ms; {
 		}
@@ -94,16 +94,16 @@
 // so far, and the pipe is closed when the context ends.
 func TestProbe(t *testing.T) {
 	m := New(1)
-	m.Ping() // no pipe yet
+	m.SendProbe() // no pipe yet
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	m.Probe(ctx)
-	for deadline := time.Now().Add(20 * time.Second); m.Wait() == 0; time.Sleep(ms) {
-		if m.Ping(); time.Now().After(deadline) {
+	m.StartProbes(ctx)
+	for deadline := time.Now().Add(20 * time.Second); m.ProbeWait() == 0; time.Sleep(ms) {
+		if m.SendProbe(); time.Now().After(deadline) {
 			t.Fatal("no probe was received")
 		}
 	}
-	if m.Totals().Probe.Max == 0 || m.Read(time.Now()).Probe == 0 {
+	if m.Totals().ProbeWait.Max == 0 || m.Read(time.Now()).ProbeWait == 0 {
 		t.Error("the wait of the probe is missing from the totals or the reading")
 	}
 	cancel()
@@ -116,7 +116,7 @@
 	m.probeSentNanos.Store(0)
 	m.probeInFlight.Store(true)
 	time.Sleep(5 * ms)
-	if got := m.Read(time.Now()).Probe; got < 5*ms {
+	if got := m.Read(time.Now()).ProbeWait; got < 5*ms {
 		t.Errorf("a probe in flight for 5 ms counts as %v", got)
 	}
 }
@@ -184,13 +184,13 @@
 	b.Run("HandedIn", func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
-			m.HandedIn(ms)
+			m.RecordSubmission(ms)
 		}
 	})
 	b.Run("Section", func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
-			m.Section(func() {})
+			m.RunSection(func() {})
 		}
 	})
 	b.Run("Read", func(b *testing.B) {
@@ -198,7 +198,7 @@
 		now := time.Now()
 		for b.Loop() {
 			for range 10 {
-				m.HandedIn(ms)
+				m.RecordSubmission(ms)
 			}
 			now = now.Add(50 * ms)
 			m.Read(now)
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -95,11 +95,11 @@
 }
 
 // statusByCode maps the protocol's result codes to statuses.
-var statusByCode = []dispatch.Status{dispatch.OK, dispatch.Errored, dispatch.Full, dispatch.TimedOut,
-	dispatch.ConnectFailed, dispatch.Reset, dispatch.Cancelled, dispatch.Moot}
+var statusByCode = []dispatch.Status{dispatch.OK, dispatch.Errored, dispatch.Refused, dispatch.TimedOut,
+	dispatch.ConnectFailed, dispatch.Reset, dispatch.Cancelled, dispatch.NotSent}
 
 // stateByReadiness maps the protocol's readiness values to endpoint states.
-var stateByReadiness = map[string]dispatch.State{"healthy": dispatch.Listed, "cordoned": dispatch.Draining,
+var stateByReadiness = map[string]dispatch.MembershipState{"healthy": dispatch.Listed, "cordoned": dispatch.Draining,
 	"deregistered": dispatch.Gone}
 
 // parseEndpoints converts the rows of a list.
@@ -133,25 +133,25 @@
 			return nil, fmt.Errorf("unknown code %d", *m.Code)
 		}
 		status := statusByCode[*m.Code]
-		var rep *dispatch.Report
+		var rep *dispatch.LimitReport
 		if m.Report != nil {
-			rep = &dispatch.Report{Left: m.Report.X0, Limit: m.Report.X1}
+			rep = &dispatch.LimitReport{LeftShare: m.Report.X0, Rate: m.Report.X1}
 		}
 		if m.Msg == "health-result" {
 			return dispatch.ProbeResult{Endpoint: m.Endpoint, Status: status, Latency: settings.Millis(m.DurationMillis),
 				Report: rep}, nil
 		}
 		ev := dispatch.Outcome{ID: m.Handle, Attempt: m.Attempt, Endpoint: m.Endpoint, Status: status,
-			Settled: m.Settled, Latency: settings.Millis(m.DurationMillis), Report: rep}
-		if status == dispatch.Full {
-			ev.Wait = settings.Millis(m.Note)
+			Closed: m.Settled, Latency: settings.Millis(m.DurationMillis), Report: rep}
+		if status == dispatch.Refused {
+			ev.RetryAfter = settings.Millis(m.Note)
 		}
-		ev.NoSlot = status == dispatch.Moot && m.Note == 1
+		ev.NoSlot = status == dispatch.NotSent && m.Note == 1
 		return ev, nil
 	case "hangup":
-		return dispatch.Hangup{ID: m.Handle}, nil
+		return dispatch.Withdrawal{ID: m.Handle}, nil
 	case "alarm":
-		return dispatch.Woken{}, nil
+		return dispatch.WakeDue{}, nil
 	}
 	return nil, nil
 }
@@ -159,7 +159,7 @@
 // decodeMembers converts a fleet message to a change of the endpoint list.
 func (s *server) decodeMembers(m *message) (dispatch.Event, error) {
 	if m.Form == "unavailable" {
-		return dispatch.MembersLost{}, nil
+		return dispatch.MembershipLost{}, nil
 	}
 	if m.Form != "update" && m.Form != "replace" && m.Form != "restored" {
 		return nil, fmt.Errorf("unknown form %q", m.Form)
@@ -171,5 +171,5 @@
 	if !ok {
 		return nil, fmt.Errorf("list %d was never declared", *m.List)
 	}
-	return dispatch.Members{Whole: m.Form != "update", Endpoints: list}, nil
+	return dispatch.MembershipUpdate{Full: m.Form != "update", Endpoints: list}, nil
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -224,7 +224,7 @@
 		s.beginLine("assign", sender)
 		s.writeText("handle", a.ID)
 		s.writeText("endpoint", a.Endpoint)
-		s.writeMillis("cap-ms", a.TimeOut)
+		s.writeMillis("cap-ms", a.Timeout)
 	case dispatch.Cancel:
 		s.beginLine("drop-attempt", sender)
 		s.writeText("handle", a.ID)
