--- a/cmd/slatelab/capacity.go
+++ b/cmd/slatelab/capacity.go
@@ -58,7 +58,7 @@
 Links are modelled: the scenario gives regions, zones, delays and loss. The scenario also tells the relays the members of the fleet.
 Real relays find the members through memberlist, which is not simulated: the results contain neither its bytes nor its processor time.
 With --real, the given number of real relays runs on loopback addresses instead, idle and with changes, and is compared with the simulator.
-Scenarios are built in (` + strings.Join(capacity.BuiltIn(), ", ") + `)
+Scenarios are built in (` + strings.Join(capacity.BuiltInNames(), ", ") + `)
 or files in protobuf text format (proto/slatemux/lab/v1/capacity.proto, example/capacity). Progress goes to standard error.`,
 		Example: "  slatelab capacity --relays 100,300,1000,3900 --scenario ordinary,burst --carrier spread,configsync",
 		Args:    cobra.NoArgs,
@@ -96,13 +96,13 @@
 	if err != nil {
 		return err
 	}
-	jobs, err := capacity.Jobs(scenarios, o.carriers, o.relays, o.seed)
+	jobs, err := capacity.NewJobs(scenarios, o.carriers, o.relays, o.seed)
 	if err != nil {
 		return err
 	}
 	debug.SetMemoryLimit(softMemoryLimitBytes)
 	results, err := o.runJobs(cmd, jobs)
-	capacity.Sort(results)
+	capacity.SortResults(results)
 	if reportErr := o.writeResults(cmd.OutOrStdout(), results); err == nil {
 		err = reportErr
 	}
--- a/cmd/slatelab/capacity_real.go
+++ b/cmd/slatelab/capacity_real.go
@@ -41,7 +41,7 @@
 		return err
 	}
 	defer os.RemoveAll(dir)
-	config := real.Config{Binary: o.binary, Relays: o.realRelays, Changes: realChangeCount, Interval: realChangeInterval, Idle: realIdleDuration,
+	config := real.Config{Binary: o.binary, Relays: o.realRelays, Changes: realChangeCount, Interval: realChangeInterval, IdleDuration: realIdleDuration,
 		Delay: realLinkDelay, Jitter: realLinkJitter, Loss: realPacketLossShare, Seed: o.seed, Baseline: true}
 	result, err := real.Run(cmd.Context(), dir, config, func(line string) { fmt.Fprintln(cmd.ErrOrStderr(), line) })
 	if err != nil {
--- a/cmd/slatelab/capacity_slopes.go
+++ b/cmd/slatelab/capacity_slopes.go
@@ -93,7 +93,7 @@
 // relaySlopesCommand measures one relay at growing numbers of destinations and of queued messages.
 func relaySlopesCommand() *cobra.Command {
 	var options slopesOptions
-	plan := slopes.RelayPlan{Span: slopes.DefaultSpan}
+	plan := slopes.RelayPlan{Duration: slopes.DefaultDuration}
 	c := &cobra.Command{
 		Use:   "relay",
 		Short: "Measure the costs of one relay by the number of destinations and of queued messages",
@@ -120,9 +120,9 @@
 		},
 	}
 	c.Flags().IntSliceVar(&plan.Destinations, "destinations", []int{1000, 3000, 10_000, 30_000, 100_000, 330_000}, "sizes of discovery's list")
-	c.Flags().IntSliceVar(&plan.Held, "held", []int{1000, 3000, 10_000, 30_000, 100_000}, "numbers of queued messages")
-	c.Flags().IntVar(&plan.HeldOver, "held-over", 10_000, "number of destinations while the number of queued messages varies")
-	c.Flags().DurationVar(&plan.Span, "span", slopes.DefaultSpan, "duration of each measurement in real time")
+	c.Flags().IntSliceVar(&plan.BacklogSizes, "held", []int{1000, 3000, 10_000, 30_000, 100_000}, "numbers of queued messages")
+	c.Flags().IntVar(&plan.BacklogDestinations, "held-over", 10_000, "number of destinations while the number of queued messages varies")
+	c.Flags().DurationVar(&plan.Duration, "span", slopes.DefaultDuration, "duration of each measurement in real time")
 	c.Flags().Int64Var(&plan.Seed, "seed", 1, "seed of the decision module's random numbers")
 	options.addFlags(c)
 	return c
@@ -131,7 +131,7 @@
 // membershipSlopesCommand measures the membership protocol at growing numbers of relays.
 func membershipSlopesCommand() *cobra.Command {
 	var options slopesOptions
-	plan := slopes.DefaultMembership
+	plan := slopes.DefaultMembershipPlan
 	c := &cobra.Command{
 		Use:   "membership",
 		Short: "Measure the costs of the membership protocol by the number of relays",
@@ -153,12 +153,12 @@
 	c.Flags().IntSliceVar(&plan.Relays, "relays", []int{50, 100, 200, 400, 800}, "numbers of members")
 	c.Flags().IntSliceVar(&plan.FullStates, "full-states", []int{50, 100, 200, 400, 800, 1600, 3900}, "numbers of members at which one exchange of full states is measured")
 	c.Flags().IntSliceVar(&plan.Fleets, "fleets", nil, "numbers of relays whose complete fleet part also runs on loopback sockets; none by default")
-	c.Flags().DurationVar(&plan.Idle, "idle", plan.Idle, "duration of the measurement of idle members")
-	c.Flags().DurationVar(&plan.Start, "start", plan.Start, "time within which all members start")
-	c.Flags().DurationVar(&plan.Settle, "settle", plan.Settle, "pause before the idle members are measured")
-	c.Flags().DurationVar(&plan.Patience, "patience", plan.Patience, "maximum time until all members know of a change")
-	c.Flags().DurationVar(&plan.Delay, "delay", plan.Delay, "mean one-way delay of a packet")
-	c.Flags().Float64Var(&plan.Loss, "loss", plan.Loss, "share of packets that are lost, 0 to 0.9")
+	c.Flags().DurationVar(&plan.IdleDuration, "idle", plan.IdleDuration, "duration of the measurement of idle members")
+	c.Flags().DurationVar(&plan.StartSpan, "start", plan.StartSpan, "time within which all members start")
+	c.Flags().DurationVar(&plan.SettleDuration, "settle", plan.SettleDuration, "pause before the idle members are measured")
+	c.Flags().DurationVar(&plan.ConvergenceTimeout, "patience", plan.ConvergenceTimeout, "maximum time until all members know of a change")
+	c.Flags().DurationVar(&plan.PacketDelay, "delay", plan.PacketDelay, "mean one-way delay of a packet")
+	c.Flags().Float64Var(&plan.PacketLossShare, "loss", plan.PacketLossShare, "share of packets that are lost, 0 to 0.9")
 	options.addFlags(c)
 	return c
 }
--- a/cmd/slatelab/connections.go
+++ b/cmd/slatelab/connections.go
@@ -84,7 +84,7 @@
 		s := with(change)
 		return [3]scripted.Script{s, s, s}
 	}
-	changingIdle := func(end scripted.End) (three [3]scripted.Script) {
+	changingIdle := func(end scripted.IdleEnd) (three [3]scripted.Script) {
 		for i, idle := range []time.Duration{400 * time.Millisecond, 200 * time.Millisecond, 800 * time.Millisecond} {
 			three[i] = with(func(s *scripted.Script) { s.End, s.Idle = end, idle })
 		}
@@ -95,8 +95,8 @@
 		"reset-idle":     changingIdle(scripted.Reset),
 		"vanish-idle":    changingIdle(scripted.Vanish),
 		"close-idle":     changingIdle(scripted.Close),
-		"close-after-25": unchanged(func(s *scripted.Script) { s.Uses = 25 }),
-		"cap-4":          unchanged(func(s *scripted.Script) { s.Cap = 4 }),
+		"close-after-25": unchanged(func(s *scripted.Script) { s.MaxCalls = 25 }),
+		"cap-4":          unchanged(func(s *scripted.Script) { s.MaxConnections = 4 }),
 	}
 }
 
@@ -156,7 +156,7 @@
 			calls, failed = calls+result.calls, failed+result.failed
 			fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%.3f\t%.1f\t%.1f\t%.1f\t%.1f\t%d\t\n", candidate.name, name, result.calls, result.failed,
 				100*float64(result.failed)/float64(max(result.calls, 1)), 1000*float64(result.serverCounters.Accepted)/float64(max(result.calls, 1)),
-				p99(result.firstMillis), p99(result.warmMillis), result.meanHeld, result.serverCounters.Most)
+				p99(result.firstMillis), p99(result.warmMillis), result.meanHeld, result.serverCounters.MaxOpen)
 			servers[name].Stop()
 		}
 		fmt.Fprintf(w, "%s\tall\t%d\t%d\t%.3f\t\t\t\t\t%.1f us/call\t\n", candidate.name, calls, failed, 100*float64(failed)/float64(max(calls, 1)),
@@ -199,8 +199,8 @@
 		body = make([]byte, 16<<10) // more than the receive buffer of a server that no longer reads can hold
 	}
 	batch := 10
-	if script[0].Cap > 0 {
-		batch, callsPerSecond = script[0].Cap, min(callsPerSecond/3, 400) // half of the server's capacity
+	if script[0].MaxConnections > 0 {
+		batch, callsPerSecond = script[0].MaxConnections, min(callsPerSecond/3, 400) // half of the server's capacity
 	}
 	var calls sync.WaitGroup
 	call := func(latencies *[]float64) {
--- a/cmd/slatelab/fleet_faults.go
+++ b/cmd/slatelab/fleet_faults.go
@@ -45,7 +45,7 @@
 			}
 			defer os.RemoveAll(dir)
 			out := cmd.OutOrStdout()
-			fleet, err := fleets.Put(dir, binary, scenario, func(line string) {
+			fleet, err := fleets.New(dir, binary, scenario, func(line string) {
 				if !quiet {
 					fmt.Fprintln(out, line)
 				}
@@ -69,8 +69,8 @@
 					case <-finished:
 						return
 					case <-tick.C:
-						if !quiet && !fleet.Began.IsZero() {
-							fleet.Beliefs(out)
+						if !quiet && !fleet.LoadStart.IsZero() {
+							fleet.PrintStatements(out)
 						}
 					}
 				}
@@ -81,7 +81,7 @@
 			if err != nil {
 				return err
 			}
-			if err := fleet.Settle(time.Now().Add(60 * time.Second)); err != nil {
+			if err := fleet.WaitUntilSettled(time.Now().Add(60 * time.Second)); err != nil {
 				return err
 			}
 			report := fleet.Judge()
@@ -91,10 +91,10 @@
 			if showConnections {
 				for _, p := range scenario.Partner {
 					fmt.Fprintf(out, "connections to %s, by relay and quarter of a second:\n", p.Name)
-					report.Tried(out, p, 0, scenario.LengthS)
+					report.PrintConnectionAttempts(out, p, 0, scenario.LengthS)
 				}
 			}
-			if n := len(report.Verdict.Breaches); n > 0 {
+			if n := len(report.Verdict.Violations); n > 0 {
 				return fmt.Errorf("fleet-faults: %d rules are broken", n)
 			}
 			return nil
--- a/cmd/slatelab/fleet_scale.go
+++ b/cmd/slatelab/fleet_scale.go
@@ -50,27 +50,27 @@
 
 // scaleDay returns one run of a fleet of the given number of relays. Destination 0 is down from second 8 to second 13 and has reduced
 // capacity afterwards; the limit of destination 1 is below its demand. A nil fleet means no gossip.
-func scaleDay(relays int, seed uint64, fleet *workload.Fleet) workload.Day {
+func scaleDay(relays int, seed uint64, fleet *workload.GossipConfig) workload.Scenario {
 	settings := dispatch.Settings{
 		Classes: []dispatch.Class{{Name: "slot", Effect: dispatch.Safe, Aim: time.Second, Deadline: 5 * time.Second, Worth: 1, LateWorth: 0.1}},
 		Kinds:   []dispatch.Kind{{Name: "partner"}}, Zones: []dispatch.Zone{{Name: "z"}}, Zone: "z", Resolution: 5 * time.Millisecond,
 		MaxCalls: 30, MaxOpen: 400, MaxAttempts: 8, ConnectTimeout: time.Second, KeepAlive: 5 * time.Second, CallsPerConn: 1,
 		MaxRetryAfter: 3 * time.Second, SendRetryAfter: true, CanCancel: true, Weights: dispatch.RoughWeights, LateByHalves: true,
 		Safety: dispatch.Safety{MinStartCapacityShare: 0.23, Ramp: 13 * time.Second, OverloadMultiple: 1.5, OverloadFor: 1500 * time.Millisecond}}
-	day := workload.Day{Seed: seed, Relays: relays, Settings: settings, Length: 30 * time.Second, Class: "slot", TimeLeft: 5 * time.Second,
+	day := workload.Scenario{Seed: seed, Relays: relays, Settings: settings, Length: 30 * time.Second, Class: "slot", TimeLeft: 5 * time.Second,
 		Fleet: fleet, Reports: true}
 	for i := range 10 {
 		demand := float64(relays) * 2 / 10
 		limit := demand * 1.5
-		destination := workload.Destination{Servers: relays, Work: 40 * time.Millisecond, Rate: demand}
+		destination := workload.Destination{Servers: relays, Work: 40 * time.Millisecond, MessagesPerSecond: demand}
 		switch i {
 		case 0:
-			destination.Health = servermodel.Health{Spells: []servermodel.Spell{{From: emulator.Time(8 * time.Second), To: emulator.Time(13 * time.Second),
-				State: servermodel.Down}}, StartShare: 0.23, Cold: 13 * time.Second}
+			destination.Health = servermodel.Health{Faults: []servermodel.Fault{{From: emulator.Time(8 * time.Second), To: emulator.Time(13 * time.Second),
+				State: servermodel.Down}}, StartShare: 0.23, ColdStartDuration: 13 * time.Second}
 		case 1:
 			limit = demand * 0.8
 		}
-		destination.Limit = servermodel.Bucket{Rate: limit, Burst: limit, Tells: true, Draws: true}
+		destination.Limit = servermodel.TokenBucket{Rate: limit, Burst: limit, ReportsWait: true, ChargesRefusals: true}
 		day.Destinations = append(day.Destinations, destination)
 	}
 	return day
@@ -83,23 +83,23 @@
 	links := gossip.Links{Delay: time.Millisecond, Jitter: 4 * time.Millisecond, Loss: lossShare}
 	for _, relays := range sizes {
 		for _, gossipEnabled := range []bool{false, true} {
-			var days []workload.Day
+			var days []workload.Scenario
 			for seed := range seeds {
-				var fleet *workload.Fleet
+				var fleet *workload.GossipConfig
 				if gossipEnabled {
-					fleet = &workload.Fleet{Links: links, Exchange: scaleExchangeInterval, Bytes: 4096, Agree: 2}
+					fleet = &workload.GossipConfig{Links: links, ExchangeInterval: scaleExchangeInterval, BytesPerSecond: 4096, Quorum: 2}
 				}
 				days = append(days, scaleDay(relays, uint64(seed+1), fleet))
 			}
-			results, err := workload.Many(days, min(runtime.NumCPU(), 4))
+			results, err := workload.SimulateAll(days, min(runtime.NumCPU(), 4))
 			if err != nil {
 				return err
 			}
 			var spreadTimes []time.Duration
 			var bytesPerSecond, worth, callsInOutage, callsAfterOutage, refusedCalls float64
 			for _, r := range results {
-				spreadTimes = append(spreadTimes, r.Told.Spread...)
-				bytesPerSecond += float64(r.Told.Bytes) / 40 / float64(relays) / float64(seeds)
+				spreadTimes = append(spreadTimes, r.Gossip.SpreadTimes...)
+				bytesPerSecond += float64(r.Gossip.SentBytes) / 40 / float64(relays) / float64(seeds)
 				worth += r.Worth() / float64(seeds)
 				for _, c := range r.Calls {
 					seconds := c.At.Duration().Seconds()
--- a/cmd/slatelab/main.go
+++ b/cmd/slatelab/main.go
@@ -65,7 +65,7 @@
 				return fmt.Errorf("burn: --for %v is not above 0 and at most 10 minutes", duration)
 			}
 			runtime.GOMAXPROCS(1)
-			if err := lab.Keep([]int{cpu}); err != nil {
+			if err := lab.PinSelf([]int{cpu}); err != nil {
 				return err
 			}
 			x := 0
@@ -109,11 +109,11 @@
 				if err != nil {
 					return err
 				}
-				deployment, err := lab.Put(dir, deploymentConfig(1, 32, 20*time.Millisecond))
+				deployment, err := lab.Start(dir, deploymentConfig(1, 32, 20*time.Millisecond))
 				if err != nil {
 					return err
 				}
-				relay, err := deployment.Relay(run.binary, []int{0}, run.gateway)
+				relay, err := deployment.StartRelay(run.binary, []int{0}, run.gateway)
 				if err != nil {
 					return err
 				}
--- a/cmd/slatelab/overload.go
+++ b/cmd/slatelab/overload.go
@@ -21,14 +21,14 @@
 
 // deploymentConfig returns the configuration of a deployment whose partners accept any load, so that only the relay can be the bottleneck.
 // Each destination has two partners, which answer after the given mean latency.
-func deploymentConfig(destinations int, memoryMB float64, latency time.Duration) lab.Place {
-	p := lab.Place{Classes: lab.Usual(), Tenants: []lab.Tenant{{Name: "saburtalo", Share: 0.45}, {Name: "rustavi", Share: 0.33},
+func deploymentConfig(destinations int, memoryMB float64, latency time.Duration) lab.DeploymentConfig {
+	p := lab.DeploymentConfig{Classes: lab.DefaultClasses(), Tenants: []lab.Tenant{{Name: "saburtalo", Share: 0.45}, {Name: "rustavi", Share: 0.33},
 		{Name: "kutaisi", Share: 0.22}}, MemoryMB: memoryMB, DiskMB: 256, Sockets: 12_000, MaxOpen: 20_000, MaxCalls: 2_000,
 		KeepAlive: 5 * time.Second, Seed: 7}
 	for d := range destinations {
 		for _, half := range []string{"a", "b"} {
 			p.Partners = append(p.Partners, partner.Config{Name: fmt.Sprintf("p%d%s", d, half), Dest: d, Seed: uint64(d),
-				Life: []partner.Phase{{Latency: partner.Latency{Mean: latency}}}})
+				Phases: []partner.Phase{{Latency: partner.Latency{Mean: latency}}}})
 		}
 	}
 	return p
@@ -36,10 +36,10 @@
 
 // messageStreams returns the load's streams: one for each class and tenant, with 0.6 of the messages in the first class and
 // 0.4 in the second.
-func messageStreams(p lab.Place, bodyBytes int) (list []load.Stream) {
+func messageStreams(p lab.DeploymentConfig, bodyBytes int) (list []load.Stream) {
 	for i, share := range []float64{0.6, 0.4} {
 		for _, t := range p.Tenants {
-			list = append(list, load.Stream{Class: i, Tenant: t.Name, Share: share * t.Share, Body: bodyBytes, Deadline: p.Classes[i].Deadline})
+			list = append(list, load.Stream{Class: i, Tenant: t.Name, Share: share * t.Share, BodyBytes: bodyBytes, Deadline: p.Classes[i].Deadline})
 		}
 	}
 	return list
@@ -115,7 +115,7 @@
 	if len(otherCPUs) == 0 {
 		return fmt.Errorf("overload: the relay needs a processor of its own, but this machine has only one")
 	}
-	if err := lab.Keep(otherCPUs); err != nil {
+	if err := lab.PinSelf(otherCPUs); err != nil {
 		return err
 	}
 	if f.capacityPerSecond == 0 {
@@ -161,7 +161,7 @@
 		}
 		offered, inAim := 0, 0
 		for _, c := range r.verdict.Classes {
-			offered, inAim = offered+c.Offered, inAim+c.InAim
+			offered, inAim = offered+c.Offered, inAim+c.WithinAim
 		}
 		if float64(inAim) < 0.97*float64(offered) {
 			f.capacityPerSecond = rate / 1.25
@@ -181,7 +181,7 @@
 	}
 	defer os.RemoveAll(dir)
 	config := deploymentConfig(4, f.memoryMB, 20*time.Millisecond)
-	deployment, err := lab.Put(dir, config)
+	deployment, err := lab.Start(dir, config)
 	if err != nil {
 		return run, err
 	}
@@ -190,7 +190,7 @@
 	if f.debug {
 		flags = []string{"--log-level", "debug"}
 	}
-	relay, err := deployment.Relay(f.binary, []int{f.cpu}, gatewayConfig, flags...)
+	relay, err := deployment.StartRelay(f.binary, []int{f.cpu}, gatewayConfig, flags...)
 	if err != nil {
 		return run, err
 	}
@@ -222,9 +222,9 @@
 			cpu = usage.CPU - before.CPU
 		}
 	}()
-	err = deployment.Load(ctx, load.Config{Clients: f.clients, Patience: 400 * time.Millisecond, Streams: messageStreams(config, f.bodyBytes),
+	err = deployment.RunLoad(ctx, load.Config{Clients: f.clients, Patience: 400 * time.Millisecond, Streams: messageStreams(config, f.bodyBytes),
 		Steps: []load.Step{{For: warmUp, Rate: min(rate, 0.6*f.capacityPerSecond)}, {For: f.runDuration, Rate: rate}}, Dests: destinationNumbers(config),
-		Retries: f.maxRetries, Honour: 1, Seed: 11, Poisson: true})
+		MaxRetries: f.maxRetries, RetryAfterShare: 1, Seed: 11, Poisson: true})
 	stopSampling()
 	<-samplingDone
 	if err == nil {
@@ -234,7 +234,7 @@
 		return run, err
 	}
 	time.Sleep(500 * time.Millisecond) // time for outstanding calls to end
-	if err := relay.End(time.Now().Add(10 * time.Second)); err != nil {
+	if err := relay.Stop(time.Now().Add(10 * time.Second)); err != nil {
 		return run, fmt.Errorf("relay did not end as expected: %w\n%s", err, relay.Log())
 	}
 	deployment.Close()
@@ -248,13 +248,13 @@
 		}
 	}
 	run.coresUsed = float64(cpu) / float64(f.runDuration)
-	if line, ok := relay.Line("counters"); ok {
+	if line, ok := relay.LastLogLine("counters"); ok {
 		for i, name := range []string{"p50", "p99", "p999", "most"} {
-			run.loopDelays[i] = time.Duration(lab.Field(line, "vitals", "loop_delay", name))
+			run.loopDelays[i] = time.Duration(lab.NumberAt(line, "vitals", "loop_delay", name))
 		}
-		run.openAtEnd = lab.Field(line, "relay", "open") > 0
+		run.openAtEnd = lab.NumberAt(line, "relay", "open") > 0
 	}
-	rules := ledger.Usual(deployment.Classes)
+	rules := ledger.DefaultRules(deployment.Classes)
 	rules.From, rules.To = begin, begin.Add(f.runDuration)
 	end := time.Now()
 	if !run.openAtEnd {
@@ -265,7 +265,7 @@
 }
 
 // destinationNumbers returns the destinations of a deployment, each once.
-func destinationNumbers(p lab.Place) (list []int) {
+func destinationNumbers(p lab.DeploymentConfig) (list []int) {
 	seen := map[int]bool{}
 	for _, c := range p.Partners {
 		if !seen[c.Dest] {
@@ -307,16 +307,16 @@
 		seconds := r.duration.Seconds()
 		perSecond := func(n int) string { return strconv.FormatFloat(float64(n)/seconds, 'f', 0, 64) }
 		leadingColumns, trailingColumns := fmt.Sprintf("| %gx | %s | %s ", r.factor, core, control), fmt.Sprintf("| %s / %s / %s | %.2f | %.0f | %d |",
-			formatMillis(r.loopDelays[0]), formatMillis(r.loopDelays[1]), formatMillis(r.loopDelays[2]), r.coresUsed, float64(r.maxRSSBytes)/1e6, len(r.verdict.Breaches))
+			formatMillis(r.loopDelays[0]), formatMillis(r.loopDelays[1]), formatMillis(r.loopDelays[2]), r.coresUsed, float64(r.maxRSSBytes)/1e6, len(r.verdict.Violations))
 		if i > 0 {
 			leadingColumns, trailingColumns = "| | | ", "| | | | |"
 		}
 		fmt.Fprintf(w, "%s| %s | %s | %s | %s | %s | %s | %.0f | %s / %s | %s / %s %s\n", leadingColumns, c.Class,
-			perSecond(c.Offered), perSecond(c.Accepted), perSecond(c.Refused), perSecond(c.NoAnswer+c.Unsent+c.Failed), perSecond(c.InAim),
-			c.Worth/seconds, formatMillis(ledger.At(c.ToAccept, 0.5)), formatMillis(ledger.At(c.ToAccept, 0.99)),
-			formatMillis(ledger.At(c.RefuseFromSent, 0.5)), formatMillis(ledger.At(c.RefuseFromSent, 0.99)), trailingColumns)
+			perSecond(c.Offered), perSecond(c.Accepted), perSecond(c.Refused), perSecond(c.NoAnswer+c.Unsent+c.Failed), perSecond(c.WithinAim),
+			c.Worth/seconds, formatMillis(ledger.Quantile(c.AcceptLatency, 0.5)), formatMillis(ledger.Quantile(c.AcceptLatency, 0.99)),
+			formatMillis(ledger.Quantile(c.RefuseLatencyFromSent, 0.5)), formatMillis(ledger.Quantile(c.RefuseLatencyFromSent, 0.99)), trailingColumns)
 	}
-	for i, b := range r.verdict.Breaches {
+	for i, b := range r.verdict.Violations {
 		if i == 5 {
 			break
 		}
@@ -345,10 +345,10 @@
 			seconds := r.duration.Seconds()
 			_ = w.Write([]string{formatNumber(r.factor), strconv.FormatBool(r.starved), strconv.FormatBool(r.overloadControl), c.Class,
 				formatNumber(float64(c.Offered) / seconds), formatNumber(float64(c.Accepted) / seconds), formatNumber(float64(c.Refused) / seconds),
-				formatNumber(float64(c.NoAnswer+c.Unsent+c.Failed) / seconds), formatNumber(float64(c.InAim) / seconds), formatNumber(c.Worth / seconds),
+				formatNumber(float64(c.NoAnswer+c.Unsent+c.Failed) / seconds), formatNumber(float64(c.WithinAim) / seconds), formatNumber(c.Worth / seconds),
 				formatMillis(r.loopDelays[0]), formatMillis(r.loopDelays[1]), formatMillis(r.loopDelays[2]), formatNumber(r.coresUsed),
 				strconv.FormatInt(r.maxRSSBytes, 10),
-				strconv.Itoa(len(r.verdict.Breaches))})
+				strconv.Itoa(len(r.verdict.Violations))})
 		}
 	}
 	w.Flush()
--- a/cmd/slatelab/tls.go
+++ b/cmd/slatelab/tls.go
@@ -56,7 +56,7 @@
 				if err != nil {
 					return err
 				}
-				if err := pair.Files(filepath.Join(dir, l.name+".pem"), filepath.Join(dir, l.name+".key")); err != nil {
+				if err := pair.WriteFiles(filepath.Join(dir, l.name+".pem"), filepath.Join(dir, l.name+".key")); err != nil {
 					return err
 				}
 			}
@@ -219,8 +219,8 @@
 	if leaf != nil {
 		name, how = tls.VersionName(version), map[bool]string{false: "full", true: "resumed"}[allowResumption]
 	}
-	fmt.Fprintf(w, "| %s | %s | %s | %.2f | %.2f | %.2f | %.1f%% |\n", kind, name, how, millis(ledger.At(delays, 0.5)), millis(ledger.At(delays, 0.99)),
-		millis(ledger.At(cpuTimes, 0.5)), 100*float64(resumed)/float64(f.handshakeCount))
+	fmt.Fprintf(w, "| %s | %s | %s | %.2f | %.2f | %.2f | %.1f%% |\n", kind, name, how, millis(ledger.Quantile(delays, 0.5)), millis(ledger.Quantile(delays, 0.99)),
+		millis(ledger.Quantile(cpuTimes, 0.5)), 100*float64(resumed)/float64(f.handshakeCount))
 	return nil
 }
 
@@ -236,7 +236,7 @@
 
 // prepareDeployment returns a deployment's configuration and the gateway's settings. With useTLS, the partners use TLS with a new
 // certificate, follow the phases in life if there are any, and their root certificate is written to dir.
-func (f *tlsFlags) prepareDeployment(dir string, useTLS bool, life []partner.Phase, latency time.Duration) (lab.Place, string, error) {
+func (f *tlsFlags) prepareDeployment(dir string, useTLS bool, life []partner.Phase, latency time.Duration) (lab.DeploymentConfig, string, error) {
 	config := deploymentConfig(4, 512, latency)
 	gatewayConfig, err := readGatewayConfig(f.gatewayPath)
 	if err != nil || !useTLS {
@@ -256,7 +256,7 @@
 	for i := range config.Partners {
 		config.Partners[i].TLS = &tls.Config{Certificates: []tls.Certificate{leaf.TLS()}}
 		if life != nil {
-			config.Partners[i].Life = life
+			config.Partners[i].Phases = life
 		}
 	}
 	return config, gatewayConfig, nil
@@ -278,11 +278,11 @@
 	if useTLS {
 		gatewayConfig += fmt.Sprintf("\ntls { policy { name: \"bank\" root_file: %q sessions: 64 } %s }\n", filepath.Join(dir, "root.pem"), handshakeSettings)
 	}
-	if deployment, err = lab.Put(dir, config); err != nil {
+	if deployment, err = lab.Start(dir, config); err != nil {
 		return nil, nil, 0, err
 	}
 	defer deployment.Close()
-	if relay, err = deployment.Relay(f.binary, []int{f.cpu}, gatewayConfig); err != nil {
+	if relay, err = deployment.StartRelay(f.binary, []int{f.cpu}, gatewayConfig); err != nil {
 		return nil, nil, 0, err
 	}
 	defer relay.Kill()
@@ -290,7 +290,7 @@
 		go onLoadStart(deployment)
 	}
 	before := relay.Usage()
-	err = deployment.Load(ctx, load.Config{Clients: 300, Patience: 400 * time.Millisecond, Streams: messageStreams(config, 200), Steps: steps,
+	err = deployment.RunLoad(ctx, load.Config{Clients: 300, Patience: 400 * time.Millisecond, Streams: messageStreams(config, 200), Steps: steps,
 		Dests: destinationNumbers(config), Seed: 11, Poisson: true})
 	cpu = relay.Usage().CPU - before.CPU
 	if err == nil {
@@ -299,7 +299,7 @@
 	if err != nil {
 		return nil, nil, 0, err
 	}
-	if err := relay.Settled(time.Now().Add(40 * time.Second)); err != nil {
+	if err := relay.AwaitSettled(time.Now().Add(40 * time.Second)); err != nil {
 		return nil, nil, 0, err
 	}
 	return deployment, relay, cpu, nil
@@ -321,7 +321,7 @@
 			delivered += c.Delivered
 		}
 		fmt.Fprintf(w, "| %s | %d | %.1f | %d |\n", map[bool]string{false: "plain", true: "TLS 1.3"}[useTLS], delivered,
-			float64(cpu.Microseconds())/float64(max(delivered, 1)), len(verdict.Breaches))
+			float64(cpu.Microseconds())/float64(max(delivered, 1)), len(verdict.Violations))
 	}
 	fmt.Fprintln(w)
 	return nil
@@ -360,7 +360,7 @@
 				fullBefore, resumedBefore = countHandshakes(d)
 				disconnectedAt = time.Now()
 				for _, p := range d.Partners {
-					p.Recycle()
+					p.EndConnections()
 				}
 			})
 		if err != nil {
@@ -368,19 +368,19 @@
 		}
 		<-done
 		allFull, allResumed := countHandshakes(deployment)
-		line, _ := relay.Line("counters")
+		line, _ := relay.LastLogLine("counters")
 		verdict := deployment.Judge(time.Now().Add(time.Hour))
 		offered, inAim := 0, 0
 		for _, c := range verdict.Classes {
-			offered, inAim = offered+c.Offered, inAim+c.InAim
+			offered, inAim = offered+c.Offered, inAim+c.WithinAim
 		}
 		after, lowest := goodputRecovery(deployment.Ledger.Delivered(disconnectedAt, 100*time.Millisecond), f.messagesPerSecond)
 		fmt.Fprintf(w, "| %s | %d / %d | %s | %.0f%% | %.0f / %.0f | %.0f | %.1f%% | %d |\n", map[bool]string{false: "off", true: "on"}[admission],
 			allFull-fullBefore, allResumed-resumedBefore,
-			after, lowest, lab.Field(line, "vitals", "loop_delay", "p99")/1e6,
-			lab.Field(line, "vitals", "loop_delay", "most")/1e6, lab.Field(line, "relay", "not_connected"),
-			100*float64(offered-inAim)/float64(max(offered, 1)), len(verdict.Breaches))
-		for i, b := range verdict.Breaches {
+			after, lowest, lab.NumberAt(line, "vitals", "loop_delay", "p99")/1e6,
+			lab.NumberAt(line, "vitals", "loop_delay", "most")/1e6, lab.NumberAt(line, "relay", "not_connected"),
+			100*float64(offered-inAim)/float64(max(offered, 1)), len(verdict.Violations))
+		for i, b := range verdict.Violations {
 			if i < 3 {
 				fmt.Fprintf(w, "breach: %s: %s\n", b.Rule, b.Text)
 			}
@@ -429,12 +429,12 @@
 		if err != nil {
 			return err
 		}
-		return pair.Files(file("client.pem"), file("client.key"))
+		return pair.WriteFiles(file("client.pem"), file("client.key"))
 	}
 	if err := renew(0); err != nil {
 		return err
 	}
-	deployment, err := lab.Put(dir, config)
+	deployment, err := lab.Start(dir, config)
 	if err != nil {
 		return err
 	}
@@ -443,7 +443,7 @@
 	if err != nil {
 		return err
 	}
-	relay, err := deployment.Relay(f.binary, []int{f.cpu}, gatewayConfig+fmt.Sprintf(`
+	relay, err := deployment.StartRelay(f.binary, []int{f.cpu}, gatewayConfig+fmt.Sprintf(`
 tls { policy { name: "bank" root_file: %q client_certificate: %q client_key: %q } }`, file("root.pem"), file("client.pem"), file("client.key")))
 	if err != nil {
 		return err
@@ -462,17 +462,17 @@
 		renewed <- nil
 	}()
 	duration := time.Duration(f.fileChanges)*interval*6/5 + time.Second
-	if err := deployment.Load(ctx, load.Config{Clients: 300, Patience: 400 * time.Millisecond, Streams: messageStreams(config, 200), Steps: []load.Step{{For: duration, Rate: rate}},
+	if err := deployment.RunLoad(ctx, load.Config{Clients: 300, Patience: 400 * time.Millisecond, Streams: messageStreams(config, 200), Steps: []load.Step{{For: duration, Rate: rate}},
 		Dests: destinationNumbers(config), Seed: 11}); err != nil {
 		return err
 	}
 	if err := <-renewed; err != nil {
 		return err
 	}
-	if err := relay.Settled(time.Now().Add(40 * time.Second)); err != nil {
+	if err := relay.AwaitSettled(time.Now().Add(40 * time.Second)); err != nil {
 		return err
 	}
-	line, _ := relay.Line("tls counters")
+	line, _ := relay.LastLogLine("tls counters")
 	full, resumed := int64(0), int64(0)
 	for _, s := range deployment.Partners {
 		a, b := s.Handshakes()
@@ -485,8 +485,8 @@
 		accepted, delivered = accepted+c.Accepted, delivered+c.Delivered
 	}
 	fmt.Fprintf(w, "\n%d changes of roots and client's pair in %v under %d messages a second: %.0f were seen, %.0f found half done;\n%d messages taken on, %d delivered, %d handshakes in full, %d resumed, %d breaches\n",
-		f.fileChanges, duration, rate, lab.Field(line, "tls", "reloads"), lab.Field(line, "tls", "bad_reloads"), accepted, delivered, full, resumed, len(verdict.Breaches))
-	for i, b := range verdict.Breaches {
+		f.fileChanges, duration, rate, lab.NumberAt(line, "tls", "reloads"), lab.NumberAt(line, "tls", "bad_reloads"), accepted, delivered, full, resumed, len(verdict.Violations))
+	for i, b := range verdict.Violations {
 		if i < 3 {
 			fmt.Fprintf(w, "breach: %s: %s\n", b.Rule, b.Text)
 		}
--- a/cmd/slatelab/toy.go
+++ b/cmd/slatelab/toy.go
@@ -29,10 +29,10 @@
 			events := &ledger.Ledger{}
 			var hosts []platform.Host
 			for _, name := range []string{"toy-a", "toy-b"} {
-				server, err := partner.Start(partner.Config{Name: name, Dest: 7, Addr: "127.0.0.1:0", Ledger: events, Refuse: "refuse",
-					Life:   []partner.Phase{{Latency: partner.Latency{Mean: 250 * time.Millisecond}, Wait: 500 * time.Millisecond}},
-					Report: "x0=0.9,x1=20",
-					OnCall: func(c ledger.Call) { cmd.Printf("%s: %016x answered %d\n", c.Member, c.ID, c.Status) }})
+				server, err := partner.Start(partner.Config{Name: name, Dest: 7, Addr: "127.0.0.1:0", Ledger: events, RefusedBody: "refuse",
+					Phases:     []partner.Phase{{Latency: partner.Latency{Mean: 250 * time.Millisecond}, Wait: 500 * time.Millisecond}},
+					LoadReport: "x0=0.9,x1=20",
+					OnCall:     func(c ledger.Call) { cmd.Printf("%s: %016x answered %d\n", c.Member, c.ID, c.Status) }})
 				if err != nil {
 					return err
 				}
--- a/cmd/slatemux/config.go
+++ b/cmd/slatemux/config.go
@@ -216,7 +216,7 @@
 		o.Tenants = append(o.Tenants, overload.Tenant{Name: t.Name, Share: t.Share})
 	}
 	// A platform whose clients do not honour retry-after waits sets a maximum. Refused clients are given no longer wait, unless the
-	// minimum RetryLeast is longer.
+	// minimum MinRetryIn is longer.
 	if maxWait := c.settings.MaxRetryAfter; maxWait > 0 {
 		o.MaxRetryIn = max(maxWait, o.MinRetryIn)
 	}
--- a/cmd/slatemux/fleet.go
+++ b/cmd/slatemux/fleet.go
@@ -185,7 +185,7 @@
 	fmt.Fprintln(w, "FROM\tWHAT\tDESTINATION\tMEMBER\tAGE\tLAPSES IN")
 	for _, v := range list {
 		what, member := v.Kind, v.Member
-		if v.Over {
+		if v.Withdrawn {
 			what += " is over"
 		} else if v.LengthMS > 0 {
 			what += fmt.Sprintf(" (%v)", rounded(v.LengthMS))
--- a/cmd/slatemux/fleet_configuration_cli.go
+++ b/cmd/slatemux/fleet_configuration_cli.go
@@ -129,7 +129,7 @@
 		}
 		fmt.Fprintf(w, "source %s\tknown through %d, %s\n", source.Name, state.Versions[source.Name], trust)
 	}
-	fmt.Fprintf(w, "kept over a restart\t%v\n\n", state.Figures.Kept)
+	fmt.Fprintf(w, "kept over a restart\t%v\n\n", state.Metrics.Saved)
 	fmt.Fprintln(w, "KEY\tVALUE\tSOURCE\tSEQUENCE\tREVISION\tSTATE")
 	for _, entry := range state.Entries {
 		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%s\n", entry.Key, entry.Value, entry.Source, entry.Sequence, entry.Revision, entryState(entry))
--- a/cmd/slatemux/fleet_configuration_test.go
+++ b/cmd/slatemux/fleet_configuration_test.go
@@ -73,7 +73,7 @@
 		if err == nil {
 			err = json.Unmarshal([]byte(out), &state)
 		}
-		if err == nil && state.Figures.Kept {
+		if err == nil && state.Metrics.Saved {
 			return state
 		}
 		if time.Now().After(end) {
--- a/cmd/slatemux/main.go
+++ b/cmd/slatemux/main.go
@@ -162,14 +162,14 @@
 	if member != nil {
 		flowFleet, relayFleet = member, member
 	}
-	connsConfig := cfg.gateway.Conns.Keep
+	connsConfig := cfg.gateway.Conns.Config
 	connsConfig.MaxConns, connsConfig.MaxIdle, connsConfig.Seed = limits.memberConns, cfg.settings.KeepAlive, uint64(cfg.seed)
 	var resolver flow.Resolver // a nil interface if no names are looked up
 	if cfg.gateway.Conns.LookUpNames {
 		resolver = net.DefaultResolver
 	}
-	flows, err := flow.New(flow.Config{Resolver: resolver, TLS: flowTLS, HandshakeGate: cfg.gateway.TLS.Gate, ProgramLoad: cpuBusy, ConnectTimeout: cfg.settings.ConnectTimeout,
-		MaxCalls: limits.flows, SettleTime: connRestTime, Conns: connsConfig, MaxConnWait: cfg.gateway.Conns.HeldMost, UnackedTimeout: cfg.gateway.Conns.StuckAfter,
+	flows, err := flow.New(flow.Config{Resolver: resolver, TLS: flowTLS, HandshakeGate: cfg.gateway.TLS.Handshakes, ProgramLoad: cpuBusy, ConnectTimeout: cfg.settings.ConnectTimeout,
+		MaxCalls: limits.flows, SettleTime: connRestTime, Conns: connsConfig, MaxConnWait: cfg.gateway.Conns.MaxConnWait, UnackedTimeout: cfg.gateway.Conns.UnackedTimeout,
 		LocalDelay: meters.ProbeWait, SharedWaits: sharedWaits, Fleet: flowFleet}, func(end traffic.FlowEnd) { r.FlowEnded(end) })
 	if err != nil {
 		return err
@@ -208,7 +208,7 @@
 	fleetCtx, leaveFleet := context.WithCancel(ctx)
 	defer leaveFleet()
 	if member != nil {
-		member.Recall(limitStore.Limits())
+		member.RestoreLimits(limitStore.Limits())
 		workers.Go(func() { member.Run(fleetCtx) })
 	}
 
@@ -286,7 +286,7 @@
 				"out_of_time", gate.Expired, "waiting", waiting)
 		}
 		if member != nil {
-			slog.Log(ctx, level, "fleet counters", "why", cause, "fleet", member.Figures())
+			slog.Log(ctx, level, "fleet counters", "why", cause, "fleet", member.Metrics())
 		}
 		slog.Log(ctx, level, "counters", "why", cause, "relay", r.Counters(), "front", server.Counters(), "connections", flows.Counters(), "pool", watcher.Counters(), "notices", notices.Counters(),
 			"journal", journalBytes, "owed", pending, "compacted", compacted, "reloads", reloads, "bad_reloads", badReloads,
--- a/cmd/slatemux/ops_handler.go
+++ b/cmd/slatemux/ops_handler.go
@@ -46,7 +46,7 @@
 	stats := ops.Stats{Success: emptyIfNil(counters.Success), Overload: overload, Error: emptyIfNil(counters.Error), Dispatches: counters.Dispatches,
 		Concurrent: counters.Concurrent, Targets: counters.Members, TargetsDisabled: counters.Banned + counters.Avoided}
 	if h.fleet != nil {
-		stats.Fleet = h.fleet.Figures()
+		stats.Fleet = h.fleet.Metrics()
 	}
 	return stats
 }
--- a/internal/allowance/explore_test.go
+++ b/internal/allowance/explore_test.go
@@ -23,33 +23,33 @@
 // searchConfigs lists the configurations whose interleavings are searched exhaustively. Some start from a new fleet, others from a
 // fleet that has already exchanged claims and grants.
 var searchConfigs = []explore.Config{
-	{Relays: 2, Owners: 2, Steps: 8, Losses: 1, Restarts: 1, Flight: 3},
-	{Relays: 2, Owners: 1, Steps: 9, Jumps: 1, Restarts: 1, Flight: 3, Rounds: 4},
-	{Relays: 2, Owners: 2, Steps: 10, Jumps: 1, Flight: 3, Rounds: 4},
-	{Relays: 2, Owners: 1, Steps: 11, Jumps: 1, Flight: 2, Rounds: 4, Often: true},
-	{Relays: 3, Owners: 1, Steps: 9, Jumps: 1, Restarts: 1, Flight: 1, Rounds: 4, Often: true},
-	{Relays: 3, Owners: 2, Steps: 7, Losses: 1, Jumps: 1, Flight: 3, Rounds: 4},
-	{Relays: 3, Owners: 1, Steps: 8, Jumps: 1, Pushes: 1, Flight: 3, Rounds: 4},
+	{Relays: 2, Owners: 2, Steps: 8, MaxLosses: 1, MaxRestarts: 1, MaxInFlight: 3},
+	{Relays: 2, Owners: 1, Steps: 9, MaxLoadMoves: 1, MaxRestarts: 1, MaxInFlight: 3, ClaimRounds: 4},
+	{Relays: 2, Owners: 2, Steps: 10, MaxLoadMoves: 1, MaxInFlight: 3, ClaimRounds: 4},
+	{Relays: 2, Owners: 1, Steps: 11, MaxLoadMoves: 1, MaxInFlight: 2, ClaimRounds: 4, AllowEarlyClaims: true},
+	{Relays: 3, Owners: 1, Steps: 9, MaxLoadMoves: 1, MaxRestarts: 1, MaxInFlight: 1, ClaimRounds: 4, AllowEarlyClaims: true},
+	{Relays: 3, Owners: 2, Steps: 7, MaxLosses: 1, MaxLoadMoves: 1, MaxInFlight: 3, ClaimRounds: 4},
+	{Relays: 3, Owners: 1, Steps: 8, MaxLoadMoves: 1, MaxPushedGrants: 1, MaxInFlight: 3, ClaimRounds: 4},
 }
 
 // walkConfig configures random walks of a larger fleet over many leases and loans.
-var walkConfig = explore.Config{Relays: 4, Owners: 3, Steps: 100, Losses: 5, Restarts: 3, Jumps: 8, Pushes: 8, Flight: 6, Rounds: 4}
+var walkConfig = explore.Config{Relays: 4, Owners: 3, Steps: 100, MaxLosses: 5, MaxRestarts: 3, MaxLoadMoves: 8, MaxPushedGrants: 8, MaxInFlight: 6, ClaimRounds: 4}
 
 // Guards against interleavings of lost and delayed messages, restarts and clock jumps in which the relays together may use more
 // than the limit.
 func TestNoInterleavingExceedsLimit(t *testing.T) {
 	for _, c := range searchConfigs {
 		startedAt := time.Now()
-		r := explore.Run(explore.Real(withShortDurations(c)))
-		t.Logf("%d relays, %d owners, %d steps: %d states, %d steps, at most %.3f of the limit in %v", c.Relays, c.Owners, c.Steps, r.States, r.Steps, r.Most, time.Since(startedAt))
-		if r.Breach != nil || r.Most < 0.9 || r.States < 10000 {
-			t.Errorf("search result %+v, breach of the limit after %q", r, r.Breach)
+		r := explore.Search(explore.WithProductionCode(withShortDurations(c)))
+		t.Logf("%d relays, %d owners, %d steps: %d states, %d steps, at most %.3f of the limit in %v", c.Relays, c.Owners, c.Steps, r.States, r.Steps, r.MaxRateShare, time.Since(startedAt))
+		if r.Counterexample != nil || r.MaxRateShare < 0.9 || r.States < 10000 {
+			t.Errorf("search result %+v, breach of the limit after %q", r, r.Counterexample)
 		}
 	}
-	r := explore.Walk(explore.Real(withShortDurations(walkConfig)), 20000, 1)
-	t.Logf("random walks: %d steps, at most %.3f of the limit", r.Steps, r.Most)
-	if r.Breach != nil || r.Most < 0.9 {
-		t.Errorf("random walks: %.3f of the limit in use, breach after %q", r.Most, r.Breach)
+	r := explore.RandomWalks(explore.WithProductionCode(withShortDurations(walkConfig)), 20000, 1)
+	t.Logf("random walks: %d steps, at most %.3f of the limit", r.Steps, r.MaxRateShare)
+	if r.Counterexample != nil || r.MaxRateShare < 0.9 {
+		t.Errorf("random walks: %.3f of the limit in use, breach after %q", r.MaxRateShare, r.Counterexample)
 	}
 }
 
@@ -82,11 +82,11 @@
 				s.NewHolder, s.NewOwner = c.NewHolder, c.NewOwner
 				return s
 			}
-			r := explore.Run(mutated(searchConfigs[searchIndex]))
-			if r.Breach == nil {
+			r := explore.Search(mutated(searchConfigs[searchIndex]))
+			if r.Counterexample == nil {
 				t.Fatalf("no breach of the limit found in %d states", r.States)
 			}
-			t.Logf("%.2f of the limit in use after %q", r.Most, r.Breach)
+			t.Logf("%.2f of the limit in use after %q", r.MaxRateShare, r.Counterexample)
 		})
 	}
 }
--- a/internal/fleet/configuration_state.go
+++ b/internal/fleet/configuration_state.go
@@ -16,8 +16,8 @@
 	Entries int `json:"entries"` // entries in the store, removed ones included
 	Applied int `json:"applied_entries"`
 	Unknown int `json:"unknown_entries"` // entries in force that are stored and replicated, but have no meaning in this build
-	// Kept is set if everything in force is saved, and thus outlives this process.
-	Kept      bool                `json:"kept"`
+	// Saved is set if everything in force is saved, and thus outlives this process.
+	Saved     bool                `json:"kept"`
 	FileBytes int64               `json:"file_bytes"`
 	Counters  configsync.Counters `json:"counters"`
 }
@@ -29,7 +29,7 @@
 	}
 	c := g.Counters
 	return slog.GroupValue(slog.Int("members", g.Members), slog.Int("entries", g.Entries), slog.Int("applied_entries", g.Applied),
-		slog.Int("unknown_entries", g.Unknown), slog.Bool("kept", g.Kept), slog.Int64("sent_packets", c.SentPackets),
+		slog.Int("unknown_entries", g.Unknown), slog.Bool("kept", g.Saved), slog.Int64("sent_packets", c.SentPackets),
 		slog.Int64("sent_bytes", c.SentBytes), slog.Int64("pushes", c.Pushes), slog.Int64("retries", c.Retries),
 		slog.Int64("abandoned", c.Abandoned), slog.Int64("exchanges", c.Exchanges), slog.Int64("repaired", c.Repaired),
 		slog.Int64("applied", c.Applied), slog.Int64("duplicates", c.Duplicates), slog.Int64("untrusted", c.Untrusted),
@@ -83,7 +83,7 @@
 	Sources  []ConfigurationSource    `json:"sources"`
 	Members  []string                 `json:"members"`
 	Entries  []ConfigurationEntry     `json:"entries"`
-	Figures  ConfigurationMetrics     `json:"figures"`
+	Metrics  ConfigurationMetrics     `json:"figures"`
 }
 
 // Configuration returns the state that was published last; nil for a relay that replicates no configuration.
@@ -108,15 +108,15 @@
 		c.stateOutdated = false
 		state = c.state()
 	}
-	state.Figures.Counters = c.replica.Counters()
-	state.Figures.Kept = c.file != nil && c.saveError == nil
+	state.Metrics.Counters = c.replica.Counters()
+	state.Metrics.Saved = c.file != nil && c.saveError == nil
 	if c.file != nil {
-		state.Figures.FileBytes = c.file.Size()
+		state.Metrics.FileBytes = c.file.Size()
 	}
 	f.shared.Lock()
 	defer f.shared.Unlock()
 	f.shared.configuration = state
-	return &state.Figures
+	return &state.Metrics
 }
 
 // state builds the state that operators see, without the metrics that publishConfiguration adds.
@@ -124,16 +124,16 @@
 	entries := c.store.Entries()
 	state := ConfigurationState{Versions: c.store.Versions(), Digest: fmt.Sprintf("%016x", c.store.Digest()), Sources: c.sources(),
 		Members: slices.Clone(c.members), Entries: make([]ConfigurationEntry, 0, len(entries))}
-	state.Figures.Members, state.Figures.Entries = len(c.members), len(entries)
+	state.Metrics.Members, state.Metrics.Entries = len(c.members), len(entries)
 	for _, entry := range entries {
 		_, known := directive.Parse(entry.Key, entry.Value)
 		applied := known && !entry.Removed
 		state.Entries = append(state.Entries, ConfigurationEntry{Key: entry.Key, Value: string(entry.Value), Removed: entry.Removed,
 			Source: entry.Source, Sequence: entry.Sequence, Revision: entry.Revision, Applied: applied})
 		if applied {
-			state.Figures.Applied++
+			state.Metrics.Applied++
 		} else if !entry.Removed {
-			state.Figures.Unknown++
+			state.Metrics.Unknown++
 		}
 	}
 	return state
--- a/internal/fleet/configuration_test.go
+++ b/internal/fleet/configuration_test.go
@@ -115,8 +115,8 @@
 	t.Helper()
 	waitFor(t, fmt.Sprint(members, " relays replicate"), func() bool {
 		return !slices.ContainsFunc(relays, func(p *testRelay) bool {
-			figures := p.Figures().Configuration
-			return figures == nil || figures.Members != members || !figures.Kept
+			figures := p.Metrics().Configuration
+			return figures == nil || figures.Members != members || !figures.Saved
 		})
 	})
 }
@@ -160,9 +160,9 @@
 	all := []*testRelay{a, b, d}
 	waitForReplication(t, 3, all...)
 	for _, p := range append(all, older) {
-		p.Pool(1, testPool())
+		p.UpdatePool(1, testPool())
 	}
-	waitFor(t, "the older build is a member", func() bool { return older.Figures().Members == 4 && a.Figures().Members == 4 })
+	waitFor(t, "the older build is a member", func() bool { return older.Metrics().Members == 4 && a.Metrics().Members == 4 })
 
 	b.submitNext(t, machine, "endpoint/m", "down")
 	if !b.excludesExactly("m") {
@@ -173,7 +173,7 @@
 	waitForExclusions(t, all, "m", "n")
 	a.submitNext(t, machine, "rate/7", "100")
 	waitFor(t, "all relays have the entry that this build does not know", func() bool {
-		return !slices.ContainsFunc(all, func(p *testRelay) bool { return p.Figures().Configuration.Unknown != 1 })
+		return !slices.ContainsFunc(all, func(p *testRelay) bool { return p.Metrics().Configuration.Unknown != 1 })
 	})
 	waitForExclusions(t, all, "m", "n")
 	a.submitNext(t, machine, "destination/7", "")
@@ -188,10 +188,10 @@
 	if state.Versions["control"] != 5 || len(state.Entries) != 3 || !slices.Equal(state.Members, []string{"a", "bb", "ddd"}) {
 		t.Errorf("%+v", state)
 	}
-	if older.Configuration() != nil || older.Figures().Configuration != nil || !older.excludesExactly() {
+	if older.Configuration() != nil || older.Metrics().Configuration != nil || !older.excludesExactly() {
 		t.Error("the older build replicates configuration")
 	}
-	if drops := older.Figures().Drops; drops.Malformed+drops.OtherVersion+drops.Strangers != 0 {
+	if drops := older.Metrics().Drops; drops.Malformed+drops.OtherVersion+drops.UnknownSenders != 0 {
 		t.Errorf("the older build dropped something: %+v", drops)
 	}
 	if err := older.submit(t, machine.sign(6, 6, "endpoint/m", "down")); !errors.Is(err, ErrConfigurationOff) {
@@ -212,10 +212,10 @@
 	}
 	waitFor(t, "the other relay has all changes", func() bool { return b.Configuration().Versions["control"] == 3 })
 	b.stop()
-	waitFor(t, "the stopped relay is no longer a member", func() bool { return a.Figures().Members == 1 })
+	waitFor(t, "the stopped relay is no longer a member", func() bool { return a.Metrics().Members == 1 })
 
 	alone := startRelay(t, "bb", withConfiguration(t, dir, machine))
-	alone.Pool(1, testPool())
+	alone.UpdatePool(1, testPool())
 	waitForExclusions(t, []*testRelay{alone}, "m")
 	waitFor(t, "the restarted relay shows the saved state", func() bool {
 		state := alone.Configuration()
@@ -227,7 +227,7 @@
 	restarted := startRelay(t, "bb", withConfiguration(t, dir, machine), a)
 	fresh := startRelay(t, "new", withConfiguration(t, "", machine), a)
 	for _, p := range []*testRelay{restarted, fresh} {
-		p.Pool(1, testPool())
+		p.UpdatePool(1, testPool())
 	}
 	waitForExclusions(t, []*testRelay{restarted, fresh}, "m", "n")
 	waitFor(t, "all have the same configuration", func() bool {
@@ -251,12 +251,12 @@
 	waitForReplication(t, 1, a)
 	a.submitNext(t, machine, "endpoint/m", "down")
 	b := startRelay(t, "bb", withConfiguration(t, dir, machine), a)
-	b.Pool(1, testPool())
+	b.UpdatePool(1, testPool())
 	waitForExclusions(t, []*testRelay{b}, "m")
-	waitFor(t, "the state is saved", func() bool { return b.Configuration().Figures.Kept })
+	waitFor(t, "the state is saved", func() bool { return b.Configuration().Metrics.Saved })
 	b.stop()
 	restarted := startRelay(t, "bb", withConfiguration(t, dir, machine))
-	restarted.Pool(1, testPool())
+	restarted.UpdatePool(1, testPool())
 	waitForExclusions(t, []*testRelay{restarted}, "m")
 }
 
@@ -272,7 +272,7 @@
 		withConfiguration(t, dir, machine)(cfg)
 		cfg.Bind = predecessor.cfg.Bind
 	})
-	successor.Pool(1, testPool())
+	successor.UpdatePool(1, testPool())
 	waitForExclusions(t, []*testRelay{successor}, "m")
 	if err := successor.submit(t, machine.sign(2, 2, "endpoint/n", "down")); !errors.Is(err, ErrConfigurationNotReady) {
 		t.Errorf("the process without the address: %v", err)
@@ -295,7 +295,7 @@
 	})
 	b := startRelay(t, "bb", withConfiguration(t, "", machine), a)
 	waitForReplication(t, 2, a, b)
-	a.Pool(1, testPool())
+	a.UpdatePool(1, testPool())
 	a.submitNext(t, machine, "endpoint/m", "down")
 	if err := a.submit(t, machine.next(t, a, "endpoint/n", "down")); !errors.Is(err, ErrConfigurationNotSaved) {
 		t.Errorf("a change that does not fit into the file: %v", err)
@@ -303,9 +303,9 @@
 	waitForExclusions(t, []*testRelay{a}, "m", "n")
 	waitFor(t, "the other relay has saved both changes", func() bool {
 		state := b.Configuration()
-		return state.Versions["control"] == 2 && state.Figures.Kept
+		return state.Versions["control"] == 2 && state.Metrics.Saved
 	})
-	waitFor(t, "the metrics show that the state is not saved", func() bool { return !a.Figures().Configuration.Kept })
+	waitFor(t, "the metrics show that the state is not saved", func() bool { return !a.Metrics().Configuration.Saved })
 }
 
 // Guards against changes that must be refused: those without the signature of a trusted source, those that are not the next
@@ -314,7 +314,7 @@
 	machine, stranger := newControlMachine("control"), newControlMachine("stranger")
 	a := startRelay(t, "a", withConfiguration(t, "", machine))
 	waitForReplication(t, 1, a)
-	a.Pool(1, testPool())
+	a.UpdatePool(1, testPool())
 	first := machine.next(t, a, "endpoint/m", "down")
 	a.mustSubmit(t, first)
 	a.mustSubmit(t, first) // submitted again, as after a lost reply
@@ -353,8 +353,8 @@
 	a := startRelay(t, "a", withConfiguration(t, "", first))
 	b := startRelay(t, "bb", withConfiguration(t, "", first), a)
 	waitForReplication(t, 2, a, b)
-	a.Pool(1, testPool())
-	b.Pool(1, testPool())
+	a.UpdatePool(1, testPool())
+	b.UpdatePool(1, testPool())
 	a.submitNext(t, first, "endpoint/m", "down")
 	waitForExclusions(t, []*testRelay{a, b}, "m")
 
--- a/internal/fleet/events.go
+++ b/internal/fleet/events.go
@@ -48,8 +48,8 @@
 	ended       bool
 }
 
-// Ended reports how a call of this relay ended.
-func (f *Fleet) Ended(flow traffic.Flow, end traffic.FlowEnd) {
+// FlowEnded reports how a call of this relay ended.
+func (f *Fleet) FlowEnded(flow traffic.Flow, end traffic.FlowEnd) {
 	ended := callEnded{verdicts.Observation{
 		Destination:   flow.Group.Destination,
 		Member:        flow.Member,
@@ -73,9 +73,9 @@
 	}
 }
 
-// Health reports whether this relay's own calls show an outage of a pool member, since when, and whether a trial call has
+// ReportHealth reports whether this relay's own calls show an outage of a pool member, since when, and whether a trial call has
 // failed since.
-func (f *Fleet) Health(member string, destination int, outage, trialFailed bool, since time.Time) {
+func (f *Fleet) ReportHealth(member string, destination int, outage, trialFailed bool, since time.Time) {
 	f.enqueue(memberHealth{
 		member:      member,
 		destination: destination,
@@ -85,14 +85,14 @@
 	})
 }
 
-// Pool reports a version of the relay's own list of pool members, by host name. The caller must not use the map
+// UpdatePool reports a version of the relay's own list of pool members, by host name. The caller must not use the map
 // afterwards.
-func (f *Fleet) Pool(version int64, members map[string]traffic.Member) {
+func (f *Fleet) UpdatePool(version int64, members map[string]traffic.Member) {
 	f.enqueue(poolUpdated{version: version, members: members})
 }
 
-// Bans reports which pool members operators have banned at this relay. The caller must not use the map afterwards.
-func (f *Fleet) Bans(set map[string]bool) { f.enqueue(bansUpdated(set)) }
+// UpdateBans reports which pool members operators have banned at this relay. The caller must not use the map afterwards.
+func (f *Fleet) UpdateBans(set map[string]bool) { f.enqueue(bansUpdated(set)) }
 
 // apply updates the judge, and announces the retry-after of a refused call, if any.
 func (e callEnded) apply(f *Fleet, now time.Duration, r *stepResult) {
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -25,7 +25,7 @@
 )
 
 const (
-	// maxPayloadBytes bounds the payload of an announcement packet, to which memberlist adds wire.Sealing bytes.
+	// maxPayloadBytes bounds the payload of an announcement packet, to which memberlist adds wire.OverheadBytes.
 	maxPayloadBytes = 1200
 	// driverRandomStream selects the random sequence of the driver goroutine.
 	driverRandomStream = 0xf1ee7
@@ -34,7 +34,7 @@
 )
 
 // Fleet is this relay's membership of its fleet. New creates a Fleet and Run runs it. Any goroutine may call the other
-// methods, except Recall.
+// methods, except RestoreLimits.
 type Fleet struct {
 	cfg       Config
 	relay     Relay
@@ -78,7 +78,7 @@
 	sync.Mutex
 	inbox        []event
 	holdEnds     map[traffic.Group]time.Time
-	metrics      Figures
+	metrics      Metrics
 	members      map[string]*MemberState
 	memberList   *memberlist.Memberlist // nil before the relay listens
 	transport    *transport             // nil before the relay listens
@@ -142,14 +142,14 @@
 		ExchangeInterval: c.ExchangeInterval,
 		BytesPerSecond:   c.BytesPerSecond,
 		PacketBytes:      wire.Size,
-		MaxPacketBytes:   maxPayloadBytes + wire.Sealing,
+		MaxPacketBytes:   maxPayloadBytes + wire.OverheadBytes,
 		Seed:             c.Seed,
 	}
 }
 
-// Recall sets the limits that a previous process had learned, by destination. Call it before Run. The caller must not use
+// RestoreLimits sets the limits that a previous process had learned, by destination. Call it before Run. The caller must not use
 // the map afterwards.
-func (f *Fleet) Recall(limits map[int]float64) { f.restoredLimits = limits }
+func (f *Fleet) RestoreLimits(limits map[int]float64) { f.restoredLimits = limits }
 
 // Reload reads the key files again. The keys of an invalid file are ignored, and the previous ones stay in use.
 func (f *Fleet) Reload() error {
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -150,7 +150,7 @@
 
 // reportRefusal reports a refused call to destination 7, with the wait that the destination asked for.
 func (p *testRelay) reportRefusal(wait time.Duration) {
-	p.Ended(traffic.Flow{Member: "m", Group: traffic.Group{Destination: 7}, StartedAt: time.Now()}, traffic.FlowEnd{Status: traffic.FlowRefused, RetryAfter: wait})
+	p.FlowEnded(traffic.Flow{Member: "m", Group: traffic.Group{Destination: 7}, StartedAt: time.Now()}, traffic.FlowEnd{Status: traffic.FlowRefused, RetryAfter: wait})
 }
 
 // Guards against announcements that do not reach all relays of a fleet of three. A retry-after at one relay holds calls at
@@ -161,36 +161,36 @@
 	b := startRelay(t, "bb", nil, a)
 	c := startRelay(t, "ccc", nil, a)
 	waitFor(t, "all three are members", func() bool {
-		return a.Figures().Members == 3 && b.Figures().Members == 3 && c.Figures().Members == 3
+		return a.Metrics().Members == 3 && b.Metrics().Members == 3 && c.Metrics().Members == 3
 	})
 	group := traffic.Group{Destination: 7}
 	a.reportRefusal(900 * time.Millisecond)
 	waitFor(t, "the wait holds at the others", func() bool { return b.hasRestraint(traffic.RestraintWait) && c.hasRestraint(traffic.RestraintWait) })
-	if now := time.Now(); !b.Held(group, now) || b.Held(traffic.Group{Destination: 8}, now) {
+	if now := time.Now(); !b.OnHold(group, now) || b.OnHold(traffic.Group{Destination: 8}, now) {
 		t.Error("another group is on hold, or the announced one is not")
 	}
 	pool := func() map[string]traffic.Member {
 		return map[string]traffic.Member{"m": {Host: "m", Destination: 7}, "n": {Host: "n", Destination: 8}}
 	}
 	for _, p := range []*testRelay{a, b, c} {
-		p.Pool(1, pool())
+		p.UpdatePool(1, pool())
 	}
-	a.Bans(map[string]bool{"m": true})
-	b.Bans(map[string]bool{"m": true})
+	a.UpdateBans(map[string]bool{"m": true})
+	b.UpdateBans(map[string]bool{"m": true})
 	waitFor(t, "the ban is in force at the third relay", func() bool {
 		c.recordingRelay.mu.Lock()
 		defer c.recordingRelay.mu.Unlock()
 		return len(c.exclusions) == 1 && c.exclusions[0] == traffic.Exclusion{Member: "m", Banned: true}
 	})
 	b.stop()
-	waitFor(t, "the stopped relay is no longer a member", func() bool { return a.Figures().Members == 2 && c.Figures().Members == 2 })
+	waitFor(t, "the stopped relay is no longer a member", func() bool { return a.Metrics().Members == 2 && c.Metrics().Members == 2 })
 	restarted := startRelay(t, "bb", func(cfg *Config) { cfg.StateDir = b.dir; cfg.KeyFile = b.cfg.KeyFile }, a)
-	waitFor(t, "the restarted relay is a member at another address", func() bool { return c.Figures().Members == 3 })
+	waitFor(t, "the restarted relay is a member at another address", func() bool { return c.Metrics().Members == 3 })
 	if got := restarted.incarnation.Load(); got != 2 {
 		t.Errorf("incarnation %d at the second start", got)
 	}
-	restarted.Ended(traffic.Flow{Group: traffic.Group{Destination: 9}}, traffic.FlowEnd{Status: traffic.FlowRefused, RetryAfter: 900 * time.Millisecond})
-	waitFor(t, "the restarted relay's announcement is in force", func() bool { return c.Held(traffic.Group{Destination: 9}, time.Now()) })
+	restarted.FlowEnded(traffic.Flow{Group: traffic.Group{Destination: 9}}, traffic.FlowEnd{Status: traffic.FlowRefused, RetryAfter: 900 * time.Millisecond})
+	waitFor(t, "the restarted relay's announcement is in force", func() bool { return c.OnHold(traffic.Group{Destination: 9}, time.Now()) })
 }
 
 // Guards against a late join after a restart. A restarted relay receives packets at once from members that have not noticed
@@ -210,7 +210,7 @@
 			}
 		}
 	}()
-	waitFor(t, "the relay has joined", func() bool { return b.Figures().Members == 2 })
+	waitFor(t, "the relay has joined", func() bool { return b.Metrics().Members == 2 })
 }
 
 // Guards against a rebuild for each of many membership changes. There is at most one rebuild per pause, and one more after
@@ -218,7 +218,7 @@
 func TestMembershipChangesAreCoalesced(t *testing.T) {
 	a := startRelay(t, "a", nil)
 	b := startRelay(t, "bb", nil, a)
-	waitFor(t, "both are members", func() bool { return a.Figures().Members == 2 && b.Figures().Members == 2 })
+	waitFor(t, "both are members", func() bool { return a.Metrics().Members == 2 && b.Metrics().Members == 2 })
 	const changes = 5000
 	before, start := a.rebuilds.Load(), time.Now()
 	for range changes {
@@ -236,7 +236,7 @@
 		t.Errorf("%d rebuilds for %d changes in %v, more than %d", got-before, changes, time.Since(start), maxRebuilds-before)
 	}
 	b.stop()
-	waitFor(t, "the stopped relay is no longer a member", func() bool { return a.Figures().Members == 1 })
+	waitFor(t, "the stopped relay is no longer a member", func() bool { return a.Metrics().Members == 1 })
 }
 
 // Guards against two faults of membership. An address that a relay no longer uses must be usable by a relay of another name.
@@ -244,18 +244,18 @@
 func TestAddressReuseAndNameConflict(t *testing.T) {
 	a := startRelay(t, "a", nil)
 	b := startRelay(t, "bb", nil, a)
-	waitFor(t, "both are members", func() bool { return a.Figures().Members == 2 && b.Figures().Members == 2 })
+	waitFor(t, "both are members", func() bool { return a.Metrics().Members == 2 && b.Metrics().Members == 2 })
 	b.stop()
 	c := startRelay(t, "ccc", func(cfg *Config) { cfg.Bind = b.cfg.Bind }, a)
-	waitFor(t, "another relay is a member at the same address", func() bool { return a.Figures().Members == 2 && c.Figures().Members == 2 })
+	waitFor(t, "another relay is a member at the same address", func() bool { return a.Metrics().Members == 2 && c.Metrics().Members == 2 })
 	for _, m := range a.Members() {
 		if m.Name == "ccc" && (m.State != "alive" || m.Addr != b.cfg.Bind.String()) || m.Name == "bb" && m.State == "alive" {
 			t.Errorf("%+v", m)
 		}
 	}
 	startRelay(t, "ccc", nil, a) // the same name at another address
-	waitFor(t, "the name conflict is counted", func() bool { return a.Figures().Drops.NameConflicts > 0 })
-	if got := a.Figures().Members; got != 2 {
+	waitFor(t, "the name conflict is counted", func() bool { return a.Metrics().Drops.NameConflicts > 0 })
+	if got := a.Metrics().Members; got != 2 {
 		t.Errorf("%d members", got)
 	}
 }
@@ -265,20 +265,20 @@
 func TestKeyChange(t *testing.T) {
 	a := startRelay(t, "a", nil)
 	b := startRelay(t, "bb", nil, a)
-	waitFor(t, "both are members", func() bool { return a.Figures().Members == 2 && b.Figures().Members == 2 })
+	waitFor(t, "both are members", func() bool { return a.Metrics().Members == 2 && b.Metrics().Members == 2 })
 	for _, nextKeys := range [][][]byte{{testKeys[0], testKeys[1]}, {testKeys[1], testKeys[0]}, {testKeys[1]}} {
 		for _, p := range []*testRelay{a, b} {
 			writeKeyFile(t, p.dir, nextKeys...)
 			if err := p.Reload(); err != nil {
 				t.Fatal(err)
 			}
-			answeredBefore := a.Figures().Spread.ExchangesAnswered + b.Figures().Spread.ExchangesAnswered
+			answeredBefore := a.Metrics().Spread.ExchangesAnswered + b.Metrics().Spread.ExchangesAnswered
 			waitFor(t, "both still answer exchanges", func() bool {
-				return a.Figures().Spread.ExchangesAnswered+b.Figures().Spread.ExchangesAnswered > answeredBefore+3
+				return a.Metrics().Spread.ExchangesAnswered+b.Metrics().Spread.ExchangesAnswered > answeredBefore+3
 			})
 		}
 	}
-	if n := a.Figures().Drops.Forged + b.Figures().Drops.Forged; n != 0 {
+	if n := a.Metrics().Drops.Forged + b.Metrics().Drops.Forged; n != 0 {
 		t.Errorf("%d packets dropped as forged", n)
 	}
 }
@@ -288,7 +288,7 @@
 func TestRejectedInputIsCounted(t *testing.T) {
 	a := startRelay(t, "a", nil)
 	b := startRelay(t, "bb", nil, a)
-	waitFor(t, "both are members", func() bool { return a.Figures().Members == 2 && b.Figures().Members == 2 })
+	waitFor(t, "both are members", func() bool { return a.Metrics().Members == 2 && b.Metrics().Members == 2 })
 	attacker, err := net.Dial("udp", a.cfg.Bind.String())
 	if err != nil {
 		t.Fatal(err)
@@ -331,21 +331,21 @@
 		}, func(d Drops) int64 { return d.Oversized + d.Malformed }},
 		"version":  {deliver(statementPacket("bb", 1), wire.Version+1), func(d Drops) int64 { return d.OtherVersion }},
 		"form":     {func() { delegate{a.Fleet}.NotifyMsg([]byte{wire.Version, 0xff, 0xff}) }, func(d Drops) int64 { return d.Malformed }},
-		"stranger": {deliver(statementPacket("nobody", 1), wire.Version), func(d Drops) int64 { return d.Strangers }},
+		"stranger": {deliver(statementPacket("nobody", 1), wire.Version), func(d Drops) int64 { return d.UnknownSenders }},
 		"replayed": {func() {
 			for range 2 {
 				deliver(spread.Packet{From: "bb", Incarnation: 1, Sequence: 50_000}, wire.Version)()
 			}
 		}, func(d Drops) int64 { return d.Replayed }},
 	} {
-		before := c.count(a.Figures().Drops)
+		before := c.count(a.Metrics().Drops)
 		c.do()
-		waitFor(t, name+" is counted", func() bool { return c.count(a.Figures().Drops) > before })
+		waitFor(t, name+" is counted", func() bool { return c.count(a.Metrics().Drops) > before })
 	}
 	if a.hasRestraint(traffic.RestraintWait) {
 		t.Error("a statement of a rejected packet is in force")
 	}
-	if a.Figures().Members != 2 {
+	if a.Metrics().Members != 2 {
 		t.Error("a member was lost")
 	}
 }
@@ -365,7 +365,7 @@
 	if _, err := next.Join([]string{a.cfg.Bind.String()}); err == nil {
 		t.Error("a member of another version joined")
 	}
-	if a.Figures().Members > 1 {
+	if a.Metrics().Members > 1 {
 		t.Error("a relay of another version is a member")
 	}
 }
@@ -413,11 +413,11 @@
 	c := startRelay(t, "c", divideByThree, a)
 	flowEnd := traffic.FlowEnd{Status: traffic.Delivered, Report: &traffic.Report{Remaining: 10, Limit: 300}}
 	for _, p := range []*testRelay{a, b, c} {
-		p.Ended(traffic.Flow{Group: traffic.Group{Destination: 4}, StartedAt: time.Now()}, flowEnd)
+		p.FlowEnded(traffic.Flow{Group: traffic.Group{Destination: 4}, StartedAt: time.Now()}, flowEnd)
 	}
 	reportLoad := func(p *testRelay, waiting int) {
-		p.Demand([]traffic.Demand{{Destination: 4, Arrived: [traffic.PriorityLevels]int{waiting / 10}, Waiting: [traffic.PriorityLevels]int{waiting}}})
-		p.Ended(traffic.Flow{Group: traffic.Group{Destination: 4}, StartedAt: time.Now()}, flowEnd)
+		p.ReportDemand([]traffic.Demand{{Destination: 4, Arrived: [traffic.PriorityLevels]int{waiting / 10}, Waiting: [traffic.PriorityLevels]int{waiting}}})
+		p.FlowEnded(traffic.Flow{Group: traffic.Group{Destination: 4}, StartedAt: time.Now()}, flowEnd)
 	}
 	waitFor(t, "the loaded relay gets most of the limit", func() bool {
 		reportLoad(b, 500)
--- a/internal/fleet/limits.go
+++ b/internal/fleet/limits.go
@@ -32,8 +32,8 @@
 	}
 )
 
-// Demand reports how much this relay has to send, by destination. The caller must not use the list afterwards.
-func (f *Fleet) Demand(list []traffic.Demand) {
+// ReportDemand reports how much this relay has to send, by destination. The caller must not use the list afterwards.
+func (f *Fleet) ReportDemand(list []traffic.Demand) {
 	if f.cfg.DivideLimits {
 		f.enqueue(demandReported(list))
 	}
--- a/internal/fleet/metrics.go
+++ b/internal/fleet/metrics.go
@@ -9,8 +9,8 @@
 	"slatemux/internal/verdicts"
 )
 
-// Figures holds the metrics that operators see.
-type Figures struct {
+// Metrics holds the metrics that operators see.
+type Metrics struct {
 	Members       int               `json:"members"` // live members, this relay included
 	StalenessMS   float64           `json:"staleness_ms"`
 	Verdicts      int               `json:"verdicts"` // statements in force
@@ -19,28 +19,28 @@
 	Drops         Drops             `json:"drops"`
 	Spread        spread.Counters   `json:"spread"`
 	JudgeCounters verdicts.Counters `json:"judged"`
-	// Divided counts the work of dividing limits; all counters are zero if limits are not divided.
-	Divided allowance.Counters `json:"divided"`
+	// AllowanceCounters counts the work of dividing limits; all counters are zero if limits are not divided.
+	AllowanceCounters allowance.Counters `json:"divided"`
 	// Configuration holds the metrics of the replication of configuration; nil if replication is off.
 	Configuration *ConfigurationMetrics `json:"configuration,omitempty"`
 }
 
 // Drops counts rejected input, by reason, and packets that were not sent.
 type Drops struct {
-	Forged        int64 `json:"forged"`    // not encrypted with a key of this fleet, or corrupted
-	Replayed      int64 `json:"replayed"`  // received before, or of an earlier incarnation of the sender
-	OtherFleet    int64 `json:"foreign"`   // of another fleet
-	OtherVersion  int64 `json:"version"`   // of a wire version that this build does not read
-	Malformed     int64 `json:"form"`      // cannot be decoded, or is invalid
-	Oversized     int64 `json:"oversized"` // longer than any packet or stream that a relay sends
-	Strangers     int64 `json:"strangers"` // from a sender that is not a member
-	Overrun       int64 `json:"overrun"`   // arrived while the inbox was full, or a stream above maxStreams
-	NameConflicts int64 `json:"conflict"`  // two members with the same name
-	Short         int64 `json:"short"`     // not sent, because the bandwidth was used up
+	Forged         int64 `json:"forged"`    // not encrypted with a key of this fleet, or corrupted
+	Replayed       int64 `json:"replayed"`  // received before, or of an earlier incarnation of the sender
+	OtherFleet     int64 `json:"foreign"`   // of another fleet
+	OtherVersion   int64 `json:"version"`   // of a wire version that this build does not read
+	Malformed      int64 `json:"form"`      // cannot be decoded, or is invalid
+	Oversized      int64 `json:"oversized"` // longer than any packet or stream that a relay sends
+	UnknownSenders int64 `json:"strangers"` // from a sender that is not a member
+	InboxFull      int64 `json:"overrun"`   // arrived while the inbox was full, or a stream above maxStreams
+	NameConflicts  int64 `json:"conflict"`  // two members with the same name
+	Unsent         int64 `json:"short"`     // not sent, because the bandwidth was used up
 }
 
-// Figures returns the metrics that were published last.
-func (f *Fleet) Figures() Figures {
+// Metrics returns the metrics that were published last.
+func (f *Fleet) Metrics() Metrics {
 	f.shared.Lock()
 	defer f.shared.Unlock()
 	return f.shared.metrics
@@ -70,13 +70,13 @@
 	Kind        string  `json:"kind"`
 	Destination int     `json:"destination"`
 	Member      string  `json:"member,omitempty"`
-	Over        bool    `json:"over,omitempty"`
+	Withdrawn   bool    `json:"over,omitempty"`
 	Incarnation uint64  `json:"incarnation"`
 	Seq         uint64  `json:"seq"`
 	AgeMS       float64 `json:"age_ms"`
 	LengthMS    float64 `json:"length_ms,omitempty"`
 	LeftMS      float64 `json:"left_ms"` // until the statement expires
-	List        int64   `json:"list,omitempty"`
+	ListVersion int64   `json:"list,omitempty"`
 }
 
 // newVerdict converts a statement for operators.
@@ -86,13 +86,13 @@
 		Kind:        s.Kind.String(),
 		Destination: s.Destination,
 		Member:      s.Member,
-		Over:        s.Withdrawn,
+		Withdrawn:   s.Withdrawn,
 		Incarnation: s.Incarnation,
 		Seq:         s.Seq,
 		AgeMS:       milliseconds(s.Age),
 		LengthMS:    milliseconds(s.Length),
 		LeftMS:      milliseconds(min(s.Lifetime, s.Kind.MaxLifetime()) - s.Age),
-		List:        s.ListVersion,
+		ListVersion: s.ListVersion,
 	}
 }
 
@@ -100,7 +100,7 @@
 func (f *Fleet) publish(now time.Duration) {
 	f.incarnation.Store(f.announcer.Incarnation())
 	statements := f.store.All(now)
-	metrics := Figures{
+	metrics := Metrics{
 		Members:       len(f.nodes),
 		StalenessMS:   milliseconds(f.spread.Staleness(now)),
 		Verdicts:      len(statements),
@@ -110,7 +110,7 @@
 	var limits []allowance.State
 	if f.allocator != nil {
 		limits = f.allocator.States(now)
-		metrics.Divided = f.allocator.Counters()
+		metrics.AllowanceCounters = f.allocator.Counters()
 	}
 	metrics.Drops = f.drops.snapshot(metrics.Spread)
 	metrics.Configuration = f.publishConfiguration()
@@ -127,29 +127,29 @@
 // snapshot reads the counters, and adds those that internal/spread keeps.
 func (d *dropCounters) snapshot(counters spread.Counters) Drops {
 	return Drops{
-		Forged:        d.Forged.Load(),
-		Replayed:      counters.Replayed,
-		OtherFleet:    d.OtherFleet.Load(),
-		OtherVersion:  d.OtherVersion.Load(),
-		Malformed:     d.Malformed.Load(),
-		Oversized:     d.Oversized.Load(),
-		Strangers:     counters.UnknownSenders,
-		Overrun:       d.InboxFull.Load(),
-		NameConflicts: d.NameConflicts.Load(),
-		Short:         counters.Unsent,
+		Forged:         d.Forged.Load(),
+		Replayed:       counters.Replayed,
+		OtherFleet:     d.OtherFleet.Load(),
+		OtherVersion:   d.OtherVersion.Load(),
+		Malformed:      d.Malformed.Load(),
+		Oversized:      d.Oversized.Load(),
+		UnknownSenders: counters.UnknownSenders,
+		InboxFull:      d.InboxFull.Load(),
+		NameConflicts:  d.NameConflicts.Load(),
+		Unsent:         counters.Unsent,
 	}
 }
 
 // addTransport sets the traffic metrics and adds the drops that the transport counts.
-func (g *Figures) addTransport(t *transport) {
+func (g *Metrics) addTransport(t *transport) {
 	g.SentBytes = t.sentBytes.Load()
 	g.ReceivedBytes = t.receivedBytes.Load()
 	g.Drops.Oversized += t.oversizedCount.Load()
-	g.Drops.Overrun += t.refusedStreams.Load()
+	g.Drops.InboxFull += t.refusedStreams.Load()
 }
 
 // LogValue returns the metrics as a group of log attributes.
-func (g Figures) LogValue() slog.Value {
+func (g Metrics) LogValue() slog.Value {
 	return slog.GroupValue(
 		slog.Int("members", g.Members),
 		slog.Float64("staleness_ms", g.StalenessMS),
@@ -161,20 +161,20 @@
 		slog.Int64("overruled", g.JudgeCounters.Overruled),
 		slog.Int64("overdrawn", g.JudgeCounters.OverBudget),
 		slog.Int64("unagreed", g.JudgeCounters.BelowQuorum),
-		slog.Int64("claims", g.Divided.Claims),
-		slog.Int64("grants", g.Divided.Grants),
-		slog.Int64("stray_grants", g.Divided.Rejected),
-		slog.Int64("owners_avoided", g.Divided.OwnersAvoided),
+		slog.Int64("claims", g.AllowanceCounters.Claims),
+		slog.Int64("grants", g.AllowanceCounters.Grants),
+		slog.Int64("stray_grants", g.AllowanceCounters.Rejected),
+		slog.Int64("owners_avoided", g.AllowanceCounters.OwnersAvoided),
 		slog.Int64("forged", g.Drops.Forged),
 		slog.Int64("replayed", g.Drops.Replayed),
 		slog.Int64("foreign", g.Drops.OtherFleet),
 		slog.Int64("version", g.Drops.OtherVersion),
 		slog.Int64("form", g.Drops.Malformed),
 		slog.Int64("oversized", g.Drops.Oversized),
-		slog.Int64("strangers", g.Drops.Strangers),
-		slog.Int64("overrun", g.Drops.Overrun),
+		slog.Int64("strangers", g.Drops.UnknownSenders),
+		slog.Int64("overrun", g.Drops.InboxFull),
 		slog.Int64("conflict", g.Drops.NameConflicts),
-		slog.Int64("short", g.Drops.Short),
+		slog.Int64("short", g.Drops.Unsent),
 		slog.Any("configuration", g.Configuration),
 	)
 }
--- a/internal/fleet/restraints.go
+++ b/internal/fleet/restraints.go
@@ -8,9 +8,9 @@
 	"slatemux/internal/verdicts"
 )
 
-// Held reports whether calls of a group must wait because of an announcement of other relays. The relay calls Held before
+// OnHold reports whether calls of a group must wait because of an announcement of other relays. The relay calls OnHold before
 // it writes each call.
-func (f *Fleet) Held(group traffic.Group, now time.Time) bool {
+func (f *Fleet) OnHold(group traffic.Group, now time.Time) bool {
 	if now.UnixNano() >= f.lastHoldEndNanos.Load() { // the usual case: no group is on hold
 		return false
 	}
@@ -19,7 +19,7 @@
 	return now.Before(f.shared.holdEnds[group])
 }
 
-// restrain stores the holds for Held, and passes all restraints to the relay.
+// restrain stores the holds for OnHold, and passes all restraints to the relay.
 func (f *Fleet) restrain(restraints []verdicts.Restraint) {
 	if len(restraints) == 0 {
 		return
--- a/internal/fleet/wire/configuration_test.go
+++ b/internal/fleet/wire/configuration_test.go
@@ -71,8 +71,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if len(b)+Sealing != Size(&p) {
-			t.Errorf("%d bytes, but Size is %d", len(b)+Sealing, Size(&p))
+		if len(b)+OverheadBytes != Size(&p) {
+			t.Errorf("%d bytes, but Size is %d", len(b)+OverheadBytes, Size(&p))
 		}
 		if got, err := Decode(b); err != nil || !reflect.DeepEqual(got, p) {
 			t.Errorf("%v\n%+v\n%+v", err, got.Configuration, p.Configuration)
@@ -237,7 +237,7 @@
 // Guards against effects of configuration messages on internal/spread. A packet with only a configuration message is
 // accepted from a member, and rejected when it is replayed or from an unknown sender. It causes no announcement or reply.
 func TestSpreadCarriesConfiguration(t *testing.T) {
-	s, err := spread.New(spread.Config{Self: "a", ExchangeInterval: time.Second, BytesPerSecond: 1e4, PacketBytes: Size, MaxPacketBytes: 1200 + Sealing}, 0, verdicts.NewStore(), 1)
+	s, err := spread.New(spread.Config{Self: "a", ExchangeInterval: time.Second, BytesPerSecond: 1e4, PacketBytes: Size, MaxPacketBytes: 1200 + OverheadBytes}, 0, verdicts.NewStore(), 1)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/fleet/wire/wire.go
+++ b/internal/fleet/wire/wire.go
@@ -21,12 +21,12 @@
 // Version is the version of the packet format. A relay reads no other version.
 const Version = 1
 
-// Sealing is the number of bytes that are added to an encoded packet on the network: memberlist's type (1), checksum (5),
+// OverheadBytes is the number of bytes that are added to an encoded packet on the network: memberlist's type (1), checksum (5),
 // label (12), encryption version, nonce and authentication tag (29), and the headers of UDP and IP (28).
-const Sealing = 1 + 5 + 12 + 29 + 28
+const OverheadBytes = 1 + 5 + 12 + 29 + 28
 
-// MaxNews bounds the number of statements in one packet.
-const MaxNews = 256
+// MaxStatements bounds the number of statements in one packet.
+const MaxStatements = 256
 
 const (
 	// maxGroups bounds the number of groups into which the receivers of a packet are divided.
@@ -52,8 +52,8 @@
 	return b, nil
 }
 
-// Size returns the size of a packet on the network in bytes, with Sealing.
-func Size(p *spread.Packet) int { return Sealing + 1 + proto.Size(encodePacket(p)) }
+// Size returns the size of a packet on the network in bytes, including OverheadBytes.
+func Size(p *spread.Packet) int { return OverheadBytes + 1 + proto.Size(encodePacket(p)) }
 
 // encodePacket converts a packet into its protobuf form.
 func encodePacket(p *spread.Packet) *fleetv1.Packet {
@@ -209,7 +209,7 @@
 		return fmt.Errorf("%w: count or uptime out of range", ErrMalformed)
 	case m.Groups > 0 && m.Group >= m.Groups || m.Groups > maxGroups:
 		return fmt.Errorf("%w: group %d of %d", ErrMalformed, m.Group, m.Groups)
-	case len(m.News) > MaxNews:
+	case len(m.News) > MaxStatements:
 		return fmt.Errorf("%w: %d statements", ErrMalformed, len(m.News))
 	case m.Claim.GetShard() >= allowance.ShardCount || m.Grant.GetShard() >= allowance.ShardCount:
 		return fmt.Errorf("%w: shard number not below %d", ErrMalformed, allowance.ShardCount)
--- a/internal/fleet/wire/wire_test.go
+++ b/internal/fleet/wire/wire_test.go
@@ -52,8 +52,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if len(b)+Sealing != Size(&p) {
-			t.Errorf("%d bytes, but Size is %d", len(b)+Sealing, Size(&p))
+		if len(b)+OverheadBytes != Size(&p) {
+			t.Errorf("%d bytes, but Size is %d", len(b)+OverheadBytes, Size(&p))
 		}
 		if got, err := Decode(b); err != nil || !reflect.DeepEqual(got, p) {
 			t.Errorf("%v\n%+v\n%+v", err, got, p)
@@ -69,7 +69,7 @@
 		b, _ := Append(nil, &p)
 		b = proptest.Malformed(t, b)
 		got, err := Decode(b)
-		if err == nil && (got.From == "" || got.Sequence == 0 || got.Groups > 0 && got.Group >= got.Groups || len(got.Statements) > MaxNews) {
+		if err == nil && (got.From == "" || got.Sequence == 0 || got.Groups > 0 && got.Group >= got.Groups || len(got.Statements) > MaxStatements) {
 			t.Errorf("accepted: %+v", got)
 		}
 		store := verdicts.NewStore()
--- a/internal/flow/conn_test.go
+++ b/internal/flow/conn_test.go
@@ -15,22 +15,22 @@
 )
 
 // fleetHook runs actions between the moment when a flow has its connection and the moment when its first byte is written: at that point
-// the flow asks whether other relays hold the member back. Actions are keyed by the number of the Held call.
+// the flow asks whether other relays hold the member back. Actions are keyed by the number of the OnHold call.
 type fleetHook struct {
-	heldCalls int
-	actions   map[int]func()
+	onHoldCalls int
+	actions     map[int]func()
 }
 
-func (b *fleetHook) Ended(traffic.Flow, traffic.FlowEnd) {}
-func (b *fleetHook) Held(traffic.Group, time.Time) bool {
-	if b.heldCalls++; b.actions[b.heldCalls] != nil {
-		b.actions[b.heldCalls]()
+func (b *fleetHook) FlowEnded(traffic.Flow, traffic.FlowEnd) {}
+func (b *fleetHook) OnHold(traffic.Group, time.Time) bool {
+	if b.onHoldCalls++; b.actions[b.onHoldCalls] != nil {
+		b.actions[b.onHoldCalls]()
 	}
 	return false
 }
 
-// deliverFirst delivers a first call and returns its connection, which is idle afterwards. A flow calls Held twice: before it gets its
-// connection and before its first byte. The fourth Held call is therefore the second one of the next flow.
+// deliverFirst delivers a first call and returns its connection, which is idle afterwards. A flow calls OnHold twice: before it gets its
+// connection and before its first byte. The fourth OnHold call is therefore the second one of the next flow.
 func (r *harness) deliverFirst() net.Conn {
 	r.t.Helper()
 	r.startFlow("first")
@@ -92,8 +92,8 @@
 	r.manager.cfg.Fleet = b
 	r.startFlow("a")
 	r.expectEnd("a", traffic.NotConnected)
-	if b.heldCalls > 2+maxReplacedConns {
-		t.Errorf("the member was dialed %d times", b.heldCalls-1)
+	if b.onHoldCalls > 2+maxReplacedConns {
+		t.Errorf("the member was dialed %d times", b.onHoldCalls-1)
 	}
 }
 
--- a/internal/flow/flow.go
+++ b/internal/flow/flow.go
@@ -58,10 +58,10 @@
 
 // Fleet exchanges outage information with the other relays. None of its methods blocks.
 type Fleet interface {
-	// Ended receives the end of a flow.
-	Ended(traffic.Flow, traffic.FlowEnd)
-	// Held reports whether announcements of other relays currently hold back calls of the group.
-	Held(group traffic.Group, now time.Time) bool
+	// FlowEnded receives the end of a flow.
+	FlowEnded(traffic.Flow, traffic.FlowEnd)
+	// OnHold reports whether announcements of other relays currently hold back calls of the group.
+	OnHold(group traffic.Group, now time.Time) bool
 }
 
 // TLSConnector decides which members require TLS, and makes the TLS connections.
@@ -293,7 +293,7 @@
 func (g *Manager) reportEnds(r *activeFlow, end traffic.FlowEnd, statuses map[string]traffic.FlowStatus) {
 	for i, eachEnd := range r.allEnds(end, statuses) {
 		if g.cfg.Fleet != nil && i == 0 {
-			g.cfg.Fleet.Ended(r.Flow, eachEnd)
+			g.cfg.Fleet.FlowEnded(r.Flow, eachEnd)
 		}
 		g.reportEnd(eachEnd)
 	}
@@ -404,7 +404,7 @@
 
 // heldByFleet reports whether other relays hold back calls of the group.
 func (g *Manager) heldByFleet(group traffic.Group, now time.Time) bool {
-	return g.cfg.Fleet != nil && g.cfg.Fleet.Held(group, now)
+	return g.cfg.Fleet != nil && g.cfg.Fleet.OnHold(group, now)
 }
 
 // mayWrite reports whether the first byte may still be written. Conditions can change while a connection is opened: the member may be
--- a/internal/flow/flow_test.go
+++ b/internal/flow/flow_test.go
@@ -289,8 +289,8 @@
 
 func (e *holdElsewhere) Record(traffic.Group, time.Time)          {}
 func (e *holdElsewhere) Until(traffic.Group, time.Time) time.Time { return e.until }
-func (e *holdElsewhere) Held(traffic.Group, time.Time) bool       { return e.held }
-func (e *holdElsewhere) Ended(_ traffic.Flow, end traffic.FlowEnd) {
+func (e *holdElsewhere) OnHold(traffic.Group, time.Time) bool     { return e.held }
+func (e *holdElsewhere) FlowEnded(_ traffic.Flow, end traffic.FlowEnd) {
 	e.ended = append(e.ended, end.Status)
 }
 
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -48,18 +48,18 @@
 
 // Conns holds the settings of connections to pool members.
 type Conns struct {
-	Keep conns.Config // without the maximum number and the idle time of connections, which the platform's settings give
-	// HeldMost bounds how long a call waits for a connection while no new one may be opened. StuckAfter is how long a peer may leave
+	Config conns.Config // without the maximum number and the idle time of connections, which the platform's settings give
+	// MaxConnWait bounds how long a call waits for a connection while no new one may be opened. UnackedTimeout is how long a peer may leave
 	// written bytes unacknowledged before the connection is closed; 0 disables the check.
-	HeldMost, StuckAfter time.Duration
-	LookUpNames          bool
+	MaxConnWait, UnackedTimeout time.Duration
+	LookUpNames                 bool
 }
 
 // TLS holds the settings of TLS connections.
 type TLS struct {
 	Policies   tlspolicy.Table
 	WatchFiles bool
-	Gate       tlspolicy.HandshakeConfig
+	Handshakes tlspolicy.HandshakeConfig
 }
 
 // Overload holds the settings of the relay's overload control.
@@ -90,7 +90,7 @@
 // Default returns the settings without a file.
 func Default() Config {
 	return Config{Overload: Overload{Brownout: true, Tick: 50 * time.Millisecond, Control: overload.Defaults()},
-		Log: Log{LinesPerSecond: 5}, TLS: TLS{WatchFiles: true, Gate: tlspolicy.DefaultHandshakeConfig()}, Conns: Conns{Keep: conns.Defaults(), HeldMost: 250 * time.Millisecond},
+		Log: Log{LinesPerSecond: 5}, TLS: TLS{WatchFiles: true, Handshakes: tlspolicy.DefaultHandshakeConfig()}, Conns: Conns{Config: conns.Defaults(), MaxConnWait: 250 * time.Millisecond},
 		Fleet: Fleet{Quorum: 2, ExchangeInterval: time.Second, BytesPerSecond: 4096, DivideLimits: true, Configuration: defaultConfiguration()}}
 }
 
@@ -198,14 +198,14 @@
 	setDuration := func(to *time.Duration, unit time.Duration) func(float64) {
 		return func(x float64) { *to = time.Duration(x * float64(unit)) }
 	}
-	c.Keep.Preconnect, c.LookUpNames = p.GetAhead(), p.GetLookUpNames()
+	c.Config.Preconnect, c.LookUpNames = p.GetAhead(), p.GetLookUpNames()
 	list := []numberField{
-		{"max_age_s", p.MaxAgeS, 1, 1e6, setDuration(&c.Keep.MaxAge, time.Second)},
-		{"keep_s", p.KeepS, 0.1, 3600, setDuration(&c.Keep.PeakHalfLife, time.Second)},
-		{"stale_share", p.StaleShare, 1e-5, 0.5, func(x float64) { c.Keep.MaxStaleShare = x }},
-		{"open_price", p.OpenPrice, 1e-4, 1, func(x float64) { c.Keep.OpenPrice = x * c.Keep.LossPrice }},
-		{"held_most_ms", p.HeldMostMs, 1, 10_000, setDuration(&c.HeldMost, time.Millisecond)},
-		{"stuck_after_ms", p.StuckAfterMs, 100, 60_000, setDuration(&c.StuckAfter, time.Millisecond)},
+		{"max_age_s", p.MaxAgeS, 1, 1e6, setDuration(&c.Config.MaxAge, time.Second)},
+		{"keep_s", p.KeepS, 0.1, 3600, setDuration(&c.Config.PeakHalfLife, time.Second)},
+		{"stale_share", p.StaleShare, 1e-5, 0.5, func(x float64) { c.Config.MaxStaleShare = x }},
+		{"open_price", p.OpenPrice, 1e-4, 1, func(x float64) { c.Config.OpenPrice = x * c.Config.LossPrice }},
+		{"held_most_ms", p.HeldMostMs, 1, 10_000, setDuration(&c.MaxConnWait, time.Millisecond)},
+		{"stuck_after_ms", p.StuckAfterMs, 100, 60_000, setDuration(&c.UnackedTimeout, time.Millisecond)},
 	}
 	for i, n := range list { // 0 is valid for these fields and disables the feature
 		if (n.field == "max_age_s" || n.field == "stuck_after_ms") && n.value != nil && *n.value == 0 {
@@ -245,9 +245,9 @@
 		h = &gatewayv1.Handshakes{}
 	}
 	return errors.Join(append(errs, applyNumbers("tls.handshakes", []numberField{
-		{"core_share", h.CoreShare, 0.01, 1, func(x float64) { t.Gate.CoreShare = x }},
-		{"least_per_second", h.LeastPerSecond, 0.1, 10_000, func(x float64) { t.Gate.MinPerSecond = x }},
-		{"per_member", toFloat(h.PerMember), 1, 1000, func(x float64) { t.Gate.MaxPerEndpoint = int(x) }},
+		{"core_share", h.CoreShare, 0.01, 1, func(x float64) { t.Handshakes.CoreShare = x }},
+		{"least_per_second", h.LeastPerSecond, 0.1, 10_000, func(x float64) { t.Handshakes.MinPerSecond = x }},
+		{"per_member", toFloat(h.PerMember), 1, 1000, func(x float64) { t.Handshakes.MaxPerEndpoint = int(x) }},
 	})...)...)
 }
 
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -75,7 +75,7 @@
 	want := tlspolicy.Table{{Name: "in", Hosts: "10.*", Plain: true, MinVersion: tls.VersionTLS12, Sessions: 16}, {Name: "bank", Destinations: []int{7, 9},
 		Hosts: "*.bank.example.org", ServerName: "pay.bank.example.org", RootFiles: []string{"a.pem"}, RootDirs: []string{"roots"}, SystemRoots: true,
 		MinVersion: tls.VersionTLS13, Pins: []tlspolicy.Pin{{}, {1}}, Certificate: "c.pem", Key: "c.key", Sessions: 3}}
-	if !reflect.DeepEqual(c.TLS.Policies, want) || c.TLS.WatchFiles || c.TLS.Gate.CoreShare != 0.5 || c.TLS.Gate.MinPerSecond != 9 || c.TLS.Gate.MaxPerEndpoint != 4 {
+	if !reflect.DeepEqual(c.TLS.Policies, want) || c.TLS.WatchFiles || c.TLS.Handshakes.CoreShare != 0.5 || c.TLS.Handshakes.MinPerSecond != 9 || c.TLS.Handshakes.MaxPerEndpoint != 4 {
 		t.Errorf("%+v", c.TLS)
 	}
 }
@@ -87,8 +87,8 @@
 		t.Fatal(err)
 	}
 	want := Default().Conns
-	want.Keep.MaxAge, want.Keep.PeakHalfLife, want.Keep.Preconnect, want.Keep.MaxStaleShare, want.Keep.OpenPrice = 0, 2500*time.Millisecond, true, 0.01, 0.5
-	want.HeldMost, want.StuckAfter, want.LookUpNames = 7*time.Millisecond, 500*time.Millisecond, true
+	want.Config.MaxAge, want.Config.PeakHalfLife, want.Config.Preconnect, want.Config.MaxStaleShare, want.Config.OpenPrice = 0, 2500*time.Millisecond, true, 0.01, 0.5
+	want.MaxConnWait, want.UnackedTimeout, want.LookUpNames = 7*time.Millisecond, 500*time.Millisecond, true
 	if c.Conns != want {
 		t.Errorf("%+v, want %+v", c.Conns, want)
 	}
--- a/internal/lab/ca/ca.go
+++ b/internal/lab/ca/ca.go
@@ -98,9 +98,9 @@
 		BasicConstraintsValid: true, KeyUsage: x509.KeyUsageCertSign | x509.KeyUsageCRLSign}
 }
 
-// Cross returns a certificate of another authority's name and key that p has signed. Clients that trust only p then accept the
+// CrossSign returns a certificate of another authority's name and key that p has signed. Clients that trust only p then accept the
 // certificates that the other authority has issued.
-func (p *Pair) Cross(other *Pair) (*Pair, error) {
+func (p *Pair) CrossSign(other *Pair) (*Pair, error) {
 	return sign(authority(other.Cert.Subject.CommonName), other.Key, p)
 }
 
@@ -197,8 +197,8 @@
 	return os.Rename(temporary, path)
 }
 
-// Files writes the certificate with its chain, and the private key, in PEM.
-func (p *Pair) Files(cert, key string) error {
+// WriteFiles writes the certificate with its chain, and the private key, in PEM.
+func (p *Pair) WriteFiles(cert, key string) error {
 	if err := Write(cert, p.PEM(), 0o644); err != nil {
 		return err
 	}
--- a/internal/lab/capacity/capacity_test.go
+++ b/internal/lab/capacity/capacity_test.go
@@ -50,7 +50,7 @@
 	if err := pool.Run(t.Context(), jobs, func(r *Result) { results = append(results, r) }); err != nil {
 		t.Fatal(err)
 	}
-	Sort(results)
+	SortResults(results)
 	return results
 }
 
@@ -82,7 +82,7 @@
 		}
 		scenarios = append(scenarios, s)
 	}
-	jobs, err := Jobs(scenarios, CarrierNames(), []int{60}, testSeed)
+	jobs, err := NewJobs(scenarios, CarrierNames(), []int{60}, testSeed)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -255,7 +255,7 @@
 		want     string
 	}{{[]string{"pigeon"}, []int{10}, "carrier: \"pigeon\""}, {[]string{"spread"}, []int{0}, "relays: 0 relays: at least 1 is required"},
 		{[]string{"spread"}, []int{9000}, "relays: 9000 relays take about"}, {[]string{"limits"}, []int{10}, "no scenario suits"}} {
-		if _, err := Jobs(ordinary, c.carriers, c.sizes, 1); err == nil || !strings.Contains(err.Error(), c.want) {
+		if _, err := NewJobs(ordinary, c.carriers, c.sizes, 1); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("carriers %v, sizes %v: error %v, want %q", c.carriers, c.sizes, err, c.want)
 		}
 	}
@@ -265,7 +265,7 @@
 }
 
 func TestExamplesAreBuiltIn(t *testing.T) {
-	names := BuiltIn()
+	names := BuiltInNames()
 	if len(names) < 11 {
 		t.Errorf("missing built-in scenarios, found only %v", names)
 	}
--- a/internal/lab/capacity/faults.go
+++ b/internal/lab/capacity/faults.go
@@ -48,7 +48,7 @@
 func (f *fleet) publish() {
 	r := f.controlPoint()
 	if r == nil {
-		f.sim.After(timeSlice, emulator.Any, f.publish)
+		f.sim.After(timeSlice, emulator.AnyPriority, f.publish)
 		return
 	}
 	change := f.arrivals.track(f.sim.Now(), len(f.relays))
--- a/internal/lab/capacity/fleet.go
+++ b/internal/lab/capacity/fleet.go
@@ -104,7 +104,7 @@
 
 // schedule schedules an action at an offset from the start of the measured time. The offset is negative during the warm-up.
 func (f *fleet) schedule(offset time.Duration, action func()) {
-	f.sim.At(f.measurementStart+emulator.Time(offset), emulator.Any, func() {
+	f.sim.At(f.measurementStart+emulator.Time(offset), emulator.AnyPriority, func() {
 		if f.ctx.Err() == nil && f.err == nil {
 			action()
 		}
@@ -154,7 +154,7 @@
 // notifyMembers gives a relay a new membership view after a random delay.
 func (f *fleet) notifyMembers(r *relay, view *View) {
 	delay := time.Duration(f.faultRNG.Float64() * float64(maxMembershipDelay))
-	f.sim.After(delay, emulator.Any, func() {
+	f.sim.After(delay, emulator.AnyPriority, func() {
 		r.view = view
 		if !r.down && f.ctx.Err() == nil {
 			f.runNode(r, func(now time.Duration) []Message { return r.node.SetMembers(now, view) })
@@ -186,7 +186,7 @@
 	}
 	r.nextTick = at
 	generation := r.generation
-	f.sim.At(at, emulator.Any, func() {
+	f.sim.At(at, emulator.AnyPriority, func() {
 		if r.generation != generation || r.nextTick != at || f.ctx.Err() != nil {
 			return
 		}
@@ -208,7 +208,7 @@
 		return
 	}
 	generation, sender := to.generation, from.index
-	f.sim.After(delay, emulator.Any, func() {
+	f.sim.After(delay, emulator.AnyPriority, func() {
 		if to.generation != generation || f.ctx.Err() != nil {
 			return
 		}
--- a/internal/lab/capacity/real/compare.go
+++ b/internal/lab/capacity/real/compare.go
@@ -33,7 +33,7 @@
 	millis := func(d time.Duration) float64 { return d.Seconds() * 1000 }
 	topology := &capacityv1.Topology{Regions: new(int32(1)), Zones: new(int32(1)), Loss: new(config.Loss),
 		InZone: &capacityv1.DelayRange{MinMs: millis(config.Delay), MaxMs: millis(config.Delay + config.Jitter)}}
-	idle := &capacityv1.CapacityScenario{Name: "idle", LengthS: config.Idle.Seconds(), WarmUpS: simulatedWarmUp.Seconds(), Topology: topology}
+	idle := &capacityv1.CapacityScenario{Name: "idle", LengthS: config.IdleDuration.Seconds(), WarmUpS: simulatedWarmUp.Seconds(), Topology: topology}
 	length := time.Duration(config.Changes)*config.Interval + timeAfterLastChange
 	changes := &capacityv1.CapacityScenario{Name: "changes", LengthS: length.Seconds(), WarmUpS: simulatedWarmUp.Seconds(), Topology: topology,
 		Changes: &capacityv1.ConfigurationChanges{Count: int32(config.Changes), EveryS: config.Interval.Seconds(), ControlPoints: controlPoints,
--- a/internal/lab/capacity/real/real.go
+++ b/internal/lab/capacity/real/real.go
@@ -48,11 +48,11 @@
 
 // Config describes the fleet and the measurement.
 type Config struct {
-	Binary   string // path of the relay program
-	Relays   int
-	Changes  int           // number of bans, and number of configuration entries
-	Interval time.Duration // time between two changes
-	Idle     time.Duration // duration of the measurement of the idle fleet
+	Binary       string // path of the relay program
+	Relays       int
+	Changes      int           // number of bans, and number of configuration entries
+	Interval     time.Duration // time between two changes
+	IdleDuration time.Duration // duration of the measurement of the idle fleet
 	// Delay, Jitter and Loss apply to the links between all relays.
 	Delay, Jitter time.Duration
 	Loss          float64
@@ -124,7 +124,7 @@
 	if err := sleep(ctx, settleTime); err != nil {
 		return err
 	}
-	note(fmt.Sprintf("measuring the idle relays for %v", config.Idle))
+	note(fmt.Sprintf("measuring the idle relays for %v", config.IdleDuration))
 	if err := r.measureIdle(ctx, inFleet, result); err != nil || !inFleet {
 		return err
 	}
@@ -155,7 +155,7 @@
 	if !inFleet {
 		scenario.WithoutFleet = scenario.Relays
 	}
-	f, err := fleets.Put(dir, config.Binary, scenario, nil)
+	f, err := fleets.New(dir, config.Binary, scenario, nil)
 	if err != nil {
 		return nil, err
 	}
@@ -163,7 +163,7 @@
 }
 
 func (r *realFleet) setLinks() error {
-	return r.fleet.Do(&labv1.Event{What: &labv1.Event_Links{Links: &labv1.Links{From: []string{"relays"}, To: []string{"relays"},
+	return r.fleet.CauseEvent(&labv1.Event{What: &labv1.Event_Links{Links: &labv1.Links{From: []string{"relays"}, To: []string{"relays"},
 		DelayMs: r.config.Delay.Seconds() * 1000, JitterMs: r.config.Jitter.Seconds() * 1000, Loss: r.config.Loss}}})
 }
 
@@ -181,7 +181,7 @@
 		if !inFleet {
 			continue
 		}
-		stats, err := r.fleet.Figures(i)
+		stats, err := r.fleet.Metrics(i)
 		if err != nil {
 			return nil, err
 		}
@@ -201,7 +201,7 @@
 	if err != nil {
 		return err
 	}
-	if err := sleep(ctx, r.config.Idle); err != nil {
+	if err := sleep(ctx, r.config.IdleDuration); err != nil {
 		return err
 	}
 	after, err := r.usages(inFleet)
@@ -209,7 +209,9 @@
 		return err
 	}
 	rate := func(quantity func(relayUsage) float64) PerRelay {
-		return perRelay(len(after), func(i int) float64 { return (quantity(after[i]) - quantity(before[i])) / r.config.Idle.Seconds() })
+		return perRelay(len(after), func(i int) float64 {
+			return (quantity(after[i]) - quantity(before[i])) / r.config.IdleDuration.Seconds()
+		})
 	}
 	cpuShare := rate(func(u relayUsage) float64 { return u.cpuSeconds })
 	residentBytes := perRelay(len(after), func(i int) float64 { return after[i].residentBytes })
@@ -295,7 +297,7 @@
 
 // banEndpoint bans an endpoint at one relay, as an operator does.
 func (r *realFleet) banEndpoint(change int) error {
-	return r.fleet.Do(&labv1.Event{What: &labv1.Event_Operators{Operators: &labv1.Operators{Relay: fmt.Sprint("r", r.controlPoint(change)),
+	return r.fleet.CauseEvent(&labv1.Event{What: &labv1.Event_Operators{Operators: &labv1.Operators{Relay: fmt.Sprint("r", r.controlPoint(change)),
 		Endpoint: endpointName(change)}}})
 }
 
@@ -318,7 +320,7 @@
 		return err
 	}
 	client := http.Client{Timeout: postTimeout}
-	response, err := client.Post("http://"+r.fleet.Ops(r.controlPoint(change))+configurationPath, "application/json", bytes.NewReader(body))
+	response, err := client.Post("http://"+r.fleet.AdminAddress(r.controlPoint(change))+configurationPath, "application/json", bytes.NewReader(body))
 	if err != nil {
 		return err
 	}
@@ -333,7 +335,7 @@
 
 func (r *realFleet) hasEntry(relay, change int) (bool, error) {
 	var state fleet.ConfigurationState
-	err := r.fleet.Get(relay, configurationPath, &state)
+	err := r.fleet.GetJSON(relay, configurationPath, &state)
 	return slices.ContainsFunc(state.Entries, func(e fleet.ConfigurationEntry) bool { return e.Key == entryKey(change) && e.Applied }), err
 }
 
--- a/internal/lab/capacity/real/real_test.go
+++ b/internal/lab/capacity/real/real_test.go
@@ -23,7 +23,7 @@
 	if out, err := exec.Command("go", "build", "-o", binary, "../../../../cmd/slatemux").CombinedOutput(); err != nil {
 		t.Fatalf("%s", out)
 	}
-	config := Config{Binary: binary, Relays: 5, Changes: 2, Interval: time.Second, Idle: 8 * time.Second, Delay: 10 * time.Millisecond,
+	config := Config{Binary: binary, Relays: 5, Changes: 2, Interval: time.Second, IdleDuration: 8 * time.Second, Delay: 10 * time.Millisecond,
 		Jitter: 2 * time.Millisecond, Seed: 1}
 	result, err := Run(t.Context(), t.TempDir(), config, func(line string) { t.Log(line) })
 	if err != nil {
--- a/internal/lab/capacity/report.go
+++ b/internal/lab/capacity/report.go
@@ -11,8 +11,8 @@
 	"text/tabwriter"
 )
 
-// Sort orders results by carrier, scenario and fleet size.
-func Sort(results []*Result) {
+// SortResults orders results by carrier, scenario and fleet size.
+func SortResults(results []*Result) {
 	slices.SortStableFunc(results, func(a, b *Result) int {
 		return cmp.Or(cmp.Compare(a.Carrier, b.Carrier), cmp.Compare(a.Scenario, b.Scenario), cmp.Compare(a.Relays, b.Relays))
 	})
--- a/internal/lab/capacity/run.go
+++ b/internal/lab/capacity/run.go
@@ -30,9 +30,9 @@
 	return fmt.Sprintf("%s, %s, %d relays", j.Scenario.Name, j.Carrier, j.Relays)
 }
 
-// Jobs returns one job for each combination of a scenario, a carrier that can run the scenario, and a fleet size. If no sizes are
+// NewJobs returns one job for each combination of a scenario, a carrier that can run the scenario, and a fleet size. If no sizes are
 // given, the sizes of the scenario apply.
-func Jobs(scenarios []*Scenario, carrierNames []string, sizes []int, seed uint64) (jobs []Job, err error) {
+func NewJobs(scenarios []*Scenario, carrierNames []string, sizes []int, seed uint64) (jobs []Job, err error) {
 	for _, name := range carrierNames {
 		if _, err := findCarrier(name); err != nil {
 			return nil, err
--- a/internal/lab/capacity/scenario.go
+++ b/internal/lab/capacity/scenario.go
@@ -84,8 +84,8 @@
 	return fmt.Sprintf("%s:%d: %s: %s", e.File, e.Line, e.Field, e.Text)
 }
 
-// BuiltIn returns the names of the scenarios that are embedded in the program.
-func BuiltIn() (names []string) {
+// BuiltInNames returns the names of the scenarios that are embedded in the program.
+func BuiltInNames() (names []string) {
 	list, _ := fs.Glob(files.Files, "*.textproto") // the pattern is well formed
 	for _, file := range list {
 		names = append(names, strings.TrimSuffix(file, ".textproto"))
@@ -95,7 +95,7 @@
 
 // Load reads a scenario: a built-in scenario by its name, or a file by its path.
 func Load(name string) (*Scenario, error) {
-	if slices.Contains(BuiltIn(), name) {
+	if slices.Contains(BuiltInNames(), name) {
 		file := name + ".textproto"
 		raw, err := files.Files.ReadFile(file)
 		if err != nil {
@@ -105,7 +105,7 @@
 	}
 	raw, err := os.ReadFile(name)
 	if err != nil {
-		return nil, fmt.Errorf("scenario: cannot read file %q, and it is not one of the built-in scenarios %v: %w", name, BuiltIn(), err)
+		return nil, fmt.Errorf("scenario: cannot read file %q, and it is not one of the built-in scenarios %v: %w", name, BuiltInNames(), err)
 	}
 	return Parse(name, raw)
 }
--- a/internal/lab/capacity/slopes/backlog.go
+++ b/internal/lab/capacity/slopes/backlog.go
@@ -13,7 +13,7 @@
 // measureBacklog measures the module and a restarted relay with a backlog: messages that are queued for the destinations that are down.
 func measureBacklog(ctx context.Context, plan RelayPlan, size int, recorder *Recorder) error {
 	record := func(q Quantity, value float64) error { return recorder.record(QueuedMessages, size, q, value) }
-	steps, err := measureModuleSteps(ctx, plan.HeldOver, size, uint64(plan.Seed))
+	steps, err := measureModuleSteps(ctx, plan.BacklogDestinations, size, uint64(plan.Seed))
 	if err != nil {
 		return err
 	}
@@ -25,7 +25,7 @@
 		return err
 	}
 	defer os.RemoveAll(folder)
-	if err := writeBacklogJournal(ctx, folder, size, downDestinations(plan.HeldOver), record); err != nil {
+	if err := writeBacklogJournal(ctx, folder, size, downDestinations(plan.BacklogDestinations), record); err != nil {
 		return err
 	}
 	return measureRestart(ctx, plan, folder, size, record)
@@ -61,7 +61,7 @@
 
 // measureRestart measures the start of a relay from the journal in folder, and then the running relay.
 func measureRestart(ctx context.Context, plan RelayPlan, folder string, messages int, record recordFunc) error {
-	raw, err := encodeList(1, true, 0, plan.HeldOver)
+	raw, err := encodeList(1, true, 0, plan.BacklogDestinations)
 	if err != nil {
 		return err
 	}
@@ -89,7 +89,7 @@
 		{restartElapsed, milliseconds(elapsed)}, {backlogHeap, heapBytes() - heapBefore}}); err != nil {
 		return err
 	}
-	share, steps, err := run.observeIdle(ctx, plan.Span)
+	share, steps, err := run.observeIdle(ctx, plan.Duration)
 	if err != nil {
 		return err
 	}
@@ -97,7 +97,7 @@
 		{backlogStepLongest, milliseconds(quantile(steps, 1))}}); err != nil {
 		return err
 	}
-	if err := run.recordLoad(ctx, plan.Span, record); err != nil {
+	if err := run.recordLoad(ctx, plan.Duration, record); err != nil {
 		return err
 	}
 	return record(backlogKeptShare, float64(run.relay.Counters().Open)/float64(messages))
--- a/internal/lab/capacity/slopes/bounds.go
+++ b/internal/lab/capacity/slopes/bounds.go
@@ -61,7 +61,7 @@
 		{Name: "destinations with a reading kept, maxReadings", Unit: "destinations", Allowed: maxLimitReadings, Needed: destinations, AtLimit: "all readings are dropped"},
 		{Name: "destinations judged, maxTracked", Unit: "destinations", Allowed: maxJudgedDestinations, Needed: destinations, AtLimit: "the older half is dropped"},
 		{Name: "statements of one relay, MaxPerOrigin", Unit: "statements", Allowed: verdicts.MaxPerOrigin, Needed: downCount, AtLimit: "the least important give way"},
-		{Name: "statements of a packet, MaxNews", Unit: "statements", Allowed: wire.MaxNews, Needed: downCount, AtLimit: "further packets"},
+		{Name: "statements of a packet, MaxNews", Unit: "statements", Allowed: wire.MaxStatements, Needed: downCount, AtLimit: "further packets"},
 		{Name: "destinations that one round of claims tells of", Unit: "destinations", Allowed: maxDestinationsPerClaim * allowance.ShardCount, Needed: destinations, AtLimit: "the rest at a later claim"},
 		{Name: "members that have left and are remembered", Unit: "members", Allowed: maxDepartedMembers, Needed: downCount, AtLimit: "the oldest is forgotten"},
 		{Name: "connections to members, a quarter of sockets 1,024", Unit: "connections", Allowed: exampleSockets * memberSocketsShare, Needed: destinations, AtLimit: "idle ones give way"},
--- a/internal/lab/capacity/slopes/destinations.go
+++ b/internal/lab/capacity/slopes/destinations.go
@@ -143,18 +143,18 @@
 		return err
 	}
 	defer run.close()
-	share, _, err := run.observeIdle(ctx, plan.Span)
+	share, _, err := run.observeIdle(ctx, plan.Duration)
 	if err != nil {
 		return err
 	}
 	if err := record(oneQueuedShare, share); err != nil {
 		return err
 	}
-	if err := run.recordLoad(ctx, plan.Span, record); err != nil {
+	if err := run.recordLoad(ctx, plan.Duration, record); err != nil {
 		return err
 	}
 	run.flows.answerImmediately()
-	return run.recordSaturation(ctx, plan.Span, record)
+	return run.recordSaturation(ctx, plan.Duration, record)
 }
 
 // observeIdle sends nothing to the relay for a span. It returns the share of a core that the relay's steps took, and the time of each step.
--- a/internal/lab/capacity/slopes/fleetnodes.go
+++ b/internal/lab/capacity/slopes/fleetnodes.go
@@ -88,18 +88,18 @@
 	if err := run.waitUntilKnown(ctx); err != nil {
 		return err
 	}
-	if err := sleep(ctx, plan.Settle); err != nil {
+	if err := sleep(ctx, plan.SettleDuration); err != nil {
 		return err
 	}
-	idleTransferred, cpuShare, err := run.measureTraffic(ctx, plan.Idle)
+	idleTransferred, cpuShare, err := run.measureTraffic(ctx, plan.IdleDuration)
 	if err != nil {
 		return err
 	}
-	perSecond := mean(idleTransferred) / plan.Idle.Seconds()
+	perSecond := mean(idleTransferred) / plan.IdleDuration.Seconds()
 	if err := run.start(ctx, size); err != nil {
 		return err
 	}
-	joinTransferred, _, err := run.measureTraffic(ctx, plan.Idle)
+	joinTransferred, _, err := run.measureTraffic(ctx, plan.IdleDuration)
 	if err != nil {
 		return err
 	}
@@ -166,7 +166,7 @@
 	for start := time.Now(); ; {
 		known := 0
 		for _, node := range run.nodes {
-			known += node.Figures().Members
+			known += node.Metrics().Members
 		}
 		if known == len(run.nodes)*len(run.nodes) {
 			return nil
@@ -199,7 +199,7 @@
 func (run *fleetRun) transferredBytes() []float64 {
 	var list []float64
 	for _, node := range run.nodes[:run.size] {
-		figures := node.Figures()
+		figures := node.Metrics()
 		list = append(list, float64(figures.SentBytes+figures.ReceivedBytes))
 	}
 	return list
--- a/internal/lab/capacity/slopes/harness.go
+++ b/internal/lab/capacity/slopes/harness.go
@@ -291,9 +291,9 @@
 // newFlowManager returns the program's own flow manager, which keeps counters for each member. It opens no connection until a flow starts.
 func newFlowManager() (*flow.Manager, error) {
 	defaults := gateway.Default()
-	connSettings := defaults.Conns.Keep
+	connSettings := defaults.Conns.Config
 	connSettings.MaxConns, connSettings.MaxIdle, connSettings.Seed = 256, 5*time.Second, 1
-	return flow.New(flow.Config{HandshakeGate: defaults.TLS.Gate, ConnectTimeout: time.Second, MaxCalls: 256, Conns: connSettings,
-		MaxConnWait:    defaults.Conns.HeldMost,
-		UnackedTimeout: defaults.Conns.StuckAfter}, func(traffic.FlowEnd) {})
+	return flow.New(flow.Config{HandshakeGate: defaults.TLS.Handshakes, ConnectTimeout: time.Second, MaxCalls: 256, Conns: connSettings,
+		MaxConnWait:    defaults.Conns.MaxConnWait,
+		UnackedTimeout: defaults.Conns.UnackedTimeout}, func(traffic.FlowEnd) {})
 }
--- a/internal/lab/capacity/slopes/membership.go
+++ b/internal/lab/capacity/slopes/membership.go
@@ -13,21 +13,21 @@
 
 // MembershipPlan defines the measurements of the membership.
 type MembershipPlan struct {
-	Relays           []int         // numbers of members
-	Idle             time.Duration // duration of the idle measurement
-	Start            time.Duration // span over which the starts of the members are spread
-	Settle           time.Duration // pause between the convergence of the start and the idle measurement
-	HeapPollInterval time.Duration // time between two readings of the heap, until it stops falling
-	Patience         time.Duration // maximum time that a change may take to reach all members
-	Delay            time.Duration // mean one-way delay of a packet
-	Loss             float64       // share of packets that are lost
-	FullStates       []int         // numbers of members whose full-state exchange is measured
-	Fleets           []int         // numbers of complete fleet nodes on loopback sockets; empty to skip this measurement
+	Relays             []int         // numbers of members
+	IdleDuration       time.Duration // duration of the idle measurement
+	StartSpan          time.Duration // span over which the starts of the members are spread
+	SettleDuration     time.Duration // pause between the convergence of the start and the idle measurement
+	HeapPollInterval   time.Duration // time between two readings of the heap, until it stops falling
+	ConvergenceTimeout time.Duration // maximum time that a change may take to reach all members
+	PacketDelay        time.Duration // mean one-way delay of a packet
+	PacketLossShare    float64       // share of packets that are lost
+	FullStates         []int         // numbers of members whose full-state exchange is measured
+	Fleets             []int         // numbers of complete fleet nodes on loopback sockets; empty to skip this measurement
 }
 
-// DefaultMembership is the default plan of the command line, without sizes.
-var DefaultMembership = MembershipPlan{Start: 2 * time.Second, Idle: 30 * time.Second, Settle: 10 * time.Second,
-	HeapPollInterval: time.Second, Patience: 90 * time.Second, Delay: time.Millisecond, Loss: 0.001}
+// DefaultMembershipPlan is the default plan of the command line, without sizes.
+var DefaultMembershipPlan = MembershipPlan{StartSpan: 2 * time.Second, IdleDuration: 30 * time.Second, SettleDuration: 10 * time.Second,
+	HeapPollInterval: time.Second, ConvergenceTimeout: 90 * time.Second, PacketDelay: time.Millisecond, PacketLossShare: 0.001}
 
 // Quantities along the number of relays. Byte counts exclude the headers of UDP and TCP.
 var (
@@ -85,7 +85,7 @@
 			return fmt.Errorf("slopes: %d fleet nodes are fewer than the %d seed members", n, seedMembers)
 		}
 	}
-	if p.Loss < 0 || p.Loss > 0.9 || p.Delay < 0 || p.Idle <= 0 || p.Start < 0 || p.Settle < 0 || p.HeapPollInterval < 0 || p.Patience <= 0 {
+	if p.PacketLossShare < 0 || p.PacketLossShare > 0.9 || p.PacketDelay < 0 || p.IdleDuration <= 0 || p.StartSpan < 0 || p.SettleDuration < 0 || p.HeapPollInterval < 0 || p.ConvergenceTimeout <= 0 {
 		return errors.New("slopes: loss, delay or a time makes no sense")
 	}
 	return nil
@@ -131,7 +131,7 @@
 
 // measure runs the experiments of one size in sequence.
 func (run *membershipRun) measure(ctx context.Context) error {
-	group, err := newGroup(NewNetwork(run.plan.Delay, run.plan.Loss))
+	group, err := newGroup(NewNetwork(run.plan.PacketDelay, run.plan.PacketLossShare))
 	if err != nil {
 		return err
 	}
@@ -153,12 +153,12 @@
 
 // startMembers starts all members at random times within plan.Start and measures the time and traffic until all know all.
 func (run *membershipRun) startMembers(ctx context.Context) error {
-	run.reportProgress(fmt.Sprintf("all start within %v", run.plan.Start))
+	run.reportProgress(fmt.Sprintf("all start within %v", run.plan.StartSpan))
 	start, cpuBefore, timers := time.Now(), processCPUTime(), watchTimerLateness(ctx)
 	failed := make(chan error, run.size)
 	for n := range run.size {
 		run.rejoining.Go(func() {
-			if err := sleep(ctx, time.Duration(rand.Float64()*float64(run.plan.Start))); err != nil {
+			if err := sleep(ctx, time.Duration(rand.Float64()*float64(run.plan.StartSpan))); err != nil {
 				return
 			}
 			m, err := run.group.start(n)
@@ -198,7 +198,7 @@
 // other, the elapsed time, and the highest rate of any member in bytes a second, sent and received.
 func (run *membershipRun) waitForConvergence(ctx context.Context, start time.Time) (knownShare float64, elapsed time.Duration, peakRate float64) {
 	windowStart, bytesBefore := start, map[*Transport]int64{}
-	for time.Since(start) < run.plan.Patience && sleep(ctx, pollInterval) == nil {
+	for time.Since(start) < run.plan.ConvergenceTimeout && sleep(ctx, pollInterval) == nil {
 		members := run.runningMembers()
 		knownMembers := 0
 		for _, m := range members {
@@ -240,14 +240,14 @@
 // measureIdle measures the costs of members while the membership does not change.
 func (run *membershipRun) measureIdle(ctx context.Context, heapBefore float64) error {
 	run.reportProgress("settling")
-	if err := sleep(ctx, run.plan.Settle); err != nil {
+	if err := sleep(ctx, run.plan.SettleDuration); err != nil {
 		return err
 	}
 	heap := heapBytes() - heapBefore
-	run.reportProgress(fmt.Sprintf("idle for %v", run.plan.Idle))
+	run.reportProgress(fmt.Sprintf("idle for %v", run.plan.IdleDuration))
 	run.group.changes.begin(memberLeft)
 	trafficBefore, cpuBefore, start, timers := run.traffic(), processCPUTime(), time.Now(), watchTimerLateness(ctx)
-	err := sleep(ctx, run.plan.Idle)
+	err := sleep(ctx, run.plan.IdleDuration)
 	timerDelay := timers.finish()
 	if err != nil {
 		return err
@@ -301,7 +301,7 @@
 func (run *membershipRun) awaitChanges(ctx context.Context, count int) ([]time.Duration, int, error) {
 	for start := time.Now(); ; {
 		times, otherChanges := run.group.changes.results()
-		if len(times) >= count || time.Since(start) > run.plan.Patience {
+		if len(times) >= count || time.Since(start) > run.plan.ConvergenceTimeout {
 			return times, otherChanges, nil
 		}
 		if err := sleep(ctx, pollInterval); err != nil {
--- a/internal/lab/capacity/slopes/relay.go
+++ b/internal/lab/capacity/slopes/relay.go
@@ -11,16 +11,16 @@
 
 // RelayPlan defines the measurements of one relay.
 type RelayPlan struct {
-	Destinations []int         // sizes of the discovery list
-	Held         []int         // sizes of the backlog, in messages
-	HeldOver     int           // destinations in the list while the size of the backlog varies
-	Span         time.Duration // duration of each measurement in real time
-	Seed         int64
-	Directory    string // parent folder of the temporary journals
+	Destinations        []int         // sizes of the discovery list
+	BacklogSizes        []int         // sizes of the backlog, in messages
+	BacklogDestinations int           // destinations in the list while the size of the backlog varies
+	Duration            time.Duration // duration of each measurement in real time
+	Seed                int64
+	Directory           string // parent folder of the temporary journals
 }
 
-// DefaultSpan is the default duration of each measurement of a relay in real time.
-const DefaultSpan = 3 * time.Second
+// DefaultDuration is the default duration of each measurement of a relay in real time.
+const DefaultDuration = 3 * time.Second
 
 // Quantities along the number of destinations.
 var (
@@ -75,16 +75,16 @@
 
 // Check returns an error if a setting of the plan is invalid.
 func (p *RelayPlan) Check() error {
-	for name, sizes := range map[string][]int{"destinations": p.Destinations, "held": p.Held} {
+	for name, sizes := range map[string][]int{"destinations": p.Destinations, "held": p.BacklogSizes} {
 		if err := checkSizes(name, sizes); err != nil {
 			return err
 		}
 	}
-	if p.HeldOver < 1 {
-		return fmt.Errorf("slopes: %d destinations for the backlog are too few", p.HeldOver)
+	if p.BacklogDestinations < 1 {
+		return fmt.Errorf("slopes: %d destinations for the backlog are too few", p.BacklogDestinations)
 	}
-	if p.Span <= 0 {
-		return fmt.Errorf("slopes: a span of %v is not positive", p.Span)
+	if p.Duration <= 0 {
+		return fmt.Errorf("slopes: a span of %v is not positive", p.Duration)
 	}
 	return nil
 }
@@ -118,8 +118,8 @@
 			return fmt.Errorf("slopes: %d destinations: %w", size, err)
 		}
 	}
-	for _, size := range plan.Held {
-		progress(fmt.Sprintf("%d messages held over %d destinations", size, plan.HeldOver))
+	for _, size := range plan.BacklogSizes {
+		progress(fmt.Sprintf("%d messages held over %d destinations", size, plan.BacklogDestinations))
 		if err := measureBacklog(ctx, plan, size, recorder); err != nil {
 			return fmt.Errorf("slopes: backlog of %d messages: %w", size, err)
 		}
@@ -147,9 +147,9 @@
 	if err := measureLoadedRelay(ctx, plan, list.News(), record); err != nil {
 		return err
 	}
-	steps, err := measureModuleSteps(ctx, size, plan.Held[0], uint64(plan.Seed))
+	steps, err := measureModuleSteps(ctx, size, plan.BacklogSizes[0], uint64(plan.Seed))
 	if err != nil {
 		return err
 	}
-	return recordModuleSteps(recorder, Destinations, size, fmt.Sprintf(", %d held", plan.Held[0]), steps)
+	return recordModuleSteps(recorder, Destinations, size, fmt.Sprintf(", %d held", plan.BacklogSizes[0]), steps)
 }
--- a/internal/lab/capacity/slopes/slopes_test.go
+++ b/internal/lab/capacity/slopes/slopes_test.go
@@ -56,7 +56,7 @@
 // TestMeasureRelay checks that the measurement of a small relay records all quantities, and that list and journal grow linearly with the
 // size.
 func TestMeasureRelay(t *testing.T) {
-	plan := RelayPlan{Destinations: []int{40, 80, 160, 320}, Held: []int{50, 100, 200, 400}, HeldOver: 40, Span: 120 * time.Millisecond, Seed: 1,
+	plan := RelayPlan{Destinations: []int{40, 80, 160, 320}, BacklogSizes: []int{50, 100, 200, 400}, BacklogDestinations: 40, Duration: 120 * time.Millisecond, Seed: 1,
 		Directory: t.TempDir()}
 	var lines, tables bytes.Buffer
 	r := NewRecorder(&lines)
@@ -66,7 +66,7 @@
 	checkQuantities(t, r, Destinations, plan.Destinations, listBytes, listParse, listStep, changeBytes, changeParse, changeStep, bookHeap,
 		flowsHeap, relayHeap, totalHeap, deliveredHeap, firstStepTime, oneQueuedShare, loadStepShare, loadProcessShare, loadStepLongest,
 		loadAnswerMedian, loadAnswer99, loadUnansweredShare, saturatedStepEvents, saturatedModuleEvents, saturatedProcessEvents)
-	checkQuantities(t, r, QueuedMessages, plan.Held, stepMedian, step99, stepLongest, journalBytes, journalMessageBytes,
+	checkQuantities(t, r, QueuedMessages, plan.BacklogSizes, stepMedian, step99, stepLongest, journalBytes, journalMessageBytes,
 		journalMessageWrite, journalReplay, restartCPU, restartElapsed, backlogHeap, backlogIdleShare, backlogStep99, backlogStepLongest,
 		backlogKeptShare)
 	if p := projectionOf(t, r, Destinations, listBytes); p.Fit.Form != Linear || p.Fit.Slope < 100 || p.Fit.Slope > 200 {
@@ -136,9 +136,9 @@
 // TestMeasureMembership checks that the measurement of a small fleet records all quantities, and that a full-state exchange grows linearly
 // with the number of members.
 func TestMeasureMembership(t *testing.T) {
-	plan := MembershipPlan{Relays: []int{17, 18, 19, 20}, FullStates: []int{10, 20, 40, 80}, Start: 50 * time.Millisecond,
-		Idle: 100 * time.Millisecond, Patience: 300 * time.Millisecond,
-		Delay: time.Millisecond}
+	plan := MembershipPlan{Relays: []int{17, 18, 19, 20}, FullStates: []int{10, 20, 40, 80}, StartSpan: 50 * time.Millisecond,
+		IdleDuration: 100 * time.Millisecond, ConvergenceTimeout: 300 * time.Millisecond,
+		PacketDelay: time.Millisecond}
 	var lines, tables bytes.Buffer
 	r := NewRecorder(&lines)
 	if err := MeasureMembership(t.Context(), plan, r, ignoreProgress); err != nil {
@@ -161,7 +161,7 @@
 
 // TestMeasureFleets checks that the measurement of a few complete fleet nodes records all quantities, and that the nodes sent something.
 func TestMeasureFleets(t *testing.T) {
-	plan := MembershipPlan{Fleets: []int{3, 6}, Idle: 500 * time.Millisecond}
+	plan := MembershipPlan{Fleets: []int{3, 6}, IdleDuration: 500 * time.Millisecond}
 	r := NewRecorder(io.Discard)
 	if err := measureFleets(t.Context(), plan, r, ignoreProgress); err != nil {
 		t.Fatal(err)
@@ -190,17 +190,17 @@
 func TestPlanChecks(t *testing.T) {
 	good := []int{17, 18, 19, 20}
 	for name, check := range map[string]error{
-		"destinations: a size of 0":   (&RelayPlan{Destinations: []int{0, 1, 2, 3}, Held: good, HeldOver: 1, Span: time.Second}).Check(),
-		"held: a size of -1":          (&RelayPlan{Destinations: good, Held: []int{-1, 1, 2, 3}, HeldOver: 1, Span: time.Second}).Check(),
-		"held: 3 sizes are too few":   (&RelayPlan{Destinations: good, Held: good[:3], HeldOver: 1, Span: time.Second}).Check(),
-		"destinations: size 17":       (&RelayPlan{Destinations: append(good, 17), Held: good, HeldOver: 1, Span: time.Second}).Check(),
-		"0 destinations":              (&RelayPlan{Destinations: good, Held: good, Span: time.Second}).Check(),
-		"a span of 0s":                (&RelayPlan{Destinations: good, Held: good, HeldOver: 1}).Check(),
-		"relays: a size of 0":         (&MembershipPlan{Relays: []int{0, 17, 18, 19}, Idle: 1, Patience: 1}).Check(),
-		"16 relays are fewer":         (&MembershipPlan{Relays: []int{16, 17, 18, 19}, Idle: 1, Patience: 1}).Check(),
-		"a full state of 0":           (&MembershipPlan{Relays: good, FullStates: []int{0}, Idle: 1, Patience: 1}).Check(),
-		"loss, delay or a time":       (&MembershipPlan{Relays: good, Loss: 1, Idle: 1, Patience: 1}).Check(),
-		"relays: 1 sizes are too few": (&MembershipPlan{Relays: good[:1], Idle: 1, Patience: 1}).Check(),
+		"destinations: a size of 0":   (&RelayPlan{Destinations: []int{0, 1, 2, 3}, BacklogSizes: good, BacklogDestinations: 1, Duration: time.Second}).Check(),
+		"held: a size of -1":          (&RelayPlan{Destinations: good, BacklogSizes: []int{-1, 1, 2, 3}, BacklogDestinations: 1, Duration: time.Second}).Check(),
+		"held: 3 sizes are too few":   (&RelayPlan{Destinations: good, BacklogSizes: good[:3], BacklogDestinations: 1, Duration: time.Second}).Check(),
+		"destinations: size 17":       (&RelayPlan{Destinations: append(good, 17), BacklogSizes: good, BacklogDestinations: 1, Duration: time.Second}).Check(),
+		"0 destinations":              (&RelayPlan{Destinations: good, BacklogSizes: good, Duration: time.Second}).Check(),
+		"a span of 0s":                (&RelayPlan{Destinations: good, BacklogSizes: good, BacklogDestinations: 1}).Check(),
+		"relays: a size of 0":         (&MembershipPlan{Relays: []int{0, 17, 18, 19}, IdleDuration: 1, ConvergenceTimeout: 1}).Check(),
+		"16 relays are fewer":         (&MembershipPlan{Relays: []int{16, 17, 18, 19}, IdleDuration: 1, ConvergenceTimeout: 1}).Check(),
+		"a full state of 0":           (&MembershipPlan{Relays: good, FullStates: []int{0}, IdleDuration: 1, ConvergenceTimeout: 1}).Check(),
+		"loss, delay or a time":       (&MembershipPlan{Relays: good, PacketLossShare: 1, IdleDuration: 1, ConvergenceTimeout: 1}).Check(),
+		"relays: 1 sizes are too few": (&MembershipPlan{Relays: good[:1], IdleDuration: 1, ConvergenceTimeout: 1}).Check(),
 	} {
 		if check == nil || !strings.Contains(check.Error(), name) {
 			t.Errorf("want an error with %q, got %v", name, check)
@@ -213,11 +213,11 @@
 	sizes := []int{17, 18, 19, 20}
 	for name, measure := range map[string]func(context.Context) error{
 		"relay": func(ctx context.Context) error {
-			plan := RelayPlan{Destinations: sizes, Held: sizes, HeldOver: 20, Span: time.Minute, Directory: t.TempDir()}
+			plan := RelayPlan{Destinations: sizes, BacklogSizes: sizes, BacklogDestinations: 20, Duration: time.Minute, Directory: t.TempDir()}
 			return MeasureRelay(ctx, plan, NewRecorder(io.Discard), ignoreProgress)
 		},
 		"membership": func(ctx context.Context) error {
-			plan := MembershipPlan{Relays: sizes, Idle: time.Minute, Patience: time.Minute}
+			plan := MembershipPlan{Relays: sizes, IdleDuration: time.Minute, ConvergenceTimeout: time.Minute}
 			return MeasureMembership(ctx, plan, NewRecorder(io.Discard), ignoreProgress)
 		},
 	} {
--- a/internal/lab/capacity/spread.go
+++ b/internal/lab/capacity/spread.go
@@ -14,7 +14,7 @@
 const (
 	spreadExchangeInterval = time.Second
 	spreadBytesPerSecond   = 4096
-	spreadPacketBytes      = 1200 + wire.Sealing
+	spreadPacketBytes      = 1200 + wire.OverheadBytes
 	spreadQuorum           = 2
 	spreadSweepInterval    = 200 * time.Millisecond // the program sweeps every 100 ms
 	schedulingDelay        = 5 * time.Millisecond   // a relay's own processing delay in the calculation of bounds
--- a/internal/lab/deployment.go
+++ b/internal/lab/deployment.go
@@ -29,8 +29,8 @@
 	Deadline  time.Duration
 }
 
-// Usual returns the two classes of the Bortsvi Tyre Service deployment.
-func Usual() []Class {
+// DefaultClasses returns the two classes of the Bortsvi Tyre Service deployment.
+func DefaultClasses() []Class {
 	return []Class{
 		{Name: "order-payment", Repeat: "keyed", Worth: 1, LateWorth: 0.5, Memory: 15 * time.Second, Aim: 4 * time.Second, Deadline: 28 * time.Second},
 		{Name: "slot-status", Repeat: "safe", Worth: 3, LateWorth: 0.1, Memory: 5 * time.Second, Aim: time.Second, Deadline: 5 * time.Second},
@@ -44,11 +44,11 @@
 	Share     float64
 }
 
-// Place describes a deployment: the settings of the relays and the partners.
-type Place struct {
+// DeploymentConfig describes a deployment: the settings of the relays and the partners.
+type DeploymentConfig struct {
 	Classes   []Class
 	Tenants   []Tenant
-	Partners  []partner.Config // Put sets the Ledger of each
+	Partners  []partner.Config // Start sets the Ledger of each
 	MemoryMB  float64
 	DiskMB    float64
 	Sockets   int
@@ -64,26 +64,26 @@
 
 // Deployment holds the simulated parties around one relay or several, and the ledger of the run.
 type Deployment struct {
-	Place    Place
-	Ledger   *ledger.Ledger
-	Platform *platform.Server
-	Partners []*partner.Server
-	Classes  []ledger.Class
-	*Seat    // of the only relay
+	Config     DeploymentConfig
+	Ledger     *ledger.Ledger
+	Platform   *platform.Server
+	Partners   []*partner.Server
+	Classes    []ledger.Class
+	*RelayNode // of the only relay
 }
 
-// Seat holds the addresses of one relay, and the folder with its configuration and its state.
-type Seat struct {
+// RelayNode holds the addresses of one relay, and the folder with its configuration and its state.
+type RelayNode struct {
 	Name      string
-	Number    int // index of the relay, below Place.Relays
+	Number    int // index of the relay, below DeploymentConfig.Relays
 	Listen    string
 	Discovery string
 	Dir       string
 }
 
-// Put starts the partners and the platform of a deployment and writes the relay's configuration to a folder. Close stops them.
-func Put(dir string, p Place) (*Deployment, error) {
-	d := &Deployment{Place: p, Ledger: &ledger.Ledger{}, Seat: &Seat{Name: "lab", Dir: dir}}
+// Start starts the partners and the platform of a deployment and writes the relay's configuration to a folder. Close stops them.
+func Start(dir string, p DeploymentConfig) (*Deployment, error) {
+	d := &Deployment{Config: p, Ledger: &ledger.Ledger{}, RelayNode: &RelayNode{Name: "lab", Dir: dir}}
 	for _, c := range p.Classes {
 		effect := map[string]ledger.Effect{"safe": ledger.Safe, "keyed": ledger.Keyed, "unsafe": ledger.Unsafe}[c.Repeat]
 		d.Classes = append(d.Classes, ledger.Class{Name: c.Name, Effect: effect, Memory: c.Memory, Worth: c.Worth, Aim: c.Aim})
@@ -105,7 +105,7 @@
 			kind = p.Kind(n)
 		}
 		hosts = append(hosts, platform.Host{Host: cfg.Name, Dial: s.Addr(), Site: "here", Class: kind, Block: cfg.Dest,
-			Health: "active", Share: cmp.Or(cfg.Share, max(cfg.Life[0].Rate, 20))})
+			Health: "active", Share: cmp.Or(cfg.Share, max(cfg.Phases[0].Rate, 20))})
 	}
 	var err error
 	if d.Platform, err = platform.Start("127.0.0.1:0", d.Ledger, hosts); err != nil {
@@ -113,7 +113,7 @@
 		return nil, err
 	}
 	d.Discovery = d.Platform.Addr()
-	if err := d.Furnish(d.Seat, d.Platform.Known()); err != nil {
+	if err := d.WriteConfiguration(d.RelayNode, d.Platform.Known()); err != nil {
 		d.Close()
 		return nil, err
 	}
@@ -132,15 +132,15 @@
 	}
 }
 
-// Config returns the path of the relay's configuration file.
-func (s *Seat) Config() string { return filepath.Join(s.Dir, "config.json") }
+// ConfigPath returns the path of the relay's configuration file.
+func (s *RelayNode) ConfigPath() string { return filepath.Join(s.Dir, "config.json") }
 
 // StateDir returns the path of the folder that persists over restarts of the relay.
-func (s *Seat) StateDir() string { return filepath.Join(s.Dir, "state") }
+func (s *RelayNode) StateDir() string { return filepath.Join(s.Dir, "state") }
 
-// Furnish writes the configuration of a relay with known as its last known pool, and chooses its client address if there is none.
-func (d *Deployment) Furnish(s *Seat, known json.RawMessage) (err error) {
-	p := d.Place
+// WriteConfiguration writes the configuration of a relay with known as its last known pool, and chooses its client address if there is none.
+func (d *Deployment) WriteConfiguration(s *RelayNode, known json.RawMessage) (err error) {
+	p := d.Config
 	if s.Listen == "" {
 		if s.Listen, err = FreePort(); err != nil {
 			return err
@@ -179,21 +179,21 @@
 	if err := os.MkdirAll(s.StateDir(), 0o700); err != nil {
 		return fmt.Errorf("lab: %w", err)
 	}
-	if err := os.WriteFile(s.Config(), raw, 0o600); err != nil {
+	if err := os.WriteFile(s.ConfigPath(), raw, 0o600); err != nil {
 		return fmt.Errorf("lab: %w", err)
 	}
 	return nil
 }
 
-// Relay starts a relay process on the given processors and waits until it is ready. gateway is the text of the relay's own settings
+// StartRelay starts a relay process on the given processors and waits until it is ready. gateway is the text of the relay's own settings
 // file; empty for none.
-func (s *Seat) Relay(binary string, cpus []int, gateway string, flags ...string) (*Process, error) {
-	return s.RelayWith(binary, cpus, nil, gateway, flags...)
+func (s *RelayNode) StartRelay(binary string, cpus []int, gateway string, flags ...string) (*Process, error) {
+	return s.StartRelayWithEnv(binary, cpus, nil, gateway, flags...)
 }
 
-// RelayWith starts a relay like Relay, with additional environment variables. A second process beside the first needs its own admin
+// StartRelayWithEnv starts a relay like StartRelay, with additional environment variables. A second process beside the first needs its own admin
 // endpoint and the TMPDIR of the first.
-func (s *Seat) RelayWith(binary string, cpus []int, env []string, gateway string, flags ...string) (*Process, error) {
+func (s *RelayNode) StartRelayWithEnv(binary string, cpus []int, env []string, gateway string, flags ...string) (*Process, error) {
 	args := append([]string{"--log-format", "json"}, flags...)
 	if gateway != "" {
 		path := filepath.Join(s.Dir, "gateway.textproto")
@@ -202,7 +202,7 @@
 		}
 		args = append(args, "--config", path)
 	}
-	p, err := Run(cpus, append([]string{"NODE_CONFIG=" + s.Config(), "NODE_STATE=" + s.StateDir()}, env...), binary, args...)
+	p, err := Run(cpus, append([]string{"NODE_CONFIG=" + s.ConfigPath(), "NODE_STATE=" + s.StateDir()}, env...), binary, args...)
 	if err != nil {
 		return nil, err
 	}
@@ -214,18 +214,18 @@
 	return p, nil
 }
 
-// Load runs a load against the only relay. It sets the address, the classes, the ledger and the relay's number.
-func (d *Deployment) Load(ctx context.Context, cfg load.Config) error {
-	return d.LoadOn(ctx, d.Seat, cfg)
+// RunLoad runs a load against the only relay. It sets the address, the classes, the ledger and the relay's number.
+func (d *Deployment) RunLoad(ctx context.Context, cfg load.Config) error {
+	return d.RunLoadOn(ctx, d.RelayNode, cfg)
 }
 
-// LoadOn runs a load against one of several relays.
-func (d *Deployment) LoadOn(ctx context.Context, s *Seat, cfg load.Config) error {
+// RunLoadOn runs a load against one of several relays.
+func (d *Deployment) RunLoadOn(ctx context.Context, s *RelayNode, cfg load.Config) error {
 	cfg.Addr, cfg.Classes, cfg.Ledger, cfg.Relay = s.Listen, d.Classes, d.Ledger, s.Number
 	return load.Run(ctx, cfg)
 }
 
 // Judge checks the recorded run with the usual rules. The partners must be closed.
 func (d *Deployment) Judge(end time.Time) ledger.Verdict {
-	return d.Ledger.Judge(ledger.Usual(d.Classes), end)
+	return d.Ledger.Judge(ledger.DefaultRules(d.Classes), end)
 }
--- a/internal/lab/emulator/emulator.go
+++ b/internal/lab/emulator/emulator.go
@@ -20,8 +20,8 @@
 // Priority orders simultaneous events: an event with a lower priority number runs first. The users of the package define the numbers.
 type Priority uint8
 
-// Any is the highest priority number. It is for events whose order among simultaneous events does not matter.
-const Any Priority = 255
+// AnyPriority is the highest priority number. It is for events whose order among simultaneous events does not matter.
+const AnyPriority Priority = 255
 
 // event is a scheduled function.
 type event struct {
--- a/internal/lab/emulator/emulator_test.go
+++ b/internal/lab/emulator/emulator_test.go
@@ -14,9 +14,9 @@
 	note := func(name string) func() { return func() { got = append(got, name) } }
 	s.At(10, 2, note("c"))
 	s.At(10, 1, note("b"))
-	s.At(5, Any, note("a"))
+	s.At(5, AnyPriority, note("a"))
 	s.At(10, 1, note("b2"))
-	s.At(10, Any, func() {
+	s.At(10, AnyPriority, func() {
 		got = append(got, "d")
 		s.At(10, 0, note("e")) // an event that is scheduled for the current instant still runs in this call
 	})
@@ -32,7 +32,7 @@
 			t.Fatal("At accepted an event in the past")
 		}
 	}()
-	s.At(5, Any, func() {})
+	s.At(5, AnyPriority, func() {})
 }
 
 // Checks that a random stream depends only on the seed and the name of the actor, not on what other actors draw.
--- a/internal/lab/emulator/servermodel/health.go
+++ b/internal/lab/emulator/servermodel/health.go
@@ -15,8 +15,8 @@
 	Silent       // the machine is partitioned: calls get no answer, and connections cannot be established
 )
 
-// Spell is a span of time with a fault: an outage, or a gray failure that only slows the server down.
-type Spell struct {
+// Fault is a span of time with a fault: an outage, or a gray failure that only slows the server down.
+type Fault struct {
 	From, To emulator.Time
 	State    State   // Down or Silent for an outage, Up for a gray failure
 	Slowdown float64 // factor by which a gray failure multiplies the work of a call; 0 or 1 for no slowdown
@@ -26,15 +26,15 @@
 // from StartShare to 1 over the time Cold, as caches fill and connections are established. In a gray failure the server is up but
 // slower.
 type Health struct {
-	Spells     []Spell // in order of time, without overlaps
-	StartShare float64
-	Cold       time.Duration
+	Faults            []Fault // in order of time, without overlaps
+	StartShare        float64
+	ColdStartDuration time.Duration
 }
 
 // At returns the state of the server at a time, and the available share of its capacity.
 func (h *Health) At(now emulator.Time) (State, float64) {
 	share := 1.0
-	for _, s := range h.Spells {
+	for _, s := range h.Faults {
 		switch {
 		case now < s.From:
 			return Up, share
@@ -45,8 +45,8 @@
 				share = min(share, 1/s.Slowdown)
 			}
 			return Up, share
-		case s.State != Up && h.Cold > 0 && now < s.To+emulator.Time(h.Cold):
-			warmed := float64(now-s.To) / float64(h.Cold)
+		case s.State != Up && h.ColdStartDuration > 0 && now < s.To+emulator.Time(h.ColdStartDuration):
+			warmed := float64(now-s.To) / float64(h.ColdStartDuration)
 			share = h.StartShare + (1-h.StartShare)*warmed
 		}
 	}
--- a/internal/lab/emulator/servermodel/health_test.go
+++ b/internal/lab/emulator/servermodel/health_test.go
@@ -11,7 +11,7 @@
 // Checks the state and the capacity before, during and after outages, in cold starts and in a gray failure.
 func TestHealthTimeline(t *testing.T) {
 	s := func(d time.Duration) emulator.Time { return emulator.Time(d) }
-	h := Health{StartShare: 0.25, Cold: 10 * time.Second, Spells: []Spell{
+	h := Health{StartShare: 0.25, ColdStartDuration: 10 * time.Second, Faults: []Fault{
 		{From: s(5 * time.Second), To: s(10 * time.Second), State: Down},
 		{From: s(30 * time.Second), To: s(40 * time.Second), State: Up, Slowdown: 4},
 		{From: s(50 * time.Second), To: s(55 * time.Second), State: Silent},
--- a/internal/lab/emulator/servermodel/limit.go
+++ b/internal/lab/emulator/servermodel/limit.go
@@ -14,18 +14,18 @@
 	Take(now emulator.Time) (ok bool, wait time.Duration)
 }
 
-// Bucket is a token bucket: Rate calls a second, and up to Burst calls at once (Tanenbaum, Computer Networks, 5th ed., 5.4.2).
-type Bucket struct {
-	Rate, Burst float64
-	Tells       bool // a refusal reports the wait until the next token
-	Draws       bool // a refusal takes a token in advance, so that the balance can become negative
-	tokens      float64
-	updatedAt   emulator.Time
-	started     bool
+// TokenBucket is a token bucket: Rate calls a second, and up to Burst calls at once (Tanenbaum, Computer Networks, 5th ed., 5.4.2).
+type TokenBucket struct {
+	Rate, Burst     float64
+	ReportsWait     bool // a refusal reports the wait until the next token
+	ChargesRefusals bool // a refusal takes a token in advance, so that the balance can become negative
+	tokens          float64
+	updatedAt       emulator.Time
+	started         bool
 }
 
 // Left returns the available tokens as a share of Burst.
-func (b *Bucket) Left(now emulator.Time) float64 {
+func (b *TokenBucket) Left(now emulator.Time) float64 {
 	if !b.started {
 		return 1
 	}
@@ -33,7 +33,7 @@
 }
 
 // Take implements Limit.
-func (b *Bucket) Take(now emulator.Time) (bool, time.Duration) {
+func (b *TokenBucket) Take(now emulator.Time) (bool, time.Duration) {
 	if !b.started {
 		b.tokens, b.updatedAt, b.started = b.Burst, now, true
 	}
@@ -44,10 +44,10 @@
 		return true, 0
 	}
 	wait := time.Duration(math.Ceil((1 - b.tokens) / b.Rate * 1e9)) // rounded up, so that a whole token is available at the end of the wait
-	if b.Draws {
+	if b.ChargesRefusals {
 		b.tokens--
 	}
-	if !b.Tells {
+	if !b.ReportsWait {
 		wait = 0
 	}
 	return false, wait
--- a/internal/lab/emulator/servermodel/limit_test.go
+++ b/internal/lab/emulator/servermodel/limit_test.go
@@ -11,7 +11,7 @@
 // limits returns constructors of a limit of each type, all with a rate of 10 calls a second.
 func limits() map[string]func() Limit {
 	return map[string]func() Limit{
-		"bucket": func() Limit { return &Bucket{Rate: 10, Burst: 5, Tells: true} },
+		"bucket": func() Limit { return &TokenBucket{Rate: 10, Burst: 5, ReportsWait: true} },
 		"window": func() Limit { return &Window{MaxCalls: 10, Length: time.Second, ReportsWait: true} },
 	}
 }
@@ -62,7 +62,7 @@
 
 // Checks that a sender which keeps calling gets less than the rate if refused calls use up the limit.
 func TestRefusalsUseTheLimit(t *testing.T) {
-	b := &Bucket{Rate: 10, Burst: 1, Draws: true}
+	b := &TokenBucket{Rate: 10, Burst: 1, ChargesRefusals: true}
 	in := 0
 	for i := range 3000 { // 50 a second for a minute
 		if ok, _ := b.Take(emulator.Time(i) * emulator.Time(20*time.Millisecond)); ok {
--- a/internal/lab/emulator/servermodel/queue.go
+++ b/internal/lab/emulator/servermodel/queue.go
@@ -52,7 +52,7 @@
 // start serves a job on a free server.
 func (f *FIFO) start(w queuedJob) {
 	f.busy++
-	f.sim.After(w.work, emulator.Any, func() {
+	f.sim.After(w.work, emulator.AnyPriority, func() {
 		f.busy--
 		f.departed(w.job, true, (f.sim.Now() - w.arrived).Duration())
 		if len(f.queue) > 0 {
@@ -125,7 +125,7 @@
 		return
 	}
 	generation, remainingSeconds := p.departureGeneration, p.jobs[0].finishSeconds-p.attainedSeconds
-	p.sim.After(time.Duration(max(remainingSeconds, 0)*float64(len(p.jobs))*1e9), emulator.Any, func() {
+	p.sim.After(time.Duration(max(remainingSeconds, 0)*float64(len(p.jobs))*1e9), emulator.AnyPriority, func() {
 		if generation != p.departureGeneration {
 			return
 		}
--- a/internal/lab/emulator/servermodel/queue_test.go
+++ b/internal/lab/emulator/servermodel/queue_test.go
@@ -33,9 +33,9 @@
 			return
 		}
 		s.Arrive(i, drawWork(sim))
-		sim.After(time.Duration(arrivals.ExpFloat64()/lambda*1e9), emulator.Any, func() { next(i + 1) })
+		sim.After(time.Duration(arrivals.ExpFloat64()/lambda*1e9), emulator.AnyPriority, func() { next(i + 1) })
 	}
-	sim.At(0, emulator.Any, func() { next(0) })
+	sim.At(0, emulator.AnyPriority, func() { next(0) })
 	sim.Run(emulator.Time(math.MaxInt64))
 	if served != jobs {
 		t.Fatalf("%d of %d served", served, jobs)
--- a/internal/lab/emulator/workload/fleet.go
+++ b/internal/lab/emulator/workload/fleet.go
@@ -10,21 +10,21 @@
 	"slatemux/internal/verdicts"
 )
 
-// Fleet configures the gossip between the relays of a simulation.
-type Fleet struct {
-	Links    gossip.Links
-	Exchange time.Duration // interval of the anti-entropy exchanges
-	Bytes    float64       // bytes a second that each relay may send
-	Agree    int           // number of relays that have to agree on an outage
+// GossipConfig configures the gossip between the relays of a simulation.
+type GossipConfig struct {
+	Links            gossip.Links
+	ExchangeInterval time.Duration // interval of the anti-entropy exchanges
+	BytesPerSecond   float64       // bytes a second that each relay may send
+	Quorum           int           // number of relays that have to agree on an outage
 	// Partitioned reports whether packets from one relay to another are lost at a time; nil for never.
 	Partitioned func(from, to int, now emulator.Time) bool
 }
 
-// Told has the metrics of the gossip in a simulation.
-type Told struct {
-	Spread     []time.Duration // time from the announcement of a statement until a relay receives it, for each relay and statement
-	Bytes      int64           // bytes that all relays sent
-	Statements int             // number of announced statements
+// GossipMetrics has the metrics of the gossip in a simulation.
+type GossipMetrics struct {
+	SpreadTimes []time.Duration // time from the announcement of a statement until a relay receives it, for each relay and statement
+	SentBytes   int64           // bytes that all relays sent
+	Statements  int             // number of announced statements
 }
 
 // statementID identifies a statement.
@@ -46,8 +46,8 @@
 }
 
 // joinFleet creates the fleet parts of all relays.
-func joinFleet(sim *emulator.Sim, f *Fleet, relays []*relay, senders []*dispatch.Sender, post func(*relay, dispatch.Event), told *Told) ([]*fleetMember, error) {
-	net, err := gossip.New(sim, gossip.Config{Relays: len(relays), Links: f.Links, ExchangeInterval: f.Exchange, BytesPerSecond: f.Bytes, Quorum: f.Agree})
+func joinFleet(sim *emulator.Sim, f *GossipConfig, relays []*relay, senders []*dispatch.Sender, post func(*relay, dispatch.Event), told *GossipMetrics) ([]*fleetMember, error) {
+	net, err := gossip.New(sim, gossip.Config{Relays: len(relays), Links: f.Links, ExchangeInterval: f.ExchangeInterval, BytesPerSecond: f.BytesPerSecond, Quorum: f.Quorum})
 	if err != nil {
 		return nil, err
 	}
@@ -60,7 +60,7 @@
 		p.announcedAt, p.now = announcedAt, sim.Now
 		p.node.OnReceive = func(now time.Duration, newStatements []verdicts.Statement, restraints []verdicts.Restraint) {
 			for _, s := range newStatements {
-				told.Spread = append(told.Spread, (sim.Now() - announcedAt[statementID{s.Origin, s.Seq}]).Duration())
+				told.SpreadTimes = append(told.SpreadTimes, (sim.Now() - announcedAt[statementID{s.Origin, s.Seq}]).Duration())
 			}
 			p.applyRestraints(now, restraints)
 		}
@@ -92,7 +92,7 @@
 
 // observe records the outcomes of the calls that ended before a step, and announces the statements that follow from them. dest returns
 // the destination of a message.
-func (p *fleetMember) observe(outcomes []dispatch.Outcome, dest func(id string) int, told *Told) {
+func (p *fleetMember) observe(outcomes []dispatch.Outcome, dest func(id string) int, told *GossipMetrics) {
 	now := p.node.Now()
 	announce := func(s verdicts.Statement) {
 		told.Statements++
--- a/internal/lab/emulator/workload/workload.go
+++ b/internal/lab/emulator/workload/workload.go
@@ -16,11 +16,11 @@
 
 // Destination is one partner with one endpoint: a number of servers, a limit on calls and a timeline of faults.
 type Destination struct {
-	Servers int
-	Work    time.Duration // mean of the exponentially distributed work of a call
-	Limit   servermodel.Bucket
-	Health  servermodel.Health
-	Rate    float64 // submitted messages a second, over all relays
+	Servers           int
+	Work              time.Duration // mean of the exponentially distributed work of a call
+	Limit             servermodel.TokenBucket
+	Health            servermodel.Health
+	MessagesPerSecond float64 // submitted messages a second, over all relays
 }
 
 // Module makes the decisions of a relay. It is the production module, or in tests the production module with a planted defect.
@@ -28,8 +28,8 @@
 	Step(now time.Duration, events []dispatch.Event) []dispatch.Action
 }
 
-// Day is the configuration of a simulation.
-type Day struct {
+// Scenario is the configuration of a simulation.
+type Scenario struct {
 	// Mutate wraps the module of each relay, for tests that plant a defect; nil for the module without a defect.
 	Mutate       func(*dispatch.Sender) Module
 	Seed         uint64
@@ -39,8 +39,8 @@
 	Length       time.Duration // time during which clients submit messages; the simulation continues until all messages have ended
 	Class        string        // of every message
 	TimeLeft     time.Duration
-	Drains       []Drain // discovery notifies all relays that an endpoint drains
-	Fleet        *Fleet  // nil for relays without a fleet part
+	Drains       []Drain       // discovery notifies all relays that an endpoint drains
+	Fleet        *GossipConfig // nil for relays without a fleet part
 	// HotShare is the share of all messages that clients submit to the first relay; 0 for an even distribution.
 	HotShare float64
 	// Reports makes answers report the remaining limit, and discovery list the rate of each limit as the weight of the endpoint.
@@ -76,7 +76,7 @@
 	Messages   map[string]*Record // by message ID
 	EventCount uint64
 	Calls      []Call
-	Told       Told
+	Gossip     GossipMetrics
 }
 
 // Worth returns the earned share of the worth of all messages. A delivery within the aim earns the full worth, a later delivery within
@@ -117,10 +117,10 @@
 }
 
 // Simulate runs a simulation from start to end.
-func Simulate(d Day) (Result, error) {
+func Simulate(d Scenario) (Result, error) {
 	sim := emulator.New(d.Seed)
 	result := Result{Messages: map[string]*Record{}}
-	// The models of the destinations change their state. The simulation uses copies, so that the same Day can be simulated again.
+	// The models of the destinations change their state. The simulation uses copies, so that the same Scenario can be simulated again.
 	d.Destinations = slices.Clone(d.Destinations)
 	settings := d.Settings
 	settings.Peers = d.Relays
@@ -161,7 +161,7 @@
 	}
 	if d.Fleet != nil {
 		var err error
-		if members, err = joinFleet(sim, d.Fleet, relays, senders, post, &result.Told); err != nil {
+		if members, err = joinFleet(sim, d.Fleet, relays, senders, post, &result.Gossip); err != nil {
 			return result, fmt.Errorf("workload: %w", err)
 		}
 	}
@@ -277,7 +277,7 @@
 					ended = append(ended, o)
 				}
 			}
-			members[r.index].observe(ended, func(id string) int { return result.Messages[id].Destination }, &result.Told)
+			members[r.index].observe(ended, func(id string) int { return result.Messages[id].Destination }, &result.Gossip)
 		}
 		// A wait begins after the step that receives it: the calls of that step are allowed.
 		for _, ev := range events {
@@ -325,9 +325,9 @@
 			r := relays[index]
 			result.Messages[id] = &Record{Relay: r.index, Destination: i, Due: sim.Now() + emulator.Time(d.TimeLeft), Aim: sim.Now() + aim}
 			post(r, dispatch.Request{ID: id, Destination: i, Class: d.Class, TimeLeft: d.TimeLeft, SizeBytes: 100})
-			sim.After(time.Duration(arrivals.ExpFloat64()/dest.Rate*1e9), emulator.Any, next)
+			sim.After(time.Duration(arrivals.ExpFloat64()/dest.MessagesPerSecond*1e9), emulator.AnyPriority, next)
 		}
-		sim.At(0, emulator.Any, next)
+		sim.At(0, emulator.AnyPriority, next)
 	}
 	for _, drain := range d.Drains {
 		sim.At(drain.At, serverPriority, func() {
@@ -346,15 +346,15 @@
 	}
 	sim.Run(emulator.Time(d.Length + 10*d.TimeLeft))
 	for _, p := range members {
-		result.Told.Bytes += p.node.SentBytes
+		result.Gossip.SentBytes += p.node.SentBytes
 	}
 	result.EventCount = sim.EventCount()
 	return result, nil
 }
 
-// Many runs simulations in parallel on a number of workers. One goroutine runs each simulation from start to end, so that its result
+// SimulateAll runs simulations in parallel on a number of workers. One goroutine runs each simulation from start to end, so that its result
 // does not depend on the number of workers. The results are in the order of days.
-func Many(days []Day, workers int) ([]Result, error) {
+func SimulateAll(days []Scenario, workers int) ([]Result, error) {
 	results, errs := make([]Result, len(days)), make([]error, len(days))
 	next := make(chan int)
 	done := make(chan struct{})
--- a/internal/lab/emulator/workload/workload_test.go
+++ b/internal/lab/emulator/workload/workload_test.go
@@ -14,7 +14,7 @@
 )
 
 // testDay returns a simulation of 3 relays and 20 destinations. A fifth of the destinations has an outage with a cold start.
-func testDay(seed uint64) Day {
+func testDay(seed uint64) Scenario {
 	set := dispatch.Settings{
 		Classes:    []dispatch.Class{{Name: "slot", Aim: time.Second, Deadline: 5 * time.Second, Worth: 3}},
 		Kinds:      []dispatch.Kind{{Name: "partner"}},
@@ -22,13 +22,13 @@
 		KeepAlive: 5 * time.Second, SendRetryAfter: true, MaxRetryAfter: 3 * time.Second,
 		Safety: dispatch.Safety{MinStartCapacityShare: 0.23, Ramp: 13 * time.Second, OverloadMultiple: 1.5, OverloadFor: 1500 * time.Millisecond},
 	}
-	d := Day{Seed: seed, Relays: 3, Settings: set, Length: 30 * time.Second, Class: "slot", TimeLeft: 5 * time.Second}
+	d := Scenario{Seed: seed, Relays: 3, Settings: set, Length: 30 * time.Second, Class: "slot", TimeLeft: 5 * time.Second}
 	for i := range 20 {
-		dest := Destination{Servers: 4, Work: 200 * time.Millisecond, Rate: 3,
-			Limit: servermodel.Bucket{Rate: 4, Burst: 4, Tells: true}}
+		dest := Destination{Servers: 4, Work: 200 * time.Millisecond, MessagesPerSecond: 3,
+			Limit: servermodel.TokenBucket{Rate: 4, Burst: 4, ReportsWait: true}}
 		if i%5 == 0 { // an outage with a cold start
-			dest.Health = servermodel.Health{StartShare: 0.25, Cold: 5 * time.Second,
-				Spells: []servermodel.Spell{{From: emulator.Time(10 * time.Second), To: emulator.Time(15 * time.Second), State: servermodel.Down}}}
+			dest.Health = servermodel.Health{StartShare: 0.25, ColdStartDuration: 5 * time.Second,
+				Faults: []servermodel.Fault{{From: emulator.Time(10 * time.Second), To: emulator.Time(15 * time.Second), State: servermodel.Down}}}
 		}
 		d.Destinations = append(d.Destinations, dest)
 	}
@@ -107,7 +107,7 @@
 	return acts
 }
 
-// withResends returns a Day.Mutate that plants the defect of resendingModule.
+// withResends returns a Scenario.Mutate that plants the defect of resendingModule.
 func withResends(when func(dispatch.Outcome) bool) func(*dispatch.Sender) Module {
 	return func(s *dispatch.Sender) Module { return &resendingModule{module: s, shouldResend: when} }
 }
@@ -127,9 +127,9 @@
 
 // checkDefectIsDetected runs a simulation with the production module, for which mark must be true of no message, and with a planted
 // defect, for which mark must be true of some message.
-func checkDefectIsDetected(t *testing.T, d Day, mark func(*Record) bool, defect func(*dispatch.Sender) Module) {
+func checkDefectIsDetected(t *testing.T, d Scenario, mark func(*Record) bool, defect func(*dispatch.Sender) Module) {
 	t.Helper()
-	marked := func(d Day) (n int) {
+	marked := func(d Scenario) (n int) {
 		r, err := Simulate(d)
 		if err != nil {
 			t.Fatal(err)
@@ -150,10 +150,10 @@
 }
 
 // overloadedDay returns testDay with twice the limit offered to each destination, so that destinations ask for waits all the time.
-func overloadedDay(seed uint64) Day {
+func overloadedDay(seed uint64) Scenario {
 	d := testDay(seed)
 	for i := range d.Destinations {
-		d.Destinations[i].Rate = 8
+		d.Destinations[i].MessagesPerSecond = 8
 	}
 	return d
 }
@@ -187,8 +187,8 @@
 	d.Settings.Classes = []dispatch.Class{{Name: "pay", Effect: dispatch.Unsafe, Aim: 4 * time.Second, Deadline: 28 * time.Second, Worth: 1}}
 	d.Class, d.TimeLeft = "pay", 28*time.Second
 	for i := range 5 { // machines that do not answer: the calls that reach them may have run
-		d.Destinations[i].Health = servermodel.Health{StartShare: 0.25, Cold: 5 * time.Second,
-			Spells: []servermodel.Spell{{From: emulator.Time(8 * time.Second), To: emulator.Time(16 * time.Second), State: servermodel.Silent}}}
+		d.Destinations[i].Health = servermodel.Health{StartShare: 0.25, ColdStartDuration: 5 * time.Second,
+			Faults: []servermodel.Fault{{From: emulator.Time(8 * time.Second), To: emulator.Time(16 * time.Second), State: servermodel.Silent}}}
 	}
 	checkDefectIsDetected(t, d, func(m *Record) bool { return m.SentAfterRun },
 		withResends(func(o dispatch.Outcome) bool { return o.Status == dispatch.TimedOut }))
@@ -196,15 +196,15 @@
 
 // Guards against simulations that influence each other when they run in parallel: 1 and 4 workers must give the same records.
 func TestResultsIndependentOfWorkers(t *testing.T) {
-	var days []Day
+	var days []Scenario
 	for seed := range uint64(6) {
 		days = append(days, testDay(seed))
 	}
-	one, err := Many(days, 1)
+	one, err := SimulateAll(days, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	four, err := Many(days, 4)
+	four, err := SimulateAll(days, 4)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/explore/explore.go
+++ b/internal/lab/explore/explore.go
@@ -43,16 +43,16 @@
 	Owners int
 	// Steps is the number of events on a path.
 	Steps int
-	// Rounds is the number of rounds before the search begins. In a round, each relay claims from the first relay, and all messages
+	// ClaimRounds is the number of rounds before the search begins. In a round, each relay claims from the first relay, and all messages
 	// are delivered.
-	Rounds int
-	// Losses, Restarts, Jumps and Pushes are the highest numbers of events of one type on a path: lost messages, restarted relays,
-	// moves of the load to another relay, and grants that do not answer a claim.
-	Losses, Restarts, Jumps, Pushes int
-	// Flight is the highest number of messages in flight.
-	Flight int
-	// Often allows a relay to claim again before the heartbeat interval has passed.
-	Often bool
+	ClaimRounds int
+	// MaxLosses, MaxRestarts, MaxLoadMoves and MaxPushedGrants are the highest numbers of events of one type on a path: lost
+	// messages, restarted relays, moves of the load to another relay, and grants that do not answer a claim.
+	MaxLosses, MaxRestarts, MaxLoadMoves, MaxPushedGrants int
+	// MaxInFlight is the highest number of messages in flight.
+	MaxInFlight int
+	// AllowEarlyClaims allows a relay to claim again before the heartbeat interval has passed.
+	AllowEarlyClaims bool
 	// Limits configures the division of the limit.
 	Limits allowance.Config
 	// NewHolder and NewOwner create the roles of a relay's new process.
@@ -72,10 +72,10 @@
 
 // Result is the outcome of a search.
 type Result struct {
-	States int64    // distinct states
-	Steps  int64    // applied events
-	Most   float64  // highest sum of rates, as a share of the limit
-	Breach []string // events of a path that exceeds the limit; nil if none was found
+	States         int64    // distinct states
+	Steps          int64    // applied events
+	MaxRateShare   float64  // highest sum of rates, as a share of the limit
+	Counterexample []string // events of a path that exceeds the limit; nil if none was found
 }
 
 // event is one transition between two states of the fleet.
@@ -168,7 +168,7 @@
 		s.relays[i] = relay{name: fmt.Sprint("r", i), lastClaimAt: -time.Hour}
 		s.startProcess(&s.relays[i], false)
 	}
-	for n := range cfg.Rounds {
+	for n := range cfg.ClaimRounds {
 		if n > 0 {
 			s.apply(event{kind: advanceClock})
 		}
@@ -199,30 +199,30 @@
 func (s *state) possibleEvents() (list []event) {
 	for i := range s.relays {
 		for o := range s.cfg.Owners {
-			if (s.cfg.Often || s.now-s.relays[i].lastClaimAt >= s.cfg.Limits.HeartbeatInterval) && len(s.messages) < s.cfg.Flight {
+			if (s.cfg.AllowEarlyClaims || s.now-s.relays[i].lastClaimAt >= s.cfg.Limits.HeartbeatInterval) && len(s.messages) < s.cfg.MaxInFlight {
 				list = append(list, event{sendClaim, i, o})
 			}
 		}
 	}
 	for i := range s.messages {
 		list = append(list, event{deliverMessage, i, 0})
-		if s.losses < s.cfg.Losses {
+		if s.losses < s.cfg.MaxLosses {
 			list = append(list, event{loseMessage, i, 0})
 		}
 	}
-	if s.restarts < s.cfg.Restarts {
+	if s.restarts < s.cfg.MaxRestarts {
 		for i := range s.relays {
 			list = append(list, event{restartRelay, i, 0})
 		}
 	}
-	if s.pushedGrants < s.cfg.Pushes && len(s.messages) < s.cfg.Flight {
+	if s.pushedGrants < s.cfg.MaxPushedGrants && len(s.messages) < s.cfg.MaxInFlight {
 		for o := range s.cfg.Owners {
 			for i := range s.relays {
 				list = append(list, event{pushGrant, o, i})
 			}
 		}
 	}
-	if s.loadMoves < s.cfg.Jumps {
+	if s.loadMoves < s.cfg.MaxLoadMoves {
 		for i := range s.relays {
 			if i != s.loadedRelay {
 				list = append(list, event{moveLoad, i, 0})
@@ -373,8 +373,8 @@
 	return &c
 }
 
-// Run searches breadth-first through all states that can be reached in cfg.Steps events, and visits each state once.
-func Run(cfg Config) (res Result) {
+// Search searches breadth-first through all states that can be reached in cfg.Steps events, and visits each state once.
+func Search(cfg Config) (res Result) {
 	var seen [stateShards]struct {
 		sync.Mutex
 		m map[[16]byte]bool
@@ -383,7 +383,7 @@
 		seen[i].m = map[[16]byte]bool{}
 	}
 	level := []*state{newState(&cfg)}
-	for step := 1; step <= cfg.Steps && res.Breach == nil; step++ {
+	for step := 1; step <= cfg.Steps && res.Counterexample == nil; step++ {
 		var wg sync.WaitGroup
 		var mu sync.Mutex
 		var nextLevel []*state
@@ -425,15 +425,15 @@
 	return res
 }
 
-// Walk follows random paths. They can be longer than an exhaustive search allows.
-func Walk(cfg Config, walks int, seed uint64) (res Result) {
+// RandomWalks follows random paths. They can be longer than an exhaustive search allows.
+func RandomWalks(cfg Config, walks int, seed uint64) (res Result) {
 	var wg sync.WaitGroup
 	var mu sync.Mutex
 	workers := runtime.GOMAXPROCS(0)
 	for i := range workers {
 		wg.Go(func() {
 			var part Result
-			for j := i; j < walks && part.Breach == nil; j += workers {
+			for j := i; j < walks && part.Counterexample == nil; j += workers {
 				rng := rand.New(rand.NewPCG(seed, uint64(j)))
 				s := newState(&cfg)
 				for range cfg.Steps {
@@ -459,12 +459,12 @@
 // check records the sum of a state's rates and reports whether the sum is within the limit.
 func (r *Result) check(s *state) bool {
 	share := s.rateSum() / destinationLimit
-	r.Most = max(r.Most, share)
+	r.MaxRateShare = max(r.MaxRateShare, share)
 	if share <= 1+1e-9 {
 		return true
 	}
-	if r.Breach == nil {
-		r.Breach = s.trace.descriptions()
+	if r.Counterexample == nil {
+		r.Counterexample = s.trace.descriptions()
 	}
 	return false
 }
@@ -473,14 +473,14 @@
 func (r *Result) add(o Result) {
 	r.States += o.States
 	r.Steps += o.Steps
-	r.Most = max(r.Most, o.Most)
-	if r.Breach == nil || o.Breach != nil && len(o.Breach) < len(r.Breach) {
-		r.Breach = o.Breach
+	r.MaxRateShare = max(r.MaxRateShare, o.MaxRateShare)
+	if r.Counterexample == nil || o.Counterexample != nil && len(o.Counterexample) < len(r.Counterexample) {
+		r.Counterexample = o.Counterexample
 	}
 }
 
-// Real returns cfg with the roles of the production code.
-func Real(cfg Config) Config {
+// WithProductionCode returns cfg with the roles of the production code.
+func WithProductionCode(cfg Config) Config {
 	cfg.NewHolder = func(c *allowance.Config, lentUntil time.Duration) Holder {
 		return realHolder{allowance.NewHolder(c, lentUntil)}
 	}
--- a/internal/lab/fleets/configuration_test.go
+++ b/internal/lab/fleets/configuration_test.go
@@ -74,7 +74,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f, err := Put(t.TempDir(), relayBinary, sc, func(line string) { t.Log(line) })
+	f, err := New(t.TempDir(), relayBinary, sc, func(line string) { t.Log(line) })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -106,16 +106,16 @@
 	if err := <-played; err != nil {
 		t.Fatal(err)
 	}
-	if err := f.Settle(time.Now().Add(60 * time.Second)); err != nil {
+	if err := f.WaitUntilSettled(time.Now().Add(60 * time.Second)); err != nil {
 		t.Fatal(err)
 	}
 	r := f.Judge()
-	for _, b := range r.Verdict.Breaches {
+	for _, b := range r.Verdict.Violations {
 		t.Errorf("%s: message %016x: %s", b.Rule, b.ID, b.Text)
 	}
 	for i, c := range r.Calls {
-		if c.Member == "p-0" && c.First.Sub(posted) > maxDelay {
-			t.Errorf("r%d called the endpoint %v after it was taken down", r.CallingRelays[i], c.First.Sub(posted))
+		if c.Member == "p-0" && c.FirstByte.Sub(posted) > maxDelay {
+			t.Errorf("r%d called the endpoint %v after it was taken down", r.CallingRelays[i], c.FirstByte.Sub(posted))
 		}
 	}
 }
--- a/internal/lab/fleets/fleets.go
+++ b/internal/lab/fleets/fleets.go
@@ -33,8 +33,8 @@
 	Scenario   *labv1.FleetScenario
 	Deployment *lab.Deployment
 	Links      *links.Net
-	// Began is the start of the load.
-	Began time.Time
+	// LoadStart is the start of the load.
+	LoadStart time.Time
 
 	dir, binary    string
 	nodes          []*relayNode
@@ -44,9 +44,9 @@
 
 // relayNode is one relay of the fleet: its configuration, and its process while it has one.
 type relayNode struct {
-	*lab.Seat
+	*lab.RelayNode
 	name             string
-	addresses        links.Place
+	addresses        links.PartyAddresses
 	adminAddress     string
 	inFleet          bool
 	mu               sync.Mutex
@@ -63,28 +63,28 @@
 // fleetKey returns a key of the fleet by its number. The keys are predictable: the laboratory encrypts nothing secret with them.
 func fleetKey(n int32) []byte { return bytes.Repeat([]byte{byte(n + 1)}, 32) }
 
-// Put creates a fleet in a folder: partners, discovery and links. Start starts the relays. reportProgress receives one line for each
+// New creates a fleet in a folder: partners, discovery and links. Start starts the relays. reportProgress receives one line for each
 // event and may be nil.
-func Put(dir, binary string, sc *labv1.FleetScenario, reportProgress func(string)) (*Fleet, error) {
+func New(dir, binary string, sc *labv1.FleetScenario, reportProgress func(string)) (*Fleet, error) {
 	if reportProgress == nil {
 		reportProgress = func(string) {}
 	}
 	f := &Fleet{Scenario: sc, Links: links.New(sc.Seed), dir: dir, binary: binary, reportProgress: reportProgress}
-	place := lab.Place{Classes: lab.Usual(), Tenants: []lab.Tenant{{Name: "acme", Share: 1}}, MemoryMB: 64, DiskMB: 16, Sockets: 512, MaxOpen: 2000, MaxCalls: 60,
+	place := lab.DeploymentConfig{Classes: lab.DefaultClasses(), Tenants: []lab.Tenant{{Name: "acme", Share: 1}}, MemoryMB: 64, DiskMB: 16, Sockets: 512, MaxOpen: 2000, MaxCalls: 60,
 		KeepAlive: 5 * time.Second, Seed: sc.Seed, Relays: int(sc.Relays)}
 	for i, pt := range sc.Partner {
-		gate := &partner.Gate{}
+		gate := &partner.RateLimiter{}
 		for j, name := range endpointNames(pt) {
-			place.Partners = append(place.Partners, partner.Config{Gate: gate, Name: name, Dest: int(pt.Destination), Life: partnerPhases(pt), Seed: sc.Seed ^ uint64(i<<8|j), Share: pt.Phase[0].Rate})
+			place.Partners = append(place.Partners, partner.Config{RateLimiter: gate, Name: name, Dest: int(pt.Destination), Phases: partnerPhases(pt), Seed: sc.Seed ^ uint64(i<<8|j), Share: pt.Phase[0].Rate})
 		}
 	}
 	var err error
-	if f.Deployment, err = lab.Put(dir, place); err != nil {
+	if f.Deployment, err = lab.Start(dir, place); err != nil {
 		f.Links.Close()
 		return nil, err
 	}
 	for i, name := range relayNames(sc) {
-		node := &relayNode{name: name, inFleet: i < int(sc.Relays-sc.WithoutFleet), Seat: &lab.Seat{Name: name, Number: i, Dir: filepath.Join(dir, name)}}
+		node := &relayNode{name: name, inFleet: i < int(sc.Relays-sc.WithoutFleet), RelayNode: &lab.RelayNode{Name: name, Number: i, Dir: filepath.Join(dir, name)}}
 		if err := f.prepareNode(node); err != nil {
 			f.Close()
 			return nil, err
@@ -96,12 +96,12 @@
 
 // prepareNode creates a link from a relay to each partner endpoint and to discovery, and writes the relay's configuration.
 func (f *Fleet) prepareNode(node *relayNode) (err error) {
-	if node.addresses, err = f.Links.Party(node.name, node.Number); err != nil {
+	if node.addresses, err = f.Links.AddParty(node.name, node.Number); err != nil {
 		return err
 	}
 	forwardAddresses := map[string]string{}
 	for i, partner := range f.Deployment.Partners {
-		name := f.Deployment.Place.Partners[i].Name
+		name := f.Deployment.Config.Partners[i].Name
 		if forwardAddresses[name], err = f.Links.Forward(node.name, name, partner.Addr(), netip.Addr{}); err != nil {
 			return err
 		}
@@ -110,13 +110,13 @@
 	if node.Discovery, err = f.Links.Forward(node.name, "discovery", f.Deployment.Platform.Addr(), source); err != nil {
 		return err
 	}
-	f.Deployment.Platform.Relay(source, node.Number, func(h platform.Host) string { return forwardAddresses[h.Host] })
+	f.Deployment.Platform.RegisterRelay(source, node.Number, func(h platform.Host) string { return forwardAddresses[h.Host] })
 	for _, to := range []*string{&node.Listen, &node.adminAddress} {
 		if *to, err = lab.FreePortOn(node.addresses.Serve.String()); err != nil {
 			return err
 		}
 	}
-	if err := f.Deployment.Furnish(node.Seat, f.Deployment.Platform.KnownTo(source)); err != nil {
+	if err := f.Deployment.WriteConfiguration(node.RelayNode, f.Deployment.Platform.KnownFor(source)); err != nil {
 		return err
 	}
 	for _, dir := range []string{node.tempDir()} {
@@ -160,7 +160,7 @@
 
 // startNode starts the process of one relay and waits until it serves clients.
 func (f *Fleet) startNode(node *relayNode) error {
-	p, err := node.RelayWith(f.binary, nil, []string{"TMPDIR=" + node.tempDir(), "NODE_OPS=" + node.adminAddress}, f.gatewaySettings(node))
+	p, err := node.StartRelayWithEnv(f.binary, nil, []string{"TMPDIR=" + node.tempDir(), "NODE_OPS=" + node.adminAddress}, f.gatewaySettings(node))
 	if err != nil {
 		return fmt.Errorf("%s: %w", node.name, err)
 	}
@@ -168,7 +168,7 @@
 	defer node.mu.Unlock()
 	node.process = p
 	if !node.killedAt.IsZero() {
-		f.Deployment.Ledger.Kill(ledger.Kill{From: node.killedAt, Ready: time.Now(), Relay: node.Number})
+		f.Deployment.Ledger.RecordDowntime(ledger.Downtime{From: node.killedAt, Ready: time.Now(), Relay: node.Number})
 		node.killedAt = time.Time{}
 	}
 	return nil
@@ -249,14 +249,14 @@
 }
 
 // fetchMetrics returns the metrics of a relay's part in the fleet.
-func (f *Fleet) fetchMetrics(node *relayNode) (fleet.Figures, error) {
-	var stats struct{ Fleet fleet.Figures }
+func (f *Fleet) fetchMetrics(node *relayNode) (fleet.Metrics, error) {
+	var stats struct{ Fleet fleet.Metrics }
 	err := node.getJSON("/ops/stats", &stats)
 	return stats.Fleet, err
 }
 
-// Figures returns the metrics of a relay's part in the fleet.
-func (f *Fleet) Figures(relay int) (fleet.Figures, error) { return f.fetchMetrics(f.nodes[relay]) }
+// Metrics returns the metrics of a relay's part in the fleet.
+func (f *Fleet) Metrics(relay int) (fleet.Metrics, error) { return f.fetchMetrics(f.nodes[relay]) }
 
 // Verdicts returns the statements of other relays that a relay holds.
 func (f *Fleet) Verdicts(relay int) (list []fleet.Verdict, err error) {
@@ -281,7 +281,7 @@
 			node.initialSentBytes = metrics.SentBytes
 		}
 	}
-	f.Began = time.Now()
+	f.LoadStart = time.Now()
 	for _, p := range f.Deployment.Partners {
 		p.Restart() // the script of the partner starts now
 	}
@@ -297,9 +297,9 @@
 			select {
 			case <-ctx.Done():
 				return
-			case <-time.After(time.Until(f.Began.Add(seconds(e.AtS)))):
+			case <-time.After(time.Until(f.LoadStart.Add(seconds(e.AtS)))):
 			}
-			if err := f.Do(e); err != nil {
+			if err := f.CauseEvent(e); err != nil {
 				errs[len(f.nodes)] = errors.Join(errs[len(f.nodes)], err)
 			}
 		}
@@ -311,8 +311,8 @@
 // runClients runs the clients of one relay.
 func (f *Fleet) runClients(ctx context.Context, node *relayNode) error {
 	l := f.Scenario.Load
-	streams := []load.Stream{{Class: 0, Tenant: "acme", Share: 1 - l.Status, Body: 200, Deadline: 28 * time.Second},
-		{Class: 1, Tenant: "acme", Share: l.Status, Body: 200, Deadline: 5 * time.Second}}
+	streams := []load.Stream{{Class: 0, Tenant: "acme", Share: 1 - l.Status, BodyBytes: 200, Deadline: 28 * time.Second},
+		{Class: 1, Tenant: "acme", Share: l.Status, BodyBytes: 200, Deadline: 5 * time.Second}}
 	if l.Status == 0 {
 		streams = streams[:1]
 	}
@@ -327,8 +327,8 @@
 	if honour == 0 {
 		honour = 1
 	}
-	return f.Deployment.LoadOn(ctx, node.Seat, load.Config{Clients: clients, Patience: 400 * time.Millisecond, Streams: streams, Dests: dests, Retries: int(l.Retries),
-		Steps: loadSteps(f.Scenario, node.Number), Honour: honour, Seed: f.Scenario.Seed<<10 + uint64(node.Number) + 1, Poisson: true})
+	return f.Deployment.RunLoadOn(ctx, node.RelayNode, load.Config{Clients: clients, Patience: 400 * time.Millisecond, Streams: streams, Dests: dests, MaxRetries: int(l.Retries),
+		Steps: loadSteps(f.Scenario, node.Number), RetryAfterShare: honour, Seed: f.Scenario.Seed<<10 + uint64(node.Number) + 1, Poisson: true})
 }
 
 // loadSteps returns the rates at which clients submit messages to a relay. With JumpS, the relay with the hot share of the load
@@ -351,9 +351,9 @@
 	return list
 }
 
-// Do causes one event of the timeline.
-func (f *Fleet) Do(e *labv1.Event) error {
-	f.reportProgress(fmt.Sprintf("%6.2f s  %v", time.Since(f.Began).Seconds(), strings.ReplaceAll(e.String(), "\u00a0", " ")))
+// CauseEvent causes one event of the timeline.
+func (f *Fleet) CauseEvent(e *labv1.Event) error {
+	f.reportProgress(fmt.Sprintf("%6.2f s  %v", time.Since(f.LoadStart).Seconds(), strings.ReplaceAll(e.String(), "\u00a0", " ")))
 	sc := f.Scenario
 	signal := func(names []string, sig syscall.Signal, stopped bool) error {
 		return f.forEachNode(expandParties(sc, names), func(node *relayNode) error {
@@ -416,7 +416,7 @@
 			return node.process.Signal(syscall.SIGHUP)
 		})
 	case *labv1.Event_Listen:
-		f.Links.Listen(what.Listen.From, what.Listen.To)
+		f.Links.Record(what.Listen.From, what.Listen.To)
 	case *labv1.Event_Replay:
 		f.reportProgress(fmt.Sprintf("          %d packets", f.Links.Replay(what.Replay.From, what.Replay.To)))
 	case *labv1.Event_Lies:
@@ -436,7 +436,7 @@
 	if stopped {
 		node.stoppedAt = time.Now()
 	} else if node.stopped {
-		f.Deployment.Ledger.Kill(ledger.Kill{From: node.stoppedAt, Ready: time.Now(), Relay: node.Number, Stopped: true})
+		f.Deployment.Ledger.RecordDowntime(ledger.Downtime{From: node.stoppedAt, Ready: time.Now(), Relay: node.Number, Paused: true})
 	}
 	node.stopped = stopped
 	return node.process.Signal(sig)
@@ -444,7 +444,7 @@
 
 // drainEndpoint makes discovery announce that an endpoint leaves.
 func (f *Fleet) drainEndpoint(endpoint string) error {
-	for i, p := range f.Deployment.Place.Partners {
+	for i, p := range f.Deployment.Config.Partners {
 		if p.Name == endpoint {
 			f.Deployment.Platform.Change(platform.Host{Host: p.Name, Dial: f.Deployment.Partners[i].Addr(), Site: "here", Class: "partner", Block: p.Dest, Health: "leaving", Share: p.Share})
 			return nil
@@ -472,8 +472,8 @@
 	})
 }
 
-// Settle removes all link faults, resumes stopped relays and waits until no relay has pending messages.
-func (f *Fleet) Settle(deadline time.Time) error {
+// WaitUntilSettled removes all link faults, resumes stopped relays and waits until no relay has pending messages.
+func (f *Fleet) WaitUntilSettled(deadline time.Time) error {
 	f.Links.Heal()
 	for _, node := range f.nodes {
 		node.mu.Lock()
@@ -486,7 +486,7 @@
 		if !node.alive() {
 			return nil
 		}
-		if err := node.process.Settled(deadline); err != nil {
+		if err := node.process.AwaitSettled(deadline); err != nil {
 			return fmt.Errorf("%s: %w\n%s", node.name, err, lastBytes(node.process.Log(), 2000))
 		}
 		return nil
@@ -512,10 +512,10 @@
 	f.Links.Close()
 }
 
-// Get reads a JSON document from the admin endpoint of a relay.
-func (f *Fleet) Get(relay int, path string, into any) error {
+// GetJSON reads a JSON document from the admin endpoint of a relay.
+func (f *Fleet) GetJSON(relay int, path string, into any) error {
 	return f.nodes[relay].getJSON(path, into)
 }
 
-// Ops returns the address of a relay's admin endpoint.
-func (f *Fleet) Ops(relay int) string { return f.nodes[relay].adminAddress }
+// AdminAddress returns the address of a relay's admin endpoint.
+func (f *Fleet) AdminAddress(relay int) string { return f.nodes[relay].adminAddress }
--- a/internal/lab/fleets/fleets_test.go
+++ b/internal/lab/fleets/fleets_test.go
@@ -43,7 +43,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f, err := Put(t.TempDir(), relayBinary, sc, func(line string) { t.Log(line) })
+	f, err := New(t.TempDir(), relayBinary, sc, func(line string) { t.Log(line) })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -54,14 +54,14 @@
 	if err := f.Play(context.Background()); err != nil {
 		t.Fatal(err)
 	}
-	if err := f.Settle(time.Now().Add(60 * time.Second)); err != nil {
+	if err := f.WaitUntilSettled(time.Now().Add(60 * time.Second)); err != nil {
 		t.Fatal(err)
 	}
 	if before != nil {
 		before(f)
 	}
 	r := f.Judge()
-	for i, b := range r.Verdict.Breaches {
+	for i, b := range r.Verdict.Violations {
 		if i < 5 {
 			t.Errorf("%s: message %016x: %s", b.Rule, b.ID, b.Text)
 		}
@@ -87,7 +87,7 @@
 				list, err := f.Verdicts(i)
 				out := 0
 				for _, v := range list {
-					if v.Kind == "health" && !v.Over {
+					if v.Kind == "health" && !v.Withdrawn {
 						out++
 					}
 				}
@@ -104,9 +104,9 @@
 }
 
 // sumMetric returns the sum of a metric over all relays that answer.
-func (f *Fleet) sumMetric(of func(fleet.Figures) int64) (n int64) {
+func (f *Fleet) sumMetric(of func(fleet.Metrics) int64) (n int64) {
 	for i := range f.nodes {
-		if metrics, err := f.Figures(i); err == nil {
+		if metrics, err := f.Metrics(i); err == nil {
 			n += of(metrics)
 		}
 	}
@@ -138,11 +138,11 @@
 // of outages and waits that are over. The relay must hold no message back for them, and must become a member again.
 func TestStoppedRelayReceivesOutdatedStatements(t *testing.T) {
 	t.Parallel()
-	var after fleet.Figures
+	var after fleet.Metrics
 	r := runScenario(t, `relays: 4 seed: 12 length_s: 14 load { rate: 60 status: 0.4 }`+twoPartners+`
 at { at_s: 1 stop { party: "r2" } } at { at_s: 11 go { party: "r2" } }`, func(f *Fleet) {
 		checkRecovered(t)(f)
-		after, _ = f.Figures(2)
+		after, _ = f.Metrics(2)
 	})
 	if after.Spread.Late == 0 {
 		t.Error("no packet came late: the test caused no outdated statement")
@@ -167,7 +167,7 @@
 partner { name: "p" destination: 0 endpoints: 2 phase { rate: 200 latency_ms: 15 cv: 0.5 } }
 partner { name: "q" destination: 1 phase { rate: 200 latency_ms: 15 cv: 0.5 } }
 at { at_s: 0.5 lies { all_out: true all_wait: true all_drain: true all_banned: true } }`, func(f *Fleet) {
-		metrics, _ := f.Figures(0)
+		metrics, _ := f.Metrics(0)
 		members = metrics.Members
 	})
 	if members != 5 {
@@ -187,7 +187,7 @@
 		if err := f.WaitForMembers(time.Now().Add(60 * time.Second)); err != nil {
 			t.Fatal(err)
 		}
-		replayed := func(g fleet.Figures) int64 { return g.Drops.Replayed }
+		replayed := func(g fleet.Metrics) int64 { return g.Drops.Replayed }
 		before := f.sumMetric(replayed)
 		if n := f.Links.Replay("r1", "r0"); n == 0 {
 			t.Fatal("no packet was recorded")
@@ -222,7 +222,7 @@
 	t.Parallel()
 	runScenario(t, `relays: 6 without_fleet: 3 seed: 16 length_s: 5 load { rate: 90 status: 0.4 }`+twoPartners, func(f *Fleet) {
 		checkRecovered(t)(f)
-		if metrics, _ := f.Figures(0); metrics.Members != 3 {
+		if metrics, _ := f.Metrics(0); metrics.Members != 3 {
 			t.Errorf("%d members", metrics.Members)
 		}
 	})
@@ -242,7 +242,7 @@
 	}
 	runScenario(t, `relays: 4 seed: 17 length_s: 5 load { rate: 60 status: 0.4 }`+twoPartners+at.String(), func(f *Fleet) {
 		checkRecovered(t)(f)
-		if n := f.sumMetric(func(g fleet.Figures) int64 { return g.Drops.Forged }); n != 0 {
+		if n := f.sumMetric(func(g fleet.Metrics) int64 { return g.Drops.Forged }); n != 0 {
 			t.Errorf("%d packets dropped as forged", n)
 		}
 		for i := range f.nodes {
@@ -263,7 +263,7 @@
 at { at_s: 0.5 links { from: "r1-r4" to: "discovery" both: true cut: true } } at { at_s: 1.5 drain: "p-0" }`, nil)
 	after := map[int]int{}
 	for i, c := range r.Calls {
-		if c.Member == "p-0" && c.First.Sub(r.loadStart) > 3500*time.Millisecond {
+		if c.Member == "p-0" && c.FirstByte.Sub(r.loadStart) > 3500*time.Millisecond {
 			after[r.CallingRelays[i]]++
 		}
 	}
--- a/internal/lab/fleets/limit_use.go
+++ b/internal/lab/fleets/limit_use.go
@@ -69,7 +69,7 @@
 func (r *Report) resumedCalls(from, to float64) (calls float64) {
 	for _, e := range r.fleet.Scenario.At {
 		if e.AtS >= from && e.AtS < to {
-			calls += float64(len(expandParties(r.fleet.Scenario, e.GetGo().GetParty())) * r.fleet.Deployment.Place.MaxCalls)
+			calls += float64(len(expandParties(r.fleet.Scenario, e.GetGo().GetParty())) * r.fleet.Deployment.Config.MaxCalls)
 		}
 	}
 	return calls
@@ -132,7 +132,7 @@
 
 // AcceptedShares returns the share of its submissions that the first relay accepted, and the share that all other relays accepted.
 func (r *Report) AcceptedShares() (first, others float64) {
-	offered, accepted := r.fleet.Deployment.Ledger.Taken()
+	offered, accepted := r.fleet.Deployment.Ledger.AcceptedByRelay()
 	var offeredCounts, acceptedCounts [2]int
 	for relay, n := range offered {
 		i := min(relay, 1)
--- a/internal/lab/fleets/limit_use_test.go
+++ b/internal/lab/fleets/limit_use_test.go
@@ -63,7 +63,7 @@
 			}
 			claims := int64(0)
 			for _, g := range r.Metrics {
-				claims += g.Divided.Claims
+				claims += g.AllowanceCounters.Claims
 			}
 			if claims == 0 {
 				t.Error("no relay sent a claim")
--- a/internal/lab/fleets/lying_peer.go
+++ b/internal/lab/fleets/lying_peer.go
@@ -33,7 +33,7 @@
 		return nil, fmt.Errorf("fleets: %w", err)
 	}
 	l := &lyingPeer{members: list, stop: make(chan struct{})}
-	f.Links.Know(net.IPv4(127, 0, 0, 1), "liar")
+	f.Links.NameAddress(net.IPv4(127, 0, 0, 1), "liar")
 	if _, err := list.Join([]string{f.nodes[0].addresses.Reach.String()}); err != nil {
 		l.close()
 		return nil, fmt.Errorf("fleets: %w", err)
--- a/internal/lab/fleets/report.go
+++ b/internal/lab/fleets/report.go
@@ -19,7 +19,7 @@
 	// WorthShare is the worth of the delivered messages, as a share of the worth of the submitted messages.
 	WorthShare float64
 	// CallsInOtherWaits are the calls of a relay during a retry-after wait that the destination had sent to another relay.
-	CallsInOtherWaits []ledger.Unheard
+	CallsInOtherWaits []ledger.UnsharedWaitCall
 	// Waits is the number of retry-after waits. A wait that begins within another one is not counted.
 	Waits int
 	// Calls are the calls that reached the partners. CallingRelays holds the relay of each call, by the same index.
@@ -28,7 +28,7 @@
 	// CPUShares, ResidentBytes and Metrics have one entry for each relay.
 	CPUShares     []float64 // share of a core during the load
 	ResidentBytes []int64
-	Metrics       []fleet.Figures
+	Metrics       []fleet.Metrics
 	LoadDuration  time.Duration
 	loadStart     time.Time
 	fleet         *Fleet
@@ -36,8 +36,8 @@
 
 // Judge ends the fleet and evaluates the recorded messages and calls.
 func (f *Fleet) Judge() *Report {
-	r := &Report{LoadDuration: time.Since(f.Began), loadStart: f.Began, fleet: f, CPUShares: make([]float64, len(f.nodes)), ResidentBytes: make([]int64, len(f.nodes)),
-		Metrics: make([]fleet.Figures, len(f.nodes))}
+	r := &Report{LoadDuration: time.Since(f.LoadStart), loadStart: f.LoadStart, fleet: f, CPUShares: make([]float64, len(f.nodes)), ResidentBytes: make([]int64, len(f.nodes)),
+		Metrics: make([]fleet.Metrics, len(f.nodes))}
 	_ = f.forEachNode(nil, func(node *relayNode) error {
 		if node.process != nil {
 			u := node.process.Usage()
@@ -50,9 +50,9 @@
 		return nil
 	})
 	f.Close()
-	rules := ledger.Usual(f.Deployment.Classes)
+	rules := ledger.DefaultRules(f.Deployment.Classes)
 	r.Verdict = f.Deployment.Ledger.Judge(rules, time.Now())
-	r.CallsInOtherWaits, r.Waits = f.Deployment.Ledger.Unheard()
+	r.CallsInOtherWaits, r.Waits = f.Deployment.Ledger.UnsharedWaitCalls()
 	r.Calls, r.CallingRelays = f.Deployment.Ledger.Calls()
 	deliveredWorth, offeredWorth := 0.0, 0.0
 	for i, c := range r.Verdict.Classes {
@@ -67,20 +67,20 @@
 func (r *Report) Connections(p *labv1.Partner, from, until float64) (n int) {
 	for _, node := range r.fleet.nodes {
 		for _, e := range endpointNames(p) {
-			n += r.fleet.Links.Opened(node.name, e, r.loadStart.Add(seconds(from)), r.loadStart.Add(seconds(until)))
+			n += r.fleet.Links.ConnectionCount(node.name, e, r.loadStart.Add(seconds(from)), r.loadStart.Add(seconds(until)))
 		}
 	}
 	return n
 }
 
-// Tried writes the number of connection attempts of each relay to a partner in each quarter of a second of a span.
-func (r *Report) Tried(w io.Writer, p *labv1.Partner, from, until float64) {
+// PrintConnectionAttempts writes the number of connection attempts of each relay to a partner in each quarter of a second of a span.
+func (r *Report) PrintConnectionAttempts(w io.Writer, p *labv1.Partner, from, until float64) {
 	for _, node := range r.fleet.nodes {
 		var line strings.Builder
 		for at := from; at < until; at += 0.25 {
 			n := 0
 			for _, e := range endpointNames(p) {
-				n += r.fleet.Links.Opened(node.name, e, r.loadStart.Add(seconds(at)), r.loadStart.Add(seconds(at+0.25)))
+				n += r.fleet.Links.ConnectionCount(node.name, e, r.loadStart.Add(seconds(at)), r.loadStart.Add(seconds(at+0.25)))
 			}
 			fmt.Fprintf(&line, " %3d", n)
 		}
@@ -118,10 +118,10 @@
 func (r *Report) Print(w io.Writer) error {
 	sc := r.fleet.Scenario
 	t := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
-	total := ledger.PerClass{}
+	total := ledger.ClassTotals{}
 	for _, c := range r.Verdict.Classes {
 		fmt.Fprintf(t, "class %s\toffered %d, taken on %d, refused %d, unanswered %d, delivered %d, in aim %d, handed back %d, given up %d, p99 %v\n", c.Class,
-			c.Offered, c.Accepted, c.Refused, c.NoAnswer+c.Unsent, c.Delivered, c.InAim, c.HandedBack, c.GivenUp, ledger.At(c.ToDeliver, 0.99).Round(time.Millisecond))
+			c.Offered, c.Accepted, c.Refused, c.NoAnswer+c.Unsent, c.Delivered, c.WithinAim, c.Returned, c.GivenUp, ledger.Quantile(c.DeliverLatency, 0.99).Round(time.Millisecond))
 		total.Offered += c.Offered
 	}
 	fmt.Fprintf(t, "worth\t%.3f of what was asked for\n", r.WorthShare)
@@ -152,8 +152,8 @@
 	latest, maxCallsInWait, callsInWait := time.Duration(0), 0, map[time.Time]int{}
 	for _, u := range r.CallsInOtherWaits {
 		latest = max(latest, u.After)
-		callsInWait[u.Told]++
-		maxCallsInWait = max(maxCallsInWait, callsInWait[u.Told])
+		callsInWait[u.WaitStart]++
+		maxCallsInWait = max(maxCallsInWait, callsInWait[u.WaitStart])
 	}
 	fmt.Fprintf(t, "in others' waits\t%d calls in %d waits (%d in one), the latest %v after the wait was told\n", len(r.CallsInOtherWaits), r.Waits, maxCallsInWait,
 		latest.Round(time.Millisecond))
@@ -167,18 +167,18 @@
 		meanResidentBytes += float64(r.ResidentBytes[i]) / float64(len(r.ResidentBytes))
 		drops.Forged += g.Drops.Forged
 		drops.Replayed += g.Drops.Replayed
-		drops.Strangers += g.Drops.Strangers
-		drops.Short += g.Drops.Short
-		drops.Overrun += g.Drops.Overrun
+		drops.UnknownSenders += g.Drops.UnknownSenders
+		drops.Unsent += g.Drops.Unsent
+		drops.InboxFull += g.Drops.InboxFull
 	}
 	fmt.Fprintf(t, "each relay\t%.2f %% of a core (most %.2f), %.1f MB resident, %.0f bytes a second sent to others (most %.0f)\n", 100*meanCPUShare, 100*slices.Max(r.CPUShares), meanResidentBytes/1e6, meanSentRate, maxSentRate)
-	fmt.Fprintf(t, "dropped\tforged %d, replayed %d, strangers' %d, for want of bytes %d, overrun %d\n", drops.Forged, drops.Replayed, drops.Strangers, drops.Short, drops.Overrun)
+	fmt.Fprintf(t, "dropped\tforged %d, replayed %d, strangers' %d, for want of bytes %d, overrun %d\n", drops.Forged, drops.Replayed, drops.UnknownSenders, drops.Unsent, drops.InboxFull)
 	rules := map[string]int{}
-	for _, b := range r.Verdict.Breaches {
+	for _, b := range r.Verdict.Violations {
 		rules[b.Rule]++
 	}
-	fmt.Fprintf(t, "rules broken\t%d %v\n", len(r.Verdict.Breaches), rules)
-	for i, b := range r.Verdict.Breaches {
+	fmt.Fprintf(t, "rules broken\t%d %v\n", len(r.Verdict.Violations), rules)
+	for i, b := range r.Verdict.Violations {
 		if i < 5 {
 			fmt.Fprintf(t, "\t%s: message %016x: %s\n", b.Rule, b.ID, b.Text)
 		}
@@ -186,9 +186,9 @@
 	return t.Flush()
 }
 
-// Beliefs writes how many relays currently hold each kind of statement about each partner, next to the partner's real state.
-func (f *Fleet) Beliefs(w io.Writer) {
-	at := time.Since(f.Began).Seconds()
+// PrintStatements writes how many relays currently hold each kind of statement about each partner, next to the partner's real state.
+func (f *Fleet) PrintStatements(w io.Writer) {
+	at := time.Since(f.LoadStart).Seconds()
 	type verdictCounts struct{ outages, waits, exclusions, failedQueries int }
 	byDest := map[int]*verdictCounts{}
 	for _, p := range f.Scenario.Partner {
@@ -214,7 +214,7 @@
 		seen := map[string]bool{}
 		for _, v := range list {
 			c := byDest[v.Destination]
-			if k := fmt.Sprint(v.Kind, v.Destination); c == nil || v.Over || seen[k] {
+			if k := fmt.Sprint(v.Kind, v.Destination); c == nil || v.Withdrawn || seen[k] {
 				continue
 			} else {
 				seen[k] = true
--- a/internal/lab/handover_test.go
+++ b/internal/lab/handover_test.go
@@ -24,7 +24,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	first, err := d.RelayWith(binary, nil, []string{"TMPDIR=" + tmp, "NODE_OPS=" + firstOps}, "")
+	first, err := d.StartRelayWithEnv(binary, nil, []string{"TMPDIR=" + tmp, "NODE_OPS=" + firstOps}, "")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -32,15 +32,15 @@
 
 	loaded := make(chan error, 1)
 	go func() {
-		loaded <- d.Load(context.Background(), load.Config{Clients: 20, Patience: 400 * time.Millisecond, Streams: twoStreams(100),
-			Steps: []load.Step{{For: 6 * time.Second, Rate: 150}}, Dests: []int{0, 1}, Retries: 2, Honour: 1, Seed: 9})
+		loaded <- d.RunLoad(context.Background(), load.Config{Clients: 20, Patience: 400 * time.Millisecond, Streams: twoStreams(100),
+			Steps: []load.Step{{For: 6 * time.Second, Rate: 150}}, Dests: []int{0, 1}, MaxRetries: 2, RetryAfterShare: 1, Seed: 9})
 	}()
 	time.Sleep(time.Second)
 	successorOps, err := FreePort()
 	if err != nil {
 		t.Fatal(err)
 	}
-	successor, err := d.RelayWith(binary, nil, []string{"TMPDIR=" + tmp, "NODE_OPS=" + successorOps}, "")
+	successor, err := d.StartRelayWithEnv(binary, nil, []string{"TMPDIR=" + tmp, "NODE_OPS=" + successorOps}, "")
 	if err != nil {
 		t.Fatalf("the successor did not start beside the first: %v", err)
 	}
@@ -55,13 +55,13 @@
 	if err := first.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	if err := first.End(time.Now().Add(3700 * time.Millisecond)); err != nil {
+	if err := first.Stop(time.Now().Add(3700 * time.Millisecond)); err != nil {
 		t.Fatalf("the first process did not end before its SIGKILL: %v", err)
 	}
 	// The exit of the first process closed its connections and ended the calls on them. A partner may still write an answer to a closed
 	// connection; the successor's call of the same message is then no concurrent second call.
 	exited := time.Now()
-	d.Ledger.Kill(ledger.Kill{From: exited, Ready: exited})
+	d.Ledger.RecordDowntime(ledger.Downtime{From: exited, Ready: exited})
 	if err := <-loaded; err != nil {
 		t.Fatal(err)
 	}
@@ -101,7 +101,7 @@
 		t.Fatal(err)
 	}
 	defer listener.Close()
-	p, err := d.RelayWith(binary, nil, []string{"TMPDIR=" + t.TempDir(), "NODE_OPS=" + listener.Addr().String()}, "")
+	p, err := d.StartRelayWithEnv(binary, nil, []string{"TMPDIR=" + t.TempDir(), "NODE_OPS=" + listener.Addr().String()}, "")
 	if err == nil {
 		p.Kill()
 		t.Error("a relay whose admin endpoint is in use counts as ready")
--- a/internal/lab/idleclients_test.go
+++ b/internal/lab/idleclients_test.go
@@ -21,8 +21,8 @@
 	t.Parallel()
 	const sockets = 64
 	d := startDeployment(t, 10*time.Millisecond, 64)
-	d.Place.Sockets = sockets
-	if err := d.Furnish(d.Seat, d.Platform.Known()); err != nil {
+	d.Config.Sockets = sockets
+	if err := d.WriteConfiguration(d.RelayNode, d.Platform.Known()); err != nil {
 		t.Fatal(err)
 	}
 	p := d.startRelay(t, "")
@@ -30,7 +30,7 @@
 		t.Fatal(err)
 	}
 	d.Platform.SetSilent(true)
-	maxDescriptors, addr := 0, d.Seat.Listen
+	maxDescriptors, addr := 0, d.RelayNode.Listen
 	for n := range 300 {
 		nc, err := net.Dial("tcp", addr)
 		if err != nil {
@@ -49,8 +49,8 @@
 	resumedAt := time.Now()
 	d.Platform.SetSilent(false)
 	changeReceived := func() bool {
-		line, ok := p.Line("counters")
-		return ok && Field(line, "pool", "changes") > 0
+		line, ok := p.LastLogLine("counters")
+		return ok && NumberAt(line, "pool", "changes") > 0
 	}
 	for !changeReceived() && time.Since(resumedAt) < 5*time.Second {
 		if err := p.Signal(unix.SIGUSR1); err != nil {
