--- a/internal/conns/conns.go
+++ b/internal/conns/conns.go
@@ -169,7 +169,7 @@
 	expiresAt      time.Duration // time at which the connection reaches its maximum age; 0 for never
 	idleSince      time.Duration
 	calls          int           // calls that the connection has completed
-	idleBeforeCall time.Duration // idle time before the current call; 0 for the first call
+	idleBeforeCall time.Duration // idle time before the current call; 0 if the connection was opened for that call
 	isTrial        bool          // the current call tests an idle time that is beyond the limit or not proven
 	preconnected   bool          // the connection was opened in advance
 }
@@ -655,8 +655,9 @@
 	return e.connLimit > 0 && len(e.conns) >= e.connLimit
 }
 
-// makeRoom makes room for one more connection within the limit of the pool. It evicts an idle connection of the endpoint that exceeds
-// its fair share the most. An endpoint beyond its own fair share takes nothing from an endpoint within its share.
+// makeRoom makes room for one more connection within the limit of the pool. It evicts an idle connection of the endpoint with the most
+// connections beyond the number that it needs, or beyond its fair share if that is less. An endpoint at or beyond its fair share takes
+// nothing from an endpoint without such an excess.
 func (p *Pool) makeRoom(e *endpoint) (evict []Eviction, ok bool) {
 	if len(p.conns) < p.cfg.MaxConns {
 		return nil, true
--- a/internal/dispatch/sender.go
+++ b/internal/dispatch/sender.go
@@ -29,7 +29,7 @@
 	// One of many senders may take more than an even share of a limit. A report of less left than steadyShare
 	// lowers this excess at once, one of more raises it for maxGrowthTime at most, since all senders read it.
 	excessShrinkFactor = 0.25            // at a refusal
-	unusedShare        = 0.1             // unused without excess, or refused calls could keep a limit empty
+	unusedShare        = 0.1             // of an even share unused, or refused calls could keep a limit empty
 	steadyShare        = 0.35            // left of the limit
 	excessGrowthRate   = 0.05            // a second, times the share left above steadyShare
 	maxGrowthTime      = 5 * time.Second // after a report
@@ -277,7 +277,7 @@
 		for _, o := range d.endpoints {
 			if l := o.limiter; ev.Endpoint == "" || o == e {
 				l.fleetWait = s.now + ev.For
-				// The random part spreads the calls of all senders at the end of the wait.
+				// Chance spreads the end of the wait, or one call of every sender would come at once.
 				l.fleetWait += time.Duration(s.rng.Float64() * min(1e9*l.peers/l.capacity(), float64(ev.For)))
 			}
 		}
@@ -674,7 +674,7 @@
 	}
 }
 
-// recordLatency updates the usual latency. For a call without an answer, latency is the time it was out.
+// recordLatency updates the usual latency. Without an answer it gets the time so far, a lower bound.
 func (e *endpoint) recordLatency(latency time.Duration) {
 	x := latency.Seconds()
 	if e.meanSeconds == 0 {
@@ -823,7 +823,7 @@
 	s.emit(Send{ID: m.id, Endpoint: e.id, Timeout: s.callTimeout(m, e)})
 }
 
-// callTimeout ends a call early for a retry. A message that may not be retried waits (see reclaimSlot).
+// callTimeout is the time after which a call ends for a retry; 0: it waits for an answer (see reclaimSlot).
 func (s *Sender) callTimeout(m *message, e *endpoint) time.Duration {
 	limit := max(time.Duration(minTimeoutAims*float64(m.class.Aim)), s.missedAfter(e))
 	if m.class.Effect == Unsafe && s.cfg.CanCancel || m.class.Effect == Keyed && limit > m.class.DedupTTL/2 ||
--- a/internal/governor/governor.go
+++ b/internal/governor/governor.go
@@ -63,8 +63,8 @@
 	relaxedGCPercent = 400
 )
 
-// A relay is idle after a tick with at most maxIdleSubmissions submissions and less than maxIdleBusyShare of its processor used.
-// An idle relay ticks idleTickFactor times less often until more is submitted, because wake-ups cause most of the processor use
+// A relay is idle after a tick with at most maxIdleSubmissions submissions and less than maxIdleBusyShare of its processor used, if
+// there is no cause for shedding and memory use is below MemoryHigh. An idle relay ticks idleTickFactor times less often until more is submitted, because wake-ups cause most of the processor use
 // of an idle program.
 const (
 	maxIdleSubmissions = 10
--- a/internal/limitstore/limitstore.go
+++ b/internal/limitstore/limitstore.go
@@ -107,7 +107,7 @@
 	return slices.DeleteFunc(limits, func(l Limit) bool { return !l.valid(now) }), nil
 }
 
-// Store holds the limits and writes them to a file when they change.
+// Store holds the limits and writes them to a file when they change. It is safe for concurrent use.
 type Store struct {
 	dir        string
 	maxEntries int
@@ -161,7 +161,8 @@
 	return list
 }
 
-// Record records the limit, in calls a second, that a destination reported at the given time. It does not block.
+// Record records the limit, in calls a second, that a destination reported at the given time. It ignores an invalid limit, and a new
+// destination for which the file has no room. It does not block.
 func (s *Store) Record(destination int, rate float64, at time.Time) {
 	l := Limit{destination, rate, at}
 	if !l.valid(l.At) {
--- a/internal/overload/overload.go
+++ b/internal/overload/overload.go
@@ -42,13 +42,13 @@
 	TargetBusy    float64       // share of the available processor that may be used or waited for
 	TargetDelay   time.Duration // queueing delay that a submission may have
 	ConfirmTicks  int           // consecutive ticks over a target before shedding begins
-	MinRate       float64       // submissions a second below which shedding does not begin; also the lowest limit
+	MinRate       float64       // offered work a second below which shedding does not begin; also the lowest limit. The unit is a submission without a body
 	ClassFloor    float64       // share of the capacity that each class keeps, however low its worth
 	BodyWorkBytes int           // bytes of a body that cost as much work as a submission without a body
 
 	RefusalShare       float64       // share of all work that refusals may take; above it, reading is paused
 	MaxReadPause       time.Duration // longest pause in reading from a connection after a refusal
-	MinRetryIn         time.Duration // wait named to a refused client under the least pressure
+	MinRetryIn         time.Duration // mean wait named to a refused client under the least pressure
 	MaxRetryIn         time.Duration // longest wait named to a refused client
 	MemoryHigh         float64       // share of the memory limit at which limits begin to shrink
 	MemoryFull         float64       // share of the memory limit at which limits reach their minimum
--- a/internal/tlspolicy/handshake_gate.go
+++ b/internal/tlspolicy/handshake_gate.go
@@ -81,7 +81,8 @@
 	g.waiting = slices.Insert(g.waiting, index, a)
 }
 
-// tokenRate returns the processor time for handshakes that is added a second: all of CoreShare up to a load of one half, and less above.
+// tokenRate returns the processor time for handshakes that is added a second: all of CoreShare up to a load of one half,
+// a tenth of it at full load, and never less than MinPerSecond handshakes take.
 func (g *HandshakeGate) tokenRate() float64 {
 	spare := min(max((1-g.busyShare)*2, 0.1), 1)
 	return max(g.cfg.CoreShare*spare, g.cfg.MinPerSecond*g.costSeconds)
@@ -142,7 +143,7 @@
 	return 0, false
 }
 
-// Remove removes a request that no longer waits.
+// Remove withdraws a waiting request that is no longer needed.
 func (g *HandshakeGate) Remove(id uint64) {
 	g.waiting = slices.DeleteFunc(g.waiting, func(a ConnectionRequest) bool { return a.ID == id })
 }
