--- a/cmd/slatemux/config.go
+++ b/cmd/slatemux/config.go
@@ -159,8 +159,9 @@
 // resourceLimits divides descriptors, memory and disk among the components.
 //
 // Flows and their idle connections get a quarter of the descriptors, and clients get half. Refused clients, whose input is still read
-// and dropped, get a quarter of the clients' half on top. Clients hold at most a third of the descriptors for their requests. Idle client
-// connections are closed before that third is full, because new requests would otherwise find no descriptor.
+// and dropped, get a quarter of the clients' half on top. The clients of the deployment may hold a third of the descriptors for their
+// requests. Once the connections that have sent a command take a quarter of the descriptors, idle ones are closed to make room, because
+// new requests would otherwise find no descriptor.
 //
 // Open transactions may take an eighth of the memory. Large commands of clients, with the parser's buffers, may take another eighth.
 func (c *config) resourceLimits() resourceLimits {
@@ -216,7 +217,7 @@
 		o.Tenants = append(o.Tenants, overload.Tenant{Name: t.Name, Share: t.Share})
 	}
 	// A platform whose clients do not honour retry-after waits sets a maximum. Refused clients are given no longer wait, unless the
-	// minimum RetryLeast is longer.
+	// minimum of the gateway settings (retry_least_ms) is longer.
 	if maxWait := c.settings.MaxRetryAfter; maxWait > 0 {
 		o.MaxRetryIn = max(maxWait, o.MinRetryIn)
 	}
--- a/internal/flow/conn.go
+++ b/internal/flow/conn.go
@@ -111,8 +111,8 @@
 	return c.reused && c.response != nil && !c.received && !c.writtenAt.IsZero() && c.writtenAt.Before(then)
 }
 
-// checkStuck records and reports whether the peer leaves written bytes unacknowledged. Then the peer or the network path is gone; a peer
-// that is only slow still acknowledges. The kernel is queried and nothing is sent.
+// checkStuck records and reports whether the current call has no byte of its answer and the peer leaves written bytes unacknowledged.
+// Then the peer or the network path is gone; a peer that is only slow still acknowledges. The kernel is queried and nothing is sent.
 func (c *conn) checkStuck() bool {
 	nc := c.nc
 	if c.underTLS != nil {
--- a/internal/flow/flow.go
+++ b/internal/flow/flow.go
@@ -384,7 +384,7 @@
 }
 
 // sharedWait returns the end of a flow whose group must wait because of a retry-after that the other process of a handover received.
-// The flow ends as turned away with that wait, so that the decision module respects the wait as if this process had received it.
+// The flow ends as FlowRefused with that wait, so that the decision module respects the wait as if this process had received it.
 func (g *Manager) sharedWait(r *activeFlow) (traffic.FlowEnd, bool) {
 	if g.cfg.SharedWaits == nil {
 		return traffic.FlowEnd{}, false
--- a/internal/front/client.go
+++ b/internal/front/client.go
@@ -108,6 +108,7 @@
 	c.usage = submissionSeen
 }
 
+// Read returns input that has passed the guard. It also ends the connection, after invalid input or if the end was requested.
 func (c *client) Read(b []byte) (int, error) {
 	for {
 		if c.frameErr != nil {
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -256,6 +256,8 @@
 	server *Server
 }
 
+// Accept returns the next connection for which there is room, wrapped as a client. After Drain has closed the listener, Accept returns
+// its error only once the clients are served, or after an hour.
 func (l limitedListener) Accept() (net.Conn, error) {
 	for {
 		nc, err := l.Listener.Accept()
--- a/internal/pool/call_schedule.go
+++ b/internal/pool/call_schedule.go
@@ -52,8 +52,8 @@
 	maxMoveSpread = 500 * time.Millisecond
 	// watchHold is how long a watch may wait for changes. A silent watch is detected answerTimeout after that.
 	watchHold = 3 * time.Second
-	// answerTimeout bounds the wait for the first byte of an answer in polling mode, beyond the hold of the call. It doubles after
-	// failures, since discovery may be slow and not down.
+	// answerTimeout bounds the wait for the first byte of an answer in polling mode, beyond the hold of the call. After two failures in
+	// a row, a call that asks for an answer at once gets twice this time, since discovery may be slow and not down.
 	answerTimeout = 700 * time.Millisecond
 	// transferTimeout bounds the time from the first byte of an answer to its last.
 	transferTimeout = 500 * time.Millisecond
@@ -61,7 +61,7 @@
 	maxSilentRetrySpan = 250 * time.Millisecond
 	// maxRetrySpan bounds the delay after any number of failures.
 	maxRetrySpan  = maxNotifyDelay - 2*(2*answerTimeout+transferTimeout)
-	answeredRetry = answerTimeout + transferTimeout // a retry that succeeds after one failure
+	answeredRetry = answerTimeout + transferTimeout // longest duration of a call that is answered after at most one failure
 	// The timeout of an agent's answer and the delay after a failure are parts of the grace period within these bounds, so that a
 	// few calls fit into the grace period of any deployment.
 	maxAgentWait        = 500 * time.Millisecond
@@ -145,8 +145,8 @@
 // or discovery is reachable. At a start with polling there is none, since discovery has to answer the whole fleet.
 func (p *CallSchedule) NeedsCheck() bool { return p.config.Pushed || p.failures > 0 }
 
-// CheckTimeout returns the timeout of a call that asks for an answer at once. It doubles after failures, since discovery may be slow
-// and not down.
+// CheckTimeout returns the timeout of a call that asks for an answer at once. It doubles after two failures in a row, since discovery
+// may be slow and not down.
 func (p *CallSchedule) CheckTimeout() (timeout time.Duration) {
 	if p.config.Pushed {
 		return p.agentTimeout()
@@ -154,7 +154,8 @@
 	return answerTimeout << min(p.failures/2, 1)
 }
 
-// agentTimeout grows with failures, since an agent may be slow and not down, up to a bound within the grace period.
+// agentTimeout returns the timeout of an answer of the agent: a part of the grace period within bounds. It doubles after two failures in
+// a row, since an agent may be slow and not down.
 func (p *CallSchedule) agentTimeout() time.Duration {
 	timeout := min(p.config.DrainGrace/agentTimeoutDivisor, maxAgentWait)
 	return max(min(timeout<<min(p.failures/2, 1), 2*maxAgentWait), minAgentWait)
--- a/internal/pool/member_list.go
+++ b/internal/pool/member_list.go
@@ -7,7 +7,7 @@
 )
 
 // MemberList holds the known members and decides what of an answer from discovery applies. A drain stays until discovery withdraws it: by
-// a newer version than the one that announced it, or for a member that has started since. An answer that is older than the known
+// a newer version than the one that announced it, or with a later start time of the member. An answer that is older than the known
 // list, or of another kind than requested, changes nothing. MemberList uses no socket and no clock.
 type MemberList struct {
 	seq          int64
--- a/internal/pool/watch.go
+++ b/internal/pool/watch.go
@@ -145,7 +145,8 @@
 }
 
 // setFresh records that the list was fresh at a time, or that discovery was unreachable: the relay counts as notified of later
-// changes only once discovery is back. An agent that is silent since the start of the process may already have had changes before.
+// changes only once discovery is back. The silence of an agent that has not answered since the start of the process is not recorded,
+// because the agent may already have had changes before the start.
 func (w *Watcher) setFresh(at time.Time, answered bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -30,7 +30,7 @@
 type Store interface {
 	// Commit writes the changes of one step. After an error, none of them counts as written.
 	Commit([]traffic.Change) error
-	// HasRoom reports whether the store has room for a transaction of that many bytes.
+	// HasRoom reports whether the store has room for new transactions of that many bytes in total.
 	HasRoom(bytes int64) bool
 }
 
@@ -75,11 +75,17 @@
 	RunSection(f func())
 }
 
+// noMeters implements Meters for a relay without measurements.
 type noMeters struct{}
 
-func (noMeters) RecordStep(_, _ time.Time)      {}
+// RecordStep does nothing.
+func (noMeters) RecordStep(_, _ time.Time) {}
+
+// RecordSubmission does nothing.
 func (noMeters) RecordSubmission(time.Duration) {}
-func (noMeters) RunSection(f func())            { f() }
+
+// RunSection runs f.
+func (noMeters) RunSection(f func()) { f() }
 
 // Config configures a Relay.
 type Config struct {
--- a/internal/relay/stats.go
+++ b/internal/relay/stats.go
@@ -15,7 +15,7 @@
 	Success, Overload, Error map[string]int64
 	Dispatches               int64 // transactions written whole to pool members
 	Concurrent               int   // accepted transactions that have not ended
-	Members, Banned          int   // in the pool; members banned by operators or excluded by other relays
+	Members, Banned          int   // in the pool; those of them that are blocked: banned, excluded by other relays, or on an unconfirmed list
 	Avoided                  int   // listed members that the module avoids because of an outage, besides the banned ones
 }
 
@@ -63,7 +63,7 @@
 		Members: len(r.pool.members), Banned: banned, Avoided: r.sender.EndpointsInOutage()}
 }
 
-// statsInterval is the time between two copies for the admin endpoint, whose counters may be half a second old.
+// statsInterval is the minimum time between two copies of the statistics for the admin endpoint, which may be at most half a second old.
 const statsInterval = 100 * time.Millisecond
 
 // HasMember reports whether the pool has the member, after the latest step.
--- a/internal/secure/secure.go
+++ b/internal/secure/secure.go
@@ -27,8 +27,8 @@
 	reloadDelay = 200 * time.Millisecond
 	// failureLogInterval is the minimum interval between two log lines about failures of the same cause.
 	failureLogInterval = time.Minute
-	// handshakesPerCPUSample is the number of handshakes for each one whose CPU time is measured. Not every handshake is measured,
-	// because the measurement locks the goroutine to an operating system thread.
+	// handshakesPerCPUSample is the sampling interval: the CPU time of one in this many handshakes is measured. Not every handshake is
+	// measured, because the measurement locks the goroutine to an operating system thread.
 	handshakesPerCPUSample = 8
 )
 
@@ -235,7 +235,7 @@
 }
 
 // Reusable reports whether an idle connection may be used for another call: the policy's credentials have not changed since the
-// handshake, and the server's certificate has not expired. A connection without TLS is always fresh.
+// handshake, and the server's certificate has not expired. A connection without TLS is always reusable.
 func (m *Manager) Reusable(nc net.Conn) bool {
 	c, ok := nc.(*Conn)
 	if !ok {
--- a/internal/traffic/traffic.go
+++ b/internal/traffic/traffic.go
@@ -188,6 +188,7 @@
 var flowStatuses = [FlowStatusCount]string{"delivered", "errored", "turned_away", "no_slot", "spent", "over", "unsent",
 	"not_connected", "broken", "out_of_time", "called_off"}
 
+// String returns the name of the status in counters and logs.
 func (s FlowStatus) String() string { return flowStatuses[s] }
 
 // Report is a pool member's statement about its limit.
