--- a/cmd/slatemux/main.go
+++ b/cmd/slatemux/main.go
@@ -240,6 +240,7 @@
 	ready(server.Addr())
 
 	// reload reads the configuration again and applies the settings that can change at run time. An invalid file changes no setting.
+	// TLS files and the trusted keys of the fleet are read again in either case.
 	var reloads, badReloads int64
 	reload := func() {
 		if tlsManager != nil {
--- a/internal/flow/flow.go
+++ b/internal/flow/flow.go
@@ -58,7 +58,7 @@
 
 // Fleet exchanges outage information with the other relays. None of its methods blocks.
 type Fleet interface {
-	// Ended receives the end of a flow.
+	// Ended receives the end of a flow. Of a batch it receives only the end that says most about the member.
 	Ended(traffic.Flow, traffic.FlowEnd)
 	// Held reports whether announcements of other relays currently hold back calls of the group.
 	Held(group traffic.Group, now time.Time) bool
--- a/internal/flow/handshake_queue.go
+++ b/internal/flow/handshake_queue.go
@@ -21,7 +21,8 @@
 	timer   *time.Timer
 }
 
-// grant ends a wait: the handshake is admitted, or c is an idle connection. If neither is set, the deadline has passed.
+// grant ends a wait: the handshake is admitted, or c is an idle connection. If neither is set, the deadline has passed or the
+// wait was canceled.
 type grant struct {
 	admitted bool
 	c        *conn
--- a/internal/front/guard.go
+++ b/internal/front/guard.go
@@ -48,7 +48,7 @@
 	argIndex  int    // index of the current argument; 0 is the command's name
 	name      []byte // the command's name
 	fields    []byte // the submission's fields
-	sizeStart int    // start of the body's size line in the bytes passed to Feed; -1 if it began in an earlier call
+	sizeStart int    // start of the body's size line among the bytes that this Feed passes on; -1 if it began in an earlier call
 	decide    func(fields []byte, size int) (refused bool)
 	dropBody  bool // the submission is refused: its body is not passed on
 	passed    int  // bytes of the current Feed that are passed on so far
--- a/internal/ops/ops.go
+++ b/internal/ops/ops.go
@@ -43,8 +43,8 @@
 	Ready() bool
 	// Stats returns the current counters.
 	Stats() Stats
-	// FleetState returns a part of the fleet's state by name: members or verdicts. It returns nil if the relay takes part in no fleet
-	// or the name is unknown.
+	// FleetState returns a part of the fleet's state by name: members, verdicts, limits or configuration. It returns nil if there is no
+	// such part, the relay takes part in no fleet, or it is not ready.
 	FleetState(what string) any
 	// Configure submits a signed change of the fleet's configuration as JSON. It returns once this relay has stored and applied
 	// the change. An error of type *Refusal holds the reason and the HTTP status of a refused change.
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -349,7 +349,8 @@
 // PoolChanged passes a change of the pool to the next step.
 func (r *Relay) PoolChanged(update traffic.PoolUpdate) { r.post(update) }
 
-// PoolUnconfirmed marks the known list as no longer valid: nothing is sent to its members until the pool changes.
+// PoolUnconfirmed marks the known list as no longer valid: nothing is sent to its members until the next
+// PoolChanged, which may be without changes.
 func (r *Relay) PoolUnconfirmed() { r.post(poolUnconfirmed{}) }
 
 // NoticesAnswered reports that the platform has received these notices.
--- a/internal/secure/secure.go
+++ b/internal/secure/secure.go
@@ -167,7 +167,7 @@
 }
 
 // Handshake performs the TLS handshake on a connection to a member. If the handshake fails or ctx ends first, Handshake closes the
-// connection. If the member's policy is plain TCP, Handshake returns nc itself. The returned duration is the CPU time of the
+// connection. If no TLS policy applies to the member, Handshake returns nc itself. The returned duration is the CPU time of the
 // handshake; it is 0 for handshakes that are not sampled.
 func (m *Manager) Handshake(ctx context.Context, nc net.Conn, member *traffic.Member) (net.Conn, time.Duration, error) {
 	p := m.table.Match(member.Destination, member.Host, member.Address)
