--- a/internal/flow/flow.go
+++ b/internal/flow/flow.go
@@ -58,7 +58,7 @@
 
 // Fleet exchanges outage information with the other relays. None of its methods blocks.
 type Fleet interface {
-	// FlowEnded receives the end of a flow.
+	// FlowEnded receives the end of a flow. Of a batch it receives only the end that says most about the member.
 	FlowEnded(traffic.Flow, traffic.FlowEnd)
 	// OnHold reports whether announcements of other relays currently hold back calls of the group.
 	OnHold(group traffic.Group, now time.Time) bool
@@ -384,7 +384,7 @@
 }
 
 // sharedWait returns the end of a flow whose group must wait because of a retry-after that the other process of a handover received.
-// The flow ends as turned away with that wait, so that the decision module respects the wait as if this process had received it.
+// The flow ends as FlowRefused with that wait, so that the decision module respects the wait as if this process had received it.
 func (g *Manager) sharedWait(r *activeFlow) (traffic.FlowEnd, bool) {
 	if g.cfg.SharedWaits == nil {
 		return traffic.FlowEnd{}, false
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -30,7 +30,7 @@
 type Store interface {
 	// Commit writes the changes of one step. After an error, none of them counts as written.
 	Commit([]traffic.Change) error
-	// HasRoom reports whether the store has room for a transaction of that many bytes.
+	// HasRoom reports whether the store has room for new transactions of that many bytes in total.
 	HasRoom(bytes int64) bool
 }
 
@@ -75,11 +75,17 @@
 	RunSection(f func())
 }
 
+// noMeters implements Meters for a relay without measurements.
 type noMeters struct{}
 
-func (noMeters) RecordStep(_, _ time.Time)      {}
+// RecordStep does nothing.
+func (noMeters) RecordStep(_, _ time.Time) {}
+
+// RecordSubmission does nothing.
 func (noMeters) RecordSubmission(time.Duration) {}
-func (noMeters) RunSection(f func())            { f() }
+
+// RunSection runs f.
+func (noMeters) RunSection(f func()) { f() }
 
 // Config configures a Relay.
 type Config struct {
@@ -343,7 +349,8 @@
 // PoolChanged passes a change of the pool to the next step.
 func (r *Relay) PoolChanged(update traffic.PoolUpdate) { r.post(update) }
 
-// PoolUnconfirmed marks the known list as no longer valid: nothing is sent to its members until the pool changes.
+// PoolUnconfirmed marks the known list as no longer valid: nothing is sent to its members until the next
+// PoolChanged, which may be without changes.
 func (r *Relay) PoolUnconfirmed() { r.post(poolUnconfirmed{}) }
 
 // NoticesAnswered reports that the platform has received these notices.
