--- a/internal/configsync/config.go
+++ b/internal/configsync/config.go
@@ -96,11 +96,11 @@
 	case c.Self == "":
 		return errors.New("configsync: Self is empty")
 	case c.ExchangeInterval < time.Millisecond || c.AckTimeout < time.Millisecond:
-		return errors.New("configsync: Exchange or AckTimeout is under a millisecond")
+		return errors.New("configsync: ExchangeInterval or AckTimeout is under a millisecond")
 	case c.MaxAttempts < 1 || c.FanOut < 2:
-		return errors.New("configsync: Attempts is under 1 or FanOut under 2")
+		return errors.New("configsync: MaxAttempts is under 1 or FanOut under 2")
 	case c.MessageBytes == nil || c.MaxPacketBytes < minPacketLimitBytes:
-		return errors.New("configsync: Size is unset or MaxPacketBytes is too small")
+		return errors.New("configsync: MessageBytes is unset or MaxPacketBytes is too small")
 	case !(c.BytesPerSecond*burstSeconds >= 2*float64(c.MaxPacketBytes)):
 		return errors.New("configsync: BytesPerSecond is too small for MaxPacketBytes")
 	case !(c.RepairBytesPerSecond > 0):
--- a/internal/configsync/deltabuilder.go
+++ b/internal/configsync/deltabuilder.go
@@ -105,7 +105,8 @@
 	return false
 }
 
-// removeIncompleteSequence removes the changes of a sequence if the delta does not hold all changes of that sequence.
+// removeIncompleteSequence removes the changes of a sequence of which at least one change did not fit into the delta, and lowers
+// Through to the last complete sequence.
 func removeIncompleteSequence(delta *Delta, sequence uint64) {
 	for len(delta.Changes) > 0 && delta.Changes[len(delta.Changes)-1].Sequence == sequence {
 		delta.Changes = delta.Changes[:len(delta.Changes)-1]
--- a/internal/configsync/replica_test.go
+++ b/internal/configsync/replica_test.go
@@ -502,7 +502,7 @@
 	}
 }
 
-// TestBoundGrowsWithItsArguments checks that Bound never falls when the members, the delay or the loss grow.
+// TestBoundGrowsWithItsArguments checks that PropagationBound never falls when the members, the delay or the loss grow.
 func TestBoundGrowsWithItsArguments(t *testing.T) {
 	config := Defaults()
 	if config.PropagationBound(1, time.Second, 0.5) != 0 {
--- a/internal/configsync/store.go
+++ b/internal/configsync/store.go
@@ -60,7 +60,8 @@
 	wasKnown bool // the sequence of the change had been seen before
 }
 
-// merge verifies a change and merges it. The store keeps the pointer if the change comes into force.
+// merge verifies a change and merges it. The store keeps the pointer if the change comes into
+// force or has the highest sequence of its source.
 func (s *Store) merge(change *Change) (mergeResult, error) {
 	if err := change.validate(); err != nil {
 		return mergeResult{}, err
--- a/internal/fleet/config.go
+++ b/internal/fleet/config.go
@@ -25,7 +25,7 @@
 	StateDir string
 	// Seed seeds the random choices of this relay.
 	Seed uint64
-	// Quorum is how many relays must announce the same before this relay acts on it.
+	// Quorum is how many relays have to agree where the announcement of a single relay is not enough; see package verdicts.
 	Quorum int
 	// ExchangeInterval is the mean time between two anti-entropy exchanges with a random member.
 	ExchangeInterval time.Duration
@@ -41,10 +41,10 @@
 
 // Relay receives the decisions that follow from what other members have announced. Its methods must not block.
 type Relay interface {
-	// Restrain receives holds, outages and their ends.
+	// ApplyRestraints receives holds, outages and their ends.
 	ApplyRestraints([]traffic.Restraint)
-	// Allow receives the rates at which this relay may send.
+	// SetAllowances receives the rates at which this relay may send.
 	SetAllowances([]traffic.Allowance)
-	// Bar receives the complete list of pool members that get no new calls.
+	// SetExclusions receives the complete list of pool members that get no new calls.
 	SetExclusions([]traffic.Exclusion)
 }
--- a/internal/fleet/configuration.go
+++ b/internal/fleet/configuration.go
@@ -21,7 +21,7 @@
 	Region, Zone   string
 	MaxEntries     int
 	MaxFileBytes   int64             // bound of the file in the state directory; 0 for a bound derived from MaxEntries
-	Replication    configsync.Config // newConfiguration sets Self, Size and Seed
+	Replication    configsync.Config // newConfiguration sets Self, MessageBytes and Seed
 }
 
 const (
@@ -56,7 +56,7 @@
 	// newest holds the newest change of each source that was in force here. A superseded change stays here, because its
 	// signature proves the newest sequence number of the source to other relays.
 	newest        map[string]configsync.Change
-	rewriteNeeded bool // a change came into force before the file was open
+	rewriteNeeded bool // a change or a newer version vector arrived before the file was open
 	lastAttemptAt time.Duration
 	saveError     error
 
--- a/internal/fleet/events.go
+++ b/internal/fleet/events.go
@@ -119,7 +119,8 @@
 	}
 }
 
-// apply stores the new list, and schedules an announcement for each member that has become inactive or active again.
+// apply stores the new list, and schedules an announcement for each member that has left the list or become inactive, and for
+// each listed member that has become active again.
 func (e poolUpdated) apply(f *Fleet, now time.Duration, r *stepResult) {
 	for name, old := range f.pool {
 		current, listed := e.members[name]
--- a/internal/fleet/members.go
+++ b/internal/fleet/members.go
@@ -13,7 +13,8 @@
 const (
 	// departedRetention is how long a member stays listed after it has left or died.
 	departedRetention = 10 * time.Minute
-	// maxListedMembers is the number of listed members above which those that have left or died are dropped at once.
+	// maxListedMembers is the number of listed members above which members that have left or died are dropped before
+	// departedRetention has passed. Live members are never dropped.
 	maxListedMembers = 4096
 )
 
@@ -88,8 +89,8 @@
 	return nil
 }
 
-// dropLongDeparted drops members that left or died more than departedRetention ago. If too many members are listed, it
-// drops all that have left or died. The caller holds the lock.
+// dropLongDeparted drops members that left or died more than departedRetention ago. While more than maxListedMembers are
+// listed, it also drops those that left or died later. The caller holds the lock.
 func (f *Fleet) dropLongDeparted() {
 	for name, m := range f.shared.members {
 		if m.State == stateAlive {
--- a/internal/gateway/fleet_configuration.go
+++ b/internal/gateway/fleet_configuration.go
@@ -23,7 +23,7 @@
 	Region         string
 	Zone           string // empty for the zone of the platform's settings
 	MaxEntries     int
-	Replication    configsync.Config // without Self, Size and Seed, which differ between relays
+	Replication    configsync.Config // without Self, MessageBytes and Seed, which each relay sets itself
 }
 
 func defaultConfiguration() Configuration {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -39,7 +39,7 @@
 	Bind, Advertise  netip.AddrPort   // where this relay listens; where other relays reach it, if that differs
 	Join             []netip.AddrPort // addresses of some other relays
 	KeyFile          string
-	Quorum           int // relays that must agree before a member counts as down or is excluded
+	Quorum           int // relays that have to agree where the announcement of a single relay is not enough
 	ExchangeInterval time.Duration
 	BytesPerSecond   float64 // bound of what this relay sends to its fleet
 	DivideLimits     bool
--- a/internal/spread/peer.go
+++ b/internal/spread/peer.go
@@ -30,7 +30,7 @@
 	}
 	lateness = q.recordClock(now, p.Uptime)
 	if now-s.resumedAt < resumePeriod && q.firstPacketAt >= s.resumedAt {
-		// There is no earlier packet to compare with: this packet may have waited while this relay was suspended.
+		// No packet from before the suspension is known, so all packets that this one is compared with may have waited as well.
 		lateness += s.lastSuspension
 	}
 	return lateness, true
--- a/internal/spread/receive.go
+++ b/internal/spread/receive.go
@@ -7,7 +7,8 @@
 )
 
 // Receive processes a packet. It merges the statements into the store, and returns the new ones and the packets to send. The
-// result ownStatements holds statements under this relay's own name: another process used the name, or this relay lost its state.
+// result ownStatements holds all received statements under this relay's own name, which are not merged. One that this process has
+// not issued shows that another process used the name, or that this relay lost its state.
 func (s *Spread) Receive(now time.Duration, p Packet) (newStatements, ownStatements []verdicts.Statement, outgoing []OutgoingPacket) {
 	s.outgoing = nil
 	s.recordCall(now)
--- a/internal/spread/spread.go
+++ b/internal/spread/spread.go
@@ -31,9 +31,9 @@
 	case c.Self == "":
 		return errors.New("spread: configuration has no name for this relay (Self)")
 	case c.ExchangeInterval < time.Millisecond:
-		return errors.New("spread: exchange interval (Exchange) is below 1 ms")
+		return errors.New("spread: ExchangeInterval is below 1 ms")
 	case !(c.BytesPerSecond > 0) || c.PacketBytes == nil || c.MaxPacketBytes < 256:
-		return errors.New("spread: Bytes is not positive, Size is missing or Packet is below 256 bytes")
+		return errors.New("spread: BytesPerSecond is not positive, PacketBytes is missing or MaxPacketBytes is below 256")
 	}
 	return nil
 }
--- a/internal/verdicts/judge.go
+++ b/internal/verdicts/judge.go
@@ -45,7 +45,7 @@
 
 // Counters count the decisions of a judge since its creation.
 type Counters struct {
-	Restraints  int64 `json:"heeded"`    // restraints returned
+	Restraints  int64 `json:"heeded"`    // restraints returned, except those that end a hold that an own call contradicted
 	Overruled   int64 `json:"overruled"` // statements that this relay's own calls contradicted
 	OverBudget  int64 `json:"overdrawn"` // waits of a single origin that exceeded its budget
 	BelowQuorum int64 `json:"unagreed"`  // outages announced by fewer origins than the quorum
