--- a/internal/fleet/metrics.go
+++ b/internal/fleet/metrics.go
@@ -11,9 +11,9 @@
 
 // Figures holds the metrics that operators see.
 type Figures struct {
-	Members       int               `json:"members"` // live members, this relay included
-	StalenessMS   float64           `json:"staleness_ms"`
-	Verdicts      int               `json:"verdicts"` // statements in force
+	Members       int               `json:"members"`      // live members, this relay included
+	StalenessMS   float64           `json:"staleness_ms"` // age of the newest answered anti-entropy exchange
+	Verdicts      int               `json:"verdicts"`     // statements in force
 	SentBytes     int64             `json:"sent_bytes"`
 	ReceivedBytes int64             `json:"received_bytes"`
 	Drops         Drops             `json:"drops"`
--- a/internal/spread/packet.go
+++ b/internal/spread/packet.go
@@ -20,7 +20,8 @@
 	Group, Groups int
 	Statements    []verdicts.Statement
 	// Ask and Answer mark the packets of an anti-entropy exchange, in which two relays compare the summaries of their stores. The
-	// receiver of an Ask replies with an Answer. An Answer requires no reply.
+	// receiver of an Ask replies with an Answer. The receiver of an Answer sends only statements that the sender of the Answer
+	// lacks, if there are any.
 	Ask, Answer bool
 	Summary     verdicts.Summary
 	// MembersHash is a hash of the members that the sender counts as live, in Ask and Answer packets; 0 in others.
--- a/internal/verdicts/exclusion.go
+++ b/internal/verdicts/exclusion.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// ExcludedMembers returns the sorted names of the members that get no new calls because of the fleet's drains and bans. Statements of a
-// quorum, or of this relay itself, exclude a member unconditionally. Statements of fewer origins exclude a member only while
+// ExcludedMembers returns the sorted names of the members that get no new calls because of the fleet's drains and bans.
+// Statements of a quorum, or of this relay itself, exclude a member unconditionally. Statements of fewer origins exclude a member only while
 // another usable member of the destination remains, so a single origin cannot make a destination unreachable.
 func (j *Judge) ExcludedMembers(now time.Duration) []string {
 	origins := j.excludingOrigins(now)
