--- a/internal/conns/conns.go
+++ b/internal/conns/conns.go
@@ -169,7 +169,7 @@
 	expiresAt      time.Duration // time at which the connection reaches its maximum age; 0 for never
 	idleSince      time.Duration
 	calls          int           // calls that the connection has completed
-	idleBeforeCall time.Duration // idle time before the current call; 0 for the first call
+	idleBeforeCall time.Duration // idle time before the current call; 0 if the connection was opened for that call
 	isTrial        bool          // the current call tests an idle time that is beyond the limit or not proven
 	preconnected   bool          // the connection was opened in advance
 }
@@ -531,8 +531,8 @@
 	return Open, c.id, evict
 }
 
-// ReturnUnused takes back a connection that did not carry its call after all. The connection remains idle as if it had not been taken. If the
-// connection must be closed instead, the result is false and the reason.
+// ReturnUnused takes back a connection that did not carry its call after all. The connection is idle again, with its earlier idle time.
+// If the connection must be closed instead, ReturnUnused returns false and the reason.
 func (p *Pool) ReturnUnused(now time.Duration, id ID) (idle bool, reason Reason) {
 	p.advanceClock(now)
 	c := p.conns[id]
@@ -556,8 +556,8 @@
 	return false, reason
 }
 
-// ClosedBeforeUse reports that the server had closed a connection before the first byte of its call was sent. No call failed, so this counts as a
-// visible closing.
+// ClosedBeforeUse reports that the server had closed a connection before the first byte of its call was sent. No call failed, so this
+// counts as a visible closing.
 func (p *Pool) ClosedBeforeUse(now time.Duration, id ID) {
 	p.advanceClock(now)
 	c := p.conns[id]
@@ -655,8 +655,9 @@
 	return e.connLimit > 0 && len(e.conns) >= e.connLimit
 }
 
-// makeRoom makes room for one more connection within the limit of the pool. It evicts an idle connection of the endpoint that exceeds
-// its fair share the most. An endpoint beyond its own fair share takes nothing from an endpoint within its share.
+// makeRoom makes room for one more connection within the limit of the pool. It evicts an idle connection of the endpoint with the most
+// connections beyond the number that it needs, or beyond its fair share if that is less. An endpoint at or beyond its fair share takes
+// nothing from an endpoint without such an excess.
 func (p *Pool) makeRoom(e *endpoint) (evict []Eviction, ok bool) {
 	if len(p.conns) < p.cfg.MaxConns {
 		return nil, true
@@ -812,8 +813,8 @@
 	p.recentCalls++
 }
 
-// OpeningFailed reports that a connection could not be established; refused says that the server refused or reset it. If other connections to
-// the endpoint are open and one was opened recently, the server may accept no more.
+// OpeningFailed reports that a connection could not be established; refused says that the server refused or reset it. If other
+// connections to the endpoint are open and one was opened recently, the server may accept no more.
 func (p *Pool) OpeningFailed(now time.Duration, id ID, refused bool) {
 	p.advanceClock(now)
 	c := p.conns[id]
--- a/internal/dispatch/sender.go
+++ b/internal/dispatch/sender.go
@@ -29,7 +29,7 @@
 	// One of many senders may take more than an even share of a limit. A report of less left than steadyShare
 	// lowers this excess at once, one of more raises it for maxGrowthTime at most, since all senders read it.
 	excessShrinkFactor = 0.25            // at a refusal
-	unusedShare        = 0.1             // unused without excess, or refused calls could keep a limit empty
+	unusedShare        = 0.1             // of an even share unused, or refused calls could keep a limit empty
 	steadyShare        = 0.35            // left of the limit
 	excessGrowthRate   = 0.05            // a second, times the share left above steadyShare
 	maxGrowthTime      = 5 * time.Second // after a report
@@ -43,10 +43,10 @@
 	refusalStreak        = 3
 	maxFailureShare      = 0.55
 	rampFailureShare     = 0.45 // failure share at the start of a ramp: one more failure exceeds the maximum
-	maxTrialShare        = 0.2  // of the cold time; up to it, trial calls are half the outage's age apart
+	maxTrialShare        = 0.2  // of the ramp time; up to it, trial calls are half the outage's age apart
 	sparseTrialAges      = 5.0  // see coldGap
 	fleetTrialAges       = 0.25 // of the outage's age between trial calls when senders share reports
-	maxFleetTrialShare   = 0.05 // of the cold time
+	maxFleetTrialShare   = 0.05 // of the ramp time
 	initialWindow        = 2    // calls out at a new endpoint; each success adds to the window
 	windowShrinkFactor   = 0.7  // at a timeout
 	minTimeoutAims       = 0.6  // least timeout of a repeatable call, in aims
@@ -56,7 +56,7 @@
 	maxTieBreak         = 1e-3
 	shedThreshold       = 0.85            // share of the hold cap above which queued messages are shed
 	maxDestinationShare = 0.7             // share of the call slots that one destination may hold
-	largeMessageBytes   = 4096.0          // doubles a message's weight in shedding when HoldCap.Heavy is 1
+	largeMessageBytes   = 4096.0          // doubles a message's weight in shedding if HoldCap.SizeWeight is 1
 	watchRetryPause     = 2 * time.Second // before a broken subscription is requested again
 	logInterval         = time.Second     // least time between two log lines
 )
@@ -86,7 +86,7 @@
 	rng                    *rand.Rand // spreads actions that many senders would take at the same moment
 	startRNG               *rand.Rand // spreads the first choices and first calls of many senders
 	holdCap                int        // messages that may be held at present
-	sizeWeight             float64    // HoldCap.Heavy: how much the size of a message counts in shedding
+	sizeWeight             float64    // HoldCap.SizeWeight: how much the size of a message counts in shedding
 }
 
 // message is a request that has not ended or that has an attempt out.
@@ -277,7 +277,7 @@
 		for _, o := range d.endpoints {
 			if l := o.limiter; ev.Endpoint == "" || o == e {
 				l.fleetWait = s.now + ev.For
-				// The random part spreads the calls of all senders at the end of the wait.
+				// Chance spreads the end of the wait, or one call of every sender would come at once.
 				l.fleetWait += time.Duration(s.rng.Float64() * min(1e9*l.peers/l.capacity(), float64(ev.For)))
 			}
 		}
@@ -530,7 +530,7 @@
 }
 
 // coldGap is the mean time between two calls of this sender at time at to an endpoint that is in an outage,
-// or cold after one. It covers trial calls, refused calls and all others. Let B be the calls in a tip window
+// or cold after one. It covers trial calls, refused calls and all others. Let B be the calls in OverloadFor
 // that push the destination over. Senders are at fault when two thirds of B or more come from those that saw
 // the outage. Each of two bounds prevents this without knowing the end of the outage; the smaller gap is
 // used. With many senders, small destinations get few trial calls soon after their return.
@@ -540,7 +540,7 @@
 //     In an outage all share it. In the ramp, only senders share it that can have several messages in twice
 //     the age, since no sender is in both.
 //   - Sparse trials, when few saw the outage: sparseTrialAges ages apart, with an age of at least a fifth of
-//     the cold time t. To f first calls a second, senders that saw it add f (1 + ln(A/t)) / sparseTrialAges,
+//     the ramp time t. To f first calls a second, senders that saw it add f (1 + ln(A/t)) / sparseTrialAges,
 //     f/2 at A = 4 t, or f in the ramp. This is half of the 2 f that make two thirds, at any capacity.
 func (s *Sender) coldGap(e *endpoint, at time.Duration) time.Duration {
 	f, peers, warm := s.cfg.Safety, float64(s.cfg.Peers), s.cfg.Safety.MinStartCapacityShare
@@ -644,7 +644,7 @@
 	e.limiter.ownTrial = e.limiter.nextTrial
 }
 
-// withoutRecentSuccess reports rare calls and no success within TipAfter: a second failure would come late.
+// withoutRecentSuccess reports rare calls and no success in OverloadFor: a second failure would come late.
 func (s *Sender) withoutRecentSuccess(e *endpoint) bool {
 	return s.now-e.limiter.lastSuccess > s.cfg.Safety.OverloadFor && e.limiter.sparseness() > 0
 }
@@ -674,7 +674,7 @@
 	}
 }
 
-// recordLatency updates the usual latency. For a call without an answer, latency is the time it was out.
+// recordLatency updates the usual latency. Without an answer it gets the time so far, a lower bound.
 func (e *endpoint) recordLatency(latency time.Duration) {
 	x := latency.Seconds()
 	if e.meanSeconds == 0 {
@@ -823,7 +823,7 @@
 	s.emit(Send{ID: m.id, Endpoint: e.id, Timeout: s.callTimeout(m, e)})
 }
 
-// callTimeout ends a call early for a retry. A message that may not be retried waits (see reclaimSlot).
+// callTimeout is the time after which a call ends for a retry; 0: it waits for an answer (see reclaimSlot).
 func (s *Sender) callTimeout(m *message, e *endpoint) time.Duration {
 	limit := max(time.Duration(minTimeoutAims*float64(m.class.Aim)), s.missedAfter(e))
 	if m.class.Effect == Unsafe && s.cfg.CanCancel || m.class.Effect == Keyed && limit > m.class.DedupTTL/2 ||
--- a/internal/fleet/driver.go
+++ b/internal/fleet/driver.go
@@ -9,14 +9,14 @@
 )
 
 const (
-	// inboxPackets bounds the inbox for packets; what arrives beyond it is dropped and counted.
-	inboxPackets = 2048
-	// inboxEvents bounds the inbox for events of this relay itself.
-	inboxEvents = 4 * inboxPackets
-	// sweepInterval is how often statements are searched for expired ones, and figures are published.
+	// maxInboxPackets is the length of the inbox at which packets are dropped and counted.
+	maxInboxPackets = 2048
+	// maxInboxEvents is the length of the inbox at which events of this relay itself are dropped and counted.
+	maxInboxEvents = 4 * maxInboxPackets
+	// sweepInterval is how often expired statements are removed and metrics are published.
 	sweepInterval = 100 * time.Millisecond
-	// divideInterval is how often the division of limits is looked at beside what arrives.
-	divideInterval = 50 * time.Millisecond
+	// limitDivisionInterval is the longest time between two ticks of the allocator while nothing arrives.
+	limitDivisionInterval = 50 * time.Millisecond
 )
 
 // event is an item of the inbox.
@@ -25,14 +25,14 @@
 	apply(f *Fleet, now time.Duration, r *stepResult)
 }
 
-// stepResult collects the consequences of one batch of events.
+// stepResult collects the results of one batch of events.
 type stepResult struct {
-	announcements []verdicts.Statement // of this relay, to be sent to all
-	restraints    []verdicts.Restraint // for the relay
-	barsChanged   bool                 // the list of barred members may have changed
+	announcements     []verdicts.Statement // of this relay, to be sent to all members
+	restraints        []verdicts.Restraint // to be passed to the relay
+	exclusionsChanged bool                 // the list of pool members that get no new calls may have changed
 }
 
-// Run takes part in the fleet until ctx ends, and then leaves it.
+// Run takes part in the fleet until ctx ends, and then leaves the fleet.
 func (f *Fleet) Run(ctx context.Context) {
 	var goroutines sync.WaitGroup
 	goroutines.Go(func() { f.maintainMembership(ctx) })
@@ -40,16 +40,17 @@
 	goroutines.Wait()
 }
 
-// enqueue puts an event into the inbox. Packets are dropped at a lower bound than events of this relay itself.
+// enqueue puts an event into the inbox, or drops the event if the inbox is full. The limit is lower for packets, so that
+// packets cannot displace events of this relay itself.
 func (f *Fleet) enqueue(e event) {
 	f.shared.Lock()
 	defer f.shared.Unlock()
-	bound := inboxEvents
+	bound := maxInboxEvents
 	if _, ok := e.(packetReceived); ok {
-		bound = inboxPackets
+		bound = maxInboxPackets
 	}
 	if len(f.shared.inbox) >= bound {
-		f.drops.Overrun.Add(1)
+		f.drops.InboxFull.Add(1)
 		return
 	}
 	f.shared.inbox = append(f.shared.inbox, e)
@@ -62,7 +63,7 @@
 	}
 }
 
-// isRoutine reports whether an event may wait for the next sweep: most calls succeed, and need not wake the driver.
+// isRoutine reports whether an event may wait for the next sweep. This holds for successful calls, which are most events.
 func isRoutine(e event) bool {
 	ended, ok := e.(callEnded)
 	return ok && ended.Outcome == verdicts.Succeeded
@@ -94,16 +95,16 @@
 	return batch
 }
 
-// untilNextStep is how long the driver may sleep when nothing arrives.
+// untilNextStep returns how long the driver may sleep if nothing arrives.
 func (f *Fleet) untilNextStep() time.Duration {
 	wait := min(f.spread.Due()-f.now(), sweepInterval)
 	if f.allocator != nil {
-		wait = min(wait, divideInterval)
+		wait = min(wait, limitDivisionInterval)
 	}
 	return min(wait, f.untilConfigurationDue())
 }
 
-// step applies a batch of events, then does what is due.
+// step applies a batch of events, and then runs the periodic work that is due.
 func (f *Fleet) step(batch []event) {
 	var r stepResult
 	for _, e := range batch {
@@ -111,7 +112,7 @@
 	}
 	now := f.now()
 	f.rebuildMembers(now, &r)
-	sweep := now-f.lastSweep >= sweepInterval
+	sweep := now-f.lastSweepAt >= sweepInterval
 	if sweep {
 		expired := f.store.Sweep(now)
 		r.restraints = append(r.restraints, f.judge.Expired(now, expired)...)
@@ -122,9 +123,9 @@
 	f.restrain(r.restraints)
 	f.divideLimits(now)
 	f.stepConfiguration(now)
-	if sweep || r.barsChanged {
-		f.lastSweep = now
-		f.updateBars(now)
+	if sweep || r.exclusionsChanged {
+		f.lastSweepAt = now
+		f.updateExclusions(now)
 		f.publish(now)
 	}
 }
--- a/internal/fleet/members.go
+++ b/internal/fleet/members.go
@@ -11,10 +11,11 @@
 )
 
 const (
-	// goneRetention is how long a member that has left or died stays listed.
-	goneRetention = 10 * time.Minute
-	// maxListed bounds the members that are listed, before those that are gone are dropped.
-	maxListed = 4096
+	// departedRetention is how long a member stays listed after it has left or died.
+	departedRetention = 10 * time.Minute
+	// maxListedMembers is the number of listed members above which members that have left or died are dropped before
+	// departedRetention has passed. Live members are never dropped.
+	maxListedMembers = 4096
 )
 
 // The states of a member, as operators see them.
@@ -24,20 +25,20 @@
 	stateLeft  = "left"
 )
 
-// MemberState is a member as operators see it.
+// MemberState is a member of the fleet as operators see it.
 type MemberState struct {
 	Name  string    `json:"name"`
 	Addr  string    `json:"addr"`
 	State string    `json:"state"` // alive, dead or left
 	Since time.Time `json:"since"`
-	RTTMS float64   `json:"rtt_ms"` // round trip of the newest probe; 0 for none
+	RTTMS float64   `json:"rtt_ms"` // round trip of the newest probe; 0 before the first
 	Self  bool      `json:"self,omitempty"`
 
-	// node is a copy: memberlist changes its own when the member comes back at another address.
+	// node is a copy, because memberlist changes its own node when the member returns at another address.
 	node *memberlist.Node
 }
 
-// Members returns all known members, by name.
+// Members returns all known members, sorted by name.
 func (f *Fleet) Members() []MemberState {
 	f.shared.Lock()
 	defer f.shared.Unlock()
@@ -49,7 +50,7 @@
 	return list
 }
 
-// recordMember stores what memberlist reports of a member.
+// recordMember stores a member's state as memberlist reports it, and tells the driver.
 func (f *Fleet) recordMember(n *memberlist.Node, state string) {
 	f.updateMemberState(n, state)
 	if n.Name != f.cfg.Self {
@@ -58,12 +59,13 @@
 	f.enqueue(membershipChanged{})
 }
 
+// updateMemberState stores a member's state, and a copy of its node.
 func (f *Fleet) updateMemberState(n *memberlist.Node, state string) {
 	f.shared.Lock()
 	defer f.shared.Unlock()
 	m := f.shared.members[n.Name]
 	if m == nil {
-		f.forgetGone()
+		f.dropLongDeparted()
 		m = &MemberState{Name: n.Name, Self: n.Name == f.cfg.Self}
 		f.shared.members[n.Name] = m
 	}
@@ -77,7 +79,7 @@
 	m.Addr = node.Address()
 }
 
-// nodeOf returns a member's node as memberlist reported it last; nil for none.
+// nodeOf returns a member's node as memberlist last reported it; nil for an unknown member.
 func (f *Fleet) nodeOf(name string) *memberlist.Node {
 	f.shared.Lock()
 	defer f.shared.Unlock()
@@ -87,19 +89,20 @@
 	return nil
 }
 
-// forgetGone drops members that have been gone for long. It needs the lock.
-func (f *Fleet) forgetGone() {
+// dropLongDeparted drops members that left or died more than departedRetention ago. While more than maxListedMembers are
+// listed, it also drops those that left or died later. The caller holds the lock.
+func (f *Fleet) dropLongDeparted() {
 	for name, m := range f.shared.members {
 		if m.State == stateAlive {
 			continue
 		}
-		if time.Since(m.Since) > goneRetention || len(f.shared.members) > maxListed {
+		if time.Since(m.Since) > departedRetention || len(f.shared.members) > maxListedMembers {
 			delete(f.shared.members, name)
 		}
 	}
 }
 
-// deadAddresses lists the last addresses of members that have died.
+// deadAddresses returns the last known addresses of members that have died.
 func (f *Fleet) deadAddresses() []string {
 	f.shared.Lock()
 	defer f.shared.Unlock()
@@ -112,13 +115,14 @@
 	return addresses
 }
 
-// recordRoundTrip stores the round trip of a probe.
+// recordRoundTrip stores the round-trip time of a probe.
 func (f *Fleet) recordRoundTrip(clock peerClock) {
 	f.shared.Lock()
 	defer f.shared.Unlock()
-	if m := f.shared.members[clock.from]; m != nil {
+	if m := f.shared.members[clock.member]; m != nil {
 		m.RTTMS = milliseconds(clock.roundTrip)
 	}
 }
 
+// milliseconds converts a duration to a number of milliseconds.
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
--- a/internal/fleet/packets.go
+++ b/internal/fleet/packets.go
@@ -11,18 +11,19 @@
 )
 
 type (
-	// packetReceived is a packet of another member, as memberlist has decrypted it.
+	// packetReceived is a packet of another member, decrypted by memberlist.
 	packetReceived []byte
 
-	// peerClock is the clock of another member, as its answer to a probe gives it.
+	// peerClock is the incarnation and uptime of another member, as given in its answer to a probe.
 	peerClock struct {
-		from        string
+		member      string
 		incarnation uint64
 		uptime      time.Duration
 		roundTrip   time.Duration
 	}
 )
 
+// apply decodes a packet, merges its statements and sends the replies.
 func (e packetReceived) apply(f *Fleet, now time.Duration, r *stepResult) {
 	packet, err := wire.Decode(e)
 	if err != nil {
@@ -30,18 +31,18 @@
 		return
 	}
 	before := f.spread.Counters()
-	news, own, replies := f.spread.Receive(now, packet)
+	newStatements, ownStatements, replies := f.spread.Receive(now, packet)
 	after := f.spread.Counters()
 	if after.UnknownSenders > before.UnknownSenders || after.MembershipMismatches > before.MembershipMismatches {
-		f.reportUnknownMember()
+		f.requestSync()
 	}
-	for _, s := range own {
+	for _, s := range ownStatements {
 		f.supersede(now, s.Version)
 	}
-	for _, s := range news {
+	for _, s := range newStatements {
 		r.restraints = append(r.restraints, f.judge.Receive(now, s)...)
 		if s.Kind == verdicts.Drain || s.Kind == verdicts.Ban {
-			r.barsChanged = true
+			r.exclusionsChanged = true
 		}
 	}
 	f.send(replies)
@@ -51,30 +52,31 @@
 	}
 }
 
-// countUndecodable counts a packet that wire.Decode refused.
-func (d *drops) countUndecodable(err error) {
+// countUndecodable counts a packet that wire.Decode rejected.
+func (d *dropCounters) countUndecodable(err error) {
 	if errors.Is(err, wire.ErrVersion) {
-		d.Version.Add(1)
+		d.OtherVersion.Add(1)
 	} else {
-		d.Form.Add(1)
+		d.Malformed.Add(1)
 	}
 }
 
-// reportUnknownMember asks the membership goroutine to synchronise with a known member.
-func (f *Fleet) reportUnknownMember() {
+// requestSync asks the membership goroutine to compare member lists with a known member.
+func (f *Fleet) requestSync() {
 	select {
-	case f.unknownMember <- struct{}{}:
+	case f.syncRequests <- struct{}{}:
 	default:
 	}
 }
 
+// apply records the clock of a member and the round-trip time of the probe.
 func (e peerClock) apply(f *Fleet, now time.Duration, _ *stepResult) {
-	f.spread.RecordClock(now, e.from, e.incarnation, e.uptime)
+	f.spread.RecordClock(now, e.member, e.incarnation, e.uptime)
 	f.recordRoundTrip(e)
 }
 
-// send encodes packets and hands them to memberlist. Before the relay listens, and to nodes that are gone, nothing is
-// sent.
+// send encodes packets and passes them to memberlist. It sends nothing before the relay listens, and nothing to a member
+// that is no longer live.
 func (f *Fleet) send(packets []spread.OutgoingPacket) {
 	list := f.memberList()
 	if list == nil {
--- a/internal/fleet/restraints.go
+++ b/internal/fleet/restraints.go
@@ -8,17 +8,18 @@
 	"slatemux/internal/verdicts"
 )
 
-// Held reports whether an announcement of other relays holds a group. It is called before each call is written.
-func (f *Fleet) Held(group traffic.Group, now time.Time) bool {
-	if now.UnixNano() >= f.holdsUntil.Load() { // no hold at all, as is usual
+// OnHold reports whether calls of a group must wait because of an announcement of other relays. The relay calls OnHold before
+// it writes each call.
+func (f *Fleet) OnHold(group traffic.Group, now time.Time) bool {
+	if now.UnixNano() >= f.lastHoldEndNanos.Load() { // the usual case: no group is on hold
 		return false
 	}
 	f.shared.Lock()
 	defer f.shared.Unlock()
-	return now.Before(f.shared.holds[group])
+	return now.Before(f.shared.holdEnds[group])
 }
 
-// restrain hands restraints to the relay, and holds calls that are about to be written.
+// restrain stores the holds for OnHold, and passes all restraints to the relay.
 func (f *Fleet) restrain(restraints []verdicts.Restraint) {
 	if len(restraints) == 0 {
 		return
@@ -28,7 +29,7 @@
 	for _, r := range restraints {
 		translated := f.translate(r)
 		if translated.Kind == traffic.RestraintWait {
-			f.hold(translated.Group, translated.At)
+			f.setHold(translated.Group, translated.At)
 		}
 		list = append(list, translated)
 	}
@@ -37,7 +38,7 @@
 	f.relay.ApplyRestraints(list)
 }
 
-// translate converts a decision of the judge into the relay's form.
+// translate converts a decision of the judge into a restraint for the relay.
 func (f *Fleet) translate(r verdicts.Restraint) traffic.Restraint {
 	translated := traffic.Restraint{Member: r.Member, At: f.wallTime(r.At)}
 	switch r.Order {
@@ -54,32 +55,32 @@
 	return translated
 }
 
-// hold stores until when a group is held. It needs the lock.
-func (f *Fleet) hold(group traffic.Group, until time.Time) {
-	f.shared.holds[group] = until
-	f.holdsUntil.Store(max(f.holdsUntil.Load(), until.UnixNano()))
+// setHold stores until when a group is on hold. The caller holds the lock.
+func (f *Fleet) setHold(group traffic.Group, until time.Time) {
+	f.shared.holdEnds[group] = until
+	f.lastHoldEndNanos.Store(max(f.lastHoldEndNanos.Load(), until.UnixNano()))
 }
 
-// dropExpiredHolds needs the lock.
+// dropExpiredHolds removes the holds that have ended. The caller holds the lock.
 func (f *Fleet) dropExpiredHolds(now time.Time) {
-	for group, until := range f.shared.holds {
+	for group, until := range f.shared.holdEnds {
 		if !until.After(now) {
-			delete(f.shared.holds, group)
+			delete(f.shared.holdEnds, group)
 		}
 	}
 }
 
-// updateBars hands the relay the members that get no new calls, where the list has changed.
-func (f *Fleet) updateBars(now time.Duration) {
-	var bars []traffic.Exclusion
+// updateExclusions passes the pool members that get no new calls to the relay, if the list has changed.
+func (f *Fleet) updateExclusions(now time.Duration) {
+	var exclusions []traffic.Exclusion
 	for _, name := range f.judge.ExcludedMembers(now) {
 		ban := verdicts.Subject{Kind: verdicts.Ban, Destination: f.pool[name].Destination, Member: name}
-		bars = append(bars, traffic.Exclusion{Member: name, Banned: f.countOrigins(now, ban) > 0})
+		exclusions = append(exclusions, traffic.Exclusion{Member: name, Banned: f.countOrigins(now, ban) > 0})
 	}
-	bars = f.configuration.addBars(bars, f.pool)
-	if slices.Equal(bars, f.lastBars) {
+	exclusions = f.configuration.addExclusions(exclusions, f.pool)
+	if slices.Equal(exclusions, f.lastExclusions) {
 		return
 	}
-	f.lastBars = bars
-	f.relay.SetExclusions(slices.Clone(bars))
+	f.lastExclusions = exclusions
+	f.relay.SetExclusions(slices.Clone(exclusions))
 }
--- a/internal/fleet/wire/wire_test.go
+++ b/internal/fleet/wire/wire_test.go
@@ -14,7 +14,8 @@
 	"slatemux/internal/verdicts"
 )
 
-func drawn(t *rapid.T) spread.Packet {
+// drawPacket draws a random valid packet without a configuration message.
+func drawPacket(t *rapid.T) spread.Packet {
 	us := func(name string) time.Duration {
 		return time.Duration(rapid.Int64Range(0, 3600e6).Draw(t, name)) * time.Microsecond
 	}
@@ -43,16 +44,16 @@
 	return p
 }
 
-// What is encoded is decoded the same, and its size is told before.
-func TestRoundTrip(t *testing.T) {
+// Guards against fields that are lost or changed in encoding, and against a wrong Size.
+func TestPacketRoundTrip(t *testing.T) {
 	proptest.Check(t, func(t *rapid.T) {
-		p := drawn(t)
+		p := drawPacket(t)
 		b, err := Append(nil, &p)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if len(b)+Sealing != Size(&p) {
-			t.Errorf("%d bytes, told as %d", len(b)+Sealing, Size(&p))
+		if len(b)+OverheadBytes != Size(&p) {
+			t.Errorf("%d bytes, but Size is %d", len(b)+OverheadBytes, Size(&p))
 		}
 		if got, err := Decode(b); err != nil || !reflect.DeepEqual(got, p) {
 			t.Errorf("%v\n%+v\n%+v", err, got, p)
@@ -60,15 +61,16 @@
 	})
 }
 
-// Whatever comes, a packet is refused whole or makes sense; another version is told from garbage.
-func TestGarbage(t *testing.T) {
+// Guards against corrupt packets from the network. Decode rejects them or returns a packet within the bounds. It reports
+// another version with an error of its own.
+func TestCorruptPacketsAreRefused(t *testing.T) {
 	proptest.Check(t, func(t *rapid.T) {
-		p := drawn(t)
+		p := drawPacket(t)
 		b, _ := Append(nil, &p)
 		b = proptest.Malformed(t, b)
 		got, err := Decode(b)
-		if err == nil && (got.From == "" || got.Sequence == 0 || got.Groups > 0 && got.Group >= got.Groups || len(got.Statements) > MaxNews) {
-			t.Errorf("taken: %+v", got)
+		if err == nil && (got.From == "" || got.Sequence == 0 || got.Groups > 0 && got.Group >= got.Groups || len(got.Statements) > MaxStatements) {
+			t.Errorf("accepted: %+v", got)
 		}
 		store := verdicts.NewStore()
 		for _, s := range got.Statements {
@@ -78,7 +80,7 @@
 	if _, err := Decode([]byte{Version + 1, 1, 2}); !errors.Is(err, ErrVersion) {
 		t.Errorf("another version: %v", err)
 	}
-	if _, err := Decode(nil); !errors.Is(err, ErrForm) {
-		t.Errorf("nothing: %v", err)
+	if _, err := Decode(nil); !errors.Is(err, ErrMalformed) {
+		t.Errorf("empty packet: %v", err)
 	}
 }
--- a/internal/lab/capacity/slopes/source_test.go
+++ b/internal/lab/capacity/slopes/source_test.go
@@ -61,17 +61,17 @@
 		copied, want           float64
 	}{
 		{"pool/watch.go", "maxList", "4 << 20", maxDiscoveryListBytes, 4 << 20},
-		{"pool/book.go", "maxGone", "2048", maxDepartedMembers, 2048},
+		{"pool/member_list.go", "maxGone", "2048", maxDepartedMembers, 2048},
 		{"allowance/allocator.go", "maxDestinations", "16384", maxDividedDestinations, 16384},
 		{"allowance/claims.go", "maxClaimed", "24", maxDestinationsPerClaim, 24},
 		{"verdicts/judge.go", "maxTracked", "8192", maxJudgedDestinations, 8192},
 		{"fleet/limits.go", "maxReadings", "16384", maxLimitReadings, 16384},
-		{"fleet/members.go", "maxListed", "4096", maxListedRelays, 4096},
-		{"fleet/transport.go", "maxStream", "512 << 10", maxStreamBytes, 512 << 10},
+		{"fleet/members.go", "maxListedMembers", "4096", maxListedRelays, 4096},
+		{"fleet/transport.go", "maxStreamBytes", "512 << 10", maxStreamBytes, 512 << 10},
 		{"fleet/transport.go", "maxStreams", "8", maxConcurrentStreams, 8},
 		{"journal/journal.go", "liveShare", "0.4", journalLiveShare, 0.4},
-		{"fleet/membership.go", "joinPauseMin", "250 * time.Millisecond", minJoinPause.Seconds(), 0.25},
-		{"fleet/membership.go", "joinPauseMax", "8 * time.Second", maxJoinPause.Seconds(), 8},
+		{"fleet/membership.go", "minJoinPause", "250 * time.Millisecond", minJoinPause.Seconds(), 0.25},
+		{"fleet/membership.go", "maxJoinPause", "8 * time.Second", maxJoinPause.Seconds(), 8},
 		{"fleet/membership.go", "rejoinInterval", "10 * time.Second", rejoinInterval.Seconds(), 10},
 	} {
 		if expression := parseSource(t, constant.file).constantValue(constant.name); expression != constant.expression {
--- a/internal/lab/ledger/ledger.go
+++ b/internal/lab/ledger/ledger.go
@@ -1,8 +1,9 @@
-// Package ledger keeps what a test deployment saw of every message, and judges it: exactly one end for what was
-// taken on, in time, no run of what was refused, no repeat beyond the class, drains and told waits kept.
+// Package ledger records what a test deployment observed of every message and checks the delivery rules: an accepted message has
+// exactly one end and has it in time, a refused message never runs, a repeat is allowed by the class, and a relay observes drains
+// and retry-after waits.
 //
-// Recording takes no lock that another recorder holds: each client and each connection of a partner writes to a
-// Book of its own, and the books are joined when all is over.
+// Recording takes no shared lock: each client and each connection of a partner writes to its own Recorder. Judge joins the recorders
+// when the run is over.
 package ledger
 
 import (
@@ -12,66 +13,66 @@
 	"time"
 )
 
-// Effect is what a repeat of a class's message may do.
+// Effect says whether a message of a class may run more than once.
 type Effect int
 
-// The effects.
+// The repeat rules that a class can have.
 const (
-	Safe   Effect = iota // may run again and again
+	Safe   Effect = iota // may run any number of times
 	Keyed                // may run again within Memory of its first run
 	Unsafe               // may not run twice
 )
 
-// Class is what a verdict needs to know of a class.
+// Class holds the properties of a class that the rules and the totals depend on.
 type Class struct {
 	Name   string
 	Effect Effect
-	Memory time.Duration
+	Memory time.Duration // how long a destination remembers the key of a Keyed message
 	Worth  float64
-	Aim    time.Duration // a delivery within it earns the whole worth
+	Aim    time.Duration // a delivery within Aim earns the full worth, a later one half
 }
 
-// Answer is what a client read.
+// Answer is the relay's answer to a submission as the client saw it.
 type Answer int
 
-// The answers.
+// The answers to a submission.
 const (
-	NoAnswer Answer = iota // none within the client's patience, or the connection ended
+	NoAnswer Answer = iota // no answer within the client's patience, or the connection ended
 	Accepted
 	Refused
 	Failed
-	Unsent // no client was free to send it within its patience
+	Unsent // no client was free to send the message within the patience
 )
 
-// HandIn is one hand-in, each under an id of its own.
-type HandIn struct {
-	ID       uint64
-	Class    int // index of Rules.Classes
-	Dest     int
-	Due      time.Time // when it was to be sent
-	Sent     time.Time
-	Answered time.Time
-	Deadline time.Time
-	Answer   Answer
-	RetryIn  time.Duration
-	Again    bool // the same message was refused before
-	Relay    int  // which it was handed to; rules that bind one relay are judged by it
-}
-
-// Call is one call that a partner's endpoint read.
+// Submission is one attempt of a client to hand a message to a relay. Each attempt has its own message id.
+type Submission struct {
+	ID           uint64
+	Class        int // index of Rules.Classes
+	Dest         int
+	Due          time.Time // scheduled send time
+	Sent         time.Time
+	Answered     time.Time
+	Deadline     time.Time
+	Answer       Answer
+	RetryIn      time.Duration
+	Resubmission bool // an earlier attempt of the same message was refused
+	Relay        int  // number of the relay that received the submission; the rules on waits and drains apply per relay
+}
+
+// Call is one call that a partner's endpoint received.
 type Call struct {
-	ID       uint64
-	Dest     int
-	Member   string
-	First    time.Time // first byte
-	Arrived  time.Time // last byte
-	Answered time.Time // zero if it never was
-	Status   int
-	Wait     time.Duration // told with it
-	Cold     bool          // over what a cold partner bears
-}
-
-// Notice is a line that the platform read.
+	ID           uint64
+	Dest         int
+	Member       string
+	FirstByte    time.Time // first byte
+	Arrived      time.Time // last byte
+	Answered     time.Time // zero if the call was not answered
+	Status       int
+	Wait         time.Duration // retry-after sent with the answer
+	ColdOverload bool          // the call exceeded the rate that a cold partner can take
+}
+
+// Notice is one notice of a relay to the platform about the end of a message.
 type Notice struct {
 	ID      uint64
 	At      time.Time
@@ -79,169 +80,170 @@
 	RetryIn time.Duration
 }
 
-// Leave says that a member's draining was told to a relay.
-type Leave struct {
+// Drain records when a relay was notified that a pool member is draining.
+type Drain struct {
 	Member string
 	At     time.Time
 	Relay  int
 }
 
-// Kill says that a relay was away, and since when it was ready again.
-type Kill struct {
+// Downtime records when a relay went down and when it was ready again.
+type Downtime struct {
 	From, Ready time.Time
 	Relay       int
-	Stopped     bool // and went on with all that it knew: nothing but its deadlines is excused
+	Paused      bool // the process was only paused and kept its state: only its deadlines are extended
 }
 
-// Book is what one recorder wrote. It belongs to one goroutine until its Ledger is closed.
-type Book struct {
-	HandIns []HandIn
-	Calls   []Call
-	Notices []Notice
+// Recorder holds the records of one client, partner connection or platform. Only its owner may write to it, and only until the
+// ledger is judged.
+type Recorder struct {
+	Submissions []Submission
+	Calls       []Call
+	Notices     []Notice
 }
 
-// Ledger hands out books.
+// Ledger collects the records of all recorders, the drain notices and the restarts of relays.
 type Ledger struct {
-	mu     sync.Mutex
-	books  []*Book
-	leaves []Leave
-	kills  []Kill
+	mu           sync.Mutex
+	recorders    []*Recorder
+	drainNotices []Drain
+	kills        []Downtime
 }
 
-// Book returns a new book.
-func (l *Ledger) Book() *Book {
-	b := &Book{}
+// NewRecorder returns a new recorder whose records belong to the ledger.
+func (l *Ledger) NewRecorder() *Recorder {
+	recorder := &Recorder{}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.books = append(l.books, b)
-	return b
+	l.recorders = append(l.recorders, recorder)
+	return recorder
 }
 
-// Leave notes that a member's draining was told.
-func (l *Ledger) Leave(v Leave) {
+// RecordDrain records that a relay was notified of a drain.
+func (l *Ledger) RecordDrain(drain Drain) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.leaves = append(l.leaves, v)
+	l.drainNotices = append(l.drainNotices, drain)
 }
 
-// Kill notes an absence of the relay.
-func (l *Ledger) Kill(v Kill) {
+// RecordDowntime records that a relay was down.
+func (l *Ledger) RecordDowntime(kill Downtime) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.kills = append(l.kills, v)
+	l.kills = append(l.kills, kill)
 }
 
-// Rules are what a verdict checks against.
+// Rules holds the tolerances of the checks and the period that the totals cover.
 type Rules struct {
 	Classes    []Class
-	EndSlack   time.Duration // after a deadline, until an end is overdue
-	WaitSlack  time.Duration // after a told wait began, calls under way are let through
-	DrainGrace time.Duration // after a drain was told
-	ReadyGrace time.Duration // after a restart
-	From, To   time.Time     // of the due times that are summed up; zero for all. Rules are checked on all.
+	EndSlack   time.Duration // time after a deadline until a missing end is overdue
+	WaitSlack  time.Duration // calls in this time after the start of a wait are allowed: they may be under way already
+	DrainGrace time.Duration // calls in this time after the notification of a drain are allowed
+	ReadyGrace time.Duration // added to the time when a restarted relay is ready, for deadlines that fall into the restart
+	From, To   time.Time     // limits of the due times that the totals cover; zero for no limit. The rules are checked on all messages.
 }
 
-// Usual are the platform's figures.
-func Usual(classes []Class) Rules {
+// DefaultRules returns the rules with the tolerances that the platform sets.
+func DefaultRules(classes []Class) Rules {
 	return Rules{Classes: classes, EndSlack: 350 * time.Millisecond, WaitSlack: 150 * time.Millisecond,
 		DrainGrace: 2050 * time.Millisecond, ReadyGrace: 1500 * time.Millisecond}
 }
 
-// Breach is one broken rule.
-type Breach struct {
+// Violation is one violation of a rule by one message.
+type Violation struct {
 	Rule string
 	ID   uint64
 	Text string
 }
 
-// PerClass sums up one class.
-type PerClass struct {
+// ClassTotals holds the totals of one class.
+type ClassTotals struct {
 	Class                                                string
 	Offered, Accepted, Refused, Failed, NoAnswer, Unsent int
-	Delivered, InAim, GivenUp, HandedBack, Late          int
+	Delivered, WithinAim, GivenUp, Returned, Late        int
 	Worth                                                float64
-	ToAccept, ToRefuse, ToDeliver                        []time.Duration // since due; sorted
-	RefuseFromSent                                       []time.Duration
+	AcceptLatency, RefuseLatency, DeliverLatency         []time.Duration // since the due time; sorted
+	RefuseLatencyFromSent                                []time.Duration // from sending to the refusal; sorted
 }
 
-// Verdict is what a run came to.
+// Verdict is the result of a run: the violations and the totals.
 type Verdict struct {
-	Breaches []Breach
-	Classes  []PerClass
-	Calls    int
+	Violations []Violation
+	Classes    []ClassTotals
+	Calls      int
 }
 
-// fate is what is known of one message by id.
-type fate struct {
+// messageHistory collects the calls and notices of one message id.
+type messageHistory struct {
 	calls   []*Call
 	notices []*Notice
 }
 
-// Judge joins the books. Nothing may be recorded any more. Messages whose time is not up at the end are not
-// judged for want of an end.
+// Judge joins the recorders, checks the rules and sums up the classes. All recording must be over. A message whose end is not yet
+// due at the time end may still lack it.
 func (l *Ledger) Judge(r Rules, end time.Time) Verdict {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	fates := map[uint64]*fate{}
-	at := func(id uint64) *fate {
-		f := fates[id]
-		if f == nil {
-			f = &fate{}
-			fates[id] = f
+	histories := map[uint64]*messageHistory{}
+	historyOf := func(id uint64) *messageHistory {
+		history := histories[id]
+		if history == nil {
+			history = &messageHistory{}
+			histories[id] = history
 		}
-		return f
+		return history
 	}
-	v := Verdict{Classes: make([]PerClass, len(r.Classes))}
+	v := Verdict{Classes: make([]ClassTotals, len(r.Classes))}
 	for i, c := range r.Classes {
 		v.Classes[i].Class = c.Name
 	}
 	var calls []*Call
-	relays := map[uint64]int{} // who called, by message
-	for _, b := range l.books {
-		for i := range b.HandIns {
-			relays[b.HandIns[i].ID] = b.HandIns[i].Relay
+	relayOf := map[uint64]int{} // by message id
+	for _, recorder := range l.recorders {
+		for i := range recorder.Submissions {
+			relayOf[recorder.Submissions[i].ID] = recorder.Submissions[i].Relay
 		}
 	}
-	for _, b := range l.books {
-		for i := range b.Calls {
-			f := at(b.Calls[i].ID)
-			f.calls = append(f.calls, &b.Calls[i])
-			calls = append(calls, &b.Calls[i])
+	for _, recorder := range l.recorders {
+		for i := range recorder.Calls {
+			history := historyOf(recorder.Calls[i].ID)
+			history.calls = append(history.calls, &recorder.Calls[i])
+			calls = append(calls, &recorder.Calls[i])
 		}
-		for i := range b.Notices {
-			f := at(b.Notices[i].ID)
-			f.notices = append(f.notices, &b.Notices[i])
+		for i := range recorder.Notices {
+			history := historyOf(recorder.Notices[i].ID)
+			history.notices = append(history.notices, &recorder.Notices[i])
 		}
 	}
 	v.Calls = len(calls)
-	for _, b := range l.books {
-		for i := range b.HandIns {
-			h := &b.HandIns[i]
-			f := fates[h.ID]
-			if f == nil {
-				f = &fate{}
+	for _, recorder := range l.recorders {
+		for i := range recorder.Submissions {
+			submission := &recorder.Submissions[i]
+			history := histories[submission.ID]
+			if history == nil {
+				history = &messageHistory{}
 			}
-			v.Breaches = append(v.Breaches, l.judge(r, h, f, end)...)
-			if !r.From.IsZero() && h.Due.Before(r.From) || !r.To.IsZero() && !h.Due.Before(r.To) {
+			v.Violations = append(v.Violations, l.checkSubmission(r, submission, history, end)...)
+			if !r.From.IsZero() && submission.Due.Before(r.From) || !r.To.IsZero() && !submission.Due.Before(r.To) {
 				continue
 			}
-			v.Classes[h.Class].count(&r.Classes[h.Class], h, f)
+			v.Classes[submission.Class].add(&r.Classes[submission.Class], submission, history)
 		}
 	}
-	v.Breaches = append(v.Breaches, l.waits(r, calls, relays)...)
-	v.Breaches = append(v.Breaches, l.drains(r, calls, relays)...)
+	v.Violations = append(v.Violations, l.checkWaits(r, calls, relayOf)...)
+	v.Violations = append(v.Violations, l.checkDrains(r, calls, relayOf)...)
 	for i := range v.Classes {
 		c := &v.Classes[i]
-		for _, list := range [][]time.Duration{c.ToAccept, c.ToRefuse, c.ToDeliver, c.RefuseFromSent} {
+		for _, list := range [][]time.Duration{c.AcceptLatency, c.RefuseLatency, c.DeliverLatency, c.RefuseLatencyFromSent} {
 			slices.Sort(list)
 		}
 	}
 	return v
 }
 
-// delivered is when the first 200 was written; zero if none was.
-func (f *fate) delivered() (at time.Time) {
-	for _, c := range f.calls {
+// deliveredAt returns the time of the first answer 200; zero if there is none.
+func (history *messageHistory) deliveredAt() (at time.Time) {
+	for _, c := range history.calls {
 		if c.Status == 200 && (at.IsZero() || c.Answered.Before(at)) {
 			at = c.Answered
 		}
@@ -249,9 +251,9 @@
 	return at
 }
 
-// ran are the calls that may have taken effect.
-func (f *fate) ran() (list []*Call) {
-	for _, c := range f.calls {
+// possibleRuns returns the calls that may have taken effect, in order of arrival.
+func (history *messageHistory) possibleRuns() (list []*Call) {
+	for _, c := range history.calls {
 		if c.Status != 429 && c.Status != 503 && c.Status != 504 && c.Status != 410 {
 			list = append(list, c)
 		}
@@ -260,67 +262,68 @@
 	return list
 }
 
-func (l *Ledger) judge(r Rules, h *HandIn, f *fate, end time.Time) (out []Breach) {
-	breach := func(rule, format string, args ...any) {
-		out = append(out, Breach{rule, h.ID, fmt.Sprintf(format, args...)})
+// checkSubmission checks the rules on one submission, given the calls and notices of its message.
+func (l *Ledger) checkSubmission(r Rules, submission *Submission, history *messageHistory, end time.Time) (out []Violation) {
+	report := func(rule, format string, args ...any) {
+		out = append(out, Violation{rule, submission.ID, fmt.Sprintf(format, args...)})
 	}
-	ended := f.delivered()
+	ended := history.deliveredAt()
 	outcomes := map[string]bool{}
-	for _, n := range f.notices { // the same line may come twice, if its answer was lost
+	for _, n := range history.notices { // the relay sends the same notice again if the answer to the first was lost
 		outcomes[n.Outcome] = true
 		if ended.IsZero() || n.At.Before(ended) {
 			ended = n.At
 		}
 	}
-	due := l.excused(h.Relay, h.Deadline.Add(r.EndSlack), r.ReadyGrace)
-	switch h.Answer {
+	due := l.extendForRestart(submission.Relay, submission.Deadline.Add(r.EndSlack), r.ReadyGrace)
+	switch submission.Answer {
 	case Accepted:
 		if ended.IsZero() && due.Before(end) {
-			breach("one end", "taken on at %v and never ended", h.Answered.Format(time.StampMicro))
+			report("one end", "accepted at %v, no end", submission.Answered.Format(time.StampMicro))
 		} else if !ended.IsZero() && ended.After(due) {
-			breach("in time", "ended %v after its time was up", ended.Sub(h.Deadline))
+			report("in time", "ended %v after the deadline", ended.Sub(submission.Deadline))
 		}
 		if len(outcomes) > 1 {
-			breach("one end", "%d different notices", len(outcomes))
+			report("one end", "%d different notices", len(outcomes))
 		}
 	case Refused:
-		if len(f.calls) > 0 {
-			breach("refused is refused", "%d calls of a message that was refused", len(f.calls))
+		if len(history.calls) > 0 {
+			report("refused is refused", "%d calls of a refused message", len(history.calls))
 		}
-		if len(f.notices) > 0 {
-			breach("refused is refused", "a notice of a message that was refused")
+		if len(history.notices) > 0 {
+			report("refused is refused", "notice of a refused message")
 		}
 	}
-	ran := f.ran()
-	class := r.Classes[h.Class]
-	if len(ran) > 1 && class.Effect == Unsafe {
-		breach("repeats", "%d runs of a message that may run once", len(ran))
+	runs := history.possibleRuns()
+	class := r.Classes[submission.Class]
+	if len(runs) > 1 && class.Effect == Unsafe {
+		report("repeats", "%d runs of a message of an unsafe class", len(runs))
 	}
-	if len(ran) > 1 && class.Effect == Keyed {
-		if apart := ran[len(ran)-1].Arrived.Sub(ran[0].First); apart > class.Memory {
-			breach("repeats", "run again after %v, remembered for %v", apart, class.Memory)
+	if len(runs) > 1 && class.Effect == Keyed {
+		if gap := runs[len(runs)-1].Arrived.Sub(runs[0].FirstByte); gap > class.Memory {
+			report("repeats", "run again after %v, but the key is remembered for %v", gap, class.Memory)
 		}
 	}
-	for i, c := range f.calls {
-		for _, o := range f.calls[i+1:] {
-			a, b := c, o
-			if b.Arrived.Before(a.Arrived) {
-				a, b = b, a
+	for i, c := range history.calls {
+		for _, other := range history.calls[i+1:] {
+			earlier, later := c, other
+			if later.Arrived.Before(earlier.Arrived) {
+				earlier, later = later, earlier
 			}
-			// The connection of a process that was killed is closed, whatever its partner still writes to it.
-			if !a.Answered.IsZero() && b.Arrived.Before(a.Answered) && !l.between(h.Relay, a.Arrived, b.Arrived) {
-				breach("one copy", "a second call while the first was out")
+			// A restart closes the connections of the old process: an answer that the partner writes later reaches no relay.
+			if !earlier.Answered.IsZero() && later.Arrived.Before(earlier.Answered) && !l.restartedBetween(submission.Relay, earlier.Arrived, later.Arrived) {
+				report("one copy", "second call before the first was answered")
 			}
 		}
-		if c.Dest != h.Dest {
-			breach("destination", "sent to %d, not %d", c.Dest, h.Dest)
+		if c.Dest != submission.Dest {
+			report("destination", "sent to destination %d instead of %d", c.Dest, submission.Dest)
 		}
 	}
 	return out
 }
 
-// excused moves a time at which something is due behind the restart in which it falls.
-func (l *Ledger) excused(relay int, due time.Time, grace time.Duration) time.Time {
+// extendForRestart moves a due time that falls into a restart of the relay to the end of the restart plus grace.
+func (l *Ledger) extendForRestart(relay int, due time.Time, grace time.Duration) time.Time {
 	for _, k := range l.kills {
 		if k.Relay == relay && !due.Before(k.From) && due.Before(k.Ready.Add(grace)) {
 			due = k.Ready.Add(grace)
@@ -329,18 +332,19 @@
 	return due
 }
 
-// waits finds calls that a relay began in a wait that it had been told. What other relays were told binds it by no rule.
-func (l *Ledger) waits(r Rules, calls []*Call, relays map[uint64]int) (out []Breach) {
-	type bound struct{ dest, relay int }
-	byDest := map[bound][]*Call{}
+// checkWaits finds calls that a relay made during a retry-after wait that it had received itself. A wait that only another relay
+// received is no violation.
+func (l *Ledger) checkWaits(r Rules, calls []*Call, relayOf map[uint64]int) (out []Violation) {
+	type route struct{ dest, relay int }
+	byRoute := map[route][]*Call{}
 	for _, c := range calls {
-		b := bound{c.Dest, relays[c.ID]}
-		byDest[b] = append(byDest[b], c)
+		key := route{c.Dest, relayOf[c.ID]}
+		byRoute[key] = append(byRoute[key], c)
 	}
-	for b, list := range byDest {
-		inside(list, list, r.WaitSlack, func(c, w *Call) {
-			if !l.between(b.relay, w.Answered, c.Arrived) {
-				out = append(out, Breach{"waits", c.ID, fmt.Sprintf("called destination %d %v into a wait of %v", b.dest,
+	for key, list := range byRoute {
+		callsDuringWaits(list, list, r.WaitSlack, func(c, w *Call) {
+			if !l.restartedBetween(key.relay, w.Answered, c.Arrived) {
+				out = append(out, Violation{"waits", c.ID, fmt.Sprintf("called destination %d after %v of a wait of %v", key.dest,
 					c.Arrived.Sub(w.Answered), w.Wait)})
 			}
 		})
@@ -348,18 +352,18 @@
 	return out
 }
 
-// inside finds the calls of a list that arrived in a wait that one of others was told, more than slack after it was told; once
-// for each call, with the first such wait.
-func inside(list, others []*Call, slack time.Duration, found func(call, told *Call)) {
-	var told []*Call
-	for _, c := range others {
+// callsDuringWaits reports the calls of list that arrived during a wait that an answer in waitCalls carried, and more than slack
+// after that answer. Each call is reported once, with the earliest of these waits.
+func callsDuringWaits(list, waitCalls []*Call, slack time.Duration, found func(call, withWait *Call)) {
+	var withWaits []*Call
+	for _, c := range waitCalls {
 		if c.Wait > 0 {
-			told = append(told, c)
+			withWaits = append(withWaits, c)
 		}
 	}
-	slices.SortFunc(told, func(a, b *Call) int { return a.Answered.Compare(b.Answered) })
+	slices.SortFunc(withWaits, func(a, b *Call) int { return a.Answered.Compare(b.Answered) })
 	for _, c := range list {
-		for _, w := range told {
+		for _, w := range withWaits {
 			if w.Answered.Add(slack).After(c.Arrived) {
 				break
 			}
@@ -371,90 +375,92 @@
 	}
 }
 
-// Unheard is a call of a relay inside a wait that others had been told, and it had not.
-type Unheard struct {
+// UnsharedWaitCall is a call that a relay made during a retry-after wait that another relay had received.
+type UnsharedWaitCall struct {
 	Relay, Dest int
-	Told        time.Time     // the first of the waits that it lay in
-	After       time.Duration // since then
+	WaitStart   time.Time     // start of that wait
+	After       time.Duration // from WaitStart to the call
 }
 
-// Unheard finds the calls inside others' waits, and counts the waits: one that is told inside another is the same. No rule
-// forbids such calls; relays that tell each other make few.
-func (l *Ledger) Unheard() (out []Unheard, waits int) {
+// UnsharedWaitCalls returns the calls during waits of other relays, and the number of waits: a wait that starts during another counts as the
+// same wait. No rule forbids these calls, but relays that share their waits make few.
+func (l *Ledger) UnsharedWaitCalls() (out []UnsharedWaitCall, waits int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	relays := map[uint64]int{}
+	relayOf := map[uint64]int{}
 	byDest := map[int][]*Call{}
-	for _, b := range l.books {
-		for i := range b.HandIns {
-			relays[b.HandIns[i].ID] = b.HandIns[i].Relay
+	for _, recorder := range l.recorders {
+		for i := range recorder.Submissions {
+			relayOf[recorder.Submissions[i].ID] = recorder.Submissions[i].Relay
 		}
-		for i := range b.Calls {
-			byDest[b.Calls[i].Dest] = append(byDest[b.Calls[i].Dest], &b.Calls[i])
+		for i := range recorder.Calls {
+			byDest[recorder.Calls[i].Dest] = append(byDest[recorder.Calls[i].Dest], &recorder.Calls[i])
 		}
 	}
 	for dest, list := range byDest {
-		var first []*Call
+		var distinct []*Call
 		slices.SortFunc(list, func(a, b *Call) int { return a.Answered.Compare(b.Answered) })
 		var end time.Time
 		for _, c := range list {
 			if c.Wait > 0 && !c.Answered.Before(end) {
-				first = append(first, c)
+				distinct = append(distinct, c)
 				end = c.Answered.Add(c.Wait)
 			}
 		}
-		waits += len(first)
-		inside(list, first, 0, func(c, w *Call) {
-			if relays[c.ID] != relays[w.ID] {
-				out = append(out, Unheard{relays[c.ID], dest, w.Answered, c.Arrived.Sub(w.Answered)})
+		waits += len(distinct)
+		callsDuringWaits(list, distinct, 0, func(c, w *Call) {
+			if relayOf[c.ID] != relayOf[w.ID] {
+				out = append(out, UnsharedWaitCall{relayOf[c.ID], dest, w.Answered, c.Arrived.Sub(w.Answered)})
 			}
 		})
 	}
 	return out, waits
 }
 
-// between says that a relay was started anew between two times: that ends its waits.
-func (l *Ledger) between(relay int, from, to time.Time) bool {
+// restartedBetween reports whether a relay was restarted between two times. A restart ends the waits of a relay.
+func (l *Ledger) restartedBetween(relay int, from, to time.Time) bool {
 	for _, k := range l.kills {
-		if k.Relay == relay && !k.Stopped && k.From.After(from) && k.From.Before(to) {
+		if k.Relay == relay && !k.Paused && k.From.After(from) && k.From.Before(to) {
 			return true
 		}
 	}
 	return false
 }
 
-func (l *Ledger) drains(r Rules, calls []*Call, relays map[uint64]int) (out []Breach) {
-	type told struct {
+// checkDrains finds calls to a member after its drain, and calls that overloaded a cold member.
+func (l *Ledger) checkDrains(r Rules, calls []*Call, relayOf map[uint64]int) (out []Violation) {
+	type memberAndRelay struct {
 		member string
 		relay  int
 	}
-	left := map[told]time.Time{}
-	for _, v := range l.leaves {
-		if t := (told{v.Member, v.Relay}); left[t].IsZero() {
-			left[t] = v.At
+	drainedAt := map[memberAndRelay]time.Time{}
+	for _, v := range l.drainNotices {
+		if key := (memberAndRelay{v.Member, v.Relay}); drainedAt[key].IsZero() {
+			drainedAt[key] = v.At
 		}
 	}
 	for _, c := range calls {
-		if at, ok := left[told{c.Member, relays[c.ID]}]; ok && c.First.After(at.Add(r.DrainGrace)) {
-			out = append(out, Breach{"drains", c.ID, fmt.Sprintf("sent to %s %v after its drain", c.Member, c.First.Sub(at))})
+		if at, ok := drainedAt[memberAndRelay{c.Member, relayOf[c.ID]}]; ok && c.FirstByte.After(at.Add(r.DrainGrace)) {
+			out = append(out, Violation{"drains", c.ID, fmt.Sprintf("sent to %s %v after the drain of the member", c.Member, c.FirstByte.Sub(at))})
 		}
-		if c.Cold {
-			out = append(out, Breach{"cold returns", c.ID, fmt.Sprintf("%s was pushed over while cold", c.Member)})
+		if c.ColdOverload {
+			out = append(out, Violation{"cold returns", c.ID, fmt.Sprintf("%s was overloaded while cold", c.Member)})
 		}
 	}
 	return out
 }
 
-func (p *PerClass) count(class *Class, h *HandIn, f *fate) {
+// add counts one submission and the end of its message.
+func (p *ClassTotals) add(class *Class, submission *Submission, history *messageHistory) {
 	p.Offered++
-	switch h.Answer {
+	switch submission.Answer {
 	case Accepted:
 		p.Accepted++
-		p.ToAccept = append(p.ToAccept, h.Answered.Sub(h.Due))
+		p.AcceptLatency = append(p.AcceptLatency, submission.Answered.Sub(submission.Due))
 	case Refused:
 		p.Refused++
-		p.ToRefuse = append(p.ToRefuse, h.Answered.Sub(h.Due))
-		p.RefuseFromSent = append(p.RefuseFromSent, h.Answered.Sub(h.Sent))
+		p.RefuseLatency = append(p.RefuseLatency, submission.Answered.Sub(submission.Due))
+		p.RefuseLatencyFromSent = append(p.RefuseLatencyFromSent, submission.Answered.Sub(submission.Sent))
 		return
 	case Failed:
 		p.Failed++
@@ -466,44 +472,44 @@
 		p.NoAnswer++
 		return
 	}
-	if len(f.notices) > 0 && f.notices[0].Outcome == "given_up" {
+	if len(history.notices) > 0 && history.notices[0].Outcome == "given_up" {
 		p.GivenUp++
-	} else if len(f.notices) > 0 {
-		p.HandedBack++
+	} else if len(history.notices) > 0 {
+		p.Returned++
 	}
-	at := f.delivered()
+	at := history.deliveredAt()
 	if at.IsZero() {
 		return
 	}
-	if at.After(h.Deadline) {
+	if at.After(submission.Deadline) {
 		p.Late++
 		return
 	}
 	p.Delivered++
-	p.ToDeliver = append(p.ToDeliver, at.Sub(h.Due))
-	if at.Sub(h.Due) <= class.Aim {
-		p.InAim++
+	p.DeliverLatency = append(p.DeliverLatency, at.Sub(submission.Due))
+	if at.Sub(submission.Due) <= class.Aim {
+		p.WithinAim++
 		p.Worth += class.Worth
 	} else {
 		p.Worth += class.Worth / 2
 	}
 }
 
-// At is a quantile of sorted durations; 0 of none.
-func At(sorted []time.Duration, q float64) time.Duration {
+// Quantile returns the q-quantile of sorted durations; 0 for an empty list.
+func Quantile(sorted []time.Duration, q float64) time.Duration {
 	if len(sorted) == 0 {
 		return 0
 	}
 	return sorted[min(int(q*float64(len(sorted))), len(sorted)-1)]
 }
 
-// Delivered counts the calls that were answered 200 since a time, by slots of a length. Nothing may be recorded any more.
+// Delivered counts the calls that were answered 200 from a time on, in slots of equal length. All recording must be over.
 func (l *Ledger) Delivered(since time.Time, slot time.Duration) (counts []int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, b := range l.books {
-		for i := range b.Calls {
-			c := &b.Calls[i]
+	for _, recorder := range l.recorders {
+		for i := range recorder.Calls {
+			c := &recorder.Calls[i]
 			if c.Status != 200 || c.Answered.Before(since) {
 				continue
 			}
@@ -517,38 +523,37 @@
 	return counts
 }
 
-// Taken counts the hand-ins of each relay, and those that it took on.
-func (l *Ledger) Taken() (offered, taken map[int]int) {
+// AcceptedByRelay counts the submissions to each relay, and those that the relay accepted.
+func (l *Ledger) AcceptedByRelay() (offered, taken map[int]int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	offered, taken = map[int]int{}, map[int]int{}
-	for _, b := range l.books {
-		for i := range b.HandIns {
-			h := &b.HandIns[i]
-			offered[h.Relay]++
-			if h.Answer == Accepted {
-				taken[h.Relay]++
+	for _, recorder := range l.recorders {
+		for i := range recorder.Submissions {
+			submission := &recorder.Submissions[i]
+			offered[submission.Relay]++
+			if submission.Answer == Accepted {
+				taken[submission.Relay]++
 			}
 		}
 	}
 	return offered, taken
 }
 
-// Calls returns what partners' endpoints recorded, in order of arrival, with the relay that called. Nothing may be recorded any
-// more.
+// Calls returns the recorded calls in order of arrival, and for each call the relay that made it. All recording must be over.
 func (l *Ledger) Calls() (calls []Call, relays []int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	of := map[uint64]int{}
-	for _, b := range l.books {
-		for i := range b.HandIns {
-			of[b.HandIns[i].ID] = b.HandIns[i].Relay
+	relayOf := map[uint64]int{}
+	for _, recorder := range l.recorders {
+		for i := range recorder.Submissions {
+			relayOf[recorder.Submissions[i].ID] = recorder.Submissions[i].Relay
 		}
-		calls = append(calls, b.Calls...)
+		calls = append(calls, recorder.Calls...)
 	}
 	slices.SortFunc(calls, func(a, b Call) int { return a.Arrived.Compare(b.Arrived) })
 	for i := range calls {
-		relays = append(relays, of[calls[i].ID])
+		relays = append(relays, relayOf[calls[i].ID])
 	}
 	return calls, relays
 }
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -1,6 +1,6 @@
-// Package load hands messages in to a relay over RESP2, open-loop: messages fall due by a schedule whether or
-// not earlier ones were answered, and every time counts from when a message was due. So a relay that stalls
-// cannot hide its stall by keeping its clients from asking (coordinated omission).
+// Package load is an open-loop load generator that submits messages to a relay over RESP2. Messages become due by a schedule,
+// whether or not earlier ones were answered, and every latency counts from the due time. So a stalled relay cannot hide its stall by
+// blocking the clients (coordinated omission).
 package load
 
 import (
@@ -19,125 +19,127 @@
 	"slatemux/internal/lab/ledger"
 )
 
-// Stream is one part of the traffic.
+// Stream is a part of the traffic with messages of one class and tenant.
 type Stream struct {
-	Class    int // index of the classes
-	Tenant   string
-	Share    float64       // of the rate
-	Body     int           // bytes
-	Deadline time.Duration // that the message has
+	Class     int // index of Config.Classes
+	Tenant    string
+	Share     float64       // weight among the streams
+	BodyBytes int           // body size in bytes
+	Deadline  time.Duration // since the first due time
 }
 
-// Step is a stretch of the schedule.
+// Step is a period of the schedule with a constant rate.
 type Step struct {
 	For  time.Duration
-	Rate float64 // messages a second
+	Rate float64 // messages per second
 }
 
-// Config says what is handed in.
+// Config describes the load.
 type Config struct {
-	Addr     string
-	Clients  int           // connections, each with one message at a time
-	Patience time.Duration // that a message waits for a client to send it, and then for its answer
-	Classes  []ledger.Class
-	Streams  []Stream
-	Steps    []Step
-	Dests    []int
-	Retries  int     // times that a refused message is handed in again, after the time told
-	Honour   float64 // share of the refusals whose time is heeded; others come again at once
-	Seed     uint64
-	Ledger   *ledger.Ledger
-	Poisson  bool // gaps are exponential; else even
-	Relay    int  // which relay Addr is, for the ledger
+	Addr            string
+	Clients         int           // connections, each with one message at a time
+	Patience        time.Duration // longest time that a message waits for a free client, and then for its answer
+	Classes         []ledger.Class
+	Streams         []Stream
+	Steps           []Step
+	Dests           []int
+	MaxRetries      int     // submissions of a refused message after the first
+	RetryAfterShare float64 // share of the refusals whose retry-after is observed; the other retries follow at once
+	Seed            uint64
+	Ledger          *ledger.Ledger
+	Poisson         bool // gaps are exponentially distributed; otherwise constant
+	Relay           int  // number of the relay at Addr, for the ledger
 }
 
-// message is one hand-in to be.
+// message is a message that is due for submission.
 type message struct {
-	stream int
-	dest   int
-	key    uint64
-	due    time.Time
-	end    time.Time // its deadline, from its first due time
-	tries  int
+	stream   int
+	dest     int
+	key      uint64
+	due      time.Time
+	deadline time.Time // counted from the first due time
+	retries  int
 }
 
-// Load is a load under way.
+// Load is the state of one run.
 type Load struct {
-	cfg Config
-	due chan message
-	seq atomic.Uint64
-	wg  sync.WaitGroup // of messages that fell due and are not over, those that come again included
+	cfg     Config
+	queue   chan message
+	nextID  atomic.Uint64
+	pending sync.WaitGroup // messages that are due and not finished, including scheduled retries
 }
 
-// Run hands in by the schedule and returns once the last message has its answer or is out of patience, or when
-// ctx ends.
+// Run submits messages by the schedule. It returns when the last message has its answer or its patience is over. When ctx ends, no
+// further message becomes due.
 func Run(ctx context.Context, cfg Config) error {
 	if cfg.Clients < 1 || len(cfg.Streams) == 0 || len(cfg.Dests) == 0 || cfg.Patience <= 0 {
-		return errors.New("load: clients, streams, destinations or patience are missing")
+		return errors.New("load: clients, streams, destinations and patience must be set")
 	}
-	most := 0.0
+	maxRate := 0.0
 	for _, s := range cfg.Steps {
-		most = max(most, s.Rate)
+		maxRate = max(maxRate, s.Rate)
 	}
-	l := &Load{cfg: cfg, due: make(chan message, int(most*cfg.Patience.Seconds())+cfg.Clients)}
-	l.seq.Store(cfg.Seed << 40)
+	l := &Load{cfg: cfg, queue: make(chan message, int(maxRate*cfg.Patience.Seconds())+cfg.Clients)}
+	l.nextID.Store(cfg.Seed << 40)
 	var clients sync.WaitGroup
 	for i := range cfg.Clients {
 		clients.Go(func() { l.client(uint64(i)) })
 	}
 	l.schedule(ctx)
-	l.wg.Wait()
-	close(l.due)
+	l.pending.Wait()
+	close(l.queue)
 	clients.Wait()
 	return nil
 }
 
-// schedule lets messages fall due. One that no client can take before its patience ends is noted as unsent.
+// schedule queues each message at its due time. A message that finds the queue full is recorded as unsent: no client could take it
+// within its patience.
 func (l *Load) schedule(ctx context.Context) {
 	rng := rand.New(rand.NewPCG(l.cfg.Seed, 1))
-	book := l.cfg.Ledger.Book()
+	recorder := l.cfg.Ledger.NewRecorder()
 	total := 0.0
 	for _, s := range l.cfg.Streams {
 		total += s.Share
 	}
-	at := time.Now()
+	dueAt := time.Now()
 	for _, step := range l.cfg.Steps {
-		end := at.Add(step.For)
+		end := dueAt.Add(step.For)
 		if step.Rate <= 0 {
 			time.Sleep(time.Until(end))
-			at = end
+			dueAt = end
 			continue
 		}
-		for gap := time.Duration(float64(time.Second) / step.Rate); at.Before(end); {
-			if wait := time.Until(at); wait > 0 {
-				time.Sleep(max(wait, time.Millisecond)) // messages of one millisecond share a timer
+		for gap := time.Duration(float64(time.Second) / step.Rate); dueAt.Before(end); {
+			if wait := time.Until(dueAt); wait > 0 {
+				time.Sleep(max(wait, time.Millisecond)) // one timer for all messages that are due within a millisecond
 			}
 			if ctx.Err() != nil {
 				return
 			}
-			for now := time.Now(); !at.After(now) && at.Before(end); {
-				m := message{stream: pick(rng, l.cfg.Streams, total), dest: l.cfg.Dests[rng.IntN(len(l.cfg.Dests))],
-					key: rng.Uint64(), due: at}
-				m.end = at.Add(l.cfg.Streams[m.stream].Deadline)
-				l.wg.Add(1)
+			for now := time.Now(); !dueAt.After(now) && dueAt.Before(end); {
+				m := message{stream: pickStream(rng, l.cfg.Streams, total), dest: l.cfg.Dests[rng.IntN(len(l.cfg.Dests))],
+					key: rng.Uint64(), due: dueAt}
+				m.deadline = dueAt.Add(l.cfg.Streams[m.stream].Deadline)
+				l.pending.Add(1)
 				select {
-				case l.due <- m:
+				case l.queue <- m:
 				default:
-					l.wg.Done()
-					book.HandIns = append(book.HandIns, l.record(m, ledger.Unsent))
+					l.pending.Done()
+					recorder.Submissions = append(recorder.Submissions, l.record(m, ledger.Unsent))
 				}
 				if l.cfg.Poisson {
-					at = at.Add(time.Duration(rng.ExpFloat64() * float64(gap)))
+					dueAt = dueAt.Add(time.Duration(rng.ExpFloat64() * float64(gap)))
 				} else {
-					at = at.Add(gap)
+					dueAt = dueAt.Add(gap)
 				}
 			}
 		}
-		at = end
+		dueAt = end
 	}
 }
 
-func pick(rng *rand.Rand, streams []Stream, total float64) int {
+// pickStream draws a stream by the shares, whose sum is total.
+func pickStream(rng *rand.Rand, streams []Stream, total float64) int {
 	x := rng.Float64() * total
 	for i, s := range streams {
 		if x -= s.Share; x < 0 {
@@ -147,127 +149,131 @@
 	return len(streams) - 1
 }
 
-func (l *Load) record(m message, a ledger.Answer) ledger.HandIn {
-	return ledger.HandIn{ID: l.seq.Add(1), Class: l.cfg.Streams[m.stream].Class, Dest: m.dest, Due: m.due, Deadline: m.end,
-		Answer: a, Again: m.tries > 0, Relay: l.cfg.Relay}
+// record returns a submission of a message under a new message id.
+func (l *Load) record(m message, a ledger.Answer) ledger.Submission {
+	return ledger.Submission{ID: l.nextID.Add(1), Class: l.cfg.Streams[m.stream].Class, Dest: m.dest, Due: m.due, Deadline: m.deadline,
+		Answer: a, Resubmission: m.retries > 0, Relay: l.cfg.Relay}
 }
 
-// client is one connection that hands in one message at a time.
+// client submits due messages on one connection, one at a time.
 func (l *Load) client(n uint64) {
-	c := &client{l: l, book: l.cfg.Ledger.Book(), rng: rand.New(rand.NewPCG(l.cfg.Seed, 1000+n))}
-	defer c.hangUp()
-	for m := range l.due {
-		h := l.record(m, ledger.Unsent)
+	c := &client{load: l, recorder: l.cfg.Ledger.NewRecorder(), rng: rand.New(rand.NewPCG(l.cfg.Seed, 1000+n))}
+	defer c.disconnect()
+	for m := range l.queue {
+		submission := l.record(m, ledger.Unsent)
 		if time.Since(m.due) < l.cfg.Patience {
-			c.put(m, &h)
+			c.submit(m, &submission)
 		}
-		c.book.HandIns = append(c.book.HandIns, h)
-		if h.Answer == ledger.Refused && m.tries < l.cfg.Retries {
-			l.again(c.rng, m, h.RetryIn)
+		c.recorder.Submissions = append(c.recorder.Submissions, submission)
+		if submission.Answer == ledger.Refused && m.retries < l.cfg.MaxRetries {
+			l.scheduleRetry(c.rng, m, submission.RetryIn)
 		}
-		l.wg.Done()
+		l.pending.Done()
 	}
 }
 
-// again hands a refused message in once more, under a new id, when its time has come.
-func (l *Load) again(rng *rand.Rand, m message, in time.Duration) {
-	if rng.Float64() >= l.cfg.Honour {
-		in = 0
+// scheduleRetry makes a refused message due again after the wait, or at once for the share of refusals that RetryAfterShare leaves out. A
+// message whose deadline would have passed by then is dropped.
+func (l *Load) scheduleRetry(rng *rand.Rand, m message, wait time.Duration) {
+	if rng.Float64() >= l.cfg.RetryAfterShare {
+		wait = 0
 	}
-	if m.tries++; time.Now().Add(in).After(m.end) {
+	if m.retries++; time.Now().Add(wait).After(m.deadline) {
 		return
 	}
-	l.wg.Add(1)
-	time.AfterFunc(in, func() {
+	l.pending.Add(1)
+	time.AfterFunc(wait, func() {
 		m.due = time.Now()
 		select {
-		case l.due <- m:
-		default: // no client will be free in time
-			l.wg.Done()
+		case l.queue <- m:
+		default: // the queue is full: no client will be free in time
+			l.pending.Done()
 		}
 	})
 }
 
+// client is one connection to the relay with its buffers.
 type client struct {
-	l    *Load
-	book *ledger.Book
-	rng  *rand.Rand
-	nc   net.Conn
-	r    *bufio.Reader
-	buf  []byte
-	body []byte
+	load     *Load
+	recorder *ledger.Recorder
+	rng      *rand.Rand
+	conn     net.Conn
+	reader   *bufio.Reader
+	encoded  []byte
+	body     []byte
 }
 
-func (c *client) hangUp() {
-	if c.nc != nil {
-		c.nc.Close()
-		c.nc = nil
+func (c *client) disconnect() {
+	if c.conn != nil {
+		c.conn.Close()
+		c.conn = nil
 	}
 }
 
-// put hands one message in and waits for its answer as long as its patience lasts. A connection that the relay
-// closed between requests is replaced once.
-func (c *client) put(m message, h *ledger.HandIn) {
-	s := &c.l.cfg.Streams[m.stream]
-	h.Answer = ledger.NoAnswer
-	h.Sent = time.Now()
-	until := h.Sent.Add(c.l.cfg.Patience)
-	for try := range 2 {
-		warm := c.nc != nil
-		if !warm {
-			nc, err := net.DialTimeout("tcp", c.l.cfg.Addr, time.Until(until))
+// submit sends one message and waits for its answer within the patience. If the relay has closed a reused connection, submit opens
+// a new one and sends the message once more.
+func (c *client) submit(m message, submission *ledger.Submission) {
+	stream := &c.load.cfg.Streams[m.stream]
+	submission.Answer = ledger.NoAnswer
+	submission.Sent = time.Now()
+	until := submission.Sent.Add(c.load.cfg.Patience)
+	for attempt := range 2 {
+		reused := c.conn != nil
+		if !reused {
+			conn, err := net.DialTimeout("tcp", c.load.cfg.Addr, time.Until(until))
 			if err != nil {
 				return
 			}
-			c.nc, c.r = nc, bufio.NewReaderSize(nc, 256)
+			c.conn, c.reader = conn, bufio.NewReaderSize(conn, 256)
 		}
-		c.buf = c.command(c.buf[:0], m, h, s)
-		_ = c.nc.SetDeadline(until)
-		_, err := c.nc.Write(c.buf)
+		c.encoded = c.command(c.encoded[:0], m, submission, stream)
+		_ = c.conn.SetDeadline(until)
+		_, err := c.conn.Write(c.encoded)
 		var line string
 		if err == nil {
-			line, err = c.r.ReadString('\n')
+			line, err = c.reader.ReadString('\n')
 		}
 		if err == nil {
-			c.heard(h, strings.TrimSuffix(line, "\r\n"))
+			c.recordAnswer(submission, strings.TrimSuffix(line, "\r\n"))
 			return
 		}
-		c.hangUp()
-		var ne net.Error
-		if errors.As(err, &ne) && ne.Timeout() || !warm || try > 0 {
+		c.disconnect()
+		var netErr net.Error
+		if errors.As(err, &netErr) && netErr.Timeout() || !reused || attempt > 0 {
 			return
 		}
 	}
 }
 
-func (c *client) heard(h *ledger.HandIn, line string) {
-	h.Answered = time.Now()
+// recordAnswer parses an answer of the relay into a submission.
+func (c *client) recordAnswer(submission *ledger.Submission, line string) {
+	submission.Answered = time.Now()
 	switch {
 	case strings.HasPrefix(line, "+"):
-		h.Answer = ledger.Accepted
+		submission.Answer = ledger.Accepted
 	case strings.HasPrefix(line, "-BUSY"):
-		h.Answer = ledger.Refused
+		submission.Answer = ledger.Refused
 		ms, _ := strconv.Atoi(strings.TrimSpace(strings.TrimPrefix(line, "-BUSY")))
-		h.RetryIn = time.Duration(ms) * time.Millisecond
+		submission.RetryIn = time.Duration(ms) * time.Millisecond
 	default:
-		h.Answer = ledger.Failed
+		submission.Answer = ledger.Failed
 	}
 }
 
-// command encodes MSG.PUT.
-func (c *client) command(b []byte, m message, h *ledger.HandIn, s *Stream) []byte {
-	left := max(time.Until(m.end).Milliseconds(), 1)
-	fields := fmt.Sprintf("c=%s,t=%s,d=%d,k=%016x,dest=%d", c.l.cfg.Classes[s.Class].Name, s.Tenant, left, m.key, m.dest)
-	if m.tries > 0 {
+// command appends the MSG.PUT command of a message to b.
+func (c *client) command(b []byte, m message, submission *ledger.Submission, stream *Stream) []byte {
+	leftMillis := max(time.Until(m.deadline).Milliseconds(), 1)
+	fields := fmt.Sprintf("c=%s,t=%s,d=%d,k=%016x,dest=%d", c.load.cfg.Classes[stream.Class].Name, stream.Tenant, leftMillis, m.key, m.dest)
+	if m.retries > 0 {
 		fields += ",r=1"
 	}
-	if len(c.body) != s.Body {
-		c.body = make([]byte, s.Body)
+	if len(c.body) != stream.BodyBytes {
+		c.body = make([]byte, stream.BodyBytes)
 		for i := range c.body {
 			c.body[i] = 'a' + byte(i%26)
 		}
 	}
 	b = append(b, "*5\r\n$7\r\nMSG.PUT\r\n$1\r\n0\r\n$16\r\n"...)
-	b = fmt.Appendf(b, "%016x\r\n$%d\r\n%s\r\n$%d\r\n", h.ID, len(fields), fields, len(c.body))
+	b = fmt.Appendf(b, "%016x\r\n$%d\r\n%s\r\n$%d\r\n", submission.ID, len(fields), fields, len(c.body))
 	return append(append(b, c.body...), '\r', '\n')
 }
--- a/internal/lab/platform/platform.go
+++ b/internal/lab/platform/platform.go
@@ -1,5 +1,5 @@
-// Package platform is a stand-in for discovery and for the platform that takes notices: one HTTP server on
-// loopback, with a list that a test changes and that may fall silent.
+// Package platform simulates discovery and the receiver of notices with one HTTP server on loopback. A test changes discovery's list
+// and can stop discovery from answering.
 package platform
 
 import (
@@ -18,63 +18,63 @@
 	"slatemux/internal/lab/ledger"
 )
 
-// Host is an entry of the list, with the names that discovery uses.
+// Host is an entry of discovery's list, in the JSON form of discovery.
 type Host struct {
-	Host   string  `json:"host"`
-	Dial   string  `json:"dial"`
-	Site   string  `json:"site"`
-	Class  string  `json:"class"`
-	Block  int     `json:"block"`
-	Health string  `json:"health"`
-	Share  float64 `json:"share"`
-	BornMS int64   `json:"born_ms"`
+	Host       string  `json:"host"`
+	Dial       string  `json:"dial"`
+	Site       string  `json:"site"`
+	Class      string  `json:"class"`
+	Block      int     `json:"block"`
+	Health     string  `json:"health"`
+	Share      float64 `json:"share"`
+	BornMillis int64   `json:"born_ms"`
 }
 
-// list is what a watch is answered.
-type list struct {
+// hostList is the answer to a watch: the full list (Whole) or the changes.
+type hostList struct {
 	Seq   int64  `json:"seq"`
 	Whole bool   `json:"whole"`
 	Hosts []Host `json:"hosts"`
 }
 
-// Server is discovery and the platform.
+// Server serves discovery's list and receives notices.
 type Server struct {
-	ln     net.Listener
-	http   *http.Server
-	ledger *ledger.Ledger
-	book   *ledger.Book // under the lock
-
-	mu      sync.Mutex
-	seq     int64
-	hosts   []Host
-	changes []change
-	changed chan struct{} // closed at each change
-	silent  bool
-	onHook  func(ledger.Notice)
-	relays  map[netip.Addr]relay // by the address that it calls from; one alone needs none
-	stop    chan struct{}
-	once    sync.Once
+	ln       net.Listener
+	http     *http.Server
+	ledger   *ledger.Ledger
+	recorder *ledger.Recorder // guarded by mu
+
+	mu        sync.Mutex
+	sequence  int64
+	hosts     []Host
+	changes   []hostChange
+	changed   chan struct{} // closed and replaced at each change of the list or of silent
+	silent    bool
+	onNotice  func(ledger.Notice)
+	relays    map[netip.Addr]relayRoute // by source address; nil for a single relay
+	stop      chan struct{}
+	closeOnce sync.Once
 }
 
-// relay is one that is told apart from the others: its drains count from when they were written to it, and what it reads as a
-// member's address is its own way there.
-type relay struct {
+// relayRoute is a relay that is identified by its source address. A drain counts for this relay from the time at which its watch was
+// answered with the drain. dial returns the address at which this relay reaches a member.
+type relayRoute struct {
 	number int
 	dial   func(Host) string
 }
 
-// Relay tells a relay apart by the address that it calls from.
-func (s *Server) Relay(from netip.Addr, number int, dial func(Host) string) {
+// RegisterRelay registers a relay by its source address.
+func (s *Server) RegisterRelay(from netip.Addr, number int, dial func(Host) string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.relays == nil {
-		s.relays = map[netip.Addr]relay{}
+		s.relays = map[netip.Addr]relayRoute{}
 	}
-	s.relays[from] = relay{number, dial}
+	s.relays[from] = relayRoute{number, dial}
 }
 
-// as is a list as a relay reads it.
-func as(hosts []Host, r relay) []Host {
+// hostsFor returns a list with the addresses at which one relay reaches the members.
+func hostsFor(hosts []Host, r relayRoute) []Host {
 	if r.dial == nil {
 		return hosts
 	}
@@ -85,18 +85,19 @@
 	return hosts
 }
 
-type change struct {
-	seq  int64
-	host Host
+// hostChange is a change of one entry of the list.
+type hostChange struct {
+	sequence int64
+	host     Host
 }
 
-// Start opens a server. addr may leave the port to the system.
+// Start starts a server. With port 0 in addr the system chooses the port.
 func Start(addr string, l *ledger.Ledger, hosts []Host) (*Server, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, fmt.Errorf("platform: %w", err)
 	}
-	s := &Server{ln: ln, ledger: l, book: l.Book(), seq: 1, hosts: hosts, changed: make(chan struct{}), stop: make(chan struct{})}
+	s := &Server{ln: ln, ledger: l, recorder: l.NewRecorder(), sequence: 1, hosts: hosts, changed: make(chan struct{}), stop: make(chan struct{})}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /discovery/hosts", s.watch)
 	mux.HandleFunc("POST /v1/notices", s.notices)
@@ -105,52 +106,52 @@
 	return s, nil
 }
 
-// Addr is where it listens.
+// Addr returns the address of the server.
 func (s *Server) Addr() string { return s.ln.Addr().String() }
 
-// Close ends it.
+// Close stops the server.
 func (s *Server) Close() {
-	s.once.Do(func() { close(s.stop) })
+	s.closeOnce.Do(func() { close(s.stop) })
 	_ = s.http.Close()
 }
 
-// OnNotice has f called with each notice, one at a time.
+// OnNotice sets a function that is called with each notice, one at a time.
 func (s *Server) OnNotice(f func(ledger.Notice)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.onHook = f
+	s.onNotice = f
 }
 
-// Known is the list as it stands, in the form that a relay's configuration holds.
-func (s *Server) Known() json.RawMessage { return s.KnownTo(netip.Addr{}) }
+// Known returns the current list in the form of a relay's configuration.
+func (s *Server) Known() json.RawMessage { return s.KnownFor(netip.Addr{}) }
 
-// KnownTo is the same for a relay that calls from an address of its own.
-func (s *Server) KnownTo(from netip.Addr) json.RawMessage {
+// KnownFor returns the current list for the relay with a source address.
+func (s *Server) KnownFor(from netip.Addr) json.RawMessage {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	raw, _ := json.Marshal(list{s.seq, true, as(s.hosts, s.relays[from])}) // it never fails
+	raw, _ := json.Marshal(hostList{s.sequence, true, hostsFor(s.hosts, s.relays[from])}) // cannot fail for these types
 	return raw
 }
 
-// Change replaces an entry of the list, adds it, or with health "left" takes it out.
+// Change adds or replaces an entry of the list. With health "left" it removes the entry.
 func (s *Server) Change(h Host) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.seq++
+	s.sequence++
 	s.hosts = slices.DeleteFunc(s.hosts, func(o Host) bool { return o.Host == h.Host })
 	if h.Health != "left" {
 		s.hosts = append(s.hosts, h)
 	}
-	s.changes = append(s.changes, change{s.seq, h})
+	s.changes = append(s.changes, hostChange{s.sequence, h})
 	if h.Health == "leaving" && s.relays == nil {
-		s.ledger.Leave(ledger.Leave{Member: h.Host, At: time.Now()})
+		s.ledger.RecordDrain(ledger.Drain{Member: h.Host, At: time.Now()})
 	}
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// Silence lets discovery say nothing, or speak again. Notices are answered all the same.
-func (s *Server) Silence(on bool) {
+// SetSilent stops discovery from answering watches, or lets it answer again. Notices are answered in both cases.
+func (s *Server) SetSilent(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.silent = on
@@ -158,36 +159,37 @@
 	s.changed = make(chan struct{})
 }
 
+// watch answers a watch of discovery's list. It waits up to hold_ms for changes after the version from.
 func (s *Server) watch(w http.ResponseWriter, req *http.Request) {
 	from, _ := strconv.ParseInt(req.FormValue("from"), 10, 64)
 	hold, _ := strconv.Atoi(req.FormValue("hold_ms"))
 	until := time.After(time.Duration(min(hold, 60_000)) * time.Millisecond)
 	at, _ := netip.ParseAddrPort(req.RemoteAddr)
 	s.mu.Lock()
-	caller, apart := s.relays[at.Addr().Unmap()]
+	caller, identified := s.relays[at.Addr().Unmap()]
 	s.mu.Unlock()
-	for over := hold == 0 || from == 0; ; {
+	for expired := hold == 0 || from == 0; ; {
 		s.mu.Lock()
 		changed, silent := s.changed, s.silent
-		answer := list{Seq: s.seq, Whole: from == 0 || from > s.seq, Hosts: []Host{}}
+		answer := hostList{Seq: s.sequence, Whole: from == 0 || from > s.sequence, Hosts: []Host{}}
 		if answer.Whole {
 			answer.Hosts = s.hosts
 		} else {
 			for _, c := range s.changes {
-				if c.seq > from {
+				if c.sequence > from {
 					answer.Hosts = append(answer.Hosts, c.host)
 				}
 			}
 		}
-		answer.Hosts = as(answer.Hosts, caller)
+		answer.Hosts = hostsFor(answer.Hosts, caller)
 		raw, _ := json.Marshal(answer)
 		s.mu.Unlock()
-		if !silent && (over || answer.Whole || len(answer.Hosts) > 0) {
+		if !silent && (expired || answer.Whole || len(answer.Hosts) > 0) {
 			w.Header().Set("Content-Type", "application/json")
 			_, _ = w.Write(raw)
 			for _, h := range answer.Hosts {
-				if h.Health == "leaving" && apart {
-					s.ledger.Leave(ledger.Leave{Member: h.Host, At: time.Now(), Relay: caller.number})
+				if h.Health == "leaving" && identified {
+					s.ledger.RecordDrain(ledger.Drain{Member: h.Host, At: time.Now(), Relay: caller.number})
 				}
 			}
 			return
@@ -195,7 +197,7 @@
 		select {
 		case <-changed:
 		case <-until:
-			over = true
+			expired = true
 		case <-req.Context().Done():
 			return
 		case <-s.stop:
@@ -204,6 +206,7 @@
 	}
 }
 
+// notices receives notices, one JSON object per line. A malformed line rejects the whole request.
 func (s *Server) notices(w http.ResponseWriter, req *http.Request) {
 	var got []ledger.Notice
 	now := time.Now()
@@ -228,8 +231,8 @@
 		got = append(got, ledger.Notice{ID: id, At: now, Outcome: n.Outcome, RetryIn: time.Duration(n.RetryIn) * time.Millisecond})
 	}
 	s.mu.Lock()
-	s.book.Notices = append(s.book.Notices, got...)
-	hook := s.onHook
+	s.recorder.Notices = append(s.recorder.Notices, got...)
+	hook := s.onNotice
 	if hook != nil {
 		for _, n := range got {
 			hook(n)
--- a/internal/verdicts/exclusion.go
+++ b/internal/verdicts/exclusion.go
@@ -7,34 +7,34 @@
 	"time"
 )
 
-// ExcludedMembers returns the sorted names of the members that get no new calls because of the fleet's drains and bans. Statements of a
-// quorum, or of this relay itself, exclude a member unconditionally. Statements of fewer origins exclude a member only while
+// ExcludedMembers returns the sorted names of the members that get no new calls because of the fleet's drains and bans.
+// Statements of a quorum, or of this relay itself, exclude a member unconditionally. Statements of fewer origins exclude a member only while
 // another usable member of the destination remains, so a single origin cannot make a destination unreachable.
 func (j *Judge) ExcludedMembers(now time.Duration) []string {
 	origins := j.excludingOrigins(now)
 	if len(origins) == 0 {
 		return nil
 	}
-	barred := map[string]bool{}
+	excluded := map[string]bool{}
 	remaining := map[int]int{} // number of usable members that nobody excludes, by destination
 	for _, m := range j.pool {
 		if len(origins[m.Name]) >= j.quorum || origins[m.Name][j.self] {
-			barred[m.Name] = true
+			excluded[m.Name] = true
 		} else if len(origins[m.Name]) == 0 && j.isUsable(m) {
 			remaining[m.Destination]++
 		}
 	}
 	for _, m := range j.poolByName() {
-		if len(origins[m.Name]) == 0 || barred[m.Name] {
+		if len(origins[m.Name]) == 0 || excluded[m.Name] {
 			continue
 		}
 		if remaining[m.Destination] > 0 {
-			barred[m.Name] = true
+			excluded[m.Name] = true
 		} else {
 			remaining[m.Destination]++ // this member stays available
 		}
 	}
-	return slices.Sorted(maps.Keys(barred))
+	return slices.Sorted(maps.Keys(excluded))
 }
 
 // excludingOrigins returns the origins that drain or ban each member. A drain counts only if its list version is newer than the
