--- a/cmd/slatelab/connections.go
+++ b/cmd/slatelab/connections.go
@@ -191,7 +191,7 @@
 
 // runCalls makes the calls to one server. Gaps of 5 ms to 1.5 s, with evenly distributed logarithms, separate the bursts. Each burst
 // begins with a batch of simultaneous calls.
-func (t *serverResult) runCalls(ctx context.Context, pool connectionPool, server *scripted.Server, script [3]scripted.Script, duration time.Duration,
+func (r *serverResult) runCalls(ctx context.Context, pool connectionPool, server *scripted.Server, script [3]scripted.Script, duration time.Duration,
 	callsPerSecond float64, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 3))
 	body := make([]byte, 200)
@@ -208,11 +208,11 @@
 			started := time.Now()
 			err := pool.call(ctx, server.Addr(), body, started.Add(callTimeout))
 			latencyMillis := float64(time.Since(started).Microseconds()) / 1000
-			t.mu.Lock()
-			defer t.mu.Unlock()
-			t.calls++
+			r.mu.Lock()
+			defer r.mu.Unlock()
+			r.calls++
 			if err != nil {
-				t.failed++
+				r.failed++
 			} else if latencies != nil {
 				*latencies = append(*latencies, latencyMillis)
 			}
@@ -232,7 +232,7 @@
 		if samples == 1 {
 			call(nil) // not measured: before the first call of all, no pool knows anything about the server
 		} else {
-			call(&t.firstMillis)
+			call(&r.firstMillis)
 		}
 		for range batch - 1 {
 			call(nil)
@@ -241,11 +241,11 @@
 		for next := time.Now(); next.Before(until); {
 			next = next.Add(time.Duration(rng.ExpFloat64() / callsPerSecond * float64(time.Second)))
 			time.Sleep(time.Until(next))
-			call(&t.warmMillis)
+			call(&r.warmMillis)
 		}
 	}
 	calls.Wait()
-	t.meanHeld, t.serverCounters = heldSum/float64(max(samples, 1)), server.Counters()
+	r.meanHeld, r.serverCounters = heldSum/float64(max(samples, 1)), server.Counters()
 }
 
 // relayPool makes calls through the relay's own flow manager and connection pool.
@@ -283,12 +283,12 @@
 	return pool, nil
 }
 
-func (k *relayPool) call(_ context.Context, addr string, body []byte, deadline time.Time) error {
+func (p *relayPool) call(_ context.Context, addr string, body []byte, deadline time.Time) error {
 	for {
 		end := make(chan traffic.FlowEnd, 1)
-		id := fmt.Sprint(k.lastID.Add(1))
-		k.pendingEnds.Store(id, end)
-		k.manager.Start(traffic.Flow{ID: id, Member: k.namesByAddr[addr], Group: traffic.Group{Member: addr}, Body: body, StartedAt: time.Now(),
+		id := fmt.Sprint(p.lastID.Add(1))
+		p.pendingEnds.Store(id, end)
+		p.manager.Start(traffic.Flow{ID: id, Member: p.namesByAddr[addr], Group: traffic.Group{Member: addr}, Body: body, StartedAt: time.Now(),
 			Deadline: deadline})
 		result := <-end
 		if result.Status == traffic.Unsent && time.Now().Before(deadline) {
@@ -302,10 +302,10 @@
 	}
 }
 
-func (k *relayPool) close() {
-	k.states = k.manager.EndpointStates()
-	k.stop()
-	k.manager.SetCloseIdle(true)
+func (p *relayPool) close() {
+	p.states = p.manager.EndpointStates()
+	p.stop()
+	p.manager.SetCloseIdle(true)
 }
 
 // httpTransport makes calls through net/http.Transport. Calls have no Idempotency-Key header: with one, net/http would retry a call on its
--- a/cmd/slatelab/fleet_counters.go
+++ b/cmd/slatelab/fleet_counters.go
@@ -72,7 +72,7 @@
 
 // addLog adds the counter increases in one relay's log. A line "started" resets the last values, because the counters of a restarted
 // relay begin at 0.
-func (f *counterIncreases) addLog(log io.Reader) error {
+func (c *counterIncreases) addLog(log io.Reader) error {
 	lastValues := map[string]int64{}
 	lines := bufio.NewScanner(log)
 	lines.Buffer(nil, 1<<20)
@@ -97,11 +97,11 @@
 			if err != nil || timestamp.IsZero() {
 				continue
 			}
-			row := timestamp.UnixNano() / int64(f.interval)
-			if f.byInterval[row] == nil {
-				f.byInterval[row] = map[string]int64{}
+			row := timestamp.UnixNano() / int64(c.interval)
+			if c.byInterval[row] == nil {
+				c.byInterval[row] = map[string]int64{}
 			}
-			f.byInterval[row][name] += count - lastValues[name]
+			c.byInterval[row][name] += count - lastValues[name]
 			lastValues[name] = count
 		}
 	}
@@ -109,18 +109,18 @@
 }
 
 // writeTable writes one row for each interval that has counters. Times count from the first such interval.
-func (f *counterIncreases) writeTable(w io.Writer, names []string) error {
+func (c *counterIncreases) writeTable(w io.Writer, names []string) error {
 	var rows []int64
-	for row := range f.byInterval {
+	for row := range c.byInterval {
 		rows = append(rows, row)
 	}
 	slices.Sort(rows)
 	t := tabwriter.NewWriter(w, 0, 4, 1, ' ', tabwriter.AlignRight)
 	fmt.Fprintf(t, "from\t%s\t\n", strings.Join(names, "\t"))
 	for _, row := range rows {
-		fmt.Fprintf(t, "%v\t", time.Duration(row-rows[0])*f.interval)
+		fmt.Fprintf(t, "%v\t", time.Duration(row-rows[0])*c.interval)
 		for _, name := range names {
-			fmt.Fprintf(t, "%d\t", f.byInterval[row][name])
+			fmt.Fprintf(t, "%d\t", c.byInterval[row][name])
 		}
 		fmt.Fprintln(t)
 	}
--- a/cmd/slatelab/fleet_scale.go
+++ b/cmd/slatelab/fleet_scale.go
@@ -48,16 +48,16 @@
 // scaleExchangeInterval is the time between two gossip exchanges of a relay.
 const scaleExchangeInterval = time.Second
 
-// scaleDay returns one run of a fleet of the given number of relays. Destination 0 is down from second 8 to second 13 and has reduced
+// scaleScenario returns one run of a fleet of the given number of relays. Destination 0 is down from second 8 to second 13 and has reduced
 // capacity afterwards; the limit of destination 1 is below its demand. A nil fleet means no gossip.
-func scaleDay(relays int, seed uint64, fleet *workload.GossipConfig) workload.Scenario {
+func scaleScenario(relays int, seed uint64, fleet *workload.GossipConfig) workload.Scenario {
 	settings := dispatch.Settings{
 		Classes: []dispatch.Class{{Name: "slot", Effect: dispatch.Safe, Aim: time.Second, Deadline: 5 * time.Second, Worth: 1, LateWorth: 0.1}},
 		Kinds:   []dispatch.Kind{{Name: "partner"}}, Zones: []dispatch.Zone{{Name: "z"}}, Zone: "z", Resolution: 5 * time.Millisecond,
 		MaxCalls: 30, MaxOpen: 400, MaxAttempts: 8, ConnectTimeout: time.Second, KeepAlive: 5 * time.Second, CallsPerConn: 1,
 		MaxRetryAfter: 3 * time.Second, SendRetryAfter: true, CanCancel: true, Weights: dispatch.RoughWeights, LateByHalves: true,
 		Safety: dispatch.Safety{MinStartCapacityShare: 0.23, Ramp: 13 * time.Second, OverloadMultiple: 1.5, OverloadFor: 1500 * time.Millisecond}}
-	day := workload.Scenario{Seed: seed, Relays: relays, Settings: settings, Length: 30 * time.Second, Class: "slot", TimeLeft: 5 * time.Second,
+	scenario := workload.Scenario{Seed: seed, Relays: relays, Settings: settings, Length: 30 * time.Second, Class: "slot", TimeLeft: 5 * time.Second,
 		Fleet: fleet, Reports: true}
 	for i := range 10 {
 		demand := float64(relays) * 2 / 10
@@ -71,9 +71,9 @@
 			limit = demand * 0.8
 		}
 		destination.Limit = servermodel.TokenBucket{Rate: limit, Burst: limit, ReportsWait: true, ChargesRefusals: true}
-		day.Destinations = append(day.Destinations, destination)
+		scenario.Destinations = append(scenario.Destinations, destination)
 	}
-	return day
+	return scenario
 }
 
 // scaleTable prints one row for each size of the fleet, with and without gossip. Sums are means over the seeds.
@@ -83,15 +83,15 @@
 	links := gossip.Links{Delay: time.Millisecond, Jitter: 4 * time.Millisecond, Loss: lossShare}
 	for _, relays := range sizes {
 		for _, gossipEnabled := range []bool{false, true} {
-			var days []workload.Scenario
+			var scenarios []workload.Scenario
 			for seed := range seeds {
 				var fleet *workload.GossipConfig
 				if gossipEnabled {
 					fleet = &workload.GossipConfig{Links: links, ExchangeInterval: scaleExchangeInterval, BytesPerSecond: 4096, Quorum: 2}
 				}
-				days = append(days, scaleDay(relays, uint64(seed+1), fleet))
+				scenarios = append(scenarios, scaleScenario(relays, uint64(seed+1), fleet))
 			}
-			results, err := workload.SimulateAll(days, min(runtime.NumCPU(), 4))
+			results, err := workload.SimulateAll(scenarios, min(runtime.NumCPU(), 4))
 			if err != nil {
 				return err
 			}
--- a/cmd/slatemux/fleet.go
+++ b/cmd/slatemux/fleet.go
@@ -25,13 +25,13 @@
 type relayForwarder func() *relay.Relay
 
 // ApplyRestraints implements fleet.Relay.
-func (t relayForwarder) ApplyRestraints(list []traffic.Restraint) { t().ApplyRestraints(list) }
+func (f relayForwarder) ApplyRestraints(list []traffic.Restraint) { f().ApplyRestraints(list) }
 
 // SetAllowances implements fleet.Relay.
-func (t relayForwarder) SetAllowances(list []traffic.Allowance) { t().SetAllowances(list) }
+func (f relayForwarder) SetAllowances(list []traffic.Allowance) { f().SetAllowances(list) }
 
 // SetExclusions implements fleet.Relay.
-func (t relayForwarder) SetExclusions(bars []traffic.Exclusion) { t().SetExclusions(bars) }
+func (f relayForwarder) SetExclusions(bars []traffic.Exclusion) { f().SetExclusions(bars) }
 
 // joinFleet creates the relay's member of its fleet. It returns nil if the fleet is off.
 func joinFleet(cfg *config, r relayForwarder) (*fleet.Fleet, error) {
--- a/cmd/slatemux/log.go
+++ b/cmd/slatemux/log.go
@@ -35,9 +35,9 @@
 }
 
 // Handle logs or suppresses a line. It never suppresses errors.
-func (s rateLimitedHandler) Handle(ctx context.Context, r slog.Record) error {
+func (h rateLimitedHandler) Handle(ctx context.Context, r slog.Record) error {
 	if r.Level < slog.LevelError {
-		suppressed, ok := s.counts.allow(r.Message, r.Time.Truncate(time.Second))
+		suppressed, ok := h.counts.allow(r.Message, r.Time.Truncate(time.Second))
 		if !ok {
 			return nil
 		}
@@ -45,7 +45,7 @@
 			r.AddAttrs(slog.Int64("passed_over", suppressed))
 		}
 	}
-	return s.Handler.Handle(ctx, r)
+	return h.Handler.Handle(ctx, r)
 }
 
 // allow counts a line of the message in the given second and reports whether it may be logged. If so, it also returns how many lines were
@@ -70,11 +70,11 @@
 }
 
 // WithAttrs implements slog.Handler. The new handler shares the counts.
-func (s rateLimitedHandler) WithAttrs(attrs []slog.Attr) slog.Handler {
-	return rateLimitedHandler{s.Handler.WithAttrs(attrs), s.counts}
+func (h rateLimitedHandler) WithAttrs(attrs []slog.Attr) slog.Handler {
+	return rateLimitedHandler{h.Handler.WithAttrs(attrs), h.counts}
 }
 
 // WithGroup implements slog.Handler. The new handler shares the counts.
-func (s rateLimitedHandler) WithGroup(name string) slog.Handler {
-	return rateLimitedHandler{s.Handler.WithGroup(name), s.counts}
+func (h rateLimitedHandler) WithGroup(name string) slog.Handler {
+	return rateLimitedHandler{h.Handler.WithGroup(name), h.counts}
 }
--- a/cmd/slatemux/long_list_test.go
+++ b/cmd/slatemux/long_list_test.go
@@ -30,11 +30,11 @@
 }
 
 // hostList returns the full list, or the change in which half of the members leave.
-func (c *largePool) hostList(full, leaving, indent bool) []byte {
+func (p *largePool) hostList(full, leaving, indent bool) []byte {
 	seq := 1
 	var hosts []map[string]any
-	for i := range c.size {
-		h := map[string]any{"host": fmt.Sprint("m", i), "dial": c.dial, "site": "here", "class": "partner", "block": max(i-200, 0), "health": "active", "share": 9000, "born_ms": 0}
+	for i := range p.size {
+		h := map[string]any{"host": fmt.Sprint("m", i), "dial": p.dial, "site": "here", "class": "partner", "block": max(i-200, 0), "health": "active", "share": 9000, "born_ms": 0}
 		if leaving && i%2 == 1 {
 			h["health"] = "leaving"
 		}
@@ -96,7 +96,7 @@
 }
 
 // serve answers the requests on one connection to the agent.
-func (c *largePool) serve(nc net.Conn, indent bool, chunkBytes int) {
+func (p *largePool) serve(nc net.Conn, indent bool, chunkBytes int) {
 	defer nc.Close()
 	for rd := bufio.NewReader(nc); ; {
 		req, err := http.ReadRequest(rd)
@@ -109,16 +109,16 @@
 			continue
 		}
 		from := req.URL.Query().Get("from")
-		c.mu.Lock()
-		leaving, size := c.oddLeaving, c.size
-		c.mu.Unlock()
+		p.mu.Lock()
+		leaving, size := p.oddLeaving, p.size
+		p.mu.Unlock()
 		var body []byte
 		sendChange := leaving && from == "1"
 		switch {
 		case from == "" || from == "0":
-			body = c.hostList(true, leaving, indent)
+			body = p.hostList(true, leaving, indent)
 		case sendChange:
-			body = c.hostList(false, true, indent)
+			body = p.hostList(false, true, indent)
 		default:
 			time.Sleep(10 * time.Millisecond)
 			body = fmt.Appendf(nil, `{"seq":%s,"whole":false,"hosts":[]}`, from)
@@ -130,9 +130,9 @@
 			}
 		}
 		if sendChange && size > 0 {
-			c.mu.Lock()
-			c.changeSentAt = time.Now()
-			c.mu.Unlock()
+			p.mu.Lock()
+			p.changeSentAt = time.Now()
+			p.mu.Unlock()
 		}
 	}
 }
--- a/cmd/slatemux/main.go
+++ b/cmd/slatemux/main.go
@@ -187,7 +187,7 @@
 		return err
 	}
 	cfg.known.LogInvalid()
-	knownPool := cfg.known.News()
+	knownPool := cfg.known.Update()
 	flows.UpdatePool(knownPool)
 	openMessages, pendingNotices := store.Pending()
 	slog.Info("started", "discovery", cfg.discovery, "members", len(knownPool.Members), "recovered", len(openMessages), "notices", len(pendingNotices),
@@ -281,9 +281,9 @@
 			slog.Log(ctx, level, "overload counters", "why", cause, "overload", gov.State())
 		}
 		if tlsManager != nil {
-			gate, waiting := flows.Handshakes()
-			slog.Log(ctx, level, "tls counters", "why", cause, "tls", tlsManager.Counters(), "asked", gate.Requested, "begun", gate.Started, "carried", gate.Reused,
-				"out_of_time", gate.Expired, "waiting", waiting)
+			handshakes, waiting := flows.Handshakes()
+			slog.Log(ctx, level, "tls counters", "why", cause, "tls", tlsManager.Counters(), "asked", handshakes.Requested, "begun", handshakes.Started, "carried", handshakes.Reused,
+				"out_of_time", handshakes.Expired, "waiting", waiting)
 		}
 		if member != nil {
 			slog.Log(ctx, level, "fleet counters", "why", cause, "fleet", member.Metrics())
--- a/cmd/slatemux/tls.go
+++ b/cmd/slatemux/tls.go
@@ -47,7 +47,7 @@
 				return err
 			}
 			var members []traffic.Member
-			for _, member := range cfg.known.News().Members {
+			for _, member := range cfg.known.Update().Members {
 				if member.Destination == dest {
 					members = append(members, member)
 				}
--- a/internal/allowance/claims.go
+++ b/internal/allowance/claims.go
@@ -162,7 +162,7 @@
 		a.counters.Rejected++
 		return
 	}
-	a.removeForeign(&claim)
+	a.removeOtherShards(&claim)
 	s := a.shard(claim.Shard)
 	if s.owner == nil {
 		s.owner = NewOwner(&a.cfg, a.firstSequence, a.priorLeasesEnd)
@@ -175,12 +175,12 @@
 // isShard reports whether a number is that of a shard.
 func isShard(n int) bool { return n >= 0 && n < ShardCount }
 
-// removeForeign removes the destinations of other shards from a claim.
-func (a *Allocator) removeForeign(claim *Claim) {
+// removeOtherShards removes the destinations of other shards from a claim.
+func (a *Allocator) removeOtherShards(claim *Claim) {
 	before := len(claim.Demands) + len(claim.Readings)
 	claim.Demands = slices.DeleteFunc(claim.Demands, func(d Demand) bool { return Shard(d.Destination) != claim.Shard })
 	claim.Readings = slices.DeleteFunc(claim.Readings, func(r Reading) bool { return Shard(r.Destination) != claim.Shard })
-	a.counters.ForeignDestinations += int64(before - len(claim.Demands) - len(claim.Readings))
+	a.counters.OtherShardDestinations += int64(before - len(claim.Demands) - len(claim.Readings))
 }
 
 // ReceiveGrant processes an owner's grant.
@@ -189,7 +189,7 @@
 		a.counters.Rejected++
 		return
 	}
-	a.removeForeignShares(&grant)
+	a.removeOtherShardShares(&grant)
 	s := a.shard(grant.Shard)
 	before := maps.Clone(s.holder.leases)
 	if a.isPoll(now, s, from, &grant) {
@@ -206,12 +206,12 @@
 	}
 }
 
-// removeForeignShares removes the destinations of other shards from a grant, and those above maxGranted.
-func (a *Allocator) removeForeignShares(grant *Grant) {
+// removeOtherShardShares removes the destinations of other shards from a grant, and those above maxGranted.
+func (a *Allocator) removeOtherShardShares(grant *Grant) {
 	before := len(grant.Shares)
 	grant.Shares = slices.DeleteFunc(grant.Shares, func(s Share) bool { return Shard(s.Destination) != grant.Shard })
 	grant.Shares = grant.Shares[:min(len(grant.Shares), maxGranted)]
-	a.counters.ForeignDestinations += int64(before - len(grant.Shares))
+	a.counters.OtherShardDestinations += int64(before - len(grant.Shares))
 }
 
 // isPoll reports whether a grant is from the owner of its shard, requests a claim, and the claim may be sent now.
--- a/internal/allowance/explore_test.go
+++ b/internal/allowance/explore_test.go
@@ -35,8 +35,8 @@
 // walkConfig configures random walks of a larger fleet over many leases and loans.
 var walkConfig = explore.Config{Relays: 4, Owners: 3, Steps: 100, MaxLosses: 5, MaxRestarts: 3, MaxLoadMoves: 8, MaxPushedGrants: 8, MaxInFlight: 6, ClaimRounds: 4}
 
-// Guards against interleavings of lost and delayed messages, restarts and clock jumps in which the relays together may use more
-// than the limit.
+// Guards against interleavings of lost and delayed messages, restarts and moves of the load to another relay in which the relays
+// together may use more than the limit.
 func TestNoInterleavingExceedsLimit(t *testing.T) {
 	for _, c := range searchConfigs {
 		startedAt := time.Now()
--- a/internal/allowance/simulation_test.go
+++ b/internal/allowance/simulation_test.go
@@ -224,7 +224,7 @@
 	if a := allocations[destination]; a.Rate > 100 || a.Rate < 90 || a.Duration > cfg.LeaseDuration {
 		t.Errorf("allocation %+v with a read limit of 100 calls a second and a grant of a million", a)
 	}
-	if _, ok := allocations[otherShardDestination]; ok || allocator.Counters().ForeignDestinations == 0 || allocator.Counters().Capped == 0 {
+	if _, ok := allocations[otherShardDestination]; ok || allocator.Counters().OtherShardDestinations == 0 || allocator.Counters().Capped == 0 {
 		t.Errorf("allocation %+v of a destination of another shard; counters %+v", allocations[otherShardDestination], allocator.Counters())
 	}
 	runOwner(time.Second, 0, 1)
--- a/internal/conns/conns.go
+++ b/internal/conns/conns.go
@@ -1252,9 +1252,9 @@
 }
 
 // LogValue lists the histograms by cause.
-func (e IdleTimes) LogValue() slog.Value {
-	attrs := []slog.Attr{slog.Any("closed", e.Closed), slog.Any("dead", e.Dead)}
-	for w, h := range e.Evicted {
+func (t IdleTimes) LogValue() slog.Value {
+	attrs := []slog.Attr{slog.Any("closed", t.Closed), slog.Any("dead", t.Dead)}
+	for w, h := range t.Evicted {
 		attrs = append(attrs, slog.Any(Reason(w).String(), h))
 	}
 	return slog.GroupValue(attrs...)
--- a/internal/conns/happy_eyeballs.go
+++ b/internal/conns/happy_eyeballs.go
@@ -96,59 +96,59 @@
 	if len(ipv6) > 0 && len(ipv4) > 0 && a.known[ipv4[0]].connectTime > 0 && compareConnectTimes(ipv4[0], ipv6[0]) < 0 {
 		ipv6, ipv4 = ipv4, ipv6 // below, the family that ipv6 holds goes first
 	}
-	r := &Attempts{addresses: a, nextDueAt: now}
+	attempts := &Attempts{addresses: a, nextDueAt: now}
 	for i := range max(len(ipv6), len(ipv4)) {
 		if i < len(ipv6) {
-			r.order = append(r.order, ipv6[i])
+			attempts.order = append(attempts.order, ipv6[i])
 		}
 		if i < len(ipv4) {
-			r.order = append(r.order, ipv4[i])
+			attempts.order = append(attempts.order, ipv4[i])
 		}
 	}
-	r.order = append(r.order, recentlyFailed...)
-	r.startedAt = make([]time.Duration, len(r.order))
-	return r
+	attempts.order = append(attempts.order, recentlyFailed...)
+	attempts.startedAt = make([]time.Duration, len(attempts.order))
+	return attempts
 }
 
 // Next returns the address to try now, if one is due. Otherwise it returns the wait until the next one is due, or 0 if none will be. The
 // result exhausted says that all attempts have failed.
-func (r *Attempts) Next(now time.Duration) (addr netip.AddrPort, try bool, wait time.Duration, exhausted bool) {
-	if r.connected || r.next == len(r.order) {
-		return addr, false, 0, !r.connected && r.inProgress == 0
+func (a *Attempts) Next(now time.Duration) (addr netip.AddrPort, try bool, wait time.Duration, exhausted bool) {
+	if a.connected || a.next == len(a.order) {
+		return addr, false, 0, !a.connected && a.inProgress == 0
 	}
-	if now < r.nextDueAt && r.inProgress > 0 {
-		return addr, false, r.nextDueAt - now, false
+	if now < a.nextDueAt && a.inProgress > 0 {
+		return addr, false, a.nextDueAt - now, false
 	}
-	addr = r.order[r.next]
-	r.startedAt[r.next] = now
-	r.next++
-	r.inProgress++
-	r.nextDueAt = now + connectionAttemptDelay
+	addr = a.order[a.next]
+	a.startedAt[a.next] = now
+	a.next++
+	a.inProgress++
+	a.nextDueAt = now + connectionAttemptDelay
 	return addr, true, 0, false
 }
 
 // Failed reports that the attempt to connect to an address failed. The next address is due at once.
-func (r *Attempts) Failed(now time.Duration, addr netip.AddrPort) {
-	r.inProgress--
-	r.nextDueAt = now
-	s := r.addresses.entry(now, addr)
+func (a *Attempts) Failed(now time.Duration, addr netip.AddrPort) {
+	a.inProgress--
+	a.nextDueAt = now
+	s := a.addresses.entry(now, addr)
 	s.consecutiveFailures++
 	s.penalizedUntil = now + min(minPenalty<<min(s.consecutiveFailures-1, 20), maxPenalty)
 }
 
 // Connected reports that an address accepted the connection. It returns true for the first one; the caller closes any other.
-func (r *Attempts) Connected(now time.Duration, addr netip.AddrPort) bool {
-	r.inProgress--
-	s := r.addresses.entry(now, addr)
+func (a *Attempts) Connected(now time.Duration, addr netip.AddrPort) bool {
+	a.inProgress--
+	s := a.addresses.entry(now, addr)
 	s.consecutiveFailures, s.penalizedUntil = 0, 0
-	if i := slices.Index(r.order, addr); i >= 0 {
-		connectTime := max(now-r.startedAt[i], 1)
+	if i := slices.Index(a.order, addr); i >= 0 {
+		connectTime := max(now-a.startedAt[i], 1)
 		if s.connectTime == 0 {
 			s.connectTime = connectTime
 		}
 		s.connectTime += (connectTime - s.connectTime) / 4
 	}
-	first := !r.connected
-	r.connected = true
+	first := !a.connected
+	a.connected = true
 	return first
 }
--- a/internal/conns/idle_history.go
+++ b/internal/conns/idle_history.go
@@ -129,57 +129,57 @@
 }
 
 // mergePart adds a fifth of the counts of another endpoint.
-func (s *closeHistory) mergePart(o *closeHistory) {
+func (h *closeHistory) mergePart(o *closeHistory) {
 	for b := range bucketCount {
-		s.closed[b] += o.closed[b] / 5
-		s.censored[b] += o.censored[b] / 5
+		h.closed[b] += o.closed[b] / 5
+		h.censored[b] += o.censored[b] / 5
 	}
 }
 
 // add counts one idle time.
-func (s *closeHistory) add(idle time.Duration, closed bool) {
+func (h *closeHistory) add(idle time.Duration, closed bool) {
 	b := bucketOf(idle)
 	if closed {
-		s.closed[b]++
+		h.closed[b]++
 	} else {
-		s.censored[b]++
+		h.censored[b]++
 	}
-	if n := s.closed[b] + s.censored[b]; n > maxBucketWeight {
-		s.closed[b] *= maxBucketWeight / n
-		s.censored[b] *= maxBucketWeight / n
+	if n := h.closed[b] + h.censored[b]; n > maxBucketWeight {
+		h.closed[b] *= maxBucketWeight / n
+		h.censored[b] *= maxBucketWeight / n
 	}
 }
 
 // survivedIdle returns the longest idle time that at least the given share of connections survives. It returns false if
 // the visible closings are too few, or if at least that share of connections survived all of them.
-func (s *closeHistory) survivedIdle(share float64) (time.Duration, bool) {
+func (h *closeHistory) survivedIdle(share float64) (time.Duration, bool) {
 	atRisk, closings := 0.0, 0.0
 	for b := range bucketCount {
-		atRisk += float64(s.closed[b] + s.censored[b])
-		closings += float64(s.closed[b])
+		atRisk += float64(h.closed[b] + h.censored[b])
+		closings += float64(h.closed[b])
 	}
 	if closings < minClosings {
 		return 0, false
 	}
 	alive := 1.0
 	for b := range bucketCount {
-		if atRisk > 0 && s.closed[b] > 0 {
-			if alive *= 1 - float64(s.closed[b])/atRisk; alive < share {
+		if atRisk > 0 && h.closed[b] > 0 {
+			if alive *= 1 - float64(h.closed[b])/atRisk; alive < share {
 				if b == 0 {
 					return 0, true
 				}
 				return bucketUpperBound(b - 1), true
 			}
 		}
-		atRisk -= float64(s.closed[b] + s.censored[b])
+		atRisk -= float64(h.closed[b] + h.censored[b])
 	}
 	return 0, false
 }
 
 // decay scales all counts by a factor below one.
-func (s *closeHistory) decay(factor float64) {
+func (h *closeHistory) decay(factor float64) {
 	for b := range bucketCount {
-		s.closed[b] *= float32(factor)
-		s.censored[b] *= float32(factor)
+		h.closed[b] *= float32(factor)
+		h.censored[b] *= float32(factor)
 	}
 }
--- a/internal/discoveryaddr/discoveryaddr.go
+++ b/internal/discoveryaddr/discoveryaddr.go
@@ -17,28 +17,28 @@
 
 // New returns an Address with the initial address addr.
 func New(addr string) *Address {
-	p := &Address{addr: addr}
-	p.current, p.endCurrent = context.WithCancel(context.Background())
-	return p
+	a := &Address{addr: addr}
+	a.current, a.endCurrent = context.WithCancel(context.Background())
+	return a
 }
 
 // Current returns the address and a context. The context ends when the address changes, so that connections to the old address, and
 // waits for it, end too.
-func (p *Address) Current() (string, context.Context) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.addr, p.current
+func (a *Address) Current() (string, context.Context) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.addr, a.current
 }
 
 // Set sets the address and reports whether it has changed.
-func (p *Address) Set(addr string) bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.addr == addr {
+func (a *Address) Set(addr string) bool {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if a.addr == addr {
 		return false
 	}
-	p.endCurrent()
-	p.addr = addr
-	p.current, p.endCurrent = context.WithCancel(context.Background())
+	a.endCurrent()
+	a.addr = addr
+	a.current, a.endCurrent = context.WithCancel(context.Background())
 	return true
 }
--- a/internal/dispatch/fleet_test.go
+++ b/internal/dispatch/fleet_test.go
@@ -83,15 +83,15 @@
 
 type eventQueue []timedEvent
 
-func (a eventQueue) Len() int { return len(a) }
-func (a eventQueue) Less(i, j int) bool {
-	return a[i].at < a[j].at || a[i].at == a[j].at && a[i].seq < a[j].seq
+func (q eventQueue) Len() int { return len(q) }
+func (q eventQueue) Less(i, j int) bool {
+	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].seq < q[j].seq
 }
-func (a eventQueue) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
-func (a *eventQueue) Push(x any)   { *a = append(*a, x.(timedEvent)) }
-func (a *eventQueue) Pop() any {
-	last := (*a)[len(*a)-1]
-	*a = (*a)[:len(*a)-1]
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q *eventQueue) Push(x any)   { *q = append(*q, x.(timedEvent)) }
+func (q *eventQueue) Pop() any {
+	last := (*q)[len(*q)-1]
+	*q = (*q)[:len(*q)-1]
 	return last
 }
 
@@ -149,61 +149,61 @@
 	return c
 }
 
-func (c *fleetModel) schedule(at time.Duration, sender int, event Event) {
-	c.seq++
-	heap.Push(&c.events, timedEvent{at, c.seq, sender, event})
+func (f *fleetModel) schedule(at time.Duration, sender int, event Event) {
+	f.seq++
+	heap.Push(&f.events, timedEvent{at, f.seq, sender, event})
 }
 
 // generate schedules messages for a destination at a rate, at random times.
-func (c *fleetModel) generate(dest int, class string, rate float64, from, to time.Duration) {
+func (f *fleetModel) generate(dest int, class string, rate float64, from, to time.Duration) {
 	for at := from; at < to; {
-		at += time.Duration(c.rng.ExpFloat64() / rate * float64(time.Second))
-		c.submit(at, fmt.Sprintf("m%d", len(c.submittedAt)), class, dest)
+		at += time.Duration(f.rng.ExpFloat64() / rate * float64(time.Second))
+		f.submit(at, fmt.Sprintf("m%d", len(f.submittedAt)), class, dest)
 	}
 }
 
-func (c *fleetModel) submit(at time.Duration, id, class string, dest int) {
-	c.submittedAt[id] = at
-	sender := c.rng.IntN(len(c.senders))
-	for i := range c.senders[0].cfg.Classes {
-		if k := &c.senders[0].cfg.Classes[i]; k.Name == class {
-			c.classOf[id] = k
+func (f *fleetModel) submit(at time.Duration, id, class string, dest int) {
+	f.submittedAt[id] = at
+	sender := f.rng.IntN(len(f.senders))
+	for i := range f.senders[0].cfg.Classes {
+		if k := &f.senders[0].cfg.Classes[i]; k.Name == class {
+			f.classOf[id] = k
 		}
 	}
-	c.destinationOf[id] = dest
-	c.schedule(at, sender, Request{ID: id, Class: class, Destination: dest, TimeLeft: c.classOf[id].Deadline})
+	f.destinationOf[id] = dest
+	f.schedule(at, sender, Request{ID: id, Class: class, Destination: dest, TimeLeft: f.classOf[id].Deadline})
 }
 
 // run processes events until the time to, or until none is left.
-func (c *fleetModel) run(to time.Duration) {
-	for len(c.events) > 0 && c.events[0].at < to {
-		h := heap.Pop(&c.events).(timedEvent)
+func (f *fleetModel) run(to time.Duration) {
+	for len(f.events) > 0 && f.events[0].at < to {
+		h := heap.Pop(&f.events).(timedEvent)
 		if r, ok := h.event.(Request); ok {
-			c.accepted[h.sender][r.ID] = r
+			f.accepted[h.sender][r.ID] = r
 		}
 		if o, ok := h.event.(Outcome); ok && o.Status != OK {
-			if d := c.destinations[c.destinationOf[originalID(o.ID)]]; h.at >= d.outFrom && h.at < d.outTo {
-				c.sawOutage[[2]int{h.sender, d.id}] = true
+			if d := f.destinations[f.destinationOf[originalID(o.ID)]]; h.at >= d.outFrom && h.at < d.outTo {
+				f.sawOutage[[2]int{h.sender, d.id}] = true
 			}
 		}
-		for _, a := range c.senders[h.sender].Step(h.at, []Event{h.event}) {
-			c.act(h.at, h.sender, a)
+		for _, a := range f.senders[h.sender].Step(h.at, []Event{h.event}) {
+			f.act(h.at, h.sender, a)
 		}
 	}
 }
 
-func (c *fleetModel) act(now time.Duration, sender int, a Action) {
+func (f *fleetModel) act(now time.Duration, sender int, a Action) {
 	switch a := a.(type) {
 	case Wake:
-		c.schedule(max(a.At, now+ms), sender, WakeDue{})
+		f.schedule(max(a.At, now+ms), sender, WakeDue{})
 	case Send:
-		n := c.attempts[a.ID]
-		c.attempts[a.ID]++
-		d := c.destinations[c.destinationOf[originalID(a.ID)]]
+		n := f.attempts[a.ID]
+		f.attempts[a.ID]++
+		d := f.destinations[f.destinationOf[originalID(a.ID)]]
 		sec := int(now / time.Second)
-		c.calls[d.id][sec]++
-		rtt := time.Duration(20+20*c.rng.Float64()) * ms
-		d.arrivals = append(d.arrivals, arrival{now + rtt/2, c.sawOutage[[2]int{sender, d.id}]})
+		f.calls[d.id][sec]++
+		rtt := time.Duration(20+20*f.rng.Float64()) * ms
+		d.arrivals = append(d.arrivals, arrival{now + rtt/2, f.sawOutage[[2]int{sender, d.id}]})
 		if d.isOut(now + rtt/2) {
 			took := d.outageLatency
 			if d.outageStatus == TimedOut && a.Timeout > 0 {
@@ -212,37 +212,37 @@
 				took = 5 * time.Second
 			}
 			o := Outcome{ID: a.ID, Attempt: n, Endpoint: a.Endpoint, Status: d.outageStatus, Latency: took}
-			c.schedule(now+took, sender, o)
+			f.schedule(now+took, sender, o)
 			return
 		}
-		ok, rep := d.call(now+rtt/2, c.rng)
+		ok, rep := d.call(now+rtt/2, f.rng)
 		o := Outcome{ID: a.ID, Attempt: n, Endpoint: a.Endpoint, Report: &rep, Status: Refused}
 		if ok {
 			o.Status, o.Closed = OK, true
-			rtt += time.Duration(math.Exp(math.Log(200)+0.5*c.rng.NormFloat64())) * ms
-			delete(c.accepted[sender], a.ID)
+			rtt += time.Duration(math.Exp(math.Log(200)+0.5*f.rng.NormFloat64())) * ms
+			delete(f.accepted[sender], a.ID)
 		} else {
-			c.refusedCalls[d.id][sec]++
-			if c.rng.Float64() < d.waitShare {
+			f.refusedCalls[d.id][sec]++
+			if f.rng.Float64() < d.waitShare {
 				o.RetryAfter = d.wait
 			}
 		}
 		o.Latency = rtt
-		c.schedule(now+rtt, sender, o)
+		f.schedule(now+rtt, sender, o)
 	case Fail:
-		delete(c.accepted[sender], a.ID)
+		delete(f.accepted[sender], a.ID)
 	case Refuse:
-		delete(c.accepted[sender], a.ID)
+		delete(f.accepted[sender], a.ID)
 		id := originalID(a.ID)
-		if c.submissions[id]++; c.submissions[id] <= 3 {
-			wait := time.Duration((400 + 700*c.rng.Float64()) * float64(ms) * math.Pow(2, float64(c.submissions[id]-1)))
-			if c.rng.Float64() < 0.6 {
+		if f.submissions[id]++; f.submissions[id] <= 3 {
+			wait := time.Duration((400 + 700*f.rng.Float64()) * float64(ms) * math.Pow(2, float64(f.submissions[id]-1)))
+			if f.rng.Float64() < 0.6 {
 				wait = max(a.RetryAfter, wait/4)
 			}
 			at := now + wait
-			if left := c.submittedAt[id] + c.classOf[id].Deadline - at; left > 0 {
-				next := fmt.Sprintf("%s.%d", id, c.submissions[id])
-				c.schedule(at, c.rng.IntN(len(c.senders)), Request{ID: next, Class: c.classOf[id].Name, Destination: c.destinationOf[id], TimeLeft: left})
+			if left := f.submittedAt[id] + f.classOf[id].Deadline - at; left > 0 {
+				next := fmt.Sprintf("%s.%d", id, f.submissions[id])
+				f.schedule(at, f.rng.IntN(len(f.senders)), Request{ID: next, Class: f.classOf[id].Name, Destination: f.destinationOf[id], TimeLeft: left})
 			}
 		}
 	}
@@ -258,27 +258,27 @@
 }
 
 // restart replaces senders by new ones with the messages that each had accepted, and with or without the learned limits.
-func (c *fleetModel) restart(t testing.TB, now time.Duration, part float64, remember bool) {
-	for i := range int(part * float64(len(c.senders))) {
-		s, err := New(c.senders[i].cfg, int64(i)+77)
+func (f *fleetModel) restart(t testing.TB, now time.Duration, part float64, remember bool) {
+	for i := range int(part * float64(len(f.senders))) {
+		s, err := New(f.senders[i].cfg, int64(i)+77)
 		if err != nil {
 			t.Fatal(err)
 		}
-		events := []Event{MembershipUpdate{Full: true, Endpoints: c.endpoints}}
+		events := []Event{MembershipUpdate{Full: true, Endpoints: f.endpoints}}
 		if remember {
-			for _, d := range c.destinations {
+			for _, d := range f.destinations {
 				events = append(events, RestoredLimit{Destination: d.id, Limit: d.limitAt(now)})
 			}
 		}
-		for _, id := range slices.Sorted(maps.Keys(c.accepted[i])) {
-			r := c.accepted[i][id]
-			r.TimeLeft = max(c.submittedAt[originalID(id)]+c.classOf[originalID(id)].Deadline-now, 0)
-			r.Attempts, r.MayHaveRun = c.attempts[id], false
+		for _, id := range slices.Sorted(maps.Keys(f.accepted[i])) {
+			r := f.accepted[i][id]
+			r.TimeLeft = max(f.submittedAt[originalID(id)]+f.classOf[originalID(id)].Deadline-now, 0)
+			r.Attempts, r.MayHaveRun = f.attempts[id], false
 			events = append(events, r)
 		}
-		c.senders[i] = s
+		f.senders[i] = s
 		for _, a := range s.Step(now, events) {
-			c.act(now, i, a)
+			f.act(now, i, a)
 		}
 	}
 }
--- a/internal/fleet/configuration_state.go
+++ b/internal/fleet/configuration_state.go
@@ -23,13 +23,13 @@
 }
 
 // LogValue returns the metrics as a group of log attributes.
-func (g *ConfigurationMetrics) LogValue() slog.Value {
-	if g == nil {
+func (m *ConfigurationMetrics) LogValue() slog.Value {
+	if m == nil {
 		return slog.StringValue("off")
 	}
-	c := g.Counters
-	return slog.GroupValue(slog.Int("members", g.Members), slog.Int("entries", g.Entries), slog.Int("applied_entries", g.Applied),
-		slog.Int("unknown_entries", g.Unknown), slog.Bool("kept", g.Saved), slog.Int64("sent_packets", c.SentPackets),
+	c := m.Counters
+	return slog.GroupValue(slog.Int("members", m.Members), slog.Int("entries", m.Entries), slog.Int("applied_entries", m.Applied),
+		slog.Int("unknown_entries", m.Unknown), slog.Bool("kept", m.Saved), slog.Int64("sent_packets", c.SentPackets),
 		slog.Int64("sent_bytes", c.SentBytes), slog.Int64("pushes", c.Pushes), slog.Int64("retries", c.Retries),
 		slog.Int64("abandoned", c.Abandoned), slog.Int64("exchanges", c.Exchanges), slog.Int64("repaired", c.Repaired),
 		slog.Int64("applied", c.Applied), slog.Int64("duplicates", c.Duplicates), slog.Int64("untrusted", c.Untrusted),
--- a/internal/fleet/configuration_test.go
+++ b/internal/fleet/configuration_test.go
@@ -81,20 +81,20 @@
 }
 
 // submit submits a change to the relay, and waits up to 5 seconds for the reply.
-func (p *testRelay) submit(t *testing.T, change configsync.Change) error {
+func (r *testRelay) submit(t *testing.T, change configsync.Change) error {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
-	return p.Configure(ctx, change)
+	return r.Configure(ctx, change)
 }
 
 // submitNext submits the next change of a machine. It tries again after a conflict, because the relay may have received
 // another change of the machine in the meantime.
-func (p *testRelay) submitNext(t *testing.T, c controlMachine, key, value string) {
+func (r *testRelay) submitNext(t *testing.T, c controlMachine, key, value string) {
 	t.Helper()
 	var err error
 	waitFor(t, fmt.Sprintf("%s is %q", key, value), func() bool {
-		err = p.submit(t, c.next(t, p, key, value))
+		err = r.submit(t, c.next(t, r, key, value))
 		return !errors.Is(err, ErrConfigurationConflict)
 	})
 	if err != nil {
@@ -103,9 +103,9 @@
 }
 
 // mustSubmit submits a change that must be accepted.
-func (p *testRelay) mustSubmit(t *testing.T, change configsync.Change) {
+func (r *testRelay) mustSubmit(t *testing.T, change configsync.Change) {
 	t.Helper()
-	if err := p.submit(t, change); err != nil {
+	if err := r.submit(t, change); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -115,8 +115,8 @@
 	t.Helper()
 	waitFor(t, fmt.Sprint(members, " relays replicate"), func() bool {
 		return !slices.ContainsFunc(relays, func(p *testRelay) bool {
-			figures := p.Metrics().Configuration
-			return figures == nil || figures.Members != members || !figures.Saved
+			metrics := p.Metrics().Configuration
+			return metrics == nil || metrics.Members != members || !metrics.Saved
 		})
 	})
 }
@@ -127,13 +127,13 @@
 }
 
 // excludesExactly reports whether the relay excludes exactly these pool members, all as banned.
-func (p *testRelay) excludesExactly(names ...string) bool {
-	p.recordingRelay.mu.Lock()
-	defer p.recordingRelay.mu.Unlock()
-	if len(p.exclusions) != len(names) {
+func (r *testRelay) excludesExactly(names ...string) bool {
+	r.recordingRelay.mu.Lock()
+	defer r.recordingRelay.mu.Unlock()
+	if len(r.exclusions) != len(names) {
 		return false
 	}
-	for i, exclusion := range p.exclusions {
+	for i, exclusion := range r.exclusions {
 		if exclusion != (traffic.Exclusion{Member: names[i], Banned: true}) {
 			return false
 		}
--- a/internal/fleet/driver.go
+++ b/internal/fleet/driver.go
@@ -97,7 +97,7 @@
 
 // untilNextStep returns how long the driver may sleep if nothing arrives.
 func (f *Fleet) untilNextStep() time.Duration {
-	wait := min(f.spread.Due()-f.now(), sweepInterval)
+	wait := min(f.spread.NextTick()-f.now(), sweepInterval)
 	if f.allocator != nil {
 		wait = min(wait, limitDivisionInterval)
 	}
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -149,8 +149,8 @@
 }
 
 // reportRefusal reports a refused call to destination 7, with the wait that the destination asked for.
-func (p *testRelay) reportRefusal(wait time.Duration) {
-	p.FlowEnded(traffic.Flow{Member: "m", Group: traffic.Group{Destination: 7}, StartedAt: time.Now()}, traffic.FlowEnd{Status: traffic.FlowRefused, RetryAfter: wait})
+func (r *testRelay) reportRefusal(wait time.Duration) {
+	r.FlowEnded(traffic.Flow{Member: "m", Group: traffic.Group{Destination: 7}, StartedAt: time.Now()}, traffic.FlowEnd{Status: traffic.FlowRefused, RetryAfter: wait})
 }
 
 // Guards against announcements that do not reach all relays of a fleet of three. A retry-after at one relay holds calls at
--- a/internal/fleet/metrics.go
+++ b/internal/fleet/metrics.go
@@ -141,40 +141,40 @@
 }
 
 // addTransport sets the traffic metrics and adds the drops that the transport counts.
-func (g *Metrics) addTransport(t *transport) {
-	g.SentBytes = t.sentBytes.Load()
-	g.ReceivedBytes = t.receivedBytes.Load()
-	g.Drops.Oversized += t.oversizedCount.Load()
-	g.Drops.InboxFull += t.refusedStreams.Load()
+func (m *Metrics) addTransport(t *transport) {
+	m.SentBytes = t.sentBytes.Load()
+	m.ReceivedBytes = t.receivedBytes.Load()
+	m.Drops.Oversized += t.oversizedCount.Load()
+	m.Drops.InboxFull += t.refusedStreams.Load()
 }
 
 // LogValue returns the metrics as a group of log attributes.
-func (g Metrics) LogValue() slog.Value {
+func (m Metrics) LogValue() slog.Value {
 	return slog.GroupValue(
-		slog.Int("members", g.Members),
-		slog.Float64("staleness_ms", g.StalenessMS),
-		slog.Int("verdicts", g.Verdicts),
-		slog.Int64("sent_bytes", g.SentBytes),
-		slog.Int64("received_bytes", g.ReceivedBytes),
-		slog.Int64("news", g.Spread.NewStatements),
-		slog.Int64("heeded", g.JudgeCounters.Restraints),
-		slog.Int64("overruled", g.JudgeCounters.Overruled),
-		slog.Int64("overdrawn", g.JudgeCounters.OverBudget),
-		slog.Int64("unagreed", g.JudgeCounters.BelowQuorum),
-		slog.Int64("claims", g.AllowanceCounters.Claims),
-		slog.Int64("grants", g.AllowanceCounters.Grants),
-		slog.Int64("stray_grants", g.AllowanceCounters.Rejected),
-		slog.Int64("owners_avoided", g.AllowanceCounters.OwnersAvoided),
-		slog.Int64("forged", g.Drops.Forged),
-		slog.Int64("replayed", g.Drops.Replayed),
-		slog.Int64("foreign", g.Drops.OtherFleet),
-		slog.Int64("version", g.Drops.OtherVersion),
-		slog.Int64("form", g.Drops.Malformed),
-		slog.Int64("oversized", g.Drops.Oversized),
-		slog.Int64("strangers", g.Drops.UnknownSenders),
-		slog.Int64("overrun", g.Drops.InboxFull),
-		slog.Int64("conflict", g.Drops.NameConflicts),
-		slog.Int64("short", g.Drops.Unsent),
-		slog.Any("configuration", g.Configuration),
+		slog.Int("members", m.Members),
+		slog.Float64("staleness_ms", m.StalenessMS),
+		slog.Int("verdicts", m.Verdicts),
+		slog.Int64("sent_bytes", m.SentBytes),
+		slog.Int64("received_bytes", m.ReceivedBytes),
+		slog.Int64("news", m.Spread.NewStatements),
+		slog.Int64("heeded", m.JudgeCounters.Restraints),
+		slog.Int64("overruled", m.JudgeCounters.Overruled),
+		slog.Int64("overdrawn", m.JudgeCounters.OverBudget),
+		slog.Int64("unagreed", m.JudgeCounters.BelowQuorum),
+		slog.Int64("claims", m.AllowanceCounters.Claims),
+		slog.Int64("grants", m.AllowanceCounters.Grants),
+		slog.Int64("stray_grants", m.AllowanceCounters.Rejected),
+		slog.Int64("owners_avoided", m.AllowanceCounters.OwnersAvoided),
+		slog.Int64("forged", m.Drops.Forged),
+		slog.Int64("replayed", m.Drops.Replayed),
+		slog.Int64("foreign", m.Drops.OtherFleet),
+		slog.Int64("version", m.Drops.OtherVersion),
+		slog.Int64("form", m.Drops.Malformed),
+		slog.Int64("oversized", m.Drops.Oversized),
+		slog.Int64("strangers", m.Drops.UnknownSenders),
+		slog.Int64("overrun", m.Drops.InboxFull),
+		slog.Int64("conflict", m.Drops.NameConflicts),
+		slog.Int64("short", m.Drops.Unsent),
+		slog.Any("configuration", m.Configuration),
 	)
 }
--- a/internal/fleet/wire/configuration_test.go
+++ b/internal/fleet/wire/configuration_test.go
@@ -244,8 +244,8 @@
 	s.SetMembers([]string{"a", "b"})
 	message := &configsync.Message{Ack: &configsync.Ack{Number: 7}}
 	p := spread.Packet{From: "b", Incarnation: 1, Sequence: 1, Configuration: message}
-	if news, own, out := s.Receive(time.Second, p); len(news)+len(own)+len(out) != 0 || s.Counters().Received != 1 {
-		t.Errorf("%v, %v, %v, %+v", news, own, out, s.Counters())
+	if received, own, out := s.Receive(time.Second, p); len(received)+len(own)+len(out) != 0 || s.Counters().Received != 1 {
+		t.Errorf("%v, %v, %v, %+v", received, own, out, s.Counters())
 	}
 	if s.Receive(time.Second, p); s.Counters().Replayed != 1 {
 		t.Error("a replayed packet was accepted")
--- a/internal/flow/batch.go
+++ b/internal/flow/batch.go
@@ -55,12 +55,12 @@
 
 // allEnds returns the ends of all flows of the call. Those that say most about the pool member come first: refused flows, then failed
 // ones.
-func (r *activeFlow) allEnds(end traffic.FlowEnd, statuses map[string]traffic.FlowStatus) []traffic.FlowEnd {
-	if len(r.Bundled) == 0 {
+func (f *activeFlow) allEnds(end traffic.FlowEnd, statuses map[string]traffic.FlowStatus) []traffic.FlowEnd {
+	if len(f.Bundled) == 0 {
 		return []traffic.FlowEnd{end}
 	}
 	var list []traffic.FlowEnd
-	for _, x := range r.All() {
+	for _, x := range f.All() {
 		eachEnd := end
 		eachEnd.ID, eachEnd.Attempt = x.ID, x.Attempt
 		if statuses != nil {
--- a/internal/flow/batch_test.go
+++ b/internal/flow/batch_test.go
@@ -15,13 +15,13 @@
 )
 
 // readBatch reads a batch call up to the end of its body and returns the body.
-func (r *harness) readBatch(nc net.Conn) string {
-	r.t.Helper()
+func (h *harness) readBatch(nc net.Conn) string {
+	h.t.Helper()
 	var text []byte
 	buf := make([]byte, 1)
 	for {
 		if _, err := nc.Read(buf); err != nil {
-			r.t.Fatal(err)
+			h.t.Fatal(err)
 		}
 		text = append(text, buf...)
 		head, body, whole := strings.Cut(string(text), "\r\n\r\n")
@@ -34,7 +34,7 @@
 		}
 		if len(body) == n {
 			if !strings.HasPrefix(head, "POST /hook/batch HTTP/1.1\r\n") || !strings.Contains(head, "X-Time-Left-Ms: ") {
-				r.t.Errorf("head %q", head)
+				h.t.Errorf("head %q", head)
 			}
 			return body
 		}
@@ -42,8 +42,8 @@
 }
 
 // startBatch starts a flow that three transactions share.
-func (r *harness) startBatch() {
-	r.startFlow("a", func(f *traffic.Flow) {
+func (h *harness) startBatch() {
+	h.startFlow("a", func(f *traffic.Flow) {
 		f.Join(traffic.Flow{ID: "b", Attempt: 2, Member: "m", Body: []byte("\r\nx"), Deadline: f.Deadline.Add(-time.Second)})
 		f.Join(traffic.Flow{ID: "c", Member: "m", Key: "kc", Deadline: f.Deadline.Add(time.Second)})
 	})
@@ -55,21 +55,21 @@
 	head := func(body string, more string) string {
 		return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n%s\r\n%s", len(body), more, body)
 	}
-	const delivered, errored, turnedAway, over, spent, broken, unsent = traffic.Delivered, traffic.Errored, traffic.FlowRefused, traffic.AlreadyEnded,
+	const delivered, errored, refused, over, spent, broken, unsent = traffic.Delivered, traffic.Errored, traffic.FlowRefused, traffic.AlreadyEnded,
 		traffic.AttemptsExhausted, traffic.ConnectionBroken, traffic.Unsent
 	for what, c := range map[string]struct {
 		answer string
 		ends   [3]traffic.FlowStatus // ends of a, b and c
 		wait   time.Duration
 	}{
-		"one status each":            {head("c refused\r\nb failed\r\na delivered\r\n", "X-Retry-In-Ms: 70\r\n"), [3]traffic.FlowStatus{delivered, errored, turnedAway}, 70 * time.Millisecond},
+		"one status each":            {head("c refused\r\nb failed\r\na delivered\r\n", "X-Retry-In-Ms: 70\r\n"), [3]traffic.FlowStatus{delivered, errored, refused}, 70 * time.Millisecond},
 		"over and spent":             {head("a over\nb spent\nc delivered", ""), [3]traffic.FlowStatus{over, spent, delivered}, 0},
 		"one missing, one unknown":   {head("a delivered\r\nzz delivered\r\nc delivered\r\n", ""), [3]traffic.FlowStatus{delivered, broken, delivered}, 0},
 		"unrecognized status":        {head("a delivered\r\nb perhaps\r\nc\r\n", ""), [3]traffic.FlowStatus{delivered, broken, broken}, 0},
 		"two ends for one id":        {head("a delivered\r\na refused\r\nb delivered\r\nc delivered\r\n", ""), [3]traffic.FlowStatus{broken, delivered, delivered}, 0},
 		"an empty answer":            {head("", ""), [3]traffic.FlowStatus{broken, broken, broken}, 0},
 		"truncated":                  {head("a delivered\r\nb delivered\r\nc delivered\r\n", "")[:70], [3]traffic.FlowStatus{broken, broken, broken}, 0},
-		"all turned away":            {"HTTP/1.1 429 Busy\r\nX-Retry-In-Ms: 50\r\nContent-Length: 0\r\n\r\n", [3]traffic.FlowStatus{turnedAway, turnedAway, turnedAway}, 50 * time.Millisecond},
+		"all turned away":            {"HTTP/1.1 429 Busy\r\nX-Retry-In-Ms: 50\r\nContent-Length: 0\r\n\r\n", [3]traffic.FlowStatus{refused, refused, refused}, 50 * time.Millisecond},
 		"all in error":               {"HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n", [3]traffic.FlowStatus{errored, errored, errored}, 0},
 		"too many, none has run":     {"HTTP/1.1 413 Large\r\nContent-Length: 0\r\n\r\n", [3]traffic.FlowStatus{unsent, unsent, unsent}, 0},
 		"not readable, none has run": {"HTTP/1.1 400 Bad\r\nContent-Length: 0\r\n\r\n", [3]traffic.FlowStatus{unsent, unsent, unsent}, 0},
@@ -98,7 +98,7 @@
 					t.Errorf("%s ends as %v, want %v", id, e, c.ends[i])
 				}
 			}
-			if c.ends[2] == turnedAway && first.Status != turnedAway {
+			if c.ends[2] == refused && first.Status != refused {
 				t.Errorf("first reported end: %+v, want turned away", first)
 			}
 			if c.wait > 0 { // the retry-after also binds the next call
--- a/internal/flow/conn_test.go
+++ b/internal/flow/conn_test.go
@@ -21,33 +21,33 @@
 	actions     map[int]func()
 }
 
-func (b *fleetHook) FlowEnded(traffic.Flow, traffic.FlowEnd) {}
-func (b *fleetHook) OnHold(traffic.Group, time.Time) bool {
-	if b.onHoldCalls++; b.actions[b.onHoldCalls] != nil {
-		b.actions[b.onHoldCalls]()
+func (h *fleetHook) FlowEnded(traffic.Flow, traffic.FlowEnd) {}
+func (h *fleetHook) OnHold(traffic.Group, time.Time) bool {
+	if h.onHoldCalls++; h.actions[h.onHoldCalls] != nil {
+		h.actions[h.onHoldCalls]()
 	}
 	return false
 }
 
 // deliverFirst delivers a first call and returns its connection, which is idle afterwards. A flow calls OnHold twice: before it gets its
 // connection and before its first byte. The fourth OnHold call is therefore the second one of the next flow.
-func (r *harness) deliverFirst() net.Conn {
-	r.t.Helper()
-	r.startFlow("first")
-	nc := <-r.conns
-	r.readCall(nc)
+func (h *harness) deliverFirst() net.Conn {
+	h.t.Helper()
+	h.startFlow("first")
+	nc := <-h.conns
+	h.readCall(nc)
 	if _, err := io.WriteString(nc, okAnswer); err != nil {
-		r.t.Fatal(err)
+		h.t.Fatal(err)
 	}
-	r.expectEnd("first", traffic.Delivered)
+	h.expectEnd("first", traffic.Delivered)
 	return nc
 }
 
 // openConns returns the open connections.
-func (r *harness) openConns() (list []*conn) {
-	r.manager.mu.Lock()
-	defer r.manager.mu.Unlock()
-	for _, c := range r.manager.connsByID {
+func (h *harness) openConns() (list []*conn) {
+	h.manager.mu.Lock()
+	defer h.manager.mu.Unlock()
+	for _, c := range h.manager.connsByID {
 		list = append(list, c)
 	}
 	return list
--- a/internal/flow/connections_test.go
+++ b/internal/flow/connections_test.go
@@ -11,9 +11,9 @@
 	"slatemux/internal/traffic"
 )
 
-func (r *harness) memberState(t *testing.T) conns.EndpointState {
+func (h *harness) memberState(t *testing.T) conns.EndpointState {
 	t.Helper()
-	list := r.manager.EndpointStates()
+	list := h.manager.EndpointStates()
 	if len(list) != 1 {
 		t.Fatalf("%+v", list)
 	}
@@ -30,13 +30,13 @@
 	}
 }
 
-func (r *harness) deliver(id string, nc net.Conn) {
-	r.t.Helper()
-	r.readCall(nc)
+func (h *harness) deliver(id string, nc net.Conn) {
+	h.t.Helper()
+	h.readCall(nc)
 	if _, err := io.WriteString(nc, okAnswer); err != nil {
-		r.t.Fatal(err)
+		h.t.Fatal(err)
 	}
-	r.expectEnd(id, traffic.Delivered)
+	h.expectEnd(id, traffic.Delivered)
 }
 
 // While no more connections may be opened, flows wait. The flow with the highest worth gets the first connection that becomes idle. A flow
--- a/internal/flow/dial_test.go
+++ b/internal/flow/dial_test.go
@@ -11,8 +11,8 @@
 
 type fakeResolver map[string][]netip.Addr
 
-func (n fakeResolver) LookupNetIP(_ context.Context, _, host string) ([]netip.Addr, error) {
-	if list, ok := n[host]; ok {
+func (r fakeResolver) LookupNetIP(_ context.Context, _, host string) ([]netip.Addr, error) {
+	if list, ok := r[host]; ok {
 		return list, nil
 	}
 	return nil, errors.New("no such host")
--- a/internal/flow/flow.go
+++ b/internal/flow/flow.go
@@ -257,9 +257,9 @@
 
 // flowEnd returns the end of the flow. Latency leaves out the time that the flow waited inside this program, because the pool member did
 // not cause it: a CPU-starved relay would otherwise consider its members slow, send them fewer calls and queue more messages.
-func (r *activeFlow) flowEnd(status traffic.FlowStatus) traffic.FlowEnd {
-	return traffic.FlowEnd{ID: r.ID, Attempt: r.Attempt, Member: r.Member, Status: status,
-		Latency: max(time.Since(r.StartedAt)-r.localWait, 0)}
+func (f *activeFlow) flowEnd(status traffic.FlowStatus) traffic.FlowEnd {
+	return traffic.FlowEnd{ID: f.ID, Attempt: f.Attempt, Member: f.Member, Status: status,
+		Latency: max(time.Since(f.StartedAt)-f.localWait, 0)}
 }
 
 // run executes one flow and reports its end.
@@ -376,11 +376,11 @@
 
 // writeDeadline returns when the last byte of the call must be written. A retry that reaches the member after Flow.WriteBy may run
 // twice, because the member no longer recognizes the duplicate. The zero time means no bound.
-func (r *activeFlow) writeDeadline() time.Time {
-	if r.WriteBy.IsZero() {
+func (f *activeFlow) writeDeadline() time.Time {
+	if f.WriteBy.IsZero() {
 		return time.Time{}
 	}
-	return r.WriteBy.Add(-writeMargin / 2)
+	return f.WriteBy.Add(-writeMargin / 2)
 }
 
 // sharedWait returns the end of a flow whose group must wait because of a retry-after that the other process of a handover received.
--- a/internal/flow/flow_test.go
+++ b/internal/flow/flow_test.go
@@ -60,37 +60,37 @@
 	return g
 }
 
-func (r *harness) setHealth(health traffic.Health) {
-	r.manager.UpdatePool(traffic.PoolUpdate{Members: []traffic.Member{{Host: "m", Address: r.listener.Addr().String(), Health: health}}})
+func (h *harness) setHealth(health traffic.Health) {
+	h.manager.UpdatePool(traffic.PoolUpdate{Members: []traffic.Member{{Host: "m", Address: h.listener.Addr().String(), Health: health}}})
 }
 
-func (r *harness) startFlow(id string, change ...func(*traffic.Flow)) {
+func (h *harness) startFlow(id string, change ...func(*traffic.Flow)) {
 	f := traffic.Flow{ID: id, Member: "m", Key: "k", Body: []byte("body"), StartedAt: time.Now(),
 		Deadline: time.Now().Add(time.Minute)}
 	for _, c := range change {
 		c(&f)
 	}
-	r.manager.Start(f)
+	h.manager.Start(f)
 }
 
 // readCall reads a call up to the end of its body.
-func (r *harness) readCall(nc net.Conn) string {
+func (h *harness) readCall(nc net.Conn) string {
 	var text []byte
 	buf := make([]byte, 1)
 	for !strings.HasSuffix(string(text), "\r\n\r\nbody") {
 		if _, err := nc.Read(buf); err != nil {
-			r.t.Fatal(err)
+			h.t.Fatal(err)
 		}
 		text = append(text, buf...)
 	}
 	return string(text)
 }
 
-func (r *harness) expectEnd(id string, status traffic.FlowStatus) traffic.FlowEnd {
-	r.t.Helper()
-	end := <-r.ends
+func (h *harness) expectEnd(id string, status traffic.FlowStatus) traffic.FlowEnd {
+	h.t.Helper()
+	end := <-h.ends
 	if end.ID != id || end.Status != status {
-		r.t.Errorf("%+v, want %s with status %d", end, id, status)
+		h.t.Errorf("%+v, want %s with status %d", end, id, status)
 	}
 	return end
 }
@@ -237,8 +237,8 @@
 	}
 }
 
-func (r *harness) idleConns() int {
-	for _, s := range r.manager.EndpointStates() {
+func (h *harness) idleConns() int {
+	for _, s := range h.manager.EndpointStates() {
 		return s.Idle
 	}
 	return 0
--- a/internal/flow/handshake_queue.go
+++ b/internal/flow/handshake_queue.go
@@ -33,91 +33,91 @@
 
 // wait waits for a grant until the deadline or the end of ctx. An admitted handshake must be ended with handshakeDone. A granted
 // connection belongs to the caller.
-func (o *handshakeQueue) wait(ctx context.Context, host string, worth float64, deadline time.Time) grant {
+func (q *handshakeQueue) wait(ctx context.Context, host string, worth float64, deadline time.Time) grant {
 	granted := make(chan grant, 1)
-	o.mu.Lock()
-	o.lastID++
-	id := o.lastID
-	o.waiters[id] = granted
-	o.gate.Add(tlspolicy.ConnectionRequest{ID: id, Endpoint: host, Worth: worth, Deadline: deadline.Sub(o.origin)})
-	o.dispatch()
-	o.mu.Unlock()
+	q.mu.Lock()
+	q.lastID++
+	id := q.lastID
+	q.waiters[id] = granted
+	q.gate.Add(tlspolicy.ConnectionRequest{ID: id, Endpoint: host, Worth: worth, Deadline: deadline.Sub(q.origin)})
+	q.dispatch()
+	q.mu.Unlock()
 	select {
 	case g := <-granted:
 		return g
 	case <-ctx.Done():
 	}
-	o.mu.Lock()
-	defer o.mu.Unlock()
+	q.mu.Lock()
+	defer q.mu.Unlock()
 	select {
 	case g := <-granted: // granted at the same moment
 		return g
 	default:
-		o.gate.Remove(id)
-		delete(o.waiters, id)
+		q.gate.Remove(id)
+		delete(q.waiters, id)
 		return grant{}
 	}
 }
 
 // dispatch admits the handshakes that may start now and ends expired waits. The caller holds o.mu.
-func (o *handshakeQueue) dispatch() {
-	if o.programLoad != nil {
-		o.gate.SetLoad(o.programLoad())
+func (q *handshakeQueue) dispatch() {
+	if q.programLoad != nil {
+		q.gate.SetLoad(q.programLoad())
 	}
-	admitted, expired, retryIn := o.gate.Next(time.Since(o.origin))
+	admitted, expired, retryIn := q.gate.Next(time.Since(q.origin))
 	for _, id := range admitted {
-		o.resolve(id, grant{admitted: true})
+		q.resolve(id, grant{admitted: true})
 	}
 	for _, id := range expired {
-		o.resolve(id, grant{})
+		q.resolve(id, grant{})
 	}
-	if retryIn > 0 && o.timer == nil {
-		o.timer = time.AfterFunc(retryIn, o.onTimer)
+	if retryIn > 0 && q.timer == nil {
+		q.timer = time.AfterFunc(retryIn, q.onTimer)
 	} else if retryIn > 0 {
-		o.timer.Reset(retryIn)
+		q.timer.Reset(retryIn)
 	}
 }
 
-func (o *handshakeQueue) onTimer() {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	o.dispatch()
+func (q *handshakeQueue) onTimer() {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.dispatch()
 }
 
-func (o *handshakeQueue) resolve(id uint64, g grant) {
-	o.waiters[id] <- g
-	delete(o.waiters, id)
+func (q *handshakeQueue) resolve(id uint64, g grant) {
+	q.waiters[id] <- g
+	delete(q.waiters, id)
 }
 
 // handshakeDone reports that an admitted handshake has ended, and the processor time that it took.
-func (o *handshakeQueue) handshakeDone(host string, duration time.Duration) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	o.gate.Done(host, duration)
-	o.dispatch()
+func (q *handshakeQueue) handshakeDone(host string, duration time.Duration) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.gate.Done(host, duration)
+	q.dispatch()
 }
 
 // offerIdle gives an idle connection to a flow that waits for one to the member. It returns false if no flow waits.
-func (o *handshakeQueue) offerIdle(host string, c *conn) bool {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	id, ok := o.gate.AssignIdle(host)
+func (q *handshakeQueue) offerIdle(host string, c *conn) bool {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	id, ok := q.gate.AssignIdle(host)
 	if ok {
-		o.resolve(id, grant{c: c})
+		q.resolve(id, grant{c: c})
 	}
 	return ok
 }
 
 // counters returns the counters of the gate and the number of waiting flows.
-func (o *handshakeQueue) counters() (tlspolicy.HandshakeCounters, int) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	return o.gate.Counters(), o.gate.Waiting()
+func (q *handshakeQueue) counters() (tlspolicy.HandshakeCounters, int) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	return q.gate.Counters(), q.gate.Waiting()
 }
 
 // hasWaiters reports whether a flow waits for a connection to the member.
-func (o *handshakeQueue) hasWaiters(host string) bool {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	return o.gate.WaitingFor(host) > 0
+func (q *handshakeQueue) hasWaiters(host string) bool {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	return q.gate.WaitingFor(host) > 0
 }
--- a/internal/flow/tls_test.go
+++ b/internal/flow/tls_test.go
@@ -92,13 +92,13 @@
 	return s
 }
 
-func (s *tlsHarness) startFlow(id string, worth float64) {
-	s.manager.Start(traffic.Flow{ID: id, Member: "m", Worth: worth, Body: []byte("body"), StartedAt: time.Now(), Deadline: time.Now().Add(time.Minute)})
+func (h *tlsHarness) startFlow(id string, worth float64) {
+	h.manager.Start(traffic.Flow{ID: id, Member: "m", Worth: worth, Body: []byte("body"), StartedAt: time.Now(), Deadline: time.Now().Add(time.Minute)})
 }
 
-func (s *tlsHarness) expectEnd(t *testing.T, status traffic.FlowStatus) traffic.FlowEnd {
+func (h *tlsHarness) expectEnd(t *testing.T, status traffic.FlowStatus) traffic.FlowEnd {
 	t.Helper()
-	end := <-s.ends
+	end := <-h.ends
 	if end.Status != status {
 		t.Errorf("%+v, want %v", end, status)
 	}
--- a/internal/front/admission_test.go
+++ b/internal/front/admission_test.go
@@ -74,7 +74,7 @@
 func TestGuardSurvivesGarbageWhenRefusing(t *testing.T) {
 	proptest.Check(t, func(t *rapid.T) {
 		g := guard{decide: func([]byte, int) bool { return true }}
-		for _, piece := range proptest.Split(t, proptest.Malformed(t, bytes.Repeat(putCommand, 3))) {
+		for _, piece := range proptest.Split(t, proptest.Malformed(t, bytes.Repeat(submitCommand, 3))) {
 			passed, err := g.Feed(piece)
 			if passed > len(piece) {
 				t.Fatalf("%d bytes of %d passed on", passed, len(piece))
@@ -87,7 +87,7 @@
 }
 
 func FuzzGuard(f *testing.F) {
-	f.Add(putCommand, 7)
+	f.Add(submitCommand, 7)
 	f.Add([]byte("*1\r\n$4\r\nPING\r\n"), 3)
 	f.Fuzz(func(t *testing.T, text []byte, cut int) {
 		g := guard{decide: func(fields []byte, size int) bool { return size%2 == 0 }}
@@ -112,11 +112,11 @@
 	readPause    time.Duration
 }
 
-func (g *sizeLimiter) Admit(submission overload.Submission) overload.Decision {
-	g.decisions.Add(1)
-	return overload.Decision{Refused: submission.BodyBytes > g.maxBodyBytes, RetryIn: 70 * time.Millisecond}
+func (l *sizeLimiter) Admit(submission overload.Submission) overload.Decision {
+	l.decisions.Add(1)
+	return overload.Decision{Refused: submission.BodyBytes > l.maxBodyBytes, RetryIn: 70 * time.Millisecond}
 }
-func (g *sizeLimiter) ReadPause() time.Duration { return g.readPause }
+func (l *sizeLimiter) ReadPause() time.Duration { return l.readPause }
 
 // acceptingRelay accepts every submission and counts them.
 type acceptingRelay struct{ n atomic.Int64 }
@@ -150,11 +150,11 @@
 func TestAdmissionAnswersInOrder(t *testing.T) {
 	g := &sizeLimiter{maxBodyBytes: 100}
 	s, relay, c := startLimitedServer(t, g)
-	put := func(body int) []byte {
+	submission := func(body int) []byte {
 		return encodeCommand("MSG.PUT", "0", "id", "c=pay,t=acme,d=8000,k=5c0f,dest=7", strings.Repeat("b", body))
 	}
 	unknown := encodeCommand("MSG.PUT", "0", "id", "c=what,t=acme,d=8000,k=5c0f,dest=7", strings.Repeat("b", 5000))
-	text := bytes.Join([][]byte{put(10), put(5000), []byte("PING\r\n"), put(60_000), unknown, put(20), put(101)}, nil)
+	text := bytes.Join([][]byte{submission(10), submission(5000), []byte("PING\r\n"), submission(60_000), unknown, submission(20), submission(101)}, nil)
 	if _, err := c.Write(text); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/front/client.go
+++ b/internal/front/client.go
@@ -97,8 +97,8 @@
 }
 
 // before reports whether a connection of this rank is evicted before one of the other rank.
-func (q evictionRank) before(other evictionRank) bool {
-	return q.usage < other.usage || q.usage == other.usage && q.lastReceived.Before(other.lastReceived)
+func (r evictionRank) before(other evictionRank) bool {
+	return r.usage < other.usage || r.usage == other.usage && r.lastReceived.Before(other.lastReceived)
 }
 
 // markSubmission records that the client submits transactions on this connection.
--- a/internal/front/command.go
+++ b/internal/front/command.go
@@ -16,20 +16,20 @@
 // maxTimeLeft is the longest time to its deadline that a client may give a transaction.
 const maxTimeLeft = 24 * time.Hour
 
-// Command is one decoded command: Ping, Put or Unknown.
+// Command is one decoded command: Ping, Submit or Unknown.
 type Command interface{ command() }
 
 // Ping asks whether the relay is ready. The reply repeats Text if there is any.
 type Ping struct{ Text []byte }
 
-// Put submits a transaction.
-type Put struct{ Transaction traffic.Transaction }
+// Submit submits a transaction.
+type Submit struct{ Transaction traffic.Transaction }
 
 // Unknown is an unrecognized command.
 type Unknown struct{ Name string }
 
 func (Ping) command()    {}
-func (Put) command()     {}
+func (Submit) command()  {}
 func (Unknown) command() {}
 
 // Parse decodes a command that was received at the given time. The result shares memory with args.
@@ -47,15 +47,15 @@
 		}
 		return Ping{}, nil
 	case "MSG.PUT":
-		t, err := parsePut(args, classes, received)
-		return Put{t}, err
+		t, err := parseSubmit(args, classes, received)
+		return Submit{t}, err
 	default:
 		return Unknown{fmt.Sprintf("%.40q", args[0])}, nil
 	}
 }
 
-// parsePut decodes MSG.PUT KEY ID FIELDS BODY.
-func parsePut(args [][]byte, classes map[string]dispatch.Effect, received time.Time) (traffic.Transaction, error) {
+// parseSubmit decodes MSG.PUT KEY ID FIELDS BODY.
+func parseSubmit(args [][]byte, classes map[string]dispatch.Effect, received time.Time) (traffic.Transaction, error) {
 	var t traffic.Transaction
 	if len(args) != 5 {
 		return t, fmt.Errorf("MSG.PUT takes 4 arguments, not %d", len(args)-1)
--- a/internal/front/connection_end_test.go
+++ b/internal/front/connection_end_test.go
@@ -102,7 +102,7 @@
 		t.Run(name, func(t *testing.T) {
 			hook := &readHook{afterRead: make(chan bool, 10)}
 			s, r := startHookedServer(t, hook)
-			_, rd := dialAndSend(t, s, string(putCommand))
+			_, rd := dialAndSend(t, s, string(submitCommand))
 			waitUntil(func() bool { return hook.received.Load() == 1 })
 			end(s)
 			hook.afterRead <- true
@@ -123,10 +123,10 @@
 			s, r := startHookedServer(t, hook)
 			nc, rd := dialAndSend(t, s, "")
 			waitUntil(func() bool { return hook.reads.Load() == 1 && len(s.clients()) == 1 })
-			if _, err := nc.Write(putCommand); err != nil {
+			if _, err := nc.Write(submitCommand); err != nil {
 				t.Fatal(err)
 			}
-			waitUntil(func() bool { return unreadBytes(t, s) == len(putCommand) })
+			waitUntil(func() bool { return unreadBytes(t, s) == len(submitCommand) })
 			end(s)
 			close(hook.beforeRead)
 			expectLine(t, "a client whose command had arrived", rd, "+OK")
@@ -155,12 +155,12 @@
 	for name, end := range endConnections {
 		t.Run(name, func(t *testing.T) {
 			s, r := startHookedServer(t, nil)
-			nc, rd := dialAndSend(t, s, string(putCommand))
+			nc, rd := dialAndSend(t, s, string(submitCommand))
 			waitUntil(func() bool { return r.n.Load() == 1 && noAnswerPending(s) })
 			end(s)
 			waitUntil(func() bool { return len(s.clients()) == 0 })
 			for range 3 { // a first write could cause a reset, and a second one would fail on it
-				if _, err := nc.Write(putCommand); err != nil {
+				if _, err := nc.Write(submitCommand); err != nil {
 					t.Errorf("the connection was reset: %v", err)
 				}
 				time.Sleep(5 * time.Millisecond)
@@ -195,16 +195,16 @@
 // and its client can safely submit it again.
 func TestCommandSplitByDrain(t *testing.T) {
 	var parts sync.WaitGroup
-	for cut := 1; cut < len(putCommand); cut++ {
+	for cut := 1; cut < len(submitCommand); cut++ {
 		parts.Go(func() {
 			for _, complete := range []bool{true, false} {
 				s, r := startHookedServer(t, nil)
-				nc, rd := dialAndSend(t, s, string(putCommand[:cut]))
+				nc, rd := dialAndSend(t, s, string(submitCommand[:cut]))
 				waitUntil(func() bool { return unfinishedCommands(s) == 1 })
 				s.Drain()
 				want, submissions := "-BUSY", int64(0)
 				if complete {
-					_, _ = nc.Write(putCommand[cut:])
+					_, _ = nc.Write(submitCommand[cut:])
 					want, submissions = "+OK", 1
 				} else {
 					s.Shutdown()
@@ -225,10 +225,10 @@
 // read.
 func TestSlowSenderIsRefused(t *testing.T) {
 	s, _ := startHookedServer(t, nil)
-	nc, rd := dialAndSend(t, s, string(putCommand[:1]))
+	nc, rd := dialAndSend(t, s, string(submitCommand[:1]))
 	waitUntil(func() bool { return unfinishedCommands(s) == 1 })
-	for i := range len(putCommand) - 2 {
-		if _, err := nc.Write(putCommand[1+i : 2+i]); err != nil {
+	for i := range len(submitCommand) - 2 {
+		if _, err := nc.Write(submitCommand[1+i : 2+i]); err != nil {
 			break
 		}
 		for _, c := range s.clients() {
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -66,7 +66,7 @@
 
 	shed, shedUnread, pausedReads atomic.Int64
 
-	accepted, turnedAway, evicted, commands, badCommands, badFrames atomic.Int64
+	accepted, refused, evicted, commands, badCommands, badFrames atomic.Int64
 }
 
 // Limits bounds what a server holds.
@@ -158,7 +158,7 @@
 
 // Counters returns the counters.
 func (s *Server) Counters() Counters {
-	return Counters{s.accepted.Load(), s.turnedAway.Load(), s.evicted.Load(), s.commands.Load(), s.badCommands.Load(),
+	return Counters{s.accepted.Load(), s.refused.Load(), s.evicted.Load(), s.commands.Load(), s.badCommands.Load(),
 		s.badFrames.Load(), s.shed.Load(), s.shedUnread.Load(), s.pausedReads.Load()}
 }
 
@@ -213,7 +213,7 @@
 		} else {
 			conn.WriteString("PONG")
 		}
-	case Put:
+	case Submit:
 		if ok {
 			c.markSubmission()
 		}
@@ -277,7 +277,7 @@
 			l.server.accepted.Add(1)
 			return c, nil
 		}
-		l.server.turnedAway.Add(1)
+		l.server.refused.Add(1)
 		slog.Warn("client turned away: too many connections", "client", nc.RemoteAddr())
 		go func() {
 			c.refuse(errNoCapacity)
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -26,10 +26,10 @@
 	return b
 }
 
-var putCommand = encodeCommand("MSG.PUT", "7f3a", "9b1f", "c=pay,t=acme,d=8000,k=5c0f,dest=7,r=1,new=x", "a\r\nbody")
+var submitCommand = encodeCommand("MSG.PUT", "7f3a", "9b1f", "c=pay,t=acme,d=8000,k=5c0f,dest=7,r=1,new=x", "a\r\nbody")
 
 func TestGuardPassesSplitCommands(t *testing.T) {
-	text := bytes.Join([][]byte{putCommand, []byte("PING\r\n"), encodeCommand("PING", ""), putCommand}, nil)
+	text := bytes.Join([][]byte{submitCommand, []byte("PING\r\n"), encodeCommand("PING", ""), submitCommand}, nil)
 	proptest.Check(t, func(t *rapid.T) {
 		var g guard
 		for _, piece := range proptest.Split(t, text) {
@@ -51,7 +51,7 @@
 	classes := map[string]dispatch.Effect{"pay": dispatch.Keyed}
 	proptest.Check(t, func(t *rapid.T) {
 		var g guard
-		text := proptest.Malformed(t, putCommand)
+		text := proptest.Malformed(t, submitCommand)
 		n, _ := g.Feed(text)
 		rd, handled := redcon.NewReader(bytes.NewReader(text[:n])), 0
 		for cmd, err := rd.ReadCommand(); err == nil; cmd, err = rd.ReadCommand() {
@@ -76,7 +76,7 @@
 	}
 }
 
-func TestParsePut(t *testing.T) {
+func TestParseSubmit(t *testing.T) {
 	classes := map[string]dispatch.Effect{"pay": dispatch.Keyed, "slot": dispatch.Safe}
 	at := time.Now()
 	args := func(fields string) [][]byte {
@@ -86,7 +86,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	got := c.(Put).Transaction
+	got := c.(Submit).Transaction
 	if got.ID != "id1" || got.Class != "pay" || got.Tenant != "acme" || got.IdempotencyKey != "5c0f" || got.Destination != 7 ||
 		!got.Deadline.Equal(at.Add(8*time.Second)) || string(got.Body) != "b" {
 		t.Errorf("%+v", got)
@@ -151,7 +151,7 @@
 	for want, a := range map[string]traffic.Answer{"+OK": {Verdict: traffic.Accepted}, "-BUSY": {Verdict: traffic.Busy},
 		"-BUSY 250": {Verdict: traffic.Busy, RetryIn: 250 * time.Millisecond}, "-ERR failed": {Verdict: traffic.Failed}} {
 		s := startServer(t, 10, a)
-		got := exchange(t, s, encodeCommand("PING"), putCommand, encodeCommand("NO"), []byte("*1\r\n$70000\r\n"))
+		got := exchange(t, s, encodeCommand("PING"), submitCommand, encodeCommand("NO"), []byte("*1\r\n$70000\r\n"))
 		if fmt.Sprint(got) != "[+PONG "+want+` -ERR unknown command "NO" -ERR Protocol error: `+errBadFrame.Error()+"]" {
 			t.Errorf("%q", got)
 		}
@@ -164,7 +164,7 @@
 // controlledRelay answers when the test sends it an answer.
 type controlledRelay chan traffic.Answer
 
-func (s controlledRelay) Submit(traffic.Transaction, time.Time) <-chan traffic.Answer { return s }
+func (r controlledRelay) Submit(traffic.Transaction, time.Time) <-chan traffic.Answer { return r }
 
 // At a planned restart, a command that was read must be answered before its connection is closed. Otherwise the message would count
 // as lost.
@@ -176,7 +176,7 @@
 	}
 	go func() { _ = s.Serve() }()
 	answered := make(chan []string)
-	go func() { answered <- exchange(t, s, putCommand, encodeCommand("PING")) }()
+	go func() { answered <- exchange(t, s, submitCommand, encodeCommand("PING")) }()
 	for s.Counters().Commands == 0 {
 		time.Sleep(time.Millisecond)
 	}
@@ -242,12 +242,12 @@
 	}
 	go func() { _ = s.Serve() }()
 	defer s.Drain()
-	used, answers := dialAndSend(t, s, string(putCommand))
+	used, answers := dialAndSend(t, s, string(submitCommand))
 	relay <- traffic.Answer{Verdict: traffic.Accepted}
 	expectLine(t, "a client with a submission", answers, "+OK")
 	_, silent := dialAndSend(t, s, "")
-	_, unfinished := dialAndSend(t, s, string(putCommand[:20]))
-	_, pending := dialAndSend(t, s, string(putCommand))
+	_, unfinished := dialAndSend(t, s, string(submitCommand[:20]))
+	_, pending := dialAndSend(t, s, string(submitCommand))
 	waitUntil(func() bool {
 		return s.Counters().Accepted == 4 && s.Counters().Commands == 2 && unfinishedCommands(s) == 1
 	})
@@ -300,7 +300,7 @@
 	s := startServer(t, 100, traffic.Answer{})
 	s.SetLimits(Limits{100, 4, 1 << 20})
 	var kept []*bufio.Reader
-	for i, text := range []string{string(putCommand), string(putCommand), "PING\r\n", string(putCommand), string(putCommand), string(putCommand)} {
+	for i, text := range []string{string(submitCommand), string(submitCommand), "PING\r\n", string(submitCommand), string(submitCommand), string(submitCommand)} {
 		_, rd := dialAndSend(t, s, text)
 		expectLine(t, fmt.Sprint("client ", i), rd, map[bool]string{true: "+PONG", false: "+OK"}[i == 2])
 		kept = append(kept, rd)
--- a/internal/governor/governor_test.go
+++ b/internal/governor/governor_test.go
@@ -60,14 +60,14 @@
 }
 
 // runTicks runs n ticks with a number of submissions before each, and returns how many were refused.
-func runTicks(g *Governor, parts *fakeParts, n, handIns int) (refused int) {
+func runTicks(g *Governor, parts *fakeParts, n, submissions int) (refused int) {
 	for range n {
-		for range handIns {
+		for range submissions {
 			if g.Admit(overload.Submission{Class: "pay", TimeLeft: 4 * time.Second, BodyBytes: 10}).Refused {
 				refused++
 			}
 		}
-		parts.load.Ended += int64(handIns)
+		parts.load.Ended += int64(submissions)
 		parts.now = parts.now.Add(50 * ms)
 		g.tick(parts.now)
 	}
--- a/internal/lab/capacity/carrier.go
+++ b/internal/lab/capacity/carrier.go
@@ -22,8 +22,8 @@
 	Receive(now time.Duration, from int, body any) []Message
 	// Tick performs the work that is due.
 	Tick(now time.Duration) []Message
-	// Due returns the time at which Tick next has work.
-	Due() time.Duration
+	// NextTick returns the time at which Tick next has work.
+	NextTick() time.Duration
 	// AddCounts adds the counters of the node to a total.
 	AddCounts(to *Counts)
 }
--- a/internal/lab/capacity/configsync.go
+++ b/internal/lab/capacity/configsync.go
@@ -132,8 +132,8 @@
 	return n.toMessages(now, n.replica.Tick(now))
 }
 
-// Due returns the time at which the replica next has work.
-func (n *configsyncNode) Due() time.Duration { return n.replica.NextTick() }
+// NextTick returns the time at which the replica next has work.
+func (n *configsyncNode) NextTick() time.Duration { return n.replica.NextTick() }
 
 // AddCounts adds the counters of all replicas that this relay has had.
 func (n *configsyncNode) AddCounts(to *Counts) {
--- a/internal/lab/capacity/fleet.go
+++ b/internal/lab/capacity/fleet.go
@@ -166,7 +166,7 @@
 func (f *fleet) runNode(r *relay, step func(now time.Duration) []Message) {
 	before := threadCPUTime()
 	messages := step((f.sim.Now() - r.startedAt).Duration())
-	due := r.node.Due()
+	due := r.node.NextTick()
 	spent := threadCPUTime() - before
 	if f.sim.Now() >= f.measurementStart {
 		r.cpuTime += spent
@@ -191,7 +191,7 @@
 			return
 		}
 		r.nextTick = never
-		if due := r.startedAt + emulator.Time(r.node.Due()); due > f.sim.Now() { // the node has postponed its work
+		if due := r.startedAt + emulator.Time(r.node.NextTick()); due > f.sim.Now() { // the node has postponed its work
 			f.scheduleTick(r, due)
 			return
 		}
--- a/internal/lab/capacity/limits.go
+++ b/internal/lab/capacity/limits.go
@@ -156,12 +156,12 @@
 	n.allocator.ReportDemand(now, d, arrived, waiting)
 }
 
-// Due returns the time of the next tick.
-func (n *limitsNode) Due() time.Duration { return n.nextTick }
+// NextTick returns the time of the next tick.
+func (n *limitsNode) NextTick() time.Duration { return n.nextTick }
 
 // AddCounts adds the counters of the allocator.
 func (n *limitsNode) AddCounts(to *Counts) {
 	c := n.allocator.Counters()
-	to.Errors += c.Rejected + c.ForeignDestinations
+	to.Errors += c.Rejected + c.OtherShardDestinations
 	to.Retries += c.OwnersAvoided
 }
--- a/internal/lab/capacity/outages.go
+++ b/internal/lab/capacity/outages.go
@@ -108,7 +108,7 @@
 	for len(n.queue) > 0 && n.queue[0].due <= now+n.startedAt {
 		messages = append(messages, n.announceNext(now)...)
 	}
-	if n.spread.Due() <= now {
+	if n.spread.NextTick() <= now {
 		messages = append(messages, n.spreadNode.Tick(now)...)
 	}
 	return messages
@@ -131,10 +131,10 @@
 	return n.toMessages(n.spread.Announce(now, []verdicts.Statement{s}))
 }
 
-// Due returns the time of the next announcement or of the spreadNode's next work, whichever is earlier.
-func (n *outageNode) Due() time.Duration {
+// NextTick returns the time of the next announcement or of the spreadNode's next work, whichever is earlier.
+func (n *outageNode) NextTick() time.Duration {
 	if len(n.queue) == 0 {
-		return n.spread.Due()
+		return n.spread.NextTick()
 	}
-	return min(n.spread.Due(), n.queue[0].due-n.startedAt)
+	return min(n.spread.NextTick(), n.queue[0].due-n.startedAt)
 }
--- a/internal/lab/capacity/slopes/backlog.go
+++ b/internal/lab/capacity/slopes/backlog.go
@@ -69,7 +69,7 @@
 	if err != nil {
 		return err
 	}
-	poolUpdate := list.News()
+	poolUpdate := list.Update()
 	heapBefore, start := heapBytes(), time.Now()
 	var store *journal.Journal
 	replayTime := measureThreadCPU(func() { store, err = journal.Open(folder, maxJournalBytes) })
--- a/internal/lab/capacity/slopes/fleetnodes.go
+++ b/internal/lab/capacity/slopes/fleetnodes.go
@@ -199,8 +199,8 @@
 func (run *fleetRun) transferredBytes() []float64 {
 	var list []float64
 	for _, node := range run.nodes[:run.size] {
-		figures := node.Metrics()
-		list = append(list, float64(figures.SentBytes+figures.ReceivedBytes))
+		metrics := node.Metrics()
+		list = append(list, float64(metrics.SentBytes+metrics.ReceivedBytes))
 	}
 	return list
 }
--- a/internal/lab/capacity/slopes/relay.go
+++ b/internal/lab/capacity/slopes/relay.go
@@ -137,14 +137,14 @@
 	if err != nil {
 		return err
 	}
-	flowsBytes, err := measureFlows(list.News(), record)
+	flowsBytes, err := measureFlows(list.Update(), record)
 	if err != nil {
 		return err
 	}
-	if err := measureListHandling(ctx, plan, list.News(), bookBytes+flowsBytes, record); err != nil {
+	if err := measureListHandling(ctx, plan, list.Update(), bookBytes+flowsBytes, record); err != nil {
 		return err
 	}
-	if err := measureLoadedRelay(ctx, plan, list.News(), record); err != nil {
+	if err := measureLoadedRelay(ctx, plan, list.Update(), record); err != nil {
 		return err
 	}
 	steps, err := measureModuleSteps(ctx, size, plan.BacklogSizes[0], uint64(plan.Seed))
--- a/internal/lab/capacity/spread.go
+++ b/internal/lab/capacity/spread.go
@@ -194,8 +194,8 @@
 	return slices.Clone(n.spread.Announce(now, statements))
 }
 
-// Due returns the time at which internal/spread next has work.
-func (n *spreadNode) Due() time.Duration { return n.spread.Due() }
+// NextTick returns the time at which internal/spread next has work.
+func (n *spreadNode) NextTick() time.Duration { return n.spread.NextTick() }
 
 // AddCounts adds the counters of internal/spread.
 func (n *spreadNode) AddCounts(to *Counts) {
--- a/internal/lab/deployment.go
+++ b/internal/lab/deployment.go
@@ -82,14 +82,14 @@
 }
 
 // Start starts the partners and the platform of a deployment and writes the relay's configuration to a folder. Close stops them.
-func Start(dir string, p DeploymentConfig) (*Deployment, error) {
-	d := &Deployment{Config: p, Ledger: &ledger.Ledger{}, RelayNode: &RelayNode{Name: "lab", Dir: dir}}
-	for _, c := range p.Classes {
+func Start(dir string, config DeploymentConfig) (*Deployment, error) {
+	d := &Deployment{Config: config, Ledger: &ledger.Ledger{}, RelayNode: &RelayNode{Name: "lab", Dir: dir}}
+	for _, c := range config.Classes {
 		effect := map[string]ledger.Effect{"safe": ledger.Safe, "keyed": ledger.Keyed, "unsafe": ledger.Unsafe}[c.Repeat]
 		d.Classes = append(d.Classes, ledger.Class{Name: c.Name, Effect: effect, Memory: c.Memory, Worth: c.Worth, Aim: c.Aim})
 	}
 	var hosts []platform.Host
-	for n, cfg := range p.Partners {
+	for n, cfg := range config.Partners {
 		cfg.Ledger = d.Ledger
 		if cfg.Addr == "" {
 			cfg.Addr = "127.0.0.1:0"
@@ -101,8 +101,8 @@
 		}
 		d.Partners = append(d.Partners, s)
 		kind := "partner"
-		if p.Kind != nil {
-			kind = p.Kind(n)
+		if config.Kind != nil {
+			kind = config.Kind(n)
 		}
 		hosts = append(hosts, platform.Host{Host: cfg.Name, Dial: s.Addr(), Site: "here", Class: kind, Block: cfg.Dest,
 			Health: "active", Share: cmp.Or(cfg.Share, max(cfg.Phases[0].Rate, 20))})
@@ -133,16 +133,16 @@
 }
 
 // ConfigPath returns the path of the relay's configuration file.
-func (s *RelayNode) ConfigPath() string { return filepath.Join(s.Dir, "config.json") }
+func (n *RelayNode) ConfigPath() string { return filepath.Join(n.Dir, "config.json") }
 
 // StateDir returns the path of the folder that persists over restarts of the relay.
-func (s *RelayNode) StateDir() string { return filepath.Join(s.Dir, "state") }
+func (n *RelayNode) StateDir() string { return filepath.Join(n.Dir, "state") }
 
 // WriteConfiguration writes the configuration of a relay with known as its last known pool, and chooses its client address if there is none.
-func (d *Deployment) WriteConfiguration(s *RelayNode, known json.RawMessage) (err error) {
+func (d *Deployment) WriteConfiguration(node *RelayNode, known json.RawMessage) (err error) {
 	p := d.Config
-	if s.Listen == "" {
-		if s.Listen, err = FreePort(); err != nil {
+	if node.Listen == "" {
+		if node.Listen, err = FreePort(); err != nil {
 			return err
 		}
 	}
@@ -156,12 +156,12 @@
 		orgs = append(orgs, map[string]any{"name": t.Name, "allowance-per-s": t.Allowance, "portion": t.Share})
 	}
 	configuration := map[string]any{
-		"name": s.Name, "listen": s.Listen, "discovery": s.Discovery, "seed": fmt.Sprintf("%x", p.Seed+uint64(s.Number)<<32),
+		"name": node.Name, "listen": node.Listen, "discovery": node.Discovery, "seed": fmt.Sprintf("%x", p.Seed+uint64(node.Number)<<32),
 		"limits": map[string]any{"cores": 1, "memory_mb": p.MemoryMB, "sockets": p.Sockets, "disk_mb": p.DiskMB},
 		"known":  known,
 		"settings": map[string]any{
 			"classes": classes, "kinds": []string{"partner"}, "localities": []string{"here"}, "zone": "here", "orgs": orgs,
-			"over-share-worth": 0.1, "peers-total": max(p.Relays, 1), "self-index": s.Number, "resolution-ms": 5, "membership-mode": "pushed", "weights": "rough",
+			"over-share-worth": 0.1, "peers-total": max(p.Relays, 1), "self-index": node.Number, "resolution-ms": 5, "membership-mode": "pushed", "weights": "rough",
 			"family-info": map[string]any{"max-calls": p.MaxCalls, "late": "halves", "own-limits": []bool{false}, "carriage": []float64{0}},
 			"limits": map[string]any{"connect-timeout-ms": 1000, "keepalive-ms": millis(p.KeepAlive), "max-attempts": 8, "max-open": p.MaxOpen,
 				"max-retry-after-ms": 3000, "retry-after": true, "cancel": true, "streams-per-conn": 1},
@@ -176,10 +176,10 @@
 	if err != nil {
 		return fmt.Errorf("lab: %w", err)
 	}
-	if err := os.MkdirAll(s.StateDir(), 0o700); err != nil {
+	if err := os.MkdirAll(node.StateDir(), 0o700); err != nil {
 		return fmt.Errorf("lab: %w", err)
 	}
-	if err := os.WriteFile(s.ConfigPath(), raw, 0o600); err != nil {
+	if err := os.WriteFile(node.ConfigPath(), raw, 0o600); err != nil {
 		return fmt.Errorf("lab: %w", err)
 	}
 	return nil
@@ -187,22 +187,22 @@
 
 // StartRelay starts a relay process on the given processors and waits until it is ready. gateway is the text of the relay's own settings
 // file; empty for none.
-func (s *RelayNode) StartRelay(binary string, cpus []int, gateway string, flags ...string) (*Process, error) {
-	return s.StartRelayWithEnv(binary, cpus, nil, gateway, flags...)
+func (n *RelayNode) StartRelay(binary string, cpus []int, gateway string, flags ...string) (*Process, error) {
+	return n.StartRelayWithEnv(binary, cpus, nil, gateway, flags...)
 }
 
 // StartRelayWithEnv starts a relay like StartRelay, with additional environment variables. A second process beside the first needs its own admin
 // endpoint and the TMPDIR of the first.
-func (s *RelayNode) StartRelayWithEnv(binary string, cpus []int, env []string, gateway string, flags ...string) (*Process, error) {
+func (n *RelayNode) StartRelayWithEnv(binary string, cpus []int, env []string, gateway string, flags ...string) (*Process, error) {
 	args := append([]string{"--log-format", "json"}, flags...)
 	if gateway != "" {
-		path := filepath.Join(s.Dir, "gateway.textproto")
+		path := filepath.Join(n.Dir, "gateway.textproto")
 		if err := os.WriteFile(path, []byte(gateway), 0o600); err != nil {
 			return nil, fmt.Errorf("lab: %w", err)
 		}
 		args = append(args, "--config", path)
 	}
-	p, err := Run(cpus, append([]string{"NODE_CONFIG=" + s.ConfigPath(), "NODE_STATE=" + s.StateDir()}, env...), binary, args...)
+	p, err := Run(cpus, append([]string{"NODE_CONFIG=" + n.ConfigPath(), "NODE_STATE=" + n.StateDir()}, env...), binary, args...)
 	if err != nil {
 		return nil, err
 	}
@@ -220,8 +220,8 @@
 }
 
 // RunLoadOn runs a load against one of several relays.
-func (d *Deployment) RunLoadOn(ctx context.Context, s *RelayNode, cfg load.Config) error {
-	cfg.Addr, cfg.Classes, cfg.Ledger, cfg.Relay = s.Listen, d.Classes, d.Ledger, s.Number
+func (d *Deployment) RunLoadOn(ctx context.Context, node *RelayNode, cfg load.Config) error {
+	cfg.Addr, cfg.Classes, cfg.Ledger, cfg.Relay = node.Listen, d.Classes, d.Ledger, node.Number
 	return load.Run(ctx, cfg)
 }
 
--- a/internal/lab/emulator/gossip/gossip.go
+++ b/internal/lab/emulator/gossip/gossip.go
@@ -114,7 +114,7 @@
 		d.notifyReceived(nil, d.Judge.Expired(d.Now(), expired))
 		d.send(d.Spread.Tick(d.Now()))
 	}
-	d.network.Sim.After(max(d.Spread.Due()-d.Now(), time.Millisecond), eventPriority, func() { d.tick(generation) })
+	d.network.Sim.After(max(d.Spread.NextTick()-d.Now(), time.Millisecond), eventPriority, func() { d.tick(generation) })
 }
 
 // Announce sends a statement of this relay to the fleet.
--- a/internal/lab/emulator/servermodel/queue.go
+++ b/internal/lab/emulator/servermodel/queue.go
@@ -87,16 +87,16 @@
 // jobHeap is a heap of jobs in the order in which they finish.
 type jobHeap []sharedJob
 
-func (t jobHeap) Len() int { return len(t) }
-func (t jobHeap) Less(i, j int) bool {
-	return t[i].finishSeconds < t[j].finishSeconds || t[i].finishSeconds == t[j].finishSeconds && t[i].job < t[j].job
+func (h jobHeap) Len() int { return len(h) }
+func (h jobHeap) Less(i, j int) bool {
+	return h[i].finishSeconds < h[j].finishSeconds || h[i].finishSeconds == h[j].finishSeconds && h[i].job < h[j].job
 }
-func (t jobHeap) Swap(i, j int) { t[i], t[j] = t[j], t[i] }
-func (t *jobHeap) Push(x any)   { *t = append(*t, x.(sharedJob)) }
-func (t *jobHeap) Pop() any {
-	old := *t
+func (h jobHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+func (h *jobHeap) Push(x any)   { *h = append(*h, x.(sharedJob)) }
+func (h *jobHeap) Pop() any {
+	old := *h
 	x := old[len(old)-1]
-	*t = old[:len(old)-1]
+	*h = old[:len(old)-1]
 	return x
 }
 
--- a/internal/lab/emulator/workload/fleet.go
+++ b/internal/lab/emulator/workload/fleet.go
@@ -46,7 +46,7 @@
 }
 
 // joinFleet creates the fleet parts of all relays.
-func joinFleet(sim *emulator.Sim, f *GossipConfig, relays []*relay, senders []*dispatch.Sender, post func(*relay, dispatch.Event), told *GossipMetrics) ([]*fleetMember, error) {
+func joinFleet(sim *emulator.Sim, f *GossipConfig, relays []*relay, senders []*dispatch.Sender, post func(*relay, dispatch.Event), metrics *GossipMetrics) ([]*fleetMember, error) {
 	net, err := gossip.New(sim, gossip.Config{Relays: len(relays), Links: f.Links, ExchangeInterval: f.ExchangeInterval, BytesPerSecond: f.BytesPerSecond, Quorum: f.Quorum})
 	if err != nil {
 		return nil, err
@@ -60,7 +60,7 @@
 		p.announcedAt, p.now = announcedAt, sim.Now
 		p.node.OnReceive = func(now time.Duration, newStatements []verdicts.Statement, restraints []verdicts.Restraint) {
 			for _, s := range newStatements {
-				told.SpreadTimes = append(told.SpreadTimes, (sim.Now() - announcedAt[statementID{s.Origin, s.Seq}]).Duration())
+				metrics.SpreadTimes = append(metrics.SpreadTimes, (sim.Now() - announcedAt[statementID{s.Origin, s.Seq}]).Duration())
 			}
 			p.applyRestraints(now, restraints)
 		}
@@ -70,7 +70,7 @@
 }
 
 // applyRestraints passes the restraints that follow from other relays' statements to the decision module.
-func (p *fleetMember) applyRestraints(now time.Duration, restraints []verdicts.Restraint) {
+func (m *fleetMember) applyRestraints(now time.Duration, restraints []verdicts.Restraint) {
 	for _, c := range restraints {
 		ev := dispatch.FleetReport{Destination: c.Destination, Endpoint: c.Member, Age: max(now-c.At, 0)}
 		switch c.Order {
@@ -78,26 +78,26 @@
 			ev.Kind, ev.For = dispatch.ReportedWait, max(c.At-now, 0)
 		case verdicts.OrderOutage:
 			ev.Kind = dispatch.ReportedOutage
-			p.receivedOutages[c.Member] = true
+			m.receivedOutages[c.Member] = true
 		case verdicts.OrderRecovery:
 			ev.Kind = dispatch.ReportedRecovery
-			delete(p.receivedOutages, c.Member)
+			delete(m.receivedOutages, c.Member)
 		case verdicts.OrderRelease:
 			ev.Kind = dispatch.ReportLapsed
-			delete(p.receivedOutages, c.Member)
+			delete(m.receivedOutages, c.Member)
 		}
-		p.post(ev)
+		m.post(ev)
 	}
 }
 
 // observe records the outcomes of the calls that ended before a step, and announces the statements that follow from them. dest returns
 // the destination of a message.
-func (p *fleetMember) observe(outcomes []dispatch.Outcome, dest func(id string) int, told *GossipMetrics) {
-	now := p.node.Now()
+func (m *fleetMember) observe(outcomes []dispatch.Outcome, dest func(id string) int, metrics *GossipMetrics) {
+	now := m.node.Now()
 	announce := func(s verdicts.Statement) {
-		told.Statements++
-		p.announcedAt[statementID{s.Origin, s.Seq}] = p.now()
-		p.node.Announce(s)
+		metrics.Statements++
+		m.announcedAt[statementID{s.Origin, s.Seq}] = m.now()
+		m.node.Announce(s)
 	}
 	for _, o := range outcomes {
 		d := dest(o.ID)
@@ -110,25 +110,25 @@
 		default:
 			observation.Outcome = verdicts.Failed
 		}
-		p.applyRestraints(now, p.node.Judge.Observe(now, observation))
-		if st, ok := p.node.Announcer.Wait(now, p.node.Store, observation); ok {
+		m.applyRestraints(now, m.node.Judge.Observe(now, observation))
+		if st, ok := m.node.Announcer.Wait(now, m.node.Store, observation); ok {
 			announce(st)
 		}
-		p.sender.EachHealth(d, func(endpoint string, since time.Duration) {
-			wasOut, isOut := p.ownOutages[endpoint], since >= 0
+		m.sender.EachHealth(d, func(endpoint string, since time.Duration) {
+			wasOut, isOut := m.ownOutages[endpoint], since >= 0
 			switch {
 			case isOut && (!wasOut || o.Status != dispatch.OK):
-				p.applyRestraints(now, p.node.Judge.SetOwnHealth(now, d, endpoint, true, since))
-				announce(p.node.Announcer.Outage(d, endpoint, now-since))
-			case !isOut && (wasOut || o.Status == dispatch.OK && p.receivedOutages[endpoint]):
-				p.applyRestraints(now, p.node.Judge.SetOwnHealth(now, d, endpoint, false, 0))
-				if st, ok := p.node.Announcer.Recovery(now, p.node.Store, d, endpoint); ok {
+				m.applyRestraints(now, m.node.Judge.SetOwnHealth(now, d, endpoint, true, since))
+				announce(m.node.Announcer.Outage(d, endpoint, now-since))
+			case !isOut && (wasOut || o.Status == dispatch.OK && m.receivedOutages[endpoint]):
+				m.applyRestraints(now, m.node.Judge.SetOwnHealth(now, d, endpoint, false, 0))
+				if st, ok := m.node.Announcer.Recovery(now, m.node.Store, d, endpoint); ok {
 					announce(st)
 				}
-				delete(p.receivedOutages, endpoint)
+				delete(m.receivedOutages, endpoint)
 			}
-			if p.ownOutages[endpoint] = true; !isOut {
-				delete(p.ownOutages, endpoint)
+			if m.ownOutages[endpoint] = true; !isOut {
+				delete(m.ownOutages, endpoint)
 			}
 		})
 	}
--- a/internal/lab/emulator/workload/workload.go
+++ b/internal/lab/emulator/workload/workload.go
@@ -353,20 +353,20 @@
 }
 
 // SimulateAll runs simulations in parallel on a number of workers. One goroutine runs each simulation from start to end, so that its result
-// does not depend on the number of workers. The results are in the order of days.
-func SimulateAll(days []Scenario, workers int) ([]Result, error) {
-	results, errs := make([]Result, len(days)), make([]error, len(days))
+// does not depend on the number of workers. The results are in the order of scenarios.
+func SimulateAll(scenarios []Scenario, workers int) ([]Result, error) {
+	results, errs := make([]Result, len(scenarios)), make([]error, len(scenarios))
 	next := make(chan int)
 	done := make(chan struct{})
 	for range max(workers, 1) {
 		go func() {
 			defer func() { done <- struct{}{} }()
 			for i := range next {
-				results[i], errs[i] = Simulate(days[i])
+				results[i], errs[i] = Simulate(scenarios[i])
 			}
 		}()
 	}
-	for i := range days {
+	for i := range scenarios {
 		next <- i
 	}
 	close(next)
--- a/internal/lab/emulator/workload/workload_test.go
+++ b/internal/lab/emulator/workload/workload_test.go
@@ -13,8 +13,8 @@
 	"slatemux/internal/lab/emulator/servermodel"
 )
 
-// testDay returns a simulation of 3 relays and 20 destinations. A fifth of the destinations has an outage with a cold start.
-func testDay(seed uint64) Scenario {
+// testScenario returns a simulation of 3 relays and 20 destinations. A fifth of the destinations has an outage with a cold start.
+func testScenario(seed uint64) Scenario {
 	set := dispatch.Settings{
 		Classes:    []dispatch.Class{{Name: "slot", Aim: time.Second, Deadline: 5 * time.Second, Worth: 3}},
 		Kinds:      []dispatch.Kind{{Name: "partner"}},
@@ -52,7 +52,7 @@
 // Guards against messages without exactly one final answer before their deadline, and against calls after the final answer. The records
 // come from the simulated clients and servers, not from the module.
 func TestEveryMessageEndsOnce(t *testing.T) {
-	r, err := Simulate(testDay(3))
+	r, err := Simulate(testScenario(3))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -74,12 +74,12 @@
 
 // Checks that the same seed gives the same result, and another seed another result.
 func TestSameSeedSameDay(t *testing.T) {
-	a, err := Simulate(testDay(5))
+	a, err := Simulate(testScenario(5))
 	if err != nil {
 		t.Fatal(err)
 	}
-	b, _ := Simulate(testDay(5))
-	c, _ := Simulate(testDay(6))
+	b, _ := Simulate(testScenario(5))
+	c, _ := Simulate(testScenario(6))
 	if summary(a) != summary(b) {
 		t.Fatalf("%s, then %s", summary(a), summary(b))
 	}
@@ -149,9 +149,10 @@
 	}
 }
 
-// overloadedDay returns testDay with twice the limit offered to each destination, so that destinations ask for waits all the time.
-func overloadedDay(seed uint64) Scenario {
-	d := testDay(seed)
+// overloadedScenario returns testScenario with twice the limit offered to each destination, so that destinations ask for waits all the
+// time.
+func overloadedScenario(seed uint64) Scenario {
+	d := testScenario(seed)
 	for i := range d.Destinations {
 		d.Destinations[i].MessagesPerSecond = 8
 	}
@@ -160,20 +161,20 @@
 
 // Guards against calls during a retry-after wait. The planted defect repeats a call in the wait that its refusal asked for.
 func TestRetryAfterWaitsAreKept(t *testing.T) {
-	checkDefectIsDetected(t, overloadedDay(3), func(m *Record) bool { return m.SentInWait },
+	checkDefectIsDetected(t, overloadedScenario(3), func(m *Record) bool { return m.SentInWait },
 		withResends(func(o dispatch.Outcome) bool { return o.Status == dispatch.Refused && o.RetryAfter > 0 }))
 }
 
 // Guards against more calls for a message than MaxAttempts. The planted defect retries each failed call without end.
 func TestAttemptsAreBounded(t *testing.T) {
-	d := overloadedDay(4)
+	d := overloadedScenario(4)
 	checkDefectIsDetected(t, d, func(m *Record) bool { return m.Sends > d.Settings.MaxAttempts },
 		withResends(func(o dispatch.Outcome) bool { return o.Status != dispatch.OK }))
 }
 
 // Guards against calls to a draining endpoint after the grace. The planted defect ignores drains.
 func TestDrainsAreRespected(t *testing.T) {
-	d := testDay(7)
+	d := testScenario(7)
 	for i := range 5 {
 		d.Drains = append(d.Drains, Drain{Destination: i, At: emulator.Time(8 * time.Second)})
 	}
@@ -183,7 +184,7 @@
 // Guards against a payment that runs twice: after a call that may have run, the payment must not be sent again. The planted defect
 // repeats calls that got no answer.
 func TestPaymentsRunOnce(t *testing.T) {
-	d := testDay(8)
+	d := testScenario(8)
 	d.Settings.Classes = []dispatch.Class{{Name: "pay", Effect: dispatch.Unsafe, Aim: 4 * time.Second, Deadline: 28 * time.Second, Worth: 1}}
 	d.Class, d.TimeLeft = "pay", 28*time.Second
 	for i := range 5 { // machines that do not answer: the calls that reach them may have run
@@ -196,30 +197,30 @@
 
 // Guards against simulations that influence each other when they run in parallel: 1 and 4 workers must give the same records.
 func TestResultsIndependentOfWorkers(t *testing.T) {
-	var days []Scenario
+	var scenarios []Scenario
 	for seed := range uint64(6) {
-		days = append(days, testDay(seed))
+		scenarios = append(scenarios, testScenario(seed))
 	}
-	one, err := SimulateAll(days, 1)
+	one, err := SimulateAll(scenarios, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	four, err := SimulateAll(days, 4)
+	four, err := SimulateAll(scenarios, 4)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for i := range days {
+	for i := range scenarios {
 		if !reflect.DeepEqual(one[i], four[i]) {
 			t.Fatalf("simulation %d: %s with 1 worker, %s with 4", i, summary(one[i]), summary(four[i]))
 		}
 	}
 }
 
-// BenchmarkDay runs testDay and reports the simulated events per second of real time.
-func BenchmarkDay(b *testing.B) {
+// BenchmarkScenario runs testScenario and reports the simulated events per second of real time.
+func BenchmarkScenario(b *testing.B) {
 	var events uint64
 	for i := range b.N {
-		r, err := Simulate(testDay(uint64(i)))
+		r, err := Simulate(testScenario(uint64(i)))
 		if err != nil {
 			b.Fatal(err)
 		}
--- a/internal/lab/fleets/fleets.go
+++ b/internal/lab/fleets/fleets.go
@@ -70,16 +70,16 @@
 		reportProgress = func(string) {}
 	}
 	f := &Fleet{Scenario: sc, Links: links.New(sc.Seed), dir: dir, binary: binary, reportProgress: reportProgress}
-	place := lab.DeploymentConfig{Classes: lab.DefaultClasses(), Tenants: []lab.Tenant{{Name: "acme", Share: 1}}, MemoryMB: 64, DiskMB: 16, Sockets: 512, MaxOpen: 2000, MaxCalls: 60,
+	config := lab.DeploymentConfig{Classes: lab.DefaultClasses(), Tenants: []lab.Tenant{{Name: "acme", Share: 1}}, MemoryMB: 64, DiskMB: 16, Sockets: 512, MaxOpen: 2000, MaxCalls: 60,
 		KeepAlive: 5 * time.Second, Seed: sc.Seed, Relays: int(sc.Relays)}
 	for i, pt := range sc.Partner {
-		gate := &partner.RateLimiter{}
+		limiter := &partner.RateLimiter{}
 		for j, name := range endpointNames(pt) {
-			place.Partners = append(place.Partners, partner.Config{RateLimiter: gate, Name: name, Dest: int(pt.Destination), Phases: partnerPhases(pt), Seed: sc.Seed ^ uint64(i<<8|j), Share: pt.Phase[0].Rate})
+			config.Partners = append(config.Partners, partner.Config{RateLimiter: limiter, Name: name, Dest: int(pt.Destination), Phases: partnerPhases(pt), Seed: sc.Seed ^ uint64(i<<8|j), Share: pt.Phase[0].Rate})
 		}
 	}
 	var err error
-	if f.Deployment, err = lab.Start(dir, place); err != nil {
+	if f.Deployment, err = lab.Start(dir, config); err != nil {
 		f.Links.Close()
 		return nil, err
 	}
@@ -320,15 +320,15 @@
 	for _, p := range f.Scenario.Partner {
 		dests = append(dests, int(p.Destination))
 	}
-	clients, honour := int(l.Clients), l.Honour
+	clients, retryAfterShare := int(l.Clients), l.Honour
 	if clients == 0 {
 		clients = 8
 	}
-	if honour == 0 {
-		honour = 1
+	if retryAfterShare == 0 {
+		retryAfterShare = 1
 	}
 	return f.Deployment.RunLoadOn(ctx, node.RelayNode, load.Config{Clients: clients, Patience: 400 * time.Millisecond, Streams: streams, Dests: dests, MaxRetries: int(l.Retries),
-		Steps: loadSteps(f.Scenario, node.Number), RetryAfterShare: honour, Seed: f.Scenario.Seed<<10 + uint64(node.Number) + 1, Poisson: true})
+		Steps: loadSteps(f.Scenario, node.Number), RetryAfterShare: retryAfterShare, Seed: f.Scenario.Seed<<10 + uint64(node.Number) + 1, Poisson: true})
 }
 
 // loadSteps returns the rates at which clients submit messages to a relay. With JumpS, the relay with the hot share of the load
--- a/internal/lab/idleclients_test.go
+++ b/internal/lab/idleclients_test.go
@@ -17,7 +17,7 @@
 // Idle clients use up their share of the descriptors while discovery is down. With the smallest number of descriptors that a relay can
 // have, enforced by the system, the relay still accepts messages, reconnects to discovery as soon as that is back, and no operation
 // fails for lack of a descriptor.
-func TestIdleClientsFillTheirPlaces(t *testing.T) {
+func TestIdleClientsUseUpDescriptors(t *testing.T) {
 	t.Parallel()
 	const sockets = 64
 	d := startDeployment(t, 10*time.Millisecond, 64)
--- a/internal/lab/ledger/ledger.go
+++ b/internal/lab/ledger/ledger.go
@@ -107,7 +107,7 @@
 	mu           sync.Mutex
 	recorders    []*Recorder
 	drainNotices []Drain
-	kills        []Downtime
+	downtimes    []Downtime
 }
 
 // NewRecorder returns a new recorder whose records belong to the ledger.
@@ -127,10 +127,10 @@
 }
 
 // RecordDowntime records that a relay was down.
-func (l *Ledger) RecordDowntime(kill Downtime) {
+func (l *Ledger) RecordDowntime(downtime Downtime) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.kills = append(l.kills, kill)
+	l.downtimes = append(l.downtimes, downtime)
 }
 
 // Rules holds the tolerances of the checks and the period that the totals cover.
@@ -324,7 +324,7 @@
 
 // extendForRestart moves a due time that falls into a restart of the relay to the end of the restart plus grace.
 func (l *Ledger) extendForRestart(relay int, due time.Time, grace time.Duration) time.Time {
-	for _, k := range l.kills {
+	for _, k := range l.downtimes {
 		if k.Relay == relay && !due.Before(k.From) && due.Before(k.Ready.Add(grace)) {
 			due = k.Ready.Add(grace)
 		}
@@ -419,7 +419,7 @@
 
 // restartedBetween reports whether a relay was restarted between two times. A restart ends the waits of a relay.
 func (l *Ledger) restartedBetween(relay int, from, to time.Time) bool {
-	for _, k := range l.kills {
+	for _, k := range l.downtimes {
 		if k.Relay == relay && !k.Paused && k.From.After(from) && k.From.Before(to) {
 			return true
 		}
@@ -451,47 +451,47 @@
 }
 
 // add counts one submission and the end of its message.
-func (p *ClassTotals) add(class *Class, submission *Submission, history *messageHistory) {
-	p.Offered++
+func (t *ClassTotals) add(class *Class, submission *Submission, history *messageHistory) {
+	t.Offered++
 	switch submission.Answer {
 	case Accepted:
-		p.Accepted++
-		p.AcceptLatency = append(p.AcceptLatency, submission.Answered.Sub(submission.Due))
+		t.Accepted++
+		t.AcceptLatency = append(t.AcceptLatency, submission.Answered.Sub(submission.Due))
 	case Refused:
-		p.Refused++
-		p.RefuseLatency = append(p.RefuseLatency, submission.Answered.Sub(submission.Due))
-		p.RefuseLatencyFromSent = append(p.RefuseLatencyFromSent, submission.Answered.Sub(submission.Sent))
+		t.Refused++
+		t.RefuseLatency = append(t.RefuseLatency, submission.Answered.Sub(submission.Due))
+		t.RefuseLatencyFromSent = append(t.RefuseLatencyFromSent, submission.Answered.Sub(submission.Sent))
 		return
 	case Failed:
-		p.Failed++
+		t.Failed++
 		return
 	case Unsent:
-		p.Unsent++
+		t.Unsent++
 		return
 	case NoAnswer:
-		p.NoAnswer++
+		t.NoAnswer++
 		return
 	}
 	if len(history.notices) > 0 && history.notices[0].Outcome == "given_up" {
-		p.GivenUp++
+		t.GivenUp++
 	} else if len(history.notices) > 0 {
-		p.Returned++
+		t.Returned++
 	}
 	at := history.deliveredAt()
 	if at.IsZero() {
 		return
 	}
 	if at.After(submission.Deadline) {
-		p.Late++
+		t.Late++
 		return
 	}
-	p.Delivered++
-	p.DeliverLatency = append(p.DeliverLatency, at.Sub(submission.Due))
+	t.Delivered++
+	t.DeliverLatency = append(t.DeliverLatency, at.Sub(submission.Due))
 	if at.Sub(submission.Due) <= class.Aim {
-		p.WithinAim++
-		p.Worth += class.Worth
+		t.WithinAim++
+		t.Worth += class.Worth
 	} else {
-		p.Worth += class.Worth / 2
+		t.Worth += class.Worth / 2
 	}
 }
 
--- a/internal/lab/ledger/ledger_test.go
+++ b/internal/lab/ledger/ledger_test.go
@@ -40,12 +40,12 @@
 	otherDestination := call(1, 1, 1.1, 200)
 	otherDestination.Dest = 8
 	for name, c := range map[string]struct {
-		rule    string
-		handIns []Submission
-		calls   []Call
-		notices []Notice
-		leaves  []Drain
-		kills   []Downtime
+		rule        string
+		submissions []Submission
+		calls       []Call
+		notices     []Notice
+		leaves      []Drain
+		downtimes   []Downtime
 	}{
 		"delivered":             {"", []Submission{accepted(1, 2)}, []Call{call(1, 1, 1.1, 200)}, nil, nil, nil},
 		"never ended":           {"one end", []Submission{accepted(1, 0)}, []Call{call(1, 1, 1.1, 500)}, nil, nil, nil},
@@ -71,9 +71,9 @@
 		"within the drain":      {"", []Submission{accepted(1, 0)}, []Call{call(1, 2.8, 3.1, 200)}, nil, []Drain{{Member: "m", At: at(0.9)}}, nil},
 		"overloaded while cold": {"cold returns", []Submission{accepted(1, 0)}, []Call{cold}, nil, nil, nil},
 	} {
-		l := &Ledger{drainNotices: c.leaves, kills: c.kills}
+		l := &Ledger{drainNotices: c.leaves, downtimes: c.downtimes}
 		b := l.NewRecorder()
-		b.Submissions, b.Calls, b.Notices = c.handIns, c.calls, c.notices
+		b.Submissions, b.Calls, b.Notices = c.submissions, c.calls, c.notices
 		v := l.Judge(DefaultRules(classes), at(100))
 		var got []string
 		for _, x := range v.Violations {
--- a/internal/lab/links/links.go
+++ b/internal/lab/links/links.go
@@ -54,7 +54,7 @@
 	links         map[direction]*link
 	callerNames   map[netip.Addr]string     // party by source address
 	dialTimes     map[direction][]time.Time // times at which connections were accepted
-	recorded      map[direction][][]byte    // packets kept for Replay, for directions that Listen has named
+	recorded      map[direction][][]byte    // packets kept for Replay, for directions that Record has named
 	senders       map[string]func([]byte)
 	closers       []func()
 	faultsChanged chan struct{} // closed and replaced at each change of a fault
@@ -126,7 +126,7 @@
 	return len(kept)
 }
 
-// NameAddress names the party that calls from an address outside those that Party assigned.
+// NameAddress names the party that calls from an address outside those that AddParty assigned.
 func (n *Net) NameAddress(ip net.IP, name string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/lab/manyservers_test.go
+++ b/internal/lab/manyservers_test.go
@@ -59,19 +59,19 @@
 			}
 			d := &Deployment{Config: DeploymentConfig{Classes: DefaultClasses(), Tenants: []Tenant{{Name: "acme", Share: 1}}, MemoryMB: memoryMB, DiskMB: 3, Sockets: sockets,
 				MaxOpen: 1000, MaxCalls: 200, KeepAlive: 5 * time.Second, Seed: 3, Relays: 350}}
-			seat := &RelayNode{Name: "many", Dir: t.TempDir(), Discovery: discovery.Listener.Addr().String()}
-			if err := d.WriteConfiguration(seat, known); err != nil {
+			node := &RelayNode{Name: "many", Dir: t.TempDir(), Discovery: discovery.Listener.Addr().String()}
+			if err := d.WriteConfiguration(node, known); err != nil {
 				t.Fatal(err)
 			}
 			startedAt := time.Now()
-			p, err := seat.StartRelay(binary, nil, "")
+			p, err := node.StartRelay(binary, nil, "")
 			if err != nil {
 				t.Fatal(err)
 			}
 			t.Cleanup(p.Kill)
 			readyAfter := time.Since(startedAt)
 			idle := readUsage(t, p)
-			accepted := submitToAll(t, seat.Listen, size)
+			accepted := submitToAll(t, node.Listen, size)
 			for until := time.Now().Add(30 * time.Second); calls.Load()+notices.Load() < int64(accepted) && time.Now().Before(until); {
 				time.Sleep(20 * time.Millisecond)
 			}
@@ -97,8 +97,8 @@
 // memoryUsage is the memory of a process in bytes and its numbers of descriptors and threads.
 type memoryUsage struct{ rssBytes, peakBytes, descriptors, threads int }
 
-func (g memoryUsage) String() string {
-	return fmt.Sprintf("%.1f MB (peak %.1f), %d descriptors, %d threads", float64(g.rssBytes)/1e6, float64(g.peakBytes)/1e6, g.descriptors, g.threads)
+func (m memoryUsage) String() string {
+	return fmt.Sprintf("%.1f MB (peak %.1f), %d descriptors, %d threads", float64(m.rssBytes)/1e6, float64(m.peakBytes)/1e6, m.descriptors, m.threads)
 }
 
 // readUsage reads the current usage of a process from /proc.
--- a/internal/lab/partner/partner.go
+++ b/internal/lab/partner/partner.go
@@ -68,34 +68,34 @@
 }
 
 // reset fills the token bucket at the beginning of a phase.
-func (g *RateLimiter) reset(p *Phase, now time.Time) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.tokens, g.refilledAt, g.recent = p.Rate, now, nil
+func (l *RateLimiter) reset(p *Phase, now time.Time) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.tokens, l.refilledAt, l.recent = p.Rate, now, nil
 }
 
 // admit decides whether a call is admitted. It also returns the current rate, the unused share of that rate, and whether the calls of
 // the last second overload a cold partner.
-func (g *RateLimiter) admit(p *Phase, age time.Duration, now time.Time) (admitted bool, rate, left float64, overloaded bool) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
+func (l *RateLimiter) admit(p *Phase, age time.Duration, now time.Time) (admitted bool, rate, left float64, overloaded bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	if rate = p.Rate; p.Cold > 0 && age < p.Cold {
 		rate *= p.ColdFrom + (1-p.ColdFrom)*float64(age)/float64(p.Cold)
-		g.recent = append(g.recent, now)
-		for len(g.recent) > 0 && now.Sub(g.recent[0]) > time.Second {
-			g.recent = g.recent[1:]
+		l.recent = append(l.recent, now)
+		for len(l.recent) > 0 && now.Sub(l.recent[0]) > time.Second {
+			l.recent = l.recent[1:]
 		}
-		overloaded = float64(len(g.recent)) > 2*rate+4
+		overloaded = float64(len(l.recent)) > 2*rate+4
 	}
 	if p.Rate <= 0 {
 		return true, 0, 1, overloaded
 	}
-	g.tokens = min(g.tokens+rate*now.Sub(g.refilledAt).Seconds(), max(rate, 1))
-	g.refilledAt = now
-	if admitted = g.tokens >= 1 && p.Mode != Shut; admitted {
-		g.tokens--
+	l.tokens = min(l.tokens+rate*now.Sub(l.refilledAt).Seconds(), max(rate, 1))
+	l.refilledAt = now
+	if admitted = l.tokens >= 1 && p.Mode != Shut; admitted {
+		l.tokens--
 	}
-	return admitted, rate, max(g.tokens, 0) / max(rate, 1), overloaded
+	return admitted, rate, max(l.tokens, 0) / max(rate, 1), overloaded
 }
 
 // Config configures an endpoint.
--- a/internal/lab/partner/partner_test.go
+++ b/internal/lab/partner/partner_test.go
@@ -115,7 +115,7 @@
 }
 
 // EndConnections ends idle connections at once and busy ones after their answer. New connections stay open.
-func TestRecycle(t *testing.T) {
+func TestEndConnections(t *testing.T) {
 	s, _ := start(t, Phase{Latency: Latency{Mean: 50 * time.Millisecond}})
 	idle, busy := dial(t, s), dial(t, s)
 	ri, rb := bufio.NewReader(idle), bufio.NewReader(busy)
@@ -211,13 +211,13 @@
 // chunkReader returns at most one chunk per read.
 type chunkReader struct{ list []chunk }
 
-func (p *chunkReader) Read(b []byte) (int, error) {
-	if len(p.list) == 0 {
+func (r *chunkReader) Read(b []byte) (int, error) {
+	if len(r.list) == 0 {
 		return 0, fmt.Errorf("no chunks left")
 	}
-	n := copy(b, p.list[0])
-	if p.list[0] = p.list[0][n:]; len(p.list[0]) == 0 {
-		p.list = p.list[1:]
+	n := copy(b, r.list[0])
+	if r.list[0] = r.list[0][n:]; len(r.list[0]) == 0 {
+		r.list = r.list[1:]
 	}
 	return n, nil
 }
--- a/internal/overload/overload_test.go
+++ b/internal/overload/overload_test.go
@@ -111,7 +111,7 @@
 }
 
 // admittedShare returns the share of the read submissions that was admitted.
-func (f *clientStream) admittedShare() float64 { return float64(f.admitted) / float64(max(f.read, 1)) }
+func (s *clientStream) admittedShare() float64 { return float64(s.admitted) / float64(max(s.read, 1)) }
 
 func payStream(perSecond float64) *clientStream {
 	return &clientStream{Submission: Submission{Class: "pay", BodyBytes: 200, TimeLeft: 28 * time.Second}, perSecond: perSecond}
--- a/internal/pool/call_schedule.go
+++ b/internal/pool/call_schedule.go
@@ -95,86 +95,86 @@
 }
 
 // StartDelay returns the delay before the first call.
-func (p *CallSchedule) StartDelay() time.Duration {
-	if p.config.Pushed {
+func (s *CallSchedule) StartDelay() time.Duration {
+	if s.config.Pushed {
 		return 0
 	}
-	return p.randomUpTo(p.startSpread)
+	return s.randomUpTo(s.startSpread)
 }
 
 // MoveDelay returns the delay before the first call after discovery has moved to another address.
-func (p *CallSchedule) MoveDelay() time.Duration {
-	p.failures = 0
-	if p.config.Pushed {
+func (s *CallSchedule) MoveDelay() time.Duration {
+	s.failures = 0
+	if s.config.Pushed {
 		return 0
 	}
-	return p.randomUpTo(min(p.startSpread, maxMoveSpread))
+	return s.randomUpTo(min(s.startSpread, maxMoveSpread))
 }
 
 // Answered records that a call was answered.
-func (p *CallSchedule) Answered() { p.failures = 0 }
+func (s *CallSchedule) Answered() { s.failures = 0 }
 
 // RetryDelay records that a call failed and returns the delay before the next call. It is a random value in the upper half of the
 // span, so that calls never follow each other at once. After a watch, most of the time for a retry is already used, so its first
 // span is shorter.
-func (p *CallSchedule) RetryDelay(watch bool) time.Duration {
-	firstSpan, maxSpan := min(max(p.startSpread, minRetrySpan), maxFirstRetrySpan), maxRetrySpan
-	if p.config.Pushed {
-		firstSpan, maxSpan = minAgentWait, max(min(p.config.DrainGrace/agentRetryDivisor, maxAgentWait), minAgentWait)
-	} else if watch && p.failures == 0 {
+func (s *CallSchedule) RetryDelay(watch bool) time.Duration {
+	firstSpan, maxSpan := min(max(s.startSpread, minRetrySpan), maxFirstRetrySpan), maxRetrySpan
+	if s.config.Pushed {
+		firstSpan, maxSpan = minAgentWait, max(min(s.config.DrainGrace/agentRetryDivisor, maxAgentWait), minAgentWait)
+	} else if watch && s.failures == 0 {
 		firstSpan = min(firstSpan, maxSilentRetrySpan)
 	}
-	span := min(firstSpan<<min(p.failures, 16), maxSpan)
-	p.failures++
-	return span/2 + p.randomUpTo(span/2)
+	span := min(firstSpan<<min(s.failures, 16), maxSpan)
+	s.failures++
+	return span/2 + s.randomUpTo(span/2)
 }
 
 // WatchTimeouts returns how long a watch may wait for changes, and how long after that its answer times out. The first watch of a
 // start, which has no check before it, ends before the known list expires.
-func (p *CallSchedule) WatchTimeouts(first bool) (hold, timeout time.Duration) {
+func (s *CallSchedule) WatchTimeouts(first bool) (hold, timeout time.Duration) {
 	switch {
-	case p.config.Pushed:
-		return watchHold, p.agentTimeout()
+	case s.config.Pushed:
+		return watchHold, s.agentTimeout()
 	case first:
-		return min(watchHold, maxNotifyDelay-p.startSpread), answerTimeout
+		return min(watchHold, maxNotifyDelay-s.startSpread), answerTimeout
 	}
 	return watchHold, answerTimeout
 }
 
 // NeedsCheck reports whether a relay makes a check before it begins a watch. Without a check, nobody knows whether the list is fresh
 // or discovery is reachable. At a start with polling there is none, since discovery has to answer the whole fleet.
-func (p *CallSchedule) NeedsCheck() bool { return p.config.Pushed || p.failures > 0 }
+func (s *CallSchedule) NeedsCheck() bool { return s.config.Pushed || s.failures > 0 }
 
 // CheckTimeout returns the timeout of a call that asks for an answer at once. It doubles after failures, since discovery may be slow
 // and not down.
-func (p *CallSchedule) CheckTimeout() (timeout time.Duration) {
-	if p.config.Pushed {
-		return p.agentTimeout()
+func (s *CallSchedule) CheckTimeout() (timeout time.Duration) {
+	if s.config.Pushed {
+		return s.agentTimeout()
 	}
-	return answerTimeout << min(p.failures/2, 1)
+	return answerTimeout << min(s.failures/2, 1)
 }
 
 // agentTimeout grows with failures, since an agent may be slow and not down, up to a bound within the grace period.
-func (p *CallSchedule) agentTimeout() time.Duration {
-	timeout := min(p.config.DrainGrace/agentTimeoutDivisor, maxAgentWait)
-	return max(min(timeout<<min(p.failures/2, 1), 2*maxAgentWait), minAgentWait)
+func (s *CallSchedule) agentTimeout() time.Duration {
+	timeout := min(s.config.DrainGrace/agentTimeoutDivisor, maxAgentWait)
+	return max(min(timeout<<min(s.failures/2, 1), 2*maxAgentWait), minAgentWait)
 }
 
 // MaxUnconfirmed returns how long a list may be used that is not known to be fresh: since the start of the process, and since it was
 // last known to be fresh. The relay counts as notified of what an agent has from the first moment on. The rest of the grace period
 // is for flows in progress.
-func (p *CallSchedule) MaxUnconfirmed() (start, later time.Duration) {
-	later = maxNotifyDelay + p.config.DrainGrace*3/4
-	if p.config.Pushed {
-		return p.config.DrainGrace * 3 / 4, later
+func (s *CallSchedule) MaxUnconfirmed() (start, later time.Duration) {
+	later = maxNotifyDelay + s.config.DrainGrace*3/4
+	if s.config.Pushed {
+		return s.config.DrainGrace * 3 / 4, later
 	}
 	return later, later
 }
 
 // randomUpTo returns a random duration from 0 up to span.
-func (p *CallSchedule) randomUpTo(span time.Duration) time.Duration {
+func (s *CallSchedule) randomUpTo(span time.Duration) time.Duration {
 	if span <= 0 {
 		return 0
 	}
-	return time.Duration(p.rng.Int64N(int64(span)))
+	return time.Duration(s.rng.Int64N(int64(span)))
 }
--- a/internal/pool/member_list.go
+++ b/internal/pool/member_list.go
@@ -32,97 +32,97 @@
 
 // NewMemberList returns a MemberList that starts from a known list.
 func NewMemberList(known List) *MemberList {
-	b := &MemberList{seq: known.Seq, invalidSeq: -1, hosts: make(map[string]entry, len(known.Hosts)), departed: map[string]entry{}}
+	m := &MemberList{seq: known.Seq, invalidSeq: -1, hosts: make(map[string]entry, len(known.Hosts)), departed: map[string]entry{}}
 	for _, h := range known.Hosts {
-		b.hosts[h.Host] = entry{h, known.Seq}
+		m.hosts[h.Host] = entry{h, known.Seq}
 	}
-	return b
+	return m
 }
 
 // Seq returns the version of the known list.
-func (b *MemberList) Seq() int64 { return b.seq }
+func (m *MemberList) Seq() int64 { return m.seq }
 
 // WantFull reports whether the next call must ask for the full list.
-func (b *MemberList) WantFull() bool { return b.wantFull }
+func (m *MemberList) WantFull() bool { return m.wantFull }
 
 // SourceChanged records that discovery has moved. The versions of the new address need not continue the old ones, so the full list
 // is needed.
-func (b *MemberList) SourceChanged() { b.wantFull, b.moved, b.lastWasOlder = true, true, false }
+func (m *MemberList) SourceChanged() { m.wantFull, m.moved, m.lastWasOlder = true, true, false }
 
 // Apply applies an answer and returns what changes. askedFull says that the full list was requested.
-func (b *MemberList) Apply(l List, askedFull bool) (traffic.PoolUpdate, error) {
-	restarted := b.moved || l.Seq < b.seq
+func (m *MemberList) Apply(l List, askedFull bool) (traffic.PoolUpdate, error) {
+	restarted := m.moved || l.Seq < m.seq
 	switch {
 	case askedFull && !l.Full:
 		return traffic.PoolUpdate{}, fmt.Errorf("pool: list: changes received, but the full list was requested")
-	case restarted && !b.moved && !(b.lastWasOlder && l.Full):
+	case restarted && !m.moved && !(m.lastWasOlder && l.Full):
 		// One older answer is late. A second one in a row with a full list means that the versions of discovery have restarted.
-		b.wantFull, b.lastWasOlder = true, true
-		return traffic.PoolUpdate{}, fmt.Errorf("pool: list: version %d is older than %d", l.Seq, b.seq)
+		m.wantFull, m.lastWasOlder = true, true
+		return traffic.PoolUpdate{}, fmt.Errorf("pool: list: version %d is older than %d", l.Seq, m.seq)
 	}
-	b.wantFull, b.moved, b.lastWasOlder, b.seq = l.Invalid.Count > 0 && b.invalidSeq != l.Seq, false, false, l.Seq
-	if b.wantFull {
-		b.invalidSeq = l.Seq
+	m.wantFull, m.moved, m.lastWasOlder, m.seq = l.Invalid.Count > 0 && m.invalidSeq != l.Seq, false, false, l.Seq
+	if m.wantFull {
+		m.invalidSeq = l.Seq
 	}
 	if restarted {
-		b.forgetVersions()
+		m.forgetVersions()
 	}
-	before := b.hosts
+	before := m.hosts
 	if l.Full {
-		b.hosts = make(map[string]entry, len(l.Hosts))
+		m.hosts = make(map[string]entry, len(l.Hosts))
 	}
 	for i := range l.Hosts {
 		h := &l.Hosts[i]
 		if previous, ok := before[h.Host]; ok {
 			previous.keepDrain(h, l.Seq)
-		} else if previous, ok := b.departed[h.Host]; ok {
+		} else if previous, ok := m.departed[h.Host]; ok {
 			previous.keepDrain(h, l.Seq)
 		}
 		if h.Health == left {
-			delete(b.hosts, h.Host)
-			b.depart(h, l.Seq)
+			delete(m.hosts, h.Host)
+			m.depart(h, l.Seq)
 		} else {
-			delete(b.departed, h.Host)
-			b.hosts[h.Host] = entry{*h, l.Seq}
+			delete(m.departed, h.Host)
+			m.hosts[h.Host] = entry{*h, l.Seq}
 		}
 	}
 	if l.Full {
-		b.departMissing(&l, before)
+		m.departMissing(&l, before)
 	}
-	return l.News(), nil
+	return l.Update(), nil
 }
 
 // departMissing handles the members that a full list does not name. They have left. If the list has an invalid entry for a member,
 // its new state is unknown, and the known state is kept.
-func (b *MemberList) departMissing(l *List, before map[string]entry) {
+func (m *MemberList) departMissing(l *List, before map[string]entry) {
 	for name, previous := range before {
-		if _, listed := b.hosts[name]; listed {
+		if _, listed := m.hosts[name]; listed {
 			continue
 		}
-		if _, departed := b.departed[name]; departed {
+		if _, departed := m.departed[name]; departed {
 			continue
 		}
 		if l.Invalid.Hosts[name] {
-			b.hosts[name] = previous
+			m.hosts[name] = previous
 			l.Hosts = append(l.Hosts, previous.Host)
 		} else {
 			previous.Health = left
-			b.depart(&previous.Host, l.Seq)
+			m.depart(&previous.Host, l.Seq)
 		}
 	}
 }
 
 // keepDrain keeps a member leaving or departed if h says that it is active but is not newer.
 func (e *entry) keepDrain(h *Host, seq int64) {
-	newer := h.BornMS > e.BornMS || e.seq > 0 && seq > e.seq
+	newer := h.BornMillis > e.BornMillis || e.seq > 0 && seq > e.seq
 	if h.Health == active && e.Health != active && !newer {
 		h.Health = e.Health
 	}
 }
 
 // forgetVersions marks everything known as announced by another discovery address.
-func (b *MemberList) forgetVersions() {
-	for _, list := range []map[string]entry{b.hosts, b.departed} {
+func (m *MemberList) forgetVersions() {
+	for _, list := range []map[string]entry{m.hosts, m.departed} {
 		for name, e := range list {
 			e.seq = 0
 			list[name] = e
@@ -131,15 +131,15 @@
 }
 
 // depart remembers a member that has left, in place of the oldest one if there are too many.
-func (b *MemberList) depart(h *Host, seq int64) {
-	if len(b.departed) >= maxGone {
+func (m *MemberList) depart(h *Host, seq int64) {
+	if len(m.departed) >= maxGone {
 		oldest := ""
-		for name, e := range b.departed {
-			if oldest == "" || e.seq < b.departed[oldest].seq {
+		for name, e := range m.departed {
+			if oldest == "" || e.seq < m.departed[oldest].seq {
 				oldest = name
 			}
 		}
-		delete(b.departed, oldest)
+		delete(m.departed, oldest)
 	}
-	b.departed[h.Host] = entry{*h, seq}
+	m.departed[h.Host] = entry{*h, seq}
 }
--- a/internal/pool/member_list_test.go
+++ b/internal/pool/member_list_test.go
@@ -21,13 +21,13 @@
 // memberHealth is the list of members as a receiver of the MemberList's updates keeps it.
 type memberHealth map[string]traffic.Health
 
-func (s memberHealth) apply(update traffic.PoolUpdate) {
+func (h memberHealth) apply(update traffic.PoolUpdate) {
 	if update.Full {
-		clear(s)
+		clear(h)
 	}
 	for _, m := range update.Members {
-		if s[m.Host] = m.Health; m.Health == traffic.Left {
-			delete(s, m.Host)
+		if h[m.Host] = m.Health; m.Health == traffic.Left {
+			delete(h, m.Host)
 		}
 	}
 }
@@ -63,7 +63,7 @@
 	} {
 		known := parse(t, listJSON(10, true, entryJSON("a", "active"), entryJSON("b", "leaving")))
 		b, s := NewMemberList(known), memberHealth{}
-		s.apply(known.News())
+		s.apply(known.Update())
 		for i, step := range steps {
 			if step.answer == moves {
 				b.SourceChanged()
@@ -91,7 +91,7 @@
 			t.Fatal(err)
 		}
 		b, s := NewMemberList(known), memberHealth{}
-		s.apply(known.News())
+		s.apply(known.Update())
 		for range rapid.IntRange(1, 6).Draw(t, "answers") {
 			if rapid.IntRange(0, 5).Draw(t, "moves") == 0 {
 				b.SourceChanged()
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -31,14 +31,14 @@
 
 // Host is an entry of the list.
 type Host struct {
-	Host   string  `json:"host"`
-	Dial   string  `json:"dial"`
-	Site   string  `json:"site"`
-	Class  string  `json:"class"`
-	Block  *int    `json:"block"`
-	Health string  `json:"health"`
-	Share  float64 `json:"share"`
-	BornMS float64 `json:"born_ms"` // time of the member's last start; 0 for long ago
+	Host       string  `json:"host"`
+	Dial       string  `json:"dial"`
+	Site       string  `json:"site"`
+	Class      string  `json:"class"`
+	Block      *int    `json:"block"`
+	Health     string  `json:"health"`
+	Share      float64 `json:"share"`
+	BornMillis float64 `json:"born_ms"` // time of the member's last start; 0 for long ago
 }
 
 const active, leaving, left = "active", "leaving", "left"
@@ -84,11 +84,11 @@
 	return l, nil
 }
 
-func (s *InvalidEntries) add(host string, err error) {
-	if s.Count++; s.First == nil {
-		s.First, s.Hosts = fmt.Errorf("pool: list: host %q: %w", host, err), map[string]bool{}
+func (e *InvalidEntries) add(host string, err error) {
+	if e.Count++; e.First == nil {
+		e.First, e.Hosts = fmt.Errorf("pool: list: host %q: %w", host, err), map[string]bool{}
 	}
-	s.Hosts[host] = true
+	e.Hosts[host] = true
 }
 
 // LogInvalid logs the invalid entries in one line.
@@ -119,8 +119,8 @@
 	return nil
 }
 
-// News converts a list to the form that the relay and the flows use.
-func (l *List) News() traffic.PoolUpdate {
+// Update converts a list to the form that the relay and the flows use.
+func (l *List) Update() traffic.PoolUpdate {
 	update := traffic.PoolUpdate{Version: l.Seq, Full: l.Full, Members: make([]traffic.Member, 0, len(l.Hosts))}
 	for i := range l.Hosts {
 		update.Members = append(update.Members, l.Hosts[i].member())
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -31,7 +31,7 @@
 	}
 	want := traffic.Member{Host: "s-5b", Address: "127.0.0.1:1", Zone: "a", Kind: "m2", Destination: 3,
 		Health: traffic.Leaving, Weight: 1.5}
-	if update := l.News(); l.Seq != 41 || !update.Full || len(update.Members) != 1 || update.Members[0] != want {
+	if update := l.Update(); l.Seq != 41 || !update.Full || len(update.Members) != 1 || update.Members[0] != want {
 		t.Errorf("%+v", update)
 	}
 	for _, invalid := range []string{entryJSON("a", "odd"), entryJSON("", "active"), `{"host":"a","health":"active","dial":"127.0.0.1:1"}`,
@@ -49,7 +49,7 @@
 	}
 	proptest.Check(t, func(t *rapid.T) {
 		if l, err := Parse(proptest.Malformed(t, []byte(exampleList))); err == nil {
-			for _, m := range l.News().Members {
+			for _, m := range l.Update().Members {
 				if m.Host == "" {
 					t.Fatalf("%+v", l)
 				}
--- a/internal/pool/watch_test.go
+++ b/internal/pool/watch_test.go
@@ -52,14 +52,14 @@
 	expired chan time.Time
 }
 
-func (h recorder) PoolChanged(n traffic.PoolUpdate) {
+func (r recorder) PoolChanged(n traffic.PoolUpdate) {
 	select {
-	case h.updates <- n:
+	case r.updates <- n:
 	default:
 	}
 }
 
-func (h recorder) PoolUnconfirmed() { h.expired <- time.Now() }
+func (r recorder) PoolUnconfirmed() { r.expired <- time.Now() }
 
 // startWatcher follows the list at an address until the test ends, from a known list at version 41 in which b is active.
 func startWatcher(t *testing.T, discovery *discoveryaddr.Address, config DiscoveryConfig) (*Watcher, recorder) {
@@ -83,12 +83,12 @@
 }
 
 // waitForDrain waits until the listener is notified that b is leaving, and returns how long that took.
-func (h recorder) waitForDrain(t *testing.T) time.Duration {
+func (r recorder) waitForDrain(t *testing.T) time.Duration {
 	t.Helper()
 	from := time.Now()
 	for {
 		select {
-		case n := <-h.updates:
+		case n := <-r.updates:
 			for _, m := range n.Members {
 				if m.Host == "b" && m.Health == traffic.Leaving {
 					return time.Since(from)
--- a/internal/relay/bench_test.go
+++ b/internal/relay/bench_test.go
@@ -15,10 +15,10 @@
 // discard collects flows and ignores all other calls.
 type discard struct{ flows []traffic.Flow }
 
-func (s *discard) Start(f traffic.Flow)          { s.flows = append(s.flows, f) }
-func (s *discard) Cancel(string, int)            {}
-func (s *discard) UpdatePool(traffic.PoolUpdate) {}
-func (s *discard) Send(traffic.Notice)           {}
+func (d *discard) Start(f traffic.Flow)          { d.flows = append(d.flows, f) }
+func (d *discard) Cancel(string, int)            {}
+func (d *discard) UpdatePool(traffic.PoolUpdate) {}
+func (d *discard) Send(traffic.Notice)           {}
 
 // BenchmarkTransaction measures the relay's own work for a transaction, from the submission to the end of its flow: module, journal
 // and answers, in steps of a batch. The network on both sides is not included.
--- a/internal/relay/fleet_test.go
+++ b/internal/relay/fleet_test.go
@@ -17,12 +17,12 @@
 	demand []traffic.Demand
 }
 
-func (o *fakeFleet) ReportHealth(member string, _ int, out, tried bool, _ time.Time) {
-	o.health = append(o.health, map[[2]bool]string{{true, false}: "out ", {true, true}: "tried ", {false, false}: "back "}[[2]bool{out, tried}]+member)
+func (f *fakeFleet) ReportHealth(member string, _ int, out, tried bool, _ time.Time) {
+	f.health = append(f.health, map[[2]bool]string{{true, false}: "out ", {true, true}: "tried ", {false, false}: "back "}[[2]bool{out, tried}]+member)
 }
-func (o *fakeFleet) ReportDemand(list []traffic.Demand)          { o.demand = append(o.demand, list...) }
-func (o *fakeFleet) UpdatePool(int64, map[string]traffic.Member) { o.pools++ }
-func (o *fakeFleet) UpdateBans(set map[string]bool)              { o.bans = set }
+func (f *fakeFleet) ReportDemand(list []traffic.Demand)          { f.demand = append(f.demand, list...) }
+func (f *fakeFleet) UpdatePool(int64, map[string]traffic.Member) { f.pools++ }
+func (f *fakeFleet) UpdateBans(set map[string]bool)              { f.bans = set }
 
 // A relay reports an outage that its own calls detect, each failed trial call, and the end of the outage. It does not repeat reports
 // of other relays, except that it reports a member's answer. Restraints of other relays stop its sends.
--- a/internal/relay/order_test.go
+++ b/internal/relay/order_test.go
@@ -22,16 +22,16 @@
 	}
 	r.Start(initialPool, nil, nil, nil)
 	now := r.epoch.Add(10 * time.Millisecond)
-	put := func(id, key string, lasts time.Duration) {
+	submitKeyed := func(id, key string, lasts time.Duration) {
 		tr := transaction(id, class, now.Add(lasts))
 		tr.OrderKey = key
 		if a := submit(t, r, now, tr); a.Verdict != traffic.Accepted {
 			t.Fatalf("submission %s: answer %+v", id, a)
 		}
 	}
-	put("a", "k1", 400*time.Millisecond)
-	put("b", "k1", 20*time.Second)
-	put("c", "k2", 20*time.Second)
+	submitKeyed("a", "k1", 400*time.Millisecond)
+	submitKeyed("b", "k1", 20*time.Second)
+	submitKeyed("c", "k2", 20*time.Second)
 	if len(w.flows) != 2 || w.flows[0].ID != "a" || w.flows[1].ID != "c" {
 		t.Fatalf("started flows %+v", w.flows)
 	}
@@ -57,7 +57,7 @@
 	step(10 * time.Millisecond)
 	// The platform does not answer: the waiting flow ends unsent at its deadline.
 	r.noticePending["x"] = "k3"
-	put("d", "k3", 300*time.Millisecond)
+	submitKeyed("d", "k3", 300*time.Millisecond)
 	if len(r.blockedFlows["k3"]) != 1 {
 		t.Fatalf("blocked flows: %v", r.blockedFlows)
 	}
@@ -75,16 +75,16 @@
 	taken, done []string
 }
 
-func (x *fakeKeyOrder) TakeTicket(key, id string, _, _ time.Time) uint64 {
-	x.taken = append(x.taken, key+" "+id)
+func (f *fakeKeyOrder) TakeTicket(key, id string, _, _ time.Time) uint64 {
+	f.taken = append(f.taken, key+" "+id)
 	if id == "left" { // left by a process that has ended
 		return 1
 	}
-	return uint64(len(x.taken) + 1)
+	return uint64(len(f.taken) + 1)
 }
 
-func (x *fakeKeyOrder) MustWait(key, id string, _ time.Time) bool { return x.waits[id] }
-func (x *fakeKeyOrder) Release(key, id string)                    { x.done = append(x.done, key+" "+id) }
+func (f *fakeKeyOrder) MustWait(key, id string, _ time.Time) bool { return f.waits[id] }
+func (f *fakeKeyOrder) Release(key, id string)                    { f.done = append(f.done, key+" "+id) }
 
 // While another process holds an earlier transaction of a key, later ones are accepted, journaled and answered, but not sent. Each
 // is sent when no earlier one is left, and ends at its deadline otherwise.
@@ -98,16 +98,16 @@
 	}
 	r.Start(initialPool, nil, nil, nil)
 	now := r.epoch.Add(10 * time.Millisecond)
-	put := func(id, key string, lasts time.Duration) {
+	submitKeyed := func(id, key string, lasts time.Duration) {
 		tr := transaction(id, set.Classes[0].Name, now.Add(lasts))
 		tr.OrderKey = key
 		if a := submit(t, r, now, tr); a.Verdict != traffic.Accepted {
 			t.Fatalf("submission %s: answer %+v", id, a)
 		}
 	}
-	put("a", "k1", 20*time.Second)
-	put("b", "k1", 20*time.Second)
-	put("c", "k2", 20*time.Second)
+	submitKeyed("a", "k1", 20*time.Second)
+	submitKeyed("b", "k1", 20*time.Second)
+	submitKeyed("c", "k2", 20*time.Second)
 	if got := w.takeCalls(); len(w.flows) != 1 || w.lastFlow().ID != "c" || strings.Count(got, "TransactionAccepted") != 3 {
 		t.Fatalf("calls %s, started flows %+v", got, w.flows)
 	}
@@ -137,7 +137,7 @@
 	step()
 	// A recovered transaction goes before newer ones of this process that have waited for it.
 	keyOrder.waits["e"] = true
-	put("e", "k4", 20*time.Second)
+	submitKeyed("e", "k4", 20*time.Second)
 	before := len(w.flows)
 	keyOrder.waits["e"] = false
 	left := transaction("left", set.Classes[0].Name, now.Add(20*time.Second))
@@ -146,7 +146,7 @@
 	if len(w.flows) != before+1 || w.lastFlow().ID != "left" {
 		t.Errorf("after the recovery: started flows %+v", w.flows[before:])
 	}
-	put("d", "k3", 300*time.Millisecond) // the earlier transaction never ends
+	submitKeyed("d", "k3", 300*time.Millisecond) // the earlier transaction never ends
 	for range 60 {
 		step()
 	}
--- a/internal/relay/pool_view.go
+++ b/internal/relay/pool_view.go
@@ -22,33 +22,33 @@
 	return poolView{members: map[string]traffic.Member{}, goneSince: map[int]time.Time{}}
 }
 
-func (r *poolView) update(update traffic.PoolUpdate, now time.Time) {
+func (v *poolView) update(update traffic.PoolUpdate, now time.Time) {
 	if update.Full {
-		clear(r.members)
+		clear(v.members)
 	}
 	for _, m := range update.Members {
 		if m.Health == traffic.Left {
-			delete(r.members, m.Host)
+			delete(v.members, m.Host)
 		} else {
-			r.members[m.Host] = m
+			v.members[m.Host] = m
 		}
 	}
 	here := map[int]bool{}
-	for _, m := range r.members {
+	for _, m := range v.members {
 		here[m.Destination] = true
-		r.goneSince[m.Destination] = time.Time{}
+		v.goneSince[m.Destination] = time.Time{}
 	}
-	for d, since := range r.goneSince {
+	for d, since := range v.goneSince {
 		if since.IsZero() && !here[d] {
-			r.goneSince[d] = now
+			v.goneSince[d] = now
 		} else if !here[d] && now.Sub(since) > goneRetention {
-			delete(r.goneSince, d)
+			delete(v.goneSince, d)
 		}
 	}
 }
 
 // hasDestination reports whether the pool has, or recently had, a member of the destination.
-func (r *poolView) hasDestination(destination int, now time.Time) bool {
-	since, ok := r.goneSince[destination]
+func (v *poolView) hasDestination(destination int, now time.Time) bool {
+	since, ok := v.goneSince[destination]
 	return ok && (since.IsZero() || now.Sub(since) <= goneRetention)
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -796,11 +796,11 @@
 }
 
 // reply answers all clients that wait for the result of the submission.
-func (h *openTransaction) reply(a traffic.Answer) {
-	for _, to := range h.submitters {
+func (t *openTransaction) reply(a traffic.Answer) {
+	for _, to := range t.submitters {
 		to <- a
 	}
-	h.submitters = nil
+	t.submitters = nil
 }
 
 // commit writes a step to the journal. After an error no transaction is accepted and no flow starts; ends are kept for the commit of
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -339,7 +339,7 @@
 }
 
 // A learned limit is reported once, when a list first names its destination. The list at the start need not name it.
-func TestRecallsLimitsOncePerDestination(t *testing.T) {
+func TestRestoresLimitsOncePerDestination(t *testing.T) {
 	r, _, _ := startRelay(t)
 	limits := map[int]float64{3: 25, 7: 50}
 	r.Start(initialPool, limits, nil, nil)
--- a/internal/secure/secure_test.go
+++ b/internal/secure/secure_test.go
@@ -75,29 +75,29 @@
 }
 
 // file returns the path of a file in the harness's folder.
-func (r *harness) file(name string) string { return filepath.Join(r.dir, name) }
+func (h *harness) file(name string) string { return filepath.Join(h.dir, name) }
 
 // serve makes the server use the given certificate for new connections; change may modify its configuration.
-func (r *harness) serve(p *ca.Pair, change func(*tls.Config)) {
+func (h *harness) serve(p *ca.Pair, change func(*tls.Config)) {
 	cfg := &tls.Config{Certificates: []tls.Certificate{p.TLS()}}
 	if change != nil {
 		change(cfg)
 	}
-	r.mu.Lock()
-	r.cfg = cfg
-	r.mu.Unlock()
+	h.mu.Lock()
+	h.cfg = cfg
+	h.mu.Unlock()
 }
 
 // accept serves connections until the listener is closed.
-func (r *harness) accept() {
+func (h *harness) accept() {
 	for {
-		nc, err := r.ln.Accept()
+		nc, err := h.ln.Accept()
 		if err != nil {
 			return
 		}
-		r.mu.Lock()
-		cfg, rawHandler := r.cfg, r.rawHandler
-		r.mu.Unlock()
+		h.mu.Lock()
+		cfg, rawHandler := h.cfg, h.rawHandler
+		h.mu.Unlock()
 		go func() {
 			defer nc.Close()
 			if rawHandler != nil {
@@ -114,41 +114,41 @@
 }
 
 // connect makes one connection and reads the server's first byte.
-func (r *harness) connect() (*Conn, error) {
-	r.t.Helper()
-	nc, err := net.Dial("tcp", r.member.Address)
-	noError(r.t, err)
+func (h *harness) connect() (*Conn, error) {
+	h.t.Helper()
+	nc, err := net.Dial("tcp", h.member.Address)
+	noError(h.t, err)
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
-	c, _, err := r.manager.Handshake(ctx, nc, &r.member)
+	c, _, err := h.manager.Handshake(ctx, nc, &h.member)
 	if err != nil {
 		return nil, err
 	}
 	if _, err := io.ReadFull(c, make([]byte, 1)); err != nil {
 		return nil, err
 	}
-	r.t.Cleanup(func() { c.Close() })
+	h.t.Cleanup(func() { c.Close() })
 	return c.(*Conn), nil
 }
 
 // expectFailure connects and checks that the handshake fails with the given cause and that the failure is counted.
-func (r *harness) expectFailure(want tlspolicy.Cause) {
-	r.t.Helper()
-	before := r.manager.Counters().Failed[want]
-	_, err := r.connect()
+func (h *harness) expectFailure(want tlspolicy.Cause) {
+	h.t.Helper()
+	before := h.manager.Counters().Failed[want]
+	_, err := h.connect()
 	var f *tlspolicy.Failure
-	if !errors.As(err, &f) || f.Cause != want || r.manager.Counters().Failed[want] != before+1 {
-		r.t.Errorf("want %v: %v", want, err)
+	if !errors.As(err, &f) || f.Cause != want || h.manager.Counters().Failed[want] != before+1 {
+		h.t.Errorf("want %v: %v", want, err)
 	}
 }
 
 // expectResumption connects and checks whether the session is resumed.
-func (r *harness) expectResumption(want bool) {
-	r.t.Helper()
-	c, err := r.connect()
-	noError(r.t, err)
+func (h *harness) expectResumption(want bool) {
+	h.t.Helper()
+	c, err := h.connect()
+	noError(h.t, err)
 	if c.ConnectionState().DidResume != want {
-		r.t.Errorf("resumed %v, want %v", !want, want)
+		h.t.Errorf("resumed %v, want %v", !want, want)
 	}
 }
 
@@ -408,10 +408,10 @@
 	rng *rand.Rand
 }
 
-func (p chunkedConn) Write(b []byte) (n int, err error) {
+func (c chunkedConn) Write(b []byte) (n int, err error) {
 	for len(b) > n && err == nil {
 		var m int
-		m, err = p.Conn.Write(b[n:min(n+1+p.rng.IntN(40), len(b))])
+		m, err = c.Conn.Write(b[n:min(n+1+c.rng.IntN(40), len(b))])
 		n += m
 	}
 	return n, err
--- a/internal/spread/peer.go
+++ b/internal/spread/peer.go
@@ -43,27 +43,27 @@
 
 // markReceived reports whether the packet with a count is new, and marks it as received. Packets below the window count as
 // received.
-func (q *peer) markReceived(count uint64) bool {
-	if count > q.highestCount {
-		shift := count - q.highestCount
-		q.receivedBits = q.receivedBits<<shift | 1 // a shift beyond the window leaves no older bit
-		q.highestCount = count
+func (p *peer) markReceived(count uint64) bool {
+	if count > p.highestCount {
+		shift := count - p.highestCount
+		p.receivedBits = p.receivedBits<<shift | 1 // a shift beyond the window leaves no older bit
+		p.highestCount = count
 		return true
 	}
-	behind := q.highestCount - count
-	if behind >= replayWindowPackets || q.receivedBits&(1<<behind) != 0 {
+	behind := p.highestCount - count
+	if behind >= replayWindowPackets || p.receivedBits&(1<<behind) != 0 {
 		return false
 	}
-	q.receivedBits |= 1 << behind
+	p.receivedBits |= 1 << behind
 	return true
 }
 
 // recordClock records a reading of the peer's clock, and returns how late the reading arrived.
-func (q *peer) recordClock(now, uptime time.Duration) time.Duration {
-	q.clockOffset += time.Duration(maxClockDriftRatio * float64(now-q.clockOffsetAt))
-	q.clockOffsetAt = now
-	q.clockOffset = min(q.clockOffset, now-uptime)
-	return now - uptime - q.clockOffset
+func (p *peer) recordClock(now, uptime time.Duration) time.Duration {
+	p.clockOffset += time.Duration(maxClockDriftRatio * float64(now-p.clockOffsetAt))
+	p.clockOffsetAt = now
+	p.clockOffset = min(p.clockOffset, now-uptime)
+	return now - uptime - p.clockOffset
 }
 
 // RecordClock records a member's clock as reported in the member's answer to a probe.
--- a/internal/spread/spread.go
+++ b/internal/spread/spread.go
@@ -47,7 +47,7 @@
 	exchangeJitterRatio = 0.25
 	// maxClockDriftRatio is the maximum relative drift between two clocks.
 	maxClockDriftRatio = 200e-6
-	// tickInterval is the maximum time between two calls of Tick that Due asks for.
+	// tickInterval is the maximum time between two calls of Tick that NextTick asks for.
 	tickInterval = 200 * time.Millisecond
 	// suspensionThreshold is the time between two calls from which a relay counts as having been suspended or CPU-starved.
 	suspensionThreshold = 600 * time.Millisecond
@@ -180,8 +180,8 @@
 // in its fleet.
 func (s *Spread) Staleness(now time.Duration) time.Duration { return now - s.lastAnsweredAsk }
 
-// Due returns when Tick has to be called next.
-func (s *Spread) Due() time.Duration { return min(s.nextExchange, s.lastCall+tickInterval) }
+// NextTick returns when Tick has to be called next.
+func (s *Spread) NextTick() time.Duration { return min(s.nextExchange, s.lastCall+tickInterval) }
 
 // ExchangeSoon moves the next exchange forward. Call it when members have joined, as they may know statements that this relay
 // lacks. The time is random: when all relays start at the same moment, each of them sees all others join.
--- a/internal/vitals/vitals_test.go
+++ b/internal/vitals/vitals_test.go
@@ -53,7 +53,7 @@
 
 // If work that does not wait takes more wall-clock time than CPU time, other processes compete for the CPU. BusyShare must then count
 // the CPU time that the process wanted, not only the time it got. CPUWaitFactor returns to 1 once the competition has ended.
-func TestStretch(t *testing.T) {
+func TestCPUWaitFactor(t *testing.T) {
 	m := New(1)
 	m.wall, m.cpu = 40*ms, 10*ms
 	now := m.lastRead
