--- a/cmd/slatelab/overload.go
+++ b/cmd/slatelab/overload.go
@@ -49,7 +49,7 @@
 type overloadFlags struct {
 	binary, gatewayPath, outputDir string
 	capacityPerSecond              float64
-	factors, starvedFactors        []float64
+	factors, cpuStarvedFactors     []float64
 	runDuration                    time.Duration
 	clients, burners               int
 	cpu, bodyBytes, maxRetries     int
@@ -59,15 +59,15 @@
 
 // overloadRun holds the parameters and the results of one run.
 type overloadRun struct {
-	factor                   float64
-	starved, overloadControl bool
-	rate                     float64
-	duration                 time.Duration
-	verdict                  ledger.Verdict
-	coresUsed                float64 // mean number of processor cores that the relay used
-	maxRSSBytes              int64
-	loopDelays               [4]time.Duration // delay of the relay's event loop: p50, p99, p99.9, maximum
-	openAtEnd                bool
+	factor                      float64
+	cpuStarved, overloadControl bool
+	rate                        float64
+	duration                    time.Duration
+	verdict                     ledger.Verdict
+	coresUsed                   float64 // mean number of processor cores that the relay used
+	maxRSSBytes                 int64
+	loopDelays                  [4]time.Duration // delay of the relay's event loop: p50, p99, p99.9, maximum
+	openAtEnd                   bool
 }
 
 // overloadCommand measures a relay under overload, with and without the overload control.
@@ -88,7 +88,7 @@
 	fs.StringVar(&f.outputDir, "out", "", "folder for runs.csv and the logs of the relays; empty for none")
 	fs.Float64Var(&f.capacityPerSecond, "capacity", 0, "messages per second that one core can serve; 0 to measure this capacity first")
 	fs.Float64SliceVar(&f.factors, "factors", []float64{1, 2, 4, 10}, "multiples of the capacity to submit")
-	fs.Float64SliceVar(&f.starvedFactors, "starved", []float64{0.5}, "multiples of the capacity to submit to a CPU-starved relay; 0 for none")
+	fs.Float64SliceVar(&f.cpuStarvedFactors, "starved", []float64{0.5}, "multiples of the capacity to submit to a CPU-starved relay; 0 for none")
 	fs.DurationVar(&f.runDuration, "for", 8*time.Second, "duration of a run")
 	fs.IntVar(&f.clients, "clients", 300, "client connections")
 	fs.IntVar(&f.burners, "burners", 3, "number of busy loops on the relay's processor in CPU-starved runs")
@@ -125,17 +125,17 @@
 	}
 	var runs []overloadRun
 	printTableHead(w)
-	for _, starved := range []bool{false, true} {
+	for _, cpuStarved := range []bool{false, true} {
 		factors := f.factors
-		if starved {
-			factors = f.starvedFactors
+		if cpuStarved {
+			factors = f.cpuStarvedFactors
 		}
 		for _, factor := range factors {
 			if factor <= 0 {
 				continue
 			}
 			for _, control := range []string{"", gatewayConfig} {
-				run, err := f.runOnce(ctx, factor, factor*f.capacityPerSecond, starved, control)
+				run, err := f.runOnce(ctx, factor, factor*f.capacityPerSecond, cpuStarved, control)
 				if err != nil {
 					return err
 				}
@@ -173,8 +173,8 @@
 }
 
 // runOnce runs one load against a new deployment.
-func (f *overloadFlags) runOnce(ctx context.Context, factor, rate float64, starved bool, gatewayConfig string) (overloadRun, error) {
-	run := overloadRun{factor: factor, rate: rate, starved: starved, overloadControl: gatewayConfig != "", duration: f.runDuration}
+func (f *overloadFlags) runOnce(ctx context.Context, factor, rate float64, cpuStarved bool, gatewayConfig string) (overloadRun, error) {
+	run := overloadRun{factor: factor, rate: rate, cpuStarved: cpuStarved, overloadControl: gatewayConfig != "", duration: f.runDuration}
 	dir, err := scratchDir()
 	if err != nil {
 		return run, err
@@ -198,7 +198,7 @@
 	// The decision module raises the number of calls allowed to a partner call by call. The load rises to the full rate after this time,
 	// when the window is open.
 	const warmUp = 5 * time.Second
-	if starved {
+	if cpuStarved {
 		for range f.burners {
 			burner, err := lab.Run(nil, nil, os.Args[0], "burn", "--cpu", strconv.Itoa(f.cpu), "--for", (f.runDuration + warmUp + 3*time.Second).String())
 			if err != nil {
@@ -239,7 +239,7 @@
 	}
 	deployment.Close()
 	if f.outputDir != "" {
-		name := fmt.Sprintf("relay-%gx-starved-%v-control-%v.log", factor, starved, run.overloadControl)
+		name := fmt.Sprintf("relay-%gx-starved-%v-control-%v.log", factor, cpuStarved, run.overloadControl)
 		if err := os.MkdirAll(f.outputDir, 0o755); err != nil {
 			return run, err
 		}
@@ -296,7 +296,7 @@
 // print prints one table row for each class, and the first breaches of rules.
 func (r *overloadRun) print(w io.Writer) {
 	core := "its own"
-	if r.starved {
+	if r.cpuStarved {
 		core = "starved"
 	}
 	control := "off"
@@ -343,7 +343,7 @@
 		for _, c := range r.verdict.Classes {
 			formatNumber := func(x float64) string { return strconv.FormatFloat(x, 'g', 6, 64) }
 			seconds := r.duration.Seconds()
-			_ = w.Write([]string{formatNumber(r.factor), strconv.FormatBool(r.starved), strconv.FormatBool(r.overloadControl), c.Class,
+			_ = w.Write([]string{formatNumber(r.factor), strconv.FormatBool(r.cpuStarved), strconv.FormatBool(r.overloadControl), c.Class,
 				formatNumber(float64(c.Offered) / seconds), formatNumber(float64(c.Accepted) / seconds), formatNumber(float64(c.Refused) / seconds),
 				formatNumber(float64(c.NoAnswer+c.Unsent+c.Failed) / seconds), formatNumber(float64(c.WithinAim) / seconds), formatNumber(c.Worth / seconds),
 				formatMillis(r.loopDelays[0]), formatMillis(r.loopDelays[1]), formatMillis(r.loopDelays[2]), formatNumber(r.coresUsed),
--- a/cmd/slatelab/tls.go
+++ b/cmd/slatelab/tls.go
@@ -235,8 +235,8 @@
 }
 
 // prepareDeployment returns a deployment's configuration and the gateway's settings. With useTLS, the partners use TLS with a new
-// certificate, follow the phases in life if there are any, and their root certificate is written to dir.
-func (f *tlsFlags) prepareDeployment(dir string, useTLS bool, life []partner.Phase, latency time.Duration) (lab.DeploymentConfig, string, error) {
+// certificate, follow the phases if there are any, and their root certificate is written to dir.
+func (f *tlsFlags) prepareDeployment(dir string, useTLS bool, phases []partner.Phase, latency time.Duration) (lab.DeploymentConfig, string, error) {
 	config := deploymentConfig(4, 512, latency)
 	gatewayConfig, err := readGatewayConfig(f.gatewayPath)
 	if err != nil || !useTLS {
@@ -255,8 +255,8 @@
 	}
 	for i := range config.Partners {
 		config.Partners[i].TLS = &tls.Config{Certificates: []tls.Certificate{leaf.TLS()}}
-		if life != nil {
-			config.Partners[i].Phases = life
+		if phases != nil {
+			config.Partners[i].Phases = phases
 		}
 	}
 	return config, gatewayConfig, nil
@@ -264,14 +264,14 @@
 
 // runLoad starts a deployment, runs a load on it, and waits until the relay has no open message and no pending notice. onLoadStart,
 // if there is one, is called in a goroutine when the load begins. cpu is the processor time that the relay used during the load.
-func (f *tlsFlags) runLoad(ctx context.Context, useTLS bool, life []partner.Phase, latency time.Duration, handshakeSettings string,
+func (f *tlsFlags) runLoad(ctx context.Context, useTLS bool, phases []partner.Phase, latency time.Duration, handshakeSettings string,
 	steps []load.Step, onLoadStart func(*lab.Deployment)) (deployment *lab.Deployment, relay *lab.Process, cpu time.Duration, err error) {
 	dir, err := scratchDir()
 	if err != nil {
 		return nil, nil, 0, err
 	}
 	defer os.RemoveAll(dir)
-	config, gatewayConfig, err := f.prepareDeployment(dir, useTLS, life, latency)
+	config, gatewayConfig, err := f.prepareDeployment(dir, useTLS, phases, latency)
 	if err != nil {
 		return nil, nil, 0, err
 	}
--- a/internal/configsync/message.go
+++ b/internal/configsync/message.go
@@ -45,7 +45,7 @@
 	Changes []Change
 }
 
-// Ack tells the sender of a push that the receiver has the push and is responsible for its scope.
+// Ack confirms to the sender of a push that the receiver has the push and is responsible for its scope.
 type Ack struct {
 	Number uint64
 }
--- a/internal/dispatch/sender.go
+++ b/internal/dispatch/sender.go
@@ -467,7 +467,7 @@
 	}
 }
 
-// estimate returns the calls that this sender may make: the newest reported figure, less the spends since
+// estimate returns the calls that this sender may make: the newest reported value, less the spends since
 // then, plus this sender's share of the refill, and at most a full allowance.
 func (l *limiter) estimate(now time.Duration) float64 {
 	granted := now < l.grantUntil
@@ -599,7 +599,7 @@
 	}
 	siblingOut := e.siblingInOutage()
 	if siblingOut {
-		if len(e.calls) == 0 { // otherwise the outcomes of the calls out will tell
+		if len(e.calls) == 0 { // otherwise the outcomes of its calls decide
 			streak--
 		}
 	}
--- a/internal/dispatch/sender_test.go
+++ b/internal/dispatch/sender_test.go
@@ -700,10 +700,10 @@
 
 // A report is for all senders. An allowance that is half empty, or holds less than a call for each sender, is shared.
 func TestReportIsShared(t *testing.T) {
-	for _, c := range []struct{ left, limit, most float64 }{{0.5, 12, 3.1}, {1, 3, 2.5}} {
+	for _, c := range []struct{ left, limit, maxEstimate float64 }{{0.5, 12, 3.1}, {1, 3, 2.5}} {
 		l := &limiter{kind: &kind{burstSeconds: 1}, peers: 4}
 		l.applyReport(&LimitReport{LeftShare: c.left, Rate: c.limit}, 0, 0)
-		if got := l.estimate(0); got > c.most {
+		if got := l.estimate(0); got > c.maxEstimate {
 			t.Errorf("%.1f left of %.0f: one of four senders takes %.1f", c.left, c.limit, got)
 		}
 	}
@@ -835,9 +835,9 @@
 	}
 	e.limiter.limit = 400 // every sender sees the outage and all share the budget
 	f := s.cfg.Safety
-	least := time.Duration(400 / (f.OverloadMultiple * f.MinStartCapacityShare * 400) * float64(time.Second))
-	if got := s.coldGap(e, e.outageSince+10*time.Second); got < least {
-		t.Errorf("gap %v where all senders saw the outage, want at least %v", got, least)
+	minGap := time.Duration(400 / (f.OverloadMultiple * f.MinStartCapacityShare * 400) * float64(time.Second))
+	if got := s.coldGap(e, e.outageSince+10*time.Second); got < minGap {
+		t.Errorf("gap %v where all senders saw the outage, want at least %v", got, minGap)
 	}
 }
 
--- a/internal/dispatch/shed_test.go
+++ b/internal/dispatch/shed_test.go
@@ -61,10 +61,10 @@
 				Destination: rapid.IntRange(0, 2).Draw(t, "destination"), TimeLeft: time.Duration(rapid.IntRange(5, 20).Draw(t, "left")) * time.Second,
 				MayHaveRun: class == "unsafe" && rapid.Bool().Draw(t, "ran")}})
 		}
-		most := rapid.IntRange(1, 80).Draw(t, "most")
-		want := pickOneByOne(s, len(s.messages)-int(shedThreshold*float64(most)))
+		maxMessages := rapid.IntRange(1, 80).Draw(t, "most")
+		want := pickOneByOne(s, len(s.messages)-int(shedThreshold*float64(maxMessages)))
 		var got []string
-		for _, a := range s.Step(70*time.Millisecond, []Event{HoldCap{MaxMessages: most}}) {
+		for _, a := range s.Step(70*time.Millisecond, []Event{HoldCap{MaxMessages: maxMessages}}) {
 			if r, ok := a.(Refuse); ok {
 				got = append(got, r.ID)
 			}
--- a/internal/fleet/configuration.go
+++ b/internal/fleet/configuration.go
@@ -154,7 +154,7 @@
 	}
 }
 
-// setMembers tells the replica which live members replicate configuration.
+// setMembers passes the live members that replicate configuration to the replica.
 func (c *configuration) setMembers(now time.Duration, self string, announced map[string][]byte) {
 	members := []configsync.Member{{Name: self, Region: c.config.Region, Zone: c.config.Zone}}
 	for name, meta := range announced {
--- a/internal/fleet/configuration_driver.go
+++ b/internal/fleet/configuration_driver.go
@@ -86,8 +86,8 @@
 	f.send(packets)
 }
 
-// updateReplicationMembers tells the replica which live members replicate configuration. The first call, after this relay
-// has got its address, opens the configuration file.
+// updateReplicationMembers passes the live members that replicate configuration to the replica. The first call, after this
+// relay has got its address, opens the configuration file.
 func (f *Fleet) updateReplicationMembers(now time.Duration) {
 	c := f.configuration
 	if c == nil {
--- a/internal/fleet/members.go
+++ b/internal/fleet/members.go
@@ -49,7 +49,7 @@
 	return list
 }
 
-// recordMember stores a member's state as memberlist reports it, and tells the driver.
+// recordMember stores a member's state as memberlist reports it, and notifies the driver.
 func (f *Fleet) recordMember(n *memberlist.Node, state string) {
 	f.updateMemberState(n, state)
 	if n.Name != f.cfg.Self {
--- a/internal/fleet/membership.go
+++ b/internal/fleet/membership.go
@@ -46,7 +46,7 @@
 // is negligible, so that packets of new members are accepted at once.
 const rebuildPausePerMember = 64 * time.Microsecond
 
-// membershipChanged tells the driver that memberlist's list of members has changed.
+// membershipChanged notifies the driver that memberlist's list of members has changed.
 type membershipChanged struct{}
 
 // maintainMembership keeps this relay a member of the fleet. It waits for its address, joins, and keeps trying addresses
--- a/internal/flow/batch_test.go
+++ b/internal/flow/batch_test.go
@@ -69,7 +69,7 @@
 		"two ends for one id":        {head("a delivered\r\na refused\r\nb delivered\r\nc delivered\r\n", ""), [3]traffic.FlowStatus{broken, delivered, delivered}, 0},
 		"an empty answer":            {head("", ""), [3]traffic.FlowStatus{broken, broken, broken}, 0},
 		"truncated":                  {head("a delivered\r\nb delivered\r\nc delivered\r\n", "")[:70], [3]traffic.FlowStatus{broken, broken, broken}, 0},
-		"all turned away":            {"HTTP/1.1 429 Busy\r\nX-Retry-In-Ms: 50\r\nContent-Length: 0\r\n\r\n", [3]traffic.FlowStatus{refused, refused, refused}, 50 * time.Millisecond},
+		"all refused":                {"HTTP/1.1 429 Busy\r\nX-Retry-In-Ms: 50\r\nContent-Length: 0\r\n\r\n", [3]traffic.FlowStatus{refused, refused, refused}, 50 * time.Millisecond},
 		"all in error":               {"HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n", [3]traffic.FlowStatus{errored, errored, errored}, 0},
 		"too many, none has run":     {"HTTP/1.1 413 Large\r\nContent-Length: 0\r\n\r\n", [3]traffic.FlowStatus{unsent, unsent, unsent}, 0},
 		"not readable, none has run": {"HTTP/1.1 400 Bad\r\nContent-Length: 0\r\n\r\n", [3]traffic.FlowStatus{unsent, unsent, unsent}, 0},
@@ -99,7 +99,7 @@
 				}
 			}
 			if c.ends[2] == refused && first.Status != refused {
-				t.Errorf("first reported end: %+v, want turned away", first)
+				t.Errorf("first reported end: %+v, want refused", first)
 			}
 			if c.wait > 0 { // the retry-after also binds the next call
 				r.startFlow("d")
--- a/internal/flow/conn.go
+++ b/internal/flow/conn.go
@@ -219,7 +219,7 @@
 	c.received = c.received || len(data) > 0
 	n, feedErr := c.response.Feed(data)
 	if err != nil {
-		_ = c.response.End() // Done tells whether the answer is truncated
+		_ = c.response.End() // Done reports whether the answer is truncated
 	}
 	if feedErr != nil {
 		slog.Warn("answer not understood", "addr", c.nc.RemoteAddr(), "err", feedErr)
--- a/internal/flow/flow.go
+++ b/internal/flow/flow.go
@@ -141,118 +141,118 @@
 }
 
 // UpdatePool applies an update of the pool. A flow to a leaving member ends unsent unless its first byte is already written.
-func (g *Manager) UpdatePool(update traffic.PoolUpdate) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
+func (m *Manager) UpdatePool(update traffic.PoolUpdate) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	if update.Full {
-		for _, m := range g.members {
-			m.available = false
+		for _, known := range m.members {
+			known.available = false
 		}
 	}
 	for _, row := range update.Members {
-		m := g.members[row.Host]
-		if m == nil {
-			m = &member{}
-			g.members[row.Host] = m
+		known := m.members[row.Host]
+		if known == nil {
+			known = &member{}
+			m.members[row.Host] = known
 		}
-		m.Member, m.available = row, row.Health == traffic.Active
+		known.Member, known.available = row, row.Health == traffic.Active
 	}
-	for host, m := range g.members {
-		g.closeEvicted(g.conns.UpdateEndpoint(host, m.Address, m.Destination, m.available))
-		if !m.available {
-			delete(g.members, host) // active flows keep their own reference
+	for host, known := range m.members {
+		m.closeEvicted(m.conns.UpdateEndpoint(host, known.Address, known.Destination, known.available))
+		if !known.available {
+			delete(m.members, host) // active flows keep their own reference
 		}
 	}
-	g.serveWaiters()
+	m.serveWaiters()
 }
 
 // Start begins a flow. It does not block.
-func (g *Manager) Start(f traffic.Flow) {
+func (m *Manager) Start(f traffic.Flow) {
 	ctx, cancel := context.WithDeadline(context.Background(), f.Deadline)
 	r := &activeFlow{Flow: f, cancel: cancel}
-	g.mu.Lock()
-	r.target = g.members[f.Member]
-	full := g.callCount >= g.cfg.MaxCalls
+	m.mu.Lock()
+	r.target = m.members[f.Member]
+	full := m.callCount >= m.cfg.MaxCalls
 	var l lease
 	if !full && r.target != nil {
-		g.callCount++
+		m.callCount++
 		for _, x := range f.All() {
-			g.flows[flowID{x.ID, x.Attempt}] = r
+			m.flows[flowID{x.ID, x.Attempt}] = r
 		}
-		l = g.requestConn(f.Member, g.conns.Call)
+		l = m.requestConn(f.Member, m.conns.Call)
 	}
-	g.mu.Unlock()
+	m.mu.Unlock()
 	switch {
 	case r.target == nil:
 		cancel()
-		g.reportEnds(r, r.flowEnd(traffic.Unsent), nil)
+		m.reportEnds(r, r.flowEnd(traffic.Unsent), nil)
 	case full:
 		cancel()
-		g.reportEnds(r, r.flowEnd(traffic.NoSlot), nil)
+		m.reportEnds(r, r.flowEnd(traffic.NoSlot), nil)
 	default:
-		go g.run(ctx, r, l)
+		go m.run(ctx, r, l)
 	}
 }
 
 // SetLimits sets the maximum numbers of calls in flight and of connections. Existing calls and connections stay.
-func (g *Manager) SetLimits(maxFlows, maxConns int) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.cfg.MaxCalls = maxFlows
-	g.conns.SetMaxConns(maxConns)
-	g.serveWaiters()
+func (m *Manager) SetLimits(maxFlows, maxConns int) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.cfg.MaxCalls = maxFlows
+	m.conns.SetMaxConns(maxConns)
+	m.serveWaiters()
 }
 
 // Cancel aborts a flow by closing its connection.
-func (g *Manager) Cancel(id string, attempt int) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if r := g.flows[flowID{id, attempt}]; r != nil {
+func (m *Manager) Cancel(id string, attempt int) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if r := m.flows[flowID{id, attempt}]; r != nil {
 		r.cancel()
 	}
 }
 
 // SetCloseIdle closes all idle connections, and keeps no connection idle while on is true.
-func (g *Manager) SetCloseIdle(on bool) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.closeEvicted(g.conns.SetKeepNoIdle(g.now(), on))
+func (m *Manager) SetCloseIdle(on bool) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.closeEvicted(m.conns.SetKeepNoIdle(m.now(), on))
 }
 
 // Expect announces how many calls to the members of a destination will follow soon.
-func (g *Manager) Expect(destination, calls int) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
+func (m *Manager) Expect(destination, calls int) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	var hosts []string
-	for host, m := range g.members {
-		if m.available && m.Destination == destination {
+	for host, known := range m.members {
+		if known.available && known.Destination == destination {
 			hosts = append(hosts, host)
 		}
 	}
 	for _, host := range hosts {
-		g.conns.Hint(host, false, (calls+len(hosts)-1)/len(hosts))
+		m.conns.Hint(host, false, (calls+len(hosts)-1)/len(hosts))
 	}
 }
 
 // Counters returns the connection counters.
-func (g *Manager) Counters() conns.Counters {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.conns.Counters()
+func (m *Manager) Counters() conns.Counters {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.conns.Counters()
 }
 
 // IdleTimes returns how long connections had been idle when they ended, by cause.
-func (g *Manager) IdleTimes() conns.IdleTimes {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.conns.IdleTimes()
+func (m *Manager) IdleTimes() conns.IdleTimes {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.conns.IdleTimes()
 }
 
 // EndpointStates returns the state of the connections to each member.
-func (g *Manager) EndpointStates() []conns.EndpointState {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.conns.EndpointStates()
+func (m *Manager) EndpointStates() []conns.EndpointState {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.conns.EndpointStates()
 }
 
 // flowEnd returns the end of the flow. Latency leaves out the time that the flow waited inside this program, because the pool member did
@@ -263,50 +263,50 @@
 }
 
 // run executes one flow and reports its end.
-func (g *Manager) run(ctx context.Context, r *activeFlow, l lease) {
+func (m *Manager) run(ctx context.Context, r *activeFlow, l lease) {
 	r.localWait = time.Since(r.StartedAt)
-	end, statuses := g.attempt(ctx, r, l)
-	if g.cfg.LocalDelay != nil {
-		end.Latency = max(end.Latency-g.cfg.LocalDelay(), 0)
+	end, statuses := m.attempt(ctx, r, l)
+	if m.cfg.LocalDelay != nil {
+		end.Latency = max(end.Latency-m.cfg.LocalDelay(), 0)
 	}
 	r.cancel()
-	g.mu.Lock()
-	g.callCount--
-	g.removeOutstanding(r)
+	m.mu.Lock()
+	m.callCount--
+	m.removeOutstanding(r)
 	for _, x := range r.All() {
-		delete(g.flows, flowID{x.ID, x.Attempt})
+		delete(m.flows, flowID{x.ID, x.Attempt})
 	}
 	if (end.Status == traffic.FlowRefused || statuses != nil) && end.RetryAfter > 0 {
 		// The wait takes effect here, before the relay learns of it: a call that is still connecting must not be written during the wait.
-		if until := time.Now().Add(end.RetryAfter); until.After(g.retryAfter[r.Group]) {
-			g.retryAfter[r.Group] = until
-			if g.cfg.SharedWaits != nil {
-				g.cfg.SharedWaits.Record(r.Group, until)
+		if until := time.Now().Add(end.RetryAfter); until.After(m.retryAfter[r.Group]) {
+			m.retryAfter[r.Group] = until
+			if m.cfg.SharedWaits != nil {
+				m.cfg.SharedWaits.Record(r.Group, until)
 			}
 		}
 	}
-	g.mu.Unlock()
-	g.reportEnds(r, end, statuses)
+	m.mu.Unlock()
+	m.reportEnds(r, end, statuses)
 }
 
 // reportEnds reports the end of a flow and of the flows that shared its call.
-func (g *Manager) reportEnds(r *activeFlow, end traffic.FlowEnd, statuses map[string]traffic.FlowStatus) {
+func (m *Manager) reportEnds(r *activeFlow, end traffic.FlowEnd, statuses map[string]traffic.FlowStatus) {
 	for i, eachEnd := range r.allEnds(end, statuses) {
-		if g.cfg.Fleet != nil && i == 0 {
-			g.cfg.Fleet.FlowEnded(r.Flow, eachEnd)
+		if m.cfg.Fleet != nil && i == 0 {
+			m.cfg.Fleet.FlowEnded(r.Flow, eachEnd)
 		}
-		g.reportEnd(eachEnd)
+		m.reportEnd(eachEnd)
 	}
 }
 
 // attempt makes the call and returns its end. For a batch it also returns the status of each flow by id, if the answer states them.
-func (g *Manager) attempt(ctx context.Context, r *activeFlow, l lease) (traffic.FlowEnd, map[string]traffic.FlowStatus) {
-	if end, waits := g.sharedWait(r); waits {
-		g.releaseLease(l)
+func (m *Manager) attempt(ctx context.Context, r *activeFlow, l lease) (traffic.FlowEnd, map[string]traffic.FlowStatus) {
+	if end, waits := m.sharedWait(r); waits {
+		m.releaseLease(l)
 		return end, nil
 	}
-	if g.heldByFleet(r.Group, time.Now()) {
-		g.releaseLease(l)
+	if m.heldByFleet(r.Group, time.Now()) {
+		m.releaseLease(l)
 		return r.flowEnd(traffic.Unsent), nil
 	}
 	var c *conn
@@ -316,28 +316,28 @@
 			return r.flowEnd(traffic.NotConnected), nil
 		}
 		var err error
-		if c, err = g.acquire(ctx, r, l); err == errConnWait {
+		if c, err = m.acquire(ctx, r, l); err == errConnWait {
 			return r.flowEnd(traffic.Unsent), nil // this program delayed the flow, so the member is not blamed
 		} else if err != nil {
 			slog.Debug("no connection", "member", r.Member, "id", r.ID, "err", err)
 			return r.flowEnd(traffic.NotConnected), nil
 		}
-		if end, waits := g.sharedWait(r); waits {
-			g.returnUnused(c)
+		if end, waits := m.sharedWait(r); waits {
+			m.returnUnused(c)
 			return end, nil
 		}
 		if c.syscallConn != nil {
-			g.awaitUnreadAnswers(ctx, r)
+			m.awaitUnreadAnswers(ctx, r)
 		}
-		if !g.mayWrite(ctx, r) {
-			g.returnUnused(c)
+		if !m.mayWrite(ctx, r) {
+			m.returnUnused(c)
 			return r.flowEnd(traffic.Unsent), nil
 		}
 		writeStart = time.Now()
 		if written = c.beginWrite(writeStart); !written && tries < maxReplacedConns {
-			l = g.replaceConn(r, c)
+			l = m.replaceConn(r, c)
 		} else if !written {
-			g.returnUnused(c)
+			m.returnUnused(c)
 		}
 	}
 	var call []byte
@@ -348,7 +348,7 @@
 		c.setBatch()
 	}
 	if c.syscallConn != nil { // on TLS connections only the reader goroutine can read
-		g.addOutstanding(r, c)
+		m.addOutstanding(r, c)
 	}
 	_ = c.nc.SetWriteDeadline(r.writeDeadline())
 	stop := context.AfterFunc(ctx, func() { // also ends a blocked write
@@ -356,13 +356,13 @@
 		c.close()
 	})
 	if n, err := c.nc.Write(call); n < len(call) {
-		g.finishCall(c, c.endCall(stop()), time.Since(writeStart))
+		m.finishCall(c, c.endCall(stop()), time.Since(writeStart))
 		slog.Debug("call not written", "member", r.Member, "id", r.ID, "err", err)
 		return r.flowEnd(traffic.NotConnected), nil
 	}
 	<-c.answered       // always closed in the end: close ends the reader, which closes the channel
 	result := c.result // read before finishCall returns the connection, because its next call clears the result
-	g.finishCall(c, c.endCall(stop()), time.Since(writeStart))
+	m.finishCall(c, c.endCall(stop()), time.Since(writeStart))
 	end := r.flowEnd(traffic.ConnectionBroken)
 	if result.status != 0 {
 		end = result.applyTo(end)
@@ -384,16 +384,16 @@
 }
 
 // sharedWait returns the end of a flow whose group must wait because of a retry-after that the other process of a handover received.
-// The flow ends as turned away with that wait, so that the decision module respects the wait as if this process had received it.
-func (g *Manager) sharedWait(r *activeFlow) (traffic.FlowEnd, bool) {
-	if g.cfg.SharedWaits == nil {
+// The flow ends as refused with that wait, so that the decision module respects the wait as if this process had received it.
+func (m *Manager) sharedWait(r *activeFlow) (traffic.FlowEnd, bool) {
+	if m.cfg.SharedWaits == nil {
 		return traffic.FlowEnd{}, false
 	}
 	now := time.Now()
-	until := g.cfg.SharedWaits.Until(r.Group, now)
-	g.mu.Lock()
-	ownWait := !until.After(g.retryAfter[r.Group])
-	g.mu.Unlock()
+	until := m.cfg.SharedWaits.Until(r.Group, now)
+	m.mu.Lock()
+	ownWait := !until.After(m.retryAfter[r.Group])
+	m.mu.Unlock()
 	if until.IsZero() || ownWait {
 		return traffic.FlowEnd{}, false // no wait, or a wait of this process, which the decision module knows already
 	}
@@ -403,32 +403,32 @@
 }
 
 // heldByFleet reports whether other relays hold back calls of the group.
-func (g *Manager) heldByFleet(group traffic.Group, now time.Time) bool {
-	return g.cfg.Fleet != nil && g.cfg.Fleet.OnHold(group, now)
+func (m *Manager) heldByFleet(group traffic.Group, now time.Time) bool {
+	return m.cfg.Fleet != nil && m.cfg.Fleet.OnHold(group, now)
 }
 
 // mayWrite reports whether the first byte may still be written. Conditions can change while a connection is opened: the member may be
 // leaving, a retry-after may have arrived, or Flow.WriteBy may be too close.
-func (g *Manager) mayWrite(ctx context.Context, r *activeFlow) bool {
+func (m *Manager) mayWrite(ctx context.Context, r *activeFlow) bool {
 	now := time.Now()
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return ctx.Err() == nil && r.target.available && !now.Before(g.retryAfter[r.Group]) && !g.heldByFleet(r.Group, now) &&
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return ctx.Err() == nil && r.target.available && !now.Before(m.retryAfter[r.Group]) && !m.heldByFleet(r.Group, now) &&
 		(r.WriteBy.IsZero() || now.Before(r.WriteBy.Add(-writeMargin)))
 }
 
 // Close ends all flows and connections immediately. Once this process releases its journal, a successor process retries the flows that
 // were active. No call of this process may then be open on the wire, or the retry of the successor would be a duplicate.
-func (g *Manager) Close() {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	for _, r := range g.flows {
+func (m *Manager) Close() {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	for _, r := range m.flows {
 		r.cancel()
 	}
-	for _, cancel := range g.preconnecting {
+	for _, cancel := range m.preconnecting {
 		cancel()
 	}
-	for _, c := range g.connsByID {
+	for _, c := range m.connsByID {
 		if c.underTLS != nil {
 			c.underTLS.Close() // without a close_notify, which would take time
 		} else {
--- a/internal/flow/unread_answers.go
+++ b/internal/flow/unread_answers.go
@@ -46,36 +46,36 @@
 }
 
 // addOutstanding records a call that is about to be written.
-func (g *Manager) addOutstanding(r *activeFlow, c *conn) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	o := g.outstanding[r.Group]
+func (m *Manager) addOutstanding(r *activeFlow, c *conn) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	o := m.outstanding[r.Group]
 	if o == nil {
 		o = &outstanding{calls: map[*activeFlow]writtenCall{}}
-		g.outstanding[r.Group] = o
+		m.outstanding[r.Group] = o
 	}
 	o.calls[r] = writtenCall{c, c.answered}
 }
 
 // removeOutstanding removes a call whose end is recorded. The caller holds g.mu.
-func (g *Manager) removeOutstanding(r *activeFlow) {
-	o := g.outstanding[r.Group]
+func (m *Manager) removeOutstanding(r *activeFlow) {
+	o := m.outstanding[r.Group]
 	if o == nil {
 		return
 	}
 	delete(o.calls, r)
 	if len(o.calls) == 0 {
-		delete(g.outstanding, r.Group)
+		delete(m.outstanding, r.Group)
 	}
 }
 
 // awaitUnreadAnswers waits until the answers that have arrived for other calls of the group are read and recorded. It guards against a
 // process that was stopped, or CPU-starved, for longer than a retry-after may go unnoticed. When such a process runs again, goroutines
 // that are about to write a call may run before those that have yet to read an answer with a retry-after. Calls over TLS are not covered.
-func (g *Manager) awaitUnreadAnswers(ctx context.Context, r *activeFlow) {
+func (m *Manager) awaitUnreadAnswers(ctx context.Context, r *activeFlow) {
 	for deadline := time.Now().Add(maxUnreadDelay); ctx.Err() == nil; {
 		now := time.Now()
-		if now.After(deadline) || !g.hasUnreadAnswer(r.Group, now) {
+		if now.After(deadline) || !m.hasUnreadAnswer(r.Group, now) {
 			return
 		}
 		time.Sleep(unreadPollInterval)
@@ -84,9 +84,9 @@
 
 // hasUnreadAnswer reads the data that has arrived for the calls of the group, and reports whether one of them has an answer that is not
 // recorded yet.
-func (g *Manager) hasUnreadAnswer(group traffic.Group, now time.Time) bool {
+func (m *Manager) hasUnreadAnswer(group traffic.Group, now time.Time) bool {
 	unread := false
-	for _, call := range g.callsToCheck(group, now) {
+	for _, call := range m.callsToCheck(group, now) {
 		for range maxPendingReads {
 			if call.isAnswered() || !call.c.readPending() {
 				break
@@ -97,19 +97,19 @@
 	if unread {
 		return true
 	}
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if o := g.outstanding[group]; o != nil && now.After(o.checked) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if o := m.outstanding[group]; o != nil && now.After(o.checked) {
 		o.checked = now
 	}
 	return false
 }
 
 // callsToCheck returns the outstanding calls of a group, or none if they were checked within unreadCheckInterval.
-func (g *Manager) callsToCheck(group traffic.Group, now time.Time) (calls []writtenCall) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	o := g.outstanding[group]
+func (m *Manager) callsToCheck(group traffic.Group, now time.Time) (calls []writtenCall) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	o := m.outstanding[group]
 	if o == nil || now.Sub(o.checked) < unreadCheckInterval {
 		return nil
 	}
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -36,11 +36,11 @@
 }
 
 // Counters holds counts since the start.
-type Counters struct{ Accepted, TurnedAway, Evicted, Commands, BadCommands, BadFrames, Shed, ShedUnread, PausedReads int64 }
+type Counters struct{ Accepted, Refused, Evicted, Commands, BadCommands, BadFrames, Shed, ShedUnread, PausedReads int64 }
 
 // LogValue names the counters in a log line.
 func (c Counters) LogValue() slog.Value {
-	return slog.GroupValue(slog.Int64("accepted", c.Accepted), slog.Int64("turned_away", c.TurnedAway),
+	return slog.GroupValue(slog.Int64("accepted", c.Accepted), slog.Int64("turned_away", c.Refused),
 		slog.Int64("made_room", c.Evicted), slog.Int64("commands", c.Commands),
 		slog.Int64("bad_commands", c.BadCommands), slog.Int64("bad_frames", c.BadFrames),
 		slog.Int64("shed", c.Shed), slog.Int64("shed_unread", c.ShedUnread), slog.Int64("rested", c.PausedReads))
--- a/internal/journal/record.go
+++ b/internal/journal/record.go
@@ -26,7 +26,7 @@
 type kind = byte
 
 const (
-	kindTaken kind = iota + 1
+	kindAccepted kind = iota + 1
 	kindFlowBegun
 	kindFlowEnded
 	kindEnded
@@ -81,7 +81,7 @@
 	switch ch := ch.(type) {
 	case traffic.TransactionAccepted:
 		t := &ch.Transaction
-		appendHead(kindTaken, t.ID, int64(t.Destination), unixMicro(t.Deadline))
+		appendHead(kindAccepted, t.ID, int64(t.Destination), unixMicro(t.Deadline))
 		b = appendText(appendText(appendText(b, t.Class), t.Tenant), t.IdempotencyKey)
 		b = appendText(b, t.Body)
 		if t.OrderKey != "" { // without an order the record is the same as before the field existed
@@ -167,7 +167,7 @@
 	id := string(r.bytes())
 	var ch any
 	switch payload[0] {
-	case kindTaken:
+	case kindAccepted:
 		t := traffic.Transaction{ID: id, Destination: int(r.number()), Deadline: r.time()}
 		t.Class, t.Tenant, t.IdempotencyKey = string(r.bytes()), string(r.bytes()), string(r.bytes())
 		t.Body = append([]byte(nil), r.bytes()...)
--- a/internal/lab/capacity/slopes/bounds.go
+++ b/internal/lab/capacity/slopes/bounds.go
@@ -16,13 +16,13 @@
 // when a constant that it lists has changed.
 const (
 	maxDiscoveryListBytes   = 4 << 20   // internal/pool maxList
-	maxDepartedMembers      = 2048      // internal/pool goneMost
+	maxDepartedMembers      = 2048      // internal/pool maxGone
 	maxDividedDestinations  = 16384     // internal/allowance maxDestinations
 	maxDestinationsPerClaim = 24        // internal/allowance maxClaimed
 	maxJudgedDestinations   = 8192      // internal/verdicts maxTracked
 	maxLimitReadings        = 16384     // internal/fleet maxReadings
-	maxListedRelays         = 4096      // internal/fleet maxListed
-	maxStreamBytes          = 512 << 10 // internal/fleet maxStream
+	maxListedRelays         = 4096      // internal/fleet maxListedMembers
+	maxStreamBytes          = 512 << 10 // internal/fleet maxStreamBytes
 	maxConcurrentStreams    = 8         // internal/fleet maxStreams
 	journalLiveShare        = 0.4       // internal/journal liveShare
 	rememberedLimits        = 1873      // internal/limitstore, in a file of 3 MB; docs/sizes.md says 1,875
--- a/internal/lab/emulator/workload/workload_test.go
+++ b/internal/lab/emulator/workload/workload_test.go
@@ -73,7 +73,7 @@
 }
 
 // Checks that the same seed gives the same result, and another seed another result.
-func TestSameSeedSameDay(t *testing.T) {
+func TestSameSeedSameResult(t *testing.T) {
 	a, err := Simulate(testScenario(5))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/lab/handover_test.go
+++ b/internal/lab/handover_test.go
@@ -17,7 +17,7 @@
 // Handover under load: a second process starts on the client address of the first and reports ready on its own admin endpoint, then
 // the first process is ended by SIGTERM. Every accepted message must have exactly one end and none may run twice. The successor
 // recovers what the first process left in its journal.
-func TestHandOver(t *testing.T) {
+func TestHandover(t *testing.T) {
 	d := startDeployment(t, 30*time.Millisecond, 64)
 	tmp := t.TempDir()
 	firstOps, err := FreePort()
--- a/internal/lab/limits/simulation.go
+++ b/internal/lab/limits/simulation.go
@@ -122,7 +122,7 @@
 	return s, nil
 }
 
-// UpdateMembers tells each allocator which relays are alive, as far as it can reach them.
+// UpdateMembers passes to each allocator the set of live relays that it can reach.
 func (s *Simulation) UpdateMembers() {
 	for i, a := range s.Allocators {
 		var live []string
--- a/internal/lab/partner/partner_test.go
+++ b/internal/lab/partner/partner_test.go
@@ -16,10 +16,10 @@
 	"slatemux/internal/proptest"
 )
 
-func start(t *testing.T, life ...Phase) (*Server, *ledger.Ledger) {
+func start(t *testing.T, phases ...Phase) (*Server, *ledger.Ledger) {
 	t.Helper()
 	l := &ledger.Ledger{}
-	s, err := Start(Config{Name: "m", Dest: 7, Addr: "127.0.0.1:0", Phases: life, Ledger: l, Seed: 1})
+	s, err := Start(Config{Name: "m", Dest: 7, Addr: "127.0.0.1:0", Phases: phases, Ledger: l, Seed: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/notice/notice.go
+++ b/internal/notice/notice.go
@@ -38,10 +38,10 @@
 	// Used by the goroutine in Run alone: the connection, its address, and the context that ends when the platform leaves that
 	// address. A move closes the connection at once, also during a call. Notices without an answer are sent again to the new
 	// address.
-	conn      net.Conn
-	addr      string
-	placeCtx  context.Context
-	stopClose func() bool
+	conn        net.Conn
+	addr        string
+	platformCtx context.Context
+	stopClose   func() bool
 }
 
 // Counters holds counts since the start: calls, and those of them that were not answered and so are repeated.
@@ -108,14 +108,14 @@
 			s.removeAnswered(batch)
 		default:
 			s.closeConn()
-			if s.placeCtx.Err() != nil {
+			if s.platformCtx.Err() != nil {
 				continue // the platform has moved, so there is no reason to pause
 			}
 			slog.Warn("notices not answered", "addr", s.addr, "count", len(batch), "status", status, "err", err)
 			select {
 			case <-ctx.Done():
 				return
-			case <-s.placeCtx.Done():
+			case <-s.platformCtx.Done():
 			case <-time.After(retryPause):
 			}
 		}
@@ -145,20 +145,20 @@
 // call sends a batch and returns the HTTP status of the answer; 0 if there was none.
 func (s *Sender) call(ctx context.Context, batch []traffic.Notice) (int, error) {
 	deadline := time.Now().Add(answerTimeout)
-	if s.conn != nil && s.placeCtx.Err() != nil {
+	if s.conn != nil && s.platformCtx.Err() != nil {
 		s.closeConn()
 	}
 	if s.conn == nil {
-		s.addr, s.placeCtx = s.platform.Current()
+		s.addr, s.platformCtx = s.platform.Current()
 		ctx, cancel := context.WithCancel(ctx)
 		defer cancel()
-		defer context.AfterFunc(s.placeCtx, cancel)()
+		defer context.AfterFunc(s.platformCtx, cancel)()
 		dialer := net.Dialer{Deadline: deadline}
 		nc, err := dialer.DialContext(ctx, "tcp", s.addr)
 		if err != nil {
 			return 0, fmt.Errorf("notice: %w", err)
 		}
-		s.conn, s.stopClose = nc, context.AfterFunc(s.placeCtx, func() { nc.Close() })
+		s.conn, s.stopClose = nc, context.AfterFunc(s.platformCtx, func() { nc.Close() })
 	}
 	resp, err := http1.Exchange(s.conn, http1.AppendRequest(nil, "POST", "/v1/notices", s.addr, nil, encode(batch)),
 		http1.MaxHeadBytes, deadline, deadline)
--- a/internal/pool/call_schedule_test.go
+++ b/internal/pool/call_schedule_test.go
@@ -120,18 +120,18 @@
 // Retry delays grow with each failure in a row up to a bound, differ between relays, and start over after an answer.
 func TestRetryDelaysGrow(t *testing.T) {
 	a, b := NewCallSchedule(askedConfig(80), 1), NewCallSchedule(askedConfig(80), 2)
-	same, most := 0, time.Duration(0)
+	same, longest := 0, time.Duration(0)
 	for range 30 {
 		x, y := a.RetryDelay(false), b.RetryDelay(false)
 		if x == y {
 			same++
 		}
-		if most = max(most, x, y); most > maxRetrySpan {
-			t.Fatalf("a pause of %v", most)
+		if longest = max(longest, x, y); longest > maxRetrySpan {
+			t.Fatalf("a pause of %v", longest)
 		}
 	}
-	if same > 0 || most < maxRetrySpan*3/4 {
-		t.Errorf("%d pauses of two relays were the same; the longest was %v", same, most)
+	if same > 0 || longest < maxRetrySpan*3/4 {
+		t.Errorf("%d pauses of two relays were the same; the longest was %v", same, longest)
 	}
 	a.Answered()
 	if p := a.RetryDelay(false); p > maxStartSpread {
--- a/internal/pool/watch.go
+++ b/internal/pool/watch.go
@@ -102,15 +102,15 @@
 	pause := w.schedule.StartDelay()
 	w.lastAnswer = time.Now()
 	for failures := 0; ctx.Err() == nil; {
-		addr, placeCtx := w.discovery.Current()
+		addr, discoveryCtx := w.discovery.Current()
 		followCtx, cancel := context.WithCancel(ctx)
-		stopCancel := context.AfterFunc(placeCtx, cancel)
+		stopCancel := context.AfterFunc(discoveryCtx, cancel)
 		lastAnswer := w.lastAnswer
 		err := w.callRepeatedly(followCtx, addr, pause)
 		if w.lastAnswer != lastAnswer {
 			failures = 0
 		}
-		if placeCtx.Err() != nil {
+		if discoveryCtx.Err() != nil {
 			slog.Info("watch moves", "from", addr)
 			w.closeConn()
 			w.members.SourceChanged()
@@ -127,7 +127,7 @@
 	w.closeConn()
 }
 
-// checkFreshness tells the listener if the list has not been known to be fresh for too long.
+// checkFreshness notifies the listener if the list has not been known to be fresh for too long.
 func (w *Watcher) checkFreshness() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/relay/fleet.go
+++ b/internal/relay/fleet.go
@@ -41,7 +41,7 @@
 	expired bool
 }
 
-// expireAllowances tells the module of expired allowances before it decides anything after their end.
+// expireAllowances reports expired allowances to the module before it decides anything after their end.
 func (r *Relay) expireAllowances(now time.Time) (events []dispatch.Event) {
 	if len(r.allowances) == 0 || now.Before(r.nextExpiry) {
 		return nil
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -65,7 +65,7 @@
 // predecessor's exit.
 const recoveryInterval = 200 * time.Millisecond
 
-// Notices tells the platform how undelivered transactions ended. Each Send leads to the id in a call of Relay.NoticesAnswered.
+// Notices reports to the platform how undelivered transactions ended. Each Send leads to the id in a call of Relay.NoticesAnswered.
 type Notices interface{ Send(traffic.Notice) }
 
 // Meters measures the steps. RunSection runs f and records the time that f took.
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -300,7 +300,7 @@
 	}
 }
 
-// A retry of a keyed call must not be written after the class's DedupTTL. WriteBy tells that limit to the flow, which may have to connect
+// A retry of a keyed call must not be written after the class's DedupTTL. WriteBy gives this limit to the flow, which may have to connect
 // first.
 func TestRetryHasWriteBy(t *testing.T) {
 	r, w, now := startRelay(t)
--- a/internal/relay/stats.go
+++ b/internal/relay/stats.go
@@ -102,8 +102,8 @@
 // noMember is the empty set of members.
 func noMember(string) bool { return false }
 
-// updateBlocked tells the module which members have been blocked or unblocked since the last call. A member is blocked by operators
-// of this relay, by other relays, or because the whole list is unconfirmed. For an unblocked member, cold reports whether the member
+// updateBlocked reports to the module which members have been blocked or unblocked since the last call. A member is blocked by operators
+// of this relay, by other relays, or because the list is unconfirmed. For an unblocked member, cold reports whether the member
 // was restarted.
 func (r *Relay) updateBlocked(cold func(id string) bool) dispatch.MembershipUpdate {
 	blocked := maps.Clone(r.bans)
--- a/internal/retryafter/retryafter.go
+++ b/internal/retryafter/retryafter.go
@@ -19,8 +19,8 @@
 const (
 	// slotCount is the maximum number of waits in the table. The file is sparse: it takes memory only for pages that hold waits.
 	slotCount = 8192
-	// maxProbes is the number of slots, starting at the slot of its hash, that a wait may use. With thousands of waiting members that
-	// have separate limits, few waits share so many slots. If all of them are taken, a new wait replaces the one that ends first.
+	// maxProbes is the number of slots, starting at the slot of its hash, that a wait may use. Even with thousands of waiting
+	// members that have separate limits, all of these slots are rarely taken. If they are, a new wait replaces the one that ends first.
 	maxProbes = 32
 )
 
--- a/internal/traffic/traffic.go
+++ b/internal/traffic/traffic.go
@@ -34,7 +34,7 @@
 	FirstSent time.Time // start of the first flow that may have run; zero if none may have
 }
 
-// NoticeOutcome tells how an undelivered transaction ended.
+// NoticeOutcome is how an undelivered transaction ended.
 type NoticeOutcome byte
 
 // The outcomes of a Notice.
@@ -43,7 +43,7 @@
 	Returned
 )
 
-// Notice tells the platform that a transaction ended undelivered.
+// Notice reports to the platform that a transaction ended undelivered.
 type Notice struct {
 	ID       string
 	Outcome  NoticeOutcome
@@ -166,7 +166,7 @@
 	}
 }
 
-// FlowStatus tells how a flow ended.
+// FlowStatus is how a flow ended.
 type FlowStatus int
 
 // The statuses of a flow that has ended.
