--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -65,7 +65,7 @@
 // predecessor's exit.
 const recoveryInterval = 200 * time.Millisecond
 
-// Notices tells the platform how undelivered transactions ended. Each Send leads to the id in a call of Relay.NoticesAnswered.
+// Notices reports to the platform how undelivered transactions ended. Each Send leads to the id in a call of Relay.NoticesAnswered.
 type Notices interface{ Send(traffic.Notice) }
 
 // Meters measures the steps. RunSection runs f and records the time that f took.
@@ -803,11 +803,11 @@
 }
 
 // reply answers all clients that wait for the result of the submission.
-func (h *openTransaction) reply(a traffic.Answer) {
-	for _, to := range h.submitters {
+func (t *openTransaction) reply(a traffic.Answer) {
+	for _, to := range t.submitters {
 		to <- a
 	}
-	h.submitters = nil
+	t.submitters = nil
 }
 
 // commit writes a step to the journal. After an error no transaction is accepted and no flow starts; ends are kept for the commit of
