--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -300,7 +300,7 @@
 	}
 }
 
-// A retry of a keyed call must not be written after the class's DedupTTL. WriteBy tells that limit to the flow, which may have to connect
+// A retry of a keyed call must not be written after the class's DedupTTL. WriteBy gives this limit to the flow, which may have to connect
 // first.
 func TestRetryHasWriteBy(t *testing.T) {
 	r, w, now := startRelay(t)
@@ -339,7 +339,7 @@
 }
 
 // A learned limit is reported once, when a list first names its destination. The list at the start need not name it.
-func TestRecallsLimitsOncePerDestination(t *testing.T) {
+func TestRestoresLimitsOncePerDestination(t *testing.T) {
 	r, _, _ := startRelay(t)
 	limits := map[int]float64{3: 25, 7: 50}
 	r.Start(initialPool, limits, nil, nil)
